--- a/availability/function.go
+++ b/availability/function.go
@@ -12,10 +12,10 @@
 // and disk; processors and accelerators are ours, since the machines here are
 // shared by tasks that ask for different parts of them.
 type Room struct {
-	CPUs     float64
-	GPUs     float64
-	MemoryGB float64
-	DiskGB   float64
+	CPUs     float64 `json:"CPUs" msgpack:"CPUs"`
+	GPUs     float64 `json:"GPUs" msgpack:"GPUs"`
+	MemoryGB float64 `json:"MemoryGB" msgpack:"MemoryGB"`
+	DiskGB   float64 `json:"DiskGB" msgpack:"DiskGB"`
 }
 
 // slack absorbs the rounding of sums of decimal amounts.
--- a/disruption/disruption.go
+++ b/disruption/disruption.go
@@ -65,9 +65,9 @@
 
 // Demand is what a shard asks for and shows of a team.
 type Demand struct {
-	Want    int // tasks that it would stop now
-	Running int
-	Lost    int // tasks that it lost against its will, and that do not run again yet
+	Want    int `msgpack:"Want"` // tasks that it would stop now
+	Running int `msgpack:"Running"`
+	Lost    int `msgpack:"Lost"` // tasks that it lost against its will, and that do not run again yet
 }
 
 // Ledger is the leader's side: what was issued, by shard and team. The zero value is
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -142,9 +142,9 @@
 	app := newApp()
 	app.Post("/do", func(c *fiber.Ctx) error {
 		var b struct {
-			Baton *uint64
-			Dive  *uint64
-			Calls []callBody
+			Baton *uint64    `json:"baton"`
+			Dive  *uint64    `json:"dive"`
+			Calls []callBody `json:"calls"`
 		}
 		if err := json.Unmarshal(c.Body(), &b); err != nil || b.Baton == nil || b.Dive == nil {
 			return c.SendStatus(400)
@@ -170,9 +170,10 @@
 }
 
 type callBody struct {
-	Call, Chick string
-	Try         uint64
-	Slack       float64 `json:"slack_s"`
+	Call  string  `json:"call"`
+	Chick string  `json:"chick"`
+	Try   uint64  `json:"try"`
+	Slack float64 `json:"slack_s"`
 }
 
 func commandsOf(calls []callBody) []scheduler.Command {
@@ -376,9 +377,11 @@
 	})
 	app.Post("/rentals", func(c *fiber.Ctx) error {
 		var b struct {
-			Charter, Hull, Marsh string
-			Driftwood            bool
-			HowMany              int `json:"how_many"`
+			Charter   string `json:"charter"`
+			Hull      string `json:"hull"`
+			Marsh     string `json:"marsh"`
+			Driftwood bool   `json:"driftwood"`
+			HowMany   int    `json:"how_many"`
 		}
 		if err := json.Unmarshal(c.Body(), &b); err != nil {
 			return c.SendStatus(400)
@@ -439,8 +442,8 @@
 			continue
 		}
 		var a struct {
-			Baton uint64
-			Calls []callBody
+			Baton uint64     `json:"baton"`
+			Calls []callBody `json:"calls"`
 		}
 		err = json.NewDecoder(res.Body).Decode(&a)
 		res.Body.Close()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -52,8 +52,8 @@
 
 // Amounts is what limits and guarantees count.
 type Amounts struct {
-	CPUs float64 `json:"cpus,omitempty"`
-	GPUs float64 `json:"gpus,omitempty"`
+	CPUs float64 `json:"cpus,omitempty" msgpack:"CPUs"`
+	GPUs float64 `json:"gpus,omitempty" msgpack:"GPUs"`
 }
 
 // Add adds up.
--- a/scheduler/io.go
+++ b/scheduler/io.go
@@ -42,8 +42,8 @@
 
 // Guard is a condition of a transaction: the key's revision, 0 for none.
 type Guard struct {
-	Key string
-	Rev uint64
+	Key string `msgpack:"Key"`
+	Rev uint64 `msgpack:"Rev"`
 }
 
 // Change is a put or, without a value, a removal.
@@ -213,29 +213,30 @@
 // carries its id if that could be read: a job that is known is known whatever
 // a repeated body says.
 type UserRequest struct {
-	Kind UserKind
-	ID   string
-	Job  *Job
-	Bad  string // why the submission is malformed
+	Kind UserKind `msgpack:"Kind"`
+	ID   string   `msgpack:"ID"`
+	Job  *Job     `msgpack:"Job"`
+	Bad  string   `msgpack:"Bad"` // why the submission is malformed
 	// Guards are further conditions of a submission, for subsystems beside the
 	// core: with one that fails the job is not accepted (409).
-	Guards []Guard
+	Guards []Guard `msgpack:"Guards"`
 	// Relayed says that a peer asks on its user's behalf: it is not passed on
 	// again.
-	Relayed bool
+	Relayed bool `msgpack:"Relayed"`
 }
 
 // UserAnswer answers a user.
 type UserAnswer struct {
-	Status        int
-	Error         string
-	ID            string
-	State         State
-	Done, Running int
-	RetryS        int // >0: when to come back
+	Status  int    `msgpack:"Status"`
+	Error   string `msgpack:"Error"`
+	ID      string `msgpack:"ID"`
+	State   State  `msgpack:"State"`
+	Done    int    `msgpack:"Done"`
+	Running int    `msgpack:"Running"`
+	RetryS  int    `msgpack:"RetryS"` // >0: when to come back
 	// For subsystems beside the core; users are not told.
-	Failed string // why a cancelled job was given up
-	Run    string // the run that the job is a step of
+	Failed string `msgpack:"Failed"` // why a cancelled job was given up
+	Run    string `msgpack:"Run"`    // the run that the job is a step of
 
 	fault bool // the state service, or what comes from it, is missing here: a peer may have it
 }
@@ -305,11 +306,11 @@
 
 // Need is work that a shard's machines cannot end in time.
 type Need struct {
-	Job      string `msgpack:"job"`
-	Count    int    `msgpack:"n"`
-	Deadline int64  `msgpack:"dl"`   // time of day, ms
-	Length   int64  `msgpack:"len"`  // of a task, without its image
-	SpotOnly bool   `msgpack:"spot"` // ordinary machines serve it, at a higher price
+	Job      string `json:"Job" msgpack:"job"`
+	Count    int    `json:"Count" msgpack:"n"`
+	Deadline int64  `json:"Deadline" msgpack:"dl"`   // time of day, ms
+	Length   int64  `json:"Length" msgpack:"len"`    // of a task, without its image
+	SpotOnly bool   `json:"SpotOnly" msgpack:"spot"` // ordinary machines serve it, at a higher price
 }
 
 // Level is how much a log line matters.
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -73,28 +73,28 @@
 
 // Job is what a user submitted.
 type Job struct {
-	ID          string            `json:"id"`
-	Class       string            `json:"class,omitempty"`
-	Team        string            `json:"team"`
-	Kind        Kind              `json:"kind"`
-	Priority    Priority          `json:"prio"`
-	Tasks       int               `json:"tasks"`
-	Request     availability.Room `json:"req"`
-	Image       string            `json:"image,omitempty"`
-	Types       []string          `json:"types,omitempty"`
-	Zone        string            `json:"zone,omitempty"`
-	OneZone     bool              `json:"one_zone,omitempty"`
-	Spread      bool              `json:"spread,omitempty"`
-	Spot        bool              `json:"spot,omitempty"`
-	EstimateS   float64           `json:"est,omitempty"`
-	CheckpointS float64           `json:"ckpt,omitempty"`
-	SaveS       float64           `json:"save,omitempty"`
-	DeadlineS   float64           `json:"dl,omitempty"` // 0: none
+	ID          string            `json:"id" msgpack:"ID"`
+	Class       string            `json:"class,omitempty" msgpack:"Class"`
+	Team        string            `json:"team" msgpack:"Team"`
+	Kind        Kind              `json:"kind" msgpack:"Kind"`
+	Priority    Priority          `json:"prio" msgpack:"Priority"`
+	Tasks       int               `json:"tasks" msgpack:"Tasks"`
+	Request     availability.Room `json:"req" msgpack:"Request"`
+	Image       string            `json:"image,omitempty" msgpack:"Image"`
+	Types       []string          `json:"types,omitempty" msgpack:"Types"`
+	Zone        string            `json:"zone,omitempty" msgpack:"Zone"`
+	OneZone     bool              `json:"one_zone,omitempty" msgpack:"OneZone"`
+	Spread      bool              `json:"spread,omitempty" msgpack:"Spread"`
+	Spot        bool              `json:"spot,omitempty" msgpack:"Spot"`
+	EstimateS   float64           `json:"est,omitempty" msgpack:"EstimateS"`
+	CheckpointS float64           `json:"ckpt,omitempty" msgpack:"CheckpointS"`
+	SaveS       float64           `json:"save,omitempty" msgpack:"SaveS"`
+	DeadlineS   float64           `json:"dl,omitempty" msgpack:"DeadlineS"` // 0: none
 
 	// What subsystems beside the core set; users' jobs have none of it.
-	Run       string `json:"run,omitempty"`        // the workflow run that the job is a step of
-	MaxErrors int    `json:"max_errors,omitempty"` // the job fails when one of its tasks did so often; 0: never
-	Once      bool   `json:"once,omitempty"`       // a task that may have begun is not started again: the job fails
+	Run       string `json:"run,omitempty" msgpack:"Run"`              // the workflow run that the job is a step of
+	MaxErrors int    `json:"max_errors,omitempty" msgpack:"MaxErrors"` // the job fails when one of its tasks did so often; 0: never
+	Once      bool   `json:"once,omitempty" msgpack:"Once"`            // a task that may have begun is not started again: the job fails
 }
 
 // whole tells whether the job's tasks constrain each other's places or starts,
