--- /dev/null
+++ b/workflow/golden_test.go
@@ -0,0 +1,89 @@
+package workflow
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/grebedock/grebedock/extension"
+	"github.com/grebedock/grebedock/internal/golden"
+)
+
+func record[T any](t *testing.T, path string) {
+	t.Helper()
+	var v T
+	golden.Fill(&v)
+	golden.CheckTags(t, "json", v)
+	golden.RoundTrip(t, path, v, func(v T) ([]byte, error) { return extension.Encode(v), nil },
+		func(b []byte) (v T, err error) { return v, json.Unmarshal(b, &v) })
+}
+
+func TestStoredRecordsKeepTheirForm(t *testing.T) {
+	record[liveRecord](t, "live.json")
+	record[finalRecord](t, "final.json")
+	golden.Compare(t, "empty.jsonl", append(append(append(extension.Encode(liveRecord{}), '\n'), extension.Encode(finalRecord{})...), '\n'))
+}
+
+func TestAnswersKeepTheirForm(t *testing.T) {
+	record[Answer](t, "answer.json")
+}
+
+func TestSubmissionsKeepTheirForm(t *testing.T) {
+	var s Submission
+	golden.Fill(&s)
+	golden.CheckTags(t, "json", s)
+	golden.RoundTrip(t, "submission.json", s, func(s Submission) ([]byte, error) { return extension.Encode(s), nil },
+		func(b []byte) (s Submission, err error) { return s, decode(b, &s) })
+}
+
+// TestStoredSubmissionsKeepTheirForm holds the pages of a stored submission. What
+// the compressor makes of it may change with the compressor's version alone.
+func TestStoredSubmissionsKeepTheirForm(t *testing.T) {
+	var s Submission
+	golden.Fill(&s)
+	var stored []json.RawMessage
+	encode := func(s Submission) ([]byte, error) {
+		values, err := pages(&s, 64)
+		if err != nil {
+			return nil, err
+		}
+		return json.Marshal(values)
+	}
+	golden.RoundTrip(t, "pages.json", s, encode, func(b []byte) (Submission, error) {
+		if err := json.Unmarshal(b, &stored); err != nil {
+			return Submission{}, err
+		}
+		read, err := unpack(stored)
+		if err != nil {
+			return Submission{}, err
+		}
+		return *read, nil
+	})
+	if len(stored) < 2 {
+		t.Errorf("the submission takes %d pages, which tests no second one", len(stored))
+	}
+}
+
+// TestDescriptionsKeepTheirForm holds what workers read of a call.
+func TestDescriptionsKeepTheirForm(t *testing.T) {
+	golden.JSON[description](t, "description.json")
+}
+
+func TestStoreKeysKeepTheirForm(t *testing.T) {
+	for _, k := range []struct{ got, want string }{
+		{LivePrefix, "l/x/w/"},
+		{liveKey("run"), "l/x/w/run"},
+		{pageKey("run", "d", 0), "w/run/d0"},
+		{pageKey("run", "s", 12), "w/run/s12"},
+		{finalKey("run"), "wf/run"},
+		{jobID("run", "step/tool", 0, nil), "job-3199551016688555"},
+		{jobID("run", "step/tool", 100, map[string]int{"step/tool": 2}), "job-102"},
+	} {
+		if k.got != k.want {
+			t.Errorf("the key is %q, not %q", k.got, k.want)
+		}
+	}
+}
+
+func TestStatesKeepTheirWords(t *testing.T) {
+	golden.Compare(t, "states.json", extension.Encode([]State{Running, Failing, Cancelling, Done, Failed, Cancelled}))
+}
