--- /dev/null
+++ b/client/golden_test.go
@@ -0,0 +1,21 @@
+package client
+
+import (
+	"testing"
+
+	"github.com/grebedock/grebedock/internal/golden"
+	"github.com/grebedock/grebedock/internal/wire"
+)
+
+// TestSubmissionsKeepTheirForm holds what a client sends for a job whose fields
+// are all set.
+func TestSubmissionsKeepTheirForm(t *testing.T) {
+	var j Job
+	golden.Fill(&j)
+	j.ID, j.Kind, j.Priority = "job-7", Gang, "production"
+	core, err := j.core()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "submission.json", wire.JobRequest(core).Body)
+}
--- /dev/null
+++ b/internal/front/golden_test.go
@@ -0,0 +1,18 @@
+package front
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/grebedock/grebedock/internal/golden"
+)
+
+func TestRoutesKeepTheirForm(t *testing.T) {
+	app := New(nil, 100, false)
+	ServeWorkflows(app, nil)
+	var out []byte
+	for _, r := range app.GetRoutes() {
+		out = fmt.Appendf(out, "%s %s\n", r.Method, r.Path)
+	}
+	golden.Compare(t, "routes.txt", out)
+}
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -47,3 +47,12 @@
 		t.Errorf("%+v and %+v differ", a, b)
 	}
 }
+
+func TestDumpHasNoNames(t *testing.T) {
+	var v outer
+	Fill(&v)
+	const want = `["s1",[[2,"s3"],[4,"s5"]],{"s6":7.5,"s8":9.5},{"n":10},11,true,null,"s12"]`
+	if got := string(Dump(v)); got != want {
+		t.Errorf("%s, not %s", got, want)
+	}
+}
--- /dev/null
+++ b/internal/guard/golden_test.go
@@ -0,0 +1,23 @@
+package guard
+
+import (
+	"fmt"
+	"regexp"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/grebedock/grebedock/internal/golden"
+)
+
+var helpText = regexp.MustCompile(`help: "[^"]*", `)
+
+// TestMetricsKeepTheirNames holds the metrics of an address and their labels.
+func TestMetricsKeepTheirNames(t *testing.T) {
+	d := newDescs("front")
+	var out []byte
+	for _, desc := range []*prometheus.Desc{d.open, d.state, d.slots, d.held, d.closed} {
+		out = fmt.Appendln(out, desc)
+	}
+	golden.Compare(t, "metrics.txt", helpText.ReplaceAll(out, nil))
+}
--- /dev/null
+++ b/internal/mesh/admin_golden_test.go
@@ -0,0 +1,152 @@
+package mesh
+
+import (
+	"fmt"
+	"io"
+	"net/http/httptest"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/gofiber/fiber/v2"
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/grebedock/grebedock/internal/golden"
+	"github.com/grebedock/grebedock/rollout"
+	"github.com/grebedock/grebedock/scheduler"
+	"github.com/grebedock/grebedock/schedules"
+)
+
+// filledCore answers with filled values and keeps what it was given.
+type filledCore struct{ got []any }
+
+func filled[T any]() (v T) {
+	golden.Fill(&v)
+	return v
+}
+
+var good = scheduler.UserAnswer{Status: fiber.StatusOK}
+
+func (*filledCore) Peer(scheduler.PeerMessage) {}
+func (*filledCore) User(scheduler.UserRequest, time.Duration) (scheduler.UserAnswer, bool) {
+	return good, true
+}
+func (*filledCore) Status() scheduler.Status           { return filled[scheduler.Status]() }
+func (*filledCore) Settings() scheduler.Settings       { return filled[scheduler.Settings]() }
+func (*filledCore) Collectors() []prometheus.Collector { return nil }
+func (*filledCore) Rollout() *scheduler.RolloutStatus  { return filled[*scheduler.RolloutStatus]() }
+
+func (c *filledCore) ChangeSettings(s scheduler.Settings) (scheduler.UserAnswer, bool) {
+	c.got = append(c.got, s)
+	return good, true
+}
+
+func (c *filledCore) PreviewRollout(p rollout.Plan) scheduler.RolloutPreview {
+	c.got = append(c.got, p)
+	v := filled[scheduler.RolloutPreview]()
+	v.Wrong = ""
+	return v
+}
+
+func (c *filledCore) ApplyRollout(p rollout.Plan) (scheduler.UserAnswer, bool) {
+	c.got = append(c.got, p)
+	return good, true
+}
+
+func (c *filledCore) CommandRollout(command rollout.Command) (scheduler.UserAnswer, bool) {
+	c.got = append(c.got, command)
+	return good, true
+}
+
+func (c *filledCore) Schedules(r schedules.Request) (schedules.Answer, bool) {
+	c.got = append(c.got, r)
+	a := filled[schedules.Answer]()
+	a.Status = fiber.StatusOK
+	return a, true
+}
+
+func filledServer() (*fiber.App, *filledCore) {
+	core := &filledCore{}
+	app := Server(core, 100, false)
+	ServeSchedules(app, core)
+	return app, core
+}
+
+// ask asks the administration API and gives the status and body of its answer.
+func ask(t *testing.T, app *fiber.App, method, path, body string) string {
+	t.Helper()
+	res, err := app.Test(httptest.NewRequest(method, path, strings.NewReader(body)), -1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer res.Body.Close()
+	b, err := io.ReadAll(res.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("%d\n%s", res.StatusCode, b)
+}
+
+// TestAdministrationRequestsKeepTheirForm holds the bodies that operators send.
+func TestAdministrationRequestsKeepTheirForm(t *testing.T) {
+	golden.JSON[rollout.Plan](t, "plan.json")
+	golden.JSON[scheduler.Settings](t, "settings.json")
+}
+
+func TestAdministrationAnswersKeepTheirForm(t *testing.T) {
+	for _, v := range []any{scheduler.Status{}, scheduler.Settings{}, scheduler.RolloutStatus{}, scheduler.RolloutPreview{}, schedules.Answer{}, rollout.Plan{}} {
+		golden.CheckTags(t, "json", v)
+	}
+	plan := string(golden.Read(t, "plan.json"))
+	settings := string(golden.Read(t, "settings.json"))
+	app, core := filledServer()
+	var out []byte
+	for _, q := range []struct{ method, path, body string }{
+		{"GET", "/v1/status", ""},
+		{"GET", "/v1/settings", ""},
+		{"PATCH", "/v1/settings", settings},
+		{"PATCH", "/v1/settings", `{"unknown":1}`},
+		{"GET", "/v1/rollout", ""},
+		{"PUT", "/v1/rollout?preview=true", plan},
+		{"PUT", "/v1/rollout", plan},
+		{"POST", "/v1/rollout/pause", ""},
+		{"POST", "/v1/rollout/resume", ""},
+		{"POST", "/v1/rollout/abort", ""},
+		{"GET", "/v1/schedules?from=a", ""},
+		{"GET", "/v1/schedules/nightly", ""},
+		{"GET", "/v1/schedules/nightly/history?from=2", ""},
+		{"POST", "/v1/schedules/nightly/pause", ""},
+		{"POST", "/v1/schedules/nightly/resume", ""},
+		{"DELETE", "/v1/schedules/nightly", ""},
+		{"PUT", "/v1/schedules/nightly?effective=2026-01-02T03:04:05Z", "text"},
+		{"GET", "/v1/calendars/bank", ""},
+		{"PUT", "/v1/calendars/bank", "text"},
+	} {
+		out = fmt.Appendf(out, "%s %s\n%s\n", q.method, q.path, ask(t, app, q.method, q.path, q.body))
+	}
+	golden.Compare(t, "admin.txt", out)
+	var got []byte
+	for _, v := range core.got {
+		got = append(append(got, golden.Dump(v)...), '\n')
+	}
+	golden.Compare(t, "admin_read.jsonl", got)
+}
+
+func TestRoutesKeepTheirForm(t *testing.T) {
+	app, _ := filledServer()
+	var out []byte
+	for _, r := range app.GetRoutes() {
+		out = fmt.Appendf(out, "%s %s\n", r.Method, r.Path)
+	}
+	golden.Compare(t, "routes.txt", out)
+}
+
+var helpLines = regexp.MustCompile(`(?m)^# HELP .*\n`)
+
+// TestMetricsKeepTheirNames holds metrics with their types, labels and values,
+// but not the texts that explain them.
+func TestMetricsKeepTheirNames(t *testing.T) {
+	app, _ := filledServer()
+	golden.Compare(t, "metrics.txt", helpLines.ReplaceAll([]byte(ask(t, app, "GET", "/metrics", "")), nil))
+}
--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,42 @@
+package node
+
+import (
+	"bytes"
+	"fmt"
+	"regexp"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/common/expfmt"
+
+	"github.com/grebedock/grebedock/internal/golden"
+	"github.com/grebedock/grebedock/schedules"
+	"github.com/grebedock/grebedock/workflow"
+)
+
+var helpText = regexp.MustCompile(`(?m)^# HELP .*\n|help: "[^"]*", `)
+
+// TestMetricsKeepTheirNames holds the metrics of a member's process: names,
+// types, labels and buckets, but not the texts that explain them.
+func TestMetricsKeepTheirNames(t *testing.T) {
+	h := newHealth(1)
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(h.late, h.shed)
+	families, err := registry.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	enc := expfmt.NewEncoder(&out, expfmt.NewFormat(expfmt.TypeTextPlain))
+	for _, f := range families {
+		if err := enc.Encode(f); err != nil {
+			t.Fatal(err)
+		}
+	}
+	counters := (&workflowRunner{host: &workflow.Host{}}).counters()
+	counters = append(counters, (&scheduleRunner{host: &schedules.Host{}}).counters()...)
+	for _, c := range counters {
+		fmt.Fprintf(&out, "%v %s\n", c.desc, c.event)
+	}
+	golden.Compare(t, "metrics.txt", helpText.ReplaceAll(out.Bytes(), nil))
+}
