--- a/emulator/progress.go
+++ b/emulator/progress.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"maps"
 	"math"
 	"slices"
 
@@ -93,8 +94,8 @@
 	}
 	if _, there := o.images[j.Image]; !there {
 		used := j.Request.DiskGB
-		for _, gb := range o.images {
-			used += gb
+		for _, image := range slices.Sorted(maps.Keys(o.images)) { // the same sum every time
+			used += o.images[image]
 		}
 		if used > o.host.typ.Room.DiskGB {
 			return 0 // the cache holds images that tasks there need
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -960,8 +960,8 @@
 		}
 		zones[t.Job.ID][h.Rental.Zone]++
 	})
-	for team, n := range use {
-		w.checkUse(team, n, gpus[team])
+	for _, team := range slices.Sorted(maps.Keys(use)) { // the first that fails is told
+		w.checkUse(team, use[team], gpus[team])
 	}
 	w.Each(func(h *Host, t *standin.Task) { w.checkPlace(h, t, zones[t.Job.ID]) })
 	w.After(w.SweepMS, w.sweep)
--- a/planner/images.go
+++ b/planner/images.go
@@ -1,6 +1,7 @@
 package planner
 
 import (
+	"maps"
 	"math/bits"
 	"slices"
 )
@@ -55,8 +56,8 @@
 		return
 	}
 	total := 0.0
-	for _, o := range s.images {
-		total += o.GB
+	for _, n := range slices.Sorted(maps.Keys(s.images)) { // the same sum every time
+		total += s.images[n].GB
 	}
 	for total > cache && len(s.images) > 1 {
 		oldest := ""
--- a/quota/guarantee.go
+++ b/quota/guarantee.go
@@ -13,6 +13,9 @@
 	Size Amounts // of all its tasks
 }
 
+// Compare orders jobs as they came.
+func (j Job) Compare(o Job) int { return cmp.Or(cmp.Compare(j.At, o.At), cmp.Compare(j.ID, o.ID)) }
+
 // Within tells which of a team's unfinished jobs are within its guarantee: each that
 // fits it together with all that came before. Members that see the same jobs agree.
 func Within(guarantee Amounts, jobs []Job) map[string]bool {
@@ -20,7 +23,7 @@
 		return nil
 	}
 	jobs = slices.Clone(jobs)
-	slices.SortFunc(jobs, func(a, b Job) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(jobs, Job.Compare)
 	out := map[string]bool{}
 	var sum Amounts
 	for _, j := range jobs {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -243,7 +243,8 @@
 	if rec.Wants == nil {
 		rec.Wants = map[string]Want{}
 	}
-	for s, g := range gifts {
+	for _, s := range slices.Sorted(maps.Keys(gifts)) { // the same difference every time
+		g := gifts[s]
 		rec.Parts[shard] = rec.Parts[shard].Sub(g)
 		rec.Parts[s] = rec.Parts[s].Add(g)
 		w := wants[s]
--- a/scheduler/admin.go
+++ b/scheduler/admin.go
@@ -113,7 +113,7 @@
 	var age int64
 	ts.Use, ts.Wait, age = m.watch.Others(name, m.now.Steady, m.now.Steady-m.freshFor())
 	ts.Use, ts.Wait, ts.AgeS = ts.Use.Add(use), ts.Wait.Add(wait), float64(age)/1000
-	for _, j := range m.jobs {
+	for _, j := range inOrder(m.jobs) { // the same sum every time
 		if j.rec.Job.Team == name && m.guaranteed(&j.rec.Job) {
 			ts.Within = ts.Within.Add(sizeOf(&j.rec.Job))
 		}
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -55,6 +55,7 @@
 		}
 		*st = standing{true, map[string]bool{}, map[string]quota.Amounts{}}
 		for team, jobs := range byTeam {
+			slices.SortFunc(jobs, quota.Job.Compare) // the same sum every time
 			for id := range quota.Within(guaranteeOf(m.p.Teams[team]), jobs) {
 				st.within[id] = true
 			}
@@ -141,9 +142,15 @@
 func (m *Member) capacityUp() quota.Amounts {
 	if m.up.at == 0 || m.now.Steady-m.up.at > ms(m.settings.SummaryS) {
 		m.up = capacity{at: m.now.Steady}
+		ups := map[string]int{}
 		for _, mc := range m.machines {
-			if t := m.types[mc.rec.Type]; t != nil && mc.Up {
-				m.up.all = m.up.all.Add(amountsOf(t.Room))
+			if mc.Up {
+				ups[mc.rec.Type]++
+			}
+		}
+		for name, n := range inOrder(ups) { // the same sum every time
+			if t := m.types[name]; t != nil {
+				m.up.all = m.up.all.Add(amountsOf(t.Room).Times(float64(n)))
 			}
 		}
 	}
@@ -193,7 +200,7 @@
 	var list []*attempt
 	room := pm.Free
 	ending := false
-	for _, a := range mc.attempts {
+	for _, a := range mc.byKey {
 		switch {
 		case a.exited || a.stopped || a.evicted:
 		case a.ends(m.now.Wall)-m.now.Wall <= m.stopTime(a.job):
@@ -351,7 +358,7 @@
 	for range min(p.n, p.w.pending()) {
 		r = r.Add(req)
 	}
-	for _, a := range mc.attempts {
+	for _, a := range mc.byKey {
 		if a.ceded && !a.exited {
 			r = r.Sub(withoutDisk(a.job.Request))
 		}
@@ -370,7 +377,7 @@
 		}
 		p.sent = true
 		mc.commands = mc.commands[:0]
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if a.ceded && !a.exited && !a.saving {
 				m.command(s, mc, Command{Kind: Stop, Task: a.key.task, Attempt: a.key.attempt, GraceS: a.job.SaveS + m.p.ReportS})
 			}
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"cmp"
 	"slices"
 	"strings"
 
@@ -16,6 +17,10 @@
 	attempt uint64
 }
 
+func (a *attempt) compare(key attemptKey) int {
+	return cmp.Or(strings.Compare(a.key.task, key.task), cmp.Compare(a.key.attempt, key.attempt))
+}
+
 // attempt is a start that is not known to be over. Until then it counts: for
 // its machine's room, its team's limit and its job's zones, and its task is
 // started nowhere else.
@@ -82,6 +87,7 @@
 	unheard   bool  // the last start in a report's answer did not reach it
 	faults    map[string]bool
 	attempts  map[attemptKey]*attempt
+	byKey     []*attempt        // the attempts in order of their keys: loops over them give the same each time
 	live      int               // attempts that are not over
 	use       availability.Room // of them
 	seat      *planner.Seat     // its images; nil: not of our shards
@@ -134,7 +140,7 @@
 // resetMachine forgets what an earlier claim knew of a machine. Silence counts
 // from here: whoever answered it before did so before this claim.
 func (m *Member) resetMachine(mc *machine) {
-	for _, a := range mc.attempts {
+	for _, a := range mc.byKey {
 		m.end(mc, a)
 	}
 	mc.seat.Leave()
@@ -153,7 +159,7 @@
 	}
 	delete(m.machines, id)
 	mc.seat.Leave()
-	for _, a := range mc.attempts {
+	for _, a := range slices.Backward(mc.byKey) {
 		m.over(mc, a)
 	}
 	if s := m.mine[mc.rec.Shard]; s != nil {
@@ -171,6 +177,10 @@
 // over frees what an attempt held, once there is evidence that it is over.
 func (m *Member) over(mc *machine, a *attempt) {
 	delete(mc.attempts, a.key)
+	// A loop that goes backward over byKey may call this for the attempt it is at.
+	if at, ok := slices.BinarySearchFunc(mc.byKey, a.key, (*attempt).compare); ok {
+		mc.byKey = slices.Delete(mc.byKey, at, at+1)
+	}
 	if !a.exited && !a.unbegun {
 		m.lostOnce(a)
 		if a.running && !a.evicted {
@@ -196,6 +206,11 @@
 		mc.attempts = map[attemptKey]*attempt{}
 	}
 	mc.attempts[a.key] = a
+	if at, ok := slices.BinarySearchFunc(mc.byKey, a.key, (*attempt).compare); ok {
+		mc.byKey[at] = a
+	} else {
+		mc.byKey = slices.Insert(mc.byKey, at, a)
+	}
 	mc.live++
 	mc.use = mc.use.Add(a.job.Request)
 }
@@ -285,7 +300,7 @@
 	t := m.types[mc.rec.Type]
 	if s.squares.Lost(mc.Machine, now) {
 		lostTasks := mc.live
-		for _, a := range mc.attempts {
+		for _, a := range slices.Backward(mc.byKey) {
 			m.over(mc, a)
 		}
 		m.Counters.Lost += uint64(lostTasks)
@@ -452,7 +467,7 @@
 	if take == reconcile.Restart {
 		// Its lease ended: every task of the earlier session was killed.
 		m.log(Info, "machine in a new session", "machine", r.Machine, "tasks", mc.live)
-		for _, a := range mc.attempts {
+		for _, a := range slices.Backward(mc.byKey) {
 			m.over(mc, a)
 		}
 	}
@@ -500,7 +515,7 @@
 		a.seen = true
 		m.follow(s, mc, a, t, r)
 	}
-	for key, a := range mc.attempts {
+	for _, a := range slices.Backward(mc.byKey) {
 		// A start rides in a report's answer, which the worker has carried
 		// out or dropped before it reports again: a newer report without
 		// the attempt says that there is none.
@@ -510,12 +525,12 @@
 		if a.doToken != 0 && a.doToken >= r.Token && a.session == r.Session {
 			continue
 		}
-		if !seen[key] && (a.session < r.Session || a.afterSeq < r.Seq) {
+		if !seen[a.key] && (a.session < r.Session || a.afterSeq < r.Seq) {
 			a.unbegun = !a.seen && a.session == r.Session
 			if a.unbegun {
 				mc.unheard = true
 				m.Counters.Unheard++
-				m.log(Debug, "start not heard", "task", key.task, "machine", mc.id)
+				m.log(Debug, "start not heard", "task", a.key.task, "machine", mc.id)
 			}
 			m.over(mc, a)
 		}
@@ -852,8 +867,8 @@
 			continue
 		}
 		var sent []*attempt
-		for k, a := range mc.attempts {
-			if !before[k] {
+		for _, a := range mc.byKey {
+			if !before[a.key] {
 				a.doToken = s.token
 				sent = append(sent, a)
 			}
@@ -1094,7 +1109,7 @@
 	if !mc.unheard {
 		return false
 	}
-	for _, a := range mc.attempts {
+	for _, a := range mc.byKey {
 		if !a.seen && !a.exited {
 			return true
 		}
--- a/scheduler/member.go
+++ b/scheduler/member.go
@@ -8,6 +8,7 @@
 import (
 	"encoding/json"
 	"math/rand/v2"
+	"slices"
 	"strings"
 
 	"github.com/grebedock/grebedock/access"
@@ -376,7 +377,7 @@
 			}
 			// The hold ended: every claim that hung on it is gone.
 			m.log(Warn, "hold lost", "shards", len(m.mine))
-			for _, s := range m.mine {
+			for _, s := range inOrder(m.mine) {
 				m.dropShard(s)
 			}
 		})
@@ -419,11 +420,16 @@
 		found[it.Key] = true
 		m.apply(it)
 	}
+	var gone []string
 	for k, at := range m.revs {
 		if !found[k] && at <= rev {
-			m.apply(Item{Key: k, Rev: rev})
+			gone = append(gone, k)
 		}
 	}
+	slices.Sort(gone)
+	for _, k := range gone {
+		m.apply(Item{Key: k, Rev: rev})
+	}
 	m.rev = rev
 	m.log(Info, "mirror read", "keys", len(items), "revision", rev)
 }
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -133,7 +133,7 @@
 			continue
 		}
 		n := reconcile.Note{Use: map[string]reconcile.Amounts{}}
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if !a.exited {
 				n.Ranges = append(n.Ranges, a.work.name())
 				n.Use[a.job.Team] = n.Use[a.job.Team].Add(reconcile.Amounts{CPUs: a.job.Request.CPUs, GPUs: a.job.Request.GPUs})
@@ -171,7 +171,7 @@
 			if mc.Up && mc.Squared() {
 				seen++
 			}
-			for _, a := range mc.attempts {
+			for _, a := range mc.byKey {
 				if !a.exited {
 					ends += 1 / float64(max(a.length, 1))
 				}
--- a/scheduler/peers.go
+++ b/scheduler/peers.go
@@ -405,7 +405,7 @@
 		default:
 			ordinary += cpus
 		}
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if a.running && !a.exited {
 				running += a.job.Request.CPUs
 			} else if !a.exited {
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -123,7 +123,7 @@
 		pm := b.Add(mc.id, planner.Kind{Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot}, mc.seat)
 		pm.UpAt, pm.Up = upAt, mc.Squared()
 		s.onBoard = append(s.onBoard, mc)
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if a.exited {
 				continue
 			}
@@ -302,7 +302,7 @@
 			continue
 		}
 		until := m.now.Wall + mc.goneAt - m.now.Steady
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if !a.exited && a.ends(m.now.Wall) > until && m.jobs[a.job.ID] == a.work.job {
 				doomed[a.work]++
 			}
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -292,7 +292,7 @@
 	}
 	live := map[string]*attempt{}
 	for _, mc := range s.machines {
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if !a.exited && a.running {
 				live[a.key.task] = a
 			}
@@ -335,7 +335,7 @@
 		return
 	}
 	for _, mc := range s.machines {
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if !a.exited && a.running {
 				w := d.wants[a.job.Team]
 				w.Running++
@@ -357,7 +357,7 @@
 		if !mc.aside || !mc.Squared() || mc.live == 0 || !m.covered(mc) {
 			continue
 		}
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if a.exited || a.saving || a.job.Once || d.account.IsOpen(a.key.task) {
 				continue
 			}
@@ -434,7 +434,7 @@
 		}
 	case Gang:
 		for _, mc := range s.machines {
-			for _, o := range mc.attempts {
+			for _, o := range mc.byKey {
 				if !o.exited && o.work == a.work {
 					tasks[o.key.task] = o.key.attempt
 				}
@@ -548,7 +548,7 @@
 		out.Kinds[planner.Kind{Type: x.Type, Zone: x.Zone, Spot: x.Spot}.Name()]++
 		zones[x.Zone]++
 		dearest = max(dearest, m.planPrice(rollout.Kind{Type: x.Type, Zone: x.Zone, Spot: x.Spot}))
-		for _, a := range mc.attempts {
+		for _, a := range mc.byKey {
 			if !a.exited && a.running {
 				out.Tasks[a.job.Team]++
 			}
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -394,10 +394,14 @@
 	}
 	for _, mc := range m.machines {
 		if l := loads[mc.rec.Shard]; l != nil {
-			l.cpus += roomOf(m.types[mc.rec.Type]).CPUs
 			l.same[mc.rec.Type]++
 		}
 	}
+	for _, l := range loads {
+		for typ, n := range inOrder(l.same) { // the same sum every time
+			l.cpus += float64(n) * roomOf(m.types[typ]).CPUs
+		}
+	}
 	return loads
 }
 
--- a/scheduler/shard.go
+++ b/scheduler/shard.go
@@ -256,7 +256,7 @@
 		return
 	}
 	delete(m.mine, s.name)
-	for _, j := range m.jobs {
+	for _, j := range inOrder(m.jobs) {
 		m.syncWorks(j, false)
 	}
 }
