--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -1,7 +1,8 @@
 package standin
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -60,6 +61,7 @@
 	Session, seq, token uint64
 	answered            int64
 	tasks               map[attempt]*Task
+	byName              []*Task // the tasks by name and attempt: sums over them are the same every time
 	results             map[string]bool
 	images              map[string]bool
 	Changed             bool
@@ -75,26 +77,21 @@
 func (w *Worker) Begin(now int64) {
 	w.Session, w.answered = 1, now
 	w.tasks, w.results, w.images = map[attempt]*Task{}, map[string]bool{}, map[string]bool{}
+	w.byName = nil
 }
 
 // Tasks lists the tasks in a fixed order.
 func (w *Worker) Tasks() []*Task {
-	out := make([]*Task, 0, len(w.tasks))
-	for _, t := range w.tasks {
-		out = append(out, t)
-	}
-	sort.Slice(out, func(i, j int) bool {
-		if out[i].Name != out[j].Name {
-			return out[i].Name < out[j].Name
-		}
-		return out[i].Attempt < out[j].Attempt
-	})
-	return out
+	return slices.Clone(w.byName)
 }
 
-// Running visits the tasks that are on the machine, in no order.
+func (t *Task) compare(key attempt) int {
+	return cmp.Or(strings.Compare(t.Name, key.task), cmp.Compare(t.Attempt, key.n))
+}
+
+// Running visits the tasks that are on the machine, in a fixed order.
 func (w *Worker) Running(f func(*Task)) {
-	for _, t := range w.tasks {
+	for _, t := range w.byName {
 		if t.OnMachine() {
 			f(t)
 		}
@@ -103,7 +100,7 @@
 
 // due tells whether a task has something to do.
 func (w *Worker) due(now int64) bool {
-	for _, t := range w.tasks {
+	for _, t := range w.byName {
 		if t.State != "exited" && now >= t.until {
 			return true
 		}
@@ -115,7 +112,7 @@
 func (w *Worker) Advance(now int64) {
 	if w.Expired(now) {
 		w.Stop()
-		w.tasks = map[attempt]*Task{}
+		w.tasks, w.byName = map[attempt]*Task{}, nil
 		w.Session++
 		w.answered = now
 		w.Changed = true
@@ -190,7 +187,7 @@
 
 // Stop ends whatever runs.
 func (w *Worker) Stop() {
-	for _, t := range w.tasks {
+	for _, t := range w.byName {
 		t.stop()
 	}
 }
@@ -267,6 +264,9 @@
 		case scheduler.Forget:
 			if t != nil && t.State == "exited" {
 				delete(w.tasks, key)
+				if at, ok := slices.BinarySearchFunc(w.byName, key, (*Task).compare); ok {
+					w.byName = slices.Delete(w.byName, at, at+1)
+				}
 			}
 		}
 	}
@@ -281,6 +281,8 @@
 		t.until = now + w.FetchOf(t.Job)
 	}
 	w.tasks[key] = t
+	at, _ := slices.BinarySearchFunc(w.byName, key, (*Task).compare)
+	w.byName = slices.Insert(w.byName, at, t)
 	refuse := func(why string) { t.State, t.Why = "exited", why }
 	if t.Job == nil {
 		refuse("unknown")
@@ -290,11 +292,11 @@
 		t.until = now
 	}
 	free := w.Room
-	for k, o := range w.tasks {
+	for _, o := range w.byName {
 		if o == t || o.State == "exited" {
 			continue
 		}
-		if k.task == key.task {
+		if o.Name == key.task {
 			refuse("busy")
 			return
 		}
