--- a/cmd/grebedock/schedule.go
+++ b/cmd/grebedock/schedule.go
@@ -22,7 +22,7 @@
 
 func scheduleCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "schedule", Short: "Jobs that recur by a calendar: check, preview, apply, follow"}
-	cmd.AddCommand(checkSchedules(), previewSchedules(), applySchedules())
+	cmd.AddCommand(checkSchedulesCommand(), previewSchedulesCommand(), applySchedulesCommand())
 	for _, c := range []struct{ use, short, method, path string }{
 		{"list", "List schedules", "GET", ""},
 		{"show NAME", "Show a schedule and what it decided last", "GET", "/%s"},
@@ -31,14 +31,14 @@
 		{"resume NAME", "Go on with a schedule; what was due meanwhile is not made up for", "POST", "/%s/resume"},
 		{"remove NAME", "Remove a schedule; runs that it decided go on", "DELETE", "/%s"},
 	} {
-		cmd.AddCommand(scheduleRequest(c.use, c.short, c.method, "/v1/schedules"+c.path))
+		cmd.AddCommand(scheduleRequestCommand(c.use, c.short, c.method, "/v1/schedules"+c.path))
 	}
 	return cmd
 }
 
 func calendarCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "calendar", Short: "Calendars of recurring schedules"}
-	cmd.AddCommand(scheduleRequest("show NAME", "Show a calendar, and the schedules that use it", "GET", "/v1/calendars/%s"),
+	cmd.AddCommand(scheduleRequestCommand("show NAME", "Show a calendar, and the schedules that use it", "GET", "/v1/calendars/%s"),
 		applyCommand("calendar", "calendars", "Change the calendars of a file for all schedules that use them",
 			"Each schedule that uses a changed calendar gets a new version that counts from now, or from\n--effective on.",
 			func(f *schedules.File) (names []string) {
@@ -58,7 +58,7 @@
 	}
 	f, err := schedules.ParseFile(b)
 	if err != nil {
-		return nil, &codedError{fmt.Errorf("%s: %w", name, err), exitBad}
+		return nil, &codedError{fmt.Errorf("%s: %w", name, err), exitInvalid}
 	}
 	return f, nil
 }
@@ -89,8 +89,8 @@
 	return toml.Marshal(f)
 }
 
-// askAdmin asks the administration API about schedules.
-func askAdmin(addr string, r wire.Request) (a schedules.Answer, err error) {
+// requestSchedules asks the administration API about schedules.
+func requestSchedules(addr string, r wire.Request) (a schedules.Response, err error) {
 	body, err := adminRequest(addr, r)
 	if err != nil {
 		return a, err
@@ -98,7 +98,7 @@
 	return a, json.Unmarshal(body, &a)
 }
 
-func scheduleRequest(use, short, method, path string) *cobra.Command {
+func scheduleRequestCommand(use, short, method, path string) *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(strings.Count(use, " "))}
 	cmd.Flags().StringVar(&addr, "addr", "", "a controller's mesh address, host:port")
@@ -106,18 +106,18 @@
 		panic(err)
 	}
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		at := path
+		requestPath := path
 		if len(args) > 0 {
-			at = fmt.Sprintf(at, url.PathEscape(args[0]))
+			requestPath = fmt.Sprintf(requestPath, url.PathEscape(args[0]))
 		}
 		enc := json.NewEncoder(cmd.OutOrStdout())
 		enc.SetIndent("", "  ")
 		for from := ""; ; {
-			q := at
+			query := requestPath
 			if from != "" {
-				q += "?from=" + url.QueryEscape(from)
+				query += "?from=" + url.QueryEscape(from)
 			}
-			a, err := askAdmin(addr, wire.Request{Method: method, Path: q})
+			a, err := requestSchedules(addr, wire.Request{Method: method, Path: query})
 			if err != nil {
 				return err
 			}
@@ -130,7 +130,7 @@
 	return cmd
 }
 
-func applySchedules() *cobra.Command {
+func applySchedulesCommand() *cobra.Command {
 	return applyCommand("schedule", "schedules", "Create or change the schedules of a file, with its calendars",
 		"Creates or changes the schedules of a file. A changed one is a new version that counts from\n"+
 			"now, or from --effective on; what was decided stays, what is due before goes by the old one.",
@@ -143,10 +143,10 @@
 }
 
 // applyCommand puts what a file has of a kind, one by one.
-func applyCommand(one, path, short, long string, names func(*schedules.File) []string) *cobra.Command {
+func applyCommand(resource, path, short, long string, names func(*schedules.File) []string) *cobra.Command {
 	var addr, effective string
 	cmd := &cobra.Command{Use: "apply FILE", Short: short, Long: long, Args: cobra.ExactArgs(1),
-		Example: "  grebedock " + one + " apply --addr 10.0.0.1:8081 provinces.toml"}
+		Example: "  grebedock " + resource + " apply --addr 10.0.0.1:8081 provinces.toml"}
 	cmd.Flags().StringVar(&addr, "addr", "", "a controller's mesh address, host:port")
 	cmd.Flags().StringVar(&effective, "effective", "", "from when on the file counts, RFC 3339; default: now")
 	if err := cmd.MarkFlagRequired("addr"); err != nil {
@@ -159,14 +159,14 @@
 		}
 		b, err := packSchedules(f, filepath.Dir(args[0]))
 		if err != nil {
-			return &codedError{fmt.Errorf("%s: %w", args[0], err), exitBad}
+			return &codedError{fmt.Errorf("%s: %w", args[0], err), exitInvalid}
 		}
 		for _, name := range names(f) {
-			at := "/v1/" + path + "/" + url.PathEscape(name)
+			requestPath := "/v1/" + path + "/" + url.PathEscape(name)
 			if effective != "" {
-				at += "?effective=" + url.QueryEscape(effective)
+				requestPath += "?effective=" + url.QueryEscape(effective)
 			}
-			a, err := askAdmin(addr, wire.Request{Method: "PUT", Path: at, Body: b})
+			a, err := requestSchedules(addr, wire.Request{Method: "PUT", Path: requestPath, Body: b})
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
@@ -184,7 +184,7 @@
 	return cmd
 }
 
-func checkSchedules() *cobra.Command {
+func checkSchedulesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
 		Short:   "Check a file of calendars and schedules and say what is wrong",
@@ -201,103 +201,103 @@
 	}
 }
 
-// shown is a moment as it is printed.
-type shown struct {
+// previewRow is a moment as it is printed.
+type previewRow struct {
 	Schedule string `json:"schedule"`
 	At       string `json:"at,omitempty"`
-	Day      string `json:"day"`
+	Date     string `json:"day"`
 	Clock    string `json:"clock,omitempty"`
-	Fell     bool   `json:"fell_out,omitempty"`
-	Why      string `json:"why,omitempty"`
+	Dropped  bool   `json:"fell_out,omitempty"`
+	Reason   string `json:"why,omitempty"`
 }
 
-func previewSchedules() *cobra.Command {
-	var p preview
+func previewSchedulesCommand() *cobra.Command {
+	var p previewOptions
 	cmd := &cobra.Command{
 		Use:   "preview FILE",
 		Short: "Show when schedules are due, with each moved or dropped date and its reason",
 		Example: "  grebedock schedule preview --from 2027-01-01 --to 2028-01-01 docs/examples/schedules/provinces.toml\n" +
 			"  grebedock schedule preview --moved --name month-end-reads docs/examples/schedules/provinces.toml",
 		Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error { return p.run(cmd.OutOrStdout(), args[0]) },
+		RunE: func(cmd *cobra.Command, args []string) error { return p.printSchedules(cmd.OutOrStdout(), args[0]) },
 	}
 	fl := cmd.Flags()
 	fl.StringVar(&p.from, "from", recurrence.DateOf(time.Now()).String(), "first day, YYYY-MM-DD")
 	fl.StringVar(&p.to, "to", "", "day after the last; default: a year later")
-	fl.StringVar(&p.only, "name", "", "one schedule alone")
-	fl.BoolVar(&p.moved, "moved", false, "only what moved or fell out")
+	fl.StringVar(&p.name, "name", "", "one schedule alone")
+	fl.BoolVar(&p.onlyMoved, "moved", false, "only what moved or fell out")
 	fl.BoolVar(&p.json, "json", false, "one JSON object a line")
 	return cmd
 }
 
-// preview is what to show of the moments of schedules.
-type preview struct {
-	from, to, only string
-	moved, json    bool
+// previewOptions is what to show of the moments of schedules.
+type previewOptions struct {
+	from, to, name  string
+	onlyMoved, json bool
 }
 
-func (p *preview) run(w io.Writer, file string) error {
+func (p *previewOptions) printSchedules(w io.Writer, file string) error {
 	f, err := readSchedules(file)
 	if err != nil {
 		return err
 	}
-	from, to, err := p.days()
+	from, to, err := p.dateRange()
 	if err != nil {
 		return err
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	found := p.only == ""
+	found := p.name == ""
 	for _, s := range f.Schedules {
-		if p.only != "" && s.Name != p.only {
+		if p.name != "" && s.Name != p.name {
 			continue
 		}
 		found = true
-		ms, err := s.Between(s.Midnight(from), s.Midnight(to))
+		moments, err := s.Between(s.Midnight(from), s.Midnight(to))
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.Name, err)
 		}
-		for _, m := range ms {
-			if p.moved && m.Why == "" {
+		for _, m := range moments {
+			if p.onlyMoved && m.Reason == "" {
 				continue
 			}
-			if err := p.show(w, out, s.Name, m); err != nil {
+			if err := p.printMoment(w, out, s.Name, m); err != nil {
 				return err
 			}
 		}
 	}
 	if !found {
-		return &codedError{fmt.Errorf("--name: %s has no schedule %q", file, p.only), exitBad}
+		return &codedError{fmt.Errorf("--name: %s has no schedule %q", file, p.name), exitInvalid}
 	}
 	return out.Flush()
 }
 
-// days are the first day and the one after the last.
-func (p *preview) days() (from, to recurrence.Date, err error) {
+// dateRange are the first day and the one after the last.
+func (p *previewOptions) dateRange() (from, to recurrence.Date, err error) {
 	if from, err = recurrence.ParseDate(p.from); err != nil {
-		return from, to, &codedError{fmt.Errorf("--from: %w", err), exitBad}
+		return from, to, &codedError{fmt.Errorf("--from: %w", err), exitInvalid}
 	}
 	if p.to == "" {
 		return from, from.Add(365), nil
 	}
 	if to, err = recurrence.ParseDate(p.to); err != nil {
-		return from, to, &codedError{fmt.Errorf("--to: %w", err), exitBad}
+		return from, to, &codedError{fmt.Errorf("--to: %w", err), exitInvalid}
 	}
 	return from, to, nil
 }
 
-// show writes a moment: to w as JSON, or to the table.
-func (p *preview) show(w io.Writer, table *tabwriter.Writer, schedule string, m recurrence.Moment) error {
-	x := shown{Schedule: schedule, Day: m.Date.String(), Fell: m.Fell, Why: m.Why}
-	if !m.Fell {
-		x.At, x.Clock = m.At.Format(time.RFC3339), m.Clock.String()
+// printMoment writes a moment: to w as JSON, or to the table.
+func (p *previewOptions) printMoment(w io.Writer, table *tabwriter.Writer, schedule string, m recurrence.Moment) error {
+	row := previewRow{Schedule: schedule, Date: m.Date.String(), Dropped: m.Dropped, Reason: m.Reason}
+	if !m.Dropped {
+		row.At, row.Clock = m.At.Format(time.RFC3339), m.Clock.String()
 	}
 	if p.json {
-		return json.NewEncoder(w).Encode(x)
+		return json.NewEncoder(w).Encode(row)
 	}
-	when := x.At
-	if m.Fell {
-		when = x.Day + " falls out"
+	when := row.At
+	if m.Dropped {
+		when = row.Date + " falls out"
 	}
-	fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", schedule, when, m.Date.Weekday().String()[:3], m.Why)
+	fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", schedule, when, m.Date.Weekday().String()[:3], m.Reason)
 	return nil
 }
--- a/cmd/grebedock/user.go
+++ b/cmd/grebedock/user.go
@@ -25,42 +25,42 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// askEvery is how often a job is asked for, as users are expected to.
-const askEvery = 5 * time.Second
+// jobPollInterval is how often a job is asked for, as users are expected to.
+const jobPollInterval = 5 * time.Second
 
-// users is what the commands of users share.
-type users struct {
+// userOptions is what the commands of users share.
+type userOptions struct {
 	addrs []string
 	json  bool
 }
 
-func (u *users) flags(cmd *cobra.Command) *cobra.Command {
-	cmd.Flags().StringSliceVar(&u.addrs, "addr", []string{fmt.Sprintf("127.0.0.1:%d", labFront)}, "members' front addresses, host:port; several are tried in turn")
+func (u *userOptions) addFlags(cmd *cobra.Command) *cobra.Command {
+	cmd.Flags().StringSliceVar(&u.addrs, "addr", []string{fmt.Sprintf("127.0.0.1:%d", defaultUserPort)}, "members' front addresses, host:port; several are tried in turn")
 	cmd.Flags().BoolVar(&u.json, "json", false, "print JSON")
 	return cmd
 }
 
-// client is a client of the members, and a context that ends with an interrupt.
-func (u *users) client(cmd *cobra.Command) (*client.Client, context.Context, context.CancelFunc, error) {
+// newClient is a client of the members, and a context that ends with an interrupt.
+func (u *userOptions) newClient(cmd *cobra.Command) (*client.Client, context.Context, context.CancelFunc, error) {
 	c, err := client.New(u.addrs...)
 	if err != nil {
-		return nil, nil, nil, &codedError{err, exitBad}
+		return nil, nil, nil, &codedError{err, exitInvalid}
 	}
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	return c, ctx, stop, nil
 }
 
-// exit turns what a client says into an exit code: 1 no answer, 2 refused or
+// withExitCode turns what a client says into an exit code: 1 no answer, 2 refused or
 // unknown.
-func exit(err error) error {
-	var refused *client.Refused
-	if errors.Is(err, client.ErrUnknown) || errors.As(err, &refused) {
-		return &codedError{err, exitBad}
+func withExitCode(err error) error {
+	var refused *client.RejectedError
+	if errors.Is(err, client.ErrNotFound) || errors.As(err, &refused) {
+		return &codedError{err, exitInvalid}
 	}
 	return err
 }
 
-func (u *users) print(w io.Writer, s client.Status) error {
+func (u *userOptions) printStatus(w io.Writer, s client.Status) error {
 	if u.json {
 		return json.NewEncoder(w).Encode(map[string]any{"id": s.ID, "state": s.State, "done": s.Done, "running": s.Running})
 	}
@@ -68,19 +68,19 @@
 	return err
 }
 
-// ended gives a job's end its exit code.
-func ended(s client.Status) error {
+// cancelledError gives a job's end its exit code.
+func cancelledError(s client.Status) error {
 	if s.State == client.Cancelled {
 		return &codedError{fmt.Errorf("%s was cancelled", s.ID), exitCancelled}
 	}
 	return nil
 }
 
-// wait waits for a job, with a line that is written over on a terminal.
-func (u *users) wait(ctx context.Context, cmd *cobra.Command, c *client.Client, id string, tasks int) (client.Status, error) {
+// waitForJob waits for a job, with a line that is written over on a terminal.
+func (u *userOptions) waitForJob(ctx context.Context, cmd *cobra.Command, c *client.Client, id string, tasks int) (client.Status, error) {
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
 	var last client.Status
-	s, err := c.Wait(ctx, id, askEvery, func(s client.Status) {
+	s, err := c.Wait(ctx, id, jobPollInterval, func(s client.Status) {
 		of := ""
 		if tasks > 0 {
 			of = fmt.Sprintf(" of %d", tasks)
@@ -88,7 +88,7 @@
 		switch {
 		case terminal:
 			fmt.Fprintf(cmd.ErrOrStderr(), "\r\x1b[K%s  %s  %d%s done, %d running", s.ID, s.State, s.Done, of, s.Running)
-		case s != last && !s.State.Final():
+		case s != last && !s.State.IsFinal():
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s  %s  %d%s done, %d running\n", s.ID, s.State, s.Done, of, s.Running)
 		}
 		last = s
@@ -100,10 +100,10 @@
 }
 
 func submitCommand() *cobra.Command {
-	var u users
+	var options userOptions
 	var j client.Job
 	var wait bool
-	cmd := u.flags(&cobra.Command{
+	cmd := options.addFlags(&cobra.Command{
 		Use:   "submit",
 		Short: "Submit a job",
 		Long: "Submit a job and print its id. Retries are made as the members ask for them, for up\n" +
@@ -112,7 +112,7 @@
 		Example: "  grebedock submit --team ops --tasks 8 --cpus 2 --estimate 30 --wait",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c, ctx, stop, err := u.client(cmd)
+			c, ctx, stop, err := options.newClient(cmd)
 			if err != nil {
 				return err
 			}
@@ -122,18 +122,18 @@
 			}
 			s, err := c.Submit(ctx, j)
 			if err != nil {
-				return exit(fmt.Errorf("%s: %w", j.ID, err))
+				return withExitCode(fmt.Errorf("%s: %w", j.ID, err))
 			}
-			if wait && !s.State.Final() {
-				if s, err = u.wait(ctx, cmd, c, s.ID, j.Tasks); err != nil {
-					return exit(fmt.Errorf("%s: %w", j.ID, err))
+			if wait && !s.State.IsFinal() {
+				if s, err = options.waitForJob(ctx, cmd, c, s.ID, j.Tasks); err != nil {
+					return withExitCode(fmt.Errorf("%s: %w", j.ID, err))
 				}
 			}
-			if err := u.print(cmd.OutOrStdout(), s); err != nil {
+			if err := options.printStatus(cmd.OutOrStdout(), s); err != nil {
 				return err
 			}
 			if wait {
-				return ended(s)
+				return cancelledError(s)
 			}
 			return nil
 		},
@@ -157,7 +157,7 @@
 	f.BoolVar(&j.Spot, "spot", false, "may use machines that the cloud takes back")
 	f.Float64Var(&j.EstimateS, "estimate", 0, "estimate of a task's run time, s")
 	f.Float64Var(&j.CheckpointS, "checkpoint", 0, "between two checkpoints of a task, s; 0: it saves nothing")
-	f.Float64Var(&j.SaveS, "save", 0, "that a stopped task needs to save, s")
+	f.Float64Var(&j.CheckpointDurationS, "save", 0, "that a stopped task needs to save, s")
 	f.Float64Var(&j.DeadlineS, "deadline", 0, "when the job is to be complete, s from now; 0: no deadline")
 	f.BoolVar(&wait, "wait", false, "wait until it is over")
 	_ = cmd.MarkFlagRequired("team")
@@ -165,31 +165,31 @@
 }
 
 func jobCommand() *cobra.Command {
-	var u users
+	var options userOptions
 	var wait bool
-	cmd := u.flags(&cobra.Command{
+	cmd := options.addFlags(&cobra.Command{
 		Use: "job ID", Short: "Ask how far a job is", Args: cobra.ExactArgs(1),
 		Long: "Ask how far a job is. Exit codes: 0 told (with --wait: done), 1 no answer, 2 no such job,\n4 cancelled (with --wait).",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, ctx, stop, err := u.client(cmd)
+			c, ctx, stop, err := options.newClient(cmd)
 			if err != nil {
 				return err
 			}
 			defer stop()
 			var s client.Status
 			if wait {
-				s, err = u.wait(ctx, cmd, c, args[0], 0)
+				s, err = options.waitForJob(ctx, cmd, c, args[0], 0)
 			} else {
 				s, err = c.Job(ctx, args[0])
 			}
 			if err != nil {
-				return exit(fmt.Errorf("%s: %w", args[0], err))
+				return withExitCode(fmt.Errorf("%s: %w", args[0], err))
 			}
-			if err := u.print(cmd.OutOrStdout(), s); err != nil {
+			if err := options.printStatus(cmd.OutOrStdout(), s); err != nil {
 				return err
 			}
 			if wait {
-				return ended(s)
+				return cancelledError(s)
 			}
 			return nil
 		},
@@ -199,37 +199,37 @@
 }
 
 func cancelCommand() *cobra.Command {
-	var u users
-	return u.flags(&cobra.Command{
+	var options userOptions
+	return options.addFlags(&cobra.Command{
 		Use: "cancel ID...", Short: "Cancel jobs", Args: cobra.MinimumNArgs(1),
 		Long: "Cancel jobs. One that is done stays done. Exit codes: 0 all are over, 1 no answer for one,\n2 no such job.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, ctx, stop, err := u.client(cmd)
+			c, ctx, stop, err := options.newClient(cmd)
 			if err != nil {
 				return err
 			}
 			defer stop()
-			var wrong []error
+			var errs []error
 			for _, id := range args {
 				s, err := c.Cancel(ctx, id)
 				if err != nil {
-					wrong = append(wrong, exit(fmt.Errorf("%s: %w", id, err)))
-				} else if err := u.print(cmd.OutOrStdout(), s); err != nil {
+					errs = append(errs, withExitCode(fmt.Errorf("%s: %w", id, err)))
+				} else if err := options.printStatus(cmd.OutOrStdout(), s); err != nil {
 					return err
 				}
 			}
-			return errors.Join(wrong...)
+			return errors.Join(errs...)
 		},
 	})
 }
 
-// operators is what the commands of operators share.
-type operators struct {
+// operatorOptions is what the commands of operators share.
+type operatorOptions struct {
 	addr string
 	json bool
 }
 
-func (o *operators) flags(cmd *cobra.Command) *cobra.Command {
+func (o *operatorOptions) addFlags(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().StringVar(&o.addr, "addr", "", "a member's mesh address, host:port")
 	cmd.Flags().BoolVar(&o.json, "json", false, "print JSON")
 	if err := cmd.MarkFlagRequired("addr"); err != nil {
@@ -238,7 +238,7 @@
 	return cmd
 }
 
-func (o *operators) do(r wire.Request, into any) error {
+func (o *operatorOptions) request(r wire.Request, into any) error {
 	body, err := adminRequest(o.addr, r)
 	if err != nil {
 		return err
@@ -246,16 +246,16 @@
 	return json.Unmarshal(body, into)
 }
 
-// show prints part of a member's status as JSON or as a table.
-func (o *operators) show(use, short string, part func(*scheduler.Status) any, table func(*scheduler.Status, io.Writer)) *cobra.Command {
-	return o.flags(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
+// statusCommand prints part of a member's status as JSON or as a table.
+func (o *operatorOptions) statusCommand(use, short string, selectJSON func(*scheduler.Status) any, table func(*scheduler.Status, io.Writer)) *cobra.Command {
+	return o.addFlags(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var st scheduler.Status
-			if err := o.do(wire.Request{Method: "GET", Path: "/v1/status"}, &st); err != nil {
+			if err := o.request(wire.Request{Method: "GET", Path: "/v1/status"}, &st); err != nil {
 				return err
 			}
 			if o.json {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(part(&st))
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(selectJSON(&st))
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			table(&st, w)
@@ -264,48 +264,48 @@
 }
 
 func statusCommand() *cobra.Command {
-	var o operators
-	return o.show("status", "Show how a member stands", func(st *scheduler.Status) any { return st }, func(st *scheduler.Status, w io.Writer) {
-		up := 0
+	var o operatorOptions
+	return o.statusCommand("status", "Show how a member stands", func(st *scheduler.Status) any { return st }, func(st *scheduler.Status, w io.Writer) {
+		liveMachines := 0
 		for _, m := range st.Machines {
 			if m.Up {
-				up++
+				liveMachines++
 			}
 		}
-		fmt.Fprintf(w, "member\t%s\nauthority\t%v\nstate service\t%s\nlead\t%s\njobs\t%d\nmachines\t%d, %d up\n", st.Member, st.Authority, st.Link, st.Lead, st.Jobs, len(st.Machines), up)
+		fmt.Fprintf(w, "member\t%s\nauthority\t%v\nstate service\t%s\nlead\t%s\njobs\t%d\nmachines\t%d, %d up\n", st.Member, st.Authority, st.StoreLink, st.Leader, st.Jobs, len(st.Machines), liveMachines)
 		c := st.Counters
-		fmt.Fprintf(w, "since its start\t%d accepted, %d finished, %d starts, %d lost, %d refused, %d shed, %d relayed\n\n", c.Accepted, c.Finished, c.Starts, c.Lost, c.Refused, c.Shed, c.Relayed)
+		fmt.Fprintf(w, "since its start\t%d accepted, %d finished, %d starts, %d lost, %d refused, %d shed, %d relayed\n\n", c.Accepted, c.Finished, c.Starts, c.LostTasks, c.UnavailableResponses, c.ShedSubmissions, c.Relayed)
 		fmt.Fprintln(w, "SHARD\tHOLDER\tREADY\tQUEUED\tNEEDS\tNOT HEARD\tPACED")
 		for _, s := range st.Shards {
-			if s.Mine {
-				fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%d\t%v\n", s.Shard, s.Holder, s.Ready, s.Queued, s.Needs, s.Unseen, s.Paced)
+			if s.Owned {
+				fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%d\t%v\n", s.Shard, s.Owner, s.Ready, s.QueuedTasks, s.Demands, s.Unreported, s.Paced)
 			} else {
-				fmt.Fprintf(w, "%s\t%s\t\t\t\t\t\n", s.Shard, s.Holder)
+				fmt.Fprintf(w, "%s\t%s\t\t\t\t\t\n", s.Shard, s.Owner)
 			}
 		}
 	})
 }
 
 func machinesCommand() *cobra.Command {
-	var o operators
-	return o.show("machines", "List the machines that a member knows", func(st *scheduler.Status) any { return st.Machines }, func(st *scheduler.Status, w io.Writer) {
+	var o operatorOptions
+	return o.statusCommand("machines", "List the machines that a member knows", func(st *scheduler.Status) any { return st.Machines }, func(st *scheduler.Status, w io.Writer) {
 		fmt.Fprintln(w, "MACHINE\tTYPE\tZONE\tSHARD\tSTATE\tTASKS")
 		for _, m := range st.Machines {
 			typ := m.Type
 			if m.Spot {
 				typ += " (spot)"
 			}
-			state := []string{"booting", "up"}[b2i(m.Up)]
-			if m.Silent {
+			state := []string{"booting", "up"}[boolToInt(m.Up)]
+			if m.Unreachable {
 				state = "silent"
 			}
-			if m.Draining {
+			if m.Releasing {
 				state += ", draining"
-			} else if m.Aside {
+			} else if m.Cordoned {
 				state += ", set aside"
 			}
 			tasks := ""
-			if slices.ContainsFunc(st.Shards, func(s scheduler.ShardStatus) bool { return s.Shard == m.Shard && s.Mine }) {
+			if slices.ContainsFunc(st.Shards, func(s scheduler.ShardStatus) bool { return s.Shard == m.Shard && s.Owned }) {
 				tasks = fmt.Sprint(m.Tasks) // others' are theirs to tell
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.ID, typ, m.Zone, m.Shard, state, tasks)
@@ -313,7 +313,7 @@
 	})
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -321,19 +321,19 @@
 }
 
 func teamsCommand() *cobra.Command {
-	var o operators
-	return o.show("teams", "List the teams: guarantee and limit, and over all members what they use, wait for and lack", func(st *scheduler.Status) any { return st.Teams }, func(st *scheduler.Status, w io.Writer) {
+	var o operatorOptions
+	return o.statusCommand("teams", "List the teams: guarantee and limit, and over all members what they use, wait for and lack", func(st *scheduler.Status) any { return st.Teams }, func(st *scheduler.Status, w io.Writer) {
 		fmt.Fprintln(w, "TEAM\tGUARANTEE\tLIMIT\tUSED\tWAITING\tBELOW\tUSED HERE\tPARTS\tWANTED BY\tAGE")
 		for _, t := range st.Teams {
-			parts, wants := []string{}, []string{}
-			for _, s := range slices.Sorted(maps.Keys(t.Parts)) {
-				parts = append(parts, s+" "+amounts(t.Parts[s]))
-				if n, wanted := t.Wants[s]; wanted {
-					wants = append(wants, s+" "+amounts(n.Amounts))
+			allocations, requests := []string{}, []string{}
+			for _, s := range slices.Sorted(maps.Keys(t.Allocations)) {
+				allocations = append(allocations, s+" "+amounts(t.Allocations[s]))
+				if n, isRequested := t.Requests[s]; isRequested {
+					requests = append(requests, s+" "+amounts(n.Amounts))
 				}
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%s\t%.1f s\n", t.Team, amounts(t.Guarantee), amounts(t.Limit), amounts(t.Use), amounts(t.Wait), amounts(t.Below),
-				t.Used, cmp.Or(strings.Join(parts, ", "), "none"), cmp.Or(strings.Join(wants, ", "), "none"), t.AgeS)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%s\t%.1f s\n", t.Team, amounts(t.Guarantee), amounts(t.Limit), amounts(t.TotalUsage), amounts(t.TotalWaiting), amounts(t.GuaranteeShortfall),
+				t.UsedCPUs, cmp.Or(strings.Join(allocations, ", "), "none"), cmp.Or(strings.Join(requests, ", "), "none"), t.OldestUsageAgeS)
 		}
 	})
 }
@@ -349,18 +349,18 @@
 	return fmt.Sprintf("%.4g+%.4g GPUs", a.CPUs, a.GPUs)
 }
 
-// undoable says which machines it is too late for.
-func (o *operators) undoable(cmd *cobra.Command, ids []string) error {
+// warnIfTooLateToUndo says which machines it is too late for.
+func (o *operatorOptions) warnIfTooLateToUndo(cmd *cobra.Command, ids []string) error {
 	var st scheduler.Status
-	if err := o.do(wire.Request{Method: "GET", Path: "/v1/status"}, &st); err != nil {
+	if err := o.request(wire.Request{Method: "GET", Path: "/v1/status"}, &st); err != nil {
 		return err
 	}
 	for _, id := range ids {
-		at := slices.IndexFunc(st.Machines, func(m scheduler.MachineStatus) bool { return m.ID == id })
+		index := slices.IndexFunc(st.Machines, func(m scheduler.MachineStatus) bool { return m.ID == id })
 		switch {
-		case at < 0:
+		case index < 0:
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s is no machine of the fleet any more\n", id)
-		case st.Machines[at].Draining:
+		case st.Machines[index].Releasing:
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s is empty and on its way back: too late\n", id)
 		}
 	}
@@ -368,22 +368,22 @@
 }
 
 func drainCommand() *cobra.Command {
-	var o operators
+	var o operatorOptions
 	var undo bool
-	cmd := o.flags(&cobra.Command{
+	cmd := o.addFlags(&cobra.Command{
 		Use: "drain MACHINE...", Short: "Give machines back once nothing runs on them", Args: cobra.MinimumNArgs(1),
 		Long: "Adds machines to the setting drain: they start nothing new and are given back when they\n" +
 			"are empty. --undo takes them off it: they take work again, unless they are empty and on\ntheir way back already. Prints what is on the list then.",
 		Example: "  grebedock drain --addr 10.0.0.1:8081 i-000231",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var s scheduler.Settings
-			if err := o.do(wire.Request{Method: "GET", Path: "/v1/settings"}, &s); err != nil {
+			if err := o.request(wire.Request{Method: "GET", Path: "/v1/settings"}, &s); err != nil {
 				return err
 			}
 			list := slices.DeleteFunc(slices.Clone(s.Drain), func(m string) bool { return slices.Contains(args, m) })
 			if !undo {
 				list = append(list, args...)
-			} else if err := o.undoable(cmd, args); err != nil {
+			} else if err := o.warnIfTooLateToUndo(cmd, args); err != nil {
 				return err
 			}
 			body, err := json.Marshal(map[string]any{"drain": list})
@@ -391,17 +391,17 @@
 				return err
 			}
 			s = scheduler.Settings{} // an empty list is left out of the answer
-			if err := o.do(wire.Request{Method: "PATCH", Path: "/v1/settings", Body: body}, &s); err != nil {
+			if err := o.request(wire.Request{Method: "PATCH", Path: "/v1/settings", Body: body}, &s); err != nil {
 				return err
 			}
 			if o.json {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(s.Drain)
 			}
-			left := strings.Join(s.Drain, ", ")
-			if left == "" {
-				left = "none"
+			remaining := strings.Join(s.Drain, ", ")
+			if remaining == "" {
+				remaining = "none"
 			}
-			_, err = fmt.Fprintln(cmd.OutOrStdout(), "draining:", left)
+			_, err = fmt.Fprintln(cmd.OutOrStdout(), "draining:", remaining)
 			return err
 		},
 	})
--- a/cmd/grebedock/workflow.go
+++ b/cmd/grebedock/workflow.go
@@ -27,7 +27,7 @@
 // Exit codes of the workflow commands.
 const (
 	exitError     = 1 // nothing could be done: no answer, a refusal
-	exitBad       = 2 // the document or its inputs are wrong
+	exitInvalid   = 2 // the document or its inputs are wrong
 	exitFailed    = 3 // the run failed
 	exitCancelled = 4 // the run was cancelled
 )
@@ -46,7 +46,7 @@
 			"Exit codes: 0 done, 1 no answer or refused, 2 document or inputs wrong,\n" +
 			"3 the run failed, 4 the run was cancelled.",
 	}
-	cmd.AddCommand(checkWorkflow(), runWorkflow(), workflowStatus(), abortWorkflow())
+	cmd.AddCommand(checkWorkflowCommand(), runWorkflowCommand(), workflowStatusCommand(), abortWorkflowCommand())
 	return cmd
 }
 
@@ -74,19 +74,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return absolute(in, dir).(map[string]any), nil
+	return absolutePaths(in, dir).(map[string]any), nil
 }
 
-// absolute makes the paths of files whole.
-func absolute(v any, dir string) any {
+// absolutePaths makes the paths of files whole.
+func absolutePaths(v any, dir string) any {
 	switch v := v.(type) {
 	case []any:
 		for i := range v {
-			v[i] = absolute(v[i], dir)
+			v[i] = absolutePaths(v[i], dir)
 		}
 	case map[string]any:
 		for k := range v {
-			v[k] = absolute(v[k], dir)
+			v[k] = absolutePaths(v[k], dir)
 		}
 		if v["class"] == "File" || v["class"] == "Directory" {
 			for _, k := range []string{"path", "location"} {
@@ -104,7 +104,7 @@
 func loadWorkflow(args []string) (*cwl.Process, map[string]any, error) {
 	p, err := cwl.Load(args[0], os.ReadFile)
 	if err != nil {
-		return nil, nil, &codedError{err, exitBad}
+		return nil, nil, &codedError{err, exitInvalid}
 	}
 	in := map[string]any{}
 	if len(args) > 1 {
@@ -112,13 +112,13 @@
 			_, err = p.CheckInputs(in)
 		}
 		if err != nil {
-			return nil, nil, &codedError{fmt.Errorf("%s: %w", args[1], err), exitBad}
+			return nil, nil, &codedError{fmt.Errorf("%s: %w", args[1], err), exitInvalid}
 		}
 	}
 	return p, in, nil
 }
 
-func checkWorkflow() *cobra.Command {
+func checkWorkflowCommand() *cobra.Command {
 	var schema bool
 	cmd := &cobra.Command{
 		Use:     "check DOCUMENT [INPUTS]",
@@ -151,22 +151,22 @@
 	return cmd
 }
 
-// members asks several members in turn, as the protocol says: what is not
+// workflowClient asks several members in turn, as the protocol says: what is not
 // answered for good is asked again for a minute.
-type members struct{ addrs []string }
+type workflowClient struct{ addrs []string }
 
-func addrFlag(cmd *cobra.Command) *members {
-	m := &members{}
-	cmd.Flags().StringSliceVar(&m.addrs, "addr", []string{fmt.Sprintf("127.0.0.1:%d", labFront)}, "members' front addresses, host:port; several are tried in turn")
+func addAddrFlag(cmd *cobra.Command) *workflowClient {
+	m := &workflowClient{}
+	cmd.Flags().StringSliceVar(&m.addrs, "addr", []string{fmt.Sprintf("127.0.0.1:%d", defaultUserPort)}, "members' front addresses, host:port; several are tried in turn")
 	return m
 }
 
-// askTimeout bounds a request, as users bound a submission.
-const askTimeout = 5 * time.Second
+// workflowRequestTimeout bounds a request, as users bound a submission.
+const workflowRequestTimeout = 5 * time.Second
 
-func (m *members) ask(ctx context.Context, r wire.Request) (int, workflow.Answer, error) {
-	res, from, _, ok, err := rest.NewMembers(m.addrs).Ask(ctx, r, askTimeout)
-	var a workflow.Answer
+func (m *workflowClient) request(ctx context.Context, r wire.Request) (int, workflow.Response, error) {
+	res, from, _, ok, err := rest.NewFailoverClient(m.addrs).DoUntilFinal(ctx, r, workflowRequestTimeout)
+	var a workflow.Response
 	if err != nil {
 		return 0, a, err
 	}
@@ -182,7 +182,7 @@
 	return res.Status, a, nil
 }
 
-func runWorkflow() *cobra.Command {
+func runWorkflowCommand() *cobra.Command {
 	var id, team, priority, class string
 	var asJSON, detach bool
 	cmd := &cobra.Command{
@@ -194,7 +194,7 @@
 		Example: "  grebedock workflow run --team ops docs/examples/cwl/read-batch.cwl docs/examples/cwl/read-batch.json",
 		Args:    cobra.RangeArgs(1, 2),
 	}
-	m := addrFlag(cmd)
+	m := addAddrFlag(cmd)
 	f := cmd.Flags()
 	f.StringVar(&id, "id", "", "the run's id (a-z, 0-9, -); a repeated submission of one id is the same run; default: a new one")
 	f.StringVar(&team, "team", "", "team of steps whose hints name none")
@@ -219,37 +219,37 @@
 			return err
 		}
 		if len(body) > wire.MaxBody {
-			return &codedError{fmt.Errorf("document and inputs take %d bytes packed, more than a request may (%d)", len(body), wire.MaxBody), exitBad}
+			return &codedError{fmt.Errorf("document and inputs take %d bytes packed, more than a request may (%d)", len(body), wire.MaxBody), exitInvalid}
 		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		status, a, err := m.ask(ctx, wire.Request{Method: "POST", Path: "/v1/workflows", Body: body})
+		status, a, err := m.request(ctx, wire.Request{Method: "POST", Path: "/v1/workflows", Body: body})
 		if err != nil {
 			return err
 		}
 		if status != 200 && status != 201 {
-			return &codedError{fmt.Errorf("refused: %s", a.Error), exitBad}
+			return &codedError{fmt.Errorf("refused: %s", a.Error), exitInvalid}
 		}
 		if detach {
-			return show(cmd, a, asJSON, true)
+			return printAnswer(cmd, a, asJSON, true)
 		}
-		return m.follow(ctx, cmd, id, asJSON)
+		return m.waitForRun(ctx, cmd, id, asJSON)
 	}
 	return cmd
 }
 
-// pollEvery is how often a run that is followed is asked about.
-const pollEvery = 500 * time.Millisecond
+// runPollInterval is how often a run that is followed is asked about.
+const runPollInterval = 500 * time.Millisecond
 
-func (m *members) follow(ctx context.Context, cmd *cobra.Command, id string, asJSON bool) error {
-	p := &progress{w: cmd.ErrOrStderr(), quiet: asJSON, seen: map[string]string{}}
+func (m *workflowClient) waitForRun(ctx context.Context, cmd *cobra.Command, id string, asJSON bool) error {
+	p := &progressPrinter{w: cmd.ErrOrStderr(), quiet: asJSON, lastStates: map[string]string{}}
 	if f, ok := p.w.(*os.File); ok {
-		p.tty = isatty.IsTerminal(f.Fd())
+		p.terminal = isatty.IsTerminal(f.Fd())
 	}
 	for {
-		status, a, err := m.ask(ctx, wire.Request{Method: "GET", Path: "/v1/workflows/" + id})
+		status, a, err := m.request(ctx, wire.Request{Method: "GET", Path: "/v1/workflows/" + id})
 		if errors.Is(err, context.Canceled) {
-			p.end()
+			p.finishLine()
 			return &codedError{fmt.Errorf("interrupted; the run goes on: grebedock workflow status %s, or abort %s", id, id), exitError}
 		}
 		if err != nil {
@@ -258,28 +258,28 @@
 		if status != 200 {
 			return &codedError{fmt.Errorf("%s: %s", id, a.Error), exitError}
 		}
-		p.show(a)
-		if a.State.Final() {
-			p.end()
-			return show(cmd, a, asJSON, false)
+		p.print(a)
+		if a.State.IsFinal() {
+			p.finishLine()
+			return printAnswer(cmd, a, asJSON, false)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pollEvery):
+		case <-time.After(runPollInterval):
 		}
 	}
 }
 
-// progress tells how far a run is: one line that changes on a terminal, a line
+// progressPrinter tells how far a run is: one line that changes on a terminal, a line
 // for each change elsewhere.
-type progress struct {
-	w          io.Writer
-	tty, quiet bool
-	seen       map[string]string
-	open       bool
+type progressPrinter struct {
+	w               io.Writer
+	terminal, quiet bool
+	lastStates      map[string]string
+	lineOpen        bool
 }
 
-func (p *progress) show(a workflow.Answer) {
+func (p *progressPrinter) print(a workflow.Response) {
 	if p.quiet {
 		return
 	}
@@ -290,30 +290,30 @@
 		} else {
 			live = append(live, s.Step)
 		}
-		if !p.tty && p.seen[s.Step] != s.State {
-			p.seen[s.Step] = s.State
+		if !p.terminal && p.lastStates[s.Step] != s.State {
+			p.lastStates[s.Step] = s.State
 			fmt.Fprintf(p.w, "%s: step %s %s (%s)\n", a.ID, s.Step, s.State, s.Job)
 		}
 	}
-	if p.tty && len(a.Steps) > 0 {
-		p.open = true
+	if p.terminal && len(a.Steps) > 0 {
+		p.lineOpen = true
 		line := fmt.Sprintf("%s: %s, %d steps done; %s", a.ID, a.State, done, strings.Join(live, ", "))
 		fmt.Fprintf(p.w, "\r\x1b[K%.100s", line)
 	}
 }
 
-func (p *progress) end() {
-	if p.open {
+func (p *progressPrinter) finishLine() {
+	if p.lineOpen {
 		fmt.Fprintln(p.w)
 	}
 }
 
-// show prints an answer and turns how the run ended into an exit code.
-func show(cmd *cobra.Command, a workflow.Answer, asJSON, all bool) error {
+// printAnswer prints an answer and turns how the run ended into an exit code.
+func printAnswer(cmd *cobra.Command, a workflow.Response, asJSON, withSteps bool) error {
 	enc := json.NewEncoder(cmd.OutOrStdout())
 	enc.SetIndent("", "  ")
 	switch {
-	case asJSON || all:
+	case asJSON || withSteps:
 		if err := enc.Encode(a); err != nil {
 			return err
 		}
@@ -334,27 +334,27 @@
 	return nil
 }
 
-func workflowStatus() *cobra.Command {
+func workflowStatusCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "status RUN", Short: "Tell how a run is", Args: cobra.ExactArgs(1)}
-	m := addrFlag(cmd)
+	m := addAddrFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		status, a, err := m.ask(cmd.Context(), wire.Request{Method: "GET", Path: "/v1/workflows/" + args[0]})
+		status, a, err := m.request(cmd.Context(), wire.Request{Method: "GET", Path: "/v1/workflows/" + args[0]})
 		if err != nil {
 			return err
 		}
 		if status != 200 {
 			return fmt.Errorf("%s: %s", args[0], a.Error)
 		}
-		return show(cmd, a, true, true)
+		return printAnswer(cmd, a, true, true)
 	}
 	return cmd
 }
 
-func abortWorkflow() *cobra.Command {
+func abortWorkflowCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "abort RUN", Short: "Cancel a run with everything below it", Args: cobra.ExactArgs(1)}
-	m := addrFlag(cmd)
+	m := addAddrFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		status, a, err := m.ask(cmd.Context(), wire.Request{Method: "POST", Path: "/v1/workflows/" + args[0] + "/abort"})
+		status, a, err := m.request(cmd.Context(), wire.Request{Method: "POST", Path: "/v1/workflows/" + args[0] + "/abort"})
 		if err != nil {
 			return err
 		}
--- a/cwl/cwl_test.go
+++ b/cwl/cwl_test.go
@@ -31,7 +31,7 @@
 	for i := range 8 {
 		bomb += fmt.Sprintf("a%d: &a%d [%s]\n", i+1, i+1, strings.TrimSuffix(strings.Repeat(fmt.Sprintf("*a%d, ", i), 10), ", "))
 	}
-	for _, c := range []struct{ name, text, want string }{
+	for _, c := range []struct{ name, text, expectedErr string }{
 		{"no document", "", "d.cwl:1:1: EOF"},
 		{"not YAML", "a: [", "d.cwl:1:1: "},
 		{"no version", "class: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\n", "d.cwl:1:1: cwlVersion: is missing"},
@@ -60,8 +60,8 @@
 		{"deep", head + "class: CommandLineTool\nbaseCommand: x\noutputs: {}\ninputs: " + strings.Repeat("[", 300) + strings.Repeat("]", 300) + "\n", "nested more than 200 deep"},
 	} {
 		_, err := load(c.text)
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, not %q", c.name, err, c.want)
+		if err == nil || !strings.Contains(err.Error(), c.expectedErr) {
+			t.Errorf("%s: %v, not %q", c.name, err, c.expectedErr)
 		}
 	}
 	if _, err := load(head + "class: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\ndoc: '" + strings.Repeat("x", DefaultLimits.Bytes) + "'\n"); err == nil || !strings.Contains(err.Error(), "more than") {
@@ -72,7 +72,7 @@
 // Expressions that never end, take all memory or throw end soon with a reason.
 func TestExpressionsAreBounded(t *testing.T) {
 	req := Requirements{JS: true}
-	for _, c := range []struct{ text, want string }{
+	for _, c := range []struct{ text, expectedErr string }{
 		{"${while(true){}}", "ran for longer"},
 		{"${var a=[]; while(true) a.push('xxxxxxxxxxxxxxxx'+a.length);}", "the expression "},
 		{"${var s='x'; while(true) s+=s;}", ""},
@@ -86,8 +86,8 @@
 	} {
 		at := time.Now()
 		v, err := Eval(c.text, Scope{Inputs: map[string]any{"a": map[string]any{}}}, req)
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s gives %.40v, %v, not %q", c.text, v, err, c.want)
+		if err == nil || !strings.Contains(err.Error(), c.expectedErr) {
+			t.Errorf("%s gives %.40v, %v, not %q", c.text, v, err, c.expectedErr)
 		}
 		if took := time.Since(at); took > 20*evalTime {
 			t.Errorf("%s took %v", c.text, took)
@@ -98,16 +98,16 @@
 func TestExpressions(t *testing.T) {
 	sc := Scope{Inputs: map[string]any{"n": int64(3), "f": map[string]any{"path": "/d/a b.txt", "tags": []any{"x", "y"}}}, Self: "me", Runtime: map[string]any{"cores": int64(2)}}
 	for _, c := range []struct {
-		text string
-		want any
+		text     string
+		expected any
 	}{
 		{"plain", "plain"}, {"$(inputs.n)", int64(3)}, {" $(inputs.n) ", int64(3)}, {"n=$(inputs.n)!", "n=3!"}, {`\$(inputs.n)`, "$(inputs.n)"},
 		{"$(inputs.f.tags[1])", "y"}, {"$(inputs['f']['path'])", "/d/a b.txt"}, {"$(inputs.f.tags.length)", int64(2)}, {"$(self)-$(runtime.cores)", "me-2"},
 		{"$(inputs.n * 2 + ')')", "6)"}, {"${ return [inputs.n, {a: null}]; }", []any{int64(3), map[string]any{"a": nil}}}, {"$(inputs.f.tags)", []any{"x", "y"}},
 		{"tags $(inputs.f.tags)", `tags ["x","y"]`}, {"$(null)", nil}, {"$(1/4)", 0.25}, {"$(undefined)", nil}, {"${inputs.n = 9; return inputs.n}", int64(9)},
 	} {
-		if got, err := Eval(c.text, sc, Requirements{JS: true}); err != nil || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s gives %#v, %v, not %#v", c.text, got, err, c.want)
+		if got, err := Eval(c.text, sc, Requirements{JS: true}); err != nil || !reflect.DeepEqual(got, c.expected) {
+			t.Errorf("%s gives %#v, %v, not %#v", c.text, got, err, c.expected)
 		}
 	}
 	if sc.Inputs["n"] != int64(3) {
@@ -117,7 +117,7 @@
 
 // The command lines that the specification's rules give.
 func TestCommandLines(t *testing.T) {
-	for _, c := range []struct{ name, doc, in, want string }{
+	for _, c := range []struct{ name, doc, in, expected string }{
 		{"order", "baseCommand: [p, q]\narguments: [first, {valueFrom: last, position: 9}]\ninputs:\n  b: {type: string, inputBinding: {position: 2}}\n  a: {type: int, inputBinding: {position: 2, prefix: -a}}\n  c: {type: boolean, inputBinding: {position: 1, prefix: -c}}\n  d: {type: boolean, inputBinding: {prefix: -d}}\n  e: string?\n",
 			`{"a": 7, "b": "x y", "c": true, "d": false}`, "p|q|first|-c|-a|7|x y|last"},
 		{"arrays", "baseCommand: p\ninputs:\n  a: {type: 'int[]', inputBinding: {prefix: -a, itemSeparator: ','}}\n  b: {type: 'string[]', inputBinding: {prefix: -b, position: 1}}\n  c: {type: {type: array, items: string, inputBinding: {prefix: -c, separate: false}}, inputBinding: {position: 2}}\n  d: {type: 'string[]', inputBinding: {position: 3, prefix: -d}}\n",
@@ -145,8 +145,8 @@
 			continue
 		}
 		cmd, err := p.CommandLine(in, nil)
-		if err != nil || strings.Join(cmd.Args, "|") != c.want {
-			t.Errorf("%s: %v, %v, not %s", c.name, cmd, err, c.want)
+		if err != nil || strings.Join(cmd.Args, "|") != c.expected {
+			t.Errorf("%s: %v, %v, not %s", c.name, cmd, err, c.expected)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ in, want string }{
+	for _, c := range []struct{ in, expectedErr string }{
 		{`{"n": 1, "l": []}`, ""}, {`{"n": 1, "l": ["x"], "e": "b", "f": {"class": "File", "location": "file:///x"}}`, ""},
 		{`{"l": []}`, "missing property 'n'"}, {`{"n": 1.5, "l": []}`, "n: "}, {`{"n": 9999999999, "l": []}`, "n: "},
 		{`{"n": 1, "l": ["x", 2]}`, "l.1: got number, want string"}, {`{"n": 1, "l": [], "e": "c"}`, "e: "}, {`{"n": 1, "l": [], "m": 1}`, `input "m"`},
@@ -167,8 +167,8 @@
 			t.Fatal(err)
 		}
 		_, err = p.CheckInputs(v.(map[string]any))
-		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%s: %v, not %q", c.in, err, c.want)
+		if c.expectedErr == "" && err != nil || c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
+			t.Errorf("%s: %v, not %q", c.in, err, c.expectedErr)
 		}
 	}
 }
--- a/cwl/expr.go
+++ b/cwl/expr.go
@@ -294,9 +294,9 @@
 	return v, nil
 }
 
-// guards keep single statements from allocating what no sampling would see in
+// allocationLimits keep single statements from allocating what no sampling would see in
 // time.
-const guards = `(function(){
+const allocationLimits = `(function(){
 var max = 4194304;
 ["repeat","padStart","padEnd"].forEach(function(n){
   var f = String.prototype[n];
@@ -315,7 +315,7 @@
 });
 })();`
 
-var guardProgram = goja.MustCompile("guards", guards, false)
+var allocationLimitProgram = goja.MustCompile("guards", allocationLimits, false)
 
 // evalJS runs code. The same code in the same scope gives the same value: there
 // is no clock but a fixed one and no chance but a fixed sequence.
@@ -331,7 +331,7 @@
 	stop := watch(vm)
 	defer stop()
 	v, err := func() (v goja.Value, err error) {
-		if _, err := vm.RunProgram(guardProgram); err != nil {
+		if _, err := vm.RunProgram(allocationLimitProgram); err != nil {
 			return nil, err
 		}
 		for _, l := range lib {
--- a/disruption/disruption.go
+++ b/disruption/disruption.go
@@ -32,293 +32,293 @@
 // Budget is what a team may lose at a time. Zero values mean: no bound in the
 // window, no tasks at all for Tasks and Share together.
 type Budget struct {
-	Tasks    int     `json:"tasks,omitempty" toml:"tasks"`         // stopped and not running again at once
-	Share    float64 `json:"share,omitempty" toml:"share"`         // the same, of the tasks that run; the larger counts
-	WindowS  float64 `json:"window_s,omitempty" toml:"window_s"`   // and within so many seconds
-	InWindow int     `json:"in_window,omitempty" toml:"in_window"` // no more than these
-	Keep     float64 `json:"keep,omitempty" toml:"keep"`           // of a service's replicas, this share stays
+	MaxTasks        int     `json:"tasks,omitempty" toml:"tasks"`         // stopped and not running again at once
+	MaxShare        float64 `json:"share,omitempty" toml:"share"`         // the same, of the tasks that run; the larger counts
+	WindowS         float64 `json:"window_s,omitempty" toml:"window_s"`   // and within so many seconds
+	MaxInWindow     int     `json:"in_window,omitempty" toml:"in_window"` // no more than these
+	MinReplicaShare float64 `json:"keep,omitempty" toml:"keep"`           // of a service's replicas, this share stays
 }
 
-// Check says what is wrong with a budget, or nothing, naming the field.
-func (b Budget) Check() string {
+// Validate says what is wrong with a budget, or nothing, naming the field.
+func (b Budget) Validate() string {
 	switch {
-	case b.Tasks < 0 || b.Tasks > 1_000_000:
+	case b.MaxTasks < 0 || b.MaxTasks > 1_000_000:
 		return "tasks must be from 0 to 1000000"
-	case !(b.Share >= 0) || b.Share > 1:
+	case !(b.MaxShare >= 0) || b.MaxShare > 1:
 		return "share must be from 0 to 1"
 	case !(b.WindowS >= 0) || b.WindowS > 86_400:
 		return "window_s must be from 0 to 86400"
-	case b.InWindow < 0 || b.InWindow > 1_000_000:
+	case b.MaxInWindow < 0 || b.MaxInWindow > 1_000_000:
 		return "in_window must be from 0 to 1000000"
-	case (b.WindowS > 0) != (b.InWindow > 0):
+	case (b.WindowS > 0) != (b.MaxInWindow > 0):
 		return "window_s and in_window go together"
-	case !(b.Keep >= 0) || b.Keep > 1:
+	case !(b.MinReplicaShare >= 0) || b.MinReplicaShare > 1:
 		return "keep must be from 0 to 1"
 	}
 	return ""
 }
 
-// Most is how many tasks of a team may be down at once when so many run.
-func (b Budget) Most(running int) int {
-	return max(b.Tasks, int(b.Share*float64(running)))
+// MaxDown is how many tasks of a team may be down at once when so many run.
+func (b Budget) MaxDown(running int) int {
+	return max(b.MaxTasks, int(b.MaxShare*float64(running)))
 }
 
 // Demand is what a shard asks for and shows of a team.
 type Demand struct {
-	Want    int `msgpack:"Want"` // tasks that it would stop now
-	Running int `msgpack:"Running"`
-	Lost    int `msgpack:"Lost"` // tasks that it lost against its will, and that do not run again yet
+	Requested int `msgpack:"Want"` // tasks that it would stop now
+	Running   int `msgpack:"Running"`
+	Lost      int `msgpack:"Lost"` // tasks that it lost against its will, and that do not run again yet
 }
 
 // Ledger is the leader's side: what was issued, by shard and team. The zero value is
 // not ready; use NewLedger.
 type Ledger struct {
 	issued map[string]map[string]uint64
-	recent map[string][]stamp // by team: what was issued within its window
+	recent map[string][]issuance // by team: what was issued within its window
 }
 
-type stamp struct {
-	at int64
-	n  int
+type issuance struct {
+	atMS  int64
+	count int
 }
 
 // NewLedger goes on with what an earlier leader issued. Nobody knows when: all that
 // is not settled counts as issued now.
 func NewLedger(issued map[string]map[string]uint64) *Ledger {
-	l := &Ledger{issued: map[string]map[string]uint64{}, recent: map[string][]stamp{}}
-	for s, by := range issued {
-		l.issued[s] = maps.Clone(by)
+	ledger := &Ledger{issued: map[string]map[string]uint64{}, recent: map[string][]issuance{}}
+	for shard, byTeam := range issued {
+		ledger.issued[shard] = maps.Clone(byTeam)
 	}
-	return l
+	return ledger
 }
 
 // Issued is what is to be written: numbers by shard and team.
 func (l *Ledger) Issued() map[string]map[string]uint64 {
-	out := make(map[string]map[string]uint64, len(l.issued))
-	for s, by := range l.issued {
-		out[s] = maps.Clone(by)
+	issued := make(map[string]map[string]uint64, len(l.issued))
+	for shard, byTeam := range l.issued {
+		issued[shard] = maps.Clone(byTeam)
 	}
-	return out
+	return issued
 }
 
 // Issue hands out tokens of a team by what shards want, within its budget, and tells
 // whether any were. settled is the shards' own word, as the store has it: a shard
 // that is not heard has settled nothing. The shards with the least outstanding come
 // first, one token at a time, so that none takes all.
-func (l *Ledger) Issue(now int64, team string, b Budget, wants map[string]Demand, settled map[string]uint64) bool {
-	running, lost, out := 0, 0, 0
-	open := map[string]int{}
-	for s, d := range wants {
-		running += d.Running
-		lost += d.Lost
-		open[s] = 0
+func (l *Ledger) Issue(now int64, team string, budget Budget, demands map[string]Demand, settled map[string]uint64) bool {
+	running, lost, outstanding := 0, 0, 0
+	outstandingByShard := map[string]int{}
+	for shard, demand := range demands {
+		running += demand.Running
+		lost += demand.Lost
+		outstandingByShard[shard] = 0
 	}
-	for s, by := range l.issued {
-		if n := int(by[team] - min(by[team], settled[s])); n > 0 {
-			open[s] = n
-			out += n
+	for shard, byTeam := range l.issued {
+		if n := int(byTeam[team] - min(byTeam[team], settled[shard])); n > 0 {
+			outstandingByShard[shard] = n
+			outstanding += n
 		}
 	}
-	room := b.Most(running+out) - out - lost
-	if b.InWindow > 0 {
-		in := l.recent[team]
-		in = slices.DeleteFunc(in, func(s stamp) bool { return now-s.at >= int64(b.WindowS*1000) })
-		l.recent[team] = in
+	available := budget.MaxDown(running+outstanding) - outstanding - lost
+	if budget.MaxInWindow > 0 {
+		issuances := l.recent[team]
+		issuances = slices.DeleteFunc(issuances, func(issued issuance) bool { return now-issued.atMS >= int64(budget.WindowS*1000) })
+		l.recent[team] = issuances
 		n := 0
-		for _, s := range in {
-			n += s.n
+		for _, issued := range issuances {
+			n += issued.count
 		}
-		room = min(room, b.InWindow-n)
+		available = min(available, budget.MaxInWindow-n)
 	}
-	given := 0
-	order := slices.Sorted(maps.Keys(wants))
-	for given < room {
-		best := ""
-		for _, s := range order {
-			if open[s] < wants[s].Want && (best == "" || open[s] < open[best]) {
-				best = s
+	issuedNow := 0
+	shards := slices.Sorted(maps.Keys(demands))
+	for issuedNow < available {
+		nextShard := ""
+		for _, shard := range shards {
+			if outstandingByShard[shard] < demands[shard].Requested && (nextShard == "" || outstandingByShard[shard] < outstandingByShard[nextShard]) {
+				nextShard = shard
 			}
 		}
-		if best == "" {
+		if nextShard == "" {
 			break
 		}
-		if l.issued[best] == nil {
-			l.issued[best] = map[string]uint64{}
+		if l.issued[nextShard] == nil {
+			l.issued[nextShard] = map[string]uint64{}
 		}
-		l.issued[best][team]++
-		open[best]++
-		given++
+		l.issued[nextShard][team]++
+		outstandingByShard[nextShard]++
+		issuedNow++
 	}
-	if given > 0 {
-		l.recent[team] = append(l.recent[team], stamp{now, given})
+	if issuedNow > 0 {
+		l.recent[team] = append(l.recent[team], issuance{now, issuedNow})
 	}
-	return given > 0
+	return issuedNow > 0
 }
 
-// Task is a stopped task in a shard's record: of which team, and under which attempt.
-type Task struct {
+// StoppedTask is a stopped task in a shard's record: of which team, and under which attempt.
+type StoppedTask struct {
 	Team    string `json:"t"`
 	Attempt uint64 `json:"a"`
 }
 
 // Record is a shard's, in the store under its claim.
 type Record struct {
-	Spent   map[string]uint64 `json:"spent,omitempty"`
-	Settled map[string]uint64 `json:"settled,omitempty"`
-	Open    map[string]Task   `json:"open,omitempty"` // by task: spent and not settled
-	Lost    map[string]string `json:"lost,omitempty"` // by task: its team; lost against its will, not running again
+	Spent    map[string]uint64      `json:"spent,omitempty"`
+	Settled  map[string]uint64      `json:"settled,omitempty"`
+	Reserved map[string]StoppedTask `json:"open,omitempty"` // by task: spent and not settled
+	Lost     map[string]string      `json:"lost,omitempty"` // by task: its team; lost against its will, not running again
 }
 
 // Account is a shard's side. A charge is made in two steps: Charge notes it, and the
 // stop may leave when the record with it is stored (Stored). It survives its holder
 // as the record.
 type Account struct {
-	rec    Record
-	stored map[string]bool // charges that the store has
-	dirty  bool
-	limit  int
+	record            Record
+	reservationStored map[string]bool // charges that the store has
+	dirty             bool
+	maxReserved       int
 }
 
-// Open goes on with what an earlier holder stored. At most so many tasks are open at
+// OpenAccount goes on with what an earlier holder stored. At most so many tasks are open at
 // once, so that the record stays bounded.
-func Open(rec Record, limit int) *Account {
-	a := &Account{rec: Record{Spent: map[string]uint64{}, Settled: map[string]uint64{}, Open: map[string]Task{}}, stored: map[string]bool{}, limit: limit}
-	a.rec.Lost = map[string]string{}
-	maps.Copy(a.rec.Lost, rec.Lost)
-	maps.Copy(a.rec.Spent, rec.Spent)
-	maps.Copy(a.rec.Settled, rec.Settled)
-	for t, o := range rec.Open {
-		a.rec.Open[t] = o
-		a.stored[t] = true
+func OpenAccount(record Record, maxReserved int) *Account {
+	account := &Account{record: Record{Spent: map[string]uint64{}, Settled: map[string]uint64{}, Reserved: map[string]StoppedTask{}}, reservationStored: map[string]bool{}, maxReserved: maxReserved}
+	account.record.Lost = map[string]string{}
+	maps.Copy(account.record.Lost, record.Lost)
+	maps.Copy(account.record.Spent, record.Spent)
+	maps.Copy(account.record.Settled, record.Settled)
+	for task, stopped := range record.Reserved {
+		account.record.Reserved[task] = stopped
+		account.reservationStored[task] = true
 	}
-	return a
+	return account
 }
 
-// Lose notes a task that was lost against the team's will, and Found that it runs
+// RecordLoss notes a task that was lost against the team's will, and Found that it runs
 // again or need not. What is open already counts as that; beyond the limit losses are
 // not told apart any more, and weigh as the limit.
-func (a *Account) Lose(task, team string) {
-	if _, open := a.rec.Open[task]; !open && len(a.rec.Lost) < a.limit && a.rec.Lost[task] == "" {
-		a.rec.Lost[task] = team
+func (a *Account) RecordLoss(task, team string) {
+	if _, reserved := a.record.Reserved[task]; !reserved && len(a.record.Lost) < a.maxReserved && a.record.Lost[task] == "" {
+		a.record.Lost[task] = team
 		a.dirty = true
 	}
 }
 
-// Found takes a task off those that are lost.
-func (a *Account) Found(task string) {
-	if _, lost := a.rec.Lost[task]; lost {
-		delete(a.rec.Lost, task)
+// RecordRecovery takes a task off those that are lost.
+func (a *Account) RecordRecovery(task string) {
+	if _, lost := a.record.Lost[task]; lost {
+		delete(a.record.Lost, task)
 		a.dirty = true
 	}
 }
 
-// Losses visits the tasks that are lost, in order.
-func (a *Account) Losses(f func(task, team string)) {
-	for _, task := range slices.Sorted(maps.Keys(a.rec.Lost)) {
-		f(task, a.rec.Lost[task])
+// EachLost visits the tasks that are lost, in order.
+func (a *Account) EachLost(visit func(task, team string)) {
+	for _, task := range slices.Sorted(maps.Keys(a.record.Lost)) {
+		visit(task, a.record.Lost[task])
 	}
 }
 
-// Lost is how many tasks of a team are lost and do not run again.
-func (a *Account) Lost(team string) (n int) {
-	for _, t := range a.rec.Lost {
-		if t == team {
+// LostCount is how many tasks of a team are lost and do not run again.
+func (a *Account) LostCount(team string) (n int) {
+	for _, owner := range a.record.Lost {
+		if owner == team {
 			n++
 		}
 	}
 	return n
 }
 
-// Room is how many more tasks of a team may be charged, with what was issued to the
+// Available is how many more tasks of a team may be charged, with what was issued to the
 // shard. What the team lost here against its will is taken off.
-func (a *Account) Room(team string, issued uint64) int {
-	return min(int(issued-min(issued, a.rec.Spent[team]))-a.Lost(team), a.limit-len(a.rec.Open))
+func (a *Account) Available(team string, issued uint64) int {
+	return min(int(issued-min(issued, a.record.Spent[team]))-a.LostCount(team), a.maxReserved-len(a.record.Reserved))
 }
 
-// Charge notes that tasks are to be stopped together, all or none: a gang is charged
+// Reserve notes that tasks are to be stopped together, all or none: a gang is charged
 // whole. It says whether they are.
-func (a *Account) Charge(team string, issued uint64, tasks map[string]uint64) bool {
+func (a *Account) Reserve(team string, issued uint64, tasks map[string]uint64) bool {
 	n := 0
-	for t := range tasks {
-		if _, open := a.rec.Open[t]; !open {
+	for task := range tasks {
+		if _, reserved := a.record.Reserved[task]; !reserved {
 			n++
 		}
 	}
-	if n > a.Room(team, issued) {
+	if n > a.Available(team, issued) {
 		return false
 	}
-	for t, attempt := range tasks {
-		if _, open := a.rec.Open[t]; open {
+	for task, attempt := range tasks {
+		if _, reserved := a.record.Reserved[task]; reserved {
 			continue
 		}
-		a.rec.Open[t] = Task{team, attempt}
-		a.rec.Spent[team]++
+		a.record.Reserved[task] = StoppedTask{team, attempt}
+		a.record.Spent[team]++
 	}
 	a.dirty = a.dirty || n > 0
 	return true
 }
 
-// MayStop tells whether the store has a task's charge: its stop may leave.
-func (a *Account) MayStop(task string, attempt uint64) bool {
-	o, open := a.rec.Open[task]
-	return open && o.Attempt == attempt && a.stored[task]
+// CanStop tells whether the store has a task's charge: its stop may leave.
+func (a *Account) CanStop(task string, attempt uint64) bool {
+	stopped, reserved := a.record.Reserved[task]
+	return reserved && stopped.Attempt == attempt && a.reservationStored[task]
 }
 
-// IsOpen tells whether a task is charged, stored or not.
-func (a *Account) IsOpen(task string) bool {
-	_, open := a.rec.Open[task]
-	return open
+// IsReserved tells whether a task is charged, stored or not.
+func (a *Account) IsReserved(task string) bool {
+	_, reserved := a.record.Reserved[task]
+	return reserved
 }
 
-// Each visits the open charges, in order.
-func (a *Account) Each(f func(task string, t Task)) {
-	for _, name := range slices.Sorted(maps.Keys(a.rec.Open)) {
-		f(name, a.rec.Open[name])
+// EachReserved visits the open charges, in order.
+func (a *Account) EachReserved(visit func(task string, stopped StoppedTask)) {
+	for _, task := range slices.Sorted(maps.Keys(a.record.Reserved)) {
+		visit(task, a.record.Reserved[task])
 	}
 }
 
-// Settle closes a charge: there is evidence that the task runs again under another
+// Release closes a charge: there is evidence that the task runs again under another
 // attempt, is done, or is nobody's any more.
-func (a *Account) Settle(task string) {
-	o, open := a.rec.Open[task]
-	if !open {
+func (a *Account) Release(task string) {
+	stopped, reserved := a.record.Reserved[task]
+	if !reserved {
 		return
 	}
-	delete(a.rec.Open, task)
-	delete(a.stored, task)
-	a.rec.Settled[o.Team]++
+	delete(a.record.Reserved, task)
+	delete(a.reservationStored, task)
+	a.record.Settled[stopped.Team]++
 	a.dirty = true
 }
 
-// Return gives back tokens of a team that were issued and are not needed.
-func (a *Account) Return(team string, issued uint64) {
-	if n := issued - min(issued, a.rec.Spent[team]); n > 0 {
-		a.rec.Spent[team] += n
-		a.rec.Settled[team] += n
+// ReturnUnspent gives back tokens of a team that were issued and are not needed.
+func (a *Account) ReturnUnspent(team string, issued uint64) {
+	if n := issued - min(issued, a.record.Spent[team]); n > 0 {
+		a.record.Spent[team] += n
+		a.record.Settled[team] += n
 		a.dirty = true
 	}
 }
 
-// Empty tells whether nothing is charged and nothing lost.
-func (a *Account) Empty() bool { return len(a.rec.Open)+len(a.rec.Lost) == 0 }
+// IsEmpty tells whether nothing is charged and nothing lost.
+func (a *Account) IsEmpty() bool { return len(a.record.Reserved)+len(a.record.Lost) == 0 }
 
-// Dirty tells whether the store has another record.
-func (a *Account) Dirty() bool { return a.dirty }
+// HasUnstoredChanges tells whether the store has another record.
+func (a *Account) HasUnstoredChanges() bool { return a.dirty }
 
-// Record is what the store should have.
-func (a *Account) Record() Record {
+// BuildRecord is what the store should have.
+func (a *Account) BuildRecord() Record {
 	a.dirty = false
-	return Record{maps.Clone(a.rec.Spent), maps.Clone(a.rec.Settled), maps.Clone(a.rec.Open), maps.Clone(a.rec.Lost)}
+	return Record{maps.Clone(a.record.Spent), maps.Clone(a.record.Settled), maps.Clone(a.record.Reserved), maps.Clone(a.record.Lost)}
 }
 
-// Stored tells that a record is in the store: stops that it charges may leave.
-func (a *Account) Stored(rec Record) {
-	for t, o := range rec.Open {
-		if a.rec.Open[t] == o {
-			a.stored[t] = true
+// ConfirmStored tells that a record is in the store: stops that it charges may leave.
+func (a *Account) ConfirmStored(record Record) {
+	for task, stopped := range record.Reserved {
+		if a.record.Reserved[task] == stopped {
+			a.reservationStored[task] = true
 		}
 	}
 }
 
-// Failed tells that a record may not be in the store. What it charges stays spent.
-func (a *Account) Failed() { a.dirty = true }
+// MarkStoreFailed tells that a record may not be in the store. What it charges stays spent.
+func (a *Account) MarkStoreFailed() { a.dirty = true }
--- a/emulator/experiment_test.go
+++ b/emulator/experiment_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-func load(t testing.TB, change func(string) string) (*Experiment, error) {
+func loadExperiment(t testing.TB, change func(string) string) (*Experiment, error) {
 	t.Helper()
-	b, err := os.ReadFile("../docs/experiments/holds.toml")
+	data, err := os.ReadFile("../docs/experiments/holds.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ParseExperiment([]byte(change(string(b))))
+	return ParseExperiment([]byte(change(string(data))))
 }
 
 // What is wrong with an experiment is named, with its line.
-func TestWrongExperiments(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, want string }{
+func TestInvalidExperimentsAreRefused(t *testing.T) {
+	for name, replacement := range map[string]struct{ from, to, expected string }{
 		"a field that is none":  {"run_s = 300.0", "runs_s = 300.0", "runs_s"},
 		"no team of the class":  {"[[class]]\nname = \"batch\"\nteam = \"ops\"", "[[class]]\nname = \"batch\"\nteam = \"x\"", "line 51: class 2 (batch): team \"x\""},
 		"an unknown fault":      {"kind = \"outage\"", "kind = \"flood\"", "line 74: fault 2 (flood at 160 s): unknown kind"},
@@ -31,14 +31,14 @@
 		"settings out of range":          {"name = \"half\"", "name = \"half\"\nsamples = 1", "samples must be"},
 		"a lease above the cancellation": {"cancel_s = 42.5", "cancel_s = 10.0", "cancel_s must be above"},
 	} {
-		_, err := load(t, func(s string) string {
-			out := strings.Replace(s, c.from, c.to, 1)
-			if out == s {
+		_, err := loadExperiment(t, func(text string) string {
+			changed := strings.Replace(text, replacement.from, replacement.to, 1)
+			if changed == text {
 				t.Fatalf("%s: nothing is changed", name)
 			}
-			return out
+			return changed
 		})
-		if err == nil || !strings.Contains(err.Error(), c.want) {
+		if err == nil || !strings.Contains(err.Error(), replacement.expected) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -46,55 +46,55 @@
 
 // A run says the same again, and what is asked of it shows: jobs arrive at their
 // rate, faults strike, variants differ.
-func TestExperimentsRepeat(t *testing.T) {
-	e, err := load(t, func(s string) string {
-		return strings.NewReplacer("run_s = 300.0", "run_s = 60.0", "quiet_s = 200.0", "quiet_s = 60.0", "at_s = 80.0", "at_s = 20.0", "at_s = 160.0", "at_s = 30.0", "at_s = 220.0", "at_s = 50.0").Replace(s)
+func TestExperimentIsReproducible(t *testing.T) {
+	experiment, err := loadExperiment(t, func(text string) string {
+		return strings.NewReplacer("run_s = 300.0", "run_s = 60.0", "quiet_s = 200.0", "quiet_s = 60.0", "at_s = 80.0", "at_s = 20.0", "at_s = 160.0", "at_s = 30.0", "at_s = 220.0", "at_s = 50.0").Replace(text)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := func(v Variant, seed uint64) string {
-		b, err := json.Marshal(e.Run(v, seed))
+	runAsJSON := func(variant Variant, seed uint64) string {
+		data, err := json.Marshal(experiment.Run(variant, seed))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return string(b)
+		return string(data)
 	}
-	first := text(e.Variants[0], 1)
-	if again := text(e.Variants[0], 1); again != first {
+	first := runAsJSON(experiment.Variants[0], 1)
+	if again := runAsJSON(experiment.Variants[0], 1); again != first {
 		t.Errorf("one seed gives\n%s\nand\n%s", first, again)
 	}
-	if text(e.Variants[0], 2) == first || text(e.Variants[2], 1) == strings.Replace(first, "longest", "quarter", 1) {
+	if runAsJSON(experiment.Variants[0], 2) == first || runAsJSON(experiment.Variants[2], 1) == strings.Replace(first, "longest", "quarter", 1) {
 		t.Error("another seed or variant gives the same")
 	}
-	r := e.Run(e.Variants[0], 1)
-	if len(r.Broken)+len(r.Disorder) > 0 {
-		t.Errorf("broken: %v %v", r.Broken, r.Disorder)
+	result := experiment.Run(experiment.Variants[0], 1)
+	if len(result.RuleViolations)+len(result.OrderViolations) > 0 {
+		t.Errorf("broken: %v %v", result.RuleViolations, result.OrderViolations)
 	}
-	if n := r.Classes[0].Jobs; n < 5 || n > 25 || r.Refused == 0 || r.Price < 1 || r.Useful <= 0 || r.Useful > 1 || r.Classes[0].Done == 0 {
-		t.Errorf("%+v", r)
+	if n := result.Classes[0].Jobs; n < 5 || n > 25 || result.InconclusiveResponses == 0 || result.PriceRatio < 1 || result.UsefulShare <= 0 || result.UsefulShare > 1 || result.Classes[0].Done == 0 {
+		t.Errorf("%+v", result)
 	}
 }
 
-// BenchmarkWorld tells how many simulated seconds a second are played, at a
+// BenchmarkSimulation tells how many simulated seconds a second are played, at a
 // number of machines that are all busy, rules checked.
-func BenchmarkWorld(b *testing.B) {
+func BenchmarkSimulation(b *testing.B) {
 	for _, machines := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			e, err := load(b, func(s string) string {
-				per := fmt.Sprintf("per_minute = %d.0", max(1, machines/12))
+			experiment, err := loadExperiment(b, func(s string) string {
+				arrivals := fmt.Sprintf("per_minute = %d.0", max(1, machines/12))
 				s = s[:strings.Index(s, "[[fault]]")]
-				return strings.NewReplacer("machines = 30", fmt.Sprintf("machines = %d", machines/2), "per_minute = 6.0", per, "run_s = 300.0", "run_s = 60.0", "quiet_s = 200.0", "quiet_s = 1.0", "[1, 30]", "[1, 1]", "[10, 60]", "[60, 60]").Replace(s)
+				return strings.NewReplacer("machines = 30", fmt.Sprintf("machines = %d", machines/2), "per_minute = 6.0", arrivals, "run_s = 300.0", "run_s = 60.0", "quiet_s = 200.0", "quiet_s = 1.0", "[1, 30]", "[1, 1]", "[10, 60]", "[60, 60]").Replace(s)
 			})
 			if err != nil {
 				b.Fatal(err)
 			}
-			var r Result
+			var result Result
 			for b.Loop() {
-				r = e.Run(Variant{Name: "default"}, 1)
+				result = experiment.Run(Variant{Name: "default"}, 1)
 			}
 			b.ReportMetric(61*float64(b.N)/b.Elapsed().Seconds(), "sim-s/s")
-			b.ReportMetric(float64(r.Machines), "machines")
+			b.ReportMetric(float64(result.Machines), "machines")
 		})
 	}
 }
--- a/emulator/operators.go
+++ b/emulator/operators.go
@@ -7,81 +7,81 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Some returns so many machines that are up, whichever.
-func (w *World) Some(n int) (hs []*Host) {
-	for _, id := range w.IDs {
-		if h := w.Hosts[id]; h.Up && !h.Gone {
-			hs = append(hs, h)
+// PickLiveWorkers returns so many machines that are up, whichever.
+func (sim *Simulation) PickLiveWorkers(n int) (workers []*Worker) {
+	for _, id := range sim.WorkerIDs {
+		if worker := sim.Workers[id]; worker.Up && !worker.Gone {
+			workers = append(workers, worker)
 		}
 	}
-	w.Rand.Shuffle(len(hs), func(i, j int) { hs[i], hs[j] = hs[j], hs[i] })
-	return hs[:min(n, len(hs))]
+	sim.Rand.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
+	return workers[:min(n, len(workers))]
 }
 
-// Operate has an operator's request answered through some member's administration
+// SendOperatorRequest has an operator's request answered through some member's administration
 // API, again until it is taken (200) or refused for good (409).
-func (w *World) Operate(ask func(m *scheduler.Member, now scheduler.Now, reply uint64), done func(scheduler.UserAnswer)) {
-	m := w.Members[w.Rand.IntN(len(w.Members))]
-	again := func() { w.After(1000, func() { w.Operate(ask, done) }) }
+func (sim *Simulation) SendOperatorRequest(send func(m *scheduler.Controller, now scheduler.Now, replyID uint64), onResponse func(scheduler.UserResponse)) {
+	m := sim.Members[sim.Rand.IntN(len(sim.Members))]
+	retry := func() { sim.After(1000, func() { sim.SendOperatorRequest(send, onResponse) }) }
 	if m.Core == nil {
-		again()
+		retry()
 		return
 	}
-	over := false
-	w.operations++
-	m.users[1<<52+w.operations] = func(a scheduler.UserAnswer) {
-		if over {
+	finished := false
+	sim.operatorRequests++
+	m.pendingUserRequests[1<<52+sim.operatorRequests] = func(resp scheduler.UserResponse) {
+		if finished {
 			return
 		}
-		if over = true; a.Status == 200 || a.Status == 409 {
-			w.Tell("operator: gets %d %s", a.Status, a.Error)
-			done(a)
+		if finished = true; resp.Status == 200 || resp.Status == 409 {
+			sim.Tracef("operator: gets %d %s", resp.Status, resp.Error)
+			onResponse(resp)
 		} else {
-			again()
+			retry()
 		}
 	}
-	ask(m.Core, m.Clock(), 1<<52+w.operations)
-	m.drain()
-	w.After(6000, func() {
-		if !over {
-			over = true
-			again()
+	send(m.Core, m.Clock(), 1<<52+sim.operatorRequests)
+	m.dispatchOutputs()
+	sim.After(6000, func() {
+		if !finished {
+			finished = true
+			retry()
 		}
 	})
 }
 
-// Stops counts, from the machines' side, the tasks that were told to stop by will and
+// StopCounter counts, from the machines' side, the tasks that were told to stop by will and
 // do not run again: no ledger is asked.
-type Stops struct {
-	All  int
-	Most map[string]int // by team: at once
+type StopCounter struct {
+	Total   int
+	MaxDown map[string]int // by team: at once
 
-	w     *World
-	began map[string]int // by task: how often it had begun when it was stopped
+	sim         *Simulation
+	startCounts map[string]int // by task: how often it had begun when it was stopped
 }
 
 // CountStops counts from now on; over is told of each stop, with how many tasks of its
 // team are down.
-func (w *World) CountStops(over func(t *standin.Task, down int)) *Stops {
-	c := &Stops{w: w, Most: map[string]int{}, began: map[string]int{}}
-	w.Stopped = func(h *Host, t *standin.Task) {
-		j := w.Jobs[t.Job.ID]
-		if h.Worker.NoticeS != nil || j.Done[t.Name] {
+func (sim *Simulation) CountStops(onStop func(t *standin.Task, down int)) *StopCounter {
+	counter := &StopCounter{sim: sim, MaxDown: map[string]int{}, startCounts: map[string]int{}}
+	sim.OnTaskStop = func(worker *Worker, t *standin.Task) {
+		j := sim.Jobs[t.Job.ID]
+		if worker.Agent.NoticeS != nil || j.DoneTasks[t.Name] {
 			return // the cloud's will, or nothing is lost
 		}
-		c.All++
-		c.began[t.Name] = j.Began[t.Name]
+		counter.Total++
+		counter.startCounts[t.Name] = j.StartCounts[t.Name]
 		down := 0
-		for task, n := range c.began {
-			o := w.Jobs[task[:strings.IndexByte(task, '/')]]
-			if o.Began[task] > n || o.Done[task] || o.Cancel || o.Told.Final() {
-				delete(c.began, task)
-			} else if o.Job.Team == t.Job.Team {
+		for task, startsAtStop := range counter.startCounts {
+			other := sim.Jobs[task[:strings.IndexByte(task, '/')]]
+			if other.StartCounts[task] > startsAtStop || other.DoneTasks[task] || other.CancelRequested || other.ObservedState.IsTerminal() {
+				delete(counter.startCounts, task)
+			} else if other.Spec.Team == t.Job.Team {
 				down++
 			}
 		}
-		c.Most[t.Job.Team] = max(c.Most[t.Job.Team], down)
-		over(t, down)
+		counter.MaxDown[t.Job.Team] = max(counter.MaxDown[t.Job.Team], down)
+		onStop(t, down)
 	}
-	return c
+	return counter
 }
--- a/emulator/requests.go
+++ b/emulator/requests.go
@@ -13,140 +13,144 @@
 // cancellations at a job's end, questions at all members within milliseconds, and
 // requests that make no sense.
 
-// hungMachines is how many machines of jobs that are cancelled together may hang.
-const hungMachines = 8
+// maxHungWorkers is how many machines of jobs that are cancelled together may hang.
+const maxHungWorkers = 8
 
-// CancelNow has users cancel so many jobs that run and have the most left, within a fifth
+// CancelRunningJobs has users cancel so many jobs that run and have the most left, within a fifth
 // of a second. With hangMS, up to eight of their machines hang that long from then on.
-func (w *World) CancelNow(count int, hangMS int64) {
-	on := map[string][]*Host{}
-	w.Each(func(h *Host, t *standin.Task) { on[t.Job.ID] = append(on[t.Job.ID], h) })
+func (sim *Simulation) CancelRunningJobs(count int, hangMS int64) {
+	workers := map[string][]*Worker{}
+	sim.EachTask(func(worker *Worker, t *standin.Task) { workers[t.Job.ID] = append(workers[t.Job.ID], worker) })
 	var running []*Job
-	for _, id := range w.Order {
-		if j := w.Jobs[id]; len(on[id]) > 0 && j.Accepted && !j.Cancel && !j.Told.Final() {
+	for _, id := range sim.JobIDs {
+		if j := sim.Jobs[id]; len(workers[id]) > 0 && j.Accepted && !j.CancelRequested && !j.ObservedState.IsTerminal() {
 			running = append(running, j)
 		}
 	}
-	left := func(j *Job) int { return j.Job.Tasks - len(j.Done) }
-	slices.SortStableFunc(running, func(a, b *Job) int { return cmp.Compare(left(b), left(a)) })
+	remainingTasks := func(j *Job) int { return j.Spec.Tasks - len(j.DoneTasks) }
+	slices.SortStableFunc(running, func(a, b *Job) int { return cmp.Compare(remainingTasks(b), remainingTasks(a)) })
 	hung := 0
 	for _, j := range running[:min(count, len(running))] {
-		w.After(w.Rand.Int64N(200), func() { w.CancelJob(j) })
-		for _, h := range on[j.Job.ID] {
-			if hangMS > 0 && hung < hungMachines && h.HungTill <= w.Now {
+		sim.After(sim.Rand.Int64N(200), func() { sim.CancelJob(j) })
+		for _, worker := range workers[j.Spec.ID] {
+			if hangMS > 0 && hung < maxHungWorkers && worker.HangUntil <= sim.Now {
 				hung++
-				h.HungTill = w.Now + hangMS
+				worker.HangUntil = sim.Now + hangMS
 			}
 		}
 	}
 }
 
 // CancelAtEnd has users cancel that share of the jobs that end, as their last task ends.
-func (w *World) CancelAtEnd(of float64, ms int64) { w.endCancels = share{of, w.Now + ms} }
+func (sim *Simulation) CancelAtEnd(probability float64, ms int64) {
+	sim.cancelsAtEnd = faultRate{probability, sim.Now + ms}
+}
 
-// endedJob is called as the last task of a job ends.
-func (w *World) endedJob(j *Job) {
-	if j.Accepted && !j.Cancel && w.endCancels.draws(w) {
-		w.After(w.Rand.Int64N(30), func() { w.CancelJob(j) })
+// onJobDone is called as the last task of a job ends.
+func (sim *Simulation) onJobDone(j *Job) {
+	if j.Accepted && !j.CancelRequested && sim.cancelsAtEnd.occurs(sim) {
+		sim.After(sim.Rand.Int64N(30), func() { sim.CancelJob(j) })
 	}
-	w.lookClosely(j)
+	sim.readAtAllMembers(j)
 }
 
-// CloseLooks has users ask at all members within milliseconds after a job was accepted,
+// ReadConcurrently has users ask at all members within milliseconds after a job was accepted,
 // ended, or told to be over.
-func (w *World) CloseLooks(ms int64) { w.closeLooks = max(w.closeLooks, w.Now+ms) }
+func (sim *Simulation) ReadConcurrently(ms int64) {
+	sim.concurrentReadsUntil = max(sim.concurrentReadsUntil, sim.Now+ms)
+}
 
-// lookMS is within how many milliseconds of each other close looks are.
-const lookMS = 40
+// concurrentReadWindowMS is within how many milliseconds of each other close looks are.
+const concurrentReadWindowMS = 40
 
-// lookClosely asks twice at each member, repeats the submission at one, and cancels
+// readAtAllMembers asks twice at each member, repeats the submission at one, and cancels
 // every eighth job.
-func (w *World) lookClosely(j *Job) {
-	if w.closeLooks <= w.Now || !j.Accepted {
+func (sim *Simulation) readAtAllMembers(j *Job) {
+	if sim.concurrentReadsUntil <= sim.Now || !j.Accepted {
 		return
 	}
-	w.Looks++
-	for _, m := range w.Members {
+	sim.ConcurrentReads++
+	for _, member := range sim.Members {
 		for range 2 {
-			w.After(w.Rand.Int64N(lookMS), func() {
-				w.askAbout(m, j, scheduler.UserRequest{Kind: scheduler.Query, ID: j.Job.ID})
+			sim.After(sim.Rand.Int64N(concurrentReadWindowMS), func() {
+				sim.sendAndCheck(member, j, scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID})
 			})
 		}
 	}
-	w.After(w.Rand.Int64N(lookMS), func() { w.submitAgain(w.anyMember(), j) })
-	if !j.Cancel && w.Rand.IntN(8) == 0 {
-		w.After(w.Rand.Int64N(lookMS), func() { w.CancelJob(j) })
+	sim.After(sim.Rand.Int64N(concurrentReadWindowMS), func() { sim.resubmit(sim.randomMember(), j) })
+	if !j.CancelRequested && sim.Rand.IntN(8) == 0 {
+		sim.After(sim.Rand.Int64N(concurrentReadWindowMS), func() { sim.CancelJob(j) })
 	}
 }
 
-// submitAgain repeats a job's submission.
-func (w *World) submitAgain(m *Member, j *Job) {
-	again := j.Job
-	w.askAbout(m, j, scheduler.UserRequest{Kind: scheduler.Submit, ID: j.Job.ID, Job: &again})
+// resubmit repeats a job's submission.
+func (sim *Simulation) resubmit(m *Member, j *Job) {
+	resubmitted := j.Spec
+	sim.sendAndCheck(m, j, scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &resubmitted})
 }
 
-// askAbout sends a request about a job and checks the answer.
-func (w *World) askAbout(m *Member, j *Job, r scheduler.UserRequest) {
-	asked := w.Now
-	w.AskAt(m, r, func(a scheduler.UserAnswer, ok bool) {
+// sendAndCheck sends a request about a job and checks the answer.
+func (sim *Simulation) sendAndCheck(m *Member, j *Job, req scheduler.UserRequest) {
+	requestedAt := sim.Now
+	sim.SendRequestTo(m, req, func(resp scheduler.UserResponse, ok bool) {
 		if ok {
-			w.Hear(j, asked, a)
+			sim.ReceiveResponse(j, requestedAt, resp)
 		}
 	})
 }
 
-// OddRequests has users, for so long, repeat submissions of unfinished jobs, cancel jobs
+// SendInvalidRequests has users, for so long, repeat submissions of unfinished jobs, cancel jobs
 // that are done, and send jobs that fit no machine or lack a field.
-func (w *World) OddRequests(ms int64) {
-	begun := w.oddRequests > w.Now
-	w.oddRequests = max(w.oddRequests, w.Now+ms)
-	if !begun {
-		w.oddRequest()
+func (sim *Simulation) SendInvalidRequests(ms int64) {
+	active := sim.invalidRequestsUntil > sim.Now
+	sim.invalidRequestsUntil = max(sim.invalidRequestsUntil, sim.Now+ms)
+	if !active {
+		sim.sendInvalidRequest()
 	}
 }
 
-const oddPauseMS = 300
+const invalidRequestIntervalMS = 300
 
-func (w *World) oddRequest() {
-	if w.oddRequests <= w.Now {
+func (sim *Simulation) sendInvalidRequest() {
+	if sim.invalidRequestsUntil <= sim.Now {
 		return
 	}
-	w.After(1+w.Rand.Int64N(2*oddPauseMS), w.oddRequest)
-	if len(w.Order) == 0 {
+	sim.After(1+sim.Rand.Int64N(2*invalidRequestIntervalMS), sim.sendInvalidRequest)
+	if len(sim.JobIDs) == 0 {
 		return
 	}
-	j := w.Jobs[w.Order[w.Rand.IntN(len(w.Order))]]
-	switch w.Rand.IntN(4) {
+	j := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]]
+	switch sim.Rand.IntN(4) {
 	case 0:
-		if j.Accepted && !j.Told.Final() {
-			w.submitAgain(w.anyMember(), j)
+		if j.Accepted && !j.ObservedState.IsTerminal() {
+			sim.resubmit(sim.randomMember(), j)
 		}
 	case 1:
-		if j.Told == scheduler.Done {
-			w.askAbout(w.anyMember(), j, scheduler.UserRequest{Kind: scheduler.Cancel, ID: j.Job.ID})
+		if j.ObservedState == scheduler.Done {
+			sim.sendAndCheck(sim.randomMember(), j, scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID})
 		}
 	case 2:
-		w.sendWrongJob(j.Job, false)
+		sim.submitInvalidJob(j.Spec, false)
 	default:
-		w.sendWrongJob(j.Job, true)
+		sim.submitInvalidJob(j.Spec, true)
 	}
 }
 
-// sendWrongJob submits a job that lacks a field, or one that can never run. Both
+// submitInvalidJob submits a job that lacks a field, or one that can never run. Both
 // may be answered by 503, or by the status that says why.
-func (w *World) sendWrongJob(like scheduler.Job, lacksField bool) {
-	w.oddJobs++
-	id := fmt.Sprintf("job-8%05d", w.oddJobs)
-	r := scheduler.UserRequest{Kind: scheduler.Submit, ID: id, Bad: "a field is missing"}
-	want := 400
+func (sim *Simulation) submitInvalidJob(template scheduler.Job, lacksField bool) {
+	sim.invalidJobCount++
+	id := fmt.Sprintf("job-8%05d", sim.invalidJobCount)
+	req := scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Malformed: "a field is missing"}
+	wantedStatus := 400
 	if !lacksField {
-		like.ID = id
-		impossibleJobs[w.Rand.IntN(len(impossibleJobs))](&like)
-		r.Job, r.Bad, want = &like, "", 422
+		template.ID = id
+		makeImpossible[sim.Rand.IntN(len(makeImpossible))](&template)
+		req.Job, req.Malformed, wantedStatus = &template, "", 422
 	}
-	w.Ask(r, func(a scheduler.UserAnswer, ok bool) {
-		if ok && a.Status != want && a.Status != 503 {
-			w.fail(wrongAnswer, "%s gets %d, not %d", id, a.Status, want)
+	sim.SendRequest(req, func(resp scheduler.UserResponse, ok bool) {
+		if ok && resp.Status != wantedStatus && resp.Status != 503 {
+			sim.recordViolation(wrongResponseRule, "%s gets %d, not %d", id, resp.Status, wantedStatus)
 		}
 	})
 }
--- a/emulator/served.go
+++ b/emulator/served.go
@@ -10,8 +10,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Served is how many of a group of jobs were done, of those that were not cancelled.
-type Served struct {
+// GroupProgress is how many of a group of jobs were done, of those that were not cancelled.
+type GroupProgress struct {
 	Done, Jobs int
 	// LongestWaitMS is the longest time that one of them waited for its first task, after
 	// it was accepted.
@@ -26,76 +26,76 @@
 	longestGroup = "longest " // quarter of a class, by its tasks' run time
 )
 
-// LargestMustBeginMS is how soon each of a class's largest jobs must begin.
-const LargestMustBeginMS = 240_000
+// MaxLargestJobWaitMS is how soon each of a class's largest jobs must begin.
+const MaxLargestJobWaitMS = 240_000
 
-// Served counts jobs that were accepted and not cancelled, by group.
-func (w *World) Served() map[string]Served {
-	out := map[string]Served{}
+// ProgressByGroup counts jobs that were accepted and not cancelled, by group.
+func (sim *Simulation) ProgressByGroup() map[string]GroupProgress {
+	out := map[string]GroupProgress{}
 	count := func(group string, j *Job) {
-		s := out[group]
-		if s.Jobs++; j.Told == scheduler.Done {
-			s.Done++
+		progress := out[group]
+		if progress.Jobs++; j.ObservedState == scheduler.Done {
+			progress.Done++
 		}
-		first := j.First
-		if first == 0 {
-			first = w.Now
+		startedAt := j.FirstStartAt
+		if startedAt == 0 {
+			startedAt = sim.Now
 		}
-		s.LongestWaitMS = max(s.LongestWaitMS, first-j.AcceptedAt)
-		out[group] = s
+		progress.LongestWaitMS = max(progress.LongestWaitMS, startedAt-j.AcceptedAt)
+		out[group] = progress
 	}
 	classes := map[string][]*Job{}
-	for _, id := range w.Order {
-		j := w.Jobs[id]
-		if !j.Accepted || j.Cancel || j.Told == scheduler.Cancelled {
+	for _, id := range sim.JobIDs {
+		j := sim.Jobs[id]
+		if !j.Accepted || j.CancelRequested || j.ObservedState == scheduler.Cancelled {
 			continue
 		}
-		count(classGroup+j.Job.Class, j)
-		count(teamGroup+j.Job.Team, j)
-		classes[j.Job.Class] = append(classes[j.Job.Class], j)
+		count(classGroup+j.Spec.Class, j)
+		count(teamGroup+j.Spec.Team, j)
+		classes[j.Spec.Class] = append(classes[j.Spec.Class], j)
 	}
-	for class, js := range classes {
-		for _, j := range quarter(js, (*Job).size) {
+	for class, jobs := range classes {
+		for _, j := range topQuarter(jobs, (*Job).totalCPUs) {
 			count(largestGroup+class, j)
 		}
-		for _, j := range quarter(js, (*Job).runTime) {
+		for _, j := range topQuarter(jobs, (*Job).runTimeMS) {
 			count(longestGroup+class, j)
 		}
 	}
 	return out
 }
 
-// quarter is the quarter of some jobs that has the most of something, rounded up.
-func quarter(js []*Job, of func(*Job) float64) []*Job {
-	js = slices.Clone(js)
-	slices.SortStableFunc(js, func(a, b *Job) int { return cmp.Compare(of(b), of(a)) })
-	return js[:(len(js)+3)/4]
+// topQuarter is the quarter of some jobs that has the most of something, rounded up.
+func topQuarter(jobs []*Job, measure func(*Job) float64) []*Job {
+	jobs = slices.Clone(jobs)
+	slices.SortStableFunc(jobs, func(a, b *Job) int { return cmp.Compare(measure(b), measure(a)) })
+	return jobs[:(len(jobs)+3)/4]
 }
 
-// size is what a job's tasks use together, in processors.
-func (j *Job) size() float64 { return j.Job.Request.CPUs * float64(j.Job.Tasks) }
+// totalCPUs is what a job's tasks use together, in processors.
+func (j *Job) totalCPUs() float64 { return j.Spec.Request.CPUs * float64(j.Spec.Tasks) }
 
-// runTime is how long a job's tasks run, in ms: the longest of those that ran, or else
+// runTimeMS is how long a job's tasks run, in ms: the longest of those that ran, or else
 // what is known of them before.
-func (j *Job) runTime() float64 {
+func (j *Job) runTimeMS() float64 {
 	if j.longestRunMS > 0 {
 		return float64(j.longestRunMS)
 	}
-	return 1000 * cmp.Or(j.Length, j.Job.EstimateS)
+	return 1000 * cmp.Or(j.TaskRunS, j.Spec.EstimateS)
 }
 
-// Unserved tells in which groups less than half of the jobs were served, and which of the
+// UnderservedGroups tells in which groups less than half of the jobs were served, and which of the
 // largest began too late.
-func (w *World) Unserved() []string {
+func (sim *Simulation) UnderservedGroups() []string {
 	var out []string
-	served := w.Served()
+	served := sim.ProgressByGroup()
 	for _, group := range slices.Sorted(maps.Keys(served)) {
-		s := served[group]
-		if s.Done*2 < s.Jobs {
-			out = append(out, fmt.Sprintf("%s: %d of %d served", group, s.Done, s.Jobs))
+		progress := served[group]
+		if progress.Done*2 < progress.Jobs {
+			out = append(out, fmt.Sprintf("%s: %d of %d served", group, progress.Done, progress.Jobs))
 		}
-		if strings.HasPrefix(group, largestGroup) && s.LongestWaitMS > LargestMustBeginMS {
-			out = append(out, fmt.Sprintf("%s: one began after %d ms", group, s.LongestWaitMS))
+		if strings.HasPrefix(group, largestGroup) && progress.LongestWaitMS > MaxLargestJobWaitMS {
+			out = append(out, fmt.Sprintf("%s: one began after %d ms", group, progress.LongestWaitMS))
 		}
 	}
 	return out
--- a/emulator/teams.go
+++ b/emulator/teams.go
@@ -7,113 +7,115 @@
 
 // What teams get is counted on the machines, not by what members say.
 
-// stoppedSoon is how long a task must have run for its start to count, if it is
+// minCountedRunMS is how long a task must have run for its start to count, if it is
 // stopped by command, in milliseconds (PROTOCOL).
-const stoppedSoon = 30_000
+const minCountedRunMS = 30_000
 
-// unfinished tells whether a job is still to be run.
-func (j *Job) unfinished() bool { return j.Ended == 0 && !j.Cancel && !j.Told.Final() }
+// isUnfinished tells whether a job is still to be run.
+func (j *Job) isUnfinished() bool {
+	return j.DoneAt == 0 && !j.CancelRequested && !j.ObservedState.IsTerminal()
+}
 
-// fitsGuarantee tells whether a job fits its team's guarantee together with the team's
+// isWithinGuarantee tells whether a job fits its team's guarantee together with the team's
 // earlier unfinished jobs.
-func (w *World) fitsGuarantee(j *Job) bool {
-	g := w.Params.Teams[j.Job.Team]
-	if g.CPUs <= 0 && g.GPUs <= 0 {
+func (sim *Simulation) isWithinGuarantee(j *Job) bool {
+	team := sim.Params.Teams[j.Spec.Team]
+	if team.CPUs <= 0 && team.GPUs <= 0 {
 		return false
 	}
 	cpus, gpus := 0.0, 0.0
-	for _, id := range w.Order {
-		if o := w.Jobs[id]; o.Job.Team == j.Job.Team && o.unfinished() {
-			cpus += float64(o.Job.Tasks) * o.Job.Request.CPUs
-			gpus += float64(o.Job.Tasks) * o.Job.Request.GPUs
+	for _, id := range sim.JobIDs {
+		if other := sim.Jobs[id]; other.Spec.Team == j.Spec.Team && other.isUnfinished() {
+			cpus += float64(other.Spec.Tasks) * other.Spec.Request.CPUs
+			gpus += float64(other.Spec.Tasks) * other.Spec.Request.GPUs
 		}
 	}
-	return cpus <= g.CPUs && gpus <= g.GPUs
+	return cpus <= team.CPUs && gpus <= team.GPUs
 }
 
-// stopped takes back a start that was stopped by command too soon to count.
-func (w *World) stopped(h *Host, t *standin.Task) {
-	j := w.Jobs[t.Job.ID]
-	if at, ok := j.starts[t.Name]; ok && w.Now-at < stoppedSoon && h.Worker.NoticeS == nil && !j.Cancel {
-		delete(j.starts, t.Name)
+// discountEarlyStop takes back a start that was stopped by command too soon to count.
+func (sim *Simulation) discountEarlyStop(worker *Worker, t *standin.Task) {
+	j := sim.Jobs[t.Job.ID]
+	if at, ok := j.countedStartAt[t.Name]; ok && sim.Now-at < minCountedRunMS && worker.Agent.NoticeS == nil && !j.CancelRequested {
+		delete(j.countedStartAt, t.Name)
 	}
 }
 
-// prompt counts how soon a team's work within its guarantee started, of jobs that came
+// countPromptStarts counts how soon a team's work within its guarantee started, of jobs that came
 // since a time and were not cancelled.
-func (w *World) prompt(r *TeamResult, within float64, since int64) {
+func (sim *Simulation) countPromptStarts(result *TeamResult, withinS float64, sinceMS int64) {
 	var waits []float64
-	n := 0
-	for _, id := range w.Order {
-		j := w.Jobs[id]
-		if j.Job.Team != r.Team || !j.within || j.Cancel || j.Submitted < since {
+	prompt := 0
+	for _, id := range sim.JobIDs {
+		j := sim.Jobs[id]
+		if j.Spec.Team != result.Team || !j.withinGuarantee || j.CancelRequested || j.SubmittedAt < sinceMS {
 			continue
 		}
-		r.Guaranteed += j.Job.Tasks
-		for _, at := range j.starts {
-			wait := float64(at-j.Submitted) / 1000
+		result.Guaranteed += j.Spec.Tasks
+		for _, at := range j.countedStartAt {
+			wait := float64(at-j.SubmittedAt) / 1000
 			waits = append(waits, wait)
-			if wait <= within {
-				n++
+			if wait <= withinS {
+				prompt++
 			}
 		}
 	}
-	if r.Guaranteed > 0 {
-		r.Prompt = float64(n) / float64(r.Guaranteed)
+	if result.Guaranteed > 0 {
+		result.PromptShare = float64(prompt) / float64(result.Guaranteed)
 	}
 	// What never started waits longest.
-	for len(waits) < r.Guaranteed {
-		waits = append(waits, float64(w.Now)/1000)
+	for len(waits) < result.Guaranteed {
+		waits = append(waits, float64(sim.Now)/1000)
 	}
-	r.PromptWaitS = spread(waits)
-	c := w.limits[r.Team]
-	r.LimitUsedAmongS, r.BelowS = c.short, c.below
-	if c.short > 0 {
-		r.LimitUsed = c.used / float64(c.short)
+	result.PromptWaitS = quantiles(waits)
+	samples := sim.limitUse[result.Team]
+	result.LimitContendedS, result.BelowGuaranteeS = samples.contendedS, samples.belowGuaranteeS
+	if samples.contendedS > 0 {
+		result.LimitUsedShare = samples.usedShareSum / float64(samples.contendedS)
 	}
 }
 
-// limitCount is what was seen of a team's limit and guarantee.
-type limitCount struct {
-	short, below int
-	used         float64
+// limitSamples is what was seen of a team's limit and guarantee.
+type limitSamples struct {
+	contendedS, belowGuaranteeS int
+	usedShareSum                float64
 }
 
-// watchLimits looks once a second at what teams use and wait for.
-func (w *World) watchLimits() {
-	use, wait := map[string]float64{}, map[string]float64{}
-	busy := map[string]bool{}
-	w.Each(func(_ *Host, t *standin.Task) {
-		use[t.Job.Team] += t.Job.Request.CPUs
-		busy[t.Name] = true
+// sampleLimits looks once a second at what teams use and wait for.
+func (sim *Simulation) sampleLimits() {
+	cpus, waitingCPUs := map[string]float64{}, map[string]float64{}
+	placedTasks := map[string]bool{}
+	sim.EachTask(func(_ *Worker, t *standin.Task) {
+		cpus[t.Job.Team] += t.Job.Request.CPUs
+		placedTasks[t.Name] = true
 	})
 	starved := map[string]bool{}
-	for _, id := range w.Order {
-		j := w.Jobs[id]
-		if !j.Accepted || !j.unfinished() {
+	for _, id := range sim.JobIDs {
+		j := sim.Jobs[id]
+		if !j.Accepted || !j.isUnfinished() {
 			continue
 		}
-		left := j.Job.Tasks - len(j.Done)
-		for n := range j.Job.Tasks {
-			if name := scheduler.TaskName(id, n); busy[name] && !j.Done[name] {
-				left--
+		remaining := j.Spec.Tasks - len(j.DoneTasks)
+		for n := range j.Spec.Tasks {
+			if name := scheduler.TaskName(id, n); placedTasks[name] && !j.DoneTasks[name] {
+				remaining--
 			}
 		}
-		wait[j.Job.Team] += float64(left) * j.Job.Request.CPUs
-		if left > 0 && j.within && float64(w.Now-j.Submitted) > w.Params.GuaranteeS*1000 {
-			starved[j.Job.Team] = true
+		waitingCPUs[j.Spec.Team] += float64(remaining) * j.Spec.Request.CPUs
+		if remaining > 0 && j.withinGuarantee && float64(sim.Now-j.SubmittedAt) > sim.Params.GuaranteeWithinS*1000 {
+			starved[j.Spec.Team] = true
 		}
 	}
-	for team, t := range w.Params.Teams {
-		c := w.limits[team]
-		if t.MaxCPUs > 0 && use[team]+wait[team] >= t.MaxCPUs {
-			c.short++
-			c.used += use[team] / t.MaxCPUs
+	for team, t := range sim.Params.Teams {
+		samples := sim.limitUse[team]
+		if t.MaxCPUs > 0 && cpus[team]+waitingCPUs[team] >= t.MaxCPUs {
+			samples.contendedS++
+			samples.usedShareSum += cpus[team] / t.MaxCPUs
 		}
-		if t.CPUs > 0 && use[team] < t.CPUs && starved[team] {
-			c.below++
+		if t.CPUs > 0 && cpus[team] < t.CPUs && starved[team] {
+			samples.belowGuaranteeS++
 		}
-		w.limits[team] = c
+		sim.limitUse[team] = samples
 	}
-	w.After(1000, w.watchLimits)
+	sim.After(1000, sim.sampleLimits)
 }
--- a/emulator/troubles.go
+++ b/emulator/troubles.go
@@ -12,149 +12,169 @@
 // many milliseconds. What faults.go has beside them is cuts that hold packets,
 // outages, ends of members and lost machines.
 
-// share of something, until a time.
-type share struct {
-	of    float64
-	until int64
+// faultRate of something, until a time.
+type faultRate struct {
+	probability float64
+	until       int64
 }
 
-func (s share) draws(w *World) bool {
-	return s.until > w.Now && w.Rand.Float64() < s.of
+func (rate faultRate) occurs(sim *Simulation) bool {
+	return rate.until > sim.Now && sim.Rand.Float64() < rate.probability
 }
 
-// LateWrites has that share of transactions get no answer and be carried out 2 to
+// DelayWrites has that share of transactions get no answer and be carried out 2 to
 // 12 s later, after newer ones.
-func (w *World) LateWrites(of float64, ms int64) { w.lateWrites = share{of, w.Now + ms} }
+func (sim *Simulation) DelayWrites(probability float64, ms int64) {
+	sim.writeDelays = faultRate{probability, sim.Now + ms}
+}
 
-// LateReports has a copy of that share of the workers' reports arrive again, from
+// ReplayHeartbeats has a copy of that share of the workers' reports arrive again, from
 // 2 s to well over a lease later.
-func (w *World) LateReports(of float64, ms int64) { w.lateReports = share{of, w.Now + ms} }
+func (sim *Simulation) ReplayHeartbeats(probability float64, ms int64) {
+	sim.heartbeatReplays = faultRate{probability, sim.Now + ms}
+}
 
-// LostAnswers has that share of transactions be carried out at once, and only their
+// LoseResponses has that share of transactions be carried out at once, and only their
 // answer lost.
-func (w *World) LostAnswers(of float64, ms int64) { w.lostAnswers = share{of, w.Now + ms} }
+func (sim *Simulation) LoseResponses(probability float64, ms int64) {
+	sim.responseLosses = faultRate{probability, sim.Now + ms}
+}
 
-// losesAnswer takes the answer to a transaction that was carried out, or refused for its
+// dropsStoreResponse takes the answer to a transaction that was carried out, or refused for its
 // conditions.
-func (w *World) losesAnswer(m *Member, op scheduler.StoreOp, r scheduler.StoreResult) bool {
-	worked := r.Outcome == scheduler.OK
-	if op.Kind != scheduler.StoreTxn || !w.lostAnswers.draws(w) && !(worked && w.LoseIf != nil && w.LoseIf(m, op)) {
+func (sim *Simulation) dropsStoreResponse(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) bool {
+	succeeded := result.Outcome == scheduler.OK
+	if op.Kind != scheduler.StoreTxn || !sim.responseLosses.occurs(sim) && !(succeeded && sim.LosesResponse != nil && sim.LosesResponse(m, op)) {
 		return false
 	}
-	w.LostAnswerCount++
-	if worked {
+	sim.LostResponseCount++
+	if succeeded {
 		for _, c := range op.Changes {
-			w.Lost[KindOf(c.Key)]++
+			sim.LostResponseKinds[KeyKind(c.Key)]++
 		}
 	}
 	return true
 }
 
-// LateCommands has that share of direct commands be held up for 2 to 16 s and carried
+// DelayCommands has that share of direct commands be held up for 2 to 16 s and carried
 // out once, unanswered, if token and session still match.
-func (w *World) LateCommands(of float64, ms int64) { w.lateOrders = share{of, w.Now + ms} }
+func (sim *Simulation) DelayCommands(probability float64, ms int64) {
+	sim.commandDelays = faultRate{probability, sim.Now + ms}
+}
 
-// connectMS is how long a connection attempt takes that fails.
-const connectMS = 500
+// connectTimeoutMS is how long a connection attempt takes that fails.
+const connectTimeoutMS = 500
 
-// Mute has a machine reach no member, while direct commands reach it.
-func (w *World) Mute(h *Host, ms int64) { h.muteTill = max(h.muteTill, w.Now+ms) }
+// PartitionOutbound has a machine reach no member, while direct commands reach it.
+func (sim *Simulation) PartitionOutbound(worker *Worker, ms int64) {
+	worker.outboundPartitionedUntil = max(worker.outboundPartitionedUntil, sim.Now+ms)
+}
 
-// IsMute tells whether the machine can open no connection to a member.
-func (h *Host) IsMute(w *World) bool { return h.muteTill > w.Now }
+// IsOutboundPartitioned tells whether the machine can open no connection to a member.
+func (worker *Worker) IsOutboundPartitioned(sim *Simulation) bool {
+	return worker.outboundPartitionedUntil > sim.Now
+}
 
-// Deafen has a machine hear nothing while its reports arrive: answers and direct
+// PartitionInbound has a machine hear nothing while its reports arrive: answers and direct
 // commands to it are lost.
-func (w *World) Deafen(h *Host, ms int64) { h.deafTill = max(h.deafTill, w.Now+ms) }
+func (sim *Simulation) PartitionInbound(worker *Worker, ms int64) {
+	worker.inboundPartitionedUntil = max(worker.inboundPartitionedUntil, sim.Now+ms)
+}
 
-// Sever cuts a member off from the state service and from the other members, not
+// PartitionMember cuts a member off from the state service and from the other members, not
 // from its workers or users. What it sends meanwhile is held, or, with refuse,
 // refused by the state service and lost between members.
-func (w *World) Sever(m *Member, ms int64, refuse bool) {
-	if refuse {
-		w.Away(m.Name, ms)
+func (sim *Simulation) PartitionMember(m *Member, ms int64, refused bool) {
+	if refused {
+		sim.StartOutage(m.Name, ms)
 	} else {
-		w.Cuts = append(w.Cuts, Cut{A: m.Name, B: "store", Until: w.Now + ms})
+		sim.Partitions = append(sim.Partitions, Partition{A: m.Name, B: "store", Until: sim.Now + ms})
 	}
-	for _, o := range w.Members {
-		if o != m {
-			w.Cuts = append(w.Cuts, Cut{A: m.Name, B: o.Name, Until: w.Now + ms, Loses: refuse})
+	for _, other := range sim.Members {
+		if other != m {
+			sim.Partitions = append(sim.Partitions, Partition{A: m.Name, B: other.Name, Until: sim.Now + ms, DropsMessages: refused})
 		}
 	}
 }
 
-// CutZoneWith cuts the machines of a zone off together with a member: they reach each
+// PartitionZoneWithMember cuts the machines of a zone off together with a member: they reach each
 // other, and nobody else. What is sent meanwhile is held, or, with loses, lost.
-func (w *World) CutZoneWith(zone string, m *Member, ms int64, loses bool) {
-	cut := func(a, b string) { w.Cuts = append(w.Cuts, Cut{A: a, B: b, Until: w.Now + ms, Loses: loses}) }
-	cut(m.Name, "store")
-	cut(m.Name, "cloud")
-	for _, o := range w.Members {
-		if o != m {
-			cut(m.Name, o.Name)
+func (sim *Simulation) PartitionZoneWithMember(zone string, m *Member, ms int64, dropsMessages bool) {
+	partition := func(sideA, sideB string) {
+		sim.Partitions = append(sim.Partitions, Partition{A: sideA, B: sideB, Until: sim.Now + ms, DropsMessages: dropsMessages})
+	}
+	partition(m.Name, "store")
+	partition(m.Name, "cloud")
+	for _, other := range sim.Members {
+		if other != m {
+			partition(m.Name, other.Name)
 		}
 	}
-	for _, id := range w.IDs {
-		h := w.Hosts[id]
-		if h.Gone {
+	for _, id := range sim.WorkerIDs {
+		worker := sim.Workers[id]
+		if worker.Gone {
 			continue
 		}
-		if h.Rental.Zone != zone {
-			cut("w"+id, m.Name)
+		if worker.Instance.Zone != zone {
+			partition("w"+id, m.Name)
 			continue
 		}
-		for _, o := range w.Members {
-			if o != m {
-				cut("w"+id, o.Name)
+		for _, other := range sim.Members {
+			if other != m {
+				partition("w"+id, other.Name)
 			}
 		}
 	}
 }
 
-// SlowState has the state service's messages take up to so much longer, each its
+// SlowStore has the state service's messages take up to so much longer, each its
 // own time, so that answers overtake each other.
-func (w *World) SlowState(by, ms int64) { w.slowBy, w.slowTill = by, w.Now+ms }
+func (sim *Simulation) SlowStore(maxDelayMS, ms int64) {
+	sim.storeDelayMS, sim.storeSlowUntil = maxDelayMS, sim.Now+ms
+}
 
-// StandStill has a member's process stand still: what it decided last leaves when
+// PauseMember has a member's process stand still: what it decided last leaves when
 // it goes on, and what came meanwhile is there at once.
-func (w *World) StandStill(m *Member, ms int64) { m.stillTill = max(m.stillTill, w.Now+ms) }
+func (sim *Simulation) PauseMember(m *Member, ms int64) {
+	m.pausedUntil = max(m.pausedUntil, sim.Now+ms)
+}
 
-// HoldCommands has direct commands to a machine, or their answers, held up.
-func (w *World) HoldCommands(h *Host, ms int64, answers bool) {
-	if answers {
-		h.answersTill = w.Now + ms
+// DelayWorkerCommands has direct commands to a machine, or their answers, held up.
+func (sim *Simulation) DelayWorkerCommands(worker *Worker, ms int64, delayResults bool) {
+	if delayResults {
+		worker.commandResultsDelayedUntil = sim.Now + ms
 	} else {
-		h.commandsTill = w.Now + ms
+		worker.commandsDelayedUntil = sim.Now + ms
 	}
 }
 
-// RunsAt sets how fast a member's steady clock runs against true time, before it starts.
-func (m *Member) RunsAt(rate float64) { m.drift = rate }
+// SetClockRate sets how fast a member's steady clock runs against true time, before it starts.
+func (m *Member) SetClockRate(rate float64) { m.clockRate = rate }
 
-// troubled tells whether something is wrong that keeps members from answering users.
-func (w *World) troubled() bool {
-	for _, until := range []int64{w.lateWrites.until, w.lateReports.until, w.lostAnswers.until, w.slowTill} {
-		if until > w.Now {
+// hasActiveFault tells whether something is wrong that keeps members from answering users.
+func (sim *Simulation) hasActiveFault() bool {
+	for _, until := range []int64{sim.writeDelays.until, sim.heartbeatReplays.until, sim.responseLosses.until, sim.storeSlowUntil} {
+		if until > sim.Now {
 			return true
 		}
 	}
-	for _, until := range w.Outage {
-		if until > w.Now {
+	for _, until := range sim.OutageUntil {
+		if until > sim.Now {
 			return true
 		}
 	}
-	for _, l := range w.Lags {
-		if l.Until > w.Now {
+	for _, lag := range sim.Lags {
+		if lag.Until > sim.Now {
 			return true
 		}
 	}
-	for _, c := range w.Cuts {
-		if c.Until > w.Now {
+	for _, partition := range sim.Partitions {
+		if partition.Until > sim.Now {
 			return true
 		}
 	}
-	for _, m := range w.Members {
-		if m.Core == nil || m.stillTill > w.Now {
+	for _, m := range sim.Members {
+		if m.Core == nil || m.pausedUntil > sim.Now {
 			return true
 		}
 	}
@@ -166,38 +186,38 @@
 const forgottenMS = 75_000
 
 // checkForgotten looks at each job by itself, however others fare.
-func (w *World) checkForgotten() {
-	if w.troubled() {
-		w.calmSince = w.Now
+func (sim *Simulation) checkForgotten() {
+	if sim.hasActiveFault() {
+		sim.lastFaultAt = sim.Now
 		return
 	}
-	if w.Unchecked || w.Now-w.calmSince <= forgottenMS {
+	if sim.ChecksDisabled || sim.Now-sim.lastFaultAt <= forgottenMS {
 		return
 	}
-	for _, id := range w.Order {
-		if j := w.Jobs[id]; j.Accepted && !j.Cancel && w.Now-max(j.answeredAt, j.AcceptedAt) > forgottenMS {
-			w.fail("forgotten", "no question about %s is answered for %d ms", id, w.Now-max(j.answeredAt, j.AcceptedAt))
+	for _, id := range sim.JobIDs {
+		if j := sim.Jobs[id]; j.Accepted && !j.CancelRequested && sim.Now-max(j.lastResponseAt, j.AcceptedAt) > forgottenMS {
+			sim.recordViolation("forgotten", "no question about %s is answered for %d ms", id, sim.Now-max(j.lastResponseAt, j.AcceptedAt))
 		}
 	}
 }
 
-// held is how much longer a message takes for a process that stands still at one
+// pauseDelay is how much longer a message takes for a process that stands still at one
 // of its ends, or for a state service that is slow.
-func (w *World) held(from, to string) int64 {
-	d := int64(0)
-	for _, m := range w.Members {
-		if (m.Name == from || m.Name == to) && m.stillTill > w.Now {
-			d = max(d, m.stillTill-w.Now+w.Rand.Int64N(5))
+func (sim *Simulation) pauseDelay(from, to string) int64 {
+	delayMS := int64(0)
+	for _, m := range sim.Members {
+		if (m.Name == from || m.Name == to) && m.pausedUntil > sim.Now {
+			delayMS = max(delayMS, m.pausedUntil-sim.Now+sim.Rand.Int64N(5))
 		}
 	}
-	if w.slowTill > w.Now && (from == "store" || to == "store") {
-		d += w.Rand.Int64N(w.slowBy)
+	if sim.storeSlowUntil > sim.Now && (from == "store" || to == "store") {
+		delayMS += sim.Rand.Int64N(sim.storeDelayMS)
 	}
-	return d
+	return delayMS
 }
 
-// KindOf is what a key holds: the part of its name that all of its kind share.
-func KindOf(key string) string {
+// KeyKind is what a key holds: the part of its name that all of its kind share.
+func KeyKind(key string) string {
 	parts := strings.SplitAfterN(key, "/", 3)
 	if parts[0] == "l/" && len(parts) == 3 {
 		return parts[0] + parts[1]
@@ -205,253 +225,277 @@
 	return parts[0]
 }
 
-// lateWrite takes a transaction that is carried out late and gets no answer.
-func (w *World) lateWrite(m *Member, op scheduler.StoreOp) bool {
-	if op.Kind != scheduler.StoreTxn || w.away(m.Name) || !w.lateWrites.draws(w) && !(w.LateIf != nil && w.LateIf(m, op)) {
+// divertLateWrite takes a transaction that is carried out late and gets no answer.
+func (sim *Simulation) divertLateWrite(m *Member, op scheduler.StoreOp) bool {
+	if op.Kind != scheduler.StoreTxn || sim.storeRefuses(m.Name) || !sim.writeDelays.occurs(sim) && !(sim.DelaysWrite != nil && sim.DelaysWrite(m, op)) {
 		return false
 	}
 	// It has the service already: a refusal of its sender no longer stops it, only an
 	// outage holds it up.
-	var work func()
-	work = func() {
-		if wait := w.Outage["all"] - w.Now; wait > 0 {
-			w.After(wait+w.Rand.Int64N(50), work)
+	var execute func()
+	execute = func() {
+		if outageLeft := sim.OutageUntil["all"] - sim.Now; outageLeft > 0 {
+			sim.After(outageLeft+sim.Rand.Int64N(50), execute)
 			return
 		}
-		if r, _ := w.State.Do(w.Now, op); r.Outcome == scheduler.OK && len(op.Changes) > 0 {
+		if result, _ := sim.Store.Apply(sim.Now, op); result.Outcome == scheduler.OK && len(op.Changes) > 0 {
 			for _, c := range op.Changes {
-				w.Late[KindOf(c.Key)]++
+				sim.LateWriteCounts[KeyKind(c.Key)]++
 			}
-			w.Tell("world: a late write of %s works: %v", m.Name, op.Changes[0].Key)
+			sim.Tracef("world: a late write of %s works: %v", m.Name, op.Changes[0].Key)
 		}
 	}
-	w.After(2000+w.Rand.Int64N(10_000), work)
+	sim.After(2000+sim.Rand.Int64N(10_000), execute)
 	return true
 }
 
-// lateReport brings a copy of a report again, to the member that it went to.
-func (w *World) lateReport(h *Host, m *Member, r scheduler.Report) {
-	if !w.lateReports.draws(w) {
+// replayHeartbeat brings a copy of a report again, to the member that it went to.
+func (sim *Simulation) replayHeartbeat(worker *Worker, m *Member, hb scheduler.Heartbeat) {
+	if !sim.heartbeatReplays.occurs(sim) {
 		return
 	}
 	epoch := m.epoch
-	w.After(2000+w.Rand.Int64N(int64(w.Params.LeaseS*1500)), func() {
-		if m.Core == nil || w.Refused != nil && w.Refused(m.Name) {
+	sim.After(2000+sim.Rand.Int64N(int64(sim.Params.LeaseS*1500)), func() {
+		if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
 			return
 		}
-		w.Copies["all"]++
-		if r.Session < h.Worker.Session {
-			w.Copies["of an earlier session"]++
+		sim.DuplicateCounts["all"]++
+		if hb.Incarnation < worker.Agent.Incarnation {
+			sim.DuplicateCounts["of an earlier session"]++
 		}
 		if epoch != m.epoch {
-			w.Copies["after an end of the member"]++
+			sim.DuplicateCounts["after an end of the member"]++
 		}
-		m.replies++ // nobody waits for the answer
-		m.Core.Report(m.Clock(), m.replies, r)
-		m.drain()
+		m.lastReplyID++ // nobody waits for the answer
+		m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, hb)
+		m.dispatchOutputs()
 	})
 }
 
-// runLate carries out commands that were held up on their way; nobody is answered.
-func (w *World) runLate(h *Host, d scheduler.Do) {
+// runCommandLate carries out commands that were held up on their way; nobody is answered.
+func (sim *Simulation) runCommandLate(worker *Worker, command scheduler.DirectCommand) {
 	var run func()
 	run = func() {
 		switch {
-		case !h.Up || h.Gone:
-		case h.HungTill > w.Now:
-			w.After(h.HungTill-w.Now+1, run)
+		case !worker.Up || worker.Gone:
+		case worker.HangUntil > sim.Now:
+			sim.After(worker.HangUntil-sim.Now+1, run)
 		default:
-			w.Copies["late commands"]++
-			h.Worker.Do(h.Clock(w), d)
+			sim.DuplicateCounts["late commands"]++
+			worker.Agent.ApplyDirectCommand(worker.Clock(sim), command)
 		}
 	}
-	w.After(2000+w.Rand.Int64N(14_000), run)
+	sim.After(2000+sim.Rand.Int64N(14_000), run)
 }
 
-// keptReport is a copy of a worker's report.
-type keptReport struct {
-	h *Host
-	r scheduler.Report
+// capturedHeartbeat is a copy of a worker's report.
+type capturedHeartbeat struct {
+	worker    *Worker
+	heartbeat scheduler.Heartbeat
 }
 
-// keptReportsMost bounds the copies that wait for a claim: later ones replace the oldest.
-const keptReportsMost = 60
+// maxCapturedHeartbeats bounds the copies that wait for a claim: later ones replace the oldest.
+const maxCapturedHeartbeats = 60
 
-// ReportsForNextClaim has a copy of that share of the workers' reports kept until a member
+// ReplayHeartbeatsAtClaim has a copy of that share of the workers' reports kept until a member
 // claims a shard, or the lead, and then arrive at every member.
-func (w *World) ReportsForNextClaim(of float64, ms int64) { w.nextReports = share{of, w.Now + ms} }
+func (sim *Simulation) ReplayHeartbeatsAtClaim(probability float64, ms int64) {
+	sim.claimReplays = faultRate{probability, sim.Now + ms}
+}
 
-// keepReport keeps a copy of a report for the next claim.
-func (w *World) keepReport(h *Host, r scheduler.Report) {
-	if !w.nextReports.draws(w) {
+// captureForClaim keeps a copy of a report for the next claim.
+func (sim *Simulation) captureForClaim(worker *Worker, hb scheduler.Heartbeat) {
+	if !sim.claimReplays.occurs(sim) {
 		return
 	}
-	if len(w.keptReports) == keptReportsMost {
-		w.keptReports = slices.Delete(w.keptReports, 0, 1)
+	if len(sim.claimHeartbeats) == maxCapturedHeartbeats {
+		sim.claimHeartbeats = slices.Delete(sim.claimHeartbeats, 0, 1)
 	}
-	w.keptReports = append(w.keptReports, keptReport{h, r})
+	sim.claimHeartbeats = append(sim.claimHeartbeats, capturedHeartbeat{worker, hb})
 }
 
-// noteClaim sees a claim that the state service has carried out, and lets the kept
+// observeClaim sees a claim that the state service has carried out, and lets the kept
 // copies of reports arrive.
-func (w *World) noteClaim(m *Member, op scheduler.StoreOp, r scheduler.StoreResult) {
-	if len(w.keptReports)+len(w.heldReports) == 0 || op.Kind != scheduler.StoreTxn || r.Outcome != scheduler.OK {
+func (sim *Simulation) observeClaim(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) {
+	if len(sim.claimHeartbeats)+len(sim.ownerHeartbeats) == 0 || op.Kind != scheduler.StoreTxn || result.Outcome != scheduler.OK {
 		return
 	}
 	claims := slices.ContainsFunc(op.Changes, func(c scheduler.Change) bool {
-		return c.Value != nil && (KindOf(c.Key) == "l/s/" || c.Key == "l/lead")
+		return c.Value != nil && (KeyKind(c.Key) == "l/s/" || c.Key == "l/lead")
 	})
 	if !claims {
 		return
 	}
-	if w.newHolders == nil {
-		w.newHolders = map[string]bool{}
+	if sim.newOwners == nil {
+		sim.newOwners = map[string]bool{}
 	}
-	w.newHolders[m.Name] = true
-	kept := w.keptReports
-	w.keptReports = nil
-	w.allArrive(kept, "at a claim")
+	sim.newOwners[m.Name] = true
+	captured := sim.claimHeartbeats
+	sim.claimHeartbeats = nil
+	sim.replayToAll(captured, "at a claim")
 }
 
-// allArrive brings reports to every member within moments.
-func (w *World) allArrive(kept []keptReport, when string) {
-	for _, k := range kept {
-		for _, m := range w.Members {
-			w.After(w.Rand.Int64N(400), func() { w.copyArrives(m, k, when) })
+// replayToAll brings reports to every member within moments.
+func (sim *Simulation) replayToAll(captured []capturedHeartbeat, occasion string) {
+	for _, capture := range captured {
+		for _, m := range sim.Members {
+			sim.After(sim.Rand.Int64N(400), func() { sim.deliverDuplicate(m, capture, occasion) })
 		}
 	}
 }
 
-// HoldReports has that share of the workers' reports held back, unanswered, until a member
+// DelayHeartbeatsUntilNewOwnerActs has that share of the workers' reports held back, unanswered, until a member
 // that claimed a shard, or the lead, has told a worker to do something. They arrive at every
 // member then.
-func (w *World) HoldReports(of float64, ms int64) { w.holdReports = share{of, w.Now + ms} }
+func (sim *Simulation) DelayHeartbeatsUntilNewOwnerActs(probability float64, ms int64) {
+	sim.ownerReplays = faultRate{probability, sim.Now + ms}
+}
 
-// holdReport tells whether a report is held back.
-func (w *World) holdReport(h *Host, r scheduler.Report) bool {
-	if !w.holdReports.draws(w) {
+// captureForNewOwner tells whether a report is held back.
+func (sim *Simulation) captureForNewOwner(worker *Worker, hb scheduler.Heartbeat) bool {
+	if !sim.ownerReplays.occurs(sim) {
 		return false
 	}
-	if len(w.heldReports) == keptReportsMost {
-		w.heldReports = slices.Delete(w.heldReports, 0, 1)
+	if len(sim.ownerHeartbeats) == maxCapturedHeartbeats {
+		sim.ownerHeartbeats = slices.Delete(sim.ownerHeartbeats, 0, 1)
 	}
-	w.heldReports = append(w.heldReports, keptReport{h, r})
+	sim.ownerHeartbeats = append(sim.ownerHeartbeats, capturedHeartbeat{worker, hb})
 	return true
 }
 
-// noteActs sees whether a member that claimed something tells workers what to do for the
+// observeFirstCommands sees whether a member that claimed something tells workers what to do for the
 // first time, and lets the reports arrive that were held until then.
-func (w *World) noteActs(m *Member, o *scheduler.Outputs) {
-	if !w.newHolders[m.Name] {
+func (sim *Simulation) observeFirstCommands(m *Member, outputs *scheduler.Outputs) {
+	if !sim.newOwners[m.Name] {
 		return
 	}
-	acts := slices.ContainsFunc(o.Do, func(d scheduler.Do) bool { return len(d.Commands) > 0 })
-	for _, a := range o.Workers {
-		acts = acts || len(a.Commands) > 0
+	hasCommands := slices.ContainsFunc(outputs.DirectCommands, func(command scheduler.DirectCommand) bool { return len(command.Commands) > 0 })
+	for _, resp := range outputs.HeartbeatResponses {
+		hasCommands = hasCommands || len(resp.Commands) > 0
 	}
-	if !acts {
+	if !hasCommands {
 		return
 	}
-	delete(w.newHolders, m.Name)
-	held := w.heldReports
-	w.heldReports = nil
-	w.allArrive(held, "after a new holder acted")
+	delete(sim.newOwners, m.Name)
+	captured := sim.ownerHeartbeats
+	sim.ownerHeartbeats = nil
+	sim.replayToAll(captured, "after a new holder acted")
 }
 
-// copyArrives brings a report to a member; nobody waits for the answer.
-func (w *World) copyArrives(m *Member, k keptReport, when string) {
-	if m.Core == nil || w.Refused != nil && w.Refused(m.Name) {
+// deliverDuplicate brings a report to a member; nobody waits for the answer.
+func (sim *Simulation) deliverDuplicate(m *Member, capture capturedHeartbeat, occasion string) {
+	if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
 		return
 	}
-	w.Copies[when]++
-	if k.r.Session < k.h.Worker.Session {
-		w.Copies["of an earlier session "+when]++
+	sim.DuplicateCounts[occasion]++
+	if capture.heartbeat.Incarnation < capture.worker.Agent.Incarnation {
+		sim.DuplicateCounts["of an earlier session "+occasion]++
 	}
-	m.replies++
-	m.Core.Report(m.Clock(), m.replies, k.r)
-	m.drain()
+	m.lastReplyID++
+	m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, capture.heartbeat)
+	m.dispatchOutputs()
 }
 
-// SomeUp does something to a share of the machines that are up.
-func (w *World) SomeUp(of float64, f func(*Host)) {
-	for _, id := range w.IDs {
-		if h := w.Hosts[id]; h.Up && !h.Gone && w.Rand.Float64() < of {
-			f(h)
+// SampleLiveWorkers does something to a share of the machines that are up.
+func (sim *Simulation) SampleLiveWorkers(probability float64, action func(*Worker)) {
+	for _, id := range sim.WorkerIDs {
+		if worker := sim.Workers[id]; worker.Up && !worker.Gone && sim.Rand.Float64() < probability {
+			action(worker)
 		}
 	}
 }
 
-// EndAll ends every member; they are back some three seconds later, not together.
-func (w *World) EndAll() {
-	for _, m := range w.Members {
-		m.Crash(2500 + w.Rand.Int64N(1500))
+// CrashAll ends every member; they are back some three seconds later, not together.
+func (sim *Simulation) CrashAll() {
+	for _, m := range sim.Members {
+		m.Crash(2500 + sim.Rand.Int64N(1500))
 	}
 }
 
-func (w *World) anyMember() *Member { return w.Members[w.Rand.IntN(len(w.Members))] }
+func (sim *Simulation) randomMember() *Member { return sim.Members[sim.Rand.IntN(len(sim.Members))] }
 
-// between draws a time of so many milliseconds.
-func (w *World) between(from, to int64) int64 { return from + w.Rand.Int64N(to-from) }
+// randomBetween draws a time of so many milliseconds.
+func (sim *Simulation) randomBetween(from, to int64) int64 { return from + sim.Rand.Int64N(to-from) }
 
-// Trouble is something that can go wrong, with lengths of its own.
-type Trouble struct {
+// Fault is something that can go wrong, with lengths of its own.
+type Fault struct {
 	Name   string
-	Begins func(*World)
-}
-
-// Troubles are all that can go wrong by themselves, for days that pair them.
-var Troubles = []Trouble{
-	{"late writes", func(w *World) { w.LateWrites(0.1+0.5*w.Rand.Float64(), w.between(3000, 28_000)) }},
-	{"late reports", func(w *World) { w.LateReports(0.2+0.6*w.Rand.Float64(), w.between(3000, 28_000)) }},
-	{"lost answers", func(w *World) { w.LostAnswers(0.1+0.5*w.Rand.Float64(), w.between(3000, 28_000)) }},
-	{"reports kept for the next claim", func(w *World) { w.ReportsForNextClaim(0.2+0.6*w.Rand.Float64(), w.between(3000, 28_000)) }},
-	{"reports held until a new holder acts", func(w *World) { w.HoldReports(0.1+0.3*w.Rand.Float64(), w.between(3000, 28_000)) }},
-	{"commands late", func(w *World) { w.LateCommands(0.2+0.6*w.Rand.Float64(), w.between(3000, 28_000)) }},
-	{"mute machines", func(w *World) { w.SomeUp(0.4, func(h *Host) { w.Mute(h, w.between(2000, 28_000)) }) }},
-	{"jobs cancelled together", func(w *World) { w.CancelNow(1+w.Rand.IntN(4), w.between(0, 2)*w.between(2000, 10_000)) }},
-	{"jobs cancelled as they end", func(w *World) { w.CancelAtEnd(0.5, w.between(3000, 28_000)) }},
-	{"odd requests", func(w *World) { w.OddRequests(w.between(3000, 28_000)) }},
-	{"close looks", func(w *World) { w.CloseLooks(w.between(3000, 28_000)) }},
-	{"deaf machines", func(w *World) { w.SomeUp(0.4, func(h *Host) { w.Deafen(h, w.between(2000, 28_000)) }) }},
-	{"a member cut from state and peers, held", func(w *World) { w.Sever(w.anyMember(), w.between(3000, 28_000), false) }},
-	{"a member cut from state and peers, refused", func(w *World) { w.Sever(w.anyMember(), w.between(3000, 28_000), true) }},
-	{"slow state", func(w *World) { w.SlowState(w.between(400, 3000), w.between(3000, 28_000)) }},
-	{"a member stands still", func(w *World) { w.StandStill(w.anyMember(), w.between(500, 12_000)) }},
-	{"commands held", func(w *World) {
-		w.SomeUp(0.5, func(h *Host) { w.HoldCommands(h, w.between(1000, 11_000), w.Rand.IntN(2) == 0) })
+	Inject func(*Simulation)
+}
+
+// Faults are all that can go wrong by themselves, for days that pair them.
+var Faults = []Fault{
+	{"late writes", func(sim *Simulation) { sim.DelayWrites(0.1+0.5*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) }},
+	{"late reports", func(sim *Simulation) {
+		sim.ReplayHeartbeats(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
+	}},
+	{"lost answers", func(sim *Simulation) { sim.LoseResponses(0.1+0.5*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) }},
+	{"reports kept for the next claim", func(sim *Simulation) {
+		sim.ReplayHeartbeatsAtClaim(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
+	}},
+	{"reports held until a new holder acts", func(sim *Simulation) {
+		sim.DelayHeartbeatsUntilNewOwnerActs(0.1+0.3*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
 	}},
-	{"refused alone, then down for all", func(w *World) {
-		long := w.between(3000, 28_000)
-		w.Away(w.anyMember().Name, long)
-		w.After(w.Rand.Int64N(long), func() { w.Away("all", w.between(2000, 56_000)) })
+	{"commands late", func(sim *Simulation) { sim.DelayCommands(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) }},
+	{"mute machines", func(sim *Simulation) {
+		sim.SampleLiveWorkers(0.4, func(worker *Worker) { sim.PartitionOutbound(worker, sim.randomBetween(2000, 28_000)) })
 	}},
-	{"one ends, back within a second", func(w *World) { w.anyMember().Crash(w.between(100, 1000)) }},
-	{"one ends, is adopted and comes back", func(w *World) { w.anyMember().Crash(w.between(14_000, 20_000)) }},
-	{"all end", (*World).EndAll},
-	{"a roll", func(w *World) {
-		for i, m := range w.Members {
-			w.After(int64(i)*2500, func() { m.Crash(1500) })
+	{"jobs cancelled together", func(sim *Simulation) {
+		sim.CancelRunningJobs(1+sim.Rand.IntN(4), sim.randomBetween(0, 2)*sim.randomBetween(2000, 10_000))
+	}},
+	{"jobs cancelled as they end", func(sim *Simulation) { sim.CancelAtEnd(0.5, sim.randomBetween(3000, 28_000)) }},
+	{"odd requests", func(sim *Simulation) { sim.SendInvalidRequests(sim.randomBetween(3000, 28_000)) }},
+	{"close looks", func(sim *Simulation) { sim.ReadConcurrently(sim.randomBetween(3000, 28_000)) }},
+	{"deaf machines", func(sim *Simulation) {
+		sim.SampleLiveWorkers(0.4, func(worker *Worker) { sim.PartitionInbound(worker, sim.randomBetween(2000, 28_000)) })
+	}},
+	{"a member cut from state and peers, held", func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), false) }},
+	{"a member cut from state and peers, refused", func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), true) }},
+	{"slow state", func(sim *Simulation) { sim.SlowStore(sim.randomBetween(400, 3000), sim.randomBetween(3000, 28_000)) }},
+	{"a member stands still", func(sim *Simulation) { sim.PauseMember(sim.randomMember(), sim.randomBetween(500, 12_000)) }},
+	{"commands held", func(sim *Simulation) {
+		sim.SampleLiveWorkers(0.5, func(worker *Worker) {
+			sim.DelayWorkerCommands(worker, sim.randomBetween(1000, 11_000), sim.Rand.IntN(2) == 0)
+		})
+	}},
+	{"refused alone, then down for all", func(sim *Simulation) {
+		durationMS := sim.randomBetween(3000, 28_000)
+		sim.StartOutage(sim.randomMember().Name, durationMS)
+		sim.After(sim.Rand.Int64N(durationMS), func() { sim.StartOutage("all", sim.randomBetween(2000, 56_000)) })
+	}},
+	{"one ends, back within a second", func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(100, 1000)) }},
+	{"one ends, is adopted and comes back", func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(14_000, 20_000)) }},
+	{"all end", (*Simulation).CrashAll},
+	{"a roll", func(sim *Simulation) {
+		for i, m := range sim.Members {
+			sim.After(int64(i)*2500, func() { m.Crash(1500) })
 		}
 	}},
-	{"an outage", func(w *World) { w.Away("all", w.between(1000, 10_000)) }},
-	{"a zone cut off", func(w *World) { w.CutZone([]string{"a", "b"}[w.Rand.IntN(2)], w.between(2000, 14_000)) }},
-	{"a wave of spot machines taken back", func(w *World) {
-		w.SomeUp(0.5, func(h *Host) {
-			if h.Rental.Spot {
-				w.Cloud.Take(h.Rental.ID)
+	{"an outage", func(sim *Simulation) { sim.StartOutage("all", sim.randomBetween(1000, 10_000)) }},
+	{"a zone cut off", func(sim *Simulation) {
+		sim.PartitionZone([]string{"a", "b"}[sim.Rand.IntN(2)], sim.randomBetween(2000, 14_000))
+	}},
+	{"a wave of spot machines taken back", func(sim *Simulation) {
+		sim.SampleLiveWorkers(0.5, func(worker *Worker) {
+			if worker.Instance.Spot {
+				sim.Cloud.Reclaim(worker.Instance.ID)
 			}
 		})
 	}},
-	{"machines hang", func(w *World) { w.SomeUp(0.4, func(h *Host) { h.HungTill = w.Now + w.between(1000, 10_000) }) }},
-	{"a member lacks processor time", func(w *World) { w.Lags[w.anyMember().Name] = Lag{Until: w.Now + 12_000, MS: 3000} }},
-	{"a member cut from its workers", func(w *World) {
-		w.Cuts = append(w.Cuts, Cut{A: w.anyMember().Name, B: "w", Until: w.Now + w.between(2000, 11_000)})
+	{"machines hang", func(sim *Simulation) {
+		sim.SampleLiveWorkers(0.4, func(worker *Worker) { worker.HangUntil = sim.Now + sim.randomBetween(1000, 10_000) })
+	}},
+	{"a member lacks processor time", func(sim *Simulation) {
+		sim.Lags[sim.randomMember().Name] = Lag{Until: sim.Now + 12_000, MaxDelayMS: 3000}
+	}},
+	{"a member cut from its workers", func(sim *Simulation) {
+		sim.Partitions = append(sim.Partitions, Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + sim.randomBetween(2000, 11_000)})
 	}},
 }
 
-// RandomTrouble begins one of them.
-func (w *World) RandomTrouble() {
-	t := Troubles[w.Rand.IntN(len(Troubles))]
-	w.Tell("trouble: %s", t.Name)
-	t.Begins(w)
+// InjectRandomFault begins one of them.
+func (sim *Simulation) InjectRandomFault() {
+	fault := Faults[sim.Rand.IntN(len(Faults))]
+	sim.Tracef("trouble: %s", fault.Name)
+	fault.Inject(sim)
 }
