--- a/planner/board.go
+++ b/planner/board.go
@@ -39,266 +39,266 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// Lane is one queue of a machine: room for one task at a time, with what runs
+// Slot is one queue of a machine: room for one task at a time, with what runs
 // in it now at its head.
-type Lane struct {
-	Room  availability.Room
-	Queue availability.Queue
+type Slot struct {
+	Resources availability.Resources
+	Queue     availability.Queue
 }
 
 // Machine is a machine as the planner sees it.
 type Machine struct {
-	Kind  Kind
-	Type  *Type
-	At    int   // its place on the board
-	UpAt  int64 // starts from here on
-	Up    bool
-	Free  availability.Room
-	Lanes []Lane
-	ID    string
-
-	kind int // in the board's kinds
+	Offering  InstanceOffering
+	Type      *MachineType
+	Index     int   // its place on the board
+	ReadyAtMS int64 // starts from here on
+	Ready     bool
+	Free      availability.Resources
+	Slots     []Slot
+	ID        string
+
+	offeringIndex int // in the board's kinds
 }
 
-// front is what a look at all machines needs of each, side by side.
-type front struct {
-	lanes bound
-	kind  int32
-	open  uint32 // the group for which it had room
+// scanEntry is what a look at all machines needs of each, side by side.
+type scanEntry struct {
+	queues        queueBounds
+	offeringIndex int32
+	openForSearch uint32 // the group for which it had room
 }
 
 // Start is tasks of a group that start on a machine now.
 type Start struct {
-	At    int // the machine's place on the board
-	N     int
-	Fetch int64 // how long its image takes there, ms
+	MachineIndex int // the machine's place on the board
+	Count        int
+	FetchMS      int64 // how long its image takes there, ms
 }
 
-// AddLane opens a queue on the machine that starts at base. The memory of earlier
+// AddSlot opens a queue on the machine that starts at base. The memory of earlier
 // rounds' queues is used again.
-func (m *Machine) AddLane(room availability.Room, base int64) *Lane {
-	if n := len(m.Lanes); n < cap(m.Lanes) {
-		m.Lanes = m.Lanes[:n+1]
+func (m *Machine) AddSlot(resources availability.Resources, earliestStartMS int64) *Slot {
+	if n := len(m.Slots); n < cap(m.Slots) {
+		m.Slots = m.Slots[:n+1]
 	} else {
-		m.Lanes = append(m.Lanes, Lane{})
+		m.Slots = append(m.Slots, Slot{})
 	}
-	l := &m.Lanes[len(m.Lanes)-1]
-	l.Room = room
-	l.Queue.Reset(base)
-	return l
+	slot := &m.Slots[len(m.Slots)-1]
+	slot.Resources = resources
+	slot.Queue.Reset(earliestStartMS)
+	return slot
 }
 
-// bound bounds what queues can still take; see the package's comment.
-type bound struct {
-	end, base   int64             // least
-	slack, last int64             // greatest
-	room        availability.Room // greatest of each
+// queueBounds bounds what queues can still take; see the package's comment.
+type queueBounds struct {
+	minEndMS, minStartMS      int64                  // least
+	maxSlackMS, maxDeadlineMS int64                  // greatest
+	maxResources              availability.Resources // greatest of each
 }
 
-var none = bound{end: math.MaxInt64, base: math.MaxInt64, slack: math.MinInt64, last: math.MinInt64}
+var emptyBounds = queueBounds{minEndMS: math.MaxInt64, minStartMS: math.MaxInt64, maxSlackMS: math.MinInt64, maxDeadlineMS: math.MinInt64}
 
-// most is an upper bound of l(deadline) over the queues.
-func (b *bound) most(deadline int64) int64 {
-	if b.base >= deadline {
+// maxAvailableMS is an upper bound of l(deadline) over the queues.
+func (b *queueBounds) maxAvailableMS(deadlineMS int64) int64 {
+	if b.minStartMS >= deadlineMS {
 		return 0
 	}
-	n := deadline - b.end
-	if b.last > deadline {
-		n = max(n, min(deadline-b.base, b.slack))
+	n := deadlineMS - b.minEndMS
+	if b.maxDeadlineMS > deadlineMS {
+		n = max(n, min(deadlineMS-b.minStartMS, b.maxSlackMS))
 	}
 	return n
 }
 
-func (b *bound) add(o *bound) {
-	b.end, b.base, b.slack, b.last = min(b.end, o.end), min(b.base, o.base), max(b.slack, o.slack), max(b.last, o.last)
-	b.room = most(b.room, o.room)
+func (b *queueBounds) widen(o *queueBounds) {
+	b.minEndMS, b.minStartMS, b.maxSlackMS, b.maxDeadlineMS = min(b.minEndMS, o.minEndMS), min(b.minStartMS, o.minStartMS), max(b.maxSlackMS, o.maxSlackMS), max(b.maxDeadlineMS, o.maxDeadlineMS)
+	b.maxResources = componentMax(b.maxResources, o.maxResources)
 }
 
-// takes tells whether any queue may take a task of a length by a deadline.
-func (b *bound) takes(req availability.Room, deadline, length int64) bool {
-	return b.most(deadline) >= length && b.room.Holds(req)
+// mayAdmit tells whether any queue may take a task of a length by a deadline.
+func (b *queueBounds) mayAdmit(request availability.Resources, deadlineMS, lengthMS int64) bool {
+	return b.maxAvailableMS(deadlineMS) >= lengthMS && b.maxResources.Contains(request)
 }
 
-// most is the greatest of each.
-func most(a, b availability.Room) availability.Room {
-	return availability.Room{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
+// componentMax is the greatest of each.
+func componentMax(a, b availability.Resources) availability.Resources {
+	return availability.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
 }
 
 // blockSize is how many machines share bounds: about the root of a shard's.
 const blockSize = 32
 
 type block struct {
-	lanes bound
-	kinds []bound           // the same by kind
-	free  availability.Room // the greatest of each
-	stale bool
+	queues           queueBounds
+	queuesByOffering []queueBounds          // the same by kind
+	maxFree          availability.Resources // the greatest of each
+	stale            bool
 }
 
-// kindInfo is a kind with its type looked up.
-type kindInfo struct {
-	Kind
-	typ *Type
+// offeringInfo is a kind with its type looked up.
+type offeringInfo struct {
+	InstanceOffering
+	machineType *MachineType
 }
 
-// Board is a shard's machines for one round of placement.
-type Board struct {
-	Spare   float64 // processors free on machines that are up
-	Reserve float64 // of which so many are kept for groups with a start aim
-	Line    int     // starts without a start aim that may still leave
-	Steps   int     // what was looked at, a measure of the round's cost
-
-	cat    *Catalog
-	wall   int64
-	kinds  []kindInfo
-	index  map[Kind]int
-	latest int
-	pool   []*Machine
-	ms     []*Machine
-	front  []front
-	blocks []block
-	group  uint32
-	round  uint32
-	have   map[string]map[*Seat]struct{} // by image
-	held   map[string]*holders           // the same in this round, as far as it was asked for
-	p      Placing
+// ClusterView is a shard's machines for one round of placement.
+type ClusterView struct {
+	SpareCPUs       float64 // processors free on machines that are up
+	ReservedCPUs    float64 // of which so many are kept for groups with a start aim
+	PacedStartsLeft int     // starts without a start aim that may still leave
+	Examined        int     // what was looked at, a measure of the round's cost
+
+	catalog         *Catalog
+	nowMS           int64
+	offerings       []offeringInfo
+	offeringIndex   map[InstanceOffering]int
+	lastOffering    int
+	machinePool     []*Machine
+	machines        []*Machine
+	scanEntries     []scanEntry
+	blocks          []block
+	searchID        uint32
+	round           uint32
+	cachesByImage   map[string]map[*ImageCache]struct{} // by image
+	machinesByImage map[string]*imageMachines           // the same in this round, as far as it was asked for
+	search          CandidateSearch
 
 	reducer availability.Reducer
 }
 
-// NewBoard makes an empty board.
-func NewBoard(c *Catalog) *Board {
-	return &Board{cat: c, index: map[Kind]int{}, have: map[string]map[*Seat]struct{}{}, held: map[string]*holders{}}
+// NewClusterView makes an empty board.
+func NewClusterView(catalog *Catalog) *ClusterView {
+	return &ClusterView{catalog: catalog, offeringIndex: map[InstanceOffering]int{}, cachesByImage: map[string]map[*ImageCache]struct{}{}, machinesByImage: map[string]*imageMachines{}}
 }
 
 // Begin empties the board for a round at a time of day.
-func (b *Board) Begin(wall int64) {
-	b.wall, b.ms, b.Steps = wall, b.ms[:0], 0
+func (v *ClusterView) Begin(nowMS int64) {
+	v.nowMS, v.machines, v.Examined = nowMS, v.machines[:0], 0
 	// A type may have changed: kinds are looked up again.
-	b.kinds = b.kinds[:0]
-	clear(b.index)
-	clear(b.held)
-	b.round++
+	v.offerings = v.offerings[:0]
+	clear(v.offeringIndex)
+	clear(v.machinesByImage)
+	v.round++
 }
 
 // Machines are all machines, in their places.
-func (b *Board) Machines() []*Machine { return b.ms }
+func (v *ClusterView) Machines() []*Machine { return v.machines }
 
-// Add puts a machine with all of its room free on the board, nil if its type is
+// AddMachine puts a machine with all of its room free on the board, nil if its type is
 // not known. What it returns is filled by the caller, until Done.
-func (b *Board) Add(id string, k Kind, seat *Seat) *Machine {
+func (v *ClusterView) AddMachine(id string, offering InstanceOffering, cache *ImageCache) *Machine {
 	// Machines that were rented together stand together, and are of one kind.
-	i, ok := b.latest, b.latest < len(b.kinds) && b.kinds[b.latest].Kind == k
+	i, ok := v.lastOffering, v.lastOffering < len(v.offerings) && v.offerings[v.lastOffering].InstanceOffering == offering
 	if !ok {
-		i, ok = b.index[k]
+		i, ok = v.offeringIndex[offering]
 	}
 	if !ok {
-		t := b.cat.Type(k.Type)
-		if t == nil {
+		machineType := v.catalog.Type(offering.Type)
+		if machineType == nil {
 			return nil
 		}
-		i = len(b.kinds)
-		b.index[k] = i
-		b.kinds = append(b.kinds, kindInfo{k, t})
+		i = len(v.offerings)
+		v.offeringIndex[offering] = i
+		v.offerings = append(v.offerings, offeringInfo{offering, machineType})
 	}
-	b.latest = i
-	at := len(b.ms)
-	if at == len(b.pool) {
-		b.pool = append(b.pool, &Machine{})
+	v.lastOffering = i
+	index := len(v.machines)
+	if index == len(v.machinePool) {
+		v.machinePool = append(v.machinePool, &Machine{})
 	}
-	m := b.pool[at]
-	t := b.kinds[i].typ
-	*m = Machine{Kind: k, Type: t, At: at, UpAt: b.wall, Free: t.Room, Lanes: m.Lanes[:0], ID: id, kind: i}
-	b.ms = append(b.ms, m)
-	if seat != nil {
-		seat.round, seat.place = b.round, int32(at)
+	m := v.machinePool[index]
+	machineType := v.offerings[i].machineType
+	*m = Machine{Offering: offering, Type: machineType, Index: index, ReadyAtMS: v.nowMS, Free: machineType.Resources, Slots: m.Slots[:0], ID: id, offeringIndex: i}
+	v.machines = append(v.machines, m)
+	if cache != nil {
+		cache.round, cache.machineIndex = v.round, int32(index)
 	}
 	return m
 }
 
-// Done ends the filling of the board.
-func (b *Board) Done() {
-	b.blocks, b.front = b.blocks[:0], b.front[:0]
-	b.Spare = 0
-	for i, m := range b.ms {
+// FinishAdding ends the filling of the board.
+func (v *ClusterView) FinishAdding() {
+	v.blocks, v.scanEntries = v.blocks[:0], v.scanEntries[:0]
+	v.SpareCPUs = 0
+	for i, m := range v.machines {
 		if i%blockSize == 0 {
-			if n := len(b.blocks); n < cap(b.blocks) {
-				b.blocks = b.blocks[:n+1] // with the memory of its bounds
+			if n := len(v.blocks); n < cap(v.blocks) {
+				v.blocks = v.blocks[:n+1] // with the memory of its bounds
 			} else {
-				b.blocks = append(b.blocks, block{})
+				v.blocks = append(v.blocks, block{})
 			}
-			b.blocks[len(b.blocks)-1].stale = true
+			v.blocks[len(v.blocks)-1].stale = true
 		}
-		b.front = append(b.front, front{kind: int32(m.kind), lanes: m.bound()})
-		if m.Up {
-			b.Spare += m.Free.CPUs
+		v.scanEntries = append(v.scanEntries, scanEntry{offeringIndex: int32(m.offeringIndex), queues: m.computeBounds()})
+		if m.Ready {
+			v.SpareCPUs += m.Free.CPUs
 		}
 	}
-	b.Steps += len(b.ms)
+	v.Examined += len(v.machines)
 }
 
-// Changed says that a machine's free room is another.
-func (b *Board) Changed(m *Machine) { b.blocks[m.At/blockSize].stale = true }
-
-// bound is the bounds of a machine's queues.
-func (m *Machine) bound() bound {
-	all := none
-	for i := range m.Lanes {
-		q := &m.Lanes[i].Queue
-		o := bound{end: q.End(), base: q.Base, slack: math.MinInt64, last: math.MinInt64, room: m.Lanes[i].Room}
-		if last, ok := q.Last(); ok {
-			o.last, o.slack = last, last-o.end
+// MarkFreeChanged says that a machine's free room is another.
+func (v *ClusterView) MarkFreeChanged(m *Machine) { v.blocks[m.Index/blockSize].stale = true }
+
+// computeBounds is the bounds of a machine's queues.
+func (m *Machine) computeBounds() queueBounds {
+	all := emptyBounds
+	for i := range m.Slots {
+		q := &m.Slots[i].Queue
+		bounds := queueBounds{minEndMS: q.End(), minStartMS: q.EarliestStart, maxSlackMS: math.MinInt64, maxDeadlineMS: math.MinInt64, maxResources: m.Slots[i].Resources}
+		if last, ok := q.LastDeadline(); ok {
+			bounds.maxDeadlineMS, bounds.maxSlackMS = last, last-bounds.minEndMS
 		}
-		all.add(&o)
+		all.widen(&bounds)
 	}
 	return all
 }
 
-// changed brings the bounds up after something was placed on a machine.
-func (b *Board) changed(m *Machine) {
-	b.front[m.At].lanes = m.bound()
-	b.blocks[m.At/blockSize].stale = true
+// refreshBounds brings the bounds up after something was placed on a machine.
+func (v *ClusterView) refreshBounds(m *Machine) {
+	v.scanEntries[m.Index].queues = m.computeBounds()
+	v.blocks[m.Index/blockSize].stale = true
 }
 
-// machines are those of a block.
-func (b *Board) machines(i int) []*Machine {
-	return b.ms[i*blockSize : min((i+1)*blockSize, len(b.ms))]
+// blockMachines are those of a block.
+func (v *ClusterView) blockMachines(i int) []*Machine {
+	return v.machines[i*blockSize : min((i+1)*blockSize, len(v.machines))]
 }
 
-// block returns a block with its bounds brought up to its machines.
-func (b *Board) block(i int) *block {
-	k := &b.blocks[i]
-	b.Steps++
-	if k.stale {
-		k.stale, k.lanes, k.free, k.kinds = false, none, availability.Room{}, k.kinds[:0]
-		for range b.kinds {
-			k.kinds = append(k.kinds, none)
+// refreshedBlock returns a block with its bounds brought up to its machines.
+func (v *ClusterView) refreshedBlock(i int) *block {
+	block := &v.blocks[i]
+	v.Examined++
+	if block.stale {
+		block.stale, block.queues, block.maxFree, block.queuesByOffering = false, emptyBounds, availability.Resources{}, block.queuesByOffering[:0]
+		for range v.offerings {
+			block.queuesByOffering = append(block.queuesByOffering, emptyBounds)
 		}
-		for _, m := range b.machines(i) {
-			f := &b.front[m.At]
-			k.lanes.add(&f.lanes)
-			k.kinds[m.kind].add(&f.lanes)
-			k.free = most(k.free, m.Free)
+		for _, m := range v.blockMachines(i) {
+			entry := &v.scanEntries[m.Index]
+			block.queues.widen(&entry.queues)
+			block.queuesByOffering[m.offeringIndex].widen(&entry.queues)
+			block.maxFree = componentMax(block.maxFree, m.Free)
 		}
-		b.Steps += blockSize
+		v.Examined += blockSize
 	}
-	return k
+	return block
 }
 
-// CouldStart is how many tasks of a group, at most limit, have room side by side on
+// CountStartable is how many tasks of a group, at most limit, have room side by side on
 // machines, up or booting.
-func (b *Board) CouldStart(g *Group, limit int) (n int) {
-	req := g.Ask.Room()
-	use := b.uses(g)
-	for i := range b.blocks {
+func (v *ClusterView) CountStartable(g *Group, limit int) (n int) {
+	request := g.Request.WithoutImage()
+	uses := v.offeringUses(g)
+	for i := range v.blocks {
 		if n >= limit {
 			break
 		}
-		if !b.block(i).free.Holds(req) {
+		if !v.refreshedBlock(i).maxFree.Contains(request) {
 			continue
 		}
-		for _, m := range b.machines(i) {
-			if b.Steps++; use[m.kind].allowed {
-				n += m.Free.Copies(req, min(limit-n, g.zoneRoom(m)))
+		for _, m := range v.blockMachines(i) {
+			if v.Examined++; uses[m.offeringIndex].allowed {
+				n += m.Free.MaxCopies(request, min(limit-n, g.zoneAllowance(m)))
 			}
 		}
 	}
@@ -307,51 +307,51 @@
 
 // Summary is the board's availability as peers see it, up to a horizon: a function for each machine's free
 // room and one for each queue, reduced.
-func (b *Board) Summary(horizon int64, functions, samples int) availability.Summary {
-	r := &b.reducer
-	lanes := 0
-	for _, m := range b.ms {
-		lanes += len(m.Lanes)
+func (v *ClusterView) Summary(horizonMS int64, maxFunctions, maxSamples int) availability.Summary {
+	reducer := &v.reducer
+	slots := 0
+	for _, m := range v.machines {
+		slots += len(m.Slots)
 	}
-	r.Coarse = lanes > functions // otherwise nothing need be lost
-	r.Begin(functions, samples, b.wall, horizon-b.wall)
-	names := make([]string, len(b.kinds))
-	for i, k := range b.kinds {
-		names[i] = k.Name()
+	reducer.CoarseStarts = slots > maxFunctions // otherwise nothing need be lost
+	reducer.Begin(maxFunctions, maxSamples, v.nowMS, horizonMS-v.nowMS)
+	names := make([]string, len(v.offerings))
+	for i, offering := range v.offerings {
+		names[i] = offering.Key()
 	}
-	var q availability.Queue
-	for _, m := range b.ms {
-		kind, disk := names[m.kind], m.Type.Room.DiskGB
+	var queue availability.Queue
+	for _, m := range v.machines {
+		name, disk := names[m.offeringIndex], m.Type.Resources.DiskGB
 		if m.Free.CPUs > 0 && m.Free.MemoryGB > 0 {
-			q.Reset(m.UpAt)
-			room := m.Free
-			room.DiskGB = disk
-			r.Queue(kind, room, &q)
+			queue.Reset(m.ReadyAtMS)
+			resources := m.Free
+			resources.DiskGB = disk
+			reducer.AddQueue(name, resources, &queue)
 		}
-		for i := range m.Lanes {
-			l := &m.Lanes[i]
-			room := l.Room
-			room.DiskGB = disk
-			r.Queue(kind, room, &l.Queue)
+		for i := range m.Slots {
+			slot := &m.Slots[i]
+			resources := slot.Resources
+			resources.DiskGB = disk
+			reducer.AddQueue(name, resources, &slot.Queue)
 		}
 	}
-	return r.Summary()
+	return reducer.Summary()
 }
 
-// Name is what a sampled function says of its machines beside their room.
-func (k Kind) Name() string {
-	s := "-"
-	if k.Spot {
-		s = "s"
+// Key is what a sampled function says of its machines beside their room.
+func (o InstanceOffering) Key() string {
+	market := "-"
+	if o.Spot {
+		market = "s"
 	}
-	return s + "|" + k.Zone + "|" + k.Type
+	return market + "|" + o.Zone + "|" + o.Type
 }
 
-// ParseKind is the inverse of Name; what is no name is of no type.
-func ParseKind(name string) Kind {
-	parts := strings.SplitN(name, "|", 3)
-	if len(parts) != 3 {
-		return Kind{}
+// ParseInstanceOffering is the inverse of Name; what is no name is of no type.
+func ParseInstanceOffering(key string) InstanceOffering {
+	fields := strings.SplitN(key, "|", 3)
+	if len(fields) != 3 {
+		return InstanceOffering{}
 	}
-	return Kind{Type: parts[2], Zone: parts[1], Spot: parts[0] == "s"}
+	return InstanceOffering{Type: fields[2], Zone: fields[1], Spot: fields[0] == "s"}
 }
--- a/planner/images.go
+++ b/planner/images.go
@@ -8,118 +8,120 @@
 
 // Image is what is known of an image on a machine.
 type Image struct {
-	UsedAt int64 // time of day, ms
-	GB     float64
+	LastUsedMS int64 // time of day, ms
+	SizeGB     float64
 }
 
-// Seat is what a machine has of its own on a board from round to round: the images
+// ImageCache is what a machine has of its own on a board from round to round: the images
 // that its cache should hold. A nil seat has none.
-type Seat struct {
-	b      *Board
-	images map[string]Image
-	round  uint32 // the last in which it had a place
-	place  int32
+type ImageCache struct {
+	view         *ClusterView
+	images       map[string]Image
+	round        uint32 // the last in which it had a place
+	machineIndex int32
 }
 
-// NewSeat gives a machine a seat. Leave gives it back.
-func (b *Board) NewSeat() *Seat { return &Seat{b: b} }
+// NewImageCache gives a machine a seat. Leave gives it back.
+func (v *ClusterView) NewImageCache() *ImageCache { return &ImageCache{view: v} }
 
 // Has tells whether an image should be there.
-func (s *Seat) Has(image string) bool {
-	if s == nil {
+func (c *ImageCache) Has(image string) bool {
+	if c == nil {
 		return false
 	}
-	_, ok := s.images[image]
+	_, ok := c.images[image]
 	return ok
 }
 
-// Keep notes the use of an image, and forgets those that the machine's cache (GB; 0:
+// RecordUse notes the use of an image, and forgets those that the machine's cache (GB; 0:
 // without bounds) has dropped for it, which are the ones used longest ago. A machine that was up for
 // a while was taken to have every image it ever used, and starts there that were
 // to be at once waited for a fetch.
-func (s *Seat) Keep(name string, im Image, cache float64) {
-	if s.images == nil {
-		s.images = map[string]Image{}
+func (c *ImageCache) RecordUse(name string, image Image, capacityGB float64) {
+	if c.images == nil {
+		c.images = map[string]Image{}
 	}
-	_, known := s.images[name]
-	s.images[name] = im
+	_, known := c.images[name]
+	c.images[name] = image
 	if known {
 		return
 	}
-	have := s.b.have[name]
-	if have == nil {
-		have = map[*Seat]struct{}{}
-		s.b.have[name] = have
+	caches := c.view.cachesByImage[name]
+	if caches == nil {
+		caches = map[*ImageCache]struct{}{}
+		c.view.cachesByImage[name] = caches
 	}
-	have[s] = struct{}{}
-	if cache <= 0 {
+	caches[c] = struct{}{}
+	if capacityGB <= 0 {
 		return
 	}
-	total := 0.0
-	for _, n := range slices.Sorted(maps.Keys(s.images)) { // the same sum every time
-		total += s.images[n].GB
+	totalGB := 0.0
+	for _, otherName := range slices.Sorted(maps.Keys(c.images)) { // the same sum every time
+		totalGB += c.images[otherName].SizeGB
 	}
-	for total > cache && len(s.images) > 1 {
+	for totalGB > capacityGB && len(c.images) > 1 {
 		oldest := ""
-		for n, o := range s.images {
-			if p := s.images[oldest]; n != name && (oldest == "" || o.UsedAt < p.UsedAt || o.UsedAt == p.UsedAt && n < oldest) {
-				oldest = n
+		for otherName, other := range c.images {
+			if previous := c.images[oldest]; otherName != name && (oldest == "" || other.LastUsedMS < previous.LastUsedMS || other.LastUsedMS == previous.LastUsedMS && otherName < oldest) {
+				oldest = otherName
 			}
 		}
-		total -= s.images[oldest].GB
-		s.drop(oldest)
+		totalGB -= c.images[oldest].SizeGB
+		c.evict(oldest)
 	}
 }
 
-func (s *Seat) drop(image string) {
-	delete(s.images, image)
-	if have := s.b.have[image]; have != nil {
-		if delete(have, s); len(have) == 0 {
-			delete(s.b.have, image)
+func (c *ImageCache) evict(image string) {
+	delete(c.images, image)
+	if caches := c.view.cachesByImage[image]; caches != nil {
+		if delete(caches, c); len(caches) == 0 {
+			delete(c.view.cachesByImage, image)
 		}
 	}
 }
 
-// Leave takes a machine's images off the board.
-func (s *Seat) Leave() {
-	if s == nil {
+// Remove takes a machine's images off the board.
+func (c *ImageCache) Remove() {
+	if c == nil {
 		return
 	}
-	for image := range s.images {
-		s.drop(image)
+	for image := range c.images {
+		c.evict(image)
 	}
 }
 
-// holders are the machines of a round with an image, in their places.
-type holders struct {
-	places []int32
-	bits   []uint64
+// imageMachines are the machines of a round with an image, in their places.
+type imageMachines struct {
+	indexes []int32
+	bitmap  []uint64
 }
 
-func (h *holders) has(at int) bool { return h != nil && h.bits[at>>6]>>(at&63)&1 != 0 }
+func (m *imageMachines) contains(index int) bool {
+	return m != nil && m.bitmap[index>>6]>>(index&63)&1 != 0
+}
 
-// holders looks up, once a round, who has an image; nil: nobody.
-func (b *Board) holders(image string) *holders {
-	h, ok := b.held[image]
+// machinesWithImage looks up, once a round, who has an image; nil: nobody.
+func (v *ClusterView) machinesWithImage(image string) *imageMachines {
+	machines, ok := v.machinesByImage[image]
 	if ok {
-		return h
+		return machines
 	}
-	if have := b.have[image]; len(have) > 0 {
-		h = &holders{bits: make([]uint64, (len(b.ms)+63)/64)}
-		for s := range have {
-			if s.round == b.round {
-				h.bits[s.place>>6] |= 1 << (s.place & 63)
+	if caches := v.cachesByImage[image]; len(caches) > 0 {
+		machines = &imageMachines{bitmap: make([]uint64, (len(v.machines)+63)/64)}
+		for cache := range caches {
+			if cache.round == v.round {
+				machines.bitmap[cache.machineIndex>>6] |= 1 << (cache.machineIndex & 63)
 			}
 		}
-		h.places = make([]int32, 0, len(have))
-		for i, w := range h.bits {
-			for ; w != 0; w &= w - 1 {
-				h.places = append(h.places, int32(i<<6+bits.TrailingZeros64(w)))
+		machines.indexes = make([]int32, 0, len(caches))
+		for i, word := range machines.bitmap {
+			for ; word != 0; word &= word - 1 {
+				machines.indexes = append(machines.indexes, int32(i<<6+bits.TrailingZeros64(word)))
 			}
 		}
-		h.places = slices.Clip(h.places)
-		b.Steps += len(h.places)
+		machines.indexes = slices.Clip(machines.indexes)
+		v.Examined += len(machines.indexes)
 	}
-	b.held[image] = h
-	return h
+	v.machinesByImage[image] = machines
+	return machines
 }
--- a/planner/place.go
+++ b/planner/place.go
@@ -8,184 +8,184 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// Padding is what a task's expected run time is taken times before it waits behind
+// RuntimePadding is what a task's expected run time is taken times before it waits behind
 // another: estimates are often wrong by half.
-const Padding = 1.5
+const RuntimePadding = 1.5
 
-// lateSteps is how often a late aim is put off by another share of the span.
-const lateSteps = 4
+// lateDeadlineSteps is how often a late aim is put off by another share of the span.
+const lateDeadlineSteps = 4
 
-// Mode is which queues of a machine a group may take.
-type Mode int
+// QueueMode is which queues of a machine a group may take.
+type QueueMode int
 
 // The modes.
 const (
-	Every  Mode = iota // new queues on free room, then all queues
-	Fresh              // new queues on free room, in time
-	Anyhow             // new queues on free room, in time or not
-	Queued             // queues that exist
+	AllQueues       QueueMode = iota // new queues on free room, then all queues
+	NewSlotsInTime                   // new queues on free room, in time
+	NewSlotsAnyTime                  // new queues on free room, in time or not
+	ExistingQueues                   // queues that exist
 )
 
-// Try is how it stands with the start of a gang.
-type Try int
+// GangAttempt is how it stands with the start of a gang.
+type GangAttempt int
 
 // A gang starts when all of its waiting tasks can, and goes on while its machines are
 // told one after the other.
 const (
-	TryNew Try = iota
-	TryGoesOn
-	TryWaits
+	GangAttemptNew GangAttempt = iota
+	GangAttemptContinues
+	GangAttemptWaits
 )
 
 // Group is tasks of one job that wait for a machine, with the times that they are
 // admitted for.
 type Group struct {
-	Ask        Ask
-	Priority   int
-	Left       int // tasks to place
-	Tasks      int // of the whole job
-	Length     int64
-	Accepted   int64
-	Tight, Due int64
-	Lost       bool // can meet no aim any more; Due is the last one
-	Aimed      bool // a start aim or a guarantee waits for it and can still be met
-	Within     bool // of its team's guarantee
-	Level      int  // how far its team is beyond its guarantee when it comes to it
-	Begun      bool // a task of it runs or is done
-	First      bool // the first task of a job that waited too long to begin (SplitFirst)
-	Held       bool // was admitted before, and keeps its place among its equals
-	Name       string
-	Lo         int // place in its job
-
-	Gang, OneZone, Spread bool
-	Try                   Try
-	Short                 bool           // a gang of which not all tasks may start
-	Live                  map[string]int // by zone: tasks that run, of jobs that zones bind
-	Failed                map[string]int // by machine: how often the job failed there
-	Askable               int            // for how many tasks machines may be asked for
+	Request                         ResourceRequest
+	Priority                        int
+	Remaining                       int // tasks to place
+	JobTasks                        int // of the whole job
+	LengthMS                        int64
+	AcceptedMS                      int64
+	ObjectiveDeadlineMS, DeadlineMS int64
+	MissedObjectives                bool // can meet no aim any more; Due is the last one
+	HasObjective                    bool // a start aim or a guarantee waits for it and can still be met
+	WithinGuarantee                 bool // of its team's guarantee
+	QuotaTier                       int  // how far its team is beyond its guarantee when it comes to it
+	HasBegun                        bool // a task of it runs or is done
+	IsFirstTask                     bool // the first task of a job that waited too long to begin (SplitFirst)
+	PreviouslyAdmitted              bool // was admitted before, and keeps its place among its equals
+	Name                            string
+	RangeStart                      int // place in its job
+
+	IsGang, SingleZone, SpreadZones bool
+	GangAttempt                     GangAttempt
+	IncompleteGang                  bool           // a gang of which not all tasks may start
+	RunningByZone                   map[string]int // by zone: tasks that run, of jobs that zones bind
+	FailuresByMachine               map[string]int // by machine: how often the job failed there
+	ProvisionLimit                  int            // for how many tasks machines may be asked for
 
 	// What placing it says.
-	Waiting int  // tasks that do not start now
-	Asked   int  // tasks that machines are asked for
-	Dear    bool // spot machines' queues do not take all of it in time
+	Waiting            int  // tasks that do not start now
+	ProvisionRequested int  // tasks that machines are asked for
+	SpotInsufficient   bool // spot machines' queues do not take all of it in time
 
-	planned map[string]int // by zone: tasks placed
-	placed  int
+	placedByZone map[string]int // by zone: tasks placed
+	placed       int
 }
 
-// Need is tasks that no machine ends in time.
-type Need struct {
-	Count    int
-	Deadline int64 // time of day, ms
-	SpotOnly bool  // ordinary machines serve it, at a higher price
+// CapacityDemand is tasks that no machine ends in time.
+type CapacityDemand struct {
+	Count      int
+	DeadlineMS int64 // time of day, ms
+	SpotOnly   bool  // ordinary machines serve it, at a higher price
 }
 
 // Placement is what becomes of a group.
 type Placement struct {
-	Started int
-	Starts  []Start
-	Needs   []Need
-	Gang    bool // a gang starts: a new try of it
-	Held    bool // some of it has a place in time
+	StartedTasks int
+	Starts       []Start
+	Demands      []CapacityDemand
+	StartsGang   bool // a gang starts: a new try of it
+	Admitted     bool // some of it has a place in time
 }
 
-// zoneRoom is how many tasks of a group its zone constraint allows on a machine,
+// zoneAllowance is how many tasks of a group its zone constraint allows on a machine,
 // counting what the round put elsewhere.
-func (g *Group) zoneRoom(m *Machine) int {
-	if !g.OneZone && !g.Spread {
-		return g.Left
+func (g *Group) zoneAllowance(m *Machine) int {
+	if !g.SingleZone && !g.SpreadZones {
+		return g.Remaining
 	}
-	live, elsewhere := g.Live[m.Kind.Zone], 0
-	for z, n := range g.Live {
-		if z != m.Kind.Zone {
+	running, elsewhere := g.RunningByZone[m.Offering.Zone], 0
+	for zone, n := range g.RunningByZone {
+		if zone != m.Offering.Zone {
 			elsewhere += n
 		}
 	}
-	here := g.planned[m.Kind.Zone]
-	if g.OneZone && (elsewhere > 0 || g.placed > here) {
+	here := g.placedByZone[m.Offering.Zone]
+	if g.SingleZone && (elsewhere > 0 || g.placed > here) {
 		return 0
 	}
-	if g.Spread {
-		return max(0, (g.Tasks+1)/2-live-here)
+	if g.SpreadZones {
+		return max(0, (g.JobTasks+1)/2-running-here)
 	}
-	return g.Left
+	return g.Remaining
 }
 
-func (g *Group) place(m *Machine, n int) {
-	if g.planned == nil {
-		g.planned = map[string]int{}
+func (g *Group) recordPlaced(m *Machine, n int) {
+	if g.placedByZone == nil {
+		g.placedByZone = map[string]int{}
 	}
-	g.planned[m.Kind.Zone] += n
+	g.placedByZone[m.Offering.Zone] += n
 	g.placed += n
 }
 
-// Fit puts as many tasks of the group on the machine as its queues end by
+// AdmitToMachine puts as many tasks of the group on the machine as its queues end by
 // deadline, with an image that takes fetch there. Tasks that can start now are counted in now, what was looked at in steps.
-func Fit(m *Machine, g *Group, fetch, deadline int64, limit int, mode Mode) (n, now, steps int) {
-	req := g.Ask.Room()
-	length := int64(float64(g.Length)*Padding) + fetch
-	room := limit
+func AdmitToMachine(m *Machine, g *Group, fetchMS, deadlineMS int64, limit int, mode QueueMode) (admitted, startable, examined int) {
+	request := g.Request.WithoutImage()
+	lengthMS := int64(float64(g.LengthMS)*RuntimePadding) + fetchMS
+	remaining := limit
 	// New queues on free room first: they start now.
-	for mode != Queued && room > 0 && m.Free.Holds(req) {
-		if mode != Anyhow && deadline-m.UpAt < g.Length+fetch {
+	for mode != ExistingQueues && remaining > 0 && m.Free.Contains(request) {
+		if mode != NewSlotsAnyTime && deadlineMS-m.ReadyAtMS < g.LengthMS+fetchMS {
 			break
 		}
-		l := m.AddLane(req, m.UpAt)
+		slot := m.AddSlot(request, m.ReadyAtMS)
 		// The first task needs no padding: nothing waits behind it yet.
-		l.Queue.Admit(max(deadline, m.UpAt+g.Length+fetch), g.Length+fetch, 1)
-		m.Free = m.Free.Sub(req)
-		room--
-		n++
-		now++
+		slot.Queue.Admit(max(deadlineMS, m.ReadyAtMS+g.LengthMS+fetchMS), g.LengthMS+fetchMS, 1)
+		m.Free = m.Free.Sub(request)
+		remaining--
+		admitted++
+		startable++
 	}
-	if mode == Fresh || mode == Anyhow {
-		return n, now, 1 + now
+	if mode == NewSlotsInTime || mode == NewSlotsAnyTime {
+		return admitted, startable, 1 + startable
 	}
-	for i := range m.Lanes {
-		if room <= 0 {
+	for i := range m.Slots {
+		if remaining <= 0 {
 			break
 		}
-		steps++
-		l := &m.Lanes[i]
-		if !l.Queue.May(deadline, length) || !l.Room.Holds(req) {
+		examined++
+		slot := &m.Slots[i]
+		if !slot.Queue.MayAdmit(deadlineMS, lengthMS) || !slot.Resources.Contains(request) {
 			continue
 		}
-		k := int(l.Queue.Admit(deadline, length, int64(room)))
-		n += k
-		room -= k
+		count := int(slot.Queue.Admit(deadlineMS, lengthMS, int64(remaining)))
+		admitted += count
+		remaining -= count
 	}
-	return n, now, 1 + steps + now
+	return admitted, startable, 1 + examined + startable
 }
 
-// use is what a kind of machine is to a group.
-type use struct {
-	allowed, short, dear bool
-	fetch                int64 // where its image is missing
-	rank                 int   // of the kind alone
+// offeringUse is what a kind of machine is to a group.
+type offeringUse struct {
+	allowed, avoid, costly bool
+	fetchMS                int64 // where its image is missing
+	rank                   int   // of the kind alone
 
 	// Of the kind's machines with room for the group:
-	open    int
-	booting bool
-	soonest int64 // when a task could begin to run on one, the image there
-	lanes   bound
+	openMachines    int
+	booting         bool
+	earliestStartMS int64 // when a task could begin to run on one, the image there
+	queues          queueBounds
 }
 
-// uses looks at each kind once for a group.
-func (b *Board) uses(g *Group) []use {
-	out := b.p.use[:0]
-	for _, k := range b.kinds {
-		u := use{allowed: b.cat.Allowed(&g.Ask, k.Kind), soonest: math.MaxInt64, lanes: none}
+// offeringUses looks at each kind once for a group.
+func (v *ClusterView) offeringUses(g *Group) []offeringUse {
+	uses := v.search.uses[:0]
+	for _, offering := range v.offerings {
+		u := offeringUse{allowed: v.catalog.IsAllowed(&g.Request, offering.InstanceOffering), earliestStartMS: math.MaxInt64, queues: emptyBounds}
 		if u.allowed {
-			u.short, u.dear, u.fetch = b.cat.Short(&g.Ask, k.Type), g.Ask.Spot && !k.Spot, b.cat.Fetch(&g.Ask, k.Type)
-			u.rank = bit(u.short, 2) | bit(u.dear, 1)
+			u.avoid, u.costly, u.fetchMS = v.catalog.ShouldAvoid(&g.Request, offering.Type), g.Request.AllowsSpot && !offering.Spot, v.catalog.FetchMS(&g.Request, offering.Type)
+			u.rank = bitIf(u.avoid, 2) | bitIf(u.costly, 1)
 		}
-		out = append(out, u)
+		uses = append(uses, u)
 	}
-	b.p.use = out
-	return out
+	v.search.uses = uses
+	return uses
 }
 
-func bit(b bool, n int) int {
+func bitIf(b bool, n int) int {
 	if b {
 		return 1 << n
 	}
@@ -194,177 +194,177 @@
 
 // openMachine is a machine with room for the group that is placed.
 type openMachine struct {
-	m     *Machine
-	rank  int
-	left  float64
-	fetch int64
+	machine  *Machine
+	rank     int
+	leftover float64
+	fetchMS  int64
 }
 
-// before tells whether a machine goes before another. It is what most of a placement
+// precedes tells whether a machine goes before another. It is what most of a placement
 // does.
-func (a *openMachine) before(o *openMachine) bool {
+func (a *openMachine) precedes(o *openMachine) bool {
 	if a.rank != o.rank {
 		return a.rank < o.rank
 	}
-	if a.left != o.left {
-		return a.left < o.left
+	if a.leftover != o.leftover {
+		return a.leftover < o.leftover
 	}
-	return a.m.At < o.m.At
+	return a.machine.Index < o.machine.Index
 }
 
-// Placing is a group that looks at a board: the machines with room for it in their
+// CandidateSearch is a group that looks at a board: the machines with room for it in their
 // order, as far as that was asked for.
-type Placing struct {
-	b    *Board
-	g    *Group
-	use  []use
-	req  availability.Room
-	open []openMachine // [:done] in order, the rest a heap
-	done int
-
-	holders           *holders
-	imaged            bool // on every kind that it may use, its image takes time
-	here, lacking     []int
-	spotOnly, aimOnly bool
-	rules             bool // the reserve holds
-	grown             bool // machines with room have new queues
-	out               Placement
+type CandidateSearch struct {
+	view        *ClusterView
+	group       *Group
+	uses        []offeringUse
+	request     availability.Resources
+	candidates  []openMachine // [:done] in order, the rest a heap
+	sortedCount int
+
+	imageMachines           *imageMachines
+	fetchAlwaysNeeded       bool // on every kind that it may use, its image takes time
+	cached, uncached        []int
+	spotOnly, objectiveOnly bool
+	enforceLimits           bool // the reserve holds
+	slotsAdded              bool // machines with room have new queues
+	placement               Placement
 }
 
-// Look begins to place a group. It is good until the next one's.
+// StartSearch begins to place a group. It is good until the next one's.
 //
 // The machines with room go in this order: ones that others cannot do
 // without last, ones that are up before ones that boot, ones with the image
 // before others, then least leftover first, as the paper has it, measured
 // against the largest machine. Machines without room are behind them, since
 // only their queues matter, in the order of the same ranks.
-func (b *Board) Look(g *Group) *Placing {
-	p := &b.p
-	b.group++
-	*p = Placing{b: b, g: g, use: b.uses(g), req: g.Ask.Room(), open: p.open[:0], here: p.here, lacking: p.lacking, imaged: true}
-	for i := range p.use {
-		if u := &p.use[i]; u.allowed {
-			p.imaged = p.imaged && u.fetch != 0
-			if u.fetch != 0 && p.holders == nil {
-				p.holders = b.holders(g.Ask.Image)
+func (v *ClusterView) StartSearch(g *Group) *CandidateSearch {
+	search := &v.search
+	v.searchID++
+	*search = CandidateSearch{view: v, group: g, uses: v.offeringUses(g), request: g.Request.WithoutImage(), candidates: search.candidates[:0], cached: search.cached, uncached: search.uncached, fetchAlwaysNeeded: true}
+	for i := range search.uses {
+		if use := &search.uses[i]; use.allowed {
+			search.fetchAlwaysNeeded = search.fetchAlwaysNeeded && use.fetchMS != 0
+			if use.fetchMS != 0 && search.imageMachines == nil {
+				search.imageMachines = v.machinesWithImage(g.Request.Image)
 			}
 		}
 	}
-	g.planned, g.placed = nil, 0
-	span := float64(max(g.Due-b.wall, 1000))
-	big := b.cat.big
-	for i := range b.blocks {
-		if !b.block(i).free.Holds(p.req) {
+	g.placedByZone, g.placed = nil, 0
+	spanMS := float64(max(g.DeadlineMS-v.nowMS, 1000))
+	largest := v.catalog.largest
+	for i := range v.blocks {
+		if !v.refreshedBlock(i).maxFree.Contains(search.request) {
 			continue
 		}
-		for _, m := range b.machines(i) {
-			b.Steps++
-			u := &p.use[m.kind]
-			if !u.allowed || !m.Free.Holds(p.req) || len(g.Failed) > 0 && g.Failed[m.ID] > 0 {
+		for _, m := range v.blockMachines(i) {
+			v.Examined++
+			use := &search.uses[m.offeringIndex]
+			if !use.allowed || !m.Free.Contains(search.request) || len(g.FailuresByMachine) > 0 && g.FailuresByMachine[m.ID] > 0 {
 				continue
 			}
-			f := &b.front[m.At]
-			f.open = b.group
-			fetch := u.fetch
-			if fetch != 0 && p.holders.has(m.At) {
-				fetch = 0
+			entry := &v.scanEntries[m.Index]
+			entry.openForSearch = v.searchID
+			fetchMS := use.fetchMS
+			if fetchMS != 0 && search.imageMachines.contains(m.Index) {
+				fetchMS = 0
 			}
-			u.open++
-			u.booting = u.booting || !m.Up
-			u.soonest = min(u.soonest, m.UpAt+fetch)
-			u.lanes.add(&f.lanes)
-			left := (m.Free.CPUs-p.req.CPUs)/max(big.CPUs, 1) + (m.Free.MemoryGB-p.req.MemoryGB)/max(big.MemoryGB, 1)
-			p.open = append(p.open, openMachine{m, bit(u.short, 3) | bit(!m.Up, 2) | bit(u.dear, 1) | bit(fetch != 0, 0),
-				max(left, 0) + float64(g.Due-m.UpAt-g.Length-fetch)/span/4, fetch})
+			use.openMachines++
+			use.booting = use.booting || !m.Ready
+			use.earliestStartMS = min(use.earliestStartMS, m.ReadyAtMS+fetchMS)
+			use.queues.widen(&entry.queues)
+			leftover := (m.Free.CPUs-search.request.CPUs)/max(largest.CPUs, 1) + (m.Free.MemoryGB-search.request.MemoryGB)/max(largest.MemoryGB, 1)
+			search.candidates = append(search.candidates, openMachine{m, bitIf(use.avoid, 3) | bitIf(!m.Ready, 2) | bitIf(use.costly, 1) | bitIf(fetchMS != 0, 0),
+				max(leftover, 0) + float64(g.DeadlineMS-m.ReadyAtMS-g.LengthMS-fetchMS)/spanMS/4, fetchMS})
 		}
 	}
-	for i := len(p.open)/2 - 1; i >= 0; i-- {
-		p.sink(i, len(p.open))
+	for i := len(search.candidates)/2 - 1; i >= 0; i-- {
+		search.siftDown(i, len(search.candidates))
 	}
-	return p
+	return search
 }
 
 // The heap stands backwards in open, its least at the end, so that what leaves it
 // stays in the slice: heap place i is open[len-1-i].
-func (p *Placing) at(i int) *openMachine { return &p.open[len(p.open)-1-i] }
+func (s *CandidateSearch) heapEntry(i int) *openMachine { return &s.candidates[len(s.candidates)-1-i] }
 
-func (p *Placing) sink(i, n int) {
+func (s *CandidateSearch) siftDown(i, n int) {
 	for {
-		c := 2*i + 1
-		if c >= n {
+		child := 2*i + 1
+		if child >= n {
 			return
 		}
-		if c+1 < n && p.at(c+1).before(p.at(c)) {
-			c++
+		if child+1 < n && s.heapEntry(child+1).precedes(s.heapEntry(child)) {
+			child++
 		}
-		if p.at(i).before(p.at(c)) {
+		if s.heapEntry(i).precedes(s.heapEntry(child)) {
 			return
 		}
-		*p.at(i), *p.at(c) = *p.at(c), *p.at(i)
-		i = c
+		*s.heapEntry(i), *s.heapEntry(child) = *s.heapEntry(child), *s.heapEntry(i)
+		i = child
 	}
 }
 
-// next is the ith machine with room; nil: there are no more. Most groups need
+// candidate is the ith machine with room; nil: there are no more. Most groups need
 // the first few of hundreds.
-func (p *Placing) next(i int) *openMachine {
-	if i >= len(p.open) {
+func (s *CandidateSearch) candidate(i int) *openMachine {
+	if i >= len(s.candidates) {
 		return nil
 	}
-	for p.done <= i {
-		n := len(p.open) - p.done // in the heap
-		least, last := p.at(0), p.at(n-1)
+	for s.sortedCount <= i {
+		heapSize := len(s.candidates) - s.sortedCount // in the heap
+		least, last := s.heapEntry(0), s.heapEntry(heapSize-1)
 		*least, *last = *last, *least
-		p.done++
-		p.sink(0, n-1)
+		s.sortedCount++
+		s.siftDown(0, heapSize-1)
 	}
-	return &p.open[i]
+	return &s.candidates[i]
 }
 
-// Pass admits what is left of the group for a deadline, machine by machine.
-func (p *Placing) Pass(deadline int64, mode Mode) {
-	g := p.g
-	length := int64(float64(g.Length) * Padding)
-	for i := 0; g.Left > 0 && (i > 0 || p.worth(deadline, length, mode)); i++ {
-		o := p.next(i)
-		if o == nil {
+// Admit admits what is left of the group for a deadline, machine by machine.
+func (s *CandidateSearch) Admit(deadlineMS int64, mode QueueMode) {
+	g := s.group
+	lengthMS := int64(float64(g.LengthMS) * RuntimePadding)
+	for i := 0; g.Remaining > 0 && (i > 0 || s.canAdmitAny(deadlineMS, lengthMS, mode)); i++ {
+		candidate := s.candidate(i)
+		if candidate == nil {
 			break
 		}
-		p.b.Steps++
-		if mode == Queued && !p.b.front[o.m.At].lanes.takes(p.req, deadline, length+o.fetch) {
+		s.view.Examined++
+		if mode == ExistingQueues && !s.view.scanEntries[candidate.machine.Index].queues.mayAdmit(s.request, deadlineMS, lengthMS+candidate.fetchMS) {
 			continue
 		}
-		p.try(o.m, o.fetch, deadline, mode)
+		s.tryMachine(candidate.machine, candidate.fetchMS, deadlineMS, mode)
 	}
-	if mode == Queued {
-		p.closed(deadline, length)
+	if mode == ExistingQueues {
+		s.admitToOccupied(deadlineMS, lengthMS)
 	}
 }
 
-// passes tells whether a pass leaves a kind of machines out.
-func (p *Placing) passes(kind int) bool {
-	u := &p.use[kind]
-	return !u.allowed || p.spotOnly && !p.b.kinds[kind].Spot || p.aimOnly && u.short
+// skipsOffering tells whether a pass leaves a kind of machines out.
+func (s *CandidateSearch) skipsOffering(offering int) bool {
+	u := &s.uses[offering]
+	return !u.allowed || s.spotOnly && !s.view.offerings[offering].Spot || s.objectiveOnly && u.avoid
 }
 
-// worth tells whether any machine with room may take a task in a pass. Without it, each
+// canAdmitAny tells whether any machine with room may take a task in a pass. Without it, each
 // pass for an aim that is too near put all of them in order.
-func (p *Placing) worth(deadline, length int64, mode Mode) bool {
-	b, g := p.b, p.g
-	kept := p.rules && mode == Fresh && g.Tight >= g.Due &&
-		availability.Room{CPUs: b.Spare - b.Reserve}.Copies(availability.Room{CPUs: g.Ask.Request.CPUs}, 1) == 0
-	for i := range p.use {
-		u := &p.use[i]
-		if u.open == 0 || p.passes(i) {
+func (s *CandidateSearch) canAdmitAny(deadlineMS, lengthMS int64, mode QueueMode) bool {
+	v, g := s.view, s.group
+	reserveExhausted := s.enforceLimits && mode == NewSlotsInTime && g.ObjectiveDeadlineMS >= g.DeadlineMS &&
+		availability.Resources{CPUs: v.SpareCPUs - v.ReservedCPUs}.MaxCopies(availability.Resources{CPUs: g.Request.Resources.CPUs}, 1) == 0
+	for i := range s.uses {
+		use := &s.uses[i]
+		if use.openMachines == 0 || s.skipsOffering(i) {
 			continue
 		}
 		switch mode {
-		case Fresh:
-			if deadline-u.soonest >= g.Length && (!kept || u.booting) {
+		case NewSlotsInTime:
+			if deadlineMS-use.earliestStartMS >= g.LengthMS && (!reserveExhausted || use.booting) {
 				return true
 			}
-		case Queued:
-			if p.grown || u.lanes.takes(p.req, deadline, length) {
+		case ExistingQueues:
+			if s.slotsAdded || use.queues.mayAdmit(s.request, deadlineMS, lengthMS) {
 				return true
 			}
 		default:
@@ -374,242 +374,244 @@
 	return false
 }
 
-// closed admits to the queues of machines that had no room: those of lower ranks first,
+// admitToOccupied admits to the queues of machines that had no room: those of lower ranks first,
 // those that have the image before others, then by their places.
-func (p *Placing) closed(deadline, length int64) {
-	g := p.g
-	for rank := 0; rank < 8 && g.Left > 0; rank += 2 {
-		p.here, p.lacking = p.here[:0], p.lacking[:0]
-		lack := int64(math.MaxInt64)
-		for i := range p.use {
-			if u := &p.use[i]; u.rank == rank && !p.passes(i) {
-				if u.fetch == 0 || p.holders != nil {
-					p.here = append(p.here, i)
+func (s *CandidateSearch) admitToOccupied(deadlineMS, lengthMS int64) {
+	g := s.group
+	for rank := 0; rank < 8 && g.Remaining > 0; rank += 2 {
+		s.cached, s.uncached = s.cached[:0], s.uncached[:0]
+		minFetchMS := int64(math.MaxInt64)
+		for i := range s.uses {
+			if use := &s.uses[i]; use.rank == rank && !s.skipsOffering(i) {
+				if use.fetchMS == 0 || s.imageMachines != nil {
+					s.cached = append(s.cached, i)
 				}
-				if u.fetch != 0 {
-					p.lacking = append(p.lacking, i)
-					lack = min(lack, u.fetch)
+				if use.fetchMS != 0 {
+					s.uncached = append(s.uncached, i)
+					minFetchMS = min(minFetchMS, use.fetchMS)
 				}
 			}
 		}
-		if len(p.here) > 0 {
-			p.scan(p.here, deadline, length, true)
+		if len(s.cached) > 0 {
+			s.scanOccupied(s.cached, deadlineMS, lengthMS, true)
 		}
-		if len(p.lacking) > 0 {
-			p.scan(p.lacking, deadline, length+lack, false)
+		if len(s.uncached) > 0 {
+			s.scanOccupied(s.uncached, deadlineMS, lengthMS+minFetchMS, false)
 		}
 	}
 }
 
-// scan admits to the queues of machines of some kinds that had no room, those that have
+// scanOccupied admits to the queues of machines of some kinds that had no room, those that have
 // the image or those that lack it. No such task takes less than least.
-func (p *Placing) scan(kinds []int, deadline, least int64, here bool) {
-	b, g := p.b, p.g
-	length := int64(float64(g.Length) * Padding)
+func (s *CandidateSearch) scanOccupied(offerings []int, deadlineMS, minLengthMS int64, cached bool) {
+	v, g := s.view, s.group
+	lengthMS := int64(float64(g.LengthMS) * RuntimePadding)
 	// at looks at one machine.
-	at := func(i int) {
-		b.Steps++
-		f := &b.front[i]
-		u := &p.use[f.kind]
-		if f.open == b.group || !f.lanes.takes(p.req, deadline, least) || !slices.Contains(kinds, int(f.kind)) {
+	tryMachine := func(i int) {
+		v.Examined++
+		entry := &v.scanEntries[i]
+		use := &s.uses[entry.offeringIndex]
+		if entry.openForSearch == v.searchID || !entry.queues.mayAdmit(s.request, deadlineMS, minLengthMS) || !slices.Contains(offerings, int(entry.offeringIndex)) {
 			return
 		}
-		fetch := u.fetch
-		if fetch != 0 && p.holders.has(i) {
-			fetch = 0
+		fetchMS := use.fetchMS
+		if fetchMS != 0 && s.imageMachines.contains(i) {
+			fetchMS = 0
 		}
-		if (fetch == 0) != here || f.lanes.most(deadline) < length+fetch {
+		if (fetchMS == 0) != cached || entry.queues.maxAvailableMS(deadlineMS) < lengthMS+fetchMS {
 			return
 		}
-		m := b.ms[i]
-		if len(g.Failed) == 0 || g.Failed[m.ID] == 0 {
-			p.try(m, fetch, deadline, Queued)
+		m := v.machines[i]
+		if len(g.FailuresByMachine) == 0 || g.FailuresByMachine[m.ID] == 0 {
+			s.tryMachine(m, fetchMS, deadlineMS, ExistingQueues)
 		}
 	}
-	if here && p.imaged {
-		for _, i := range p.holders.places {
-			if g.Left <= 0 {
+	if cached && s.fetchAlwaysNeeded {
+		for _, i := range s.imageMachines.indexes {
+			if g.Remaining <= 0 {
 				return
 			}
-			at(int(i))
+			tryMachine(int(i))
 		}
 		return
 	}
-	for i := 0; i < len(b.blocks) && g.Left > 0; i++ {
-		k := b.block(i)
-		if !k.lanes.takes(p.req, deadline, least) || !slices.ContainsFunc(kinds, func(kind int) bool { return k.kinds[kind].takes(p.req, deadline, least) }) {
+	for i := 0; i < len(v.blocks) && g.Remaining > 0; i++ {
+		block := v.refreshedBlock(i)
+		if !block.queues.mayAdmit(s.request, deadlineMS, minLengthMS) || !slices.ContainsFunc(offerings, func(offering int) bool {
+			return block.queuesByOffering[offering].mayAdmit(s.request, deadlineMS, minLengthMS)
+		}) {
 			continue
 		}
-		for a := i * blockSize; a < min((i+1)*blockSize, len(b.ms)) && g.Left > 0; a++ {
-			at(a)
+		for index := i * blockSize; index < min((i+1)*blockSize, len(v.machines)) && g.Remaining > 0; index++ {
+			tryMachine(index)
 		}
 	}
 }
 
-func (p *Placing) try(m *Machine, fetch, deadline int64, mode Mode) {
-	b, g := p.b, p.g
-	if p.passes(m.kind) {
+func (s *CandidateSearch) tryMachine(m *Machine, fetchMS, deadlineMS int64, mode QueueMode) {
+	v, g := s.view, s.group
+	if s.skipsOffering(m.offeringIndex) {
 		return
 	}
-	limit := min(g.Left, g.zoneRoom(m))
-	if p.rules && mode == Fresh && m.Up && g.Tight >= g.Due {
-		limit = availability.Room{CPUs: b.Spare - b.Reserve}.Copies(availability.Room{CPUs: g.Ask.Request.CPUs}, limit)
+	limit := min(g.Remaining, g.zoneAllowance(m))
+	if s.enforceLimits && mode == NewSlotsInTime && m.Ready && g.ObjectiveDeadlineMS >= g.DeadlineMS {
+		limit = availability.Resources{CPUs: v.SpareCPUs - v.ReservedCPUs}.MaxCopies(availability.Resources{CPUs: g.Request.Resources.CPUs}, limit)
 	}
 	if limit <= 0 {
 		return
 	}
-	n, now, steps := Fit(m, g, fetch, deadline, limit, mode)
-	b.Steps += steps
-	if n == 0 {
+	admitted, startable, steps := AdmitToMachine(m, g, fetchMS, deadlineMS, limit, mode)
+	v.Examined += steps
+	if admitted == 0 {
 		return
 	}
-	b.changed(m)
-	p.grown = p.grown || mode != Queued
-	g.Left -= n
-	if m.Up {
-		b.Spare -= float64(now) * g.Ask.Request.CPUs
+	v.refreshBounds(m)
+	s.slotsAdded = s.slotsAdded || mode != ExistingQueues
+	g.Remaining -= admitted
+	if m.Ready {
+		v.SpareCPUs -= float64(startable) * g.Request.Resources.CPUs
 	}
-	if g.OneZone || g.Spread {
-		g.place(m, n)
+	if g.SingleZone || g.SpreadZones {
+		g.recordPlaced(m, admitted)
 	}
-	if !p.rules {
+	if !s.enforceLimits {
 		return
 	}
-	if !g.Aimed && !g.Gang {
-		now = min(now, b.Line) // the rest when the line lets it
+	if !g.HasObjective && !g.IsGang {
+		startable = min(startable, v.PacedStartsLeft) // the rest when the line lets it
 	}
-	if now > 0 && m.Up {
-		p.out.Started += now
-		b.Line -= now
-		p.out.Starts = append(p.out.Starts, Start{m.At, now, fetch})
+	if startable > 0 && m.Ready {
+		s.placement.StartedTasks += startable
+		v.PacedStartsLeft -= startable
+		s.placement.Starts = append(s.placement.Starts, Start{m.Index, startable, fetchMS})
 	}
 }
 
 // Place admits a group to the machines: what starts now, what waits in a queue, and
 // for what there is neither in time. share is the part of its span by which an aim that
 // is late is put off.
-func (b *Board) Place(g *Group, share float64) Placement {
-	p := b.Look(g)
-	p.rules = true
-	total := g.Left
-	if g.Gang {
-		if fits, missing := p.gang(); !fits {
+func (v *ClusterView) Place(g *Group, lateShare float64) Placement {
+	search := v.StartSearch(g)
+	search.enforceLimits = true
+	total := g.Remaining
+	if g.IsGang {
+		if fits, missing := search.checkGang(); !fits {
 			if missing > 0 {
-				p.out.Needs = append(p.out.Needs, Need{Count: missing, Deadline: g.Due})
+				search.placement.Demands = append(search.placement.Demands, CapacityDemand{Count: missing, DeadlineMS: g.DeadlineMS})
 			}
-			p.out.Held, g.Waiting = g.Held, total
-			return p.out
+			search.placement.Admitted, g.Waiting = g.PreviouslyAdmitted, total
+			return search.placement
 		}
 	}
 	// Free room is taken on every machine before a queue is: a task that
 	// waits behind another while a machine is idle only risks its deadline.
-	put := func(deadline int64) {
-		p.Pass(deadline, Fresh)
-		p.Pass(deadline, Queued)
+	admitAll := func(deadlineMS int64) {
+		search.Admit(deadlineMS, NewSlotsInTime)
+		search.Admit(deadlineMS, ExistingQueues)
 	}
-	dear := 0
+	spotShortfall := 0
 	// tier admits for one deadline, on spot machines first. Ordinary machines
 	// cost several times as much: what only they can take is worth a spot
 	// machine, and starts there meanwhile.
-	tier := func(deadline int64) {
+	admitFor := func(deadlineMS int64) {
 		// A start aim alone is not worth a machine that others cannot do
 		// without.
-		p.aimOnly = deadline < g.Due
-		if g.Ask.Spot {
-			p.spotOnly = true
-			put(deadline)
-			p.spotOnly = false
-			dear += g.Left
+		search.objectiveOnly = deadlineMS < g.DeadlineMS
+		if g.Request.AllowsSpot {
+			search.spotOnly = true
+			admitAll(deadlineMS)
+			search.spotOnly = false
+			spotShortfall += g.Remaining
 		}
-		put(deadline)
-		if g.Ask.Spot {
-			g.Dear = g.Dear || !p.aimOnly && dear > 0
-			dear -= g.Left
+		admitAll(deadlineMS)
+		if g.Request.AllowsSpot {
+			g.SpotInsufficient = g.SpotInsufficient || !search.objectiveOnly && spotShortfall > 0
+			spotShortfall -= g.Remaining
 		}
-		p.aimOnly = false
+		search.objectiveOnly = false
 	}
-	need := func(n int, deadline int64, spotOnly bool) {
+	recordDemand := func(count int, deadlineMS int64, spotOnly bool) {
 		if !spotOnly {
-			n = min(n, g.Askable-p.out.Started)
-			g.Asked = max(g.Asked, n)
+			count = min(count, g.ProvisionLimit-search.placement.StartedTasks)
+			g.ProvisionRequested = max(g.ProvisionRequested, count)
 		}
-		if n > 0 {
-			p.out.Needs = append(p.out.Needs, Need{n, deadline, spotOnly})
+		if count > 0 {
+			search.placement.Demands = append(search.placement.Demands, CapacityDemand{count, deadlineMS, spotOnly})
 		}
 	}
-	if g.Tight < g.Due && g.Tight > b.wall {
-		tier(g.Tight)
-		if b.wall+b.cat.Soonest(&g.Ask)+g.Length <= g.Tight {
+	if g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS > v.nowMS {
+		admitFor(g.ObjectiveDeadlineMS)
+		if v.nowMS+v.catalog.MinReadyMS(&g.Request)+g.LengthMS <= g.ObjectiveDeadlineMS {
 			// A machine that comes up in time serves the aim; until it
 			// does, these tasks may wait in a queue that ends in time.
-			need(g.Left, g.Tight, false)
+			recordDemand(g.Remaining, g.ObjectiveDeadlineMS, false)
 		}
 	}
-	tier(g.Due)
-	p.out.Held = g.Left < total
-	need(dear, g.Due, true)
-	if g.Left > 0 {
-		need(g.Left, g.Due, false)
-		g.Dear = true
+	admitFor(g.DeadlineMS)
+	search.placement.Admitted = g.Remaining < total
+	recordDemand(spotShortfall, g.DeadlineMS, true)
+	if g.Remaining > 0 {
+		recordDemand(g.Remaining, g.DeadlineMS, false)
+		g.SpotInsufficient = true
 		// No machine can end them in time. They start where there is room now,
 		// and aim late by a share of the span for the rest.
-		p.Pass(g.Due, Anyhow)
-		span := float64(g.Due - g.Accepted)
-		for i := 1; i <= lateSteps && g.Left > 0; i++ {
-			p.Pass(max(g.Due, b.wall)+int64(span*share*float64(i)), Queued)
+		search.Admit(g.DeadlineMS, NewSlotsAnyTime)
+		spanMS := float64(g.DeadlineMS - g.AcceptedMS)
+		for i := 1; i <= lateDeadlineSteps && g.Remaining > 0; i++ {
+			search.Admit(max(g.DeadlineMS, v.nowMS)+int64(spanMS*lateShare*float64(i)), ExistingQueues)
 		}
 	}
-	g.Waiting = total - p.out.Started
-	return p.out
+	g.Waiting = total - search.placement.StartedTasks
+	return search.placement
 }
 
-// gang tells whether all of a gang's waiting tasks can start now: one that
+// checkGang tells whether all of a gang's waiting tasks can start now: one that
 // waits for its mates holds its machine for nothing. What is left of an earlier
 // try must be gone first. missing is how many have no room even on the machines
 // that boot.
-func (p *Placing) gang() (fits bool, missing int) {
-	g := p.g
-	if g.Try != TryNew || g.Short {
-		return g.Try == TryGoesOn, 0
+func (s *CandidateSearch) checkGang() (fits bool, missing int) {
+	g := s.group
+	if g.GangAttempt != GangAttemptNew || g.IncompleteGang {
+		return g.GangAttempt == GangAttemptContinues, 0
 	}
-	now, later := 0, 0
+	startable, booting := 0, 0
 	for i := 0; ; i++ {
-		o := p.next(i)
-		if o == nil {
+		candidate := s.candidate(i)
+		if candidate == nil {
 			break
 		}
-		n := o.m.Free.Copies(p.req, min(g.Left-now-later, g.zoneRoom(o.m)))
-		if o.m.Up {
-			now += n
+		n := candidate.machine.Free.MaxCopies(s.request, min(g.Remaining-startable-booting, g.zoneAllowance(candidate.machine)))
+		if candidate.machine.Ready {
+			startable += n
 		} else {
-			later += n
+			booting += n
 		}
 	}
-	p.out.Gang = now >= g.Left
-	return p.out.Gang, g.Left - now - later
+	s.placement.StartsGang = startable >= g.Remaining
+	return s.placement.StartsGang, g.Remaining - startable - booting
 }
 
-// Sort puts groups in the order in which they are placed: higher priority first; within one, the first
+// SortGroups puts groups in the order in which they are placed: higher priority first; within one, the first
 // tasks of jobs that waited too long to begin, then what can meet an aim before what can't, then what is within its team's guarantee, then by its team's level; what was admitted
 // keeps its place, then earliest deadline, then arrival.
-func Sort[G any](gs []G, of func(G) *Group) {
-	slices.SortFunc(gs, func(x, y G) int { return of(x).compare(of(y)) })
+func SortGroups[G any](groups []G, groupOf func(G) *Group) {
+	slices.SortFunc(groups, func(x, y G) int { return groupOf(x).compare(groupOf(y)) })
 }
 
-func (g *Group) compare(o *Group) int {
-	first := func(a, b bool) int { return bit(b, 0) - bit(a, 0) }
+func (g *Group) compare(other *Group) int {
+	trueFirst := func(aSet, bSet bool) int { return bitIf(bSet, 0) - bitIf(aSet, 0) }
 	return cmp.Or(
-		o.Priority-g.Priority,
-		first(g.First, o.First),
+		other.Priority-g.Priority,
+		trueFirst(g.IsFirstTask, other.IsFirstTask),
 		// One that can meet no aim any more must not cost others theirs.
-		first(!g.Lost, !o.Lost),
+		trueFirst(!g.MissedObjectives, !other.MissedObjectives),
 		// What is free goes to guarantees first: otherwise it goes to others,
 		// who are then stopped.
-		first(g.Within, o.Within),
-		g.Level-o.Level,
-		first(g.Held, o.Held),
-		cmp.Compare(g.Due, o.Due),
-		cmp.Compare(g.Accepted, o.Accepted),
-		cmp.Compare(g.Name, o.Name),
-		g.Lo-o.Lo)
+		trueFirst(g.WithinGuarantee, other.WithinGuarantee),
+		g.QuotaTier-other.QuotaTier,
+		trueFirst(g.PreviouslyAdmitted, other.PreviouslyAdmitted),
+		cmp.Compare(g.DeadlineMS, other.DeadlineMS),
+		cmp.Compare(g.AcceptedMS, other.AcceptedMS),
+		cmp.Compare(g.Name, other.Name),
+		g.RangeStart-other.RangeStart)
 }
--- a/quota/explore_test.go
+++ b/quota/explore_test.go
@@ -20,118 +20,122 @@
 // that end and whose shards others adopt, all of them at once. It runs the real Book;
 // only the state service and the machines are models.
 
-// inFlight is a write on its way, its answer, or both.
-type inFlight struct {
-	member  int // who waits for the answer
-	epoch   int // and as which process
-	token   int // of the shard's claim
-	w       Write
-	arrived bool // at the store, which answered
-	ok      bool
+// inFlightWrite is a write on its way, its answer, or both.
+type inFlightWrite struct {
+	member       int // who waits for the answer
+	incarnation  int // and as which process
+	fencingToken int // of the shard's claim
+	write        Write
+	arrived      bool // at the store, which answered
+	applied      bool
 }
 
-type state struct {
-	rev    uint64
-	rec    *Record
-	holder []int // by shard: a member, or -1
-	token  []int // by shard
-	epoch  []int // by member
-	book   []*Book
-	use    []int // by shard: of the machines
-	flight []inFlight
-	ends   int
-	writes int
+type clusterState struct {
+	revision      uint64
+	record        *Record
+	owners        []int // by shard: a member, or -1
+	fencingTokens []int // by shard
+	incarnations  []int // by member
+	ledgers       []*Ledger
+	used          []int // by shard: of the machines
+	inFlight      []inFlightWrite
+	failures      int
+	writes        int
 }
 
-func (b *Book) copy() *Book {
-	c := *b
-	if b.out != nil {
-		w := *b.out
-		c.out = &w
+func (l *Ledger) clone() *Ledger {
+	c := *l
+	if l.pendingWrite != nil {
+		w := *l.pendingWrite
+		c.pendingWrite = &w
 	}
 	return &c
 }
 
-func (s *state) copy() *state {
-	c := *s
-	c.holder, c.token, c.epoch, c.use, c.flight = slices.Clone(s.holder), slices.Clone(s.token), slices.Clone(s.epoch), slices.Clone(s.use), slices.Clone(s.flight)
-	c.book = make([]*Book, len(s.book))
-	for i, b := range s.book {
-		c.book[i] = b.copy()
+func (s *clusterState) clone() *clusterState {
+	copied := *s
+	copied.owners, copied.fencingTokens, copied.incarnations, copied.used, copied.inFlight = slices.Clone(s.owners), slices.Clone(s.fencingTokens), slices.Clone(s.incarnations), slices.Clone(s.used), slices.Clone(s.inFlight)
+	copied.ledgers = make([]*Ledger, len(s.ledgers))
+	for i, ledger := range s.ledgers {
+		copied.ledgers[i] = ledger.clone()
 	}
-	return &c
+	return &copied
 }
 
 // digest writes what tells states apart as numbers.
 type digest []byte
 
-func (d *digest) put(ns ...int) {
+func (d *digest) putInts(ns ...int) {
 	for _, n := range ns {
 		*d = strconv.AppendInt(*d, int64(n), 36)
 		*d = append(*d, ' ')
 	}
 }
 
-func (d *digest) flag(bs ...bool) {
+func (d *digest) putBools(bs ...bool) {
 	for _, b := range bs {
 		if b {
-			d.put(1)
+			d.putInts(1)
 		} else {
-			d.put(0)
+			d.putInts(0)
 		}
 	}
 }
 
-func (d *digest) record(r *Record) {
+func (d *digest) putRecord(r *Record) {
 	if r == nil {
-		d.put(-1)
+		d.putInts(-1)
 		return
 	}
 	// Parts and wants are whole here, or fractions of small numbers.
-	in := func(v float64) int { return int(math.Round(v * 1000)) }
+	thousandths := func(v float64) int { return int(math.Round(v * 1000)) }
 	for i := range 3 {
-		p := r.Parts[shardName(i)]
-		w, asked := r.Wants[shardName(i)]
-		d.put(in(p.CPUs), in(w.CPUs), in(w.Soon.CPUs), in(w.Unit.CPUs))
-		d.flag(asked)
+		allocation := r.Allocations[shardName(i)]
+		request, hasRequest := r.Requests[shardName(i)]
+		d.putInts(thousandths(allocation.CPUs), thousandths(request.CPUs), thousandths(request.Startable.CPUs), thousandths(request.MinIncrement.CPUs))
+		d.putBools(hasRequest)
 	}
 }
 
-// refusal and probe tell what a refusal and a read of the same revision would ask for:
+// nextAfterRefusal and probe tell what a refusal and a read of the same revision would ask for:
 // together all that a write's state is.
-func refusal(w indoubt.Write) indoubt.Next { return w.Ended(access.Refused) }
+func nextAfterRefusal(w indoubt.ConditionalWrite) indoubt.NextStep {
+	return w.CompleteAttempt(access.Refused)
+}
 
-func probe(w indoubt.Write) indoubt.Next { return w.Read(access.OK, w.Rev) }
+func nextAfterRead(w indoubt.ConditionalWrite) indoubt.NextStep {
+	return w.CompleteRead(access.OK, w.Revision)
+}
 
-func (s *state) key() uint64 {
-	var k digest
-	k.put(int(s.rev), s.ends, s.writes)
-	k.put(s.holder...)
-	k.put(s.use...)
-	k.record(s.rec)
-	for _, b := range s.book {
-		k.put(int(b.rev))
-		k.flag(b.out != nil)
-		k.record(b.rec)
-		if b.out != nil {
-			k.put(int(b.out.Shard[0]), int(b.out.Rev))
-			k.put(int(refusal(b.out.Write)), int(probe(b.out.Write)))
-			k.record(&b.out.Record)
+func (s *clusterState) hash() uint64 {
+	var d digest
+	d.putInts(int(s.revision), s.failures, s.writes)
+	d.putInts(s.owners...)
+	d.putInts(s.used...)
+	d.putRecord(s.record)
+	for _, ledger := range s.ledgers {
+		d.putInts(int(ledger.revision))
+		d.putBools(ledger.pendingWrite != nil)
+		d.putRecord(ledger.record)
+		if ledger.pendingWrite != nil {
+			d.putInts(int(ledger.pendingWrite.Shard[0]), int(ledger.pendingWrite.Revision))
+			d.putInts(int(nextAfterRefusal(ledger.pendingWrite.ConditionalWrite)), int(nextAfterRead(ledger.pendingWrite.ConditionalWrite)))
+			d.putRecord(&ledger.pendingWrite.Record)
 		}
 	}
-	for _, f := range s.flight {
+	for _, flight := range s.inFlight {
 		// Of claims and processes it matters only whether they still stand.
-		k.put(f.member, int(f.w.Shard[0]), int(f.w.Rev))
-		k.flag(f.epoch == s.epoch[f.member], f.token == s.token[f.w.Shard[0]-'a'], f.arrived, f.ok)
-		k.record(&f.w.Record)
+		d.putInts(flight.member, int(flight.write.Shard[0]), int(flight.write.Revision))
+		d.putBools(flight.incarnation == s.incarnations[flight.member], flight.fencingToken == s.fencingTokens[flight.write.Shard[0]-'a'], flight.arrived, flight.applied)
+		d.putRecord(&flight.write.Record)
 	}
-	return xxhash.Sum64(k)
+	return xxhash.Sum64(d)
 }
 
-const exLimit = 2
+const teamLimit = 2
 
-// deep has the explorer go on where the usual run stops: hours, and much memory.
-var deep = flag.Bool("deep", false, "explore three writes and two ends")
+// exploreDeep has the explorer go on where the usual run stops: hours, and much memory.
+var exploreDeep = flag.Bool("deep", false, "explore three writes and two ends")
 
 func shardName(i int) string { return string(rune('a' + i)) }
 
@@ -139,233 +143,233 @@
 type fault int
 
 const (
-	none          fault = iota
-	trustsLost          // a write that nobody answered counts as not applied
-	trustsRefusal       // a write that was refused counts as not applied, whatever became of an earlier try
-	forgetsGift         // what a write gives away counts until it is applied
-	noGuard             // the store takes writes of claims that are over
-	oldMirror           // who adopts a shard starts there before it heard what was written until then
+	noFault                  fault = iota
+	treatsLostAsUnapplied          // a write that nobody answered counts as not applied
+	treatsRefusalAsUnapplied       // a write that was refused counts as not applied, whatever became of an earlier try
+	ignoresPendingGrants           // what a write gives away counts until it is applied
+	acceptsStaleClaims             // the store takes writes of claims that are over
+	adoptsFromStaleMirror          // who adopts a shard starts there before it heard what was written until then
 )
 
 type explorer struct {
-	fault  fault
-	writes int // bounds
-	ends   int
-	seen   map[uint64]bool
-	todo   []*state
-	broken string
-	met    map[string]bool // kinds of steps that happened
+	fault       fault
+	maxWrites   int // bounds
+	maxFailures int
+	seen        map[uint64]bool
+	queue       []*clusterState
+	violation   string
+	stepsTaken  map[string]bool // kinds of steps that happened
 }
 
-func (x *explorer) part(s *state, i int) float64 {
-	b := s.book[s.holder[i]]
-	if x.fault == forgetsGift {
-		return b.Parts()[shardName(i)].CPUs
+func (x *explorer) allocation(s *clusterState, shard int) float64 {
+	ledger := s.ledgers[s.owners[shard]]
+	if x.fault == ignoresPendingGrants {
+		return ledger.Allocations()[shardName(shard)].CPUs
 	}
-	return b.Part(shardName(i)).CPUs
+	return ledger.Allocation(shardName(shard)).CPUs
 }
 
-func (x *explorer) add(s *state, what string) {
-	x.met[strings.Fields(what)[0]] = true
-	total, parts := 0, 0.0
-	for i, n := range s.use {
-		total += n
-		if s.holder[i] >= 0 {
-			parts += x.part(s, i)
+func (x *explorer) visit(s *clusterState, step string) {
+	x.stepsTaken[strings.Fields(step)[0]] = true
+	used, allocated := 0, 0.0
+	for i, n := range s.used {
+		used += n
+		if s.owners[i] >= 0 {
+			allocated += x.allocation(s, i)
 		}
 	}
 	stored := 0.0
-	if s.rec != nil {
-		for _, p := range s.rec.Parts {
+	if s.record != nil {
+		for _, p := range s.record.Allocations {
 			stored += p.CPUs
 		}
 	}
 	switch {
-	case total > exLimit:
-		x.broken = fmt.Sprintf("%d in use after %s", total, what)
-	case parts > exLimit+small:
-		x.broken = fmt.Sprintf("members count on %g after %s", parts, what)
-	case s.rec != nil && (stored > exLimit+small || stored < exLimit-small):
-		x.broken = fmt.Sprintf("the parts are %g after %s", stored, what)
+	case used > teamLimit:
+		x.violation = fmt.Sprintf("%d in use after %s", used, step)
+	case allocated > teamLimit+roundingTolerance:
+		x.violation = fmt.Sprintf("members count on %g after %s", allocated, step)
+	case s.record != nil && (stored > teamLimit+roundingTolerance || stored < teamLimit-roundingTolerance):
+		x.violation = fmt.Sprintf("the parts are %g after %s", stored, step)
 	}
-	if k := s.key(); !x.seen[k] {
+	if k := s.hash(); !x.seen[k] {
 		x.seen[k] = true
-		x.todo = append(x.todo, s)
+		x.queue = append(x.queue, s)
 	}
 }
 
-// settle carries out what a book wants done about a write.
-func (x *explorer) settle(s *state, m int, n indoubt.Next, w Write, token int) {
-	for n != indoubt.Settled {
-		b := s.book[m]
-		if n == indoubt.ReadBack {
+// resolveWrite carries out what a book wants done about a write.
+func (x *explorer) resolveWrite(state *clusterState, member int, next indoubt.NextStep, write Write, fencingToken int) {
+	for next != indoubt.Settled {
+		ledger := state.ledgers[member]
+		if next == indoubt.ReadBack {
 			read := access.OK
-			if s.rec == nil {
+			if state.record == nil {
 				read = access.NotFound
 			}
-			if n = b.Back(read, s.rec, s.rev); n == indoubt.ReadBack {
+			if next = ledger.Resolve(read, state.record, state.revision); next == indoubt.ReadBack {
 				panic("read back again")
 			}
 			continue
 		}
-		if i := int(w.Shard[0] - 'a'); s.holder[i] != m || s.token[i] != token {
-			b.Abandon()
+		if shard := int(write.Shard[0] - 'a'); state.owners[shard] != member || state.fencingTokens[shard] != fencingToken {
+			ledger.Abandon()
 			return
 		}
 		// SendAgain: the same write once more.
-		s.flight = append(s.flight, inFlight{member: m, epoch: s.epoch[m], token: token, w: w})
+		state.inFlight = append(state.inFlight, inFlightWrite{member: member, incarnation: state.incarnations[member], fencingToken: fencingToken, write: write})
 		return
 	}
 }
 
-func (x *explorer) steps(s *state) {
-	for i := range s.use {
-		h := s.holder[i]
-		if h < 0 {
-			for m := range s.book { // somebody adopts it, with what runs there
-				if s.book[m].rev < s.rev && x.fault != oldMirror {
+func (x *explorer) expand(state *clusterState) {
+	for shard := range state.used {
+		owner := state.owners[shard]
+		if owner < 0 {
+			for member := range state.ledgers { // somebody adopts it, with what runs there
+				if state.ledgers[member].revision < state.revision && x.fault != adoptsFromStaleMirror {
 					continue
 				}
-				c := s.copy()
-				c.holder[i] = m
-				c.token[i]++
-				x.add(c, "adopt")
+				next := state.clone()
+				next.owners[shard] = member
+				next.fencingTokens[shard]++
+				x.visit(next, "adopt")
 			}
 			continue
 		}
-		if x.part(s, i)-float64(s.use[i]) >= 1 {
-			c := s.copy()
-			c.use[i]++
-			x.add(c, "start")
+		if x.allocation(state, shard)-float64(state.used[shard]) >= 1 {
+			next := state.clone()
+			next.used[shard]++
+			x.visit(next, "start")
 		}
-		if s.use[i] > 0 {
-			c := s.copy()
-			c.use[i]--
-			x.add(c, "end")
+		if state.used[shard] > 0 {
+			next := state.clone()
+			next.used[shard]--
+			x.visit(next, "end")
 		}
-		if s.writes < x.writes {
-			for _, wait := range []float64{0, 2} {
-				c := s.copy()
-				d := Demand{Use: Amounts{CPUs: float64(s.use[i])}, Wait: Amounts{CPUs: wait}, Soon: Amounts{CPUs: wait}, Unit: Amounts{CPUs: min(wait, 1)}}
-				if w := c.book[h].Draft(0, shardName(i), d); w != nil {
-					c.writes++
-					c.flight = append(c.flight, inFlight{member: h, epoch: c.epoch[h], token: c.token[i], w: *w})
-					x.add(c, "write")
+		if state.writes < x.maxWrites {
+			for _, pending := range []float64{0, 2} {
+				next := state.clone()
+				demand := Demand{Used: Amounts{CPUs: float64(state.used[shard])}, Pending: Amounts{CPUs: pending}, Startable: Amounts{CPUs: pending}, LargestPending: Amounts{CPUs: min(pending, 1)}}
+				if write := next.ledgers[owner].Propose(0, shardName(shard), demand); write != nil {
+					next.writes++
+					next.inFlight = append(next.inFlight, inFlightWrite{member: owner, incarnation: next.incarnations[owner], fencingToken: next.fencingTokens[shard], write: *write})
+					x.visit(next, "write")
 				}
 			}
 		}
 	}
-	for n, f := range s.flight {
-		i := int(f.w.Shard[0] - 'a')
-		if !f.arrived {
-			c := s.copy()
-			g := &c.flight[n]
-			g.arrived = true
-			if (f.token == s.token[i] && s.holder[i] >= 0 || x.fault == noGuard) && f.w.Rev == s.rev {
-				g.ok = true
-				c.rev++
-				rec := f.w.Record
-				c.rec = &rec
+	for n, flight := range state.inFlight {
+		shard := int(flight.write.Shard[0] - 'a')
+		if !flight.arrived {
+			next := state.clone()
+			arriving := &next.inFlight[n]
+			arriving.arrived = true
+			if (flight.fencingToken == state.fencingTokens[shard] && state.owners[shard] >= 0 || x.fault == acceptsStaleClaims) && flight.write.Revision == state.revision {
+				arriving.applied = true
+				next.revision++
+				record := flight.write.Record
+				next.record = &record
 			}
-			x.add(c, "arrives")
+			x.visit(next, "arrives")
 		}
-		waits := s.epoch[f.member] == f.epoch && s.book[f.member].out != nil && s.book[f.member].out.Shard == f.w.Shard && s.book[f.member].out.Rev == f.w.Rev
-		if f.arrived {
-			c := s.copy()
-			c.flight = slices.Delete(c.flight, n, n+1)
-			if waits {
-				if b := c.book[f.member]; f.ok {
-					rec := f.w.Record
-					b.Heard(&rec, f.w.Rev+1)
-					b.Ended(access.OK)
+		awaitsOutcome := state.incarnations[flight.member] == flight.incarnation && state.ledgers[flight.member].pendingWrite != nil && state.ledgers[flight.member].pendingWrite.Shard == flight.write.Shard && state.ledgers[flight.member].pendingWrite.Revision == flight.write.Revision
+		if flight.arrived {
+			next := state.clone()
+			next.inFlight = slices.Delete(next.inFlight, n, n+1)
+			if awaitsOutcome {
+				if ledger := next.ledgers[flight.member]; flight.applied {
+					record := flight.write.Record
+					ledger.Observe(&record, flight.write.Revision+1)
+					ledger.RecordOutcome(access.OK)
 				} else {
-					x.settle(c, f.member, b.Ended(access.Conflict), f.w, f.token)
+					x.resolveWrite(next, flight.member, ledger.RecordOutcome(access.Conflict), flight.write, flight.fencingToken)
 				}
 			}
-			x.add(c, "answered")
+			x.visit(next, "answered")
 		}
 		// A try that did not bring the write through, as far as the writer knows.
-		failed := func(what string, o access.Outcome, gone bool, trusts fault) {
-			c := s.copy()
-			if gone {
-				c.flight = slices.Delete(c.flight, n, n+1)
+		recordFailure := func(step string, outcome access.Outcome, removed bool, ignoredBy fault) {
+			next := state.clone()
+			if removed {
+				next.inFlight = slices.Delete(next.inFlight, n, n+1)
 			}
-			if x.fault == trusts {
-				c.book[f.member].out = nil
+			if x.fault == ignoredBy {
+				next.ledgers[flight.member].pendingWrite = nil
 			} else {
-				x.settle(c, f.member, c.book[f.member].Ended(o), f.w, f.token)
+				x.resolveWrite(next, flight.member, next.ledgers[flight.member].RecordOutcome(outcome), flight.write, flight.fencingToken)
 			}
-			x.add(c, what)
+			x.visit(next, step)
 		}
-		if waits && len(s.flight) < 3 { // nobody answers; the write may still be on its way
-			failed("lost", access.Unknown, f.arrived, trustsLost)
+		if awaitsOutcome && len(state.inFlight) < 3 { // nobody answers; the write may still be on its way
+			recordFailure("lost", access.Unknown, flight.arrived, treatsLostAsUnapplied)
 		}
-		if waits && !f.arrived { // the state service refuses it, for now
-			failed("refused", access.Refused, true, trustsRefusal)
+		if awaitsOutcome && !flight.arrived { // the state service refuses it, for now
+			recordFailure("refused", access.Refused, true, treatsRefusalAsUnapplied)
 		}
-		if !f.arrived && !waits { // the network loses it
-			c := s.copy()
-			c.flight = slices.Delete(c.flight, n, n+1)
-			x.add(c, "dropped")
+		if !flight.arrived && !awaitsOutcome { // the network loses it
+			next := state.clone()
+			next.inFlight = slices.Delete(next.inFlight, n, n+1)
+			x.visit(next, "dropped")
 		}
 	}
-	for m, b := range s.book {
-		if b.rev < s.rev { // the watch
-			c := s.copy()
-			c.book[m].Heard(s.rec, s.rev)
-			x.add(c, "heard")
+	for member, ledger := range state.ledgers {
+		if ledger.revision < state.revision { // the watch
+			next := state.clone()
+			next.ledgers[member].Observe(state.record, state.revision)
+			x.visit(next, "heard")
 		}
-		if s.ends < x.ends {
-			c := s.copy()
-			c.end(m)
-			x.add(c, "ends")
-			c = s.copy()
-			c.lose(m)
-			x.add(c, "loses")
+		if state.failures < x.maxFailures {
+			next := state.clone()
+			next.restart(member)
+			x.visit(next, "ends")
+			next = state.clone()
+			next.loseShards(member)
+			x.visit(next, "loses")
 		}
 	}
-	if s.ends < x.ends {
-		c := s.copy()
-		for m := range s.book {
-			c.end(m)
+	if state.failures < x.maxFailures {
+		next := state.clone()
+		for member := range state.ledgers {
+			next.restart(member)
 		}
-		c.ends = x.ends
-		x.add(c, "all end")
+		next.failures = x.maxFailures
+		x.visit(next, "all end")
 	}
 }
 
-// lose has a member lose its shards and live on: its hold ended.
-func (s *state) lose(m int) {
-	s.ends++
-	for i, h := range s.holder {
-		if h == m {
-			s.holder[i] = -1
+// loseShards has a member lose its shards and live on: its hold ended.
+func (s *clusterState) loseShards(member int) {
+	s.failures++
+	for i, owner := range s.owners {
+		if owner == member {
+			s.owners[i] = -1
 		}
 	}
 }
 
-// end ends a member. It starts again with what the store has; its shards are nobody's
+// restart ends a member. It starts again with what the store has; its shards are nobody's
 // until somebody claims them.
-func (s *state) end(m int) {
-	s.lose(m)
-	s.epoch[m]++
-	s.book[m] = NewBook(Amounts{CPUs: exLimit}, "a")
-	s.book[m].Heard(s.rec, s.rev)
+func (s *clusterState) restart(member int) {
+	s.loseShards(member)
+	s.incarnations[member]++
+	s.ledgers[member] = NewLedger(Amounts{CPUs: teamLimit}, "a")
+	s.ledgers[member].Observe(s.record, s.revision)
 }
 
 // explore visits every state within the bounds, or as many as most.
-func explore(shards, writes, ends int, f fault, most int) *explorer {
-	x := &explorer{fault: f, writes: writes, ends: ends, seen: map[uint64]bool{}, met: map[string]bool{}}
-	s := &state{}
+func explore(shards, maxWrites, maxFailures int, planted fault, maxStates int) *explorer {
+	x := &explorer{fault: planted, maxWrites: maxWrites, maxFailures: maxFailures, seen: map[uint64]bool{}, stepsTaken: map[string]bool{}}
+	s := &clusterState{}
 	for i := range shards {
-		s.holder, s.token, s.epoch, s.use = append(s.holder, i), append(s.token, 1), append(s.epoch, 0), append(s.use, 0)
-		s.book = append(s.book, NewBook(Amounts{CPUs: exLimit}, "a"))
+		s.owners, s.fencingTokens, s.incarnations, s.used = append(s.owners, i), append(s.fencingTokens, 1), append(s.incarnations, 0), append(s.used, 0)
+		s.ledgers = append(s.ledgers, NewLedger(Amounts{CPUs: teamLimit}, "a"))
 	}
-	x.add(s, "begin")
-	for len(x.todo) > 0 && x.broken == "" && len(x.seen) < most {
-		s := x.todo[0]
-		x.todo = x.todo[1:]
-		x.steps(s)
+	x.visit(s, "begin")
+	for len(x.queue) > 0 && x.violation == "" && len(x.seen) < maxStates {
+		s := x.queue[0]
+		x.queue = x.queue[1:]
+		x.expand(s)
 	}
 	return x
 }
@@ -373,34 +377,34 @@
 // Two members with two shards, two writes, an end of one or of both: in no order of
 // events is more in use than the limit, nor do members count on more, nor do the parts
 // in the store add up to anything else. Three members, as far as there is time.
-func TestNoOrderOfEventsPassesTheLimit(t *testing.T) {
-	writes, ends, most := 2, 1, 20_000
-	if *deep {
-		writes, ends, most = 3, 2, 3_000_000
+func TestEveryEventOrderKeepsTeamLimit(t *testing.T) {
+	writes, failures, maxStates := 2, 1, 20_000
+	if *exploreDeep {
+		writes, failures, maxStates = 3, 2, 3_000_000
 	}
-	x := explore(2, writes, ends, none, 1<<40)
-	if x.broken != "" {
-		t.Fatal(x.broken)
+	x := explore(2, writes, failures, noFault, 1<<40)
+	if x.violation != "" {
+		t.Fatal(x.violation)
 	}
 	for _, step := range []string{"adopt", "start", "end", "write", "arrives", "answered", "lost", "refused", "dropped", "heard", "ends", "loses", "all"} {
-		if !x.met[step] {
+		if !x.stepsTaken[step] {
 			t.Errorf("no step %q", step)
 		}
 	}
 	t.Logf("two members: all %d states", len(x.seen))
-	if x = explore(3, writes, ends, none, most); x.broken != "" {
-		t.Fatal(x.broken)
+	if x = explore(3, writes, failures, noFault, maxStates); x.violation != "" {
+		t.Fatal(x.violation)
 	}
 	t.Logf("three members: the first %d states", len(x.seen))
 }
 
 // What is planted is found.
-func TestPlantedFaultsAreFound(t *testing.T) {
-	for f, name := range map[fault]string{trustsLost: "a lost answer counts as not applied", trustsRefusal: "a refusal counts for the earlier try", forgetsGift: "gifts count until they are applied", noGuard: "writes of claims that are over are taken", oldMirror: "an adopter with an old mirror"} {
-		if x := explore(2, 2, 1, f, 1<<40); x.broken == "" {
+func TestExplorerFindsPlantedFaults(t *testing.T) {
+	for planted, name := range map[fault]string{treatsLostAsUnapplied: "a lost answer counts as not applied", treatsRefusalAsUnapplied: "a refusal counts for the earlier try", ignoresPendingGrants: "gifts count until they are applied", acceptsStaleClaims: "writes of claims that are over are taken", adoptsFromStaleMirror: "an adopter with an old mirror"} {
+		if x := explore(2, 2, 1, planted, 1<<40); x.violation == "" {
 			t.Errorf("%s: not found in %d states", name, len(x.seen))
 		} else {
-			t.Logf("%s: %s, after %d states", name, x.broken, len(x.seen))
+			t.Logf("%s: %s, after %d states", name, x.violation, len(x.seen))
 		}
 	}
 }
--- a/quota/guarantee.go
+++ b/quota/guarantee.go
@@ -8,176 +8,178 @@
 
 // Job is an unfinished job of a team.
 type Job struct {
-	ID   string
-	At   int64   // when it came, time of day
-	Size Amounts // of all its tasks
+	ID         string
+	AcceptedMS int64   // when it came, time of day
+	Size       Amounts // of all its tasks
 }
 
 // Compare orders jobs as they came.
-func (j Job) Compare(o Job) int { return cmp.Or(cmp.Compare(j.At, o.At), cmp.Compare(j.ID, o.ID)) }
+func (j Job) Compare(o Job) int {
+	return cmp.Or(cmp.Compare(j.AcceptedMS, o.AcceptedMS), cmp.Compare(j.ID, o.ID))
+}
 
-// Within tells which of a team's unfinished jobs are within its guarantee: each that
+// JobsWithinGuarantee tells which of a team's unfinished jobs are within its guarantee: each that
 // fits it together with all that came before. Members that see the same jobs agree.
-func Within(guarantee Amounts, jobs []Job) map[string]bool {
-	if !guarantee.some() {
+func JobsWithinGuarantee(guarantee Amounts, jobs []Job) map[string]bool {
+	if !guarantee.isSignificant() {
 		return nil
 	}
 	jobs = slices.Clone(jobs)
 	slices.SortFunc(jobs, Job.Compare)
-	out := map[string]bool{}
+	within := map[string]bool{}
 	var sum Amounts
 	for _, j := range jobs {
-		if sum = sum.Add(j.Size); !guarantee.Fits(sum) {
+		if sum = sum.Add(j.Size); !guarantee.Contains(sum) {
 			break
 		}
-		out[j.ID] = true
+		within[j.ID] = true
 	}
-	return out
+	return within
 }
 
-// Figures is what a member tells the others of what teams use in its shards.
-type Figures struct {
-	At    int64              `msgpack:"at"`    // rises with each
-	Use   map[string]Amounts `msgpack:"use"`   // by team, without what is told to stop
-	Wait  map[string]Amounts `msgpack:"wait"`  // by team
-	Heard map[string]int64   `msgpack:"heard"` // by member: the newest of its figures that this one has
+// UsageSnapshot is what a member tells the others of what teams use in its shards.
+type UsageSnapshot struct {
+	Version          int64              `msgpack:"at"`    // rises with each
+	Used             map[string]Amounts `msgpack:"use"`   // by team, without what is told to stop
+	Pending          map[string]Amounts `msgpack:"wait"`  // by team
+	ReceivedVersions map[string]int64   `msgpack:"heard"` // by member: the newest of its figures that this one has
 }
 
-// Watch is what a member knows of the use of teams over all members, and what it may
+// UsageMonitor is what a member knows of the use of teams over all members, and what it may
 // stop for others' guarantees.
-type Watch struct {
-	me      string
-	born    int64 // figures of an earlier life are not newer
-	at      int64
-	names   []string // of the members that were heard, in order
-	heard   map[string]figures
-	stopped map[string]stops // by team
+type UsageMonitor struct {
+	memberID          string
+	startVersion      int64 // figures of an earlier life are not newer
+	version           int64
+	peerIDs           []string // of the members that were heard, in order
+	snapshots         map[string]receivedSnapshot
+	preemptionBudgets map[string]preemptionBudget // by team
 }
 
-type figures struct {
-	Figures
-	steady int64 // when they came
+type receivedSnapshot struct {
+	UsageSnapshot
+	receivedMS int64 // when they came
 }
 
-// NewWatch returns the watch of a member that starts at a time of day, which has heard
+// NewUsageMonitor returns the watch of a member that starts at a time of day, which has heard
 // nobody.
-func NewWatch(me string, wall int64) *Watch {
-	return &Watch{me: me, born: wall, at: wall, heard: map[string]figures{}, stopped: map[string]stops{}}
+func NewUsageMonitor(memberID string, wallMS int64) *UsageMonitor {
+	return &UsageMonitor{memberID: memberID, startVersion: wallMS, version: wallMS, snapshots: map[string]receivedSnapshot{}, preemptionBudgets: map[string]preemptionBudget{}}
 }
 
-// Tell returns the figures to send. wall is the time of day, which makes those of a
+// Snapshot returns the figures to send. wall is the time of day, which makes those of a
 // member that starts again newer than those before.
-func (w *Watch) Tell(wall int64, use, wait map[string]Amounts) Figures {
-	w.at = max(w.at+1, wall)
-	f := Figures{At: w.at, Use: use, Wait: wait, Heard: map[string]int64{}}
-	for m, o := range w.heard {
-		f.Heard[m] = o.At
+func (m *UsageMonitor) Snapshot(wallMS int64, used, pending map[string]Amounts) UsageSnapshot {
+	m.version = max(m.version+1, wallMS)
+	snapshot := UsageSnapshot{Version: m.version, Used: used, Pending: pending, ReceivedVersions: map[string]int64{}}
+	for peerID, received := range m.snapshots {
+		snapshot.ReceivedVersions[peerID] = received.Version
 	}
-	return f
+	return snapshot
 }
 
-// Hear takes another member's figures, unless newer ones overtook them.
-func (w *Watch) Hear(steady int64, from string, f Figures) {
-	old, known := w.heard[from]
-	if f.At <= old.At {
+// Receive takes another member's figures, unless newer ones overtook them.
+func (m *UsageMonitor) Receive(nowMS int64, from string, snapshot UsageSnapshot) {
+	old, known := m.snapshots[from]
+	if snapshot.Version <= old.Version {
 		return
 	}
 	if !known {
-		at, _ := slices.BinarySearch(w.names, from)
-		w.names = slices.Insert(w.names, at, from)
+		index, _ := slices.BinarySearch(m.peerIDs, from)
+		m.peerIDs = slices.Insert(m.peerIDs, index, from)
 	}
-	w.heard[from] = figures{f, steady}
+	m.snapshots[from] = receivedSnapshot{snapshot, nowMS}
 }
 
-// Others is what a team uses and waits for in the shards of the members that were heard
+// PeerUsage is what a team uses and waits for in the shards of the members that were heard
 // since, and how old the oldest of these figures is.
-func (w *Watch) Others(team string, now, since int64) (use, wait Amounts, age int64) {
-	for _, m := range w.names {
-		if f := w.heard[m]; f.steady >= since {
-			use, wait, age = use.Add(f.Use[team]), wait.Add(f.Wait[team]), max(age, now-f.steady)
+func (m *UsageMonitor) PeerUsage(team string, nowMS, sinceMS int64) (used, pending Amounts, ageMS int64) {
+	for _, peerID := range m.peerIDs {
+		if snapshot := m.snapshots[peerID]; snapshot.receivedMS >= sinceMS {
+			used, pending, ageMS = used.Add(snapshot.Used[team]), pending.Add(snapshot.Pending[team]), max(ageMS, nowMS-snapshot.receivedMS)
 		}
 	}
-	return use, wait, age
+	return used, pending, ageMS
 }
 
-// stops is what a member has stopped of a team since the others' figures were last
+// preemptionBudget is what a member has stopped of a team since the others' figures were last
 // complete: what else it may, by the figures of then.
-type stops struct {
-	at   int64 // the last of our figures before the last of them
-	left Amounts
-	own  Amounts // as little of it as may be left here
+type preemptionBudget struct {
+	version     int64 // the last of our figures before the last of them
+	remaining   Amounts
+	minOwnUsage Amounts // as little of it as may be left here
 }
 
-// last is what was stopped of a team last, and whether each member that was heard since a
+// lastPreemption is what was stopped of a team last, and whether each member that was heard since a
 // time has told what it uses after it heard of that. One that just started has others hear
 // of it first: what its earlier life stopped they may not know.
-func (w *Watch) last(team string, since int64) (s stops, heeded bool) {
-	s, stopped := w.stopped[team]
+func (m *UsageMonitor) lastPreemption(team string, sinceMS int64) (budget preemptionBudget, acknowledged bool) {
+	budget, stopped := m.preemptionBudgets[team]
 	if !stopped {
-		s.at = w.born
+		budget.version = m.startVersion
 	}
-	for _, f := range w.heard {
-		if f.steady >= since && f.Heard[w.me] <= s.at {
-			return s, false
+	for _, snapshot := range m.snapshots {
+		if snapshot.receivedMS >= sinceMS && snapshot.ReceivedVersions[m.memberID] <= budget.version {
+			return budget, false
 		}
 	}
-	return s, true
+	return budget, true
 }
 
-// Excess is what this member may stop of a team that uses so much here, beyond its
+// PreemptibleExcess is what this member may stop of a team that uses so much here, beyond its
 // guarantee. Members not heard since a time count as using nothing. In a dimension in
 // which nothing is guaranteed there is no bound.
-func (w *Watch) Excess(team string, own, guarantee Amounts, since int64) Amounts {
-	if s, heeded := w.last(team, since); !heeded {
+func (m *UsageMonitor) PreemptibleExcess(team string, ownUsage, guarantee Amounts, sinceMS int64) Amounts {
+	if budget, acknowledged := m.lastPreemption(team, sinceMS); !acknowledged {
 		// What some say, they said before they heard of our last stop: they may stop
 		// their parts by figures of before, and so may we, but no more.
-		return s.left.Min(own.Sub(s.own)).Max(Amounts{})
+		return budget.remaining.Min(ownUsage.Sub(budget.minOwnUsage)).Max(Amounts{})
 	}
-	use, _, _ := w.Others(team, 0, since)
-	all := own.Add(use)
-	part := func(own, all, guarantee float64) float64 {
+	peerUsage, _, _ := m.PeerUsage(team, 0, sinceMS)
+	total := ownUsage.Add(peerUsage)
+	preemptible := func(ownUsage, total, guarantee float64) float64 {
 		switch {
 		case guarantee <= 0:
 			return math.Inf(1)
-		case all <= guarantee || own <= 0:
+		case total <= guarantee || ownUsage <= 0:
 			return 0
 		}
-		return (all - guarantee) * own / all
+		return (total - guarantee) * ownUsage / total
 	}
-	return Amounts{part(own.CPUs, all.CPUs, guarantee.CPUs), part(own.GPUs, all.GPUs, guarantee.GPUs)}
+	return Amounts{preemptible(ownUsage.CPUs, total.CPUs, guarantee.CPUs), preemptible(ownUsage.GPUs, total.GPUs, guarantee.GPUs)}
 }
 
-// Stop takes what is to be stopped of a team off what may be, and says whether it may.
-func (w *Watch) Stop(team string, own, guarantee Amounts, since int64, n Amounts) bool {
-	e := w.Excess(team, own, guarantee, since)
-	if !e.Fits(n) {
+// TryPreempt takes what is to be stopped of a team off what may be, and says whether it may.
+func (m *UsageMonitor) TryPreempt(team string, ownUsage, guarantee Amounts, sinceMS int64, amount Amounts) bool {
+	excess := m.PreemptibleExcess(team, ownUsage, guarantee, sinceMS)
+	if !excess.Contains(amount) {
 		return false
 	}
-	s, heeded := w.last(team, since)
-	if heeded {
-		s = stops{left: e, own: own.Sub(e)}
+	budget, acknowledged := m.lastPreemption(team, sinceMS)
+	if acknowledged {
+		budget = preemptionBudget{remaining: excess, minOwnUsage: ownUsage.Sub(excess)}
 	}
-	s.at, s.left = w.at, s.left.Sub(n)
-	w.stopped[team] = s
+	budget.version, budget.remaining = m.version, budget.remaining.Sub(amount)
+	m.preemptionBudgets[team] = budget
 	return true
 }
 
-// Dominant is a team's dominant share: the larger of what it uses of all processors and
+// DominantShare is a team's dominant share: the larger of what it uses of all processors and
 // of all accelerators (Ghodsi et al., "Dominant Resource Fairness", NSDI 2011).
-func Dominant(use, all Amounts) float64 {
+func DominantShare(used, total Amounts) float64 {
 	share := 0.0
-	if all.CPUs > 0 {
-		share = use.CPUs / all.CPUs
+	if total.CPUs > 0 {
+		share = used.CPUs / total.CPUs
 	}
-	if all.GPUs > 0 {
-		share = max(share, use.GPUs/all.GPUs)
+	if total.GPUs > 0 {
+		share = max(share, used.GPUs/total.GPUs)
 	}
 	return share
 }
 
-// Level says how far a team is beyond its guarantee, in halves of an equal share of all
+// Tier says how far a team is beyond its guarantee, in halves of an equal share of all
 // that there is: what is free goes to lower levels first. Within a level deadlines count,
 // so that teams that are about even do not cost each other theirs.
-func Level(use, guarantee, all Amounts, teams int) int {
-	return int(Dominant(use.Sub(guarantee).Max(Amounts{}), all)*float64(2*teams) + small)
+func Tier(used, guarantee, total Amounts, teamCount int) int {
+	return int(DominantShare(used.Sub(guarantee).Max(Amounts{}), total)*float64(2*teamCount) + roundingTolerance)
 }
--- a/quota/patience_test.go
+++ b/quota/patience_test.go
@@ -6,65 +6,65 @@
 	"github.com/grebedock/grebedock/access"
 )
 
-// keepers are two shards of one limit of 64: a's next task needs 32, of which it has 25
+// twoShardLedger are two shards of one limit of 64: a's next task needs 32, of which it has 25
 // beside what it uses; b's tasks need 4 each, and it has room for one.
-type keepers struct {
-	book *Book
-	rev  uint64
-	now  int64
+type twoShardLedger struct {
+	ledger   *Ledger
+	revision uint64
+	nowMS    int64
 }
 
-func newKeepers(patience int64) *keepers {
-	k := &keepers{book: NewBook(Amounts{CPUs: 64}, "a"), rev: 1}
-	k.book.Patience = patience
-	k.book.Heard(&Record{Parts: map[string]Amounts{"a": {CPUs: 57}, "b": {CPUs: 7}}}, k.rev)
+func newTwoShardLedger(gracePeriodMS int64) *twoShardLedger {
+	k := &twoShardLedger{ledger: NewLedger(Amounts{CPUs: 64}, "a"), revision: 1}
+	k.ledger.GracePeriodMS = gracePeriodMS
+	k.ledger.Observe(&Record{Allocations: map[string]Amounts{"a": {CPUs: 57}, "b": {CPUs: 7}}}, k.revision)
 	return k
 }
 
-// step has both shards draft, and what they write carried out.
-func (k *keepers) step(a Demand, b func() Demand) {
-	k.now += 250
-	k.draft("a", a)
-	k.draft("b", b())
+// proposeBoth has both shards draft, and what they write carried out.
+func (k *twoShardLedger) proposeBoth(demandA Demand, demandB func() Demand) {
+	k.nowMS += 250
+	k.propose("a", demandA)
+	k.propose("b", demandB())
 }
 
-func (k *keepers) draft(shard string, d Demand) {
-	if w := k.book.Draft(k.now, shard, d); w != nil {
-		k.book.Ended(access.OK)
-		k.rev++
-		k.book.Heard(&w.Record, k.rev)
+func (k *twoShardLedger) propose(shard string, demand Demand) {
+	if write := k.ledger.Propose(k.nowMS, shard, demand); write != nil {
+		k.ledger.RecordOutcome(access.OK)
+		k.revision++
+		k.ledger.Observe(&write.Record, k.revision)
 	}
 }
 
-// smallTasks is what a shard has of tasks of 4 that start as soon as its part has room.
-func smallTasks(use, wait float64) Demand {
-	return Demand{Use: Amounts{CPUs: use}, Wait: Amounts{CPUs: wait}, Soon: Amounts{CPUs: wait}, Unit: Amounts{CPUs: 4}}
+// smallTaskDemand is what a shard has of tasks of 4 that start as soon as its part has room.
+func smallTaskDemand(used, pending float64) Demand {
+	return Demand{Used: Amounts{CPUs: used}, Pending: Amounts{CPUs: pending}, Startable: Amounts{CPUs: pending}, LargestPending: Amounts{CPUs: 4}}
 }
 
-// fourSmall is four tasks of b's, of which as many run as its part has room for.
-func (k *keepers) fourSmall() Demand {
-	use := min(16, float64(int(k.book.Part("b").CPUs/4)*4))
-	return smallTasks(use, 16-use)
+// fourSmallTasks is four tasks of b's, of which as many run as its part has room for.
+func (k *twoShardLedger) fourSmallTasks() Demand {
+	used := min(16, float64(int(k.ledger.Allocation("b").CPUs/4)*4))
+	return smallTaskDemand(used, 16-used)
 }
 
 // What a shard keeps and can't use goes to a shard that can, after a while and not before;
 // kept for ever, both waited (found by TestPairsOfTroubles: a job was left waiting for 91 s).
-func TestWhatCannotBeUsedIsKeptForAWhile(t *testing.T) {
-	large := Demand{Use: Amounts{CPUs: 32}, Wait: Amounts{CPUs: 32}, Soon: Amounts{CPUs: 32}, Unit: Amounts{CPUs: 32}}
-	const patience = 30_000
-	for _, p := range []int64{0, patience} {
-		k := newKeepers(p)
-		given := int64(0)
-		for k.now < 100_000 && given == 0 {
-			k.step(large, k.fourSmall)
-			if k.book.Part("b").CPUs >= 16 {
-				given = k.now
+func TestUnusableAllocationIsGrantedAfterGracePeriod(t *testing.T) {
+	large := Demand{Used: Amounts{CPUs: 32}, Pending: Amounts{CPUs: 32}, Startable: Amounts{CPUs: 32}, LargestPending: Amounts{CPUs: 32}}
+	const gracePeriodMS = 30_000
+	for _, configuredMS := range []int64{0, gracePeriodMS} {
+		k := newTwoShardLedger(configuredMS)
+		grantedMS := int64(0)
+		for k.nowMS < 100_000 && grantedMS == 0 {
+			k.proposeBoth(large, k.fourSmallTasks)
+			if k.ledger.Allocation("b").CPUs >= 16 {
+				grantedMS = k.nowMS
 			}
 		}
-		if p == 0 && given != 0 || p > 0 && (given <= patience || given > patience+2000) {
-			t.Errorf("patience %d: given after %d ms", p, given)
+		if configuredMS == 0 && grantedMS != 0 || configuredMS > 0 && (grantedMS <= gracePeriodMS || grantedMS > gracePeriodMS+2000) {
+			t.Errorf("patience %d: given after %d ms", configuredMS, grantedMS)
 		}
-		if sum := k.book.Part("a").Add(k.book.Part("b")); !(Amounts{CPUs: 64}).Fits(sum) {
+		if sum := k.ledger.Allocation("a").Add(k.ledger.Allocation("b")); !(Amounts{CPUs: 64}).Contains(sum) {
 			t.Errorf("the parts add up to %v", sum)
 		}
 	}
@@ -72,40 +72,40 @@
 
 // The large task gets what it lacks when tasks end within the time for which it is kept,
 // however many small ones wait.
-func TestALargeTaskCollectsItsPart(t *testing.T) {
-	k := newKeepers(30_000)
-	large := Demand{Wait: Amounts{CPUs: 60}, Soon: Amounts{CPUs: 60}, Unit: Amounts{CPUs: 60}}
-	for k.now < 200_000 && !k.book.Part("a").Fits(large.Unit) {
-		k.step(large, func() Demand {
+func TestLargeTaskAccumulatesAllocation(t *testing.T) {
+	k := newTwoShardLedger(30_000)
+	large := Demand{Pending: Amounts{CPUs: 60}, Startable: Amounts{CPUs: 60}, LargestPending: Amounts{CPUs: 60}}
+	for k.nowMS < 200_000 && !k.ledger.Allocation("a").Contains(large.LargestPending) {
+		k.proposeBoth(large, func() Demand {
 			// All of its part is used for small tasks; one of them ends each second.
-			use := float64(int(k.book.Part("b").CPUs/4) * 4)
-			if k.now%1000 == 0 {
-				use = max(0, use-4)
+			used := float64(int(k.ledger.Allocation("b").CPUs/4) * 4)
+			if k.nowMS%1000 == 0 {
+				used = max(0, used-4)
 			}
-			return smallTasks(use, 400)
+			return smallTaskDemand(used, 400)
 		})
 	}
-	if !k.book.Part("a").Fits(large.Unit) {
-		t.Errorf("after %d ms the large task has %v of 60", k.now, k.book.Part("a"))
+	if !k.ledger.Allocation("a").Contains(large.LargestPending) {
+		t.Errorf("after %d ms the large task has %v of 60", k.nowMS, k.ledger.Allocation("a"))
 	}
 }
 
 // What is kept counts from when others want it: a spell in which nobody did ends the wait.
-func TestPatienceBeginsAnewWhenNobodyWants(t *testing.T) {
-	const patience = 30_000
-	k := newKeepers(patience)
-	large := Demand{Use: Amounts{CPUs: 32}, Wait: Amounts{CPUs: 32}, Soon: Amounts{CPUs: 32}, Unit: Amounts{CPUs: 32}}
-	for k.now < 20_000 {
-		k.step(large, k.fourSmall)
+func TestGracePeriodRestartsWithoutRequests(t *testing.T) {
+	const gracePeriodMS = 30_000
+	k := newTwoShardLedger(gracePeriodMS)
+	large := Demand{Used: Amounts{CPUs: 32}, Pending: Amounts{CPUs: 32}, Startable: Amounts{CPUs: 32}, LargestPending: Amounts{CPUs: 32}}
+	for k.nowMS < 20_000 {
+		k.proposeBoth(large, k.fourSmallTasks)
 	}
-	for k.now < 60_000 {
-		k.step(large, func() Demand { return smallTasks(4, 0) })
+	for k.nowMS < 60_000 {
+		k.proposeBoth(large, func() Demand { return smallTaskDemand(4, 0) })
 	}
-	again := k.now
-	for k.now < again+patience {
-		k.step(large, k.fourSmall)
-		if part := k.book.Part("a"); part.CPUs < 57 {
-			t.Fatalf("%d ms after it was wanted again, %v is left", k.now-again, part)
+	restartedMS := k.nowMS
+	for k.nowMS < restartedMS+gracePeriodMS {
+		k.proposeBoth(large, k.fourSmallTasks)
+		if allocation := k.ledger.Allocation("a"); allocation.CPUs < 57 {
+			t.Fatalf("%d ms after it was wanted again, %v is left", k.nowMS-restartedMS, allocation)
 		}
 	}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -62,8 +62,8 @@
 // Sub takes b off a.
 func (a Amounts) Sub(b Amounts) Amounts { return Amounts{a.CPUs - b.CPUs, a.GPUs - b.GPUs} }
 
-// Times is n of a.
-func (a Amounts) Times(n float64) Amounts { return Amounts{a.CPUs * n, a.GPUs * n} }
+// Scale is n of a.
+func (a Amounts) Scale(factor float64) Amounts { return Amounts{a.CPUs * factor, a.GPUs * factor} }
 
 // Min is the smaller of both, each dimension by itself.
 func (a Amounts) Min(b Amounts) Amounts { return Amounts{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs)} }
@@ -71,37 +71,41 @@
 // Max is the larger of both, each dimension by itself.
 func (a Amounts) Max(b Amounts) Amounts { return Amounts{max(a.CPUs, b.CPUs), max(a.GPUs, b.GPUs)} }
 
-// some tells whether there is anything worth a write.
-func (a Amounts) some() bool { return a.CPUs > small || a.GPUs > small }
+// isSignificant tells whether there is anything worth a write.
+func (a Amounts) isSignificant() bool {
+	return a.CPUs > roundingTolerance || a.GPUs > roundingTolerance
+}
 
-// small is what sums of fractions are off by.
-const small = 1e-6
+// roundingTolerance is what sums of fractions are off by.
+const roundingTolerance = 1e-6
 
-// Fits tells whether b has room in a.
-func (a Amounts) Fits(b Amounts) bool { return b.CPUs <= a.CPUs+small && b.GPUs <= a.GPUs+small }
+// Contains tells whether b has room in a.
+func (a Amounts) Contains(b Amounts) bool {
+	return b.CPUs <= a.CPUs+roundingTolerance && b.GPUs <= a.GPUs+roundingTolerance
+}
 
-// Want is what a shard lacks of a limit.
-type Want struct {
+// Request is what a shard lacks of a limit.
+type Request struct {
 	Amounts
-	Soon  Amounts `json:"soon,omitzero"` // of it, what has room on machines
-	Unit  Amounts `json:"unit,omitzero"` // the smallest addition that is of use
-	Since int64   `json:"at,omitempty"`  // time of day
+	Startable    Amounts `json:"soon,omitzero"` // of it, what has room on machines
+	MinIncrement Amounts `json:"unit,omitzero"` // the smallest addition that is of use
+	SinceMS      int64   `json:"at,omitempty"`  // time of day
 }
 
 // Record is a team's, in the state service.
 type Record struct {
-	Parts map[string]Amounts `json:"parts"`
-	Wants map[string]Want    `json:"wants,omitempty"`
+	Allocations map[string]Amounts `json:"parts"`
+	Requests    map[string]Request `json:"wants,omitempty"`
 }
 
 // Demand is what a shard has of a team's work.
 type Demand struct {
-	Use   Amounts // what runs, or may run without our knowing it
-	Wait  Amounts // what does not
-	Soon  Amounts // of it, what has room on machines
-	Unit  Amounts // the largest task of it
-	Large Amounts // the largest task of all, waiting or not
-	Blind bool    // what is not seen may show room by itself: nothing is asked for
+	Used           Amounts // what runs, or may run without our knowing it
+	Pending        Amounts // what does not
+	Startable      Amounts // of it, what has room on machines
+	LargestPending Amounts // the largest task of it
+	LargestTask    Amounts // the largest task of all, waiting or not
+	UsageUncertain bool    // what is not seen may show room by itself: nothing is asked for
 }
 
 // Write is a change of a team's record that a shard's holder sends, guarded by its
@@ -109,267 +113,267 @@
 type Write struct {
 	Shard  string
 	Record Record
-	indoubt.Write
+	indoubt.ConditionalWrite
 }
 
-// Book is a team's record as one member knows it, and the write that it has under way.
-type Book struct {
-	limit Amounts
-	home  string
-	all   []string // the other shards
-	rec   *Record  // nil: none
-	rev   uint64
-	out   *Write
-	parts map[string]Amounts // of the record; nil: not worked out yet
-	// Patience is how long a shard keeps what its next task does not fit in while others
+// Ledger is a team's record as one member knows it, and the write that it has under way.
+type Ledger struct {
+	limit        Amounts
+	homeShard    string
+	otherShards  []string // the other shards
+	record       *Record  // nil: none
+	revision     uint64
+	pendingWrite *Write
+	allocations  map[string]Amounts // of the record; nil: not worked out yet
+	// GracePeriodMS is how long a shard keeps what its next task does not fit in while others
 	// want it; 0: for ever.
-	Patience int64
-	idle     map[string]int64 // shard: since when it keeps such an amount
+	GracePeriodMS int64
+	unusableSince map[string]int64 // shard: since when it keeps such an amount
 }
 
-// NewBook opens the book of a team whose record is not known yet, or does not exist.
+// NewLedger opens the book of a team whose record is not known yet, or does not exist.
 // A limit of 0 in a dimension means none. With other shards named, the home lends them
 // standing parts while it has no use for them (see lend).
-func NewBook(limit Amounts, home string, others ...string) *Book {
-	return &Book{limit: limit, home: home, all: others}
+func NewLedger(limit Amounts, homeShard string, otherShards ...string) *Ledger {
+	return &Ledger{limit: limit, homeShard: homeShard, otherShards: otherShards}
 }
 
-// Heard takes the store's word; nil says that there is no record.
-func (b *Book) Heard(rec *Record, rev uint64) {
-	b.parts = nil
+// Observe takes the store's word; nil says that there is no record.
+func (l *Ledger) Observe(record *Record, revision uint64) {
+	l.allocations = nil
 	switch {
-	case rec == nil:
-		b.rec, b.rev = nil, 0
-	case rev >= b.rev:
-		b.rec, b.rev = rec, rev
+	case record == nil:
+		l.record, l.revision = nil, 0
+	case revision >= l.revision:
+		l.record, l.revision = record, revision
 	}
 }
 
 // Record is the record as the store was last heard, nil if there is none.
-func (b *Book) Record() *Record { return b.rec }
+func (l *Ledger) Record() *Record { return l.record }
 
-// Parts are all shards' parts: what the record, if there is one, means under the limit
+// Allocations are all shards' parts: what the record, if there is one, means under the limit
 // in force.
-func (b *Book) Parts() map[string]Amounts { return maps.Clone(b.divided()) }
+func (l *Ledger) Allocations() map[string]Amounts { return maps.Clone(l.cachedAllocations()) }
 
-// divided works the parts out once for each record: every start asks for one.
-func (b *Book) divided() map[string]Amounts {
-	if b.parts == nil {
-		b.parts = b.divide()
+// cachedAllocations works the parts out once for each record: every start asks for one.
+func (l *Ledger) cachedAllocations() map[string]Amounts {
+	if l.allocations == nil {
+		l.allocations = l.computeAllocations()
 	}
-	return b.parts
+	return l.allocations
 }
 
-func (b *Book) divide() map[string]Amounts {
-	if b.rec == nil || len(b.rec.Parts) == 0 {
-		return map[string]Amounts{b.home: b.limit}
+func (l *Ledger) computeAllocations() map[string]Amounts {
+	if l.record == nil || len(l.record.Allocations) == 0 {
+		return map[string]Amounts{l.homeShard: l.limit}
 	}
 	var sum Amounts
-	for _, s := range slices.Sorted(maps.Keys(b.rec.Parts)) { // the same sum every time
-		sum = sum.Add(b.rec.Parts[s])
+	for _, shard := range slices.Sorted(maps.Keys(l.record.Allocations)) { // the same sum every time
+		sum = sum.Add(l.record.Allocations[shard])
 	}
-	out := maps.Clone(b.rec.Parts)
-	scale := func(sum, limit float64) (times, rest float64) {
+	allocations := maps.Clone(l.record.Allocations)
+	fitToLimit := func(sum, limit float64) (factor, remainder float64) {
 		if sum > limit && sum > 0 {
 			return limit / sum, 0
 		}
 		return 1, limit - sum
 	}
-	ct, cr := scale(sum.CPUs, b.limit.CPUs)
-	gt, gr := scale(sum.GPUs, b.limit.GPUs)
-	if ct == 1 && gt == 1 && cr < small && gr < small {
-		return out
+	cpuFactor, cpuRemainder := fitToLimit(sum.CPUs, l.limit.CPUs)
+	gpuFactor, gpuRemainder := fitToLimit(sum.GPUs, l.limit.GPUs)
+	if cpuFactor == 1 && gpuFactor == 1 && cpuRemainder < roundingTolerance && gpuRemainder < roundingTolerance {
+		return allocations
 	}
-	for s, p := range out {
-		out[s] = Amounts{p.CPUs * ct, p.GPUs * gt}
+	for shard, allocation := range allocations {
+		allocations[shard] = Amounts{allocation.CPUs * cpuFactor, allocation.GPUs * gpuFactor}
 	}
-	out[b.home] = out[b.home].Add(Amounts{cr, gr})
-	return out
+	allocations[l.homeShard] = allocations[l.homeShard].Add(Amounts{cpuRemainder, gpuRemainder})
+	return allocations
 }
 
-// Part is what a shard may use.
-func (b *Book) Part(shard string) Amounts {
-	p := b.divided()[shard]
-	if b.out != nil && b.out.Shard == shard && b.rev <= b.out.Rev {
-		p = p.Min(b.out.Record.Parts[shard])
+// Allocation is what a shard may use.
+func (l *Ledger) Allocation(shard string) Amounts {
+	allocation := l.cachedAllocations()[shard]
+	if l.pendingWrite != nil && l.pendingWrite.Shard == shard && l.revision <= l.pendingWrite.Revision {
+		allocation = allocation.Min(l.pendingWrite.Record.Allocations[shard])
 	}
-	return p
+	return allocation
 }
 
-// riseWorth and fallWorth are by how much a want must change to be written anew: wants
+// requestRiseFactor and requestFallFactor are by how much a want must change to be written anew: wants
 // follow queues, which change with every task.
 const (
-	riseWorth = 1.25
-	fallWorth = 0.5
+	requestRiseFactor = 1.25
+	requestFallFactor = 0.5
 )
 
-// Draft returns the write that a shard's demand asks for, and takes it for sent; nil
+// Propose returns the write that a shard's demand asks for, and takes it for sent; nil
 // if there is none. It gives what others want of what this shard does not need, and
 // tells what it lacks.
-func (b *Book) Draft(now int64, shard string, d Demand) *Write {
-	if b.out != nil {
+func (l *Ledger) Propose(nowMS int64, shard string, demand Demand) *Write {
+	if l.pendingWrite != nil {
 		return nil
 	}
-	var wants map[string]Want
-	if b.rec != nil {
-		wants = b.rec.Wants
+	var requests map[string]Request
+	if l.record != nil {
+		requests = l.record.Requests
 	}
-	mine, asked := wants[shard]
-	part := b.divided()[shard]
-	spare := part.Sub(d.Use).Max(Amounts{})
-	gifts := b.divideSpare(now, shard, d, spare)
-	if len(wants) == 0 && shard == b.home {
-		b.lend(gifts, spare, d)
+	ownRequest, hasRequest := requests[shard]
+	allocation := l.cachedAllocations()[shard]
+	spare := allocation.Sub(demand.Used).Max(Amounts{})
+	grants := l.grantSpare(nowMS, shard, demand, spare)
+	if len(requests) == 0 && shard == l.homeShard {
+		l.lendIdle(grants, spare, demand)
 	}
-	given := Amounts{}
-	for _, s := range slices.Sorted(maps.Keys(gifts)) {
-		given = given.Add(gifts[s])
+	granted := Amounts{}
+	for _, recipient := range slices.Sorted(maps.Keys(grants)) {
+		granted = granted.Add(grants[recipient])
 	}
-	lack := d.Use.Add(d.Wait).Sub(part.Sub(given)).Max(Amounts{}).Min(b.limit.Sub(part.Sub(given)).Max(Amounts{}))
-	told := false
+	shortfall := demand.Used.Add(demand.Pending).Sub(allocation.Sub(granted)).Max(Amounts{}).Min(l.limit.Sub(allocation.Sub(granted)).Max(Amounts{}))
+	requestChanged := false
 	switch {
-	case !lack.some():
-		told = asked
-	case d.Blind:
-		lack = mine.Amounts
+	case !shortfall.isSignificant():
+		requestChanged = hasRequest
+	case demand.UsageUncertain:
+		shortfall = ownRequest.Amounts
 	default:
-		told = !asked || lack.CPUs > mine.CPUs*riseWorth+small || lack.GPUs > mine.GPUs*riseWorth+small ||
-			lack.CPUs < mine.CPUs*fallWorth-small || lack.GPUs < mine.GPUs*fallWorth-small
+		requestChanged = !hasRequest || shortfall.CPUs > ownRequest.CPUs*requestRiseFactor+roundingTolerance || shortfall.GPUs > ownRequest.GPUs*requestRiseFactor+roundingTolerance ||
+			shortfall.CPUs < ownRequest.CPUs*requestFallFactor-roundingTolerance || shortfall.GPUs < ownRequest.GPUs*requestFallFactor-roundingTolerance
 	}
-	if len(gifts) == 0 && !told {
+	if len(grants) == 0 && !requestChanged {
 		return nil
 	}
-	rec := Record{Parts: b.Parts(), Wants: maps.Clone(wants)}
-	if rec.Wants == nil {
-		rec.Wants = map[string]Want{}
+	record := Record{Allocations: l.Allocations(), Requests: maps.Clone(requests)}
+	if record.Requests == nil {
+		record.Requests = map[string]Request{}
 	}
-	for _, s := range slices.Sorted(maps.Keys(gifts)) { // the same difference every time
-		g := gifts[s]
-		rec.Parts[shard] = rec.Parts[shard].Sub(g)
-		rec.Parts[s] = rec.Parts[s].Add(g)
-		w := wants[s]
-		w.Amounts, w.Soon, w.Unit = w.Sub(g).Max(Amounts{}), w.Soon.Sub(g).Max(Amounts{}), w.Unit.Sub(g).Max(Amounts{})
-		if !w.some() {
-			delete(rec.Wants, s)
+	for _, recipient := range slices.Sorted(maps.Keys(grants)) { // the same difference every time
+		grant := grants[recipient]
+		record.Allocations[shard] = record.Allocations[shard].Sub(grant)
+		record.Allocations[recipient] = record.Allocations[recipient].Add(grant)
+		request := requests[recipient]
+		request.Amounts, request.Startable, request.MinIncrement = request.Sub(grant).Max(Amounts{}), request.Startable.Sub(grant).Max(Amounts{}), request.MinIncrement.Sub(grant).Max(Amounts{})
+		if !request.isSignificant() {
+			delete(record.Requests, recipient)
 		} else {
-			rec.Wants[s] = w
+			record.Requests[recipient] = request
 		}
 	}
-	if told {
-		if lack.some() {
-			since := now
-			if asked {
-				since = mine.Since
+	if requestChanged {
+		if shortfall.isSignificant() {
+			sinceMS := nowMS
+			if hasRequest {
+				sinceMS = ownRequest.SinceMS
 			}
-			free := part.Sub(given).Sub(d.Use).Max(Amounts{})
-			rec.Wants[shard] = Want{lack, lack.Min(d.Soon.Sub(free).Max(Amounts{})), d.Unit.Sub(free).Max(Amounts{}).Min(lack), since}
+			free := allocation.Sub(granted).Sub(demand.Used).Max(Amounts{})
+			record.Requests[shard] = Request{shortfall, shortfall.Min(demand.Startable.Sub(free).Max(Amounts{})), demand.LargestPending.Sub(free).Max(Amounts{}).Min(shortfall), sinceMS}
 		} else {
-			delete(rec.Wants, shard)
+			delete(record.Requests, shard)
 		}
 	}
-	b.out = &Write{Shard: shard, Record: rec, Write: indoubt.Write{Rev: b.rev}}
-	return b.out
+	l.pendingWrite = &Write{Shard: shard, Record: record, ConditionalWrite: indoubt.ConditionalWrite{Revision: l.revision}}
+	return l.pendingWrite
 }
 
-// divideSpare gives what others want of what a shard does not use, in the order of Divide.
-func (b *Book) divideSpare(now int64, shard string, d Demand, spare Amounts) map[string]Amounts {
-	var wants map[string]Want
-	if b.rec != nil {
-		wants = b.rec.Wants
+// grantSpare gives what others want of what a shard does not use, in the order of Divide.
+func (l *Ledger) grantSpare(nowMS int64, shard string, demand Demand, spare Amounts) map[string]Amounts {
+	var requests map[string]Request
+	if l.record != nil {
+		requests = l.record.Requests
 	}
-	own := Claim{Shard: shard, Soon: d.Soon.Min(d.Wait), All: d.Wait, Unit: d.Unit, Since: now}
-	if mine, asked := wants[shard]; asked {
-		own.Since = mine.Since
+	ownClaim := Claim{Shard: shard, Startable: demand.Startable.Min(demand.Pending), Total: demand.Pending, MinIncrement: demand.LargestPending, SinceMS: nowMS}
+	if ownRequest, hasRequest := requests[shard]; hasRequest {
+		ownClaim.SinceMS = ownRequest.SinceMS
 	}
-	var others []Claim
-	for s, w := range wants {
-		if s != shard {
-			others = append(others, Claim{s, w.Soon.Min(w.Amounts), w.Amounts, w.Unit, w.Since})
+	var otherClaims []Claim
+	for other, request := range requests {
+		if other != shard {
+			otherClaims = append(otherClaims, Claim{other, request.Startable.Min(request.Amounts), request.Amounts, request.MinIncrement, request.SinceMS})
 		}
 	}
-	if !spare.some() || len(others) == 0 {
-		delete(b.idle, shard) // nobody waits for what it keeps
+	if !spare.isSignificant() || len(otherClaims) == 0 {
+		delete(l.unusableSince, shard) // nobody waits for what it keeps
 		return map[string]Amounts{}
 	}
-	gifts := Divide(spare, append([]Claim{own}, others...))
-	if b.keptTooLong(now, shard, gifts[shard], d.Unit) {
-		gifts = Divide(spare, others)
+	grants := Divide(spare, append([]Claim{ownClaim}, otherClaims...))
+	if l.trackUnusableAllocation(nowMS, shard, grants[shard], demand.LargestPending) {
+		grants = Divide(spare, otherClaims)
 	}
-	delete(gifts, shard)
-	maps.DeleteFunc(gifts, func(_ string, g Amounts) bool { return !g.some() })
-	return gifts
+	delete(grants, shard)
+	maps.DeleteFunc(grants, func(_ string, grant Amounts) bool { return !grant.isSignificant() })
+	return grants
 }
 
-// keptTooLong tells whether a shard has kept less than its next task needs for too long.
+// trackUnusableAllocation tells whether a shard has kept less than its next task needs for too long.
 // What it then gives away it collects anew.
-func (b *Book) keptTooLong(now int64, shard string, kept, unit Amounts) bool {
-	if b.Patience == 0 || !kept.some() || kept.Fits(unit) {
-		delete(b.idle, shard)
+func (l *Ledger) trackUnusableAllocation(nowMS int64, shard string, retained, needed Amounts) bool {
+	if l.GracePeriodMS == 0 || !retained.isSignificant() || retained.Contains(needed) {
+		delete(l.unusableSince, shard)
 		return false
 	}
-	since, known := b.idle[shard]
-	if !known {
-		if b.idle == nil {
-			b.idle = map[string]int64{}
+	sinceMS, tracked := l.unusableSince[shard]
+	if !tracked {
+		if l.unusableSince == nil {
+			l.unusableSince = map[string]int64{}
 		}
-		b.idle[shard] = now
+		l.unusableSince[shard] = nowMS
 		return false
 	}
-	if now-since <= b.Patience {
+	if nowMS-sinceMS <= l.GracePeriodMS {
 		return false
 	}
-	delete(b.idle, shard)
+	delete(l.unusableSince, shard)
 	return true
 }
 
-// standIn is which part of a limit stands with other shards while its home has no use for
+// idleLoanDivisor is which part of a limit stands with other shards while its home has no use for
 // it: half, in equal shares. With it they go on while the home's holder is away, which
 // they could not ask then.
-const standIn = 2
+const idleLoanDivisor = 2
 
-// lend adds the home's standing loans to what it gives: when half of the limit is idle,
+// lendIdle adds the home's standing loans to what it gives: when half of the limit is idle,
 // to each shard whose part has come down to half of a standing one. A part that is smaller
 // than a task would be of no use to anyone.
-func (b *Book) lend(gifts map[string]Amounts, spare Amounts, d Demand) {
-	if len(b.all) == 0 || !d.Large.some() {
+func (l *Ledger) lendIdle(grants map[string]Amounts, spare Amounts, demand Demand) {
+	if len(l.otherShards) == 0 || !demand.LargestTask.isSignificant() {
 		return
 	}
-	part := b.limit.Times(1 / float64(standIn*(len(b.all)+1)))
-	idle := spare.Sub(d.Wait).Max(Amounts{})
-	parts := b.Parts()
-	of := func(part, limit, idle, large float64, have func(string) float64, give func(string, float64)) {
-		if limit <= 0 || large > part || idle < limit/standIn {
+	loan := l.limit.Scale(1 / float64(idleLoanDivisor*(len(l.otherShards)+1)))
+	idle := spare.Sub(demand.Pending).Max(Amounts{})
+	allocations := l.Allocations()
+	lendDimension := func(loan, limit, idle, largestTask float64, allocated func(string) float64, grantTo func(string, float64)) {
+		if limit <= 0 || largestTask > loan || idle < limit/idleLoanDivisor {
 			return
 		}
-		for _, s := range b.all {
-			if h := have(s); h < part/2 {
-				give(s, part-h)
+		for _, shard := range l.otherShards {
+			if current := allocated(shard); current < loan/2 {
+				grantTo(shard, loan-current)
 			}
 		}
 	}
-	of(part.CPUs, b.limit.CPUs, idle.CPUs, d.Large.CPUs, func(s string) float64 { return parts[s].CPUs }, func(s string, n float64) {
-		gifts[s] = gifts[s].Add(Amounts{CPUs: n})
+	lendDimension(loan.CPUs, l.limit.CPUs, idle.CPUs, demand.LargestTask.CPUs, func(shard string) float64 { return allocations[shard].CPUs }, func(shard string, amount float64) {
+		grants[shard] = grants[shard].Add(Amounts{CPUs: amount})
 	})
-	of(part.GPUs, b.limit.GPUs, idle.GPUs, d.Large.GPUs, func(s string) float64 { return parts[s].GPUs }, func(s string, n float64) {
-		gifts[s] = gifts[s].Add(Amounts{GPUs: n})
+	lendDimension(loan.GPUs, l.limit.GPUs, idle.GPUs, demand.LargestTask.GPUs, func(shard string) float64 { return allocations[shard].GPUs }, func(shard string, amount float64) {
+		grants[shard] = grants[shard].Add(Amounts{GPUs: amount})
 	})
 }
 
-// Ended tells how a try of the write that is under way ended.
-func (b *Book) Ended(o access.Outcome) indoubt.Next {
-	next := b.out.Ended(o)
+// RecordOutcome tells how a try of the write that is under way ended.
+func (l *Ledger) RecordOutcome(outcome access.Outcome) indoubt.NextStep {
+	next := l.pendingWrite.CompleteAttempt(outcome)
 	if next == indoubt.Settled {
-		b.out = nil
+		l.pendingWrite = nil
 	}
 	return next
 }
 
-// Back takes what reading the record brought, nil with revision 0 if there is none.
-func (b *Book) Back(o access.Outcome, rec *Record, rev uint64) indoubt.Next {
-	next := b.out.Read(o, rev)
+// Resolve takes what reading the record brought, nil with revision 0 if there is none.
+func (l *Ledger) Resolve(outcome access.Outcome, record *Record, revision uint64) indoubt.NextStep {
+	next := l.pendingWrite.CompleteRead(outcome, revision)
 	if next == indoubt.Settled {
-		b.out = nil
-		b.Heard(rec, rev)
+		l.pendingWrite = nil
+		l.Observe(record, revision)
 	}
 	return next
 }
@@ -377,15 +381,15 @@
 // Abandon leaves a write behind whose shard is no longer this member's. Whatever became
 // of it, the record says so when it is heard; until then a further write is refused for
 // its revision.
-func (b *Book) Abandon() { b.out = nil }
+func (l *Ledger) Abandon() { l.pendingWrite = nil }
 
 // Claim is a shard's claim on what is to be divided.
 type Claim struct {
-	Shard string
-	Soon  Amounts // what can start at once
-	All   Amounts // what waits, with that
-	Unit  Amounts // the smallest use
-	Since int64
+	Shard        string
+	Startable    Amounts // what can start at once
+	Total        Amounts // what waits, with that
+	MinIncrement Amounts // the smallest use
+	SinceMS      int64
 }
 
 // Divide divides an amount among claims. What can start at once goes before what would
@@ -394,44 +398,44 @@
 func Divide(pool Amounts, claims []Claim) map[string]Amounts {
 	claims = slices.Clone(claims)
 	slices.SortFunc(claims, func(a, b Claim) int {
-		if a.Since != b.Since {
-			return int(min(1, max(-1, a.Since-b.Since)))
+		if a.SinceMS != b.SinceMS {
+			return int(min(1, max(-1, a.SinceMS-b.SinceMS)))
 		}
 		if a.Shard < b.Shard {
 			return -1
 		}
 		return 1
 	})
-	out := map[string]Amounts{}
+	grants := map[string]Amounts{}
 	for _, c := range claims {
-		out[c.Shard] = Amounts{}
+		grants[c.Shard] = Amounts{}
 	}
-	round := func(of func(Claim) Amounts) {
+	distribute := func(requested func(Claim) Amounts) {
 		for _, c := range claims {
-			g := of(c).Sub(out[c.Shard]).Min(c.Unit.Sub(out[c.Shard])).Max(Amounts{}).Min(pool)
-			out[c.Shard] = out[c.Shard].Add(g)
-			pool = pool.Sub(g)
+			grant := requested(c).Sub(grants[c.Shard]).Min(c.MinIncrement.Sub(grants[c.Shard])).Max(Amounts{}).Min(pool)
+			grants[c.Shard] = grants[c.Shard].Add(grant)
+			pool = pool.Sub(grant)
 		}
-		var sum Amounts
-		rest := map[string]Amounts{}
+		var totalUnmet Amounts
+		unmet := map[string]Amounts{}
 		for _, c := range claims {
-			rest[c.Shard] = of(c).Sub(out[c.Shard]).Max(Amounts{})
-			sum = sum.Add(rest[c.Shard])
+			unmet[c.Shard] = requested(c).Sub(grants[c.Shard]).Max(Amounts{})
+			totalUnmet = totalUnmet.Add(unmet[c.Shard])
 		}
-		part := func(pool, sum float64) float64 {
-			if sum <= pool {
+		ratio := func(pool, totalUnmet float64) float64 {
+			if totalUnmet <= pool {
 				return 1
 			}
-			return pool / sum
+			return pool / totalUnmet
 		}
-		pc, pg := part(pool.CPUs, sum.CPUs), part(pool.GPUs, sum.GPUs)
+		cpuRatio, gpuRatio := ratio(pool.CPUs, totalUnmet.CPUs), ratio(pool.GPUs, totalUnmet.GPUs)
 		for _, c := range claims {
-			g := Amounts{rest[c.Shard].CPUs * pc, rest[c.Shard].GPUs * pg}
-			out[c.Shard] = out[c.Shard].Add(g)
-			pool = pool.Sub(g).Max(Amounts{})
+			grant := Amounts{unmet[c.Shard].CPUs * cpuRatio, unmet[c.Shard].GPUs * gpuRatio}
+			grants[c.Shard] = grants[c.Shard].Add(grant)
+			pool = pool.Sub(grant).Max(Amounts{})
 		}
 	}
-	round(func(c Claim) Amounts { return c.Soon })
-	round(func(c Claim) Amounts { return c.All })
-	return out
+	distribute(func(c Claim) Amounts { return c.Startable })
+	distribute(func(c Claim) Amounts { return c.Total })
+	return grants
 }
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -48,308 +48,310 @@
 
 // Settings are the platform's, in milliseconds.
 type Settings struct {
-	Report int64   // longest time between two reports of a machine that is well
-	Lease  int64   // of workers
-	Drift  float64 // bound on how far two steady clocks part
-	Slack  int64   // added to a lease, for what measuring it costs
+	MaxHeartbeatIntervalMS int64   // longest time between two reports of a machine that is well
+	LeaseMS                int64   // of workers
+	MaxClockDrift          float64 // bound on how far two steady clocks part
+	LeaseSlackMS           int64   // added to a lease, for what measuring it costs
 }
 
-// Standing is what a claim knows of a machine.
-type Standing int
+// MachineState is what a claim knows of a machine.
+type MachineState int
 
 // The standings.
 const (
-	Known   Standing = iota // nothing was heard of it
-	Heard                   // it reported, and has our token with the answer
-	Squared                 // what it reported under our token is what we count
-	Silent                  // for longer than its lease
+	NoHeartbeat  MachineState = iota // nothing was heard of it
+	Notified                         // it reported, and has our token with the answer
+	Reconciled                       // what it reported under our token is what we count
+	LeaseExpired                     // for longer than its lease
 )
 
-func (s Standing) String() string { return [...]string{"known", "heard", "squared", "silent"}[s] }
+func (s MachineState) String() string { return [...]string{"known", "heard", "squared", "silent"}[s] }
 
-// Take is what becomes of a report.
-type Take int
+// Disposition is what becomes of a report.
+type Disposition int
 
 // What becomes of a report.
 const (
-	Old Take = iota
-	Renew
-	Tell
-	Use
-	Restart
+	Stale Disposition = iota
+	RenewOnly
+	NotifyToken
+	Accept
+	AcceptNewIncarnation
 )
 
 // Machine is a machine as a claim sees it.
 type Machine struct {
-	ID           string
-	Up           bool // listed as up: tasks may be on it
-	Last         int64
-	Session, Seq uint64
-
-	standing Standing
-	reported struct{ session, seq uint64 } // the newest report, not answer, that came in
-	told     uint64                        // the newest session in which it was given our token
-	emptied  bool                          // nothing of earlier claims is there, though it has not our token
-	asked    int64                         // when it was last asked for its tasks, or heard first
+	ID               string
+	Up               bool // listed as up: tasks may be on it
+	LastHeartbeatAt  int64
+	Incarnation, Seq uint64
+
+	state               MachineState
+	newestHeartbeat     struct{ incarnation, seq uint64 } // the newest report, not answer, that came in
+	notifiedIncarnation uint64                            // the newest session in which it was given our token
+	earlierTasksExpired bool                              // nothing of earlier claims is there, though it has not our token
+	lastQueryAt         int64                             // when it was last asked for its tasks, or heard first
 }
 
-// Standing tells what is known of the machine.
-func (m *Machine) Standing() Standing { return m.standing }
+// State tells what is known of the machine.
+func (m *Machine) State() MachineState { return m.state }
 
-// Told is the session in which the machine was last given our token.
-func (m *Machine) Told() uint64 { return m.told }
+// NotifiedIncarnation is the session in which the machine was last given our token.
+func (m *Machine) NotifiedIncarnation() uint64 { return m.notifiedIncarnation }
 
-// Squared tells whether what runs on the machine is known: it reported under our
+// IsReconciled tells whether what runs on the machine is known: it reported under our
 // token, and is not silent since.
-func (m *Machine) Squared() bool { return m.standing == Squared }
+func (m *Machine) IsReconciled() bool { return m.state == Reconciled }
 
-// Settled tells whether nothing that an earlier claim started can run on the
+// IsAccountedFor tells whether nothing that an earlier claim started can run on the
 // machine without our knowing it.
-func (m *Machine) Settled() bool { return !m.Up || m.standing >= Squared || m.emptied }
+func (m *Machine) IsAccountedFor() bool {
+	return !m.Up || m.state >= Reconciled || m.earlierTasksExpired
+}
 
-// Deaf tells whether the machine has reported since the claim for longer than a lease
+// IsInboundPartitioned tells whether the machine has reported since the claim for longer than a lease
 // and does not hear us.
-func (m *Machine) Deaf() bool { return m.emptied && m.standing < Squared }
+func (m *Machine) IsInboundPartitioned() bool { return m.earlierTasksExpired && m.state < Reconciled }
 
-// Patience is which part of a lease a machine may be silent after a claim before
+// GracePeriodDivisor is which part of a lease a machine may be silent after a claim before
 // it is given up, and Few which part of the machines may be given up so: where
 // more are silent it is the network, and they are waited for.
 const (
-	Patience = 2
-	Few      = 3
+	GracePeriodDivisor = 2
+	GiveUpDivisor      = 3
 )
 
 // Claim is what is known under one claim.
 type Claim struct {
-	s      Settings
-	token  uint64
-	since  int64
-	up     int
-	unseen []*Machine // in order
-	Line   Line
-	Book   Book
-	Tally  Tally
+	settings      Settings
+	fencingToken  uint64
+	claimedAt     int64
+	listedCount   int
+	unreported    []*Machine // in order
+	Pacer         Pacer
+	Ledger        UnreachableLedger
+	VerdictCounts VerdictCounts
 }
 
-// New begins a claim whose token is the claim's own revision.
-func New(s Settings, token uint64, now int64) *Claim {
-	return &Claim{s: s, token: token, since: now, Book: newBook()}
+// NewClaim begins a claim whose token is the claim's own revision.
+func NewClaim(settings Settings, fencingToken uint64, now int64) *Claim {
+	return &Claim{settings: settings, fencingToken: fencingToken, claimedAt: now, Ledger: newUnreachableLedger()}
 }
 
-// Since is when the claim was made.
-func (c *Claim) Since() int64 { return c.since }
+// ClaimedAt is when the claim was made.
+func (c *Claim) ClaimedAt() int64 { return c.claimedAt }
 
-// Add takes in a machine of the claim's shard. Silence counts from here: whoever
+// AddMachine takes in a machine of the claim's shard. Silence counts from here: whoever
 // answered it before did so before this claim.
-func (c *Claim) Add(id string, up bool, now int64) *Machine {
-	m := &Machine{ID: id, Last: now}
+func (c *Claim) AddMachine(id string, up bool, now int64) *Machine {
+	m := &Machine{ID: id, LastHeartbeatAt: now}
 	if up {
-		c.List(m)
+		c.MarkListed(m)
 	}
 	return m
 }
 
-// List notes that a machine is listed as up.
-func (c *Claim) List(m *Machine) {
+// MarkListed notes that a machine is listed as up.
+func (c *Claim) MarkListed(m *Machine) {
 	if m.Up {
 		return
 	}
 	m.Up = true
-	c.up++
-	c.file(m)
+	c.listedCount++
+	c.updateUnreported(m)
 }
 
-// Remove forgets a machine that is gone.
-func (c *Claim) Remove(m *Machine) {
+// RemoveMachine forgets a machine that is gone.
+func (c *Claim) RemoveMachine(m *Machine) {
 	if m.Up {
-		c.up--
+		c.listedCount--
 		m.Up = false
 	}
-	c.file(m)
-	c.Book.Remove(m.ID)
+	c.updateUnreported(m)
+	c.Ledger.Remove(m.ID)
 }
 
-// file keeps the list of machines that are unseen.
-func (c *Claim) file(m *Machine) {
-	at, found := slices.BinarySearchFunc(c.unseen, m, func(a, b *Machine) int { return strings.Compare(a.ID, b.ID) })
-	if found && c.unseen[at] != m {
-		c.unseen[at] = m // it stands for the same machine, added anew
+// updateUnreported keeps the list of machines that are unseen.
+func (c *Claim) updateUnreported(m *Machine) {
+	index, found := slices.BinarySearchFunc(c.unreported, m, func(a, b *Machine) int { return strings.Compare(a.ID, b.ID) })
+	if found && c.unreported[index] != m {
+		c.unreported[index] = m // it stands for the same machine, added anew
 	}
 	switch {
-	case found && m.Settled():
-		c.unseen = slices.Delete(c.unseen, at, at+1)
-	case !found && !m.Settled():
-		c.unseen = slices.Insert(c.unseen, at, m)
+	case found && m.IsAccountedFor():
+		c.unreported = slices.Delete(c.unreported, index, index+1)
+	case !found && !m.IsAccountedFor():
+		c.unreported = slices.Insert(c.unreported, index, m)
 	}
 }
 
-// Unseen lists, in order, the machines on which tasks of earlier claims may be
+// Unreported lists, in order, the machines on which tasks of earlier claims may be
 // without our knowing it. It is the claim's own: not to be changed.
-func (c *Claim) Unseen() []*Machine { return c.unseen }
+func (c *Claim) Unreported() []*Machine { return c.unreported }
 
-// Report takes a worker's report, of a shard whose progress is read.
-func (c *Claim) Report(m *Machine, now int64, session, seq, token uint64) Take {
+// ReceiveHeartbeat takes a worker's report, of a shard whose progress is read.
+func (c *Claim) ReceiveHeartbeat(m *Machine, now int64, incarnation, seq, token uint64) Disposition {
 	// A worker waits for the answer to its newest report alone. A copy that the network
 	// brings later, up to a lease and more, once counted as a sign of life: what ran on
 	// a machine that was gone waited for as much longer.
-	r := &m.reported
-	if session < r.session || session == r.session && seq <= r.seq {
-		return Old
+	newest := &m.newestHeartbeat
+	if incarnation < newest.incarnation || incarnation == newest.incarnation && seq <= newest.seq {
+		return Stale
 	}
-	if m.over(session) {
-		return Old
+	if m.incarnationEnded(incarnation) {
+		return Stale
 	}
-	r.session, r.seq = session, seq
+	newest.incarnation, newest.seq = incarnation, seq
 	// Every answer that the worker may accept renews its lease, also one to a
 	// report that a direct command's answer has overtaken: counted from an
 	// earlier one, the lease seemed over while tasks still ran.
-	m.Last = now
-	take := c.take(m, now, session, seq, token)
-	if take == Tell && !m.emptied && now > c.since+c.lease()+answerLife {
+	m.LastHeartbeatAt = now
+	disposition := c.classify(m, now, incarnation, seq, token)
+	if disposition == NotifyToken && !m.earlierTasksExpired && now > c.claimedAt+c.maxLeaseMS()+responseTTLMS {
 		// It reports and does not hear us. Had it taken an answer since the claim, it
 		// would have our token; so the sessions that earlier holders knew were over a
 		// lease after the claim, and the only answer that could renew one, that to this
 		// report, comes to a session without their tasks, or too late to count. Taken
 		// for a machine that may run anything, it held its shard up for as long as it
 		// was deaf.
-		m.emptied = true
-		c.file(m)
+		m.earlierTasksExpired = true
+		c.updateUnreported(m)
 	}
-	return take
+	return disposition
 }
 
-// over tells whether a session ended with a lease: a report of it was sent before and held
+// incarnationEnded tells whether a session ended with a lease: a report of it was sent before and held
 // by the network. Taken for news, it brought tasks back that had been killed, and starts
 // went to a session that was over.
-func (m *Machine) over(session uint64) bool {
-	return m.standing == Silent && session <= max(m.Session, m.told)
+func (m *Machine) incarnationEnded(incarnation uint64) bool {
+	return m.state == LeaseExpired && incarnation <= max(m.Incarnation, m.notifiedIncarnation)
 }
 
-// answerLife is after how many milliseconds a worker drops the answer to a report.
-const answerLife = 4000
+// responseTTLMS is after how many milliseconds a worker drops the answer to a report.
+const responseTTLMS = 4000
 
-// Answer takes a worker's own answer to a question: a report that renews no lease.
-func (c *Claim) Answer(m *Machine, now int64, session, seq, token uint64) Take {
-	return c.take(m, now, session, seq, token)
+// ReceiveQueryResponse takes a worker's own answer to a question: a report that renews no lease.
+func (c *Claim) ReceiveQueryResponse(m *Machine, now int64, incarnation, seq, token uint64) Disposition {
+	return c.classify(m, now, incarnation, seq, token)
 }
 
-func (c *Claim) take(m *Machine, now int64, session, seq, token uint64) Take {
-	heard := m.standing >= Squared && m.Session != 0
-	if heard && (session < m.Session || session == m.Session && seq <= m.Seq) {
-		return Renew
+func (c *Claim) classify(m *Machine, now int64, incarnation, seq, token uint64) Disposition {
+	reconciled := m.state >= Reconciled && m.Incarnation != 0
+	if reconciled && (incarnation < m.Incarnation || incarnation == m.Incarnation && seq <= m.Seq) {
+		return RenewOnly
 	}
-	if m.over(session) {
-		return Renew
+	if m.incarnationEnded(incarnation) {
+		return RenewOnly
 	}
-	if token < c.token {
+	if token < c.fencingToken {
 		// The worker may still carry out commands of an earlier claim.
-		if m.standing == Known {
-			m.standing, m.asked = Heard, now
+		if m.state == NoHeartbeat {
+			m.state, m.lastQueryAt = Notified, now
 		}
-		m.told = max(m.told, session)
-		return Tell
+		m.notifiedIncarnation = max(m.notifiedIncarnation, incarnation)
+		return NotifyToken
 	}
-	what := Use
-	if heard && session > m.Session {
-		what = Restart
+	disposition := Accept
+	if reconciled && incarnation > m.Incarnation {
+		disposition = AcceptNewIncarnation
 	}
-	m.standing, m.Session, m.Seq = Squared, session, seq
-	c.file(m)
-	return what
+	m.state, m.Incarnation, m.Seq = Reconciled, incarnation, seq
+	c.updateUnreported(m)
+	return disposition
 }
 
-// Lost tells, once, that a machine has been silent past its lease: whatever ran on
+// ExpireLease tells, once, that a machine has been silent past its lease: whatever ran on
 // it is over.
-func (c *Claim) Lost(m *Machine, now int64) bool {
-	if !m.Up || m.standing == Silent || now <= c.LeaseEnd(m) {
+func (c *Claim) ExpireLease(m *Machine, now int64) bool {
+	if !m.Up || m.state == LeaseExpired || now <= c.LeaseExpiresAt(m) {
 		return false
 	}
-	m.standing = Silent
-	c.file(m)
+	m.state = LeaseExpired
+	c.updateUnreported(m)
 	return true
 }
 
-// LeaseEnd is when a machine that has been silent since its last report has
+// LeaseExpiresAt is when a machine that has been silent since its last report has
 // killed its tasks: its lease runs from the sending of that report.
-func (c *Claim) LeaseEnd(m *Machine) int64 {
-	return m.Last + c.lease()
+func (c *Claim) LeaseExpiresAt(m *Machine) int64 {
+	return m.LastHeartbeatAt + c.maxLeaseMS()
 }
 
-// lease is how long a worker's lease may last on our clock.
-func (c *Claim) lease() int64 {
-	return c.s.Lease + int64(float64(c.s.Lease)*c.s.Drift) + c.s.Slack
+// maxLeaseMS is how long a worker's lease may last on our clock.
+func (c *Claim) maxLeaseMS() int64 {
+	return c.settings.LeaseMS + int64(float64(c.settings.LeaseMS)*c.settings.MaxClockDrift) + c.settings.LeaseSlackMS
 }
 
-// Ask tells whether a worker that has our token since a while, and did not report
+// TryStartTaskQuery tells whether a worker that has our token since a while, and did not report
 // since, is to be asked for its tasks: one that saw several tokens in a short time
 // does not report at once for the last of them.
-func (c *Claim) Ask(m *Machine, now int64) bool {
-	if m.standing != Heard || !m.Up || now-m.asked < c.s.Report/askPart {
+func (c *Claim) TryStartTaskQuery(m *Machine, now int64) bool {
+	if m.state != Notified || !m.Up || now-m.lastQueryAt < c.settings.MaxHeartbeatIntervalMS/queryDelayDivisor {
 		return false
 	}
-	if !c.Line.Clear(now) {
+	if !c.Pacer.TryClear(now) {
 		return false
 	}
-	m.asked = now
+	m.lastQueryAt = now
 	return true
 }
 
-// askPart is which part of the longest report interval a worker is given to report
+// queryDelayDivisor is which part of the longest report interval a worker is given to report
 // by itself.
-const askPart = 4
+const queryDelayDivisor = 4
 
-// GiveUp lists the few machines that have not spoken since the claim: what ended
+// MachinesToGiveUp lists the few machines that have not spoken since the claim: what ended
 // while nobody listened never speaks, and what it may have had waits for it.
 // Those whose note says what they hold are waited for, little waits with them.
-func (c *Claim) GiveUp(now int64) []*Machine {
-	if len(c.unseen) == 0 || len(c.unseen) > c.up/Few {
+func (c *Claim) MachinesToGiveUp(now int64) []*Machine {
+	if len(c.unreported) == 0 || len(c.unreported) > c.listedCount/GiveUpDivisor {
 		return nil
 	}
-	var out []*Machine
-	for _, m := range c.unseen {
-		if _, noted := c.Book.Holds(m.ID); !noted && now-m.Last > c.s.Lease/Patience {
-			out = append(out, m)
+	var machines []*Machine
+	for _, m := range c.unreported {
+		if _, recorded := c.Ledger.Entry(m.ID); !recorded && now-m.LastHeartbeatAt > c.settings.LeaseMS/GracePeriodDivisor {
+			machines = append(machines, m)
 		}
 	}
-	return out
+	return machines
 }
 
-// Waits tells whether machines that have not spoken yet may still be counted on
+// IsAwaitingHeartbeats tells whether machines that have not spoken yet may still be counted on
 // for work that has no room elsewhere: nothing is rented meanwhile.
-func (c *Claim) Waits(now int64) bool {
-	return len(c.unseen) > 0 && now-c.since < 2*c.s.Report
+func (c *Claim) IsAwaitingHeartbeats(now int64) bool {
+	return len(c.unreported) > 0 && now-c.claimedAt < 2*c.settings.MaxHeartbeatIntervalMS
 }
 
-// Place is where the state has a task.
-type Place int
+// TaskState is where the state has a task.
+type TaskState int
 
 // The places.
 const (
-	Free Place = iota
-	Busy
-	Moving
-	Done
-	Stored
-	Over
-	Places int = iota
+	Unassigned TaskState = iota
+	Assigned
+	Transferring
+	Completed
+	ResultStored
+	Obsolete
+	TaskStateCount int = iota
 )
 
-func (p Place) String() string {
-	return [...]string{"free", "busy", "moving", "done", "stored", "over"}[p]
+func (s TaskState) String() string {
+	return [...]string{"free", "busy", "moving", "done", "stored", "over"}[s]
 }
 
-// Shown is what a report shows of an attempt.
-type Shown int
+// Observation is what a report shows of an attempt.
+type Observation int
 
 // What a report shows.
 const (
-	Live     Shown = iota // it runs, fetches, waits or saves
-	Finished              // exited, done
-	Ended                 // exited otherwise
-	Showns   int   = iota
+	Active           Observation = iota // it runs, fetches, waits or saves
+	Succeeded                           // exited, done
+	Terminated                          // exited otherwise
+	ObservationCount int         = iota
 )
 
-func (s Shown) String() string { return [...]string{"live", "finished", "ended"}[s] }
+func (o Observation) String() string { return [...]string{"live", "finished", "ended"}[o] }
 
 // Verdict is what becomes of a task that this claim did not start.
 type Verdict int
@@ -358,28 +360,28 @@
 const (
 	Adopt Verdict = iota // it goes on, and counts
 	Stop
-	Count // its task is done; the machine keeps it until that is stored
-	Keep  // as it is, until its result is stored
+	RecordCompletion // its task is done; the machine keeps it until that is stored
+	Keep             // as it is, until its result is stored
 	Clear
 )
 
 func (v Verdict) String() string { return [...]string{"adopt", "stop", "count", "keep", "clear"}[v] }
 
 // verdicts is the table of the package's comment.
-var verdicts = [Places][Showns]Verdict{
-	Free:   {Adopt, Count, Clear},
-	Busy:   {Stop, Count, Clear},
-	Moving: {Stop, Count, Clear},
-	Done:   {Stop, Keep, Clear},
-	Stored: {Stop, Clear, Clear},
-	Over:   {Stop, Clear, Clear},
+var verdicts = [TaskStateCount][ObservationCount]Verdict{
+	Unassigned:   {Adopt, RecordCompletion, Clear},
+	Assigned:     {Stop, RecordCompletion, Clear},
+	Transferring: {Stop, RecordCompletion, Clear},
+	Completed:    {Stop, Keep, Clear},
+	ResultStored: {Stop, Clear, Clear},
+	Obsolete:     {Stop, Clear, Clear},
 }
 
-// Tally counts verdicts by place and by what was shown.
-type Tally [Places][Showns]uint64
+// VerdictCounts counts verdicts by place and by what was shown.
+type VerdictCounts [TaskStateCount][ObservationCount]uint64
 
-// Judge says what becomes of a task that this claim did not start.
-func (c *Claim) Judge(p Place, s Shown) Verdict {
-	c.Tally[p][s]++
-	return verdicts[p][s]
+// DecideVerdict says what becomes of a task that this claim did not start.
+func (c *Claim) DecideVerdict(state TaskState, observation Observation) Verdict {
+	c.VerdictCounts[state][observation]++
+	return verdicts[state][observation]
 }
--- a/recurrence/calendar.go
+++ b/recurrence/calendar.go
@@ -102,17 +102,17 @@
 
 // Exception makes one day a working day or none, whatever else says.
 type Exception struct {
-	Date Date   `toml:"date" json:"date"`
-	Work bool   `toml:"work" json:"work"`
-	Why  string `toml:"why" json:"why"`
+	Date      Date   `toml:"date" json:"date"`
+	IsWorking bool   `toml:"work" json:"work"`
+	Reason    string `toml:"why" json:"why"`
 }
 
 // Move shifts what is due on one day to another, whether or not either is a
 // working day.
 type Move struct {
-	From Date   `toml:"from" json:"from"`
-	To   Date   `toml:"to" json:"to"`
-	Why  string `toml:"why" json:"why"`
+	From   Date   `toml:"from" json:"from"`
+	To     Date   `toml:"to" json:"to"`
+	Reason string `toml:"why" json:"why"`
 }
 
 // Calendar tells working days. The zero value's are Monday to Friday.
@@ -123,19 +123,19 @@
 	Exceptions []Exception `toml:"exceptions" json:"exceptions"`
 	Moves      []Move      `toml:"moves" json:"moves"`
 
-	ready  bool
-	week   [7]bool
-	off    map[Date]string
-	yearly map[[2]int]string
-	except map[Date]Exception
-	moves  map[Date]Move
+	validated       bool
+	workingWeekdays [7]bool
+	holidayDates    map[Date]string
+	yearlyHolidays  map[[2]int]string
+	exceptionByDate map[Date]Exception
+	moveByDate      map[Date]Move
 }
 
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-// Check says what is wrong with a calendar and makes it ready for use.
-func (c *Calendar) Check() error {
-	c.week, c.off, c.yearly, c.except, c.moves = [7]bool{}, map[Date]string{}, map[[2]int]string{}, map[Date]Exception{}, map[Date]Move{}
+// Validate says what is wrong with a calendar and makes it ready for use.
+func (c *Calendar) Validate() error {
+	c.workingWeekdays, c.holidayDates, c.yearlyHolidays, c.exceptionByDate, c.moveByDate = [7]bool{}, map[Date]string{}, map[[2]int]string{}, map[Date]Exception{}, map[Date]Move{}
 	working := c.Working
 	if len(working) == 0 {
 		working = weekdays[1:6]
@@ -145,7 +145,7 @@
 		if i < 0 {
 			return fmt.Errorf("working: %q is none of %s", w, strings.Join(weekdays, ", "))
 		}
-		c.week[i] = true
+		c.workingWeekdays[i] = true
 	}
 	for i, h := range c.Holidays {
 		if h.Name == "" {
@@ -153,7 +153,7 @@
 		}
 		for _, s := range h.Dates {
 			if d, err := ParseDate(s); err == nil {
-				c.off[d] = h.Name
+				c.holidayDates[d] = h.Name
 				continue
 			}
 			month, day, ok := strings.Cut(s, "-")
@@ -163,48 +163,48 @@
 			if !ok || err1 != nil || err2 != nil || m < 1 || m > 12 || d < 1 || DateOf(time.Date(2024, time.Month(m), d, 0, 0, 0, 0, time.UTC)).Month != time.Month(m) {
 				return fmt.Errorf("holidays[%d].dates: %q is neither YYYY-MM-DD nor MM-DD", i, s)
 			}
-			c.yearly[[2]int{m, d}] = h.Name
+			c.yearlyHolidays[[2]int{m, d}] = h.Name
 		}
 	}
 	for i, e := range c.Exceptions {
-		if _, ok := c.except[e.Date]; ok {
+		if _, ok := c.exceptionByDate[e.Date]; ok {
 			return fmt.Errorf("exceptions[%d]: %s is there twice", i, e.Date)
 		}
-		c.except[e.Date] = e
+		c.exceptionByDate[e.Date] = e
 	}
 	for i, m := range c.Moves {
-		if _, ok := c.moves[m.From]; ok {
+		if _, ok := c.moveByDate[m.From]; ok {
 			return fmt.Errorf("moves[%d]: %s is moved twice", i, m.From)
 		}
 		if m.From == m.To || m.From == (Date{}) || m.To == (Date{}) {
 			return fmt.Errorf("moves[%d]: from and to must be two days", i)
 		}
-		c.moves[m.From] = m
+		c.moveByDate[m.From] = m
 	}
 	for i, m := range c.Moves {
-		if _, ok := c.moves[m.To]; ok {
+		if _, ok := c.moveByDate[m.To]; ok {
 			return fmt.Errorf("moves[%d]: %s is moved on: name the last day", i, m.To)
 		}
 	}
-	c.ready = true
+	c.validated = true
 	return nil
 }
 
 // IsWorking tells whether a day is a working day, and why it is not.
-func (c *Calendar) IsWorking(d Date) (ok bool, why string) {
-	if e, is := c.except[d]; is {
-		if e.Why == "" {
-			e.Why = "an exception"
+func (c *Calendar) IsWorking(d Date) (ok bool, reason string) {
+	if e, is := c.exceptionByDate[d]; is {
+		if e.Reason == "" {
+			e.Reason = "an exception"
 		}
-		return e.Work, e.Why
+		return e.IsWorking, e.Reason
 	}
-	if h, is := c.off[d]; is {
+	if h, is := c.holidayDates[d]; is {
 		return false, h
 	}
-	if h, is := c.yearly[[2]int{int(d.Month), d.Day}]; is {
+	if h, is := c.yearlyHolidays[[2]int{int(d.Month), d.Day}]; is {
 		return false, h
 	}
-	if !c.week[d.Weekday()] {
+	if !c.workingWeekdays[d.Weekday()] {
 		return false, d.Weekday().String()
 	}
 	return true, ""
@@ -229,21 +229,21 @@
 
 var errNoWorkingDay = errors.New("no working day within a year")
 
-// place is where a day ends up, and why. ok is false when it falls out.
-func (c *Calendar) place(d Date, s Shift) (to Date, why string, ok bool, err error) {
-	if m, is := c.moves[d]; is {
-		why = m.Why
-		if why == "" {
-			why = "moved by the calendar"
+// shift is where a day ends up, and why. ok is false when it falls out.
+func (c *Calendar) shift(d Date, s Shift) (to Date, reason string, ok bool, err error) {
+	if m, found := c.moveByDate[d]; found {
+		reason = m.Reason
+		if reason == "" {
+			reason = "moved by the calendar"
 		}
-		return m.To, why, true, nil
+		return m.To, reason, true, nil
 	}
-	work, why := c.IsWorking(d)
+	work, reason := c.IsWorking(d)
 	switch {
 	case work || s == Run:
 		return d, "", true, nil
 	case s == Skip:
-		return d, why, false, nil
+		return d, reason, false, nil
 	}
 	search := func(step int) (Date, bool) {
 		for x, n := d, 0; n < maxShift; n++ {
@@ -267,7 +267,7 @@
 		to, ok = search(-step)
 	}
 	if !ok {
-		return d, why, false, errNoWorkingDay
+		return d, reason, false, errNoWorkingDay
 	}
-	return to, why, true, nil
+	return to, reason, true, nil
 }
--- a/recurrence/file.go
+++ b/recurrence/file.go
@@ -20,15 +20,15 @@
 	if err := strict.Decode(b, &f); err != nil {
 		return nil, err
 	}
-	return &f, CheckAll(f.Calendars, f.Schedules)
+	return &f, ValidateAll(f.Calendars, f.Schedules)
 }
 
-// CheckAll checks calendars and schedules that refer to them.
-func CheckAll(cs []*Calendar, ss []*Schedule) error {
-	var wrong []error
+// ValidateAll checks calendars and schedules that refer to them.
+func ValidateAll(cs []*Calendar, ss []*Schedule) error {
+	var errs []error
 	calendars := map[string]*Calendar{}
 	for i, c := range cs {
-		err := c.Check()
+		err := c.Validate()
 		if c.Name == "" {
 			err = fmt.Errorf("calendar[%d].name is missing", i)
 		} else if calendars[c.Name] != nil {
@@ -37,18 +37,18 @@
 			err = fmt.Errorf("calendar %s: %w", c.Name, err)
 		}
 		calendars[c.Name] = c
-		wrong = append(wrong, err)
+		errs = append(errs, err)
 	}
 	names := map[string]bool{}
 	for i, s := range ss {
-		err := s.Check(calendars)
+		err := s.Validate(calendars)
 		if err != nil {
 			err = fmt.Errorf("schedule[%d] %s: %w", i, s.Name, err)
 		} else if names[s.Name] {
 			err = fmt.Errorf("schedule %s is there twice", s.Name)
 		}
 		names[s.Name] = true
-		wrong = append(wrong, err)
+		errs = append(errs, err)
 	}
-	return errors.Join(wrong...)
+	return errors.Join(errs...)
 }
--- a/recurrence/recurrence_test.go
+++ b/recurrence/recurrence_test.go
@@ -22,7 +22,7 @@
 	m.Run()
 }
 
-func date(s string) Date {
+func mustParseDate(s string) Date {
 	d, err := ParseDate(s)
 	if err != nil {
 		panic(err)
@@ -30,23 +30,23 @@
 	return d
 }
 
-// oracle works a year out the slow way: it asks of every day whether the rule
+// bruteForce works a year out the slow way: it asks of every day whether the rule
 // names it, walks day by day to where the calendar puts it, and finds instants
 // by looking at the zone's clock each quarter of an hour.
-type oracle struct {
-	s    *Schedule
-	c    *Calendar
-	hits func(Date) bool
+type bruteForce struct {
+	schedule    *Schedule
+	calendar    *Calendar
+	matchesRule func(Date) bool
 }
 
-func (o oracle) place(d Date) (Date, bool) {
-	for _, m := range o.c.Moves {
+func (o bruteForce) shift(d Date) (Date, bool) {
+	for _, m := range o.calendar.Moves {
 		if m.From == d {
 			return m.To, true
 		}
 	}
-	work := func(x Date) bool { ok, _ := o.c.IsWorking(x); return ok }
-	if work(d) || o.s.Shift == Run {
+	work := func(x Date) bool { ok, _ := o.calendar.IsWorking(x); return ok }
+	if work(d) || o.schedule.Shift == Run {
 		return d, true
 	}
 	next, prev := d, d
@@ -56,7 +56,7 @@
 	for !work(prev) {
 		prev = prev.Add(-1)
 	}
-	switch o.s.Shift {
+	switch o.schedule.Shift {
 	case Next:
 		return next, true
 	case Previous:
@@ -75,8 +75,8 @@
 	return d, false
 }
 
-// clocks lists what a zone's clock shows, each quarter of an hour.
-func clocks(zone *time.Location, from, to time.Time) map[string][]time.Time {
+// instantsByLocalTime lists what a zone's clock shows, each quarter of an hour.
+func instantsByLocalTime(zone *time.Location, from, to time.Time) map[string][]time.Time {
 	out := map[string][]time.Time{}
 	for t := from; t.Before(to); t = t.Add(15 * time.Minute) {
 		k := t.In(zone).Format("2006-01-02 15:04")
@@ -85,34 +85,34 @@
 	return out
 }
 
-func (o oracle) moments(year int) []string {
+func (o bruteForce) moments(year int) []string {
 	from, to := time.Date(year, 1, 1, 0, 0, 0, 0, time.UTC), time.Date(year+1, 1, 1, 0, 0, 0, 0, time.UTC)
-	shown := clocks(o.s.zone, from.AddDate(0, 0, -3), to.AddDate(0, 0, 3))
+	instantsByClock := instantsByLocalTime(o.schedule.location, from.AddDate(0, 0, -3), to.AddDate(0, 0, 3))
 	days := map[Date]bool{}
 	for d := DateOf(from).Add(-420); d.Compare(DateOf(to).Add(420)) < 0; d = d.Add(1) {
-		if d.Compare(o.s.From) >= 0 && o.hits(d) {
-			if x, ok := o.place(d); ok {
+		if d.Compare(o.schedule.From) >= 0 && o.matchesRule(d) {
+			if x, ok := o.shift(d); ok {
 				days[x] = true
 			}
 		}
 	}
 	found := map[string]bool{}
 	for d := range days {
-		for _, c := range o.s.At {
+		for _, c := range o.schedule.At {
 			k := fmt.Sprintf("%s %s", d, c)
-			ts := shown[k]
+			ts := instantsByClock[k]
 			switch {
-			case len(ts) == 0 && o.s.Gap == GapAfter:
+			case len(ts) == 0 && o.schedule.Gap == GapAfter:
 				// The first quarter whose clock is past it.
 				for t := d.utc().Add(-30 * time.Hour); t.Before(to.AddDate(0, 0, 2)); t = t.Add(15 * time.Minute) {
-					if t.In(o.s.zone).Format("2006-01-02 15:04") > k {
+					if t.In(o.schedule.location).Format("2006-01-02 15:04") > k {
 						ts = []time.Time{t}
 						break
 					}
 				}
-			case len(ts) == 2 && o.s.Overlap == OverlapFirst:
+			case len(ts) == 2 && o.schedule.Overlap == OverlapFirst:
 				ts = ts[:1]
-			case len(ts) == 2 && o.s.Overlap == OverlapSecond:
+			case len(ts) == 2 && o.schedule.Overlap == OverlapSecond:
 				ts = ts[1:]
 			}
 			for _, t := range ts {
@@ -136,7 +136,7 @@
 
 // Ten years of generated rules, calendars and zones equal the slow way: no
 // moment twice, none missing.
-func TestEqualsTheSlowWay(t *testing.T) {
+func TestMomentsEqualBruteForce(t *testing.T) {
 	changed := 0
 	rapid.Check(t, func(t *rapid.T) {
 		year := rapid.IntRange(2010, 2019).Draw(t, "year")
@@ -149,13 +149,13 @@
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "exceptions") {
 			if d := day("exception"); !slices.ContainsFunc(c.Exceptions, func(e Exception) bool { return e.Date == d }) {
-				c.Exceptions = append(c.Exceptions, Exception{Date: d, Work: rapid.Bool().Draw(t, "work")})
+				c.Exceptions = append(c.Exceptions, Exception{Date: d, IsWorking: rapid.Bool().Draw(t, "work")})
 			}
 		}
 		if from, to := day("from"), day("to"); from != to && rapid.Bool().Draw(t, "move") {
 			c.Moves = []Move{{From: from, To: to}}
 		}
-		s := &Schedule{Name: "s", Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Calendar: "c", From: date(fmt.Sprintf("%d-01-%02d", year-rapid.IntRange(0, 2).Draw(t, "age"), rapid.IntRange(1, 28).Draw(t, "start"))),
+		s := &Schedule{Name: "s", Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Calendar: "c", From: mustParseDate(fmt.Sprintf("%d-01-%02d", year-rapid.IntRange(0, 2).Draw(t, "age"), rapid.IntRange(1, 28).Draw(t, "start"))),
 			Shift:   rapid.SampledFrom([]Shift{Run, Skip, Next, Previous, NextInMonth, PreviousInMonth}).Draw(t, "shift"),
 			Gap:     rapid.SampledFrom([]Gap{GapAfter, GapSkip}).Draw(t, "gap"),
 			Overlap: rapid.SampledFrom([]Overlap{OverlapFirst, OverlapSecond, OverlapBoth}).Draw(t, "overlap")}
@@ -183,13 +183,13 @@
 			s.Rule = "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29"
 			hits = func(d Date) bool { return d.Month == 2 && d.Day == 29 }
 		}
-		if err := c.Check(); err != nil {
+		if err := c.Validate(); err != nil {
 			t.Skip(err)
 		}
-		if err := s.Check(map[string]*Calendar{"c": c}); err != nil {
+		if err := s.Validate(map[string]*Calendar{"c": c}); err != nil {
 			t.Fatal(err)
 		}
-		want := oracle{s, c, hits}.moments(year)
+		want := bruteForce{s, c, hits}.moments(year)
 		from, to := time.Date(year, 1, 1, 0, 0, 0, 0, time.UTC), time.Date(year+1, 1, 1, 0, 0, 0, 0, time.UTC)
 		ms, err := s.Between(from, to)
 		if err != nil {
@@ -197,13 +197,13 @@
 		}
 		var got []string
 		for _, m := range ms {
-			if m.Fell {
-				if m.Why == "" {
+			if m.Dropped {
+				if m.Reason == "" {
 					t.Fatalf("%v fell out for no reason", m)
 				}
 				continue
 			}
-			if m.Why != "" {
+			if m.Reason != "" {
 				changed++
 			}
 			got = append(got, m.At.UTC().Format(time.RFC3339))
@@ -231,8 +231,8 @@
 }
 
 // The hard days, each by hand.
-func TestHardDays(t *testing.T) {
-	for _, c := range []struct{ name, text, from, to, want string }{
+func TestMomentsAroundClockChangesAndHolidays(t *testing.T) {
+	for _, c := range []struct{ name, text, from, to, expected string }{
 		{"a skipped hour", `zone = "America/Los_Angeles"` + "\n" + `rule = "FREQ=DAILY"` + "\n" + `at = ["02:30"]`, "2027-03-14", "2027-03-15", "2027-03-14T03:00:00-07:00"},
 		{"a skipped hour, skipped", `zone = "America/Los_Angeles"` + "\n" + `rule = "FREQ=DAILY"` + "\n" + `at = ["02:30"]` + "\n" + `gap = "skip"`, "2027-03-14", "2027-03-15", ""},
 		{"a repeated hour", `zone = "America/Los_Angeles"` + "\n" + `rule = "FREQ=DAILY"` + "\n" + `at = ["01:30"]`, "2027-11-07", "2027-11-08", "2027-11-07T01:30:00-07:00"},
@@ -251,24 +251,24 @@
 		}
 		s := f.Schedules[0]
 		at := func(d string) time.Time {
-			return time.Date(date(d).Year, date(d).Month, date(d).Day, 0, 0, 0, 0, s.zone)
+			return time.Date(mustParseDate(d).Year, mustParseDate(d).Month, mustParseDate(d).Day, 0, 0, 0, 0, s.location)
 		}
 		ms, err := s.Between(at(c.from), at(c.to))
 		var got []string
 		for _, m := range ms {
-			if !m.Fell {
+			if !m.Dropped {
 				got = append(got, m.At.Format(time.RFC3339))
 			}
 		}
-		if err != nil || strings.Join(got, " ") != c.want {
-			t.Errorf("%s: %v, %v, not %s", c.name, got, err, c.want)
+		if err != nil || strings.Join(got, " ") != c.expected {
+			t.Errorf("%s: %v, %v, not %s", c.name, got, err, c.expected)
 		}
 	}
 }
 
-func TestFilesAreChecked(t *testing.T) {
+func TestInvalidFileIsRejectedNamingTheField(t *testing.T) {
 	good := "[[schedule]]\nname = \"s\"\nzone = \"UTC\"\nrule = \"FREQ=DAILY\"\nfrom = \"2027-01-01\"\nat = [\"01:00\"]\n"
-	for _, c := range []struct{ text, want string }{
+	for _, c := range []struct{ text, expectedErr string }{
 		{good, ""},
 		{good + "att = 1\n", "line 7 column 1: schedule.att is no field"},
 		{strings.Replace(good, "2027-01-01", "2027-02-30", 1), "line 5"},
@@ -284,35 +284,35 @@
 		{"[[calendar]]\nname = \"c\"\nmoves = [{from = \"2027-01-01\", to = \"2027-01-02\"}, {from = \"2027-01-02\", to = \"2027-01-03\"}]\n", "is moved on"},
 	} {
 		_, err := ParseFile([]byte(c.text))
-		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%v, not %q", err, c.want)
+		if c.expectedErr == "" && err != nil || c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
+			t.Errorf("%v, not %q", err, c.expectedErr)
 		}
 	}
 }
 
 // A calendar without a working day is an error, not a search without end.
-func TestNoWorkingDay(t *testing.T) {
+func TestCalendarWithoutWorkingDayReturnsError(t *testing.T) {
 	c := &Calendar{Name: "c", Working: []string{"mon"}}
-	for d := date("2027-01-01"); d.Year < 2030; d = d.Add(1) {
+	for d := mustParseDate("2027-01-01"); d.Year < 2030; d = d.Add(1) {
 		if d.Weekday() == time.Monday {
 			c.Exceptions = append(c.Exceptions, Exception{Date: d})
 		}
 	}
-	s := &Schedule{Name: "s", Zone: "UTC", Calendar: "c", Rule: "FREQ=DAILY", From: date("2027-01-01"), At: []Clock{0}, Shift: Next}
-	if err := s.Check(map[string]*Calendar{"c": c}); err != nil {
+	s := &Schedule{Name: "s", Zone: "UTC", Calendar: "c", Rule: "FREQ=DAILY", From: mustParseDate("2027-01-01"), At: []Clock{0}, Shift: Next}
+	if err := s.Validate(map[string]*Calendar{"c": c}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Between(date("2028-01-01").utc(), date("2028-01-03").utc()); err == nil || !strings.Contains(err.Error(), "no working day") {
+	if _, err := s.Between(mustParseDate("2028-01-01").utc(), mustParseDate("2028-01-03").utc()); err == nil || !strings.Contains(err.Error(), "no working day") {
 		t.Errorf("an empty calendar gives %v", err)
 	}
 }
 
 func BenchmarkNext(b *testing.B) {
-	s := &Schedule{Name: "s", Zone: "Asia/Bangkok", Rule: "FREQ=DAILY", From: date("2017-01-01"), At: []Clock{3600}}
-	if err := s.Check(nil); err != nil {
+	s := &Schedule{Name: "s", Zone: "Asia/Bangkok", Rule: "FREQ=DAILY", From: mustParseDate("2017-01-01"), At: []Clock{3600}}
+	if err := s.Validate(nil); err != nil {
 		b.Fatal(err)
 	}
-	at := date("2027-01-01").utc()
+	at := mustParseDate("2027-01-01").utc()
 	for b.Loop() {
 		m, _ := s.Next(at)
 		at = m.At
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -47,105 +47,105 @@
 	Type     string   `json:"type,omitempty" toml:"type"`
 	Zone     string   `json:"zone,omitempty" toml:"zone"`
 	Spot     *bool    `json:"spot,omitempty" toml:"spot"`
-	OlderS   float64  `json:"older_s,omitempty" toml:"older_s"` // rented at least so many seconds before the plan began
-
-	Mode       Mode    `json:"mode" toml:"mode"`
-	Surge      int     `json:"surge,omitempty" toml:"surge"`             // replace: machines beyond those there were
-	SurgeMoney float64 `json:"surge_money,omitempty" toml:"surge_money"` // and what they may cost an hour; 0: any
-
-	First     int     `json:"first,omitempty" toml:"first"`     // machines of the first step
-	Step      float64 `json:"step,omitempty" toml:"step"`       // share of all in each later one; 0: all that is left
-	ByZone    bool    `json:"by_zone,omitempty" toml:"by_zone"` // a zone after the other
-	PauseS    float64 `json:"pause_s,omitempty" toml:"pause_s"` // after each step
-	DeadlineS float64 `json:"deadline_s,omitempty" toml:"deadline_s"`
-	Gates     Gates   `json:"gates" toml:"gates"`
+	MinAgeS  float64  `json:"older_s,omitempty" toml:"older_s"` // rented at least so many seconds before the plan began
+
+	Mode             Mode    `json:"mode" toml:"mode"`
+	Surge            int     `json:"surge,omitempty" toml:"surge"`             // replace: machines beyond those there were
+	SurgeCostPerHour float64 `json:"surge_money,omitempty" toml:"surge_money"` // and what they may cost an hour; 0: any
+
+	FirstStepMachines int         `json:"first,omitempty" toml:"first"`     // machines of the first step
+	StepShare         float64     `json:"step,omitempty" toml:"step"`       // share of all in each later one; 0: all that is left
+	ByZone            bool        `json:"by_zone,omitempty" toml:"by_zone"` // a zone after the other
+	StepPauseS        float64     `json:"pause_s,omitempty" toml:"pause_s"` // after each step
+	DeadlineS         float64     `json:"deadline_s,omitempty" toml:"deadline_s"`
+	Gates             HealthGates `json:"gates" toml:"gates"`
 }
 
-// Gates are how much more than usual may go wrong from a step's beginning to the next
+// HealthGates are how much more than usual may go wrong from a step's beginning to the next
 // one's; 0: not looked at.
-type Gates struct {
-	Errors int `json:"errors,omitempty" toml:"errors"` // tasks that failed
-	Losses int `json:"losses,omitempty" toml:"losses"` // tasks lost with their machines
-	Late   int `json:"late,omitempty" toml:"late"`     // starts later than their class asks
-	Missed int `json:"missed,omitempty" toml:"missed"` // deadlines of jobs
-	Fresh  int `json:"fresh,omitempty" toml:"fresh"`   // tasks that failed on replacements; none are usual
+type HealthGates struct {
+	Errors            int `json:"errors,omitempty" toml:"errors"` // tasks that failed
+	Losses            int `json:"losses,omitempty" toml:"losses"` // tasks lost with their machines
+	LateStarts        int `json:"late,omitempty" toml:"late"`     // starts later than their class asks
+	MissedDeadlines   int `json:"missed,omitempty" toml:"missed"` // deadlines of jobs
+	ReplacementErrors int `json:"fresh,omitempty" toml:"fresh"`   // tasks that failed on replacements; none are usual
 }
 
-// Tally is what gates count, since some beginning.
-type Tally struct {
-	Errors uint64 `json:"errors" msgpack:"e"`
-	Losses uint64 `json:"losses" msgpack:"l"`
-	Late   uint64 `json:"late" msgpack:"t"`
-	Missed uint64 `json:"missed" msgpack:"m"`
-	Fresh  uint64 `json:"fresh" msgpack:"f"`
+// HealthCounts is what gates count, since some beginning.
+type HealthCounts struct {
+	Errors            uint64 `json:"errors" msgpack:"e"`
+	Losses            uint64 `json:"losses" msgpack:"l"`
+	LateStarts        uint64 `json:"late" msgpack:"t"`
+	MissedDeadlines   uint64 `json:"missed" msgpack:"m"`
+	ReplacementErrors uint64 `json:"fresh" msgpack:"f"`
 }
 
 // Add returns the sum.
-func (t Tally) Add(o Tally) Tally {
-	return Tally{t.Errors + o.Errors, t.Losses + o.Losses, t.Late + o.Late, t.Missed + o.Missed, t.Fresh + o.Fresh}
+func (c HealthCounts) Add(other HealthCounts) HealthCounts {
+	return HealthCounts{c.Errors + other.Errors, c.Losses + other.Losses, c.LateStarts + other.LateStarts, c.MissedDeadlines + other.MissedDeadlines, c.ReplacementErrors + other.ReplacementErrors}
 }
 
 // Since is how much came since an earlier tally. A count that fell began anew.
-func (t Tally) Since(o Tally) Tally {
-	d := func(a, b uint64) uint64 {
-		if a < b {
-			return a
+func (c HealthCounts) Since(earlier HealthCounts) HealthCounts {
+	increase := func(current, previous uint64) uint64 {
+		if current < previous {
+			return current
 		}
-		return a - b
+		return current - previous
 	}
-	return Tally{d(t.Errors, o.Errors), d(t.Losses, o.Losses), d(t.Late, o.Late), d(t.Missed, o.Missed), d(t.Fresh, o.Fresh)}
+	return HealthCounts{increase(c.Errors, earlier.Errors), increase(c.Losses, earlier.Losses), increase(c.LateStarts, earlier.LateStarts), increase(c.MissedDeadlines, earlier.MissedDeadlines), increase(c.ReplacementErrors, earlier.ReplacementErrors)}
 }
 
-// Rate is a tally's counts by the second.
-type Rate struct {
-	Errors float64 `json:"errors"`
-	Losses float64 `json:"losses"`
-	Late   float64 `json:"late"`
-	Missed float64 `json:"missed"`
+// HealthRates is a tally's counts by the second.
+type HealthRates struct {
+	Errors          float64 `json:"errors"`
+	Losses          float64 `json:"losses"`
+	LateStarts      float64 `json:"late"`
+	MissedDeadlines float64 `json:"missed"`
 }
 
-// Per is a tally over so many milliseconds as a rate.
-func (t Tally) Per(ms int64) Rate {
-	k := 1000 / float64(max(ms, 1000))
-	return Rate{float64(t.Errors) * k, float64(t.Losses) * k, float64(t.Late) * k, float64(t.Missed) * k}
+// RatesOver is a tally over so many milliseconds as a rate.
+func (c HealthCounts) RatesOver(ms int64) HealthRates {
+	perSecond := 1000 / float64(max(ms, 1000))
+	return HealthRates{float64(c.Errors) * perSecond, float64(c.Losses) * perSecond, float64(c.LateStarts) * perSecond, float64(c.MissedDeadlines) * perSecond}
 }
 
-// maxMachines bounds the names of a plan, so that it fits half a value of 8 KB.
-const maxMachines = 200
+// maxNamedMachines bounds the names of a plan, so that it fits half a value of 8 KB.
+const maxNamedMachines = 200
 
-// Check says what is wrong with a plan, or nothing, naming the field.
-func (p *Plan) Check() string {
-	named := p.Type != "" || p.Zone != "" || p.Spot != nil || p.OlderS != 0
+// Validate says what is wrong with a plan, or nothing, naming the field.
+func (p *Plan) Validate() string {
+	hasSelector := p.Type != "" || p.Zone != "" || p.Spot != nil || p.MinAgeS != 0
 	switch {
 	case len(p.ID) < 1 || len(p.ID) > 60 || strings.ContainsAny(p.ID, " /\t\n"):
 		return "id must have 1 to 60 characters, no spaces and no slashes"
-	case len(p.Machines) > maxMachines:
-		return fmt.Sprintf("machines must name at most %d; choose by type, zone, spot or older_s instead", maxMachines)
-	case len(p.Machines) > 0 && (named || p.All):
+	case len(p.Machines) > maxNamedMachines:
+		return fmt.Sprintf("machines must name at most %d; choose by type, zone, spot or older_s instead", maxNamedMachines)
+	case len(p.Machines) > 0 && (hasSelector || p.All):
 		return "machines goes with none of all, type, zone, spot and older_s"
-	case len(p.Machines) == 0 && !named && !p.All:
+	case len(p.Machines) == 0 && !hasSelector && !p.All:
 		return "name machines, or say all, type, zone, spot or older_s"
 	case p.Mode != Drain && p.Mode != Replace:
 		return fmt.Sprintf("mode %q is neither drain nor replace", p.Mode)
 	case p.Mode == Replace && p.Surge < 1:
 		return "surge must be at least 1 to replace"
-	case p.Mode == Drain && (p.Surge != 0 || p.SurgeMoney != 0):
+	case p.Mode == Drain && (p.Surge != 0 || p.SurgeCostPerHour != 0):
 		return "surge and surge_money go with mode replace"
 	case p.Surge > 1000:
 		return "surge must be at most 1000"
-	case !(p.SurgeMoney >= 0):
+	case !(p.SurgeCostPerHour >= 0):
 		return "surge_money must not be below 0"
-	case p.First < 0 || p.First > 100_000:
+	case p.FirstStepMachines < 0 || p.FirstStepMachines > 100_000:
 		return "first must be from 0 to 100000"
-	case !(p.Step >= 0) || p.Step > 1:
+	case !(p.StepShare >= 0) || p.StepShare > 1:
 		return "step must be from 0 to 1"
-	case !(p.PauseS >= 0) || p.PauseS > 86_400:
+	case !(p.StepPauseS >= 0) || p.StepPauseS > 86_400:
 		return "pause_s must be from 0 to 86400"
 	case !(p.DeadlineS >= 0) || p.DeadlineS > 7*86_400:
 		return "deadline_s must be from 0 to 604800"
-	case !(p.OlderS >= 0):
+	case !(p.MinAgeS >= 0):
 		return "older_s must not be below 0"
-	case p.Gates.Errors < 0 || p.Gates.Losses < 0 || p.Gates.Late < 0 || p.Gates.Missed < 0 || p.Gates.Fresh < 0:
+	case p.Gates.Errors < 0 || p.Gates.Losses < 0 || p.Gates.LateStarts < 0 || p.Gates.MissedDeadlines < 0 || p.Gates.ReplacementErrors < 0:
 		return "gates must not be below 0"
 	}
 	return ""
@@ -162,29 +162,29 @@
 	Done    State = "done"
 )
 
-// Over tells whether nothing more comes of a plan.
-func (s State) Over() bool { return s == Aborted || s == Done }
+// IsTerminal tells whether nothing more comes of a plan.
+func (s State) IsTerminal() bool { return s == Aborted || s == Done }
 
 // Record is a plan and how far it is. Times are times of day, ms.
 type Record struct {
-	Plan    Plan   `json:"plan"`
-	State   State  `json:"state"`
-	Why     string `json:"why,omitempty"` // it is paused, or waits
-	Began   int64  `json:"began"`
-	Ended   int64  `json:"ended,omitempty"`
-	Total   int    `json:"total"` // machines at the beginning
-	Fresh   int    `json:"fresh"` // replacements that are up
-	Ready   int    `json:"ready"` // replacements that ever came up
-	Step    int    `json:"step"`  // from 1 on; 0: none began
-	End     int    `json:"end"`   // machines to be covered up to this step's end
-	Zone    string `json:"zone,omitempty"`
-	Upto    string `json:"upto,omitempty"`     // the last machine that is covered
-	Covered int    `json:"covered"`            // machines ever covered
-	StepAt  int64  `json:"step_at,omitempty"`  // when the last of the step's machines so far was covered
-	EmptyAt int64  `json:"empty_at,omitempty"` // when the last of the step's machines was gone
-	Usual   Rate   `json:"usual"`              // what gates count, before the plan
-	Base    Tally  `json:"base"`               // and at the step's beginning
-	BaseAt  int64  `json:"base_at,omitempty"`
+	Plan              Plan         `json:"plan"`
+	State             State        `json:"state"`
+	Reason            string       `json:"why,omitempty"` // it is paused, or waits
+	StartedAt         int64        `json:"began"`
+	EndedAt           int64        `json:"ended,omitempty"`
+	TotalMachines     int          `json:"total"` // machines at the beginning
+	LiveReplacements  int          `json:"fresh"` // replacements that are up
+	ReadyReplacements int          `json:"ready"` // replacements that ever came up
+	Step              int          `json:"step"`  // from 1 on; 0: none began
+	CoverLimit        int          `json:"end"`   // machines to be covered up to this step's end
+	LastCoveredZone   string       `json:"zone,omitempty"`
+	LastCovered       string       `json:"upto,omitempty"`     // the last machine that is covered
+	CoveredMachines   int          `json:"covered"`            // machines ever covered
+	StepCoveredAt     int64        `json:"step_at,omitempty"`  // when the last of the step's machines so far was covered
+	StepEmptiedAt     int64        `json:"empty_at,omitempty"` // when the last of the step's machines was gone
+	BaselineRates     HealthRates  `json:"usual"`              // what gates count, before the plan
+	StepBaseCounts    HealthCounts `json:"base"`               // and at the step's beginning
+	StepBaseAt        int64        `json:"base_at,omitempty"`
 
 	// Tokens for stops that the leader issued: package disruption.
 	Issued map[string]map[string]uint64 `json:"issued,omitempty"`
@@ -192,240 +192,240 @@
 
 // Machine is a machine as plans see it.
 type Machine struct {
-	ID, Type, Zone string
-	Shard          string // whose it is
-	Spot, Up       bool
-	Rented         int64  // time of day, ms
-	For            string // the plan that it was rented for
+	ID, Type, Zone     string
+	Shard              string // whose it is
+	Spot, Up           bool
+	ProvisionedAt      int64  // time of day, ms
+	ProvisionedForPlan string // the plan that it was rented for
 }
 
-// Names tells whether a plan is about a machine.
-func (r *Record) Names(m *Machine) bool {
+// Selects tells whether a plan is about a machine.
+func (r *Record) Selects(m *Machine) bool {
 	p := &r.Plan
 	if len(p.Machines) > 0 {
 		return slices.Contains(p.Machines, m.ID)
 	}
-	return m.Rented < r.Began-int64(p.OlderS*1000) && m.For != p.ID &&
+	return m.ProvisionedAt < r.StartedAt-int64(p.MinAgeS*1000) && m.ProvisionedForPlan != p.ID &&
 		(p.Type == "" || p.Type == m.Type) && (p.Zone == "" || p.Zone == m.Zone) && (p.Spot == nil || *p.Spot == m.Spot)
 }
 
 // Covers tells whether a machine is to be emptied now.
 func (r *Record) Covers(m *Machine) bool {
-	return !r.State.Over() && r.Step > 0 && r.Upto != "" && r.Names(m) && r.before(m.Zone, m.ID, r.Zone, r.Upto) <= 0
+	return !r.State.IsTerminal() && r.Step > 0 && r.LastCovered != "" && r.Selects(m) && r.compareMachines(m.Zone, m.ID, r.LastCoveredZone, r.LastCovered) <= 0
 }
 
-func (r *Record) before(zone, id, zone2, id2 string) int {
+func (r *Record) compareMachines(zone, id, zone2, id2 string) int {
 	if r.Plan.ByZone {
-		if c := strings.Compare(zone, zone2); c != 0 {
-			return c
+		if order := strings.Compare(zone, zone2); order != 0 {
+			return order
 		}
 	}
 	return strings.Compare(id, id2)
 }
 
-// Late tells whether the step's deadline has passed: what still runs on its machines
+// IsPastDeadline tells whether the step's deadline has passed: what still runs on its machines
 // is to be stopped, as far as budgets allow.
-func (r *Record) Late(wall int64) bool {
-	return r.State == Running && r.Plan.DeadlineS > 0 && r.StepAt > 0 && wall >= r.Deadline()
+func (r *Record) IsPastDeadline(wallMS int64) bool {
+	return r.State == Running && r.Plan.DeadlineS > 0 && r.StepCoveredAt > 0 && wallMS >= r.StepDeadline()
 }
 
-// Deadline is when the step's machines should be empty, 0 without one.
-func (r *Record) Deadline() int64 {
-	if r.Plan.DeadlineS <= 0 || r.StepAt == 0 {
+// StepDeadline is when the step's machines should be empty, 0 without one.
+func (r *Record) StepDeadline() int64 {
+	if r.Plan.DeadlineS <= 0 || r.StepCoveredAt == 0 {
 		return 0
 	}
-	return r.StepAt + int64(r.Plan.DeadlineS*1000)
+	return r.StepCoveredAt + int64(r.Plan.DeadlineS*1000)
 }
 
-// Kind is what a replacement has to be like, and whose: the tasks that are stopped on
+// InstanceOffering is what a replacement has to be like, and whose: the tasks that are stopped on
 // a machine wait in its shard, and a replacement elsewhere is no room for them.
-type Kind struct {
+type InstanceOffering struct {
 	Type, Zone string
 	Spot       bool
 	Shard      string
 }
 
-// Begin makes the record of a plan that is applied now, or says why it can't be.
-func Begin(p Plan, wall int64, fleet []Machine, usual Rate) (*Record, string) {
-	if why := p.Check(); why != "" {
-		return nil, why
+// NewRecord makes the record of a plan that is applied now, or says why it can't be.
+func NewRecord(plan Plan, wallMS int64, fleet []Machine, baseline HealthRates) (*Record, string) {
+	if reason := plan.Validate(); reason != "" {
+		return nil, reason
 	}
-	r := &Record{Plan: p, State: Running, Began: wall, Usual: usual}
+	record := &Record{Plan: plan, State: Running, StartedAt: wallMS, BaselineRates: baseline}
 	for i := range fleet {
-		if r.Names(&fleet[i]) {
-			r.Total++
+		if record.Selects(&fleet[i]) {
+			record.TotalMachines++
 		}
 	}
-	for _, id := range p.Machines {
+	for _, id := range plan.Machines {
 		if !slices.ContainsFunc(fleet, func(m Machine) bool { return m.ID == id }) {
 			return nil, fmt.Sprintf("machines: %s is no machine of the fleet", id)
 		}
 	}
-	if r.Total == 0 {
+	if record.TotalMachines == 0 {
 		return nil, "no machine of the fleet is meant"
 	}
-	return r, ""
+	return record, ""
 }
 
-// Next moves a running plan on. The fleet is in the order of names; price is what a machine of a kind costs an hour. It
+// Advance moves a running plan on. The fleet is in the order of names; price is what a machine of a kind costs an hour. It
 // returns whether the record changed, and which replacements are to be rented.
-func (r *Record) Next(wall int64, fleet []Machine, tally Tally, price func(Kind) float64) (changed bool, rent map[Kind]int) {
+func (r *Record) Advance(wallMS int64, fleet []Machine, counts HealthCounts, hourlyPrice func(InstanceOffering) float64) (changed bool, provision map[InstanceOffering]int) {
 	if r.State != Running {
 		return false, nil
 	}
-	if why := r.gate(wall, tally); why != "" {
-		r.State, r.Why = Paused, why
+	if reason := r.failedGate(wallMS, counts); reason != "" {
+		r.State, r.Reason = Paused, reason
 		return true, nil
 	}
-	var left []*Machine // of the plan, not covered yet
-	covered, fresh, booting := 0, 0, 0
+	var uncovered []*Machine // of the plan, not covered yet
+	covered, liveReplacements, booting := 0, 0, 0
 	for i := range fleet {
 		m := &fleet[i]
 		switch {
 		case r.Covers(m):
 			covered++
-		case r.Names(m):
-			left = append(left, m)
-		case m.For == r.Plan.ID && m.Up:
-			fresh++
-		case m.For == r.Plan.ID:
+		case r.Selects(m):
+			uncovered = append(uncovered, m)
+		case m.ProvisionedForPlan == r.Plan.ID && m.Up:
+			liveReplacements++
+		case m.ProvisionedForPlan == r.Plan.ID:
 			booting++
 		}
 	}
-	if fresh != r.Fresh {
+	if liveReplacements != r.LiveReplacements {
 		// One that came up has replaced one, whatever becomes of it later.
-		r.Ready += max(0, fresh-r.Fresh)
-		r.Fresh, changed = fresh, true
+		r.ReadyReplacements += max(0, liveReplacements-r.LiveReplacements)
+		r.LiveReplacements, changed = liveReplacements, true
 	}
-	if len(left) == 0 && covered == 0 {
-		r.State, r.Why, r.Ended = Done, "", wall
+	if len(uncovered) == 0 && covered == 0 {
+		r.State, r.Reason, r.EndedAt = Done, "", wallMS
 		return true, nil
 	}
 	if r.Plan.ByZone {
-		slices.SortStableFunc(left, func(a, b *Machine) int { return strings.Compare(a.Zone, b.Zone) })
+		slices.SortStableFunc(uncovered, func(a, b *Machine) int { return strings.Compare(a.Zone, b.Zone) })
 	}
-	inStep := r.Step > 0 && (covered > 0 || r.Covered < r.End && len(left) > 0)
-	if r.Step > 0 && !inStep && r.EmptyAt == 0 {
-		r.EmptyAt, changed = wall, true
+	inStep := r.Step > 0 && (covered > 0 || r.CoveredMachines < r.CoverLimit && len(uncovered) > 0)
+	if r.Step > 0 && !inStep && r.StepEmptiedAt == 0 {
+		r.StepEmptiedAt, changed = wallMS, true
 	}
-	if !inStep && (r.Step == 0 || wall-r.EmptyAt >= int64(r.Plan.PauseS*1000)) {
+	if !inStep && (r.Step == 0 || wallMS-r.StepEmptiedAt >= int64(r.Plan.StepPauseS*1000)) {
 		r.Step++
-		r.End = r.Covered + r.stepSize(left)
-		r.StepAt, r.EmptyAt, r.Base, r.BaseAt = wall, 0, tally, wall
+		r.CoverLimit = r.CoveredMachines + r.stepSize(uncovered)
+		r.StepCoveredAt, r.StepEmptiedAt, r.StepBaseCounts, r.StepBaseAt = wallMS, 0, counts, wallMS
 		changed, inStep = true, true
 	}
 	if !inStep {
 		return changed, nil
 	}
 	// How many more of the step's machines may be covered by now.
-	may := min(r.End-r.Covered, len(left))
+	coverable := min(r.CoverLimit-r.CoveredMachines, len(uncovered))
 	if r.Plan.Mode == Replace {
-		rent = r.replacements(left, r.Covered-covered, booting, price)
-		may = min(may, r.Ready-r.Covered)
+		provision = r.replacementsToProvision(uncovered, r.CoveredMachines-covered, booting, hourlyPrice)
+		coverable = min(coverable, r.ReadyReplacements-r.CoveredMachines)
 	}
-	if may > 0 {
-		last := left[may-1]
-		r.Zone, r.Upto, r.Covered, changed = last.Zone, last.ID, r.Covered+may, true
-		r.StepAt = wall // the deadline counts from the last that was covered
+	if coverable > 0 {
+		lastCovered := uncovered[coverable-1]
+		r.LastCoveredZone, r.LastCovered, r.CoveredMachines, changed = lastCovered.Zone, lastCovered.ID, r.CoveredMachines+coverable, true
+		r.StepCoveredAt = wallMS // the deadline counts from the last that was covered
 	}
-	why := ""
-	if r.Plan.Mode == Replace && may <= 0 && covered == 0 {
-		why = fmt.Sprintf("waits for replacements: %d came up, %d boot, %d machines are emptied", r.Ready, booting, r.Covered)
+	reason := ""
+	if r.Plan.Mode == Replace && coverable <= 0 && covered == 0 {
+		reason = fmt.Sprintf("waits for replacements: %d came up, %d boot, %d machines are emptied", r.ReadyReplacements, booting, r.CoveredMachines)
 	}
-	if why != r.Why {
-		r.Why, changed = why, true
+	if reason != r.Reason {
+		r.Reason, changed = reason, true
 	}
-	return changed, rent
+	return changed, provision
 }
 
 // stepSize is how many machines the step that begins has.
-func (r *Record) stepSize(left []*Machine) int {
-	n := len(left)
+func (r *Record) stepSize(uncovered []*Machine) int {
+	n := len(uncovered)
 	switch {
-	case r.Step == 1 && r.Plan.First > 0:
-		n = r.Plan.First
-	case r.Plan.Step > 0:
-		n = max(1, int(r.Plan.Step*float64(r.Total)))
+	case r.Step == 1 && r.Plan.FirstStepMachines > 0:
+		n = r.Plan.FirstStepMachines
+	case r.Plan.StepShare > 0:
+		n = max(1, int(r.Plan.StepShare*float64(r.TotalMachines)))
 	}
 	if r.Plan.ByZone {
-		same := 0
-		for _, m := range left {
-			if m.Zone == left[0].Zone {
-				same++
+		sameZone := 0
+		for _, m := range uncovered {
+			if m.Zone == uncovered[0].Zone {
+				sameZone++
 			}
 		}
-		n = min(n, same)
+		n = min(n, sameZone)
 	}
-	return min(n, len(left))
+	return min(n, len(uncovered))
 }
 
-// Steps is how many steps the plan has, with so many machines in each zone.
-func (r *Record) Steps(zones map[string]int) int {
-	parts := []int{r.Total}
+// StepCount is how many steps the plan has, with so many machines in each zone.
+func (r *Record) StepCount(machinesByZone map[string]int) int {
+	groups := []int{r.TotalMachines}
 	if r.Plan.ByZone {
-		parts = parts[:0]
-		for _, z := range slices.Sorted(maps.Keys(zones)) {
-			parts = append(parts, zones[z])
+		groups = groups[:0]
+		for _, zone := range slices.Sorted(maps.Keys(machinesByZone)) {
+			groups = append(groups, machinesByZone[zone])
 		}
 	}
-	n, first := 0, r.Plan.First
-	for _, left := range parts {
-		for left > 0 {
-			size := left
-			if first > 0 {
-				size = first
-			} else if r.Plan.Step > 0 {
-				size = max(1, int(r.Plan.Step*float64(r.Total)))
+	n, firstStep := 0, r.Plan.FirstStepMachines
+	for _, remaining := range groups {
+		for remaining > 0 {
+			size := remaining
+			if firstStep > 0 {
+				size = firstStep
+			} else if r.Plan.StepShare > 0 {
+				size = max(1, int(r.Plan.StepShare*float64(r.TotalMachines)))
 			}
-			first = 0
-			left -= min(size, left)
+			firstStep = 0
+			remaining -= min(size, remaining)
 			n++
 		}
 	}
 	return n
 }
 
-// replacements are the machines to be rented now: one for each of those to come, no more
+// replacementsToProvision are the machines to be rented now: one for each of those to come, no more
 // at a time than the surge and its money allow beyond those that were emptied.
-func (r *Record) replacements(left []*Machine, emptied, booting int, price func(Kind) float64) map[Kind]int {
-	rent := map[Kind]int{}
-	have := r.Ready + booting
-	end := r.End
+func (r *Record) replacementsToProvision(uncovered []*Machine, emptied, booting int, hourlyPrice func(InstanceOffering) float64) map[InstanceOffering]int {
+	provision := map[InstanceOffering]int{}
+	existing := r.ReadyReplacements + booting
+	limit := r.CoverLimit
 	if r.Step > 1 {
 		// The first step showed that replacements are good: those of the next one
 		// may boot while this one's machines are emptied.
-		end = r.Covered + len(left)
+		limit = r.CoveredMachines + len(uncovered)
 	}
-	for i := have; i < end && i-emptied < r.Plan.Surge; i++ {
-		at := i - r.Covered
-		if at < 0 || at >= len(left) {
+	for i := existing; i < limit && i-emptied < r.Plan.Surge; i++ {
+		index := i - r.CoveredMachines
+		if index < 0 || index >= len(uncovered) {
 			continue
 		}
-		k := Kind{left[at].Type, left[at].Zone, left[at].Spot, left[at].Shard}
-		if r.Plan.SurgeMoney > 0 && float64(i+1-emptied)*price(k) > r.Plan.SurgeMoney {
+		offering := InstanceOffering{uncovered[index].Type, uncovered[index].Zone, uncovered[index].Spot, uncovered[index].Shard}
+		if r.Plan.SurgeCostPerHour > 0 && float64(i+1-emptied)*hourlyPrice(offering) > r.Plan.SurgeCostPerHour {
 			break
 		}
-		rent[k]++
+		provision[offering]++
 	}
-	return rent
+	return provision
 }
 
-// gate says which gate is passed, if one is.
-func (r *Record) gate(wall int64, now Tally) string {
-	if r.Step == 0 || r.BaseAt == 0 {
+// failedGate says which gate is passed, if one is.
+func (r *Record) failedGate(wallMS int64, counts HealthCounts) string {
+	if r.Step == 0 || r.StepBaseAt == 0 {
 		return ""
 	}
-	d := now.Since(r.Base)
-	s := float64(wall-r.BaseAt) / 1000
-	for _, g := range []struct {
-		name  string
-		bound int
-		n     uint64
-		usual float64
-	}{{"errors", r.Plan.Gates.Errors, d.Errors, r.Usual.Errors}, {"losses", r.Plan.Gates.Losses, d.Losses, r.Usual.Losses},
-		{"late", r.Plan.Gates.Late, d.Late, r.Usual.Late}, {"missed", r.Plan.Gates.Missed, d.Missed, r.Usual.Missed}, {"fresh", r.Plan.Gates.Fresh, d.Fresh, 0}} {
-		if beyond := float64(g.n) - g.usual*s; g.bound > 0 && beyond > float64(g.bound) {
-			return fmt.Sprintf("gate %s: %d in step %d, %.1f are usual in %.0f s, %d more allowed", g.name, g.n, r.Step, g.usual*s, s, g.bound)
+	increase := counts.Since(r.StepBaseCounts)
+	elapsedS := float64(wallMS-r.StepBaseAt) / 1000
+	for _, gate := range []struct {
+		name     string
+		allowed  int
+		count    uint64
+		baseline float64
+	}{{"errors", r.Plan.Gates.Errors, increase.Errors, r.BaselineRates.Errors}, {"losses", r.Plan.Gates.Losses, increase.Losses, r.BaselineRates.Losses},
+		{"late", r.Plan.Gates.LateStarts, increase.LateStarts, r.BaselineRates.LateStarts}, {"missed", r.Plan.Gates.MissedDeadlines, increase.MissedDeadlines, r.BaselineRates.MissedDeadlines}, {"fresh", r.Plan.Gates.ReplacementErrors, increase.ReplacementErrors, 0}} {
+		if excess := float64(gate.count) - gate.baseline*elapsedS; gate.allowed > 0 && excess > float64(gate.allowed) {
+			return fmt.Sprintf("gate %s: %d in step %d, %.1f are usual in %.0f s, %d more allowed", gate.name, gate.count, r.Step, gate.baseline*elapsedS, elapsedS, gate.allowed)
 		}
 	}
 	return ""
@@ -441,23 +441,23 @@
 	Abort  Command = "abort"
 )
 
-// Do carries an operator's command out, or says why it can't be.
-func (r *Record) Do(c Command, wall int64, tally Tally) string {
+// ApplyCommand carries an operator's command out, or says why it can't be.
+func (r *Record) ApplyCommand(command Command, wallMS int64, counts HealthCounts) string {
 	switch {
-	case r.State.Over():
+	case r.State.IsTerminal():
 		return fmt.Sprintf("plan %s is %s", r.Plan.ID, r.State)
-	case c == Pause:
+	case command == Pause:
 		if r.State == Running {
-			r.State, r.Why = Paused, "by an operator"
+			r.State, r.Reason = Paused, "by an operator"
 		}
-	case c == Resume:
+	case command == Resume:
 		if r.State == Paused {
-			r.State, r.Why, r.Base, r.BaseAt = Running, "", tally, wall
+			r.State, r.Reason, r.StepBaseCounts, r.StepBaseAt = Running, "", counts, wallMS
 		}
-	case c == Abort:
-		r.State, r.Why, r.Ended = Aborted, cmp.Or(r.Why, "by an operator"), wall
+	case command == Abort:
+		r.State, r.Reason, r.EndedAt = Aborted, cmp.Or(r.Reason, "by an operator"), wallMS
 	default:
-		return fmt.Sprintf("unknown command %q", c)
+		return fmt.Sprintf("unknown command %q", command)
 	}
 	return ""
 }
