--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-func fleet(n int) (ms []Machine) {
+func testFleet(n int) (machines []Machine) {
 	for i := range n {
-		ms = append(ms, Machine{ID: fmt.Sprintf("i-%03d", i), Type: "small", Zone: string("ab"[i%2]), Spot: i%3 == 0, Up: true, Rented: int64(i)})
+		machines = append(machines, Machine{ID: fmt.Sprintf("i-%03d", i), Type: "small", Zone: string("ab"[i%2]), Spot: i%3 == 0, Up: true, ProvisionedAt: int64(i)})
 	}
-	return ms
+	return machines
 }
 
-func TestPlansAreChecked(t *testing.T) {
-	good := Plan{ID: "p", All: true, Mode: Replace, Surge: 2}
+func TestInvalidPlansAreRejectedNamingTheField(t *testing.T) {
+	validPlan := Plan{ID: "p", All: true, Mode: Replace, Surge: 2}
 	for want, change := range map[string]func(p *Plan){
 		"":                func(*Plan) {},
 		"id must":         func(p *Plan) { p.ID = "a b" },
@@ -24,95 +24,95 @@
 		"mode \"x\"":      func(p *Plan) { p.Mode = "x" },
 		"surge must be":   func(p *Plan) { p.Surge = 0 },
 		"surge and":       func(p *Plan) { p.Mode = Drain },
-		"step must":       func(p *Plan) { p.Step = 2 },
+		"step must":       func(p *Plan) { p.StepShare = 2 },
 		"deadline_s must": func(p *Plan) { p.DeadlineS = -1 },
-		"gates must":      func(p *Plan) { p.Gates.Late = -1 },
+		"gates must":      func(p *Plan) { p.Gates.LateStarts = -1 },
 	} {
-		p := good
+		p := validPlan
 		change(&p)
-		if why := p.Check(); !strings.HasPrefix(why, want) || want == "" && why != "" {
-			t.Errorf("%q: %q", want, why)
+		if reason := p.Validate(); !strings.HasPrefix(reason, want) || want == "" && reason != "" {
+			t.Errorf("%q: %q", want, reason)
 		}
 	}
-	if _, why := Begin(Plan{ID: "p", Machines: []string{"i-9"}, Mode: Drain}, 100, fleet(3), Rate{}); !strings.Contains(why, "i-9") {
-		t.Errorf("a machine that is none: %q", why)
+	if _, reason := NewRecord(Plan{ID: "p", Machines: []string{"i-9"}, Mode: Drain}, 100, testFleet(3), HealthRates{}); !strings.Contains(reason, "i-9") {
+		t.Errorf("a machine that is none: %q", reason)
 	}
-	if _, why := Begin(Plan{ID: "p", Type: "large", Mode: Drain}, 100, fleet(3), Rate{}); why == "" {
+	if _, reason := NewRecord(Plan{ID: "p", Type: "large", Mode: Drain}, 100, testFleet(3), HealthRates{}); reason == "" {
 		t.Error("a plan of no machines begins")
 	}
 }
 
-// play moves a plan on until it is over or stands for long: machines that are covered
+// simulateRollout moves a plan on until it is over or stands for long: machines that are covered
 // go after a while, those that are rented come up.
-func play(t *testing.T, r *Record, ms []Machine, each func(wall int64, ms []Machine) Tally) []Machine {
+func simulateRollout(t *testing.T, record *Record, machines []Machine, countsAt func(wallMS int64, machines []Machine) HealthCounts) []Machine {
 	t.Helper()
-	next := 1000
+	nextID := 1000
 	bootAt, goneAt := map[string]int64{}, map[string]int64{}
-	for wall := r.Began; wall < r.Began+3_600_000 && !r.State.Over() && r.State != Paused; wall += 500 {
-		tally := Tally{}
-		if each != nil {
-			tally = each(wall, ms)
+	for wallMS := record.StartedAt; wallMS < record.StartedAt+3_600_000 && !record.State.IsTerminal() && record.State != Paused; wallMS += 500 {
+		counts := HealthCounts{}
+		if countsAt != nil {
+			counts = countsAt(wallMS, machines)
 		}
-		_, rent := r.Next(wall, ms, tally, func(Kind) float64 { return 1 })
-		for k, n := range rent {
+		_, provision := record.Advance(wallMS, machines, counts, func(InstanceOffering) float64 { return 1 })
+		for offering, n := range provision {
 			for range n {
-				id := fmt.Sprintf("i-%d", next)
-				next++
-				ms = append(ms, Machine{ID: id, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Rented: wall, For: r.Plan.ID})
-				bootAt[id] = wall + 20_000
+				id := fmt.Sprintf("i-%d", nextID)
+				nextID++
+				machines = append(machines, Machine{ID: id, Type: offering.Type, Zone: offering.Zone, Spot: offering.Spot, ProvisionedAt: wallMS, ProvisionedForPlan: record.Plan.ID})
+				bootAt[id] = wallMS + 20_000
 			}
 		}
-		for i := range ms {
-			if at := bootAt[ms[i].ID]; at > 0 && wall >= at {
-				ms[i].Up = true
+		for i := range machines {
+			if bootedAt := bootAt[machines[i].ID]; bootedAt > 0 && wallMS >= bootedAt {
+				machines[i].Up = true
 			}
-			if r.Covers(&ms[i]) && goneAt[ms[i].ID] == 0 {
-				goneAt[ms[i].ID] = wall + 7000
+			if record.Covers(&machines[i]) && goneAt[machines[i].ID] == 0 {
+				goneAt[machines[i].ID] = wallMS + 7000
 			}
 		}
-		ms = slices.DeleteFunc(ms, func(m Machine) bool { return goneAt[m.ID] > 0 && wall >= goneAt[m.ID] })
+		machines = slices.DeleteFunc(machines, func(m Machine) bool { return goneAt[m.ID] > 0 && wallMS >= goneAt[m.ID] })
 	}
-	return ms
+	return machines
 }
 
 // A plan goes step by step, rents first, and never has more beyond than its surge.
-func TestReplacedInSteps(t *testing.T) {
+func TestMachinesAreReplacedInStepsWithinSurge(t *testing.T) {
 	for _, byZone := range []bool{false, true} {
-		ms := fleet(20)
-		r, why := Begin(Plan{ID: "p", All: true, Mode: Replace, Surge: 3, First: 2, Step: 0.25, ByZone: byZone, PauseS: 5}, 1000, ms, Rate{})
-		if why != "" {
-			t.Fatal(why)
+		machines := testFleet(20)
+		record, reason := NewRecord(Plan{ID: "p", All: true, Mode: Replace, Surge: 3, FirstStepMachines: 2, StepShare: 0.25, ByZone: byZone, StepPauseS: 5}, 1000, machines, HealthRates{})
+		if reason != "" {
+			t.Fatal(reason)
 		}
-		steps, zones := map[int]int{}, ""
-		ms = play(t, r, ms, func(_ int64, ms []Machine) Tally {
-			old, covered := 0, 0
-			for i := range ms {
-				if r.Names(&ms[i]) {
-					old++
-					if r.Covers(&ms[i]) {
+		maxCoveredByStep, zoneOrder := map[int]int{}, ""
+		machines = simulateRollout(t, record, machines, func(_ int64, machines []Machine) HealthCounts {
+			selected, covered := 0, 0
+			for i := range machines {
+				if record.Selects(&machines[i]) {
+					selected++
+					if record.Covers(&machines[i]) {
 						covered++
-						if byZone && !strings.HasSuffix(zones, ms[i].Zone) {
-							zones += ms[i].Zone
+						if byZone && !strings.HasSuffix(zoneOrder, machines[i].Zone) {
+							zoneOrder += machines[i].Zone
 						}
 					}
 				}
 			}
-			if len(ms) > 20+3 {
-				t.Fatalf("%d machines, 20 and 3 beyond are allowed", len(ms))
+			if len(machines) > 20+3 {
+				t.Fatalf("%d machines, 20 and 3 beyond are allowed", len(machines))
 			}
-			steps[r.Step] = max(steps[r.Step], covered)
-			return Tally{}
+			maxCoveredByStep[record.Step] = max(maxCoveredByStep[record.Step], covered)
+			return HealthCounts{}
 		})
-		if r.State != Done || len(ms) != 20 {
-			t.Fatalf("by zone %v: %+v, %d machines", byZone, r, len(ms))
+		if record.State != Done || len(machines) != 20 {
+			t.Fatalf("by zone %v: %+v, %d machines", byZone, record, len(machines))
 		}
-		if n := r.Steps(map[string]int{"a": 10, "b": 10}); n != r.Step {
-			t.Errorf("by zone %v: %d steps, %d were foreseen", byZone, r.Step, n)
+		if n := record.StepCount(map[string]int{"a": 10, "b": 10}); n != record.Step {
+			t.Errorf("by zone %v: %d steps, %d were foreseen", byZone, record.Step, n)
 		}
-		if steps[1] > 2 || len(steps) < 5 || byZone && zones != "ab" {
-			t.Errorf("by zone %v: covered at once in each step %v, zones %q", byZone, steps, zones)
+		if maxCoveredByStep[1] > 2 || len(maxCoveredByStep) < 5 || byZone && zoneOrder != "ab" {
+			t.Errorf("by zone %v: covered at once in each step %v, zones %q", byZone, maxCoveredByStep, zoneOrder)
 		}
-		if left := slices.ContainsFunc(ms, func(m Machine) bool { return m.Rented < 1000 }); left {
+		if hasOldMachine := slices.ContainsFunc(machines, func(m Machine) bool { return m.ProvisionedAt < 1000 }); hasOldMachine {
 			t.Error("an old machine is left")
 		}
 	}
@@ -120,40 +120,40 @@
 
 // Past a gate a plan pauses by itself and says why, within the step; resumed, it counts
 // anew; aborted, it covers nothing.
-func TestGates(t *testing.T) {
-	ms := fleet(10)
-	r, _ := Begin(Plan{ID: "p", All: true, Mode: Drain, First: 2, Step: 0.2, PauseS: 3, Gates: Gates{Errors: 4}}, 1000, ms, Rate{Errors: 0.5})
-	errors := uint64(0)
-	ms = play(t, r, ms, func(wall int64, _ []Machine) Tally {
-		if wall%2000 == 0 {
-			errors++ // as usual
+func TestPlanPausesWhenHealthGateFails(t *testing.T) {
+	machines := testFleet(10)
+	record, _ := NewRecord(Plan{ID: "p", All: true, Mode: Drain, FirstStepMachines: 2, StepShare: 0.2, StepPauseS: 3, Gates: HealthGates{Errors: 4}}, 1000, machines, HealthRates{Errors: 0.5})
+	taskErrors := uint64(0)
+	machines = simulateRollout(t, record, machines, func(wallMS int64, _ []Machine) HealthCounts {
+		if wallMS%2000 == 0 {
+			taskErrors++ // as usual
 		}
-		if r.Step == 2 {
-			errors += 2
+		if record.Step == 2 {
+			taskErrors += 2
 		}
-		return Tally{Errors: errors}
+		return HealthCounts{Errors: taskErrors}
 	})
-	if r.State != Paused || r.Step != 2 || !strings.HasPrefix(r.Why, "gate errors") || len(ms) < 6 {
-		t.Fatalf("%+v, %d machines left", r, len(ms))
+	if record.State != Paused || record.Step != 2 || !strings.HasPrefix(record.Reason, "gate errors") || len(machines) < 6 {
+		t.Fatalf("%+v, %d machines left", record, len(machines))
 	}
-	if why := r.Do(Resume, 90_000, Tally{Errors: errors}); why != "" || r.State != Running || r.gate(90_500, Tally{Errors: errors}) != "" {
-		t.Errorf("resumed: %q, %+v", why, r)
+	if reason := record.ApplyCommand(Resume, 90_000, HealthCounts{Errors: taskErrors}); reason != "" || record.State != Running || record.failedGate(90_500, HealthCounts{Errors: taskErrors}) != "" {
+		t.Errorf("resumed: %q, %+v", reason, record)
 	}
-	covered := slices.IndexFunc(ms, func(m Machine) bool { return r.Covers(&m) })
-	if why := r.Do(Abort, 91_000, Tally{}); why != "" || covered >= 0 && r.Covers(&ms[covered]) {
-		t.Errorf("aborted: %q, %+v", why, r)
+	covered := slices.IndexFunc(machines, func(m Machine) bool { return record.Covers(&m) })
+	if reason := record.ApplyCommand(Abort, 91_000, HealthCounts{}); reason != "" || covered >= 0 && record.Covers(&machines[covered]) {
+		t.Errorf("aborted: %q, %+v", reason, record)
 	}
-	if r.Do(Resume, 92_000, Tally{}) == "" {
+	if record.ApplyCommand(Resume, 92_000, HealthCounts{}) == "" {
 		t.Error("an aborted plan is resumed")
 	}
 }
 
 // What a plan of ten thousand machines costs its leader each time that it looks.
-func BenchmarkNext(b *testing.B) {
-	ms := fleet(10_000)
-	r, _ := Begin(Plan{ID: "p", All: true, Mode: Replace, Surge: 50, First: 10, Step: 0.05}, 100_000, ms, Rate{})
+func BenchmarkAdvance(b *testing.B) {
+	machines := testFleet(10_000)
+	record, _ := NewRecord(Plan{ID: "p", All: true, Mode: Replace, Surge: 50, FirstStepMachines: 10, StepShare: 0.05}, 100_000, machines, HealthRates{})
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Next(101_000, ms, Tally{}, func(Kind) float64 { return 1 })
+		record.Advance(101_000, machines, HealthCounts{}, func(InstanceOffering) float64 { return 1 })
 	}
 }
--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -7,208 +7,208 @@
 	"github.com/grebedock/grebedock/admission"
 )
 
-// accept is a submission that is in order and not stored yet.
-type accept struct {
-	reply uint64
-	r     UserRequest
+// pendingSubmission is a submission that is in order and not stored yet.
+type pendingSubmission struct {
+	replyID uint64
+	request UserRequest
 }
 
-// acceptWait is the longest that a submission waits in line for its write, as a
+// queueWaitDivisor is the longest that a submission waits in line for its write, as a
 // part of a request's time: users count a second as at once, and give up after
 // five. Advice reaches as far as users follow it.
 const (
-	acceptWait   = 2
-	acceptRetryS = 30
-	acceptsAhead = 4
+	queueWaitDivisor          = 2
+	maxSubmissionRetryAfterS  = 30
+	maxSubmissionTxnsInFlight = 4
 )
 
-func newAccepts(m *Member) *admission.Queue[accept] {
-	return admission.New[accept](admission.Limits{Rate: m.p.AcceptRate, Changes: m.p.TxnOps, Guards: 4 * m.p.TxnOps, Bytes: txnBytes, Ahead: acceptsAhead,
-		WaitMS: access.Timeout.Milliseconds() / acceptWait, RetryS: acceptRetryS, Lanes: int(Production) + 1})
+func newSubmissionQueue(m *Controller) *admission.Queue[pendingSubmission] {
+	return admission.NewQueue[pendingSubmission](admission.Limits{ChangesPerSecond: m.params.StoreChangeRate, MaxChanges: m.params.MaxTxnOps, MaxPreconditions: 4 * m.params.MaxTxnOps, MaxBytes: maxTxnBytes, MaxInFlight: maxSubmissionTxnsInFlight,
+		MaxWaitMS: access.RequestTimeout.Milliseconds() / queueWaitDivisor, MaxRetryAfterS: maxSubmissionRetryAfterS, Priorities: int(Production) + 1})
 }
 
-// txnBytes bounds a transaction: the state service takes 64 KiB, and names and
+// maxTxnBytes bounds a transaction: the state service takes 64 KiB, and names and
 // punctuation are counted short here.
-const txnBytes = 60 << 10
+const maxTxnBytes = 60 << 10
 
-// offer puts a submission in line for its write. Without a rate each is written
+// enqueueSubmission puts a submission in line for its write. Without a rate each is written
 // at once by itself.
-func (m *Member) offer(reply uint64, r UserRequest) {
-	a := accept{reply, r}
-	if m.p.AcceptRate == 0 {
-		m.store1(a)
+func (c *Controller) enqueueSubmission(replyID uint64, request UserRequest) {
+	submission := pendingSubmission{replyID, request}
+	if c.params.StoreChangeRate == 0 {
+		c.writeSubmission(submission)
 		return
 	}
-	it := admission.Item[accept]{Team: r.Job.Team, Lane: int(Production - r.Job.Priority), Changes: 1, Guards: 2 + len(r.Guards), Value: a,
-		Bytes: m.recordBound(r.Job)}
-	for _, s := range m.accepts.Offer(m.now.Steady, it, m.rng.Float64()) {
-		m.shed(s.Item.Value, s.RetryS)
+	queued := admission.Request[pendingSubmission]{Team: request.Job.Team, Priority: int(Production - request.Job.Priority), Changes: 1, Preconditions: 2 + len(request.Preconditions), Value: submission,
+		Bytes: c.maxSubmissionBytes(request.Job)}
+	for _, rejected := range c.submissionQueue.Enqueue(c.now.MonotonicMS, queued, c.rng.Float64()) {
+		c.shedSubmission(rejected.Request.Value, rejected.RetryAfterS)
 	}
-	m.pumpAccepts()
+	c.writeQueuedSubmissions()
 }
 
-func (m *Member) shed(a accept, retryS int) {
-	m.Counters.Shed++
-	m.reply(a.reply, UserAnswer{Status: 503, ID: a.r.ID, Error: "more submissions than the state service takes", RetryS: retryS})
+func (c *Controller) shedSubmission(submission pendingSubmission, retryAfterS int) {
+	c.Counters.ShedSubmissions++
+	c.completeRequest(submission.replyID, UserResponse{Status: 503, ID: submission.request.ID, Error: "more submissions than the state service takes", RetryAfterS: retryAfterS})
 }
 
-// recordBound is how many bytes a submission takes in a transaction at most:
+// maxSubmissionBytes is how many bytes a submission takes in a transaction at most:
 // its ranges are not known yet, one a shard and one more for each full one.
-func (m *Member) recordBound(j *Job) int {
-	ranges := len(m.members()) + 1 + j.Tasks/m.rangeLimit()
-	return len(encode(j)) + 128*(ranges+4)
+func (c *Controller) maxSubmissionBytes(j *Job) int {
+	ranges := len(c.memberIDs()) + 1 + j.Tasks/c.maxRangeTasks()
+	return len(mustEncode(j)) + 128*(ranges+4)
 }
 
-// pumpAccepts writes what is next in line.
-func (m *Member) pumpAccepts() {
-	if m.p.AcceptRate == 0 {
+// writeQueuedSubmissions writes what is next in line.
+func (c *Controller) writeQueuedSubmissions() {
+	if c.params.StoreChangeRate == 0 {
 		return
 	}
-	if m.storeAway() {
-		for _, it := range m.accepts.Drain() {
-			m.reply(it.Value.reply, unavailable(it.Value.r.ID, storeAway))
+	if c.isStoreUnreachable() {
+		for _, queued := range c.submissionQueue.Drain() {
+			c.completeRequest(queued.Value.replyID, unavailableResponse(queued.Value.request.ID, storeUnreachableMessage))
 		}
 		return
 	}
 	for {
-		items := m.accepts.Next()
-		if len(items) == 0 {
+		batch := c.submissionQueue.NextBatch()
+		if len(batch) == 0 {
 			return
 		}
-		m.storeAll(items)
+		c.writeSubmissions(batch)
 	}
 }
 
-func (m *Member) record(a accept) (Change, []Guard) {
-	id := a.r.Job.ID
-	if q := m.questions[a.reply]; q != nil {
-		q.written = true
+func (c *Controller) buildSubmissionWrite(submission pendingSubmission) (Change, []Precondition) {
+	id := submission.request.Job.ID
+	if pending := c.pendingRequests[submission.replyID]; pending != nil {
+		pending.writeSent = true
 	}
-	rec := jobRecord{Job: *a.r.Job, Accepted: m.now.Wall, Ranges: m.allot(a.r.Job)}
-	value := encode(rec)
-	if len(value) > m.p.ValueBytes {
+	rec := jobRecord{Job: *submission.request.Job, AcceptedAtMS: c.now.WallMS, Ranges: c.assignRanges(submission.request.Job)}
+	value := mustEncode(rec)
+	if len(value) > c.params.MaxValueBytes {
 		// Too many peers have a little room.
-		rec.Ranges = []Range{{0, a.r.Job.Tasks, m.homeOf(a.r.Job), false}}
-		value = encode(rec)
+		rec.Ranges = []Range{{0, submission.request.Job.Tasks, c.homeShard(submission.request.Job), false}}
+		value = mustEncode(rec)
 	}
-	return Change{Key: jobKey(id), Value: value}, append([]Guard{{jobKey(id), 0}, {finalKey(id), 0}}, a.r.Guards...)
+	return Change{Key: jobKey(id), Value: value}, append([]Precondition{{jobKey(id), 0}, {terminalKey(id), 0}}, submission.request.Preconditions...)
 }
 
-// storeAll writes several submissions in one transaction. Of those of the same job only
+// writeSubmissions writes several submissions in one transaction. Of those of the same job only
 // the first is written: both were answered 201 once.
-func (m *Member) storeAll(items []admission.Item[accept]) {
+func (c *Controller) writeSubmissions(batch []admission.Request[pendingSubmission]) {
 	var changes []Change
-	var guards []Guard
-	written := map[string]uint64{} // job: the submission that is written
-	for _, it := range items {
-		id := it.Value.r.Job.ID
-		if _, repeated := written[id]; repeated {
+	var preconditions []Precondition
+	writtenRequests := map[string]uint64{} // job: the submission that is written
+	for _, queued := range batch {
+		id := queued.Value.request.Job.ID
+		if _, repeated := writtenRequests[id]; repeated {
 			continue
 		}
-		written[id] = it.Value.reply
-		c, gs := m.record(it.Value)
-		changes = append(changes, c)
-		for _, g := range gs {
-			if !slices.Contains(guards, g) {
-				guards = append(guards, g)
+		writtenRequests[id] = queued.Value.replyID
+		change, conditions := c.buildSubmissionWrite(queued.Value)
+		changes = append(changes, change)
+		for _, condition := range conditions {
+			if !slices.Contains(preconditions, condition) {
+				preconditions = append(preconditions, condition)
 			}
 		}
 	}
-	sent := m.now.Steady
-	m.txn(Answers, guards, changes, func(t StoreResult) {
-		m.accepts.Done(items, m.now.Steady-sent, t.Outcome.Answered())
-		if t.Outcome == Conflict && len(items) > 1 {
+	sentAtMS := c.now.MonotonicMS
+	c.sendTxn(UrgencyUser, preconditions, changes, func(result StoreResult) {
+		c.submissionQueue.Complete(batch, c.now.MonotonicMS-sentAtMS, result.Outcome.ProcessedByService())
+		if result.Outcome == Conflict && len(batch) > 1 {
 			// Only those whose own conditions fail are held up by them.
-			var rest []admission.Item[accept]
-			for _, it := range items {
-				if m.hindered(it.Value, t.Failed) {
-					m.stored(it.Value, t)
+			var requeued []admission.Request[pendingSubmission]
+			for _, queued := range batch {
+				if c.hasFailedPrecondition(queued.Value, result.FailedKeys) {
+					c.completeSubmission(queued.Value, result)
 				} else {
-					rest = append(rest, it)
+					requeued = append(requeued, queued)
 				}
 			}
-			if len(rest) == len(items) {
-				for _, it := range items {
-					m.store1(it.Value)
+			if len(requeued) == len(batch) {
+				for _, queued := range batch {
+					c.writeSubmission(queued.Value)
 				}
-				rest = nil
+				requeued = nil
 			}
-			m.accepts.Again(rest)
+			c.submissionQueue.Requeue(requeued)
 		} else {
-			for _, it := range items {
-				m.storedOnce(it.Value, t, written)
+			for _, queued := range batch {
+				c.completeBatchedSubmission(queued.Value, result, writtenRequests)
 			}
 		}
-		m.pumpAccepts()
+		c.writeQueuedSubmissions()
 	})
 }
 
-// storedOnce answers a submission whose transaction has ended: of a job's second one it
+// completeBatchedSubmission answers a submission whose transaction has ended: of a job's second one it
 // only tells that the job is known.
-func (m *Member) storedOnce(a accept, t StoreResult, written map[string]uint64) {
-	if t.Outcome == OK && written[a.r.Job.ID] != a.reply {
-		t.Outcome = Conflict
+func (c *Controller) completeBatchedSubmission(submission pendingSubmission, result StoreResult, writtenRequests map[string]uint64) {
+	if result.Outcome == OK && writtenRequests[submission.request.Job.ID] != submission.replyID {
+		result.Outcome = Conflict
 	}
-	m.stored(a, t)
+	c.completeSubmission(submission, result)
 }
 
-func (m *Member) hindered(a accept, failed []string) bool {
-	id := a.r.Job.ID
-	return slices.Contains(failed, jobKey(id)) || slices.Contains(failed, finalKey(id)) ||
-		slices.ContainsFunc(a.r.Guards, func(g Guard) bool { return slices.Contains(failed, g.Key) })
+func (c *Controller) hasFailedPrecondition(submission pendingSubmission, failedKeys []string) bool {
+	id := submission.request.Job.ID
+	return slices.Contains(failedKeys, jobKey(id)) || slices.Contains(failedKeys, terminalKey(id)) ||
+		slices.ContainsFunc(submission.request.Preconditions, func(condition Precondition) bool { return slices.Contains(failedKeys, condition.Key) })
 }
 
-// store1 writes a submission by itself.
-func (m *Member) store1(a accept) {
-	c, guards := m.record(a)
-	m.txn(Answers, guards, []Change{c}, func(t StoreResult) { m.stored(a, t) })
+// writeSubmission writes a submission by itself.
+func (c *Controller) writeSubmission(submission pendingSubmission) {
+	change, preconditions := c.buildSubmissionWrite(submission)
+	c.sendTxn(UrgencyUser, preconditions, []Change{change}, func(result StoreResult) { c.completeSubmission(submission, result) })
 }
 
-// stored answers a submission whose write has ended.
-func (m *Member) stored(a accept, t StoreResult) {
-	id := a.r.Job.ID
-	switch t.Outcome {
+// completeSubmission answers a submission whose write has ended.
+func (c *Controller) completeSubmission(submission pendingSubmission, result StoreResult) {
+	id := submission.request.Job.ID
+	switch result.Outcome {
 	case OK:
-		m.Counters.Accepted++
-		m.reply(a.reply, UserAnswer{Status: 201, ID: id, State: Pending})
+		c.Counters.Accepted++
+		c.completeRequest(submission.replyID, UserResponse{Status: 201, ID: id, State: Pending})
 	case Conflict, Unknown:
-		if m.questions[a.reply] == nil {
+		if c.pendingRequests[submission.replyID] == nil {
 			return // its record was read meanwhile, or a peer answered
 		}
-		m.lookup(id, Answers, func(u UserAnswer, _ *Item) {
+		c.readJob(id, UrgencyUser, func(response UserResponse, _ *KeyValue) {
 			switch {
-			case u.Status == 404 && t.Outcome == Conflict && len(a.r.Guards) > 0:
-				u = UserAnswer{Status: 409, ID: id, Error: "a condition of the submission does not hold"}
-			case u.Status == 404:
-				u = unavailable(id, "not stored yet")
+			case response.Status == 404 && result.Outcome == Conflict && len(submission.request.Preconditions) > 0:
+				response = UserResponse{Status: 409, ID: id, Error: "a condition of the submission does not hold"}
+			case response.Status == 404:
+				response = unavailableResponse(id, "not stored yet")
 			}
-			m.reply(a.reply, u)
+			c.completeRequest(submission.replyID, response)
 		})
 	case Throttled:
-		m.shed(a, max(m.accepts.RetryS(), int((t.RetryMS+999)/1000)))
+		c.shedSubmission(submission, max(c.submissionQueue.RetryAfterS(), int((result.RetryAfterMS+999)/1000)))
 	default:
-		m.reply(a.reply, unavailable(id, "state service unavailable"))
+		c.completeRequest(submission.replyID, unavailableResponse(id, "state service unavailable"))
 	}
 }
 
-// confirmSeen answers submissions whose write has no answer though answers take less:
+// confirmMirroredSubmissions answers submissions whose write has no answer though answers take less:
 // the answer may be lost, and the mirror shows their record. It is read, since it may
 // have moved on; that it is not in the mirror tells nothing, so a write that may yet be
 // carried out is asked for by nothing but its own end. Each costs one read, in place of
 // the one that follows a write without an answer.
-func (m *Member) confirmSeen() {
-	for _, q := range m.asked {
-		if m.now.Steady-q.at <= m.acc.Usual() {
+func (c *Controller) confirmMirroredSubmissions() {
+	for _, pending := range c.requestsByArrival {
+		if c.now.MonotonicMS-pending.receivedAtMS <= c.storeAccess.TypicalLatencyMS() {
 			break
 		}
-		if q.over || q.reading || !q.written || m.jobs[q.r.ID] == nil {
+		if pending.completed || pending.readingRecord || !pending.writeSent || c.jobs[pending.request.ID] == nil {
 			continue
 		}
-		q.reading = true
-		m.lookup(q.r.ID, Answers, func(a UserAnswer, _ *Item) {
-			if a.Status == 200 && m.questions[q.reply] != nil {
-				m.Counters.Confirmed++
-				m.reply(q.reply, a)
+		pending.readingRecord = true
+		c.readJob(pending.request.ID, UrgencyUser, func(response UserResponse, _ *KeyValue) {
+			if response.Status == 200 && c.pendingRequests[pending.replyID] != nil {
+				c.Counters.ConfirmedSubmissions++
+				c.completeRequest(pending.replyID, response)
 			}
 		})
 	}
--- a/scheduler/accept_random_test.go
+++ b/scheduler/accept_random_test.go
@@ -17,48 +17,48 @@
 	}
 }
 
-// oneJobStore is a state service that keeps one job, and tells of its changes late.
-type oneJobStore struct {
-	id       string
-	rev      uint64
-	live     []byte // its live record
-	liveRev  uint64
-	final    []byte
-	log      []Item // changes that the watch has not brought yet
-	step     int
-	lastLive int // the last step at which it was live
+// singleJobStore is a state service that keeps one job, and tells of its changes late.
+type singleJobStore struct {
+	id                 string
+	revision           uint64
+	live               []byte // its live record
+	liveRevision       uint64
+	final              []byte
+	pendingWatchEvents []KeyValue // changes that the watch has not brought yet
+	step               int
+	lastLiveStep       int // the last step at which it was live
 }
 
-func (s *oneJobStore) change(value []byte) {
-	s.rev++
-	s.live, s.liveRev = value, 0
+func (store *singleJobStore) change(value []byte) {
+	store.revision++
+	store.live, store.liveRevision = value, 0
 	if value != nil {
-		s.liveRev, s.lastLive = s.rev, s.step
+		store.liveRevision, store.lastLiveStep = store.revision, store.step
 	}
-	s.log = append(s.log, Item{Key: jobKey(s.id), Value: value, Rev: s.rev})
+	store.pendingWatchEvents = append(store.pendingWatchEvents, KeyValue{Key: jobKey(store.id), Value: value, Rev: store.revision})
 }
 
-func (s *oneJobStore) do(op StoreOp) StoreResult {
+func (store *singleJobStore) execute(op StoreOp) StoreResult {
 	switch {
-	case op.Kind == StoreTxn && (s.live != nil || s.final != nil):
-		return StoreResult{Outcome: Conflict, Rev: s.rev, Failed: []string{jobKey(s.id)}}
+	case op.Kind == StoreTxn && (store.live != nil || store.final != nil):
+		return StoreResult{Outcome: Conflict, Rev: store.revision, FailedKeys: []string{jobKey(store.id)}}
 	case op.Kind == StoreTxn:
-		s.change(op.Changes[0].Value)
-		return StoreResult{Rev: s.rev}
-	case op.Key == jobKey(s.id) && s.live != nil:
-		return StoreResult{Rev: s.rev, Items: []Item{{Key: op.Key, Value: s.live, Rev: s.liveRev}}}
-	case op.Key == finalKey(s.id) && s.final != nil:
-		return StoreResult{Rev: s.rev, Items: []Item{{Key: op.Key, Value: s.final, Rev: s.rev}}}
+		store.change(op.Changes[0].Value)
+		return StoreResult{Rev: store.revision}
+	case op.Key == jobKey(store.id) && store.live != nil:
+		return StoreResult{Rev: store.revision, KVs: []KeyValue{{Key: op.Key, Value: store.live, Rev: store.liveRevision}}}
+	case op.Key == terminalKey(store.id) && store.final != nil:
+		return StoreResult{Rev: store.revision, KVs: []KeyValue{{Key: op.Key, Value: store.final, Rev: store.revision}}}
 	}
-	return StoreResult{Outcome: NotFound, Rev: s.rev}
+	return StoreResult{Outcome: NotFound, Rev: store.revision}
 }
 
-// cancel is another member's.
-func (s *oneJobStore) cancel() {
-	if s.live != nil {
-		s.lastLive = s.step
-		s.change(nil)
-		s.final = encode(finalRecord{State: Cancelled, Tasks: 1})
+// cancelByPeer is another member's.
+func (store *singleJobStore) cancelByPeer() {
+	if store.live != nil {
+		store.lastLiveStep = store.step
+		store.change(nil)
+		store.final = mustEncode(terminalRecord{State: Cancelled, Tasks: 1})
 	}
 }
 
@@ -66,110 +66,110 @@
 // at once, late or never, with answers that are lost, while a peer cancels the job and the
 // mirror is behind: nobody hears that it is accepted unless the store had it since they
 // asked, and everybody hears something once all requests have ended.
-func TestAcceptedOnlyWithTheRecord(test *testing.T) {
+func TestSubmissionIsAcceptedOnlyWithStoredRecord(outer *testing.T) {
 	confirmed := uint64(0)
-	rapid.Check(test, func(t *rapid.T) {
-		m := testMember(test)
-		m.acc.Stand(1, 1, 1)
-		m.setTypes([]MachineType{{Name: "small", Room: availability.Room{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}}})
-		m.p.Teams, m.p.AcceptRate = map[string]Team{"ops": {}}, 1000
-		m.accepts = newAccepts(m)
-		store := &oneJobStore{id: "job-000001", rev: m.rev}
-		asked, answered := map[uint64]int{}, map[uint64]bool{}
-		var open []StoreOp               // not ended for the member
-		var afterwards []StoreOp         // ended for it, and yet to be carried out
-		done := map[uint64]StoreResult{} // carried out, and not answered
+	rapid.Check(outer, func(t *rapid.T) {
+		ctrl := newTestController(outer)
+		ctrl.storeAccess.SetState(1, 1, 1)
+		ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}}})
+		ctrl.params.Teams, ctrl.params.StoreChangeRate = map[string]Team{"ops": {}}, 1000
+		ctrl.submissionQueue = newSubmissionQueue(ctrl)
+		store := &singleJobStore{id: "job-000001", revision: ctrl.mirrorRevision}
+		requestedAtStep, answered := map[uint64]int{}, map[uint64]bool{}
+		var openOps []StoreOp               // not ended for the member
+		var lateOps []StoreOp               // ended for it, and yet to be carried out
+		results := map[uint64]StoreResult{} // carried out, and not answered
 		collect := func() {
-			o := m.Take()
-			for _, op := range o.Store {
+			outputs := ctrl.TakeOutputs()
+			for _, op := range outputs.StoreOps {
 				if op.Kind == StoreTxn || op.Kind == StoreGet {
-					open = append(open, op)
+					openOps = append(openOps, op)
 				}
 			}
-			for reply, a := range o.Users {
-				if answered[reply] {
-					t.Fatalf("%d is answered twice", reply)
+			for replyID, resp := range outputs.UserResponses {
+				if answered[replyID] {
+					t.Fatalf("%d is answered twice", replyID)
 				}
-				answered[reply] = true
-				if wasLive := store.live != nil || store.lastLive >= asked[reply]; (a.Status == 200 || a.Status == 201) && a.State != Cancelled && !wasLive {
-					t.Fatalf("%d is answered %+v, asked at %d, live until %d, now %d", reply, a, asked[reply], store.lastLive, store.step)
+				answered[replyID] = true
+				if wasLive := store.live != nil || store.lastLiveStep >= requestedAtStep[replyID]; (resp.Status == 200 || resp.Status == 201) && resp.State != Cancelled && !wasLive {
+					t.Fatalf("%d is answered %+v, asked at %d, live until %d, now %d", replyID, resp, requestedAtStep[replyID], store.lastLiveStep, store.step)
 				}
-				if a.State == Cancelled && store.final == nil {
-					t.Fatalf("%d is told of a cancellation that did not happen", reply)
+				if resp.State == Cancelled && store.final == nil {
+					t.Fatalf("%d is told of a cancellation that did not happen", replyID)
 				}
 			}
 		}
-		carryOut := func(op StoreOp) {
-			if _, ok := done[op.ID]; !ok {
-				done[op.ID] = store.do(op)
+		execute := func(op StoreOp) {
+			if _, ok := results[op.ID]; !ok {
+				results[op.ID] = store.execute(op)
 			}
 		}
-		end := func(i int, r StoreResult) {
-			op := open[i]
-			open = slices.Delete(open, i, i+1)
-			m.StoreDone(m.now, op.ID, r)
+		complete := func(i int, result StoreResult) {
+			op := openOps[i]
+			openOps = slices.Delete(openOps, i, i+1)
+			ctrl.HandleStoreResult(ctrl.now, op.ID, result)
 		}
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for n := range steps {
 			store.step++
-			which := 0
-			if len(open) > 0 {
-				which = rapid.IntRange(0, len(open)-1).Draw(t, "which")
+			index := 0
+			if len(openOps) > 0 {
+				index = rapid.IntRange(0, len(openOps)-1).Draw(t, "which")
 			}
 			switch rapid.IntRange(0, 8).Draw(t, "what") {
 			case 0:
-				if len(asked) < 4 {
-					asked[uint64(n)] = store.step
-					m.User(m.now, uint64(n), offered(1, "ops", Normal))
+				if len(requestedAtStep) < 4 {
+					requestedAtStep[uint64(n)] = store.step
+					ctrl.HandleUserRequest(ctrl.now, uint64(n), newSubmission(1, "ops", Normal))
 				}
 			case 1:
-				if len(open) > 0 {
-					carryOut(open[which])
+				if len(openOps) > 0 {
+					execute(openOps[index])
 				}
 			case 2:
-				if len(open) > 0 {
-					carryOut(open[which])
-					end(which, done[open[which].ID])
+				if len(openOps) > 0 {
+					execute(openOps[index])
+					complete(index, results[openOps[index].ID])
 				}
 			case 3: // its time is up
-				if len(open) > 0 {
-					if _, ok := done[open[which].ID]; !ok && open[which].Kind == StoreTxn {
-						afterwards = append(afterwards, open[which])
+				if len(openOps) > 0 {
+					if _, ok := results[openOps[index].ID]; !ok && openOps[index].Kind == StoreTxn {
+						lateOps = append(lateOps, openOps[index])
 					}
-					end(which, StoreResult{Outcome: Unknown})
+					complete(index, StoreResult{Outcome: Unknown})
 				}
 			case 4:
-				if len(afterwards) > 0 {
-					carryOut(afterwards[0])
-					afterwards = afterwards[1:]
+				if len(lateOps) > 0 {
+					execute(lateOps[0])
+					lateOps = lateOps[1:]
 				}
 			case 5:
-				store.cancel()
+				store.cancelByPeer()
 			case 6, 7:
-				if len(store.log) > 0 {
-					m.apply(store.log[0])
-					m.rev = max(m.rev, store.log[0].Rev)
-					store.log = store.log[1:]
+				if len(store.pendingWatchEvents) > 0 {
+					ctrl.applyChange(store.pendingWatchEvents[0])
+					ctrl.mirrorRevision = max(ctrl.mirrorRevision, store.pendingWatchEvents[0].Rev)
+					store.pendingWatchEvents = store.pendingWatchEvents[1:]
 				}
 			default:
-				ms := rapid.Int64Range(1, 800).Draw(t, "ms")
-				m.now.Steady, m.now.Wall = m.now.Steady+ms, m.now.Wall+ms
+				elapsedMS := rapid.Int64Range(1, 800).Draw(t, "ms")
+				ctrl.now.MonotonicMS, ctrl.now.WallMS = ctrl.now.MonotonicMS+elapsedMS, ctrl.now.WallMS+elapsedMS
 			}
-			m.confirmSeen()
+			ctrl.confirmMirroredSubmissions()
 			collect()
 		}
-		for len(open) > 0 {
-			end(0, StoreResult{Outcome: Unknown})
+		for len(openOps) > 0 {
+			complete(0, StoreResult{Outcome: Unknown})
 			collect()
 		}
-		for reply := range asked {
-			if !answered[reply] {
-				t.Fatalf("%d hears nothing", reply)
+		for replyID := range requestedAtStep {
+			if !answered[replyID] {
+				t.Fatalf("%d hears nothing", replyID)
 			}
 		}
-		confirmed += m.Counters.Confirmed
+		confirmed += ctrl.Counters.ConfirmedSubmissions
 	})
 	if confirmed == 0 {
-		test.Error("no submission was answered by its record")
+		outer.Error("no submission was answered by its record")
 	}
 }
--- a/scheduler/admin.go
+++ b/scheduler/admin.go
@@ -14,9 +14,9 @@
 	Member    string          `json:"member"`
 	Authority bool            `json:"authority"`
 	Leading   bool            `json:"leading"`
-	Lead      string          `json:"lead"`
+	Leader    string          `json:"lead"`
 	Revision  uint64          `json:"revision"`
-	Link      string          `json:"link"` // with the state service: up, doubtful, refused or silent
+	StoreLink string          `json:"link"` // with the state service: up, doubtful, refused or silent
 	Jobs      int             `json:"jobs"`
 	Shards    []ShardStatus   `json:"shards"`
 	Machines  []MachineStatus `json:"machines"`
@@ -26,137 +26,137 @@
 
 // ShardStatus is a shard in a Status.
 type ShardStatus struct {
-	Shard  string `json:"shard"`
-	Holder string `json:"holder"`
-	Mine   bool   `json:"mine"`
-	Ready  bool   `json:"ready"`
-	Token  uint64 `json:"token,omitempty"`
-	Queued int    `json:"queued"`
-	Needs  int    `json:"needs"`
-	// PlanGapS is how long the cost of the last plan asks to wait for the next.
-	PlanGapS float64 `json:"plan_gap_s"`
+	Shard       string `json:"shard"`
+	Owner       string `json:"holder"`
+	Owned       bool   `json:"mine"`
+	Ready       bool   `json:"ready"`
+	Token       uint64 `json:"token,omitempty"`
+	QueuedTasks int    `json:"queued"`
+	Demands     int    `json:"needs"`
+	// PlanIntervalS is how long the cost of the last plan asks to wait for the next.
+	PlanIntervalS float64 `json:"plan_gap_s"`
 	// Machines that may run tasks of earlier claims without our knowing it, those
 	// of which the store says what they hold, and whether orders are paced.
-	Unseen int  `json:"unseen"`
-	Noted  int  `json:"noted"`
-	Paced  bool `json:"paced"`
+	Unreported          int  `json:"unseen"`
+	RecordedUnreachable int  `json:"noted"`
+	Paced               bool `json:"paced"`
 }
 
 // MachineStatus is a machine in a Status.
 type MachineStatus struct {
-	ID       string `json:"id"`
-	Shard    string `json:"shard"`
-	Type     string `json:"type"`
-	Zone     string `json:"zone"`
-	Spot     bool   `json:"spot"`
-	Up       bool   `json:"up"`
-	Draining bool   `json:"draining"` // the lead is asked to return it; nothing undoes that
-	Aside    bool   `json:"aside"`    // takes no starts, by an operator's wish
-	Silent   bool   `json:"silent"`
-	Tasks    int    `json:"tasks"`
+	ID          string `json:"id"`
+	Shard       string `json:"shard"`
+	Type        string `json:"type"`
+	Zone        string `json:"zone"`
+	Spot        bool   `json:"spot"`
+	Up          bool   `json:"up"`
+	Releasing   bool   `json:"draining"` // the lead is asked to return it; nothing undoes that
+	Cordoned    bool   `json:"aside"`    // takes no starts, by an operator's wish
+	Unreachable bool   `json:"silent"`
+	Tasks       int    `json:"tasks"`
 }
 
 // TeamStatus is a team in a Status: its guarantee and limit, and what its tasks
 // use and wait for in this member's shards and in all.
 type TeamStatus struct {
-	Team    string  `json:"team"`
-	CPUs    float64 `json:"cpus"`
-	MaxCPUs float64 `json:"cpus_max"` // 0: none
-	Used    float64 `json:"cpus_used"`
-	Waiting float64 `json:"cpus_waiting"`
+	Team        string  `json:"team"`
+	CPUs        float64 `json:"cpus"`
+	MaxCPUs     float64 `json:"cpus_max"` // 0: none
+	UsedCPUs    float64 `json:"cpus_used"`
+	WaitingCPUs float64 `json:"cpus_waiting"`
 
 	Guarantee quota.Amounts `json:"guarantee"`
 	Limit     quota.Amounts `json:"limit"`
 	// Over all members that were heard lately, and how old the oldest of their figures is.
-	Use  quota.Amounts `json:"use"`
-	Wait quota.Amounts `json:"wait"`
-	AgeS float64       `json:"age_s"`
-	// Within is what unfinished jobs within the guarantee ask for, Below how far the team
+	TotalUsage      quota.Amounts `json:"use"`
+	TotalWaiting    quota.Amounts `json:"wait"`
+	OldestUsageAgeS float64       `json:"age_s"`
+	// GuaranteedDemand is what unfinished jobs within the guarantee ask for, Below how far the team
 	// is below its guarantee while as much of them waits.
-	Within quota.Amounts `json:"within"`
-	Below  quota.Amounts `json:"below"`
+	GuaranteedDemand   quota.Amounts `json:"within"`
+	GuaranteeShortfall quota.Amounts `json:"below"`
 	// By shard, of a team with a limit.
-	Parts map[string]quota.Amounts `json:"parts,omitempty"`
-	Wants map[string]quota.Want    `json:"wants,omitempty"`
+	Allocations map[string]quota.Amounts `json:"parts,omitempty"`
+	Requests    map[string]quota.Request `json:"wants,omitempty"`
 }
 
 // Status tells how the member stands.
-func (m *Member) Status(now Now) Status {
-	m.now = now
-	st := Status{Member: m.p.Member, Authority: m.authority(), Leading: m.fleet.leading, Lead: m.lead, Revision: m.rev, Link: m.acc.Link(now.Steady).String(), Jobs: len(m.jobs), Counters: m.Counters}
-	for _, n := range m.members() {
-		ss := ShardStatus{Shard: n, Holder: m.shards[n].Holder}
-		if s := m.mine[n]; s != nil {
-			ss.Mine, ss.Ready, ss.Token, ss.Needs, ss.PlanGapS = true, s.ready, s.token, len(s.needs), m.planGap(s)/1000
-			ss.Unseen, ss.Noted, ss.Paced = len(s.squares.Unseen()), s.squares.Book.Len(), s.squares.Line.On(now.Steady)
-			for _, g := range m.groups(s) {
-				ss.Queued += g.Left
+func (c *Controller) Status(now Now) Status {
+	c.now = now
+	status := Status{Member: c.params.MemberID, Authority: c.hasAuthority(), Leading: c.fleet.leading, Leader: c.leader, Revision: c.mirrorRevision, StoreLink: c.storeAccess.Link(now.MonotonicMS).String(), Jobs: len(c.jobs), Counters: c.Counters}
+	for _, shardName := range c.memberIDs() {
+		shardStatus := ShardStatus{Shard: shardName, Owner: c.shardClaims[shardName].Owner}
+		if s := c.ownedShards[shardName]; s != nil {
+			shardStatus.Owned, shardStatus.Ready, shardStatus.Token, shardStatus.Demands, shardStatus.PlanIntervalS = true, s.ready, s.token, len(s.demand), c.planInterval(s)/1000
+			shardStatus.Unreported, shardStatus.RecordedUnreachable, shardStatus.Paced = len(s.reconciler.Unreported()), s.reconciler.Ledger.Len(), s.reconciler.Pacer.IsActive(now.MonotonicMS)
+			for _, g := range c.waitingTaskGroups(s) {
+				shardStatus.QueuedTasks += g.Remaining
 			}
 		}
-		st.Shards = append(st.Shards, ss)
+		status.Shards = append(status.Shards, shardStatus)
 	}
-	use, wait := m.teamUse()
-	for name, t := range inOrder(m.p.Teams) {
-		st.Teams = append(st.Teams, m.teamStatus(name, t, use[name], wait[name]))
+	usageByTeam, waitingByTeam := c.localUsageByTeam()
+	for name, team := range sortedByKey(c.params.Teams) {
+		status.Teams = append(status.Teams, c.teamStatus(name, team, usageByTeam[name], waitingByTeam[name]))
 	}
-	for id, mc := range m.machines {
-		st.Machines = append(st.Machines, MachineStatus{ID: id, Shard: mc.rec.Shard, Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot,
-			Up: mc.Up, Draining: mc.returning, Aside: mc.aside || slices.Contains(m.settings.Drain, id), Silent: mc.Standing() == reconcile.Silent, Tasks: mc.live})
+	for id, mc := range c.machines {
+		status.Machines = append(status.Machines, MachineStatus{ID: id, Shard: mc.rec.Shard, Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot,
+			Up: mc.Up, Releasing: mc.releasing, Cordoned: mc.cordoned || slices.Contains(c.settings.Drain, id), Unreachable: mc.State() == reconcile.LeaseExpired, Tasks: mc.liveAttemptCount})
 	}
-	slices.SortFunc(st.Machines, func(a, b MachineStatus) int { return strings.Compare(a.ID, b.ID) })
-	return st
+	slices.SortFunc(status.Machines, func(a, b MachineStatus) int { return strings.Compare(a.ID, b.ID) })
+	return status
 }
 
-func (m *Member) teamStatus(name string, t Team, use, wait quota.Amounts) TeamStatus {
-	ts := TeamStatus{Team: name, CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, Used: use.CPUs, Waiting: wait.CPUs, Guarantee: guaranteeOf(t),
-		Limit: quota.Amounts{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}}
-	var age int64
-	ts.Use, ts.Wait, age = m.watch.Others(name, m.now.Steady, m.now.Steady-m.freshFor())
-	ts.Use, ts.Wait, ts.AgeS = ts.Use.Add(use), ts.Wait.Add(wait), float64(age)/1000
-	for _, j := range inOrder(m.jobs) { // the same sum every time
-		if j.rec.Job.Team == name && m.guaranteed(&j.rec.Job) {
-			ts.Within = ts.Within.Add(sizeOf(&j.rec.Job))
+func (c *Controller) teamStatus(name string, team Team, usage, waiting quota.Amounts) TeamStatus {
+	status := TeamStatus{Team: name, CPUs: team.CPUs, MaxCPUs: team.MaxCPUs, UsedCPUs: usage.CPUs, WaitingCPUs: waiting.CPUs, Guarantee: guaranteeOf(team),
+		Limit: quota.Amounts{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}}
+	var ageMS int64
+	status.TotalUsage, status.TotalWaiting, ageMS = c.usageMonitor.PeerUsage(name, c.now.MonotonicMS, c.now.MonotonicMS-c.maxMessageAgeMS())
+	status.TotalUsage, status.TotalWaiting, status.OldestUsageAgeS = status.TotalUsage.Add(usage), status.TotalWaiting.Add(waiting), float64(ageMS)/1000
+	for _, j := range sortedByKey(c.jobs) { // the same sum every time
+		if j.rec.Job.Team == name && c.isWithinGuarantee(&j.rec.Job) {
+			status.GuaranteedDemand = status.GuaranteedDemand.Add(totalRequest(&j.rec.Job))
 		}
 	}
-	ts.Below = ts.Within.Min(ts.Guarantee).Sub(ts.Use).Min(ts.Wait).Max(quota.Amounts{})
-	if b := m.books[name]; b != nil {
-		ts.Parts = b.Parts()
-		if rec := b.Record(); rec != nil {
-			ts.Wants = maps.Clone(rec.Wants)
+	status.GuaranteeShortfall = status.GuaranteedDemand.Min(status.Guarantee).Sub(status.TotalUsage).Min(status.TotalWaiting).Max(quota.Amounts{})
+	if ledger := c.quotaLedgers[name]; ledger != nil {
+		status.Allocations = ledger.Allocations()
+		if rec := ledger.Record(); rec != nil {
+			status.Requests = maps.Clone(rec.Requests)
 		}
 	}
-	return ts
+	return status
 }
 
 // Settings returns the operators' settings that are in force.
-func (m *Member) Settings() Settings {
-	s := m.settings
+func (c *Controller) Settings() Settings {
+	s := c.settings
 	s.Drain, s.Disruption = slices.Clone(s.Drain), maps.Clone(s.Disruption)
 	return s
 }
 
 // ChangeSettings stores new settings, which all members take up from the store;
 // reply names the answer among the users'.
-func (m *Member) ChangeSettings(now Now, reply uint64, s Settings) {
-	m.now = now
-	m.questions[reply] = &question{reply: reply, at: now.Steady, own: true, relayed: true} // this member's to answer
-	if why := s.Check(); why != "" {
-		m.reply(reply, UserAnswer{Status: 400, Error: why})
+func (c *Controller) ChangeSettings(now Now, replyID uint64, s Settings) {
+	c.now = now
+	c.pendingRequests[replyID] = &pendingRequest{replyID: replyID, receivedAtMS: now.MonotonicMS, pendingLocally: true, relayed: true} // this member's to answer
+	if reason := s.Validate(); reason != "" {
+		c.completeRequest(replyID, UserResponse{Status: 400, Error: reason})
 		return
 	}
-	if !m.acc.Synced() {
-		m.reply(reply, unavailable("", "state service unavailable"))
+	if !c.storeAccess.IsSynced() {
+		c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		return
 	}
-	m.txn(Answers, []Guard{{settingsKey, m.revs[settingsKey]}}, []Change{{Key: settingsKey, Value: encode(s)}}, func(r StoreResult) {
-		switch r.Outcome {
+	c.sendTxn(UrgencyUser, []Precondition{{settingsKey, c.keyRevisions[settingsKey]}}, []Change{{Key: settingsKey, Value: mustEncode(s)}}, func(result StoreResult) {
+		switch result.Outcome {
 		case OK:
-			m.log(Info, "settings changed")
-			m.reply(reply, UserAnswer{Status: 200})
+			c.log(Info, "settings changed")
+			c.completeRequest(replyID, UserResponse{Status: 200})
 		case Conflict:
-			m.reply(reply, UserAnswer{Status: 409, Error: "changed by somebody else meanwhile; read and try again"})
+			c.completeRequest(replyID, UserResponse{Status: 409, Error: "changed by somebody else meanwhile; read and try again"})
 		default:
-			m.reply(reply, unavailable("", "state service unavailable"))
+			c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		}
 	})
 }
--- a/scheduler/aging.go
+++ b/scheduler/aging.go
@@ -9,53 +9,53 @@
 // a job has waited for most of the time in which jobs are to begin, its first task, and no
 // more, goes before its equals.
 
-// age puts the first tasks of large jobs that waited too long to begin before their equals.
-func (m *Member) age(gs []*group) []*group {
-	if !m.p.Aging {
-		return gs
+// applyAging puts the first tasks of large jobs that waited too long to begin before their equals.
+func (c *Controller) applyAging(groups []*taskGroup) []*taskGroup {
+	if !c.params.Aging {
+		return groups
 	}
-	within := ms(m.settings.BeginWithinS)
+	within := secondsToMS(c.settings.BeginWithinS)
 	aged := false
-	for _, g := range gs {
-		if !g.Aged(m.now.Wall, within) || !m.large(g.j) {
+	for _, g := range groups {
+		if !g.IsAged(c.now.WallMS, within) || !c.isLargeJob(g.job) {
 			continue
 		}
 		aged = true
 		if first, split := g.SplitFirst(); split {
-			gs = append(gs, &group{Group: first, w: g.w, j: g.j})
+			groups = append(groups, &taskGroup{Group: first, taskRange: g.taskRange, job: g.job})
 		}
 	}
 	if aged {
-		sortGroups(gs)
+		sortTaskGroups(groups)
 	}
-	return gs
+	return groups
 }
 
-// volumes is the mean volume of the live jobs of each class, as of a moment.
-type volumes struct {
-	at    int64 // steady time; 0: never
-	means map[string]float64
+// meanJobVolumes is the mean volume of the live jobs of each class, as of a moment.
+type meanJobVolumes struct {
+	takenAt int64 // steady time; 0: never
+	byClass map[string]float64
 }
 
-// large tells whether a job has at least the mean volume of its class's live jobs, in all
+// isLargeJob tells whether a job has at least the mean volume of its class's live jobs, in all
 // shards. The means are counted once between two summaries: they need no more exactness.
-func (m *Member) large(j *Job) bool {
-	if m.volumes.at == 0 || m.now.Steady-m.volumes.at > ms(m.settings.SummaryS) {
-		m.volumes = volumes{at: m.now.Steady, means: m.meanVolumes()}
+func (c *Controller) isLargeJob(j *Job) bool {
+	if c.meanJobVolumes.takenAt == 0 || c.now.MonotonicMS-c.meanJobVolumes.takenAt > secondsToMS(c.settings.SummaryS) {
+		c.meanJobVolumes = meanJobVolumes{takenAt: c.now.MonotonicMS, byClass: c.meanVolumes()}
 	}
-	return m.volume(j) >= m.volumes.means[j.Class]
+	return c.jobVolume(j) >= c.meanJobVolumes.byClass[j.Class]
 }
 
-// volume is what all tasks of a job take together: processors, times milliseconds.
-func (m *Member) volume(j *Job) float64 {
-	return float64(j.Tasks) * j.Request.CPUs * float64(m.length(j))
+// jobVolume is what all tasks of a job take together: processors, times milliseconds.
+func (c *Controller) jobVolume(j *Job) float64 {
+	return float64(j.Tasks) * j.Request.CPUs * float64(c.expectedRuntime(j))
 }
 
-func (m *Member) meanVolumes() map[string]float64 {
+func (c *Controller) meanVolumes() map[string]float64 {
 	means, jobs := map[string]float64{}, map[string]float64{}
-	for _, j := range inOrder(m.jobs) { // the same sum every time
+	for _, j := range sortedByKey(c.jobs) { // the same sum every time
 		class := j.rec.Job.Class
-		means[class] += m.volume(&j.rec.Job)
+		means[class] += c.jobVolume(&j.rec.Job)
 		jobs[class]++
 	}
 	for class, n := range jobs {
@@ -64,29 +64,29 @@
 	return means
 }
 
-// keep keeps room of a team's limit together for the first task of a job that waited too
+// reserveLimitForFirstTask keeps room of a team's limit together for the first task of a job that waited too
 // long to begin, one at a time. Otherwise smaller tasks would take what others give back
 // before it is enough. A machine is asked for too, since what a limit holds up asks for none.
-func (m *Member) keep(s *shard, g *group) {
-	if s.kept[g.j.Team] != nil {
+func (c *Controller) reserveLimitForFirstTask(s *shard, g *taskGroup) {
+	if s.firstTaskReservations[g.job.Team] != nil {
 		return
 	}
-	part, _, _ := m.part(s, g.j.Team)
-	if !part.Fits(amountsOf(g.j.Request)) {
+	allocation, _, _ := c.teamAllocation(s, g.job.Team)
+	if !allocation.Contains(amountsOf(g.job.Request)) {
 		return
 	}
-	s.kept[g.j.Team] = g.j
-	if s.board.CouldStart(&g.Group, 1) == 0 {
-		s.needs = append(s.needs, Need{Job: g.j.ID, Count: 1, Deadline: g.Due, Length: g.Length})
+	s.firstTaskReservations[g.job.Team] = g.job
+	if s.clusterView.CountStartable(&g.Group, 1) == 0 {
+		s.demand = append(s.demand, CapacityDemand{Job: g.job.ID, Tasks: 1, DeadlineMS: g.DeadlineMS, TaskRuntimeMS: g.LengthMS})
 	}
 }
 
-// keptFrom is what a job must leave of its team's limit to a first task for which room
+// reservedForFirstTask is what a job must leave of its team's limit to a first task for which room
 // is kept there.
-func (s *shard) keptFrom(j *Job) availability.Room {
-	k := s.kept[j.Team]
-	if k == nil || k.ID == j.ID || j.Priority > k.Priority {
-		return availability.Room{}
+func (s *shard) reservedForFirstTask(j *Job) availability.Resources {
+	reservedFor := s.firstTaskReservations[j.Team]
+	if reservedFor == nil || reservedFor.ID == j.ID || j.Priority > reservedFor.Priority {
+		return availability.Resources{}
 	}
-	return availability.Room{CPUs: k.Request.CPUs, GPUs: k.Request.GPUs}
+	return availability.Resources{CPUs: reservedFor.Request.CPUs, GPUs: reservedFor.Request.GPUs}
 }
--- a/scheduler/aging_test.go
+++ b/scheduler/aging_test.go
@@ -13,106 +13,106 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// lognormal draws around a median, with 0.95 of what it draws below p95.
-func lognormal(r *rand.Rand, median, p95, most float64) float64 {
-	return min(most, median*math.Exp(r.NormFloat64()*math.Log(p95/median)/1.645))
+// drawLognormal draws around a median, with 0.95 of what it draws below p95.
+func drawLognormal(r *rand.Rand, median, p95, limit float64) float64 {
+	return min(limit, median*math.Exp(r.NormFloat64()*math.Log(p95/median)/1.645))
 }
 
-// beyondTheLimit plays a team that asks for several times its limit, with jobs of all sizes
+// runAboveTeamLimit plays a team that asks for several times its limit, with jobs of all sizes
 // and lengths, and urgent small ones beside them. It returns the world at its end.
-func beyondTheLimit(seed uint64, aging bool) *emulator.World {
+func runAboveTeamLimit(seed uint64, aging bool) *emulator.Simulation {
 	const until = 480_000
-	p := params(500)
-	p.Teams = map[string]scheduler.Team{"t0": {CPUs: 300, MaxCPUs: 500}}
-	p.Objectives = map[string][]scheduler.Objective{
-		"reads":  {{Kind: "deadline", Times: 1}, {Kind: "deadline", Times: 1.5}, {Kind: "wait", WithinS: 250}},
-		"checks": {{Kind: "deadline", Times: 1}, {Kind: "wait", WithinS: 60}}}
-	p.Aging, p.ReportS, p.LeaseS, p.CancelS = aging, 3, 17.5, 42.5
-	w := emulator.New(emulator.Options{Seed: seed, Members: 3, Types: simTypes, Capacity: 5, Params: p, Loss: 0.002,
-		RunMS: func(_ *emulator.World, j *emulator.Job, _ string) int64 { return int64(1000 * j.Length) }})
-	w.SweepMS = 5000
-	r := rand.New(rand.NewPCG(seed, 2))
-	arrive := func(every float64, job func(n int) (scheduler.Job, float64)) {
+	cfg := newParams(500)
+	cfg.Teams = map[string]scheduler.Team{"t0": {CPUs: 300, MaxCPUs: 500}}
+	cfg.Objectives = map[string][]scheduler.Objective{
+		"reads":  {{Kind: "deadline", DeadlineFactor: 1}, {Kind: "deadline", DeadlineFactor: 1.5}, {Kind: "wait", WithinS: 250}},
+		"checks": {{Kind: "deadline", DeadlineFactor: 1}, {Kind: "wait", WithinS: 60}}}
+	cfg.Aging, cfg.HeartbeatS, cfg.LeaseS, cfg.CancelWithinS = aging, 3, 17.5, 42.5
+	sim := emulator.New(emulator.Options{Seed: seed, Members: 3, Types: simTypes, CapacityPerOffering: 5, Params: cfg, MessageLoss: 0.002,
+		TaskRunMS: func(_ *emulator.Simulation, j *emulator.Job, _ string) int64 { return int64(1000 * j.TaskRunS) }})
+	sim.SweepIntervalMS = 5000
+	rng := rand.New(rand.NewPCG(seed, 2))
+	arrive := func(everyS float64, job func(n int) (scheduler.Job, float64)) {
 		n := 0
 		var next func()
 		next = func() {
-			w.After(max(1, int64(every*1000*r.ExpFloat64())), func() {
+			sim.After(max(1, int64(everyS*1000*rng.ExpFloat64())), func() {
 				n++
-				j, length := job(n)
+				j, runS := job(n)
 				j.Team, j.Kind, j.Spot, j.Image = "t0", scheduler.Array, true, "img-0"
-				j.EstimateS = length * math.Exp(0.4*r.NormFloat64())
-				run := emulator.NewJob(j)
-				run.Length = length
-				w.Submit(run)
+				j.EstimateS = runS * math.Exp(0.4*rng.NormFloat64())
+				simJob := emulator.NewJob(j)
+				simJob.TaskRunS = runS
+				sim.Submit(simJob)
 				next()
 			})
 		}
 		next()
 	}
 	arrive(8, func(n int) (scheduler.Job, float64) {
-		length := lognormal(r, 50, 100, 150)
-		return scheduler.Job{ID: fmt.Sprintf("job-%06d", n), Class: "reads", Priority: scheduler.Normal, DeadlineS: 2*length + 80,
-			Tasks: max(1, int(lognormal(r, 10, 40, 60))), Request: availability.Room{CPUs: 24, MemoryGB: 96, DiskGB: 4}}, length
+		runS := drawLognormal(rng, 50, 100, 150)
+		return scheduler.Job{ID: fmt.Sprintf("job-%06d", n), Class: "reads", Priority: scheduler.Normal, DeadlineS: 2*runS + 80,
+			Tasks: max(1, int(drawLognormal(rng, 10, 40, 60))), Request: availability.Resources{CPUs: 24, MemoryGB: 96, DiskGB: 4}}, runS
 	})
 	arrive(25, func(n int) (scheduler.Job, float64) {
-		length := lognormal(r, 20, 40, 60)
-		return scheduler.Job{ID: fmt.Sprintf("job-9%05d", n), Class: "checks", Priority: scheduler.High, DeadlineS: 2*length + 20,
-			Tasks: 12, Request: availability.Room{CPUs: 4, MemoryGB: 8, DiskGB: 1}}, length
+		runS := drawLognormal(rng, 20, 40, 60)
+		return scheduler.Job{ID: fmt.Sprintf("job-9%05d", n), Class: "checks", Priority: scheduler.High, DeadlineS: 2*runS + 20,
+			Tasks: 12, Request: availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1}}, runS
 	})
-	w.Run(until, func() bool { return false })
-	return w
+	sim.Run(until, func() bool { return false })
+	return sim
 }
 
-// begun is the share of a class's largest or longest quarter that began within four
+// countStartedInTime is the share of a class's largest or longest quarter that began within four
 // minutes, of those that had the time to.
-func begun(w *emulator.World, class string, size func(*emulator.Job) float64) (began, of int) {
+func countStartedInTime(sim *emulator.Simulation, class string, size func(*emulator.Job) float64) (started, total int) {
 	var jobs []*emulator.Job
-	for _, id := range w.Order {
-		if j := w.Jobs[id]; j.Accepted && j.Job.Class == class {
+	for _, id := range sim.JobIDs {
+		if j := sim.Jobs[id]; j.Accepted && j.Spec.Class == class {
 			jobs = append(jobs, j)
 		}
 	}
 	slices.SortStableFunc(jobs, func(a, b *emulator.Job) int { return cmp.Compare(size(b), size(a)) })
 	for _, j := range jobs[:(len(jobs)+3)/4] {
 		switch {
-		case j.First > 0 && j.First-j.AcceptedAt <= 240_000:
-			began++
-			of++
-		case w.Now-j.AcceptedAt > 240_000:
-			of++
+		case j.FirstStartAt > 0 && j.FirstStartAt-j.AcceptedAt <= 240_000:
+			started++
+			total++
+		case sim.Now-j.AcceptedAt > 240_000:
+			total++
 		}
 	}
-	return began, of
+	return started, total
 }
 
 // Where a team asks for several times its limit, seven in ten of the largest and of the longest
 // jobs begin within four minutes, a fifth of them only by aging.
-func TestLargeJobsBeginAtALimit(t *testing.T) {
+func TestAgingStartsLargeJobsOfTeamAtItsLimit(t *testing.T) {
 	t.Parallel()
 	sizes := map[string]func(*emulator.Job) float64{
-		"largest": func(j *emulator.Job) float64 { return j.Job.Request.CPUs * float64(j.Job.Tasks) },
-		"longest": func(j *emulator.Job) float64 { return j.Length },
+		"largest": func(j *emulator.Job) float64 { return j.Spec.Request.CPUs * float64(j.Spec.Tasks) },
+		"longest": func(j *emulator.Job) float64 { return j.TaskRunS },
 	}
-	share := map[string]map[bool]float64{"largest": {}, "longest": {}}
+	shares := map[string]map[bool]float64{"largest": {}, "longest": {}}
 	for _, aging := range []bool{false, true} {
-		sum, all := map[string]int{}, map[string]int{}
+		startedBySize, totalBySize := map[string]int{}, map[string]int{}
 		for seed := range uint64(4) {
-			w := beyondTheLimit(8800+seed, aging)
-			for rule, what := range w.Broken {
+			sim := runAboveTeamLimit(8800+seed, aging)
+			for rule, what := range sim.Violations {
 				t.Errorf("aging %v, seed %d: %s: %s", aging, seed, rule, what)
 			}
 			for name, size := range sizes {
-				began, of := begun(w, "reads", size)
-				sum[name] += began
-				all[name] += of
+				started, total := countStartedInTime(sim, "reads", size)
+				startedBySize[name] += started
+				totalBySize[name] += total
 			}
 		}
 		for name := range sizes {
-			share[name][aging] = float64(sum[name]) / float64(all[name])
+			shares[name][aging] = float64(startedBySize[name]) / float64(totalBySize[name])
 		}
 	}
-	t.Logf("%v", share)
-	for name, s := range share {
+	t.Logf("%v", shares)
+	for name, s := range shares {
 		if s[true] < 0.7 || s[true] < s[false]+0.2 {
 			t.Errorf("of the %s %.2f began in time, without aging %.2f", name, s[true], s[false])
 		}
@@ -121,53 +121,53 @@
 
 // Jobs that age all the time, at their teams' limits, while everything fails: the rules
 // hold, and all jobs end.
-func TestAgingHoldsTheRules(t *testing.T) {
+func TestInvariantsSurviveFaultsWithAging(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		p := params(64)
-		p.Aging = true
-		w := &world{size: scale{members: 3, capacity: 3, tasks: 12}, World: emulator.New(emulator.Options{Seed: 8900 + seed, Members: 3, Types: simTypes, Capacity: 3, Params: p, Loss: 0.002})}
-		w.After(1000, func() {
-			s := scheduler.DefaultSettings()
-			s.BeginWithinS = 2
-			w.Members[0].Core.ChangeSettings(w.Members[0].Clock(), 1<<50, s)
+		cfg := newParams(64)
+		cfg.Aging = true
+		sim := &testSimulation{size: simScale{members: 3, capacityPerOffering: 3, maxTasks: 12}, Simulation: emulator.New(emulator.Options{Seed: 8900 + seed, Members: 3, Types: simTypes, CapacityPerOffering: 3, Params: cfg, MessageLoss: 0.002})}
+		sim.After(1000, func() {
+			settings := scheduler.DefaultSettings()
+			settings.BeginWithinS = 2
+			sim.Members[0].Core.ChangeSettings(sim.Members[0].Clock(), 1<<50, settings)
 		})
-		w.run(90_000, 900_000, 90)
-		w.check(t)
+		sim.runScenario(90_000, 900_000, 90)
+		sim.checkInvariants(t)
 	}
 }
 
 // Where smaller tasks take what others give back of a limit before it is enough for a
 // large one, its room is kept together: its first task starts all the same.
-func TestRoomOfALimitIsKeptTogether(t *testing.T) {
+func TestLimitIsReservedForLargeTaskAheadOfSmallOnes(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		p := params(64)
-		p.Teams = map[string]scheduler.Team{"t0": {MaxCPUs: 40}}
-		p.Aging = true
-		w := emulator.New(emulator.Options{Seed: 9000 + seed, Members: 3, Types: simTypes, Capacity: 4, Params: p, Loss: 0.002})
-		w.After(1000, func() {
-			s := scheduler.DefaultSettings()
-			s.BeginWithinS = 40
-			w.Members[0].Core.ChangeSettings(w.Members[0].Clock(), 1<<50, s)
+		cfg := newParams(64)
+		cfg.Teams = map[string]scheduler.Team{"t0": {MaxCPUs: 40}}
+		cfg.Aging = true
+		sim := emulator.New(emulator.Options{Seed: 9000 + seed, Members: 3, Types: simTypes, CapacityPerOffering: 4, Params: cfg, MessageLoss: 0.002})
+		sim.After(1000, func() {
+			settings := scheduler.DefaultSettings()
+			settings.BeginWithinS = 40
+			sim.Members[0].Core.ChangeSettings(sim.Members[0].Clock(), 1<<50, settings)
 		})
 		submit := func(id string, tasks int, cpus float64) *emulator.Job {
 			j := emulator.NewJob(scheduler.Job{ID: id, Class: "batch", Team: "t0", Kind: scheduler.Array, Priority: scheduler.Normal,
-				Tasks: tasks, Request: availability.Room{CPUs: cpus, MemoryGB: 8, DiskGB: 1}, Image: "img-0", Spot: true, EstimateS: 6})
-			w.Submit(j)
+				Tasks: tasks, Request: availability.Resources{CPUs: cpus, MemoryGB: 8, DiskGB: 1}, Image: "img-0", Spot: true, EstimateS: 6})
+			sim.Submit(j)
 			return j
 		}
 		for n := range 110 {
-			w.After(5000+int64(n)*1000, func() { submit(fmt.Sprintf("job-%06d", n), 3, 4) })
+			sim.After(5000+int64(n)*1000, func() { submit(fmt.Sprintf("job-%06d", n), 3, 4) })
 		}
 		var large *emulator.Job
-		w.After(30_000, func() { large = submit("job-900000", 4, 36) })
-		w.Run(125_000, func() bool { return false })
-		for rule, what := range w.Broken {
+		sim.After(30_000, func() { large = submit("job-900000", 4, 36) })
+		sim.Run(125_000, func() bool { return false })
+		for rule, what := range sim.Violations {
 			t.Errorf("seed %d: %s: %s", seed, rule, what)
 		}
-		if large.First == 0 || large.First-large.AcceptedAt > 60_000 {
-			t.Errorf("seed %d: the large job was accepted after %d ms and began after %d", seed, large.AcceptedAt, large.First)
+		if large.FirstStartAt == 0 || large.FirstStartAt-large.AcceptedAt > 60_000 {
+			t.Errorf("seed %d: the large job was accepted after %d ms and began after %d", seed, large.AcceptedAt, large.FirstStartAt)
 		}
 	}
 }
--- a/scheduler/answers_test.go
+++ b/scheduler/answers_test.go
@@ -8,54 +8,54 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// lostAnswers plays a day of one-task jobs, three to four a second, on which a share of
+// runWithLostResponses plays a day of one-task jobs, three to four a second, on which a share of
 // the transactions get no answer, and returns how long each user waited until the job
 // was accepted. With atOnce they are carried out as they come, and else seconds later.
-func lostAnswers(t *testing.T, seed uint64, share float64, atOnce bool) (w *world, waits []int64) {
+func runWithLostResponses(t *testing.T, seed uint64, share float64, executeImmediately bool) (sim *testSimulation, waits []int64) {
 	t.Helper()
-	w = newWorld(seed, emulator.Sabotage{}, smallScale)
-	w.Loss, w.calm = 0, true
-	w.shape = func(j *scheduler.Job, n int) {
+	sim = newTestSimulation(seed, emulator.InjectedFault{}, smallScale)
+	sim.MessageLoss, sim.noRandomFaults = 0, true
+	sim.adjustJob = func(j *scheduler.Job, n int) {
 		j.Tasks = 1
 		j.OneZone, j.Spread, j.Zone = false, false, ""
 	}
 	const from, until = 12_000, 75_000
-	w.LateIf = func(m *emulator.Member, op scheduler.StoreOp) bool {
-		if w.Now < from || w.Now > until || w.Rand.Float64() >= share {
+	sim.DelaysWrite = func(m *emulator.Member, op scheduler.StoreOp) bool {
+		if sim.Now < from || sim.Now > until || sim.Rand.Float64() >= share {
 			return false
 		}
-		if atOnce {
-			w.State.Do(w.Now, op) // once more later, its conditions fail
+		if executeImmediately {
+			sim.Store.Apply(sim.Now, op) // once more later, its conditions fail
 		}
 		return true
 	}
-	w.run(70_000, 300_000, 240)
-	w.check(t)
-	for _, j := range w.Jobs {
-		if j.Submitted >= from {
-			waits = append(waits, j.AcceptedAt-j.Submitted)
+	sim.runScenario(70_000, 300_000, 240)
+	sim.checkInvariants(t)
+	for _, j := range sim.Jobs {
+		if j.SubmittedAt >= from {
+			waits = append(waits, j.AcceptedAt-j.SubmittedAt)
 		}
 	}
 	slices.Sort(waits)
-	return w, waits
+	return sim, waits
 }
 
-// within is the share of waits that are no longer than that.
-func within(waits []int64, ms int64) float64 {
+// shareWithin is the share of waits that are no longer than that.
+func shareWithin(waits []int64, ms int64) float64 {
 	n, _ := slices.BinarySearch(waits, ms+1)
 	return float64(n) / float64(len(waits))
 }
 
 // Writes that are carried out and get no answer hold up hardly anybody: the record is
 // seen in the mirror long before a request's time is up.
-func TestLostAnswersHoldUpNobody(t *testing.T) {
+func TestLostStoreResponsesDoNotDelayAcceptance(t *testing.T) {
 	for seed := uint64(90); seed < 94; seed++ {
-		w, waits := lostAnswers(t, seed, 0.35, true)
+		sim, waits := runWithLostResponses(t, seed, 0.35, true)
 		var confirmed uint64
-		for _, m := range w.Members {
-			confirmed += m.Core.Status(m.Clock()).Counters.Confirmed
+		for _, m := range sim.Members {
+			confirmed += m.Core.Status(m.Clock()).Counters.ConfirmedSubmissions
 		}
-		share := within(waits, 1000)
+		share := shareWithin(waits, 1000)
 		t.Logf("seed %d: %.3f of %d are accepted within a second, %d by their records", seed, share, len(waits), confirmed)
 		if share < 0.98 || confirmed < 20 {
 			t.Errorf("seed %d: %.3f of %d are accepted within a second, %d by their records", seed, share, len(waits), confirmed)
@@ -65,15 +65,15 @@
 
 // Writes that are carried out seconds late are asked of a peer before that: an answer
 // that is lost is no reason for a peer to be passed over.
-func TestPeersServeThoughAnswersAreLost(t *testing.T) {
-	inTime, all := 0.0, 0.0
+func TestPeersServeRequestsWhileStoreResponsesAreLost(t *testing.T) {
+	inTime, total := 0.0, 0.0
 	for seed := uint64(90); seed < 94; seed++ {
-		_, waits := lostAnswers(t, seed, 0.35, false)
-		share := within(waits, 1000)
+		_, waits := runWithLostResponses(t, seed, 0.35, false)
+		share := shareWithin(waits, 1000)
 		t.Logf("seed %d: %.3f of %d are accepted within a second", seed, share, len(waits))
-		inTime, all = inTime+share*float64(len(waits)), all+float64(len(waits))
+		inTime, total = inTime+share*float64(len(waits)), total+float64(len(waits))
 	}
-	if inTime < 0.82*all {
-		t.Errorf("%.0f of %.0f are accepted within a second", inTime, all)
+	if inTime < 0.82*total {
+		t.Errorf("%.0f of %.0f are accepted within a second", inTime, total)
 	}
 }
--- a/scheduler/beside.go
+++ b/scheduler/beside.go
@@ -5,51 +5,51 @@
 	"strings"
 )
 
-// BesidePrefix begins the keys that subsystems beside the core keep in the
+// ExtensionPrefix begins the keys that subsystems beside the core keep in the
 // mirror, each under a letter of its own. They are for small records that say
 // that something lives and which shard owns it.
-const BesidePrefix = besidePrefix
+const ExtensionPrefix = extensionPrefix
 
-// ShardKey is the key of a shard's claim: a guard on it makes a write of whoever
+// ClaimKey is the key of a shard's claim: a guard on it makes a write of whoever
 // holds the shard.
-func ShardKey(shard string) string { return shardKey(shard) }
+func ClaimKey(shard string) string { return claimKey(shard) }
 
-// View is what a subsystem beside the core sees of it.
-type View struct {
-	Authority bool
-	Claims    map[string]uint64 // shards of this member that are ready, with their tokens
-	Records   []Item            // under the prefix that was asked for, by key
-	Over      []string          // of the jobs that were asked about: those that the mirror lacks
+// ExtensionView is what a subsystem beside the core sees of it.
+type ExtensionView struct {
+	HasAuthority bool
+	ClaimTokens  map[string]uint64 // shards of this member that are ready, with their tokens
+	KVs          []KeyValue        // under the prefix that was asked for, by key
+	EndedJobs    []string          // of the jobs that were asked about: those that the mirror lacks
 }
 
-// View tells how the member stands. Until it has a mirror all of it is empty.
-func (m *Member) View(now Now, prefix string, jobs []string) View {
-	m.now = now
-	v := View{Authority: m.authority(), Claims: map[string]uint64{}}
-	if !m.acc.Synced() {
-		return v
+// ExtensionView tells how the member stands. Until it has a mirror all of it is empty.
+func (c *Controller) ExtensionView(now Now, prefix string, jobs []string) ExtensionView {
+	c.now = now
+	view := ExtensionView{HasAuthority: c.hasAuthority(), ClaimTokens: map[string]uint64{}}
+	if !c.storeAccess.IsSynced() {
+		return view
 	}
-	for name, s := range m.mine {
-		if s.ready && !s.leaving {
-			v.Claims[name] = s.token
+	for name, s := range c.ownedShards {
+		if s.ready && !s.releasing {
+			view.ClaimTokens[name] = s.token
 		}
 	}
-	for k, it := range inOrder(m.beside) {
-		if strings.HasPrefix(k, prefix) {
-			v.Records = append(v.Records, it)
+	for key, kv := range sortedByKey(c.extensionRecords) {
+		if strings.HasPrefix(key, prefix) {
+			view.KVs = append(view.KVs, kv)
 		}
 	}
 	for _, id := range jobs {
-		if m.jobs[id] == nil {
-			v.Over = append(v.Over, id)
+		if c.jobs[id] == nil {
+			view.EndedJobs = append(view.EndedJobs, id)
 		}
 	}
-	return v
+	return view
 }
 
-// Members lists the members, whose names are the shards', in order.
-func (p Params) Members() []string {
-	all := append([]string{p.Member}, p.Peers...)
+// MemberIDs lists the members, whose names are the shards', in order.
+func (p Params) MemberIDs() []string {
+	all := append([]string{p.MemberID}, p.PeerIDs...)
 	slices.Sort(all)
 	return all
 }
--- a/scheduler/bounds.go
+++ b/scheduler/bounds.go
@@ -4,78 +4,78 @@
 // tried twice. Users' jobs are neither: a task that fails or is lost is started
 // again until its job is cancelled. Steps of workflows say how often.
 
-// countError gives a job up whose task failed as often as it may.
-func (m *Member) countError(w *work, a *attempt) {
+// countTaskError gives a job up whose task failed as often as it may.
+func (c *Controller) countTaskError(tr *taskRange, a *attempt) {
 	j := a.job
-	if j.Once {
-		m.doom(w, "a task failed, and is not to be started again")
+	if j.AtMostOnce {
+		c.markJobFailed(tr, "a task failed, and is not to be started again")
 		return
 	}
-	if j.MaxErrors == 0 {
+	if j.MaxTaskErrors == 0 {
 		return
 	}
-	if w.taskErrs == nil {
-		w.taskErrs = map[int]int{}
+	if tr.errorsByTask == nil {
+		tr.errorsByTask = map[int]int{}
 	}
-	if w.taskErrs[a.index]++; w.taskErrs[a.index] >= j.MaxErrors {
-		m.doom(w, "a task failed as often as it may: "+a.key.task)
+	if tr.errorsByTask[a.taskIndex]++; tr.errorsByTask[a.taskIndex] >= j.MaxTaskErrors {
+		c.markJobFailed(tr, "a task failed as often as it may: "+a.key.task)
 	}
 }
 
-// lostOnce gives a job up whose task ended, or may have, without a result,
+// failJobOnTaskLoss gives a job up whose task ended, or may have, without a result,
 // though it may have begun.
-func (m *Member) lostOnce(a *attempt) {
-	if a.job.Once && !a.work.done.has(a.index) {
-		m.doom(a.work, "a task was lost, and is not to be started again: "+a.key.task)
+func (c *Controller) failJobOnTaskLoss(a *attempt) {
+	if a.job.AtMostOnce && !a.taskRange.done.has(a.taskIndex) {
+		c.markJobFailed(a.taskRange, "a task was lost, and is not to be started again: "+a.key.task)
 	}
 }
 
-// recoveredOnce settles what an earlier claim left of a job whose tasks begin
+// failJobOnUnknownProgress settles what an earlier claim left of a job whose tasks begin
 // once: all machines have spoken, and what neither runs nor has ended may have
 // begun and been lost. Which of them did nobody wrote down.
-func (m *Member) recoveredOnce(w *work) {
-	if w.job.rec.Job.Once && w.job.rec.Begun && w.pending() > 0 {
-		m.doom(w, "tasks may have been lost with an earlier holder of their shard, and are not to be started again")
+func (c *Controller) failJobOnUnknownProgress(tr *taskRange) {
+	if tr.job.rec.Job.AtMostOnce && tr.job.rec.MayHaveBegun && tr.pending() > 0 {
+		c.markJobFailed(tr, "tasks may have been lost with an earlier holder of their shard, and are not to be started again")
 	}
 }
 
-func (m *Member) doom(w *work, why string) {
-	if w.job.doom == "" {
-		w.job.doom = why
+func (c *Controller) markJobFailed(tr *taskRange, reason string) {
+	if tr.job.failureReason == "" {
+		tr.job.failureReason = reason
 	}
 }
 
-// mayBegin tells whether a task of a work may start, as far as bounds go. The
+// canBegin tells whether a task of a work may start, as far as bounds go. The
 // first task of a job that begins once waits until the store says so: after a
 // crash its successor must know.
-func (m *Member) mayBegin(w *work) bool {
-	if w.job.doom != "" {
+func (c *Controller) canBegin(tr *taskRange) bool {
+	if tr.job.failureReason != "" {
 		return false
 	}
-	if w.job.rec.Job.Once && !w.job.rec.Begun {
-		w.job.begin = true
+	if tr.job.rec.Job.AtMostOnce && !tr.job.rec.MayHaveBegun {
+		tr.job.awaitingBegunRecord = true
 		return false
 	}
 	return true
 }
 
-// writeBegun records that tasks of a job may have begun.
-func (m *Member) writeBegun(s *shard, w *work) {
-	j := w.job
+// writeBegunRecord records that tasks of a job may have begun.
+func (c *Controller) writeBegunRecord(s *shard, tr *taskRange) {
+	j := tr.job
 	rec := j.rec
-	rec.Begun = true
-	m.writeJob(s, w, []Change{{Key: jobKey(rec.Job.ID), Value: encode(rec)}}, nil, func() {
-		j.begin = false
-		s.hasten, s.dirty = true, true
+	rec.MayHaveBegun = true
+	c.writeJob(s, tr, []Change{{Key: jobKey(rec.Job.ID), Value: mustEncode(rec)}}, nil, func() {
+		j.awaitingBegunRecord = false
+		s.planExpedited, s.dirty = true, true
 	})
 }
 
 // failJob ends a job that is given up: to its user it is cancelled.
-func (m *Member) failJob(s *shard, w *work) {
-	id := w.job.rec.Job.ID
-	f := finalRecord{State: Cancelled, Tasks: w.job.rec.Job.Tasks, Failed: w.job.doom, Run: w.job.rec.Job.Run}
-	m.writeJob(s, w, []Change{{Key: jobKey(id)}, {Key: finalKey(id), Value: encode(f)}}, []Guard{{finalKey(id), 0}}, func() {
-		m.remember(id, f)
-		m.log(Info, "job given up", "job", id, "why", f.Failed)
+func (c *Controller) failJob(s *shard, tr *taskRange) {
+	id := tr.job.rec.Job.ID
+	final := terminalRecord{State: Cancelled, Tasks: tr.job.rec.Job.Tasks, FailureReason: tr.job.failureReason, WorkflowRun: tr.job.rec.Job.WorkflowRun}
+	c.writeJob(s, tr, []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}, []Precondition{{terminalKey(id), 0}}, func() {
+		c.cacheTerminalState(id, final)
+		c.log(Info, "job given up", "job", id, "why", final.FailureReason)
 	})
 }
--- a/scheduler/checks_test.go
+++ b/scheduler/checks_test.go
@@ -12,227 +12,227 @@
 
 // Each check of the simulation has a planted fault that it finds.
 
-// asked is a day without troubles on which users ask often and send odd requests.
-func asked(seed uint64, told func(scheduler.UserRequest, *scheduler.UserAnswer)) *world {
-	w := newWorld(seed, emulator.Sabotage{Told: told}, smallScale)
-	w.calm = true
-	w.shape = func(j *scheduler.Job, n int) { j.Once, j.MaxErrors = false, 0 }
-	w.After(1, func() {
-		w.CloseLooks(60_000)
-		w.OddRequests(60_000)
-		w.CancelAtEnd(0.3, 60_000)
+// runWithTamperedResponses is a day without troubles on which users ask often and send odd requests.
+func runWithTamperedResponses(seed uint64, tamper func(scheduler.UserRequest, *scheduler.UserResponse)) *testSimulation {
+	sim := newTestSimulation(seed, emulator.InjectedFault{ResponseToRequest: tamper}, smallScale)
+	sim.noRandomFaults = true
+	sim.adjustJob = func(j *scheduler.Job, n int) { j.AtMostOnce, j.MaxTaskErrors = false, 0 }
+	sim.After(1, func() {
+		sim.ReadConcurrently(60_000)
+		sim.SendInvalidRequests(60_000)
+		sim.CancelAtEnd(0.3, 60_000)
 	})
-	w.run(40_000, 90_000, 30)
-	return w
+	sim.runScenario(40_000, 90_000, 30)
+	return sim
 }
 
 // What users hear at any member is held against one order of events: each answer that is
 // older than an earlier one is found.
-func TestOlderAnswersAreSeen(t *testing.T) {
+func TestStaleResponsesAreDetected(t *testing.T) {
 	t.Parallel()
-	submitted := func(r scheduler.UserRequest, a *scheduler.UserAnswer) bool {
-		return r.Kind == scheduler.Submit && a.Status == 200
+	submitted := func(req scheduler.UserRequest, resp *scheduler.UserResponse) bool {
+		return req.Kind == scheduler.SubmitJob && resp.Status == 200
 	}
-	for name, told := range map[string]func(scheduler.UserRequest, *scheduler.UserAnswer){
+	for name, tamper := range map[string]func(scheduler.UserRequest, *scheduler.UserResponse){
 		"nothing": nil,
-		"accepted again": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if submitted(r, a) {
-				a.Status, a.State = 201, scheduler.Pending
+		"accepted again": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if submitted(req, resp) {
+				resp.Status, resp.State = 201, scheduler.Pending
 			}
 		},
-		"submitted again, pending after the end": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if submitted(r, a) && a.State.Final() {
-				a.State = scheduler.Pending
+		"submitted again, pending after the end": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if submitted(req, resp) && resp.State.IsTerminal() {
+				resp.State = scheduler.Pending
 			}
 		},
-		"submitted again, refused": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if submitted(r, a) {
-				a.Status, a.State = 422, ""
+		"submitted again, refused": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if submitted(req, resp) {
+				resp.Status, resp.State = 422, ""
 			}
 		},
-		"submitted again, cancelled after done": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if submitted(r, a) && a.State == scheduler.Done {
-				a.State = scheduler.Cancelled
+		"submitted again, cancelled after done": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if submitted(req, resp) && resp.State == scheduler.Done {
+				resp.State = scheduler.Cancelled
 			}
 		},
-		"cancelled again, unknown": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if r.Kind == scheduler.Cancel && a.State == scheduler.Done {
-				a.Status, a.State = 404, ""
+		"cancelled again, unknown": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if req.Kind == scheduler.CancelJob && resp.State == scheduler.Done {
+				resp.Status, resp.State = 404, ""
 			}
 		},
-		"asked, running after the end": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if r.Kind == scheduler.Query && a.State.Final() && r.ID[len(r.ID)-1] == '3' {
-				a.State = scheduler.Running
+		"asked, running after the end": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if req.Kind == scheduler.QueryJob && resp.State.IsTerminal() && req.ID[len(req.ID)-1] == '3' {
+				resp.State = scheduler.Running
 			}
 		},
-		"asked, no state": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if r.Kind == scheduler.Query && a.State == scheduler.Running {
-				a.State = ""
+		"asked, no state": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if req.Kind == scheduler.QueryJob && resp.State == scheduler.Running {
+				resp.State = ""
 			}
 		},
-		"accepted as done": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if a.Status == 201 {
-				a.State = scheduler.Done
+		"accepted as done": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if resp.Status == 201 {
+				resp.State = scheduler.Done
 			}
 		},
 	} {
-		w := asked(11, told)
-		if seen := len(w.disorder(t)) > 0; seen != (told != nil) {
-			t.Errorf("%s: seen %v", name, seen)
+		sim := runWithTamperedResponses(11, tamper)
+		if detected := len(sim.orderViolations(t)) > 0; detected != (tamper != nil) {
+			t.Errorf("%s: seen %v", name, detected)
 		}
-		if told == nil && len(w.Broken) > 0 {
-			t.Errorf("broken: %v", w.Broken)
+		if tamper == nil && len(sim.Violations) > 0 {
+			t.Errorf("broken: %v", sim.Violations)
 		}
 	}
 }
 
 // A job that is accepted though it can't run, or lacks a field, is seen, and so is one that
 // is refused though it is right.
-func TestWrongAcceptancesAreSeen(t *testing.T) {
+func TestWrongAcceptancesAreDetected(t *testing.T) {
 	t.Parallel()
-	for name, told := range map[string]func(scheduler.UserRequest, *scheduler.UserAnswer){
-		"lacks a field": func(_ scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if a.Status == 400 {
-				a.Status, a.State = 201, scheduler.Pending
+	for name, tamper := range map[string]func(scheduler.UserRequest, *scheduler.UserResponse){
+		"lacks a field": func(_ scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if resp.Status == 400 {
+				resp.Status, resp.State = 201, scheduler.Pending
 			}
 		},
-		"can't run": func(_ scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if a.Status == 422 {
-				a.Status, a.State = 201, scheduler.Pending
+		"can't run": func(_ scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if resp.Status == 422 {
+				resp.Status, resp.State = 201, scheduler.Pending
 			}
 		},
-		"right and refused": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if a.Status == 201 && strings.HasSuffix(r.ID, "5") {
-				a.Status = 422
+		"right and refused": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if resp.Status == 201 && strings.HasSuffix(req.ID, "5") {
+				resp.Status = 422
 			}
 		},
-		"right and malformed": func(r scheduler.UserRequest, a *scheduler.UserAnswer) {
-			if a.Status == 201 && strings.HasSuffix(r.ID, "5") {
-				a.Status = 400
+		"right and malformed": func(req scheduler.UserRequest, resp *scheduler.UserResponse) {
+			if resp.Status == 201 && strings.HasSuffix(req.ID, "5") {
+				resp.Status = 400
 			}
 		},
 	} {
-		if w := asked(12, told); w.Broken["wrong_answer"] == "" {
-			t.Errorf("%s is not seen: %v", name, w.Broken)
+		if sim := runWithTamperedResponses(12, tamper); sim.Violations["wrong_answer"] == "" {
+			t.Errorf("%s is not seen: %v", name, sim.Violations)
 		}
 	}
 	// A user's own job that fits no machine.
-	w := newWorld(13, emulator.Sabotage{Submit: func(j *scheduler.Job) { j.Request.CPUs = 1 }}, smallScale)
-	w.calm = true
-	w.shape = func(j *scheduler.Job, n int) {
+	sim := newTestSimulation(13, emulator.InjectedFault{SubmittedJob: func(j *scheduler.Job) { j.Request.CPUs = 1 }}, smallScale)
+	sim.noRandomFaults = true
+	sim.adjustJob = func(j *scheduler.Job, n int) {
 		if n == 3 {
 			j.Request.CPUs = 80
 		}
 	}
-	w.run(10_000, 20_000, 5)
-	if w.Broken["wrong_answer"] == "" {
-		t.Errorf("a job that fits no machine is accepted, and not seen: %v", w.Broken)
+	sim.runScenario(10_000, 20_000, 5)
+	if sim.Violations["wrong_answer"] == "" {
+		t.Errorf("a job that fits no machine is accepted, and not seen: %v", sim.Violations)
 	}
 }
 
-// longTasks run for so long that they never end by themselves.
-func longTasks(*emulator.World, *emulator.Job, string) int64 { return 600_000 }
+// longTaskRunMS run for so long that they never end by themselves.
+func longTaskRunMS(*emulator.Simulation, *emulator.Job, string) int64 { return 600_000 }
 
 // A task of a confirmed cancellation that goes on after its machine hung is seen.
-func TestCancelledTasksOnHungMachinesAreSeen(t *testing.T) {
+func TestCancelledTasksOnHungMachinesAreDetected(t *testing.T) {
 	t.Parallel()
-	hung := map[string]bool{} // tasks that were on machines that hang
-	o := emulator.Options{Seed: 21, RunMS: longTasks, Sabotage: emulator.Sabotage{Start: func(a *scheduler.WorkerAnswer) {
-		a.Commands = slices.DeleteFunc(a.Commands, func(c scheduler.Command) bool { return c.Kind == scheduler.Stop && hung[c.Task] })
+	onHungMachine := map[string]bool{} // tasks that were on machines that hang
+	options := emulator.Options{Seed: 21, TaskRunMS: longTaskRunMS, InjectedFault: emulator.InjectedFault{WorkerResponse: func(resp *scheduler.HeartbeatResponse) {
+		resp.Commands = slices.DeleteFunc(resp.Commands, func(cmd scheduler.Command) bool { return cmd.Kind == scheduler.CommandStop && onHungMachine[cmd.Task] })
 	}}}
-	w := build(smallScale, o)
-	w.calm = true
-	w.After(40_000, func() { w.CancelNow(3, 4000) })
-	w.After(40_010, func() {
-		w.Each(func(h *emulator.Host, t *standin.Task) {
-			if h.HungTill > w.Now {
-				hung[t.Name] = true
+	sim := newTestSimulationWith(smallScale, options)
+	sim.noRandomFaults = true
+	sim.After(40_000, func() { sim.CancelRunningJobs(3, 4000) })
+	sim.After(40_010, func() {
+		sim.EachTask(func(worker *emulator.Worker, t *standin.Task) {
+			if worker.HangUntil > sim.Now {
+				onHungMachine[t.Name] = true
 			}
 		})
 	})
-	w.run(20_000, 90_000, 20)
-	_, what, _ := strings.Cut(w.Broken["ran_cancelled"], "ms: ")
-	if task, _, _ := strings.Cut(what, " "); !hung[task] {
-		t.Errorf("%d tasks on machines that hang, broken: %v", len(hung), w.Broken)
+	sim.runScenario(20_000, 90_000, 20)
+	_, violation, _ := strings.Cut(sim.Violations["ran_cancelled"], "ms: ")
+	if task, _, _ := strings.Cut(violation, " "); !onHungMachine[task] {
+		t.Errorf("%d tasks on machines that hang, broken: %v", len(onHungMachine), sim.Violations)
 	}
 }
 
 // Starts after a confirmed cancellation are counted, and past cancel_s they break the rule.
-func TestCancelledStartsAreSeen(t *testing.T) {
+func TestStartsAfterCancellationAreDetected(t *testing.T) {
 	t.Parallel()
-	for name, late := range map[string]bool{"within cancel_s": false, "past cancel_s": true} {
-		var w *world
+	for name, pastBound := range map[string]bool{"within cancel_s": false, "past cancel_s": true} {
+		var sim *testSimulation
 		stopped := map[string]scheduler.Command{}
-		at := map[string]int64{}
-		o := emulator.Options{Seed: 22, RunMS: func(*emulator.World, *emulator.Job, string) int64 { return 15_000 }}
+		stoppedAt := map[string]int64{}
+		options := emulator.Options{Seed: 22, TaskRunMS: func(*emulator.Simulation, *emulator.Job, string) int64 { return 15_000 }}
 		// A task that was stopped is started once more, under another number.
-		o.Sabotage.Start = func(a *scheduler.WorkerAnswer) {
-			for _, c := range a.Commands {
-				if j := w.Jobs[c.Task[:strings.IndexByte(c.Task, '/')]]; c.Kind == scheduler.Stop && j.Cancelled > 0 && at[c.Task] == 0 {
-					c.Kind, c.Attempt = scheduler.Start, c.Attempt+1
-					stopped[c.Task], at[c.Task] = c, w.Now
+		options.InjectedFault.WorkerResponse = func(resp *scheduler.HeartbeatResponse) {
+			for _, cmd := range resp.Commands {
+				if j := sim.Jobs[cmd.Task[:strings.IndexByte(cmd.Task, '/')]]; cmd.Kind == scheduler.CommandStop && j.CancelConfirmedAt > 0 && stoppedAt[cmd.Task] == 0 {
+					cmd.Kind, cmd.Attempt = scheduler.CommandStart, cmd.Attempt+1
+					stopped[cmd.Task], stoppedAt[cmd.Task] = cmd, sim.Now
 				}
 			}
-			for task, c := range stopped {
-				if wait := w.Now - at[task]; a.Accepted && (late && float64(wait) > w.Params.CancelS*1000+1000 || !late && wait > 1000) {
+			for task, cmd := range stopped {
+				if sinceStop := sim.Now - stoppedAt[task]; resp.Accepted && (pastBound && float64(sinceStop) > sim.Params.CancelWithinS*1000+1000 || !pastBound && sinceStop > 1000) {
 					delete(stopped, task)
-					a.Commands = append(a.Commands, c)
+					resp.Commands = append(resp.Commands, cmd)
 				}
 			}
 		}
-		w = build(smallScale, o)
-		w.calm = true
-		w.After(30_000, func() { w.CancelNow(3, 0) })
-		w.run(25_000, 90_000, 20)
-		if w.CancelledStarts == 0 {
+		sim = newTestSimulationWith(smallScale, options)
+		sim.noRandomFaults = true
+		sim.After(30_000, func() { sim.CancelRunningJobs(3, 0) })
+		sim.runScenario(25_000, 90_000, 20)
+		if sim.StartsAfterCancel == 0 {
 			t.Errorf("%s: none is counted", name)
 		}
-		if seen := strings.Contains(w.Broken["ran_cancelled"], "starts on"); seen != late {
-			t.Errorf("%s: broken %v", name, w.Broken)
+		if detected := strings.Contains(sim.Violations["ran_cancelled"], "starts on"); detected != pastBound {
+			t.Errorf("%s: broken %v", name, sim.Violations)
 		}
 	}
 }
 
-// served fails where less than half of a class, of a team, or of a class's largest or
+// checkServed fails where less than half of a class, of a team, or of a class's largest or
 // longest jobs was served, or one of the largest did not begin within four minutes.
-func (w *world) served(t *testing.T) {
+func (sim *testSimulation) checkServed(t *testing.T) {
 	t.Helper()
-	for _, what := range w.Unserved() {
-		t.Error(what)
+	for _, group := range sim.UnderservedGroups() {
+		t.Error(group)
 	}
 }
 
 // A job that is left waiting while a machine that fits has room is seen, and one that
 // waits for room, for its team's limit, or is served at last, is not.
-func TestJobsLeftWaitingAreSeen(t *testing.T) {
+func TestStarvedJobsAreDetected(t *testing.T) {
 	t.Parallel()
-	const left = "job-000007"
-	day := func(until int64) *world {
-		w := newWorld(31, emulator.Sabotage{}, smallScale)
-		w.calm = true
-		w.shape = func(j *scheduler.Job, n int) { j.Once, j.MaxErrors = false, 0 }
+	const starvedJob = "job-000007"
+	runDroppingStarts := func(dropUntil int64) *testSimulation {
+		sim := newTestSimulation(31, emulator.InjectedFault{}, smallScale)
+		sim.noRandomFaults = true
+		sim.adjustJob = func(j *scheduler.Job, n int) { j.AtMostOnce, j.MaxTaskErrors = false, 0 }
 		// Its starts never leave the members.
-		without := func(commands []scheduler.Command) []scheduler.Command {
-			return slices.DeleteFunc(commands, func(c scheduler.Command) bool {
-				return c.Kind == scheduler.Start && strings.HasPrefix(c.Task, left+"/") && w.Now < until
+		withoutStarts := func(commands []scheduler.Command) []scheduler.Command {
+			return slices.DeleteFunc(commands, func(cmd scheduler.Command) bool {
+				return cmd.Kind == scheduler.CommandStart && strings.HasPrefix(cmd.Task, starvedJob+"/") && sim.Now < dropUntil
 			})
 		}
-		w.Spy = func(_ *emulator.Member, o *scheduler.Outputs) {
-			for id, a := range o.Workers {
-				a.Commands = without(a.Commands)
-				o.Workers[id] = a
+		sim.Observer = func(_ *emulator.Member, outputs *scheduler.Outputs) {
+			for id, resp := range outputs.HeartbeatResponses {
+				resp.Commands = withoutStarts(resp.Commands)
+				outputs.HeartbeatResponses[id] = resp
 			}
-			for i := range o.Do {
-				o.Do[i].Commands = without(o.Do[i].Commands)
+			for i := range outputs.DirectCommands {
+				outputs.DirectCommands[i].Commands = withoutStarts(outputs.DirectCommands[i].Commands)
 			}
 		}
-		w.run(20_000, 300_000, 30)
-		return w
+		sim.runScenario(20_000, 300_000, 30)
+		return sim
 	}
-	if w := day(300_000); !strings.Contains(w.Broken["left_waiting"], left) {
-		t.Errorf("broken: %v", w.Broken)
+	if sim := runDroppingStarts(300_000); !strings.Contains(sim.Violations["left_waiting"], starvedJob) {
+		t.Errorf("broken: %v", sim.Violations)
 	}
-	if w := day(60_000); w.Broken["left_waiting"] != "" {
-		t.Errorf("broken: %v", w.Broken)
+	if sim := runDroppingStarts(60_000); sim.Violations["left_waiting"] != "" {
+		t.Errorf("broken: %v", sim.Violations)
 	}
 }
--- a/scheduler/doubt.go
+++ b/scheduler/doubt.go
@@ -5,71 +5,73 @@
 	"github.com/grebedock/grebedock/indoubt"
 )
 
-// settling is a guarded write that is sent until its outcome is certain (package
+// inDoubtWrite is a guarded write that is sent until its outcome is certain (package
 // indoubt): how it is sent, what its state makes of a try and of reading the key
 // back, and whom it matters to.
-type settling struct {
-	holds   func() bool // the claim under which it was sent is still ours
-	send    func(done func(StoreResult))
-	ended   func(Outcome) indoubt.Next
-	read    func(StoreResult) indoubt.Next
-	settled func()
-	left    func() // the claim went: what became of it, the mirror tells
+type inDoubtWrite struct {
+	isClaimValid func() bool // the claim under which it was sent is still ours
+	send         func(done func(StoreResult))
+	onSent       func(Outcome) indoubt.NextStep
+	onRead       func(StoreResult) indoubt.NextStep
+	onSettled    func()
+	onClaimLost  func() // the claim went: what became of it, the mirror tells
 }
 
-// settlePart is which part of a request's time passes until a write in doubt goes on
+// retryPauseDivisor is which part of a request's time passes until a write in doubt goes on
 // that the state service did not answer or refused: asked again at once, an outage would
 // be all requests.
-const settlePart = 6
+const retryPauseDivisor = 6
 
-// settleWrite sends a write and goes on with it until it is settled.
-func (m *Member) settleWrite(key string, w settling) {
-	var step func(indoubt.Next)
-	step = func(next indoubt.Next) {
+// sendUntilSettled sends a write and goes on with it until it is settled.
+func (c *Controller) sendUntilSettled(key string, write inDoubtWrite) {
+	var proceed func(indoubt.NextStep)
+	proceed = func(action indoubt.NextStep) {
 		switch {
-		case next == indoubt.Settled:
-			w.settled()
-		case !w.holds():
-			w.left()
-		case next == indoubt.SendAgain:
-			w.send(func(r StoreResult) { m.pause(r.Outcome, func() { step(w.ended(r.Outcome)) }) })
+		case action == indoubt.Settled:
+			write.onSettled()
+		case !write.isClaimValid():
+			write.onClaimLost()
+		case action == indoubt.Resend:
+			write.send(func(result StoreResult) {
+				c.continueAfter(result.Outcome, func() { proceed(write.onSent(result.Outcome)) })
+			})
 		default:
-			m.reread(key, func(r StoreResult) { m.pause(r.Outcome, func() { step(w.read(r)) }) })
+			c.rereadKey(key, func(result StoreResult) { c.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) }) })
 		}
 	}
-	w.send(func(r StoreResult) {
-		if r.Outcome == Unknown {
-			m.Counters.InDoubt++
-			m.log(Info, "write in doubt", "key", key)
+	write.send(func(result StoreResult) {
+		if result.Outcome == Unknown {
+			c.Counters.InDoubtWrites++
+			c.log(Info, "write in doubt", "key", key)
 		}
-		step(w.ended(r.Outcome))
+		proceed(write.onSent(result.Outcome))
 	})
 }
 
-// pause goes on at once after an answer, and else in a while.
-func (m *Member) pause(o Outcome, next func()) {
-	if o.Answered() {
-		next()
+// continueAfter goes on at once after an answer, and else in a while.
+func (c *Controller) continueAfter(outcome Outcome, resume func()) {
+	if outcome.ProcessedByService() {
+		resume()
 		return
 	}
-	m.pauses = append(m.pauses, pause{m.now.Steady + access.Timeout.Milliseconds()/settlePart, next})
+	c.delayedSteps = append(c.delayedSteps, delayedStep{c.now.MonotonicMS + access.RequestTimeout.Milliseconds()/retryPauseDivisor, resume})
 }
 
-// pause is something that goes on at a time.
-type pause struct {
-	at   int64
-	next func()
+// delayedStep is something that goes on at a time.
+type delayedStep struct {
+	dueAtMS int64
+	resume  func()
 }
 
-// tickPauses goes on with what paused long enough.
-func (m *Member) tickPauses() {
-	due := m.pauses
-	m.pauses = nil
-	for _, p := range due {
-		if m.now.Steady >= p.at {
-			p.next()
+// runDueSteps goes on with what paused long enough.
+func (c *Controller) runDueSteps() {
+	steps := c.delayedSteps
+	c.delayedSteps = nil
+	for _, step := range steps {
+		if c.now.MonotonicMS >= step.dueAtMS {
+			step.resume()
 		} else {
-			m.pauses = append(m.pauses, p)
+			c.delayedSteps = append(c.delayedSteps, step)
 		}
 	}
 }
--- a/scheduler/errors_test.go
+++ b/scheduler/errors_test.go
@@ -7,19 +7,19 @@
 
 // However many machines failed its tasks, a job tries again within two leases: until then
 // all its tasks wait, whatever room there is.
-func TestAJobPausesForTwoLeasesAtMost(t *testing.T) {
-	m, s, mc := holding(t)
-	m.p.ReportS = m.p.LeaseS / 5
-	m.apply(Item{Key: jobKey("job-000001"), Value: encode(testJob(Range{Lo: 0, Hi: 40, Shard: "m0"})), Rev: 13})
-	w := s.works[0]
-	longest := int64(0)
+func TestFailingJobPausesForTwoLeasesAtMost(t *testing.T) {
+	ctrl, s, mc := newControllerWithShard(t)
+	ctrl.params.HeartbeatS = ctrl.params.LeaseS / 5
+	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 40, Shard: "m0"})), Rev: 13})
+	tr := s.taskRanges[0]
+	longestPauseMS := int64(0)
 	for n := range 20 {
-		on := *mc
-		on.id = fmt.Sprintf("i-%d", n)
-		m.failed(&on, w, &attempt{key: attemptKey{task: TaskName("job-000001", n)}, job: &w.job.rec.Job, work: w})
-		longest = max(longest, w.retryAt-m.now.Steady)
+		failedMachine := *mc
+		failedMachine.id = fmt.Sprintf("i-%d", n)
+		ctrl.recordTaskError(&failedMachine, tr, &attempt{key: attemptKey{task: TaskName("job-000001", n)}, job: &tr.job.rec.Job, taskRange: tr})
+		longestPauseMS = max(longestPauseMS, tr.retryAt-ctrl.now.MonotonicMS)
 	}
-	if longest == 0 || longest > ms(2*m.p.LeaseS) {
-		t.Errorf("it pauses for %d ms, a lease is %v s", longest, m.p.LeaseS)
+	if longestPauseMS == 0 || longestPauseMS > secondsToMS(2*ctrl.params.LeaseS) {
+		t.Errorf("it pauses for %d ms, a lease is %v s", longestPauseMS, ctrl.params.LeaseS)
 	}
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -11,137 +11,137 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// fleet is what the member that leads the fleet keeps: it alone rents and
+// fleetState is what the member that leads the fleet keeps: it alone rents and
 // returns machines. The lead is a record that hangs on the member's hold.
-type fleet struct {
-	leading  bool
-	nonce    uint64
-	rev      uint64
-	claiming bool
-	nextTry  int64
-	requests uint64
+type fleetState struct {
+	leading           bool
+	nonce             uint64
+	leaderRev         uint64
+	claimPending      bool
+	nextClaimAt       int64
+	provisionRequests uint64
 
-	nextList    int64
-	listing     bool
-	nextCatalog int64
-	releasing   bool
-	nextRelease int64
-	nextRent    int64
-	renting     map[string]int   // shard: requests under way
-	needsAfter  map[string]int64 // shard: needs told before this are out of date
-	refused     map[offer]int64  // steady time until which not to ask
-	listed      map[string]bool
-	leaving     map[string]bool  // machines that are to be returned
-	returned    map[string]int64 // machine: when it was returned
+	nextListAt       int64
+	listPending      bool
+	nextCatalogAt    int64
+	releasePending   bool
+	nextReleaseAt    int64
+	nextProvisionAt  int64
+	provisioning     map[string]int     // shard: requests under way
+	demandValidAfter map[string]int64   // shard: needs told before this are out of date
+	unavailableUntil map[offering]int64 // steady time until which not to ask
+	listed           map[string]bool
+	pendingReleases  map[string]bool  // machines that are to be returned
+	releasedAt       map[string]int64 // machine: when it was returned
 
 	// What is to be written to the rosters.
-	rosters   int
-	additions []*addition
-	removals  map[string]bool
-	adding    map[string]bool // machines that were found or rented and have no roster yet
-	found     []Report        // machines that reported and that nobody knows
-	nextFound int64
-	writing   bool
-	nextWrite int64
+	lastRegistryPageNumber int
+	pendingAdditions       []*registryAddition
+	pendingRemovals        map[string]bool
+	unrecordedMachines     map[string]bool // machines that were found or rented and have no roster yet
+	unknownMachines        []Heartbeat     // machines that reported and that nobody knows
+	nextFound              int64
+	registryWriting        bool
+	nextRegistryWriteAt    int64
 }
 
-// offer is a kind of machine in a zone, as the cloud rents it.
-type offer struct {
-	typ, zone string
-	spot      bool
+// offering is a kind of machine in a zone, as the cloud rents it.
+type offering struct {
+	machineType, zone string
+	spot              bool
 }
 
-func (o offer) compare(p offer) int {
-	spot := 0
-	if o.spot != p.spot {
-		spot = 1
+func (o offering) compare(other offering) int {
+	bySpot := 0
+	if o.spot != other.spot {
+		bySpot = 1
 		if o.spot {
-			spot = -1
+			bySpot = -1
 		}
 	}
-	return cmp.Or(strings.Compare(o.typ, p.typ), strings.Compare(o.zone, p.zone), spot)
+	return cmp.Or(strings.Compare(o.machineType, other.machineType), strings.Compare(o.zone, other.zone), bySpot)
 }
 
-func (f *fleet) init() {
-	f.renting, f.needsAfter = map[string]int{}, map[string]int64{}
-	f.refused, f.returned = map[offer]int64{}, map[string]int64{}
-	f.leaving, f.removals, f.adding = map[string]bool{}, map[string]bool{}, map[string]bool{}
+func (f *fleetState) init() {
+	f.provisioning, f.demandValidAfter = map[string]int{}, map[string]int64{}
+	f.unavailableUntil, f.releasedAt = map[offering]int64{}, map[string]int64{}
+	f.pendingReleases, f.pendingRemovals, f.unrecordedMachines = map[string]bool{}, map[string]bool{}, map[string]bool{}
 }
 
-func (m *Member) tickFleet() {
-	f := &m.fleet
-	now := m.now.Steady
-	if len(m.types) == 0 || f.leading {
-		if now >= f.nextCatalog {
-			f.nextCatalog = now + 5000
-			m.askCloud(CloudOp{Kind: CloudCatalog}, m.gotCatalog)
+func (c *Controller) tickFleet() {
+	f := &c.fleet
+	now := c.now.MonotonicMS
+	if len(c.machineTypes) == 0 || f.leading {
+		if now >= f.nextCatalogAt {
+			f.nextCatalogAt = now + 5000
+			c.sendCloud(CloudOp{Kind: CloudCatalog}, c.applyCatalog)
 		}
 	}
-	if !m.authority() {
+	if !c.hasAuthority() {
 		return
 	}
-	if m.lead == "" || m.lead == m.p.Member && !f.leading {
-		m.claimLead()
+	if c.leader == "" || c.leader == c.params.MemberID && !f.leading {
+		c.claimLeadership()
 		return
 	}
-	if !m.mayLead() {
+	if !c.canActAsLeader() {
 		return
 	}
-	m.recordFound()
-	m.writeRosters()
-	if now >= f.nextList && !f.listing {
-		f.listing = true
-		m.listMachines("", nil, now)
+	c.assignFoundMachines()
+	c.writeRegistry()
+	if now >= f.nextListAt && !f.listPending {
+		f.listPending = true
+		c.listCloudMachines("", nil, now)
 	}
-	if now >= f.nextRelease && !f.releasing {
-		m.releaseMachines()
+	if now >= f.nextReleaseAt && !f.releasePending {
+		c.releaseMachines()
 	}
-	if now >= f.nextRent {
-		f.nextRent = now + 500
-		m.rentForNeeds()
+	if now >= f.nextProvisionAt {
+		f.nextProvisionAt = now + 500
+		c.scaleOutForDemand()
 	}
-	m.tickRollout()
+	c.tickRollout()
 }
 
-func (m *Member) claimLead() {
-	f := &m.fleet
-	now := m.now.Steady
-	if f.claiming || now < f.nextTry {
+func (c *Controller) claimLeadership() {
+	f := &c.fleet
+	now := c.now.MonotonicMS
+	if f.claimPending || now < f.nextClaimAt {
 		return
 	}
-	f.claiming = true
-	nonce := m.rng.Uint64()
+	f.claimPending = true
+	nonce := c.rng.Uint64()
 	f.nonce = nonce
-	rec := shardRecord{m.p.Member, nonce}
-	m.ask(StoreOp{Kind: StoreTxn, Urgency: Holds, Guards: []Guard{{leadKey, m.revs[leadKey]}},
-		Changes: []Change{{Key: leadKey, Value: encode(rec), Hold: m.acc.Hold()}}}, func(r StoreResult) {
-		f.claiming = false
-		f.nextTry = m.now.Steady + 500 + m.rng.Int64N(500)
+	rec := claimRecord{c.params.MemberID, nonce}
+	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{leaderKey, c.keyRevisions[leaderKey]}},
+		Changes: []Change{{Key: leaderKey, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}}}, func(r StoreResult) {
+		f.claimPending = false
+		f.nextClaimAt = c.now.MonotonicMS + 500 + c.rng.Int64N(500)
 		if r.Outcome == OK {
-			m.apply(Item{Key: leadKey, Value: encode(rec), Rev: r.Rev})
-			f.leading, f.rev = true, r.Rev
-			f.nextList = m.now.Steady
-			clear(f.renting)
-			m.roll.ledger, m.roll.renting = nil, false
+			c.applyChange(KeyValue{Key: leaderKey, Value: mustEncode(rec), Rev: r.Rev})
+			f.leading, f.leaderRev = true, r.Rev
+			f.nextListAt = c.now.MonotonicMS
+			clear(f.provisioning)
+			c.rolloutState.ledger, c.rolloutState.provisioning = nil, false
 			// What an earlier lead of ours left is the cloud list's to tell.
-			f.additions, f.found, f.writing = nil, nil, false
-			clear(f.adding)
-			clear(f.removals)
-			clear(f.leaving)
-			m.log(Info, "leading the fleet", "revision", r.Rev)
+			f.pendingAdditions, f.unknownMachines, f.registryWriting = nil, nil, false
+			clear(f.unrecordedMachines)
+			clear(f.pendingRemovals)
+			clear(f.pendingReleases)
+			c.log(Info, "leading the fleet", "revision", r.Rev)
 		} else {
-			m.reread(leadKey, func(StoreResult) {})
+			c.rereadKey(leaderKey, func(StoreResult) {})
 		}
 	})
 }
 
-func (m *Member) gotCatalog(r CloudResult) {
-	f := &m.fleet
+func (c *Controller) applyCatalog(r CloudResult) {
+	f := &c.fleet
 	if r.Outcome != OK || len(r.Types) == 0 {
-		f.nextCatalog = m.now.Steady + 2000
+		f.nextCatalogAt = c.now.MonotonicMS + 2000
 		return
 	}
-	f.nextCatalog = m.now.Steady + 60_000
+	f.nextCatalogAt = c.now.MonotonicMS + 60_000
 	types := slices.Clone(r.Types)
 	slices.SortFunc(types, func(a, b MachineType) int {
 		if a.Name < b.Name {
@@ -149,69 +149,69 @@
 		}
 		return 1
 	})
-	first := len(m.types) == 0
-	m.setTypes(types)
+	first := len(c.machineTypes) == 0
+	c.setMachineTypes(types)
 	if first {
-		m.log(Info, "machine types known", "types", len(types))
+		c.log(Info, "machine types known", "types", len(types))
 	}
 	// Stored once, without its moving prices, for members that start while
 	// the cloud is away.
-	if m.revs[catalogKey] == 0 && f.leading && m.authority() {
-		m.txn(Progress, []Guard{{catalogKey, 0}}, []Change{{Key: catalogKey, Value: encode(catalogRecord{types})}}, func(StoreResult) {})
+	if c.keyRevisions[catalogKey] == 0 && f.leading && c.hasAuthority() {
+		c.sendTxn(UrgencyBackground, []Precondition{{catalogKey, 0}}, []Change{{Key: catalogKey, Value: mustEncode(catalogRecord{types})}}, func(StoreResult) {})
 	}
 }
 
-// listMachines reads the cloud's list and compares it with the records.
-func (m *Member) listMachines(from string, all []Listed, sent int64) {
-	f := &m.fleet
-	m.askCloud(CloudOp{Kind: CloudList, From: from}, func(r CloudResult) {
+// listCloudMachines reads the cloud's list and compares it with the records.
+func (c *Controller) listCloudMachines(from string, all []CloudMachine, sentAt int64) {
+	f := &c.fleet
+	c.sendCloud(CloudOp{Kind: CloudList, StartAfter: from}, func(r CloudResult) {
 		if r.Outcome != OK {
-			f.listing = false
-			f.nextList = m.now.Steady + 2000
+			f.listPending = false
+			f.nextListAt = c.now.MonotonicMS + 2000
 			return
 		}
 		all = append(all, r.List...)
 		if r.More && len(r.List) > 0 {
-			m.listMachines(r.List[len(r.List)-1].ID, all, sent)
+			c.listCloudMachines(r.List[len(r.List)-1].ID, all, sentAt)
 			return
 		}
-		f.listing = false
-		f.nextList = m.now.Steady + max(ms(m.p.ListLagS)/listsPerLag, 1000)
-		if f.leading && m.authority() {
-			m.compare(all, sent)
+		f.listPending = false
+		f.nextListAt = c.now.MonotonicMS + max(secondsToMS(c.params.CloudListLagS)/listsPerListLag, 1000)
+		if f.leading && c.hasAuthority() {
+			c.reconcileCloudList(all, sentAt)
 		}
 	})
 }
 
-// listsPerLag is how often the list is read while it lags once.
-const listsPerLag = 3
+// listsPerListLag is how often the list is read while it lags once.
+const listsPerListLag = 3
 
-// bootPatience is after how many of its type's boot times a machine that has
+// bootGracePeriods is after how many of its type's boot times a machine that has
 // not come up is replaced.
-const bootPatience = 3
+const bootGracePeriods = 3
 
-// returnedKept is for how many lags of the list a returned machine is ignored
+// releasedRetentionLags is for how many lags of the list a returned machine is ignored
 // in it. A list may be older than the one before it, so one lag is not enough.
-const returnedKept = 5
+const releasedRetentionLags = 5
 
-// compare holds the cloud's list against the records. The list was asked for at
+// reconcileCloudList holds the cloud's list against the records. The list was asked for at
 // sent and is no evidence of anything later: an answer that came late made
 // machines seem gone that had been rented and were up since.
-func (m *Member) compare(list []Listed, sent int64) {
-	f := &m.fleet
-	asked := m.now.Wall - (m.now.Steady - sent)
-	lag := ms(m.p.ListLagS) * 2
+func (c *Controller) reconcileCloudList(list []CloudMachine, sentAt int64) {
+	f := &c.fleet
+	sentWall := c.now.WallMS - (c.now.MonotonicMS - sentAt)
+	lag := secondsToMS(c.params.CloudListLagS) * 2
 	f.listed = make(map[string]bool, len(list))
-	loads := m.loads()
-	for _, l := range list {
-		f.listed[l.ID] = true
-		mc := m.machines[l.ID]
-		if at, ok := f.returned[l.ID]; ok {
+	loads := c.shardLoads()
+	for _, instance := range list {
+		f.listed[instance.ID] = true
+		mc := c.machines[instance.ID]
+		if releasedAt, ok := f.releasedAt[instance.ID]; ok {
 			// The list lags: what we returned still appears. Taking it
 			// for a machine that nobody expected gave it a record and an
 			// owner again, for nothing to come up.
-			if m.now.Steady-at > returnedKept*lag {
-				delete(f.returned, l.ID)
+			if c.now.MonotonicMS-releasedAt > releasedRetentionLags*lag {
+				delete(f.releasedAt, instance.ID)
 			}
 			continue
 		}
@@ -219,174 +219,174 @@
 			// Nobody expected it. It gets an owner, who uses or returns
 			// it; a rental of ours whose rosters are being written is
 			// given the time to be written.
-			if ms(l.AgeS) > lag+5000 && !f.adding[l.ID] && l.State != "failed" && m.types[l.Type] != nil {
-				m.addMachines([]string{l.ID}, offer{l.Type, l.Zone, l.Spot}, m.poorest(loads, l.Type), "", m.now.Wall-ms(l.AgeS), func() {})
+			if secondsToMS(instance.AgeS) > lag+5000 && !f.unrecordedMachines[instance.ID] && instance.State != "failed" && c.machineTypes[instance.Type] != nil {
+				c.addMachinesToRegistry([]string{instance.ID}, offering{instance.Type, instance.Zone, instance.Spot}, c.assignToLeastLoaded(loads, instance.Type), "", c.now.WallMS-secondsToMS(instance.AgeS), func() {})
 			}
-			if l.State == "failed" && !f.adding[l.ID] {
-				m.giveBack(l.ID, "failed")
+			if instance.State == "failed" && !f.unrecordedMachines[instance.ID] {
+				c.markForRelease(instance.ID, "failed")
 			}
 			continue
 		}
-		if l.State == "failed" {
-			m.giveBack(l.ID, "failed")
+		if instance.State == "failed" {
+			c.markForRelease(instance.ID, "failed")
 		}
 	}
-	for id, at := range f.returned {
-		if m.now.Steady-at > returnedKept*lag && !f.listed[id] {
-			delete(f.returned, id)
+	for id, releasedAt := range f.releasedAt {
+		if c.now.MonotonicMS-releasedAt > releasedRetentionLags*lag && !f.listed[id] {
+			delete(f.releasedAt, id)
 		}
 	}
-	for id, mc := range inOrder(m.machines) {
-		t := m.types[mc.rec.Type]
+	for id, mc := range sortedByKey(c.machines) {
+		t := c.machineTypes[mc.rec.Type]
 		switch {
-		case mc.Up && !f.listed[id] && asked-mc.rec.Rented > lag+5000 && !m.speaks(mc, sent):
+		case mc.Up && !f.listed[id] && sentWall-mc.rec.ProvisionedAtMS > lag+5000 && !c.hasHeartbeatSince(mc, sentAt):
 			// Listed machines stay listed until they are gone, so this one
 			// is: its tasks need not wait for its lease, nor a new claim
 			// for a report that never comes. Returning it makes it certain.
-			m.giveBack(id, "no longer listed")
-		case !mc.Up && t != nil && m.now.Wall-mc.rec.Rented > ms(t.BootS)*bootPatience+lag:
-			m.giveBack(id, "does not come up")
+			c.markForRelease(id, "no longer listed")
+		case !mc.Up && t != nil && c.now.WallMS-mc.rec.ProvisionedAtMS > secondsToMS(t.BootS)*bootGracePeriods+lag:
+			c.markForRelease(id, "does not come up")
 		}
 	}
 }
 
-// speaks tells whether a machine of ours reported after a time.
-func (m *Member) speaks(mc *machine, since int64) bool {
-	return mc.claim != nil && m.mine[mc.rec.Shard] == mc.claim && mc.Squared() && mc.Last > since
+// hasHeartbeatSince tells whether a machine of ours reported after a time.
+func (c *Controller) hasHeartbeatSince(mc *machine, since int64) bool {
+	return mc.claim != nil && c.ownedShards[mc.rec.Shard] == mc.claim && mc.IsReconciled() && mc.LastHeartbeatAt > since
 }
 
-// virtual is a machine that might be rented, while needs are fitted into it.
-type virtual struct {
-	pm *planner.Machine
-	o  offer
+// candidateMachine is a machine that might be rented, while needs are fitted into it.
+type candidateMachine struct {
+	machine  *planner.Machine
+	offering offering
 }
 
-// rentForNeeds rents what the shards say they lack: per shard, machines are
+// scaleOutForDemand rents what the shards say they lack: per shard, machines are
 // added until the needs fit, each time of the kind that costs least for the
 // tasks it takes. One call asks for all machines of a kind and zone, whichever
 // shards they are for, and the largest are asked for first: calls are few.
-func (m *Member) rentForNeeds() {
-	f := &m.fleet
-	wanted := map[offer]map[string]int{}
-	total := map[offer]int{}
-	m.heard(func(from string, msg *PeerMessage) {
-		for i := range msg.Shards {
-			sr := &msg.Shards[i]
-			if f.renting[sr.Shard] > 0 || msg.Wall < f.needsAfter[sr.Shard] || len(sr.Needs) == 0 {
+func (c *Controller) scaleOutForDemand() {
+	f := &c.fleet
+	requests := map[offering]map[string]int{}
+	total := map[offering]int{}
+	c.forEachFreshMessage(func(from string, msg *PeerMessage) {
+		for i := range msg.OwnedShards {
+			peerShard := &msg.OwnedShards[i]
+			if f.provisioning[peerShard.Shard] > 0 || msg.WallMS < f.demandValidAfter[peerShard.Shard] || len(peerShard.Demands) == 0 {
 				continue
 			}
-			if m.mine[sr.Shard] == nil && m.shards[sr.Shard].Holder != from {
+			if c.ownedShards[peerShard.Shard] == nil && c.shardClaims[peerShard.Shard].Owner != from {
 				continue
 			}
-			for o, n := range m.rentFor(sr) {
-				if wanted[o] == nil {
-					wanted[o] = map[string]int{}
+			for o, n := range c.planScaleOut(peerShard) {
+				if requests[o] == nil {
+					requests[o] = map[string]int{}
 				}
-				wanted[o][sr.Shard] += n
+				requests[o][peerShard.Shard] += n
 				total[o] += n
 			}
 		}
 	})
-	var order []offer
+	var order []offering
 	for o := range total {
 		order = append(order, o)
 	}
-	slices.SortFunc(order, func(a, b offer) int { return cmp.Or(cmp.Compare(total[b], total[a]), a.compare(b)) })
+	slices.SortFunc(order, func(a, b offering) int { return cmp.Or(cmp.Compare(total[b], total[a]), a.compare(b)) })
 	for _, o := range order {
-		m.rent(o, wanted[o], "", func() {})
+		c.provision(o, requests[o], "", func() {})
 	}
 }
 
-// rentAtOnce bounds the machines asked for by one shard's needs at a time;
+// maxScaleOutPerShard bounds the machines asked for by one shard's needs at a time;
 // needs that remain are told again.
-const rentAtOnce = 50
+const maxScaleOutPerShard = 50
 
-// rentFor is what machines a shard's needs ask for.
-func (m *Member) rentFor(sr *ShardReport) map[offer]int {
-	var vms []*virtual
-	wall := m.now.Wall
-	zones := map[offer]offer{} // the zone that this round takes for a kind
-	for _, need := range sr.Needs {
-		j := m.jobs[need.Job]
+// planScaleOut is what machines a shard's needs ask for.
+func (c *Controller) planScaleOut(peerShard *PeerShard) map[offering]int {
+	var candidates []*candidateMachine
+	wall := c.now.WallMS
+	zones := map[offering]offering{} // the zone that this round takes for a kind
+	for _, demand := range peerShard.Demands {
+		j := c.jobs[demand.Job]
 		if j == nil {
 			continue
 		}
-		mode := planner.Every
+		mode := planner.AllQueues
 		if j.rec.Job.Kind == Gang {
-			mode = planner.Anyhow // side by side: none may wait for another
+			mode = planner.NewSlotsAnyTime // side by side: none may wait for another
 		}
-		g := &group{j: &j.rec.Job, Group: planner.Group{Ask: j.rec.Job.ask(), Left: need.Count, Length: need.Length, Due: need.Deadline}}
-		for _, v := range vms {
-			if g.Left > 0 && m.allowed(g.j, v.o.typ, v.o.zone, v.o.spot) {
-				n, _, _ := planner.Fit(v.pm, &g.Group, m.typeFetch(g.j, v.o.typ), m.reach(g, v.pm), g.Left, mode)
-				g.Left -= n
+		g := &taskGroup{job: &j.rec.Job, Group: planner.Group{Request: j.rec.Job.resourceRequest(), Remaining: demand.Tasks, LengthMS: demand.TaskRuntimeMS, DeadlineMS: demand.DeadlineMS}}
+		for _, candidate := range candidates {
+			if g.Remaining > 0 && c.isOfferingAllowed(g.job, candidate.offering.machineType, candidate.offering.zone, candidate.offering.spot) {
+				n, _, _ := planner.AdmitToMachine(candidate.machine, &g.Group, c.imageFetchMS(g.job, candidate.offering.machineType), c.fillDeadline(g, candidate.machine), g.Remaining, mode)
+				g.Remaining -= n
 			}
 		}
-		for g.Left > 0 && len(vms) < rentAtOnce {
-			o, ok := m.cheapest(g, need.SpotOnly, zones)
+		for g.Remaining > 0 && len(candidates) < maxScaleOutPerShard {
+			o, ok := c.cheapestOffering(g, demand.SpotOnly, zones)
 			if !ok {
 				break
 			}
-			t := m.types[o.typ]
-			v := &virtual{o: o, pm: &planner.Machine{Kind: planner.Kind{Type: o.typ, Zone: o.zone, Spot: o.spot}, UpAt: wall + ms(t.BootS), Free: t.Room}}
-			n, _, _ := planner.Fit(v.pm, &g.Group, m.typeFetch(g.j, o.typ), m.reach(g, v.pm), g.Left, mode)
+			t := c.machineTypes[o.machineType]
+			candidate := &candidateMachine{offering: o, machine: &planner.Machine{Offering: planner.InstanceOffering{Type: o.machineType, Zone: o.zone, Spot: o.spot}, ReadyAtMS: wall + secondsToMS(t.BootS), Free: t.Resources}}
+			n, _, _ := planner.AdmitToMachine(candidate.machine, &g.Group, c.imageFetchMS(g.job, o.machineType), c.fillDeadline(g, candidate.machine), g.Remaining, mode)
 			if n == 0 {
 				break
 			}
-			g.Left -= n
-			vms = append(vms, v)
+			g.Remaining -= n
+			candidates = append(candidates, candidate)
 		}
 	}
-	counts := map[offer]int{}
-	for _, v := range vms {
-		counts[v.o]++
+	counts := map[offering]int{}
+	for _, candidate := range candidates {
+		counts[candidate.offering]++
 	}
 	return counts
 }
 
-// reach is the deadline that a rented machine is filled for: the group's own,
+// fillDeadline is the deadline that a rented machine is filled for: the group's own,
 // or, where it comes too late for that, one task in each of its queues.
-func (m *Member) reach(g *group, pm *planner.Machine) int64 {
-	return max(g.Due, pm.UpAt+m.typeFetch(g.j, pm.Kind.Type)+int64(float64(g.Length)*planner.Padding))
+func (c *Controller) fillDeadline(g *taskGroup, viewMachine *planner.Machine) int64 {
+	return max(g.DeadlineMS, viewMachine.ReadyAtMS+c.imageFetchMS(g.job, viewMachine.Offering.Type)+int64(float64(g.LengthMS)*planner.RuntimePadding))
 }
 
-// ordinaryFill is how full the waiting tasks of a job must make an ordinary
+// onDemandMinFill is how full the waiting tasks of a job must make an ordinary
 // machine before one is rented for a job that may use spot machines.
-const ordinaryFill = 1.0
+const onDemandMinFill = 1.0
 
-// shortFactor is how much dearer a type counts that others cannot do without.
-const shortFactor = 4
+// scarceTypeCostFactor is how much dearer a type counts that others cannot do without.
+const scarceTypeCostFactor = 4
 
-// cheapest picks the kind of machine that costs least for the tasks of the
+// cheapestOffering picks the kind of machine that costs least for the tasks of the
 // group that it takes, among those the cloud did not refuse of late. Ordinary
 // machines are dearer, so they come up where no spot machine is to be had.
-func (m *Member) cheapest(g *group, spotOnly bool, zones map[offer]offer) (offer, bool) {
-	var best []offer
-	cost := math.Inf(1)
-	names := make([]string, 0, len(m.types))
-	for n := range m.types {
+func (c *Controller) cheapestOffering(g *taskGroup, spotOnly bool, zones map[offering]offering) (offering, bool) {
+	var best []offering
+	bestCost := math.Inf(1)
+	names := make([]string, 0, len(c.machineTypes))
+	for n := range c.machineTypes {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		t := m.types[n]
-		if !m.fitsType(g.j, t) {
+		t := c.machineTypes[n]
+		if !c.fitsType(g.job, t) {
 			continue
 		}
-		copies := t.Room.Copies(withoutDisk(g.j.Request), g.Left)
-		up := m.now.Wall + ms(t.BootS) + m.typeFetch(g.j, n)
-		waves := max(1, int((g.Due-up)/max(int64(float64(g.Length)*planner.Padding), 1)))
-		tasks := min(copies*waves, g.Left)
+		copies := t.Resources.MaxCopies(withoutDisk(g.job.Request), g.Remaining)
+		readyAt := c.now.WallMS + secondsToMS(t.BootS) + c.imageFetchMS(g.job, n)
+		waves := max(1, int((g.DeadlineMS-readyAt)/max(int64(float64(g.LengthMS)*planner.RuntimePadding), 1)))
+		tasks := min(copies*waves, g.Remaining)
 		if tasks < 1 {
 			continue
 		}
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				o := offer{n, z, spot}
-				if spotOnly && !spot || !m.allowed(g.j, n, z, spot) || m.now.Steady < m.fleet.refused[o] {
+				o := offering{n, z, spot}
+				if spotOnly && !spot || !c.isOfferingAllowed(g.job, n, z, spot) || c.now.MonotonicMS < c.fleet.unavailableUntil[o] {
 					continue
 				}
-				if !spot && g.j.Spot && up+g.Length > g.Due {
+				if !spot && g.job.Spot && readyAt+g.LengthMS > g.DeadlineMS {
 					// It would come too late for the aim it is asked
 					// for: not worth several times the price.
 					continue
@@ -395,29 +395,29 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				c := price / float64(tasks)
-				if !spot && g.j.Spot && float64(g.Left) < float64(t.Room.Copies(withoutDisk(g.j.Request), 1000))*ordinaryFill {
+				cost := price / float64(tasks)
+				if !spot && g.job.Spot && float64(g.Remaining) < float64(t.Resources.MaxCopies(withoutDisk(g.job.Request), 1000))*onDemandMinFill {
 					continue
 				}
-				if m.short(g.j, t) {
-					c *= shortFactor
+				if c.isTypeScarce(g.job, t) {
+					cost *= scarceTypeCostFactor
 				}
-				if c < cost*0.999 {
-					cost, best = c, best[:0]
+				if cost < bestCost*0.999 {
+					bestCost, best = cost, best[:0]
 				}
-				if c <= cost*1.001 {
+				if cost <= bestCost*1.001 {
 					best = append(best, o)
 				}
 			}
 		}
 	}
 	if len(best) == 0 {
-		return offer{}, false
+		return offering{}, false
 	}
 	// Zones that cost the same take turns, a round for each, so that a call
 	// asks for many.
-	o := best[m.rng.IntN(len(best))]
-	kind := offer{typ: o.typ, spot: o.spot}
+	o := best[c.rng.IntN(len(best))]
+	kind := offering{machineType: o.machineType, spot: o.spot}
 	if z, ok := zones[kind]; ok && slices.Contains(best, z) {
 		return z, true
 	}
@@ -425,67 +425,69 @@
 	return o, true
 }
 
-// rent asks for machines under a name that no one ever uses again: it holds
+// provision asks for machines under a name that no one ever uses again: it holds
 // the revision of the lead's claim. What comes is split among the shards as they
 // asked. plan names a rollout that they are for; over is called when the request is.
-func (m *Member) rent(o offer, shards map[string]int, plan string, over func()) {
-	f := &m.fleet
+func (c *Controller) provision(o offering, shards map[string]int, plan string, onEnd func()) {
+	f := &c.fleet
 	n := 0
-	for s, k := range inOrder(shards) {
-		k = min(k, maxRental-n)
+	for s, k := range sortedByKey(shards) {
+		k = min(k, maxInstancesPerRequest-n)
 		shards[s] = k
 		n += k
-		f.renting[s]++
+		f.provisioning[s]++
 	}
-	f.requests++
-	name := fmt.Sprintf("r-%d-%d", f.rev, f.requests)
-	asked, rev, left := m.now.Wall, f.rev, len(shards)
-	end := func(s string) {
-		if f.rev == rev {
-			f.renting[s]--
-			f.needsAfter[s] = m.now.Wall + 300
-			if left--; left == 0 {
-				over()
+	f.provisionRequests++
+	name := fmt.Sprintf("r-%d-%d", f.leaderRev, f.provisionRequests)
+	requestedAt, rev, shardsLeft := c.now.WallMS, f.leaderRev, len(shards)
+	endShard := func(s string) {
+		if f.leaderRev == rev {
+			f.provisioning[s]--
+			f.demandValidAfter[s] = c.now.WallMS + 300
+			if shardsLeft--; shardsLeft == 0 {
+				onEnd()
 			}
 		}
 	}
 	endAll := func() {
 		for s := range shards {
-			end(s)
+			endShard(s)
 		}
 	}
-	refuse := func() { f.refused[o] = m.now.Steady + max(ms(m.types[o.typ].BootS), 5000) }
-	var send func(tries int)
-	send = func(tries int) {
-		m.askCloud(CloudOp{Kind: CloudRent, Request: name, Type: o.typ, Zone: o.zone, Spot: o.spot, Count: n}, func(r CloudResult) {
+	markUnavailable := func() {
+		f.unavailableUntil[o] = c.now.MonotonicMS + max(secondsToMS(c.machineTypes[o.machineType].BootS), 5000)
+	}
+	var send func(retries int)
+	send = func(retries int) {
+		c.sendCloud(CloudOp{Kind: CloudProvision, IdempotencyKey: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: n}, func(r CloudResult) {
 			switch r.Outcome {
 			case OK:
 				if len(r.Machines) < n {
-					refuse()
+					markUnavailable()
 				}
-				m.Counters.Rented += uint64(len(r.Machines))
-				m.log(Info, "machines rented", "type", o.typ, "zone", o.zone, "spot", o.spot, "asked", n, "got", len(r.Machines), "machines", r.Machines)
+				c.Counters.Provisioned += uint64(len(r.Machines))
+				c.log(Info, "machines rented", "type", o.machineType, "zone", o.zone, "spot", o.spot, "asked", n, "got", len(r.Machines), "machines", r.Machines)
 				ids := r.Machines
-				for s, k := range inOrder(shards) {
+				for s, k := range sortedByKey(shards) {
 					// What is missing is missing for all in proportion.
 					k = min(len(ids), (k*len(r.Machines)+n-1)/n)
-					m.addMachines(ids[:k], o, s, plan, asked, func() { end(s) })
+					c.addMachinesToRegistry(ids[:k], o, s, plan, requestedAt, func() { endShard(s) })
 					ids = ids[k:]
 				}
 			case NotFound:
-				m.log(Debug, "no capacity", "type", o.typ, "zone", o.zone, "spot", o.spot)
-				refuse()
+				c.log(Debug, "no capacity", "type", o.machineType, "zone", o.zone, "spot", o.spot)
+				markUnavailable()
 				endAll()
 			case Unknown:
 				// The same name gets the same answer, and rents nothing
 				// twice.
-				if tries > 0 {
-					send(tries - 1)
+				if retries > 0 {
+					send(retries - 1)
 					return
 				}
 				endAll()
 			default:
-				f.nextRent = m.now.Steady + 2000
+				f.nextProvisionAt = c.now.MonotonicMS + 2000
 				endAll()
 			}
 		})
@@ -493,5 +495,5 @@
 	send(3)
 }
 
-// maxRental is the most machines of one request, by the cloud's protocol.
-const maxRental = 50
+// maxInstancesPerRequest is the most machines of one request, by the cloud's protocol.
+const maxInstancesPerRequest = 50
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -17,22 +17,22 @@
 	var v T
 	golden.Fill(&v)
 	golden.CheckTags(t, "json", v)
-	golden.RoundTrip(t, path, v, func(v T) ([]byte, error) { return encode(v), nil },
+	golden.RoundTrip(t, path, v, func(v T) ([]byte, error) { return mustEncode(v), nil },
 		func(b []byte) (v T, err error) { return v, json.Unmarshal(b, &v) })
 }
 
 func TestStoredRecordsKeepTheirForm(t *testing.T) {
 	record[jobRecord](t, "job.json")
-	record[finalRecord](t, "final.json")
+	record[terminalRecord](t, "final.json")
 	record[progressRecord](t, "progress.json")
-	record[memoryRecord](t, "memory.json")
-	record[shardRecord](t, "shard.json") // the lead's too
-	record[rosterRecord](t, "roster.json")
-	record[upRecord](t, "up.json")
+	record[recoveryRecord](t, "memory.json")
+	record[claimRecord](t, "shard.json") // the lead's too
+	record[registryRecord](t, "roster.json")
+	record[liveMachinesRecord](t, "up.json")
 	record[catalogRecord](t, "catalog.json")
 	record[Settings](t, "settings.json")
 	record[quota.Record](t, "team.json")
-	record[noteRecord](t, "note.json")
+	record[statusRecord](t, "note.json")
 	record[rollout.Record](t, "rollout.json")
 	record[disruption.Record](t, "disruption.json")
 }
@@ -41,39 +41,39 @@
 // are written.
 func TestStoredRecordsLeaveOutWhatIsEmpty(t *testing.T) {
 	var all []byte
-	for _, v := range []any{jobRecord{Ranges: []Range{{}}}, finalRecord{}, progressRecord{}, memoryRecord{}, shardRecord{}, rosterRecord{}, upRecord{},
-		catalogRecord{Types: []MachineType{{}}}, Settings{}, quota.Record{Wants: map[string]quota.Want{"team": {}}},
-		noteRecord{Shards: []noteShard{{Needs: []Need{{}}}}}, rollout.Record{}, disruption.Record{}} {
-		all = append(append(all, encode(v)...), '\n')
+	for _, v := range []any{jobRecord{Ranges: []Range{{}}}, terminalRecord{}, progressRecord{}, recoveryRecord{}, claimRecord{}, registryRecord{}, liveMachinesRecord{},
+		catalogRecord{Types: []MachineType{{}}}, Settings{}, quota.Record{Requests: map[string]quota.Request{"team": {}}},
+		statusRecord{Shards: []statusRecordShard{{Demands: []CapacityDemand{{}}}}}, rollout.Record{}, disruption.Record{}} {
+		all = append(append(all, mustEncode(v)...), '\n')
 	}
 	golden.Compare(t, "empty.jsonl", all)
 }
 
 func TestStoreKeysKeepTheirForm(t *testing.T) {
-	m := &Member{p: Params{ValueBytes: 1024}}
-	small := &work{job: &job{rec: jobRecord{Job: Job{ID: "job-7"}}}, shard: "m0", rng: Range{Lo: 3, Hi: 5}, done: newBits(2)}
-	large := &work{job: small.job, shard: "m0", rng: Range{Lo: 3, Hi: 1003}, done: newBits(1000)}
+	m := &Controller{params: Params{MaxValueBytes: 1024}}
+	small := &taskRange{job: &job{rec: jobRecord{Job: Job{ID: "job-7"}}}, shardName: "m0", bounds: Range{Lo: 3, Hi: 5}, done: newBitset(2)}
+	large := &taskRange{job: small.job, shardName: "m0", bounds: Range{Lo: 3, Hi: 1003}, done: newBitset(1000)}
 	for _, k := range []struct{ got, want string }{
 		{livePrefix, "l/"},
 		{jobKey("job-7"), "l/j/job-7"},
-		{machinePrefix, "l/m/"},
-		{upPrefix, "l/u/"},
-		{shardKey("m0"), "l/s/m0"},
-		{ShardKey("m0"), "l/s/m0"},
+		{registryPrefix, "l/m/"},
+		{liveMachinesPrefix, "l/u/"},
+		{claimKey("m0"), "l/s/m0"},
+		{ClaimKey("m0"), "l/s/m0"},
 		{teamKey("ops"), "l/t/ops"},
-		{leadKey, "l/lead"},
+		{leaderKey, "l/lead"},
 		{catalogKey, "l/catalog"},
 		{settingsKey, "l/settings"},
-		{notePrefix, "l/n/"},
+		{statusPrefix, "l/n/"},
 		{rolloutKey, "l/r/plan"},
 		{disruptionPrefix, "l/d/"},
-		{besidePrefix, "l/x/"},
-		{BesidePrefix, "l/x/"},
+		{extensionPrefix, "l/x/"},
+		{ExtensionPrefix, "l/x/"},
 		{progressPrefix, "p/"},
-		{memoryKey("m0"), "p/m0/memory"},
-		{m.pageKey(small), "p/m0/2"},
-		{m.pageKey(large), "p/m0/job-7/3"},
-		{finalKey("job-7"), "f/job-7"},
+		{recoveryKey("m0"), "p/m0/memory"},
+		{m.progressKey(small), "p/m0/2"},
+		{m.progressKey(large), "p/m0/job-7/3"},
+		{terminalKey("job-7"), "f/job-7"},
 		{TaskName("job-7", 3), "job-7/3"},
 	} {
 		if k.got != k.want {
@@ -85,8 +85,8 @@
 // TestStoredWordsKeepTheirForm holds the values of enumerations that records
 // and answers carry.
 func TestStoredWordsKeepTheirForm(t *testing.T) {
-	golden.Compare(t, "words.json", encode([]any{
-		Pending, Running, Done, Cancelled, Low, Normal, High, Production, Array, Service, Gang, Start, Stop, Forget, Submit, Query, Cancel,
+	golden.Compare(t, "words.json", mustEncode([]any{
+		Pending, Running, Done, Cancelled, Low, Normal, High, Production, Array, Service, Gang, CommandStart, CommandStop, CommandForget, SubmitJob, QueryJob, CancelJob,
 		rollout.Pause, rollout.Resume, rollout.Abort,
 	}))
 }
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -15,407 +15,411 @@
 // and how much). It is a second exception from queues that are never preempted,
 // beside the one for a team's own limit (preempt.go).
 
-// pledge is room on a machine that is kept for tasks of a work, since others are
+// reservation is room on a machine that is kept for tasks of a work, since others are
 // stopped there for it.
-type pledge struct {
-	w    *work
-	n    int   // tasks
-	till int64 // steady time
-	sent bool  // the stops went straight to the worker
+type reservation struct {
+	taskRange *taskRange
+	count     int   // tasks
+	expiresAt int64 // steady time
+	stopsSent bool  // the stops went straight to the worker
 }
 
-// standing is which live jobs are within their teams' guarantees, and how much all
+// guaranteeStatus is which live jobs are within their teams' guarantees, and how much all
 // live jobs of each team ask for.
-type standing struct {
-	known  bool
-	within map[string]bool
-	sizes  map[string]quota.Amounts
+type guaranteeStatus struct {
+	valid          bool
+	guaranteedJobs map[string]bool
+	requestsByTeam map[string]quota.Amounts
 }
 
 func guaranteeOf(t Team) quota.Amounts { return quota.Amounts{CPUs: t.CPUs, GPUs: t.GPUs} }
 
-func sizeOf(j *Job) quota.Amounts {
-	return amountsOf(j.Request).Times(float64(j.Tasks))
+func totalRequest(j *Job) quota.Amounts {
+	return amountsOf(j.Request).Scale(float64(j.Tasks))
 }
 
-// guaranteed tells whether a job is within its team's guarantee, as the mirror has
+// isWithinGuarantee tells whether a job is within its team's guarantee, as the mirror has
 // the jobs; one that is not accepted yet would be the team's newest.
-func (m *Member) guaranteed(j *Job) bool {
-	g := guaranteeOf(m.p.Teams[j.Team])
-	if g == (quota.Amounts{}) {
+func (c *Controller) isWithinGuarantee(j *Job) bool {
+	guarantee := guaranteeOf(c.params.Teams[j.Team])
+	if guarantee == (quota.Amounts{}) {
 		return false
 	}
-	st := &m.standing
-	if !st.known {
+	status := &c.guaranteeStatus
+	if !status.valid {
 		byTeam := map[string][]quota.Job{}
-		for id, o := range m.jobs {
-			if team := o.rec.Job.Team; guaranteeOf(m.p.Teams[team]) != (quota.Amounts{}) {
-				byTeam[team] = append(byTeam[team], quota.Job{ID: id, At: o.rec.Accepted, Size: sizeOf(&o.rec.Job)})
+		for id, o := range c.jobs {
+			if team := o.rec.Job.Team; guaranteeOf(c.params.Teams[team]) != (quota.Amounts{}) {
+				byTeam[team] = append(byTeam[team], quota.Job{ID: id, AcceptedMS: o.rec.AcceptedAtMS, Size: totalRequest(&o.rec.Job)})
 			}
 		}
-		*st = standing{true, map[string]bool{}, map[string]quota.Amounts{}}
+		*status = guaranteeStatus{true, map[string]bool{}, map[string]quota.Amounts{}}
 		for team, jobs := range byTeam {
 			slices.SortFunc(jobs, quota.Job.Compare) // the same sum every time
-			for id := range quota.Within(guaranteeOf(m.p.Teams[team]), jobs) {
-				st.within[id] = true
+			for id := range quota.JobsWithinGuarantee(guaranteeOf(c.params.Teams[team]), jobs) {
+				status.guaranteedJobs[id] = true
 			}
 			for _, o := range jobs {
-				st.sizes[team] = st.sizes[team].Add(o.Size)
+				status.requestsByTeam[team] = status.requestsByTeam[team].Add(o.Size)
 			}
 		}
 	}
-	if m.jobs[j.ID] != nil {
-		return st.within[j.ID]
+	if c.jobs[j.ID] != nil {
+		return status.guaranteedJobs[j.ID]
 	}
-	return g.Fits(st.sizes[j.Team].Add(sizeOf(j)))
+	return guarantee.Contains(status.requestsByTeam[j.Team].Add(totalRequest(j)))
 }
 
 // amountsOf is what a request takes of limits and guarantees.
-func amountsOf(r availability.Room) quota.Amounts { return quota.Amounts{CPUs: r.CPUs, GPUs: r.GPUs} }
+func amountsOf(r availability.Resources) quota.Amounts {
+	return quota.Amounts{CPUs: r.CPUs, GPUs: r.GPUs}
+}
 
-// ownUse is what a team uses in this member's shards. What is told to stop for a
+// localUsage is what a team uses in this member's shards. What is told to stop for a
 // guarantee is not used any more.
-func (m *Member) ownUse(team string) (use quota.Amounts) {
-	for _, s := range inOrder(m.mine) {
-		use = use.Add(amountsOf(s.use[team])).Sub(s.ceded[team])
+func (c *Controller) localUsage(team string) (usage quota.Amounts) {
+	for _, s := range sortedByKey(c.ownedShards) {
+		usage = usage.Add(amountsOf(s.usage[team])).Sub(s.reclaimedUsage[team])
 	}
-	return use.Max(quota.Amounts{})
+	return usage.Max(quota.Amounts{})
 }
 
-// teamUse is what teams use and wait for in this member's shards.
-func (m *Member) teamUse() (use, wait map[string]quota.Amounts) {
-	use, wait = map[string]quota.Amounts{}, map[string]quota.Amounts{}
-	for _, s := range inOrder(m.mine) {
-		for team := range s.use {
-			if u := m.ownUse(team); u != (quota.Amounts{}) {
-				use[team] = u
+// localUsageByTeam is what teams use and wait for in this member's shards.
+func (c *Controller) localUsageByTeam() (usage, waiting map[string]quota.Amounts) {
+	usage, waiting = map[string]quota.Amounts{}, map[string]quota.Amounts{}
+	for _, s := range sortedByKey(c.ownedShards) {
+		for team := range s.usage {
+			if teamUsage := c.localUsage(team); teamUsage != (quota.Amounts{}) {
+				usage[team] = teamUsage
 			}
 		}
-		for _, w := range s.works {
-			if n := w.pending(); n > 0 {
-				j := &w.job.rec.Job
-				wait[j.Team] = wait[j.Team].Add(amountsOf(j.Request).Times(float64(n)))
+		for _, tr := range s.taskRanges {
+			if n := tr.pending(); n > 0 {
+				j := &tr.job.rec.Job
+				waiting[j.Team] = waiting[j.Team].Add(amountsOf(j.Request).Scale(float64(n)))
 			}
 		}
 	}
-	return use, wait
+	return usage, waiting
 }
 
-// level tells groups how far their teams are beyond their guarantees: by what they use
+// assignUsageTiers tells groups how far their teams are beyond their guarantees: by what they use
 // over all members, and by what goes before in this shard. So what is free beyond the
 // guarantees goes to who has least, not to who asks first or most. It says whether any
 // two differ.
-func (m *Member) level(gs []*group) bool {
-	own, waits := m.teamUse()
-	since := m.now.Steady - m.freshFor()
-	use := map[string]quota.Amounts{}
-	for team := range m.p.Teams {
-		u, w, _ := m.watch.Others(team, m.now.Steady, since)
-		if u = u.Add(own[team]); u != (quota.Amounts{}) || w.Add(waits[team]) != (quota.Amounts{}) {
-			use[team] = u
+func (c *Controller) assignUsageTiers(groups []*taskGroup) bool {
+	localUsage, localWaiting := c.localUsageByTeam()
+	since := c.now.MonotonicMS - c.maxMessageAgeMS()
+	usage := map[string]quota.Amounts{}
+	for team := range c.params.Teams {
+		teamUsage, waiting, _ := c.usageMonitor.PeerUsage(team, c.now.MonotonicMS, since)
+		if teamUsage = teamUsage.Add(localUsage[team]); teamUsage != (quota.Amounts{}) || waiting.Add(localWaiting[team]) != (quota.Amounts{}) {
+			usage[team] = teamUsage
 		}
 	}
-	if len(use) < 2 {
+	if len(usage) < 2 {
 		return false
 	}
-	all := m.capacityUp()
+	capacity := c.liveCapacity()
 	differ := false
-	for _, g := range gs {
-		team := g.j.Team
-		if !g.Within {
-			g.Level = quota.Level(use[team], guaranteeOf(m.p.Teams[team]), all, len(use))
+	for _, g := range groups {
+		team := g.job.Team
+		if !g.WithinGuarantee {
+			g.QuotaTier = quota.Tier(usage[team], guaranteeOf(c.params.Teams[team]), capacity, len(usage))
 		}
-		use[team] = use[team].Add(amountsOf(g.j.Request).Times(float64(g.Left)))
-		differ = differ || g.Level != gs[0].Level
+		usage[team] = usage[team].Add(amountsOf(g.job.Request).Scale(float64(g.Remaining)))
+		differ = differ || g.QuotaTier != groups[0].QuotaTier
 	}
 	return differ
 }
 
-// capacity is what all machines that are up have, as of a moment.
-type capacity struct {
-	at  int64 // steady time; 0: never
-	all quota.Amounts
+// capacitySnapshot is what all machines that are up have, as of a moment.
+type capacitySnapshot struct {
+	takenAt int64 // steady time; 0: never
+	total   quota.Amounts
 }
 
-// capacityUp is what all machines that are up have, of all members. Counted for each plan, the whole fleet
+// liveCapacity is what all machines that are up have, of all members. Counted for each plan, the whole fleet
 // was looked at several times a second; shares of it need no more than a second's exactness.
-func (m *Member) capacityUp() quota.Amounts {
-	if m.up.at == 0 || m.now.Steady-m.up.at > ms(m.settings.SummaryS) {
-		m.up = capacity{at: m.now.Steady}
+func (c *Controller) liveCapacity() quota.Amounts {
+	if c.capacitySnapshot.takenAt == 0 || c.now.MonotonicMS-c.capacitySnapshot.takenAt > secondsToMS(c.settings.SummaryS) {
+		c.capacitySnapshot = capacitySnapshot{takenAt: c.now.MonotonicMS}
 		ups := map[string]int{}
-		for _, mc := range m.machines {
+		for _, mc := range c.machines {
 			if mc.Up {
 				ups[mc.rec.Type]++
 			}
 		}
-		for name, n := range inOrder(ups) { // the same sum every time
-			if t := m.types[name]; t != nil {
-				m.up.all = m.up.all.Add(amountsOf(t.Room).Times(float64(n)))
+		for name, n := range sortedByKey(ups) { // the same sum every time
+			if t := c.machineTypes[name]; t != nil {
+				c.capacitySnapshot.total = c.capacitySnapshot.total.Add(amountsOf(t.Resources).Scale(float64(n)))
 			}
 		}
 	}
-	return m.up.all
+	return c.capacitySnapshot.total
 }
 
-// bundle is tasks on one machine whose stop gives room for one more of a group.
-type bundle struct {
-	mc       *machine
-	pm       *planner.Machine
-	victims  []*attempt
-	priority Priority // the highest of them
-	fetch    int64    // the image is missing there: as long
-	lost     float64  // work that is lost with them, in processor milliseconds
+// preemptionBatch is tasks on one machine whose stop gives room for one more of a group.
+type preemptionBatch struct {
+	machine     *machine
+	viewMachine *planner.Machine
+	victims     []*attempt
+	priority    Priority // the highest of them
+	fetchMS     int64    // the image is missing there: as long
+	lostWork    float64  // work that is lost with them, in processor milliseconds
 }
 
-// cedes tells whether an attempt may be stopped for another team's guarantee. What
+// isReclaimable tells whether an attempt may be stopped for another team's guarantee. What
 // ends by itself as soon is not; nor what was stopped for that team before.
-func (m *Member) cedes(a *attempt, team string) bool {
-	if a.exited || a.saving || a.stopped || a.evicted || a.job.Kind != Array || a.job.Once || a.job.Team == team {
+func (c *Controller) isReclaimable(a *attempt, team string) bool {
+	if a.exited || a.checkpointing || a.stopRequested || a.evicted || a.job.Kind != Array || a.job.AtMostOnce || a.job.Team == team {
 		return false
 	}
-	return a.ends(m.now.Wall)-m.now.Wall > m.stopTime(a.job) && a.work.ceded[a.index] != team && !m.guaranteed(a.job)
+	return a.expectedEnd(c.now.WallMS)-c.now.WallMS > c.stopDelay(a.job) && a.taskRange.reclaimedFor[a.taskIndex] != team && !c.isWithinGuarantee(a.job)
 }
 
-// stopTime is how long a stop takes until its room can be used. It goes straight to the
+// stopDelay is how long a stop takes until its room can be used. It goes straight to the
 // worker, which tells of its end soon after: counted as for two reports, so many tasks
 // were about to end by themselves that nothing was stopped for half of the time that a
 // guarantee promises.
-func (m *Member) stopTime(j *Job) int64 { return m.reportGap()/2 + ms(j.SaveS) }
+func (c *Controller) stopDelay(j *Job) int64 {
+	return c.maxHeartbeatIntervalMS()/2 + secondsToMS(j.CheckpointDurationS)
+}
 
-// loss is the work that a stop costs.
-func (m *Member) loss(a *attempt) float64 {
+// lostWork is the work that a stop costs.
+func (c *Controller) lostWork(a *attempt) float64 {
 	switch {
 	case !a.running:
 		return 0
-	case a.job.CheckpointS > 0:
-		return float64(ms(a.job.SaveS)) * a.job.Request.CPUs
+	case a.job.CheckpointIntervalS > 0:
+		return float64(secondsToMS(a.job.CheckpointDurationS)) * a.job.Request.CPUs
 	}
-	return float64(m.now.Wall-a.ranAt) * a.job.Request.CPUs
+	return float64(c.now.WallMS-a.runningSince) * a.job.Request.CPUs
 }
 
-// bundles lists what could be stopped on a machine for a group, a copy of its request
+// preemptionBatches lists what could be stopped on a machine for a group, a copy of its request
 // after the other, and how many find room there by themselves before a stop would help.
-func (m *Member) bundles(mc *machine, pm *planner.Machine, g *group, limit int) (out []bundle, soon int) {
-	req := withoutDisk(g.j.Request)
-	var list []*attempt
-	room := pm.Free
-	ending := false
+func (c *Controller) preemptionBatches(mc *machine, viewMachine *planner.Machine, g *taskGroup, limit int) (out []preemptionBatch, freedByThemselves int) {
+	req := withoutDisk(g.job.Request)
+	var reclaimable []*attempt
+	free := viewMachine.Free
+	someEnding := false
 	for _, a := range mc.byKey {
 		switch {
-		case a.exited || a.stopped || a.evicted:
-		case a.ends(m.now.Wall)-m.now.Wall <= m.stopTime(a.job):
-			room = room.Add(withoutDisk(a.job.Request))
-			ending = true
-		case m.cedes(a, g.j.Team):
-			list = append(list, a)
+		case a.exited || a.stopRequested || a.evicted:
+		case a.expectedEnd(c.now.WallMS)-c.now.WallMS <= c.stopDelay(a.job):
+			free = free.Add(withoutDisk(a.job.Request))
+			someEnding = true
+		case c.isReclaimable(a, g.job.Team):
+			reclaimable = append(reclaimable, a)
 		}
 	}
-	if ending {
-		soon = room.Copies(req, limit)
-		for range soon {
-			room = room.Sub(req)
+	if someEnding {
+		freedByThemselves = free.MaxCopies(req, limit)
+		for range freedByThemselves {
+			free = free.Sub(req)
 		}
 	}
-	if len(list) == 0 || mc.pledge != nil {
-		return nil, soon
+	if len(reclaimable) == 0 || mc.reservation != nil {
+		return nil, freedByThemselves
 	}
-	slices.SortFunc(list, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), cmp.Compare(m.loss(a)/a.job.Request.CPUs, m.loss(b)/b.job.Request.CPUs),
+	slices.SortFunc(reclaimable, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), cmp.Compare(c.lostWork(a)/a.job.Request.CPUs, c.lostWork(b)/b.job.Request.CPUs),
 			cmp.Compare(a.key.task, b.key.task), cmp.Compare(a.key.attempt, b.key.attempt))
 	})
-	fetch := m.fetchTime(g.j, mc, m.types[mc.rec.Type])
-	b := bundle{mc: mc, pm: pm, fetch: fetch}
-	for _, a := range list {
-		room = room.Add(withoutDisk(a.job.Request))
+	fetch := c.fetchTime(g.job, mc, c.machineTypes[mc.rec.Type])
+	b := preemptionBatch{machine: mc, viewMachine: viewMachine, fetchMS: fetch}
+	for _, a := range reclaimable {
+		free = free.Add(withoutDisk(a.job.Request))
 		b.victims = append(b.victims, a)
 		b.priority = max(b.priority, a.job.Priority)
-		b.lost += m.loss(a)
-		for room.Holds(req) && len(out) < limit {
-			room = room.Sub(req)
+		b.lostWork += c.lostWork(a)
+		for free.Contains(req) && len(out) < limit {
+			free = free.Sub(req)
 			out = append(out, b)
-			b = bundle{mc: mc, pm: pm, fetch: fetch}
+			b = preemptionBatch{machine: mc, viewMachine: viewMachine, fetchMS: fetch}
 		}
 	}
-	return out, soon
+	return out, freedByThemselves
 }
 
-// giveGuarantee stops tasks that other teams run beyond their guarantees for tasks of a
+// reclaimForGuarantee stops tasks that other teams run beyond their guarantees for tasks of a
 // group that are within its team's and found no room. No more work is lost by a stop
 // than the task that it makes room for has.
-func (m *Member) giveGuarantee(s *shard, g *group, missing int) {
-	if !m.p.Quota || !g.Within || g.Lost || g.j.Kind == Gang || g.j.whole() || len(s.squares.Unseen()) > 0 || s.squares.Line.On(m.now.Steady) {
+func (c *Controller) reclaimForGuarantee(s *shard, g *taskGroup, missing int) {
+	if !c.params.Quota || !g.WithinGuarantee || g.MissedObjectives || g.job.Kind == Gang || g.job.requiresOneShard() || len(s.reconciler.Unreported()) > 0 || s.reconciler.Pacer.IsActive(c.now.MonotonicMS) {
 		return
 	}
-	if missing -= s.pledged[g.w]; missing <= 0 || !m.ceding(s, g.j.Team) {
+	if missing -= s.reservedTasks[g.taskRange]; missing <= 0 || !c.hasReclaimableUsage(s, g.job.Team) {
 		return
 	}
-	var all []bundle
-	for i, pm := range s.board.Machines() {
+	var batches []preemptionBatch
+	for i, viewMachine := range s.clusterView.Machines() {
 		if missing <= 0 {
 			return
 		}
-		mc := s.onBoard[i]
-		if !pm.Up || !mc.Squared() || !m.catalog.Allowed(&g.Ask, pm.Kind) || g.w.failed[mc.id] > 0 {
+		mc := s.viewMachines[i]
+		if !viewMachine.Ready || !mc.IsReconciled() || !c.placementCatalog.IsAllowed(&g.Request, viewMachine.Offering) || g.taskRange.errorsByMachine[mc.id] > 0 {
 			continue
 		}
-		bs, soon := m.bundles(mc, pm, g, missing)
-		missing -= soon
-		all = append(all, bs...)
+		machineBatches, freedByThemselves := c.preemptionBatches(mc, viewMachine, g, missing)
+		missing -= freedByThemselves
+		batches = append(batches, machineBatches...)
 	}
-	slices.SortStableFunc(all, func(a, b bundle) int {
-		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.fetch, b.fetch), cmp.Compare(a.lost, b.lost))
+	slices.SortStableFunc(batches, func(a, b preemptionBatch) int {
+		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.fetchMS, b.fetchMS), cmp.Compare(a.lostWork, b.lostWork))
 	})
-	most := float64(g.Length) * g.j.Request.CPUs
-	if g.j.Kind == Service {
-		most = math.Inf(1) // its replicas run for as long as nobody cancels them
+	maxLostWork := float64(g.LengthMS) * g.job.Request.CPUs
+	if g.job.Kind == Service {
+		maxLostWork = math.Inf(1) // its replicas run for as long as nobody cancels them
 	}
-	skip := map[*machine]bool{}
-	for _, b := range all {
+	skipped := map[*machine]bool{}
+	for _, b := range batches {
 		if missing <= 0 {
 			return
 		}
 		// The second bundle of a machine counts on the first.
-		if skip[b.mc] || b.lost > most || !m.mayCede(b.victims) {
-			skip[b.mc] = true
+		if skipped[b.machine] || b.lostWork > maxLostWork || !c.takeFromExcess(b.victims) {
+			skipped[b.machine] = true
 			continue
 		}
-		m.cede(s, g, b)
+		c.reclaim(s, g, b)
 		missing--
 	}
 }
 
-// ceding tells whether any team but one may have something to cede here: looked up once a
+// hasReclaimableUsage tells whether any team but one may have something to cede here: looked up once a
 // plan, so that a fleet on which nobody has costs nothing more.
-func (m *Member) ceding(s *shard, but string) bool {
-	if s.cedes == nil {
-		s.cedes = map[string]bool{}
-		use, _ := m.teamUse()
-		for team, u := range use {
-			if e := m.watch.Excess(team, u, guaranteeOf(m.p.Teams[team]), m.now.Steady-m.freshFor()); e.CPUs > 0 || e.GPUs > 0 {
-				s.cedes[team] = true
+func (c *Controller) hasReclaimableUsage(s *shard, exceptTeam string) bool {
+	if s.reclaimableTeams == nil {
+		s.reclaimableTeams = map[string]bool{}
+		usageByTeam, _ := c.localUsageByTeam()
+		for team, usage := range usageByTeam {
+			if excess := c.usageMonitor.PreemptibleExcess(team, usage, guaranteeOf(c.params.Teams[team]), c.now.MonotonicMS-c.maxMessageAgeMS()); excess.CPUs > 0 || excess.GPUs > 0 {
+				s.reclaimableTeams[team] = true
 			}
 		}
 	}
-	return len(s.cedes) > 1 || len(s.cedes) == 1 && !s.cedes[but]
+	return len(s.reclaimableTeams) > 1 || len(s.reclaimableTeams) == 1 && !s.reclaimableTeams[exceptTeam]
 }
 
-// mayCede takes what is to be stopped off what may be, if all of it may.
-func (m *Member) mayCede(victims []*attempt) bool {
-	need := map[string]quota.Amounts{}
+// takeFromExcess takes what is to be stopped off what may be, if all of it may.
+func (c *Controller) takeFromExcess(victims []*attempt) bool {
+	requests := map[string]quota.Amounts{}
 	for _, a := range victims {
-		need[a.job.Team] = need[a.job.Team].Add(amountsOf(a.job.Request))
+		requests[a.job.Team] = requests[a.job.Team].Add(amountsOf(a.job.Request))
 	}
-	since := m.now.Steady - m.freshFor()
-	for team, n := range need {
-		if e := m.watch.Excess(team, m.ownUse(team), guaranteeOf(m.p.Teams[team]), since); !e.Fits(n) {
+	since := c.now.MonotonicMS - c.maxMessageAgeMS()
+	for team, request := range requests {
+		if excess := c.usageMonitor.PreemptibleExcess(team, c.localUsage(team), guaranteeOf(c.params.Teams[team]), since); !excess.Contains(request) {
 			return false
 		}
 	}
-	for team, n := range need {
-		m.watch.Stop(team, m.ownUse(team), guaranteeOf(m.p.Teams[team]), since, n)
+	for team, request := range requests {
+		c.usageMonitor.TryPreempt(team, c.localUsage(team), guaranteeOf(c.params.Teams[team]), since, request)
 	}
 	return true
 }
 
-func (m *Member) cede(s *shard, g *group, b bundle) {
-	before := m.held(b.mc)
-	wait := int64(0)
-	for _, a := range b.victims {
-		a.stopped, a.ceded = true, true
-		if a.work.ceded == nil {
-			a.work.ceded = map[int]string{}
+func (c *Controller) reclaim(s *shard, g *taskGroup, batch preemptionBatch) {
+	reservedBefore := c.reservedResources(batch.machine)
+	longestStop := int64(0)
+	for _, a := range batch.victims {
+		a.stopRequested, a.reclaimed = true, true
+		if a.taskRange.reclaimedFor == nil {
+			a.taskRange.reclaimedFor = map[int]string{}
 		}
-		a.work.ceded[a.index] = g.j.Team
-		s.ceded[a.job.Team] = s.ceded[a.job.Team].Add(amountsOf(a.job.Request))
-		wait = max(wait, m.stopTime(a.job))
-		m.Counters.Ceded++
-		m.log(Debug, "task stopped for a guarantee", "task", a.key.task, "machine", b.mc.id, "team", a.job.Team, "for", g.j.ID)
-	}
-	if b.mc.pledge == nil {
-		b.mc.pledge = &pledge{w: g.w}
-	}
-	b.mc.pledge.n++
-	s.pledged[g.w]++
-	b.mc.pledge.sent = false
-	b.mc.pledge.till = m.now.Steady + wait + 2*m.reportGap()
-	b.pm.Free = b.pm.Free.Add(before).Sub(m.held(b.mc)) // what else it takes, the plan may not give away
-	s.board.Changed(b.pm)
+		a.taskRange.reclaimedFor[a.taskIndex] = g.job.Team
+		s.reclaimedUsage[a.job.Team] = s.reclaimedUsage[a.job.Team].Add(amountsOf(a.job.Request))
+		longestStop = max(longestStop, c.stopDelay(a.job))
+		c.Counters.ReclaimedTasks++
+		c.log(Debug, "task stopped for a guarantee", "task", a.key.task, "machine", batch.machine.id, "team", a.job.Team, "for", g.job.ID)
+	}
+	if batch.machine.reservation == nil {
+		batch.machine.reservation = &reservation{taskRange: g.taskRange}
+	}
+	batch.machine.reservation.count++
+	s.reservedTasks[g.taskRange]++
+	batch.machine.reservation.stopsSent = false
+	batch.machine.reservation.expiresAt = c.now.MonotonicMS + longestStop + 2*c.maxHeartbeatIntervalMS()
+	batch.viewMachine.Free = batch.viewMachine.Free.Add(reservedBefore).Sub(c.reservedResources(batch.machine)) // what else it takes, the plan may not give away
+	s.clusterView.MarkFreeChanged(batch.viewMachine)
 }
 
-// held is the room of a machine that is kept for its pledge: what is pledged, less
+// reservedResources is the room of a machine that is kept for its pledge: what is pledged, less
 // what the tasks have that are told to stop for it.
-func (m *Member) held(mc *machine) availability.Room {
-	p := mc.pledge
-	if p == nil {
-		return availability.Room{}
+func (c *Controller) reservedResources(mc *machine) availability.Resources {
+	reservation := mc.reservation
+	if reservation == nil {
+		return availability.Resources{}
 	}
-	if m.now.Steady > p.till || p.w.claim != mc.claim || !m.current(p.w) || p.w.pending() == 0 {
-		mc.pledge = nil
-		return availability.Room{}
+	if c.now.MonotonicMS > reservation.expiresAt || reservation.taskRange.claim != mc.claim || !c.isCurrent(reservation.taskRange) || reservation.taskRange.pending() == 0 {
+		mc.reservation = nil
+		return availability.Resources{}
 	}
-	req := withoutDisk(p.w.job.rec.Job.Request)
-	var r availability.Room
-	for range min(p.n, p.w.pending()) {
-		r = r.Add(req)
+	req := withoutDisk(reservation.taskRange.job.rec.Job.Request)
+	var sum availability.Resources
+	for range min(reservation.count, reservation.taskRange.pending()) {
+		sum = sum.Add(req)
 	}
 	for _, a := range mc.byKey {
-		if a.ceded && !a.exited {
-			r = r.Sub(withoutDisk(a.job.Request))
+		if a.reclaimed && !a.exited {
+			sum = sum.Sub(withoutDisk(a.job.Request))
 		}
 	}
-	return availability.Room{CPUs: max(0, r.CPUs), GPUs: max(0, r.GPUs), MemoryGB: max(0, r.MemoryGB)}
+	return availability.Resources{CPUs: max(0, sum.CPUs), GPUs: max(0, sum.GPUs), MemoryGB: max(0, sum.MemoryGB)}
 }
 
-// stopNow sends the stops for pledges straight to their workers: a report later, half
+// sendReclaimStops sends the stops for pledges straight to their workers: a report later, half
 // of the time that a guarantee promises would be over. One that fails goes with the
 // next report's answer.
-func (m *Member) stopNow(s *shard) {
+func (c *Controller) sendReclaimStops(s *shard) {
 	for _, mc := range s.machines {
-		p := mc.pledge
-		if p == nil || p.sent || mc.doing || mc.refused || !mc.Squared() || mc.addr == "" || m.now.Steady-mc.Last > m.reportGap() {
+		reservation := mc.reservation
+		if reservation == nil || reservation.stopsSent || mc.directCommandPending || mc.directCommandRefused || !mc.IsReconciled() || mc.addr == "" || c.now.MonotonicMS-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
 			continue
 		}
-		p.sent = true
+		reservation.stopsSent = true
 		mc.commands = mc.commands[:0]
 		for _, a := range mc.byKey {
-			if a.ceded && !a.exited && !a.saving {
-				m.command(s, mc, Command{Kind: Stop, Task: a.key.task, Attempt: a.key.attempt, GraceS: a.job.SaveS + m.p.ReportS})
+			if a.reclaimed && !a.exited && !a.checkpointing {
+				c.queueCommand(s, mc, Command{Kind: CommandStop, Task: a.key.task, Attempt: a.key.attempt, GraceS: a.job.CheckpointDurationS + c.params.HeartbeatS})
 			}
 		}
 		if len(mc.commands) > 0 {
 			slices.SortFunc(mc.commands, func(a, b Command) int { return cmp.Compare(a.Task, b.Task) })
-			m.sendDo(s, mc, mc.Session, nil)
+			c.sendDirectCommand(s, mc, mc.Incarnation, nil)
 		}
 	}
 }
 
-// current tells whether a work is still a live job's range of ours. One that went to a
+// isCurrent tells whether a work is still a live job's range of ours. One that went to a
 // peer is not: started from a pledge all the same, its tasks ran twice.
-func (m *Member) current(w *work) bool {
-	return m.jobs[w.job.rec.Job.ID] == w.job && w.job.works[w.rng.Lo] == w
+func (c *Controller) isCurrent(tr *taskRange) bool {
+	return c.jobs[tr.job.rec.Job.ID] == tr.job && tr.job.taskRanges[tr.bounds.Lo] == tr
 }
 
-// redeem starts what a machine's room was pledged to, as soon as it is there.
-func (m *Member) redeem(s *shard, mc *machine, r *Report) {
-	if m.held(mc); mc.pledge == nil || !m.usable(mc) || !mc.Up || !mc.Squared() || !m.authority() {
+// startReserved starts what a machine's room was pledged to, as soon as it is there.
+func (c *Controller) startReserved(s *shard, mc *machine, hb *Heartbeat) {
+	if c.reservedResources(mc); mc.reservation == nil || !c.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() || !c.hasAuthority() {
 		return
 	}
-	p := mc.pledge
-	j := &p.w.job.rec.Job
-	for p.n > 0 && !p.w.moving && m.now.Steady >= p.w.retryAt {
-		i := p.w.next()
-		if i < 0 || !m.room(mc).Holds(j.Request) || !m.mayStart(s, p.w, mc) || !m.numbered(s) || !s.squares.Line.Start(m.now.Steady, true) {
+	reservation := mc.reservation
+	j := &reservation.taskRange.job.rec.Job
+	for reservation.count > 0 && !reservation.taskRange.moving && c.now.MonotonicMS >= reservation.taskRange.retryAt {
+		i := reservation.taskRange.nextTask()
+		if i < 0 || !c.freeResources(mc).Contains(j.Request) || !c.mayStart(s, reservation.taskRange, mc) || !c.hasAttemptIDs(s) || !s.reconciler.Pacer.TryStart(c.now.MonotonicMS, true) {
 			return
 		}
-		m.start(s, mc, p.w, i, m.length(j), m.fetchTime(j, mc, m.types[mc.rec.Type]), r)
+		c.startTask(s, mc, reservation.taskRange, i, c.expectedRuntime(j), c.fetchTime(j, mc, c.machineTypes[mc.rec.Type]), hb)
 	}
 }
 
-// tellUse gives peers the figures of this member's shards, if it sees all of them.
-func (m *Member) tellUse() quota.Figures {
-	if !m.authority() {
-		return quota.Figures{}
+// usageSnapshot gives peers the figures of this member's shards, if it sees all of them.
+func (c *Controller) usageSnapshot() quota.UsageSnapshot {
+	if !c.hasAuthority() {
+		return quota.UsageSnapshot{}
 	}
-	use, wait := m.teamUse()
-	return m.watch.Tell(m.now.Wall, use, wait)
+	usage, waiting := c.localUsageByTeam()
+	return c.usageMonitor.Snapshot(c.now.WallMS, usage, waiting)
 }
--- a/scheduler/io.go
+++ b/scheduler/io.go
@@ -14,57 +14,57 @@
 // Now is the time at which an input happened: the steady clock for leases and
 // authority, the time of day for what members compare with each other. Both in
 // milliseconds.
-type Now struct{ Steady, Wall int64 }
+type Now struct{ MonotonicMS, WallMS int64 }
 
 // Urgency orders requests when the rate budget is short.
 type Urgency int
 
 // The urgencies, most urgent first.
 const (
-	Holds    Urgency = iota // holds, claims, watches
-	Answers                 // accepts, cancels, results that users wait for
-	Reads                   // polls
-	Progress                // whatever can wait
+	UrgencyLease      Urgency = iota // holds, claims, watches
+	UrgencyUser                      // accepts, cancels, results that users wait for
+	UrgencyRead                      // polls
+	UrgencyBackground                // whatever can wait
 )
 
-// StoreKind is an operation of the state service.
-type StoreKind int
+// StoreOpKind is an operation of the state service.
+type StoreOpKind int
 
 // The operations of the state service.
 const (
-	StoreGet StoreKind = iota
+	StoreGet StoreOpKind = iota
 	StoreList
 	StoreTxn
-	StoreHold
-	StoreExtend
+	StoreGrantLease
+	StoreRenewLease
 	StoreWatch
 )
 
-// Guard is a condition of a transaction: the key's revision, 0 for none.
-type Guard struct {
-	Key string `msgpack:"Key"`
-	Rev uint64 `msgpack:"Rev"`
+// Precondition is a condition of a transaction: the key's revision, 0 for none.
+type Precondition struct {
+	Key      string `msgpack:"Key"`
+	Revision uint64 `msgpack:"Rev"`
 }
 
 // Change is a put or, without a value, a removal.
 type Change struct {
-	Key   string
-	Value json.RawMessage
-	Hold  uint64
+	Key     string
+	Value   json.RawMessage
+	LeaseID uint64
 }
 
 // StoreOp is a request to the state service.
 type StoreOp struct {
-	ID      uint64
-	Kind    StoreKind
-	Urgency Urgency
-	Key     string // the key, or the prefix
-	From    string // StoreList: read on behind this key
-	Rev     uint64 // StoreWatch: changes behind this revision
-	Hold    uint64
-	MS      int64 // life of a hold, or how long a watch waits
-	Guards  []Guard
-	Changes []Change
+	ID            uint64
+	Kind          StoreOpKind
+	Urgency       Urgency
+	Key           string // the key, or the prefix
+	StartAfter    string // StoreList: read on behind this key
+	Rev           uint64 // StoreWatch: changes behind this revision
+	LeaseID       uint64
+	DurationMS    int64 // life of a hold, or how long a watch waits
+	Preconditions []Precondition
+	Changes       []Change
 }
 
 // Outcome is how a request ended.
@@ -83,8 +83,8 @@
 	Unknown   = access.Unknown
 )
 
-// Item is a key with its value; a watch reports removals without one.
-type Item struct {
+// KeyValue is a key with its value; a watch reports removals without one.
+type KeyValue struct {
 	Key   string
 	Value json.RawMessage
 	Rev   uint64
@@ -92,32 +92,32 @@
 
 // StoreResult answers a StoreOp.
 type StoreResult struct {
-	Outcome Outcome
-	Rev     uint64
-	Hold    uint64
-	Items   []Item
-	More    bool
-	Failed  []string // Conflict: the keys whose guards failed
-	RetryMS int64    // Throttled by the member's own budget: when there is room again
-	QueueMS int64    // how long the request waited for its turn in that budget
+	Outcome      Outcome
+	Rev          uint64
+	LeaseID      uint64
+	KVs          []KeyValue
+	More         bool
+	FailedKeys   []string // Conflict: the keys whose guards failed
+	RetryAfterMS int64    // Throttled by the member's own budget: when there is room again
+	QueuedMS     int64    // how long the request waited for its turn in that budget
 }
 
-// CloudKind is an operation of the cloud.
-type CloudKind int
+// CloudOpKind is an operation of the cloud.
+type CloudOpKind int
 
 // The operations of the cloud.
 const (
-	CloudCatalog CloudKind = iota
+	CloudCatalog CloudOpKind = iota
 	CloudList
-	CloudRent
+	CloudProvision
 	CloudRelease
 )
 
 // Urgency orders requests to the cloud: work waits for rentals, returns only
 // cost money, and lists come again.
-func (k CloudKind) Urgency() int {
+func (k CloudOpKind) Urgency() int {
 	switch k {
-	case CloudRent, CloudCatalog:
+	case CloudProvision, CloudCatalog:
 		return 0
 	case CloudRelease:
 		return 1
@@ -127,19 +127,19 @@
 
 // CloudOp is a request to the cloud.
 type CloudOp struct {
-	ID       uint64
-	Kind     CloudKind
-	From     string
-	Request  string
-	Type     string
-	Zone     string
-	Spot     bool
-	Count    int
-	Machines []string
+	ID             uint64
+	Kind           CloudOpKind
+	StartAfter     string
+	IdempotencyKey string
+	Type           string
+	Zone           string
+	Spot           bool
+	Count          int
+	Machines       []string
 }
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
+// CloudMachine is a machine in the cloud's list.
+type CloudMachine struct {
 	ID, Addr, Type, Zone string
 	Spot                 bool
 	State                string // booting, running, failed
@@ -151,26 +151,26 @@
 	Outcome  Outcome // NotFound: no capacity
 	Types    []MachineType
 	Machines []string
-	List     []Listed
+	List     []CloudMachine
 	More     bool
 }
 
-// TaskReport is a task as a worker reports it.
-type TaskReport struct {
-	Task    string
-	Attempt uint64
-	State   string // fetching, running, waiting, saving, exited
-	Why     string // done, stopped, error, no_room, busy, unknown
-	Saved   bool
+// TaskStatus is a task as a worker reports it.
+type TaskStatus struct {
+	Task         string
+	Attempt      uint64
+	State        string // fetching, running, waiting, saving, exited
+	Reason       string // done, stopped, error, no_room, busy, unknown
+	Checkpointed bool
 }
 
-// Report is a worker's report.
-type Report struct {
+// Heartbeat is a worker's report.
+type Heartbeat struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
-	Session, Seq, Token       uint64
-	NoticeS                   *float64
-	Tasks                     []TaskReport
+	Incarnation, Seq, Token   uint64
+	TerminationNoticeS        *float64
+	Tasks                     []TaskStatus
 }
 
 // CommandKind is what a worker is told to do.
@@ -178,9 +178,9 @@
 
 // The commands.
 const (
-	Start  CommandKind = "start"
-	Stop   CommandKind = "stop"
-	Forget CommandKind = "forget"
+	CommandStart  CommandKind = "start"
+	CommandStop   CommandKind = "stop"
+	CommandForget CommandKind = "forget"
 )
 
 // Command is a command to a worker.
@@ -191,155 +191,155 @@
 	GraceS  float64
 }
 
-// WorkerAnswer answers a report.
-type WorkerAnswer struct {
-	Accepted bool   // 200
-	Redirect string // 421: the member to report to; empty with !Accepted: 503
-	Token    uint64
-	Commands []Command
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	Accepted   bool   // 200
+	RedirectTo string // 421: the member to report to; empty with !Accepted: 503
+	Token      uint64
+	Commands   []Command
 }
 
-// UserKind is what a user asks for.
-type UserKind int
+// UserRequestKind is what a user asks for.
+type UserRequestKind int
 
 // The requests of users.
 const (
-	Submit UserKind = iota
-	Query
-	Cancel
+	SubmitJob UserRequestKind = iota
+	QueryJob
+	CancelJob
 )
 
 // UserRequest is a user's request. A submission whose body was no good still
 // carries its id if that could be read: a job that is known is known whatever
 // a repeated body says.
 type UserRequest struct {
-	Kind UserKind `msgpack:"Kind"`
-	ID   string   `msgpack:"ID"`
-	Job  *Job     `msgpack:"Job"`
-	Bad  string   `msgpack:"Bad"` // why the submission is malformed
-	// Guards are further conditions of a submission, for subsystems beside the
+	Kind      UserRequestKind `msgpack:"Kind"`
+	ID        string          `msgpack:"ID"`
+	Job       *Job            `msgpack:"Job"`
+	Malformed string          `msgpack:"Bad"` // why the submission is malformed
+	// Preconditions are further conditions of a submission, for subsystems beside the
 	// core: with one that fails the job is not accepted (409).
-	Guards []Guard `msgpack:"Guards"`
+	Preconditions []Precondition `msgpack:"Guards"`
 	// Relayed says that a peer asks on its user's behalf: it is not passed on
 	// again.
 	Relayed bool `msgpack:"Relayed"`
 }
 
-// UserAnswer answers a user.
-type UserAnswer struct {
-	Status  int    `msgpack:"Status"`
-	Error   string `msgpack:"Error"`
-	ID      string `msgpack:"ID"`
-	State   State  `msgpack:"State"`
-	Done    int    `msgpack:"Done"`
-	Running int    `msgpack:"Running"`
-	RetryS  int    `msgpack:"RetryS"` // >0: when to come back
+// UserResponse answers a user.
+type UserResponse struct {
+	Status      int      `msgpack:"Status"`
+	Error       string   `msgpack:"Error"`
+	ID          string   `msgpack:"ID"`
+	State       JobState `msgpack:"State"`
+	Done        int      `msgpack:"Done"`
+	Running     int      `msgpack:"Running"`
+	RetryAfterS int      `msgpack:"RetryS"` // >0: when to come back
 	// For subsystems beside the core; users are not told.
-	Failed string `msgpack:"Failed"` // why a cancelled job was given up
-	Run    string `msgpack:"Run"`    // the run that the job is a step of
+	FailureReason string `msgpack:"Failed"` // why a cancelled job was given up
+	WorkflowRun   string `msgpack:"Run"`    // the run that the job is a step of
 
-	fault bool // the state service, or what comes from it, is missing here: a peer may have it
+	retryableAtPeer bool // the state service, or what comes from it, is missing here: a peer may have it
 }
 
-// Relay is a user's request that a peer is asked to answer.
-type Relay struct {
+// RelayRequest is a user's request that a peer is asked to answer.
+type RelayRequest struct {
 	ID      uint64
 	Peer    string
 	Request UserRequest
 }
 
-// Do is a set of commands sent straight to a worker.
-type Do struct {
-	ID       uint64
-	Addr     string
-	Machine  string
-	Token    uint64
-	Session  uint64
-	Commands []Command
+// DirectCommand is a set of commands sent straight to a worker.
+type DirectCommand struct {
+	ID          uint64
+	Addr        string
+	Machine     string
+	Token       uint64
+	Incarnation uint64
+	Commands    []Command
 }
 
-// DoResult answers a Do: OK when the worker carried it out, Conflict when it
+// DirectCommandResult answers a Do: OK when the worker carried it out, Conflict when it
 // refused all of it, Unknown when it may have been or may yet be carried out.
-type DoResult struct {
-	Outcome Outcome
-	Report  *Report
+type DirectCommandResult struct {
+	Outcome   Outcome
+	Heartbeat *Heartbeat
 }
 
 // PeerMessage is what members tell each other, in msgpack.
 type PeerMessage struct {
-	From   string
-	Wall   int64
-	Wants  string        // the member that is asked to hand the sender's shard back
-	Tally  rollout.Tally // what gates of rollouts count, since the sender's start
-	Serves bool          // the sender has the state service: requests may be relayed to it
-	Teams  quota.Figures // what teams use and wait for in the sender's shards
-	Brief  bool          // without summaries: the last ones stand
-	Shards []ShardReport
+	From               string
+	WallMS             int64
+	ShardRequestedFrom string               // the member that is asked to hand the sender's shard back
+	RolloutCounts      rollout.HealthCounts // what gates of rollouts count, since the sender's start
+	ServesUsers        bool                 // the sender has the state service: requests may be relayed to it
+	TeamUsage          quota.UsageSnapshot  // what teams use and wait for in the sender's shards
+	OmitsSummaries     bool                 // without summaries: the last ones stand
+	OwnedShards        []PeerShard
 }
 
 // WithoutSummaries is the message without its summaries, for peers whose turn it is not.
 func (p *PeerMessage) WithoutSummaries() *PeerMessage {
-	out := *p
-	out.Brief = true
-	out.Shards = slices.Clone(p.Shards)
-	for i := range out.Shards {
-		out.Shards[i].Summary = nil
+	stripped := *p
+	stripped.OmitsSummaries = true
+	stripped.OwnedShards = slices.Clone(p.OwnedShards)
+	for i := range stripped.OwnedShards {
+		stripped.OwnedShards[i].Summary = nil
 	}
-	return &out
+	return &stripped
 }
 
-// ShardReport is a shard as its holder sees it.
-type ShardReport struct {
-	Shard      string
-	Summary    availability.Summary
-	Needs      []Need
-	Running    map[string]Counts
-	Disruption map[string]disruption.Demand // by team: what it would stop, and what runs
-	Returns    []string                     // machines that the lead is to return
+// PeerShard is a shard as its holder sees it.
+type PeerShard struct {
+	Shard             string
+	Summary           availability.Summary
+	Demands           []CapacityDemand
+	TaskCounts        map[string]TaskCounts
+	DisruptionDemands map[string]disruption.Demand // by team: what it would stop, and what runs
+	MachinesToRelease []string                     // machines that the lead is to return
 }
 
-// Counts is how far a job's tasks in one shard are.
-type Counts struct {
+// TaskCounts is how far a job's tasks in one shard are.
+type TaskCounts struct {
 	Running int `msgpack:"r"`
 	Done    int `msgpack:"d"`
 }
 
-// Need is work that a shard's machines cannot end in time.
-type Need struct {
-	Job      string `json:"Job" msgpack:"job"`
-	Count    int    `json:"Count" msgpack:"n"`
-	Deadline int64  `json:"Deadline" msgpack:"dl"`   // time of day, ms
-	Length   int64  `json:"Length" msgpack:"len"`    // of a task, without its image
-	SpotOnly bool   `json:"SpotOnly" msgpack:"spot"` // ordinary machines serve it, at a higher price
+// CapacityDemand is work that a shard's machines cannot end in time.
+type CapacityDemand struct {
+	Job           string `json:"Job" msgpack:"job"`
+	Tasks         int    `json:"Count" msgpack:"n"`
+	DeadlineMS    int64  `json:"Deadline" msgpack:"dl"`   // time of day, ms
+	TaskRuntimeMS int64  `json:"Length" msgpack:"len"`    // of a task, without its image
+	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // ordinary machines serve it, at a higher price
 }
 
-// Level is how much a log line matters.
-type Level int
+// LogLevel is how much a log line matters.
+type LogLevel int
 
 // The levels.
 const (
-	Debug Level = iota
+	Debug LogLevel = iota
 	Info
 	Warn
 )
 
 // LogLine is something an operator may want to know.
 type LogLine struct {
-	Level Level
-	Text  string
-	Args  []any
+	Level   LogLevel
+	Message string
+	Args    []any
 }
 
 // Outputs is what the core wants done. The caller takes all of it after each
 // input.
 type Outputs struct {
-	Store   []StoreOp
-	Cloud   []CloudOp
-	Do      []Do
-	Workers map[uint64]WorkerAnswer
-	Users   map[uint64]UserAnswer
-	Peers   *PeerMessage // to all others
-	Whole   []string     // those of them that get the summaries too; nil: all
-	Relays  []Relay
-	Logs    []LogLine
+	StoreOps           []StoreOp
+	CloudOps           []CloudOp
+	DirectCommands     []DirectCommand
+	HeartbeatResponses map[uint64]HeartbeatResponse
+	UserResponses      map[uint64]UserResponse
+	PeerMessage        *PeerMessage // to all others
+	SummaryRecipients  []string     // those of them that get the summaries too; nil: all
+	Relays             []RelayRequest
+	Logs               []LogLine
 }
--- a/scheduler/large_test.go
+++ b/scheduler/large_test.go
@@ -18,71 +18,75 @@
 	for _, machines := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
-				largeFleet(b, machines)
+				runLargeFleet(b, machines)
 			}
 		})
 	}
 }
 
-func largeFleet(b *testing.B, machines int) {
+func runLargeFleet(b *testing.B, machines int) {
 	b.Helper()
-	w := build(scale{members: 20, capacity: 2 * machines}, emulator.Options{Seed: 7,
-		RunMS: func(w *emulator.World, _ *emulator.Job, _ string) int64 { return 15_000 + w.Rand.Int64N(20_000) }})
-	w.calm, w.SweepMS, w.Loss, w.RPS, w.WPS, w.State.Page = true, 1000, 0, 3000, 1000, 500
-	p := &w.Params
-	p.Debug, p.Teams = false, map[string]scheduler.Team{"t0": {}, "t1": {}}
-	p.ReportS, p.LeaseS, p.CancelS, p.ValueBytes, p.AcceptRate, p.ListLagS = 6, 32, 62, 16384, 50, 10
-	w.After(1, func() {
+	sim := newTestSimulationWith(simScale{members: 20, capacityPerOffering: 2 * machines}, emulator.Options{Seed: 7,
+		TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
+			return 15_000 + sim.Rand.Int64N(20_000)
+		}})
+	sim.noRandomFaults, sim.SweepIntervalMS, sim.MessageLoss, sim.StoreRPS, sim.StoreWriteRPS, sim.Store.PageSize = true, 1000, 0, 3000, 1000, 500
+	cfg := &sim.Params
+	cfg.Debug, cfg.Teams = false, map[string]scheduler.Team{"t0": {}, "t1": {}}
+	cfg.HeartbeatS, cfg.LeaseS, cfg.CancelWithinS, cfg.MaxValueBytes, cfg.StoreChangeRate, cfg.CloudListLagS = 6, 32, 62, 16384, 50, 10
+	sim.After(1, func() {
 		for _, zone := range []string{"a", "b"} {
-			w.Cloud.Do(w.Now, scheduler.CloudOp{Kind: scheduler.CloudRent, Request: "all-" + zone, Type: "small", Zone: zone, Spot: true, Count: machines / 2})
+			sim.Cloud.Apply(sim.Now, scheduler.CloudOp{Kind: scheduler.CloudProvision, IdempotencyKey: "all-" + zone, Type: "small", Zone: zone, Spot: true, Count: machines / 2})
 		}
 	})
 	// Enough for half of the machines, in jobs that no shard holds alone.
 	const jobs = 200
-	from := int64(40_000)
-	var waits []int64
+	submitFrom := int64(40_000)
+	var acceptDelays []int64
 	for n := range jobs {
-		w.After(from+int64(n)*100, func() {
+		sim.After(submitFrom+int64(n)*100, func() {
 			j := emulator.NewJob(scheduler.Job{ID: fmt.Sprintf("job-%06d", n), Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal,
-				Tasks: max(1, machines*2/jobs), Request: availability.Room{CPUs: 4, MemoryGB: 8, DiskGB: 1}, Image: "img-1", Spot: true, EstimateS: 25})
-			w.Submit(j)
+				Tasks: max(1, machines*2/jobs), Request: availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1}, Image: "img-1", Spot: true, EstimateS: 25})
+			sim.Submit(j)
 		})
 	}
-	listed := 0
-	w.After(from, func() {
-		listed = len(w.Members[0].Core.Status(w.Members[0].Clock()).Machines)
-		clear(w.Asked)
-		w.Changes, w.Messages, w.Summaries = 0, 0, 0
+	listedMachines := 0
+	sim.After(submitFrom, func() {
+		listedMachines = len(sim.Members[0].Core.Status(sim.Members[0].Clock()).Machines)
+		clear(sim.StoreRequests)
+		sim.StoreChanges, sim.PeerMessages, sim.SummaryMessages = 0, 0, 0
 	})
-	w.Run(from+60_000, func() bool { return w.Now > from+25_000 && w.Finished() })
-	for rule, what := range w.Broken {
-		b.Errorf("%s: %s", rule, what)
+	sim.Run(submitFrom+60_000, func() bool { return sim.Now > submitFrom+25_000 && sim.IsFinished() })
+	for rule, violation := range sim.Violations {
+		b.Errorf("%s: %s", rule, violation)
 	}
-	var first []int64
+	var startDelays []int64
 	done, tasks, requests := 0, 0, 0
-	for _, j := range w.Jobs {
-		waits, first = append(waits, j.AcceptedAt-j.Submitted), append(first, j.First-j.Submitted)
-		if j.Ended > 0 {
+	for _, j := range sim.Jobs {
+		acceptDelays, startDelays = append(acceptDelays, j.AcceptedAt-j.SubmittedAt), append(startDelays, j.FirstStartAt-j.SubmittedAt)
+		if j.DoneAt > 0 {
 			done++
 		}
-		tasks += len(j.Done)
+		tasks += len(j.DoneTasks)
 	}
 	if done < jobs {
 		b.Errorf("%d of %d jobs are done", done, jobs)
 	}
-	slices.Sort(waits)
-	slices.Sort(first)
-	at := func(x []int64, q float64) float64 { return float64(x[int(q*float64(len(x)-1))]) / 1000 }
-	var mem runtime.MemStats
+	slices.Sort(acceptDelays)
+	slices.Sort(startDelays)
+	quantile := func(sorted []int64, fraction float64) float64 {
+		return float64(sorted[int(fraction*float64(len(sorted)-1))]) / 1000
+	}
+	var memStats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&mem)
-	for _, n := range w.Asked {
+	runtime.ReadMemStats(&memStats)
+	for _, n := range sim.StoreRequests {
 		requests += n
 	}
-	seconds := float64(w.Now-from) / 1000
-	for name, v := range map[string]float64{"machines": float64(listed), "tasks": float64(tasks), "s_accept_p50": at(waits, 0.5), "s_accept_p99": at(waits, 0.99),
-		"s_start_p50": at(first, 0.5), "s_start_p99": at(first, 0.99), "requests/s": float64(requests) / seconds, "changes/s": float64(w.Changes) / seconds,
-		"summaries/message": float64(w.Summaries) / float64(w.Messages), "MB/member": float64(mem.HeapAlloc) / 1e6 / float64(len(w.Members))} { // memory of the world too
+	seconds := float64(sim.Now-submitFrom) / 1000
+	for name, v := range map[string]float64{"machines": float64(listedMachines), "tasks": float64(tasks), "s_accept_p50": quantile(acceptDelays, 0.5), "s_accept_p99": quantile(acceptDelays, 0.99),
+		"s_start_p50": quantile(startDelays, 0.5), "s_start_p99": quantile(startDelays, 0.99), "requests/s": float64(requests) / seconds, "changes/s": float64(sim.StoreChanges) / seconds,
+		"summaries/message": float64(sim.SummaryMessages) / float64(sim.PeerMessages), "MB/member": float64(memStats.HeapAlloc) / 1e6 / float64(len(sim.Members))} { // memory of the world too
 		b.ReportMetric(v, name)
 	}
 }
