--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -25,47 +25,47 @@
 // its machine's room, its team's limit and its job's zones, and its task is
 // started nowhere else.
 type attempt struct {
-	key   attemptKey
-	job   *Job // of its work
-	work  *work
-	claim *shard
-	index int // in work
-	at    int // in its team's live attempts
-	shard string
-	on    *machine
-
-	session  uint64
-	afterSeq uint64 // the start rode in the answer to this report
-	doToken  uint64 // the start went straight to the worker, with this token, and was not answered yet
-	seen     bool
-	running  bool
-	adopted  bool // started under an earlier claim: when it began to run is a guess
-	exited   bool
-	placedAt int64 // time of day
-	ranAt    int64
-	length   int64 // expected run time
-	fetch    int64 // expected fetch time
-	saving   bool
-	unbegun  bool // ended, and there is evidence that it never began
-
-	evicted    bool // told to stop, for its machine to be emptied
-	aimed      bool // its class has a start aim
-	ceded      bool // to be stopped for another team's guarantee
-	stopped    bool // to be stopped, for that or for a higher priority
-	stoppedFor Priority
+	key       attemptKey
+	job       *Job // of its work
+	taskRange *taskRange
+	claim     *shard
+	taskIndex int // in work
+	liveIndex int // in its team's live attempts
+	shardName string
+	machine   *machine
+
+	incarnation        uint64
+	afterHeartbeatSeq  uint64 // the start rode in the answer to this report
+	directCommandToken uint64 // the start went straight to the worker, with this token, and was not answered yet
+	observed           bool
+	running            bool
+	adopted            bool // started under an earlier claim: when it began to run is a guess
+	exited             bool
+	placedAt           int64 // time of day
+	runningSince       int64
+	expectedRuntimeMS  int64 // expected run time
+	expectedFetchMS    int64 // expected fetch time
+	checkpointing      bool
+	neverStarted       bool // ended, and there is evidence that it never began
+
+	evicted           bool // told to stop, for its machine to be emptied
+	hasStartObjective bool // its class has a start aim
+	reclaimed         bool // to be stopped for another team's guarantee
+	stopRequested     bool // to be stopped, for that or for a higher priority
+	preemptorPriority Priority
 }
 
-// ends is when the attempt is expected to end. One that overran is expected to
+// expectedEnd is when the attempt is expected to end. One that overran is expected to
 // go on for a share of what it took so far: a queue behind it must not be told
 // that it ends now, again and again.
-func (a *attempt) ends(wall int64) int64 {
-	start := a.placedAt + a.fetch
+func (a *attempt) expectedEnd(wall int64) int64 {
+	start := a.placedAt + a.expectedFetchMS
 	if a.running {
-		start = a.ranAt
+		start = a.runningSince
 	} else if wall > start {
 		start = wall
 	}
-	end := start + a.length
+	end := start + a.expectedRuntimeMS
 	if end <= wall {
 		end = wall + (wall-start)/4 + 1
 	}
@@ -75,132 +75,132 @@
 // machine is a machine of the fleet. What follows rec is known only to the
 // member that holds the machine's shard.
 type machine struct {
-	id     string
-	rec    *rosterRecord // shared by all machines of the roster
-	roster string        // its key
+	id          string
+	rec         *registryRecord // shared by all machines of the roster
+	registryKey string          // its key
 
 	// How it stands under the claim by which the rest was learnt.
 	*reconcile.Machine
-	claim     *shard
-	goneAt    int64 // steady time at which a spot notice ends; 0: none
-	full      int64 // no starts before (it refused one for want of room)
-	unheard   bool  // the last start in a report's answer did not reach it
-	faults    map[string]bool
-	attempts  map[attemptKey]*attempt
-	byKey     []*attempt        // the attempts in order of their keys: loops over them give the same each time
-	live      int               // attempts that are not over
-	use       availability.Room // of them
-	seat      *planner.Seat     // its images; nil: not of our shards
-	idleAt    int64             // steady time since when nothing runs
-	plan      []planned
-	pledge    *pledge
-	commands  []Command
-	squared   bool   // was squared under this claim
-	aside     bool   // takes no more starts, by an operator's wish
-	returning bool   // the lead is asked to return it
-	addr      string // as it last reported
-	refused   bool   // it refused a direct command: none until it reports
-	doing     bool   // commands to the worker itself are under way
-	strays    int    // tasks on it that are not ours to keep and not gone yet
+	claim                *shard
+	terminatesAt         int64 // steady time at which a spot notice ends; 0: none
+	fullUntil            int64 // no starts before (it refused one for want of room)
+	startUndelivered     bool  // the last start in a report's answer did not reach it
+	failedJobs           map[string]bool
+	attempts             map[attemptKey]*attempt
+	byKey                []*attempt             // the attempts in order of their keys: loops over them give the same each time
+	liveAttemptCount     int                    // attempts that are not over
+	usage                availability.Resources // of them
+	imageCache           *planner.ImageCache    // its images; nil: not of our shards
+	idleSince            int64                  // steady time since when nothing runs
+	plannedStarts        []plannedStart
+	reservation          *reservation
+	commands             []Command
+	everReconciled       bool   // was squared under this claim
+	cordoned             bool   // takes no more starts, by an operator's wish
+	releasing            bool   // the lead is asked to return it
+	addr                 string // as it last reported
+	directCommandRefused bool   // it refused a direct command: none until it reports
+	directCommandPending bool   // commands to the worker itself are under way
+	orphanedTasks        int    // tasks on it that are not ours to keep and not gone yet
 }
 
-// planned is a start that the plan wants on a machine now.
-type planned struct {
-	w      *work
-	n      int
-	length int64
-	fetch  int64
-	aimed  bool // a start aim or a guarantee waits for it
+// plannedStart is a start that the plan wants on a machine now.
+type plannedStart struct {
+	taskRange         *taskRange
+	count             int
+	runtimeMS         int64
+	fetchMS           int64
+	hasStartObjective bool // a start aim or a guarantee waits for it
 }
 
-// machineKnown takes in a machine that a roster names.
-func (m *Member) machineKnown(id, key string, rec *rosterRecord) {
-	mc := m.machines[id]
+// upsertMachine takes in a machine that a roster names.
+func (c *Controller) upsertMachine(id, key string, rec *registryRecord) {
+	mc := c.machines[id]
 	if mc == nil {
-		mc = &machine{id: id, rec: rec, roster: key, Machine: &reconcile.Machine{ID: id}}
-		for k, list := range m.ups {
-			if strings.HasPrefix(k, upPrefix+rec.Shard+"/") && slices.Contains(list, id) {
+		mc = &machine{id: id, rec: rec, registryKey: key, Machine: &reconcile.Machine{ID: id}}
+		for listKey, liveIDs := range c.liveMachines {
+			if strings.HasPrefix(listKey, liveMachinesPrefix+rec.Shard+"/") && slices.Contains(liveIDs, id) {
 				mc.Up = true
 			}
 		}
-		m.machines[id] = mc
-		m.resetMachine(mc)
-		if s := m.mine[rec.Shard]; s != nil {
-			at, _ := slices.BinarySearchFunc(s.machines, id, (*machine).compare)
-			s.machines = slices.Insert(s.machines, at, mc)
+		c.machines[id] = mc
+		c.resetMachine(mc)
+		if s := c.ownedShards[rec.Shard]; s != nil {
+			pos, _ := slices.BinarySearchFunc(s.machines, id, (*machine).compare)
+			s.machines = slices.Insert(s.machines, pos, mc)
 			s.dirty = true
 		}
 	}
-	mc.rec, mc.roster = rec, key
-	m.answerWaiting(id)
+	mc.rec, mc.registryKey = rec, key
+	c.processParkedHeartbeats(id)
 }
 
 func (mc *machine) compare(id string) int { return strings.Compare(mc.id, id) }
 
 // resetMachine forgets what an earlier claim knew of a machine. Silence counts
 // from here: whoever answered it before did so before this claim.
-func (m *Member) resetMachine(mc *machine) {
+func (c *Controller) resetMachine(mc *machine) {
 	for _, a := range mc.byKey {
-		m.end(mc, a)
+		c.releaseResources(mc, a)
 	}
-	mc.seat.Leave()
-	*mc = machine{id: mc.id, rec: mc.rec, roster: mc.roster, Machine: &reconcile.Machine{ID: mc.id, Up: mc.Up}, idleAt: m.now.Steady}
-	if s := m.mine[mc.rec.Shard]; s != nil {
-		mc.claim, mc.Machine, mc.seat = s, s.squares.Add(mc.id, mc.Up, m.now.Steady), s.board.NewSeat()
+	mc.imageCache.Remove()
+	*mc = machine{id: mc.id, rec: mc.rec, registryKey: mc.registryKey, Machine: &reconcile.Machine{ID: mc.id, Up: mc.Up}, idleSince: c.now.MonotonicMS}
+	if s := c.ownedShards[mc.rec.Shard]; s != nil {
+		mc.claim, mc.Machine, mc.imageCache = s, s.reconciler.AddMachine(mc.id, mc.Up, c.now.MonotonicMS), s.clusterView.NewImageCache()
 	}
 }
 
-// machineGone handles the removal of a machine from its roster, which follows only
+// deleteMachine handles the removal of a machine from its roster, which follows only
 // the cloud's word that the machine is gone with everything on it.
-func (m *Member) machineGone(id string) {
-	mc := m.machines[id]
+func (c *Controller) deleteMachine(id string) {
+	mc := c.machines[id]
 	if mc == nil {
 		return
 	}
-	delete(m.machines, id)
-	mc.seat.Leave()
+	delete(c.machines, id)
+	mc.imageCache.Remove()
 	for _, a := range slices.Backward(mc.byKey) {
-		m.over(mc, a)
+		c.removeAttempt(mc, a)
 	}
-	if s := m.mine[mc.rec.Shard]; s != nil {
+	if s := c.ownedShards[mc.rec.Shard]; s != nil {
 		s.dirty = true
 		if mc.claim == s {
-			s.squares.Remove(mc.Machine)
-			m.forgetStrays(s, mc)
+			s.reconciler.RemoveMachine(mc.Machine)
+			c.resetOrphanedTasks(s, mc)
 		}
-		if at, ok := slices.BinarySearchFunc(s.machines, id, (*machine).compare); ok {
-			s.machines = slices.Delete(s.machines, at, at+1)
+		if pos, ok := slices.BinarySearchFunc(s.machines, id, (*machine).compare); ok {
+			s.machines = slices.Delete(s.machines, pos, pos+1)
 		}
 	}
 }
 
-// over frees what an attempt held, once there is evidence that it is over.
-func (m *Member) over(mc *machine, a *attempt) {
+// removeAttempt frees what an attempt held, once there is evidence that it is over.
+func (c *Controller) removeAttempt(mc *machine, a *attempt) {
 	delete(mc.attempts, a.key)
 	// A loop that goes backward over byKey may call this for the attempt it is at.
 	if at, ok := slices.BinarySearchFunc(mc.byKey, a.key, (*attempt).compare); ok {
 		mc.byKey = slices.Delete(mc.byKey, at, at+1)
 	}
-	if !a.exited && !a.unbegun {
-		m.lostOnce(a)
+	if !a.exited && !a.neverStarted {
+		c.failJobOnTaskLoss(a)
 		if a.running && !a.evicted {
-			m.tally.Losses++
+			c.rolloutCounts.Losses++
 		}
-		if acc := a.claim.disrupted.account; acc != nil && !a.evicted {
-			acc.Lose(a.key.task, a.job.Team)
+		if account := a.claim.disruption.account; account != nil && !a.evicted {
+			account.RecordLoss(a.key.task, a.job.Team)
 		}
 	}
-	m.end(mc, a)
+	c.releaseResources(mc, a)
 }
 
-// begin counts an attempt: for its machine, its team, its job's zones.
-func (m *Member) begin(mc *machine, a *attempt) {
+// allocateResources counts an attempt: for its machine, its team, its job's zones.
+func (c *Controller) allocateResources(mc *machine, a *attempt) {
 	s, team := a.claim, a.job.Team
-	s.use[team] = s.use[team].Add(a.job.Request)
-	a.at, a.on, a.aimed = len(s.live[team]), mc, m.startAim(a.job)
-	s.live[team] = append(s.live[team], a)
-	a.work.take(a.index)
-	a.work.zones[mc.rec.Zone]++
+	s.usage[team] = s.usage[team].Add(a.job.Request)
+	a.liveIndex, a.machine, a.hasStartObjective = len(s.liveAttempts[team]), mc, c.hasStartObjective(a.job)
+	s.liveAttempts[team] = append(s.liveAttempts[team], a)
+	a.taskRange.assign(a.taskIndex)
+	a.taskRange.attemptsByZone[mc.rec.Zone]++
 	if mc.attempts == nil {
 		// Most machines of the mirror are other members', which run nothing here.
 		mc.attempts = map[attemptKey]*attempt{}
@@ -211,309 +211,311 @@
 	} else {
 		mc.byKey = slices.Insert(mc.byKey, at, a)
 	}
-	mc.live++
-	mc.use = mc.use.Add(a.job.Request)
+	mc.liveAttemptCount++
+	mc.usage = mc.usage.Add(a.job.Request)
 }
 
-// end takes back what begin counted, once. The attempt may stay on its machine
+// releaseResources takes back what begin counted, once. The attempt may stay on its machine
 // until its result is stored.
-func (m *Member) end(mc *machine, a *attempt) {
+func (c *Controller) releaseResources(mc *machine, a *attempt) {
 	if a.exited {
 		return
 	}
 	a.exited = true
-	a.work.free(a.index)
-	a.work.zones[mc.rec.Zone]--
+	a.taskRange.unassign(a.taskIndex)
+	a.taskRange.attemptsByZone[mc.rec.Zone]--
 	if a.running {
-		a.work.running--
+		a.taskRange.runningCount--
 	}
 	s, team := a.claim, a.job.Team
-	s.use[team] = s.use[team].Sub(a.job.Request)
-	last := len(s.live[team]) - 1
-	s.live[team][a.at] = s.live[team][last]
-	s.live[team][a.at].at = a.at
-	s.live[team] = s.live[team][:last]
+	s.usage[team] = s.usage[team].Sub(a.job.Request)
+	last := len(s.liveAttempts[team]) - 1
+	s.liveAttempts[team][a.liveIndex] = s.liveAttempts[team][last]
+	s.liveAttempts[team][a.liveIndex].liveIndex = a.liveIndex
+	s.liveAttempts[team] = s.liveAttempts[team][:last]
 	s.dirty = true
-	if a.ceded {
-		c := a.claim.ceded
-		c[a.job.Team] = c[a.job.Team].Sub(amountsOf(a.job.Request)).Max(quota.Amounts{})
-	} else if a.stopped {
-		m.owe(a.claim, a)
-	}
-	a.claim.spare += a.job.Request.CPUs
-	mc.live--
-	mc.use = mc.use.Sub(a.job.Request)
-	if mc.live == 0 {
-		mc.use = availability.Room{}
-		mc.idleAt = m.now.Steady
+	if a.reclaimed {
+		reclaimedUsage := a.claim.reclaimedUsage
+		reclaimedUsage[a.job.Team] = reclaimedUsage[a.job.Team].Sub(amountsOf(a.job.Request)).Max(quota.Amounts{})
+	} else if a.stopRequested {
+		c.recordDebt(a.claim, a)
+	}
+	a.claim.spareCPUs += a.job.Request.CPUs
+	mc.liveAttemptCount--
+	mc.usage = mc.usage.Sub(a.job.Request)
+	if mc.liveAttemptCount == 0 {
+		mc.usage = availability.Resources{}
+		mc.idleSince = c.now.MonotonicMS
 	}
 }
 
-// usable tells whether starts may go to the machine. While a note says what it
+// isSchedulable tells whether starts may go to the machine. While a note says what it
 // holds, nothing else may: whoever claims its shard next goes by the note.
-func (m *Member) usable(mc *machine) bool {
-	if mc.returning || mc.aside || mc.Standing() == reconcile.Silent || mc.Deaf() || mc.goneAt != 0 || m.now.Steady < mc.full || m.types[mc.rec.Type] == nil {
+func (c *Controller) isSchedulable(mc *machine) bool {
+	if mc.releasing || mc.cordoned || mc.State() == reconcile.LeaseExpired || mc.IsInboundPartitioned() || mc.terminatesAt != 0 || c.now.MonotonicMS < mc.fullUntil || c.machineTypes[mc.rec.Type] == nil {
 		return false
 	}
 	if mc.claim == nil {
 		return true
 	}
-	_, noted := mc.claim.squares.Book.Holds(mc.id)
-	return !noted
+	_, recorded := mc.claim.reconciler.Ledger.Entry(mc.id)
+	return !recorded
 }
 
-// silentTooLong tells whether a machine whose lease is over is to be returned. One that is
+// isSilentTooLong tells whether a machine whose lease is over is to be returned. One that is
 // silent alone is at fault itself. Where most of a shard are, it is rather this member that
 // cannot be reached, and they come back one after the other when it can: they are kept for
 // as long as idle ones, since others would take a boot time to replace them.
-func (m *Member) silentTooLong(s *shard, mc *machine, t *MachineType) bool {
-	now, leaseEnd, patience := m.now.Steady, s.squares.LeaseEnd(mc.Machine), ms(m.p.LeaseS)/2
-	if now > max(leaseEnd, s.mostSilent)+patience {
+func (c *Controller) isSilentTooLong(s *shard, mc *machine, t *MachineType) bool {
+	now, leaseEnd, gracePeriod := c.now.MonotonicMS, s.reconciler.LeaseExpiresAt(mc.Machine), secondsToMS(c.params.LeaseS)/2
+	if now > max(leaseEnd, s.mostSilentAt)+gracePeriod {
 		return true
 	}
-	kept := patience
+	retention := gracePeriod
 	if t != nil {
-		kept = max(kept, ms(t.BootS*m.settings.IdleBoots))
+		retention = max(retention, secondsToMS(t.BootS*c.settings.IdleBoots))
 	}
-	return now > leaseEnd+kept
+	return now > leaseEnd+retention
 }
 
-// mostAreSilent tells whether more than half of a shard's machines are silent that spoke to
+// mostMachinesSilent tells whether more than half of a shard's machines are silent that spoke to
 // this claim before.
-func (s *shard) mostAreSilent() bool {
-	silent, spoke := 0, 0
+func (s *shard) mostMachinesSilent() bool {
+	silent, reported := 0, 0
 	for _, mc := range s.machines {
-		switch mc.Standing() {
-		case reconcile.Silent:
+		switch mc.State() {
+		case reconcile.LeaseExpired:
 			silent++
-			spoke++
-		case reconcile.Squared:
-			spoke++
+			reported++
+		case reconcile.Reconciled:
+			reported++
 		}
 	}
-	return silent*2 > spoke && silent > 1
+	return silent*2 > reported && silent > 1
 }
 
 // tickMachine takes note of silence and idleness.
-func (m *Member) tickMachine(s *shard, mc *machine) {
-	now := m.now.Steady
-	t := m.types[mc.rec.Type]
-	if s.squares.Lost(mc.Machine, now) {
-		lostTasks := mc.live
+func (c *Controller) tickMachine(s *shard, mc *machine) {
+	now := c.now.MonotonicMS
+	t := c.machineTypes[mc.rec.Type]
+	if s.reconciler.ExpireLease(mc.Machine, now) {
+		lostTasks := mc.liveAttemptCount
 		for _, a := range slices.Backward(mc.byKey) {
-			m.over(mc, a)
+			c.removeAttempt(mc, a)
 		}
-		m.Counters.Lost += uint64(lostTasks)
-		m.log(Info, "machine silent past its lease", "machine", mc.id, "tasks", lostTasks)
+		c.Counters.LostTasks += uint64(lostTasks)
+		c.log(Info, "machine silent past its lease", "machine", mc.id, "tasks", lostTasks)
 		s.dirty = true
 	}
-	if mc.goneAt != 0 && now > mc.goneAt-m.reportGap() && now > mc.Last+m.reportGap() || mc.goneAt != 0 && now > mc.goneAt {
+	if mc.terminatesAt != 0 && now > mc.terminatesAt-c.maxHeartbeatIntervalMS() && now > mc.LastHeartbeatAt+c.maxHeartbeatIntervalMS() || mc.terminatesAt != 0 && now > mc.terminatesAt {
 		// The notice ran out. Returning the machine makes its end certain,
 		// and its tasks need not wait for the lease.
-		m.drain(s, mc, "spot notice ended")
+		c.drain(s, mc, "spot notice ended")
 	}
-	if mc.goneAt != 0 && mc.Squared() && mc.live == 0 {
-		m.drain(s, mc, "empty, on spot notice")
+	if mc.terminatesAt != 0 && mc.IsReconciled() && mc.liveAttemptCount == 0 {
+		c.drain(s, mc, "empty, on spot notice")
 	}
-	if mc.Standing() == reconcile.Silent && m.silentTooLong(s, mc, t) {
-		m.drain(s, mc, "silent")
+	if mc.State() == reconcile.LeaseExpired && c.isSilentTooLong(s, mc, t) {
+		c.drain(s, mc, "silent")
 	}
 	// Asked again each time: taken off the list, the machine takes work again.
-	if listed := slices.Contains(m.settings.Drain, mc.id) || m.covered(mc); listed != mc.aside {
-		mc.aside, s.dirty = listed, true
-		m.log(Info, "machine set aside", "machine", mc.id, "on", listed, "tasks", mc.live)
+	if listed := slices.Contains(c.settings.Drain, mc.id) || c.isDrainedByRollout(mc); listed != mc.cordoned {
+		mc.cordoned, s.dirty = listed, true
+		c.log(Info, "machine set aside", "machine", mc.id, "on", listed, "tasks", mc.liveAttemptCount)
 	}
-	if mc.aside && mc.live == 0 {
-		m.drain(s, mc, "drained by an operator")
+	if mc.cordoned && mc.liveAttemptCount == 0 {
+		c.drain(s, mc, "drained by an operator")
 	}
-	if t == nil || !mc.Up || mc.live > 0 {
+	if t == nil || !mc.Up || mc.liveAttemptCount > 0 {
 		return
 	}
-	if mc.Squared() && len(mc.faults) >= 2 {
-		m.drain(s, mc, "tasks of several jobs failed")
+	if mc.IsReconciled() && len(mc.failedJobs) >= 2 {
+		c.drain(s, mc, "tasks of several jobs failed")
 	}
-	idle := ms(t.BootS * m.settings.IdleBoots)
+	maxIdle := secondsToMS(t.BootS * c.settings.IdleBoots)
 	if !mc.rec.Spot {
 		// Ordinary machines are kept as long as a spot machine for the
 		// same money would be.
-		idle = int64(float64(idle) * t.SpotPrice / max(t.Price, t.SpotPrice))
+		maxIdle = int64(float64(maxIdle) * t.SpotPrice / max(t.Price, t.SpotPrice))
 	}
-	if !mc.returning && mc.Squared() && !s.squares.Line.On(now) && len(mc.plan) == 0 && now-mc.idleAt > idle && m.now.Wall-mc.rec.Rented > 60_000 && !m.useful(s, mc) && !m.replaces(mc) && m.mayReturn(s) {
-		m.drain(s, mc, "idle")
+	if !mc.releasing && mc.IsReconciled() && !s.reconciler.Pacer.IsActive(now) && len(mc.plannedStarts) == 0 && now-mc.idleSince > maxIdle && c.now.WallMS-mc.rec.ProvisionedAtMS > 60_000 && !c.servesDemand(s, mc) && !c.isRolloutReplacement(mc) && c.mayReleaseIdle(s) {
+		c.drain(s, mc, "idle")
 	}
 }
 
-// mayReturn spreads the returns of idle machines in the first while after a claim:
+// mayReleaseIdle spreads the returns of idle machines in the first while after a claim:
 // since when they are idle nobody knows, and counted from the claim for all, they were
 // returned in the same second. Given a random time more each, they cost more (price
 // 2.82 to 3.00 on days of five ends).
-func (m *Member) mayReturn(s *shard) bool {
-	now := m.now.Steady
-	if now-s.squares.Since() > 10*ms(m.p.LeaseS) {
+func (c *Controller) mayReleaseIdle(s *shard) bool {
+	now := c.now.MonotonicMS
+	if now-s.reconciler.ClaimedAt() > 10*secondsToMS(c.params.LeaseS) {
 		return true
 	}
-	if now < s.nextReturn {
+	if now < s.nextReleaseAt {
 		return false
 	}
-	s.nextReturn = now + 250
+	s.nextReleaseAt = now + 250
 	return true
 }
 
-// replaces tells whether a machine was rented for a plan that goes on: it is idle
+// isRolloutReplacement tells whether a machine was rented for a plan that goes on: it is idle
 // until those that it replaces are emptied.
-func (m *Member) replaces(mc *machine) bool {
-	r := m.roll.rec
-	return r != nil && m.p.Rollout && !r.State.Over() && mc.rec.For == r.Plan.ID
+func (c *Controller) isRolloutReplacement(mc *machine) bool {
+	record := c.rolloutState.rec
+	return record != nil && c.params.Rollout && !record.State.IsTerminal() && mc.rec.ReplacementPlan == record.Plan.ID
 }
 
-// useful tells whether waiting work of the shard could run on a machine. Work
+// servesDemand tells whether waiting work of the shard could run on a machine. Work
 // that only another type takes must not keep it.
-func (m *Member) useful(s *shard, mc *machine) bool {
-	for _, n := range s.needs {
-		if j := m.jobs[n.Job]; j != nil && !(n.SpotOnly && !mc.rec.Spot) && m.allowed(&j.rec.Job, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) {
+func (c *Controller) servesDemand(s *shard, mc *machine) bool {
+	for _, demand := range s.demand {
+		if j := c.jobs[demand.Job]; j != nil && !(demand.SpotOnly && !mc.rec.Spot) && c.isOfferingAllowed(&j.rec.Job, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) {
 			return true
 		}
 	}
 	return false
 }
 
-// reportGap is the longest time between two reports of a machine that is well.
-func (m *Member) reportGap() int64 { return ms(m.p.ReportS*1.25) + 500 }
+// maxHeartbeatIntervalMS is the longest time between two reports of a machine that is well.
+func (c *Controller) maxHeartbeatIntervalMS() int64 {
+	return secondsToMS(c.params.HeartbeatS*1.25) + 500
+}
 
 // drain gives a machine up: nothing starts there any more, and every message to
 // the lead asks for its return until the rosters have it no longer. A claim that
 // follows this one may not know and use the machine again; what it starts there
 // is over when the machine is returned, like on any machine that is lost.
-func (m *Member) drain(s *shard, mc *machine, why string) {
-	if mc.returning || !m.authority() {
+func (c *Controller) drain(s *shard, mc *machine, reason string) {
+	if mc.releasing || !c.hasAuthority() {
 		return
 	}
-	mc.returning = true
-	m.log(Info, "machine draining", "machine", mc.id, "type", mc.rec.Type, "why", why)
+	mc.releasing = true
+	c.log(Info, "machine draining", "machine", mc.id, "type", mc.rec.Type, "why", reason)
 }
 
-// Report takes a worker's report; reply names it in the outputs' answers.
-func (m *Member) Report(now Now, reply uint64, r Report) {
-	m.now = now
-	m.report(reply, r)
+// HandleHeartbeat takes a worker's report; reply names it in the outputs' answers.
+func (c *Controller) HandleHeartbeat(now Now, replyID uint64, hb Heartbeat) {
+	c.now = now
+	c.processHeartbeat(replyID, hb)
 }
 
-func (m *Member) answer(reply uint64, a WorkerAnswer) {
-	if m.out.Workers == nil {
-		m.out.Workers = map[uint64]WorkerAnswer{}
+func (c *Controller) respondWorker(replyID uint64, response HeartbeatResponse) {
+	if c.outputs.HeartbeatResponses == nil {
+		c.outputs.HeartbeatResponses = map[uint64]HeartbeatResponse{}
 	}
-	m.out.Workers[reply] = a
+	c.outputs.HeartbeatResponses[replyID] = response
 }
 
-func (m *Member) report(reply uint64, r Report) {
-	if !m.acc.Synced() {
-		m.answer(reply, WorkerAnswer{})
+func (c *Controller) processHeartbeat(replyID uint64, hb Heartbeat) {
+	if !c.storeAccess.IsSynced() {
+		c.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
-	mc := m.machines[r.Machine]
+	mc := c.machines[hb.Machine]
 	if mc == nil {
-		m.register(reply, r)
+		c.registerUnknownMachine(replyID, hb)
 		return
 	}
-	s := m.mine[mc.rec.Shard]
+	s := c.ownedShards[mc.rec.Shard]
 	if s == nil {
 		// Whoever holds the shard; without a holder the worker tries the
 		// next member.
-		a := WorkerAnswer{}
-		if h := m.shards[mc.rec.Shard].Holder; h != m.p.Member {
-			a.Redirect = h
+		response := HeartbeatResponse{}
+		if owner := c.shardClaims[mc.rec.Shard].Owner; owner != c.params.MemberID {
+			response.RedirectTo = owner
 		}
-		m.answer(reply, a)
+		c.respondWorker(replyID, response)
 		return
 	}
-	if !m.authority() || s.leaving || r.Token > s.token || !s.ready {
+	if !c.hasAuthority() || s.releasing || hb.Token > s.token || !s.ready {
 		// Not ready: its progress is not read, and it could stop nothing. An answer
 		// would renew the lease all the same, and when an outage came between, a
 		// cancelled task lived on with it past its time.
-		m.answer(reply, WorkerAnswer{})
+		c.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
 	if mc.claim != s {
-		m.resetMachine(mc)
+		c.resetMachine(mc)
 	}
-	mc.addr = r.Addr
-	settled := mc.Settled()
-	take := s.squares.Report(mc.Machine, m.now.Steady, r.Session, r.Seq, r.Token)
-	if take == reconcile.Tell && mc.Settled() && !settled {
-		m.log(Info, "machine does not hear its holder", "machine", mc.id)
+	mc.addr = hb.Addr
+	wasSettled := mc.IsAccountedFor()
+	verdict := s.reconciler.ReceiveHeartbeat(mc.Machine, c.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token)
+	if verdict == reconcile.NotifyToken && mc.IsAccountedFor() && !wasSettled {
+		c.log(Info, "machine does not hear its holder", "machine", mc.id)
 		s.dirty = true
 	}
-	if take == reconcile.Old {
-		m.Counters.Old++
-		m.answer(reply, WorkerAnswer{})
+	if verdict == reconcile.Stale {
+		c.Counters.StaleHeartbeats++
+		c.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
-	if !m.square(s, mc, &r, take) {
-		m.answer(reply, WorkerAnswer{Accepted: true, Token: s.token})
+	if !c.reconcileMachine(s, mc, &hb, verdict) {
+		c.respondWorker(replyID, HeartbeatResponse{Accepted: true, Token: s.token})
 		return
 	}
-	m.redeem(s, mc, &r)
-	m.starts(s, mc, &r)
-	m.pick(s, mc, &r)
-	m.answer(reply, WorkerAnswer{Accepted: true, Token: s.token, Commands: append([]Command(nil), mc.commands...)})
+	c.startReserved(s, mc, &hb)
+	c.dispatchPlannedStarts(s, mc, &hb)
+	c.startFromQueue(s, mc, &hb)
+	c.respondWorker(replyID, HeartbeatResponse{Accepted: true, Token: s.token, Commands: append([]Command(nil), mc.commands...)})
 }
 
-// square brings what we know of a machine up to a report, unless that says
+// reconcileMachine brings what we know of a machine up to a report, unless that says
 // nothing yet, and gathers what is to be stopped and cleared.
-func (m *Member) square(s *shard, mc *machine, r *Report, take reconcile.Take) bool {
-	if take < reconcile.Use {
+func (c *Controller) reconcileMachine(s *shard, mc *machine, hb *Heartbeat, verdict reconcile.Disposition) bool {
+	if verdict < reconcile.Accept {
 		return false
 	}
-	if take == reconcile.Restart {
+	if verdict == reconcile.AcceptNewIncarnation {
 		// Its lease ended: every task of the earlier session was killed.
-		m.log(Info, "machine in a new session", "machine", r.Machine, "tasks", mc.live)
+		c.log(Info, "machine in a new session", "machine", hb.Machine, "tasks", mc.liveAttemptCount)
 		for _, a := range slices.Backward(mc.byKey) {
-			m.over(mc, a)
+			c.removeAttempt(mc, a)
 		}
 	}
-	if !mc.squared {
-		mc.squared, s.dirty = true, true
+	if !mc.everReconciled {
+		mc.everReconciled, s.dirty = true, true
 	}
-	s.squares.Book.Remove(mc.id)
-	mc.refused = false
+	s.reconciler.Ledger.Remove(mc.id)
+	mc.directCommandRefused = false
 	mc.commands = mc.commands[:0]
-	if r.NoticeS != nil {
-		at := m.now.Steady + ms(*r.NoticeS)
-		if mc.goneAt == 0 {
-			m.log(Info, "spot notice", "machine", r.Machine, "seconds", *r.NoticeS, "tasks", mc.live)
+	if hb.TerminationNoticeS != nil {
+		terminatesAt := c.now.MonotonicMS + secondsToMS(*hb.TerminationNoticeS)
+		if mc.terminatesAt == 0 {
+			c.log(Info, "spot notice", "machine", hb.Machine, "seconds", *hb.TerminationNoticeS, "tasks", mc.liveAttemptCount)
 			s.dirty = true
 		}
-		mc.goneAt = max(at, 1)
+		mc.terminatesAt = max(terminatesAt, 1)
 	} else {
-		mc.goneAt = 0
+		mc.terminatesAt = 0
 	}
-	m.takeTasks(s, mc, r)
-	if !mc.Up && !mc.returning && !slices.Contains(s.upNew, mc.id) {
-		s.upNew = append(s.upNew, mc.id)
-		m.writeUps(s)
+	c.reconcileTasks(s, mc, hb)
+	if !mc.Up && !mc.releasing && !slices.Contains(s.newlyLive, mc.id) {
+		s.newlyLive = append(s.newlyLive, mc.id)
+		c.writeLiveMachines(s)
 	}
 	return true
 }
 
-// takeTasks brings what we know of a machine's attempts up to its report, and
+// reconcileTasks brings what we know of a machine's attempts up to its report, and
 // gathers stops and clears.
-func (m *Member) takeTasks(s *shard, mc *machine, r *Report) {
-	seen := make(map[attemptKey]bool, len(r.Tasks))
-	m.forgetStrays(s, mc)
-	for _, t := range r.Tasks {
-		key := attemptKey{t.Task, t.Attempt}
-		seen[key] = true
+func (c *Controller) reconcileTasks(s *shard, mc *machine, hb *Heartbeat) {
+	reported := make(map[attemptKey]bool, len(hb.Tasks))
+	c.resetOrphanedTasks(s, mc)
+	for _, status := range hb.Tasks {
+		key := attemptKey{status.Task, status.Attempt}
+		reported[key] = true
 		a := mc.attempts[key]
 		if a == nil {
-			if a = m.foreign(s, mc, t); a == nil {
+			if a = c.handleUnknownAttempt(s, mc, status); a == nil {
 				continue
 			}
 		}
-		if !a.seen && !a.adopted {
-			mc.unheard = false
+		if !a.observed && !a.adopted {
+			mc.startUndelivered = false
 		}
-		a.seen = true
-		m.follow(s, mc, a, t, r)
+		a.observed = true
+		c.applyTaskStatus(s, mc, a, status, hb)
 	}
 	for _, a := range slices.Backward(mc.byKey) {
 		// A start rides in a report's answer, which the worker has carried
@@ -522,339 +524,343 @@
 		//
 		// One that went straight to the worker may be held by the network;
 		// only an answer, a higher token or a new session settles it.
-		if a.doToken != 0 && a.doToken >= r.Token && a.session == r.Session {
+		if a.directCommandToken != 0 && a.directCommandToken >= hb.Token && a.incarnation == hb.Incarnation {
 			continue
 		}
-		if !seen[a.key] && (a.session < r.Session || a.afterSeq < r.Seq) {
-			a.unbegun = !a.seen && a.session == r.Session
-			if a.unbegun {
-				mc.unheard = true
-				m.Counters.Unheard++
-				m.log(Debug, "start not heard", "task", a.key.task, "machine", mc.id)
+		if !reported[a.key] && (a.incarnation < hb.Incarnation || a.afterHeartbeatSeq < hb.Seq) {
+			a.neverStarted = !a.observed && a.incarnation == hb.Incarnation
+			if a.neverStarted {
+				mc.startUndelivered = true
+				c.Counters.UndeliveredStarts++
+				c.log(Debug, "start not heard", "task", a.key.task, "machine", mc.id)
 			}
-			m.over(mc, a)
+			c.removeAttempt(mc, a)
 		}
 	}
 }
 
-// forgetStrays counts a machine's strays from none again.
-func (m *Member) forgetStrays(s *shard, mc *machine) {
-	if mc.strays > 0 {
-		mc.strays = 0
-		s.strays--
+// resetOrphanedTasks counts a machine's strays from none again.
+func (c *Controller) resetOrphanedTasks(s *shard, mc *machine) {
+	if mc.orphanedTasks > 0 {
+		mc.orphanedTasks = 0
+		s.machinesWithOrphans--
 	}
 }
 
-// placeOf tells where the state has a task.
-func (m *Member) placeOf(s *shard, task string) (w *work, i int, p reconcile.Place) {
-	w, i = m.workOf(task)
+// recordedTaskState tells where the state has a task.
+func (c *Controller) recordedTaskState(s *shard, task string) (tr *taskRange, i int, state reconcile.TaskState) {
+	tr, i = c.taskRangeOf(task)
 	switch {
-	case w == nil:
-		return nil, 0, reconcile.Over
-	case w.stored.has(i):
-		return w, i, reconcile.Stored
-	case w.shard != s.name && !w.done.has(i):
-		return w, i, reconcile.Over // another shard's of ours
-	case w.done.has(i):
-		return w, i, reconcile.Done
-	case w.busy.has(i):
-		return w, i, reconcile.Busy
-	case w.moving:
-		return w, i, reconcile.Moving
-	}
-	return w, i, reconcile.Free
+	case tr == nil:
+		return nil, 0, reconcile.Obsolete
+	case tr.storedDone.has(i):
+		return tr, i, reconcile.ResultStored
+	case tr.shardName != s.name && !tr.done.has(i):
+		return tr, i, reconcile.Obsolete // another shard's of ours
+	case tr.done.has(i):
+		return tr, i, reconcile.Completed
+	case tr.assigned.has(i):
+		return tr, i, reconcile.Assigned
+	case tr.moving:
+		return tr, i, reconcile.Transferring
+	}
+	return tr, i, reconcile.Unassigned
 }
 
-// foreign takes a task that this claim did not start, by the verdicts of
+// handleUnknownAttempt takes a task that this claim did not start, by the verdicts of
 // package reconcile. It returns an attempt if the task goes on as ours.
-func (m *Member) foreign(s *shard, mc *machine, t TaskReport) *attempt {
-	w, i, place := m.placeOf(s, t.Task)
-	shown := reconcile.Ended
-	if t.State != "exited" {
-		shown = reconcile.Live
-	} else if t.Why == "done" {
-		shown = reconcile.Finished
-	}
-	switch s.squares.Judge(place, shown) {
+func (c *Controller) handleUnknownAttempt(s *shard, mc *machine, status TaskStatus) *attempt {
+	tr, i, recorded := c.recordedTaskState(s, status.Task)
+	observed := reconcile.Terminated
+	if status.State != "exited" {
+		observed = reconcile.Active
+	} else if status.Reason == "done" {
+		observed = reconcile.Succeeded
+	}
+	switch s.reconciler.DecideVerdict(recorded, observed) {
 	case reconcile.Adopt:
-		m.Counters.Adopted++
-		return m.adopt(s, mc, t, w, i)
+		c.Counters.AdoptedTasks++
+		return c.adoptAttempt(s, mc, status, tr, i)
 	case reconcile.Stop:
-		m.Counters.Strays++
-		if mc.strays++; mc.strays == 1 {
-			s.strays++
+		c.Counters.OrphanedTasks++
+		if mc.orphanedTasks++; mc.orphanedTasks == 1 {
+			s.machinesWithOrphans++
 		}
-		m.command(s, mc, Command{Kind: Stop, Task: t.Task, Attempt: t.Attempt})
-	case reconcile.Count:
-		w.finish(i)
-		w.dirty = true
+		c.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
+	case reconcile.RecordCompletion:
+		tr.markDone(i)
+		tr.dirty = true
 	case reconcile.Clear:
-		m.command(s, mc, Command{Kind: Forget, Task: t.Task, Attempt: t.Attempt})
+		c.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
 	}
 	return nil
 }
 
-// adopt goes on with a task that an earlier claim started. Its number tells when.
-func (m *Member) adopt(s *shard, mc *machine, t TaskReport, w *work, i int) *attempt {
-	j := &w.job.rec.Job
-	a := &attempt{key: attemptKey{t.Task, t.Attempt}, job: j, work: w, claim: s, index: i, shard: s.name, adopted: true,
-		session: mc.Session, placedAt: reconcile.Began(t.Attempt, m.now.Wall), length: m.length(j)}
-	if t.State == "fetching" {
-		a.fetch = m.typeFetch(j, mc.rec.Type)
+// adoptAttempt goes on with a task that an earlier claim started. Its number tells when.
+func (c *Controller) adoptAttempt(s *shard, mc *machine, status TaskStatus, tr *taskRange, i int) *attempt {
+	j := &tr.job.rec.Job
+	a := &attempt{key: attemptKey{status.Task, status.Attempt}, job: j, taskRange: tr, claim: s, taskIndex: i, shardName: s.name, adopted: true,
+		incarnation: mc.Incarnation, placedAt: reconcile.AttemptStartedAt(status.Attempt, c.now.WallMS), expectedRuntimeMS: c.expectedRuntime(j)}
+	if status.State == "fetching" {
+		a.expectedFetchMS = c.imageFetchMS(j, mc.rec.Type)
 	}
-	m.begin(mc, a)
+	c.allocateResources(mc, a)
 	s.dirty = true
 	return a
 }
 
-// command gathers what a machine is told. After a claim a clear waits until the
+// queueCommand gathers what a machine is told. After a claim a clear waits until the
 // line lets it go: the task stays in the machine's reports.
-func (m *Member) command(s *shard, mc *machine, c Command) {
-	switch c.Kind {
-	case Forget:
-		if !s.squares.Line.Clear(m.now.Steady) {
+func (c *Controller) queueCommand(s *shard, mc *machine, command Command) {
+	switch command.Kind {
+	case CommandForget:
+		if !s.reconciler.Pacer.TryClear(c.now.MonotonicMS) {
 			return
 		}
-	case Stop:
-		s.squares.Line.Must(m.now.Steady, 1)
+	case CommandStop:
+		s.reconciler.Pacer.Reserve(c.now.MonotonicMS, 1)
 	}
-	mc.commands = append(mc.commands, c)
+	mc.commands = append(mc.commands, command)
 }
 
-// follow takes what a report says of an attempt.
-func (m *Member) follow(s *shard, mc *machine, a *attempt, t TaskReport, r *Report) {
-	w := a.work
-	current := m.current(w)
-	if a.job.Image != "" && t.State != "fetching" {
-		mc.seat.Keep(a.job.Image, planner.Image{UsedAt: m.now.Wall, GB: a.job.Request.DiskGB}, roomOf(m.types[mc.rec.Type]).DiskGB)
+// applyTaskStatus takes what a report says of an attempt.
+func (c *Controller) applyTaskStatus(s *shard, mc *machine, a *attempt, status TaskStatus, hb *Heartbeat) {
+	tr := a.taskRange
+	current := c.isCurrent(tr)
+	if a.job.Image != "" && status.State != "fetching" {
+		mc.imageCache.RecordUse(a.job.Image, planner.Image{LastUsedMS: c.now.WallMS, SizeGB: a.job.Request.DiskGB}, resourcesOf(c.machineTypes[mc.rec.Type]).DiskGB)
 	}
-	switch t.State {
+	switch status.State {
 	case "running", "waiting":
 		if !a.running {
-			a.running, a.ranAt = true, m.now.Wall
-			if a.adopted && a.fetch == 0 {
+			a.running, a.runningSince = true, c.now.WallMS
+			if a.adopted && a.expectedFetchMS == 0 {
 				// It ran before. Half of a fetch is as near as one can guess:
 				// tasks that came to a machine together share one.
-				a.ranAt = min(m.now.Wall, a.placedAt+m.typeFetch(a.job, mc.rec.Type)/2)
+				a.runningSince = min(c.now.WallMS, a.placedAt+c.imageFetchMS(a.job, mc.rec.Type)/2)
 			} else {
 				a.adopted = false // seen to begin
 			}
-			a.work.running++
+			a.taskRange.runningCount++
 		}
 	case "saving":
-		a.saving = true
+		a.checkpointing = true
 	}
-	if t.State != "exited" {
+	if status.State != "exited" {
 		if !current {
-			m.command(s, mc, Command{Kind: Stop, Task: t.Task, Attempt: t.Attempt})
+			c.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
 			return
 		}
-		if a.stopped && (t.State == "running" || t.State == "fetching") {
-			m.command(s, mc, Command{Kind: Stop, Task: t.Task, Attempt: t.Attempt, GraceS: a.job.SaveS + m.p.ReportS})
+		if a.stopRequested && (status.State == "running" || status.State == "fetching") {
+			c.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: a.job.CheckpointDurationS + c.params.HeartbeatS})
 			return
 		}
-		if (t.State == "running" || t.State == "fetching" || t.State == "waiting") && m.mayEvict(s, mc, a) {
+		if (status.State == "running" || status.State == "fetching" || status.State == "waiting") && c.mayEvict(s, mc, a) {
 			a.evicted = true
-			m.command(s, mc, Command{Kind: Stop, Task: t.Task, Attempt: t.Attempt, GraceS: a.job.SaveS + m.p.ReportS})
+			c.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: a.job.CheckpointDurationS + c.params.HeartbeatS})
 			return
 		}
-		m.saveBeforeEnd(mc, a, t)
+		c.checkpointBeforeTermination(mc, a, status)
 		return
 	}
 	if !a.exited {
-		m.end(mc, a)
-		switch t.Why {
+		c.releaseResources(mc, a)
+		switch status.Reason {
 		case "done":
-			w.finish(a.index)
-			w.dirty = true
-			delete(mc.faults, a.job.ID)
+			tr.markDone(a.taskIndex)
+			tr.dirty = true
+			delete(mc.failedJobs, a.job.ID)
 			if a.running && !a.adopted {
 				// What an adopted one took is not known well enough: taken
 				// for shorter than it was, it shortened its whole class.
-				m.learn(a.job, m.now.Wall-a.ranAt+w.saved[a.index])
+				c.updateRuntimeEstimate(a.job, c.now.WallMS-a.runningSince+tr.checkpointedMS[a.taskIndex])
 			}
 		case "stopped":
 			if a.running {
-				m.lostOnce(a)
+				c.failJobOnTaskLoss(a)
 			}
-			if t.Saved && a.running {
-				if w.saved == nil {
-					w.saved = map[int]int64{}
+			if status.Checkpointed && a.running {
+				if tr.checkpointedMS == nil {
+					tr.checkpointedMS = map[int]int64{}
 				}
-				w.saved[a.index] += max(0, m.now.Wall-a.ranAt-ms(a.job.SaveS))
+				tr.checkpointedMS[a.taskIndex] += max(0, c.now.WallMS-a.runningSince-secondsToMS(a.job.CheckpointDurationS))
 			}
 		case "error":
-			m.failed(mc, w, a)
+			c.recordTaskError(mc, tr, a)
 		case "no_room":
 			// The machine has something that we don't count.
-			mc.full = m.now.Steady + 2*m.reportGap()
+			mc.fullUntil = c.now.MonotonicMS + 2*c.maxHeartbeatIntervalMS()
 		case "unknown":
-			w.retryAt = m.now.Steady + 2*m.reportGap()
+			tr.retryAt = c.now.MonotonicMS + 2*c.maxHeartbeatIntervalMS()
 		}
 	}
-	if a.doToken != 0 && a.doToken >= r.Token {
+	if a.directCommandToken != 0 && a.directCommandToken >= hb.Token {
 		// The worker takes a repeated start for the same one only as long
 		// as it holds the attempt: the unanswered command must be void
 		// before the attempt is cleared, or it would run once more.
 		return
 	}
-	if t.Why != "done" || !current || w.stored.has(a.index) {
-		m.command(s, mc, Command{Kind: Forget, Task: t.Task, Attempt: t.Attempt})
+	if status.Reason != "done" || !current || tr.storedDone.has(a.taskIndex) {
+		c.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
 	}
 }
 
-// saveBeforeEnd stops a task that can save when its machine is about to be
+// checkpointBeforeTermination stops a task that can save when its machine is about to be
 // taken, so that its progress is not lost.
-func (m *Member) saveBeforeEnd(mc *machine, a *attempt, t TaskReport) {
-	if mc.goneAt == 0 || t.State != "running" || a.job.CheckpointS <= 0 || a.saving {
+func (c *Controller) checkpointBeforeTermination(mc *machine, a *attempt, status TaskStatus) {
+	if mc.terminatesAt == 0 || status.State != "running" || a.job.CheckpointIntervalS <= 0 || a.checkpointing {
 		return
 	}
-	left := mc.goneAt - m.now.Steady
-	save := ms(a.job.SaveS)
-	if left > save+2*m.reportGap() || a.ends(m.now.Wall)-m.now.Wall < left {
+	remaining := mc.terminatesAt - c.now.MonotonicMS
+	checkpointTime := secondsToMS(a.job.CheckpointDurationS)
+	if remaining > checkpointTime+2*c.maxHeartbeatIntervalMS() || a.expectedEnd(c.now.WallMS)-c.now.WallMS < remaining {
 		return
 	}
-	mc.commands = append(mc.commands, Command{Kind: Stop, Task: t.Task, Attempt: t.Attempt, GraceS: a.job.SaveS + m.p.ReportS})
+	mc.commands = append(mc.commands, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: a.job.CheckpointDurationS + c.params.HeartbeatS})
 }
 
-// errorPauseLeases is the longest pause of a job after an error, in leases. All its tasks
+// maxErrorBackoffLeases is the longest pause of a job after an error, in leases. All its tasks
 // wait, those of a large job that met several faulty machines too.
-const errorPauseLeases = 2
+const maxErrorBackoffLeases = 2
 
-// brokenMachines is on how many machines a job fails, and is done nowhere, before its
+// brokenJobMachines is on how many machines a job fails, and is done nowhere, before its
 // errors are its own.
-const brokenMachines = 3
+const brokenJobMachines = 3
 
-// broken tells whether a work's errors are its job's: it failed on several machines, and
+// isJobBroken tells whether a work's errors are its job's: it failed on several machines, and
 // none of its tasks is done.
-func (w *work) broken() bool { return len(w.failed) >= brokenMachines && w.nDone == 0 }
+func (tr *taskRange) isJobBroken() bool {
+	return len(tr.errorsByMachine) >= brokenJobMachines && tr.doneCount == 0
+}
 
-// probes tells whether a work may start one task at a time only, which shows whether a
+// isLimitedToProbe tells whether a work may start one task at a time only, which shows whether a
 // broken job still fails and takes no more room, fetches and machines than that. A probe
 // that goes on for a lease after the pause has shown that it does not. Gangs begin
 // together or not at all.
-func (m *Member) probes(w *work) bool {
-	return w.broken() && w.job.rec.Job.Kind == Array && m.now.Steady < w.retryAt+ms(m.p.LeaseS)
+func (c *Controller) isLimitedToProbe(tr *taskRange) bool {
+	return tr.isJobBroken() && tr.job.rec.Job.Kind == Array && c.now.MonotonicMS < tr.retryAt+secondsToMS(c.params.LeaseS)
 }
 
-// probing tells whether a work's probe is on a machine.
-func (m *Member) probing(w *work) bool { return w.nBusy > 0 && m.probes(w) }
+// hasProbeRunning tells whether a work's probe is on a machine.
+func (c *Controller) hasProbeRunning(tr *taskRange) bool {
+	return tr.assignedCount > 0 && c.isLimitedToProbe(tr)
+}
 
-// plannable is how many of a work's waiting tasks are planned, and asked machines for.
-func (m *Member) plannable(w *work) int {
+// schedulableTasks is how many of a work's waiting tasks are planned, and asked machines for.
+func (c *Controller) schedulableTasks(tr *taskRange) int {
 	switch {
-	case m.probing(w):
+	case c.hasProbeRunning(tr):
 		return 0
-	case m.probes(w):
-		return min(w.pending(), 1)
+	case c.isLimitedToProbe(tr):
+		return min(tr.pending(), 1)
 	}
-	return w.pending()
+	return tr.pending()
 }
 
-// acquit takes a job's errors off the machines that they were counted against: it is
+// discountMachineFailures takes a job's errors off the machines that they were counted against: it is
 // broken, or was cancelled before any of its tasks was done, and nobody knows whose they were.
-func (m *Member) acquit(w *work) {
-	for id := range w.failed {
-		if mc := m.machines[id]; mc != nil {
-			delete(mc.faults, w.job.rec.Job.ID)
+func (c *Controller) discountMachineFailures(tr *taskRange) {
+	for id := range tr.errorsByMachine {
+		if mc := c.machines[id]; mc != nil {
+			delete(mc.failedJobs, tr.job.rec.Job.ID)
 		}
 	}
 }
 
-// failed counts an error against the machine and the job. Mostly the machine
+// recordTaskError counts an error against the machine and the job. Mostly the machine
 // is faulty, so the task goes elsewhere; a job that fails on several machines
 // waits longer each time, so that it does not eat the fleet.
-func (m *Member) failed(mc *machine, w *work, a *attempt) {
-	m.Counters.Errors++
-	m.tally.Errors++
-	if m.replaces(mc) {
-		m.tally.Fresh++
-	}
-	if w.failed == nil {
-		w.failed = map[string]int{}
-	}
-	w.failed[mc.id]++
-	w.errors++
-	m.countError(w, a)
+func (c *Controller) recordTaskError(mc *machine, tr *taskRange, a *attempt) {
+	c.Counters.Errors++
+	c.rolloutCounts.Errors++
+	if c.isRolloutReplacement(mc) {
+		c.rolloutCounts.ReplacementErrors++
+	}
+	if tr.errorsByMachine == nil {
+		tr.errorsByMachine = map[string]int{}
+	}
+	tr.errorsByMachine[mc.id]++
+	tr.errors++
+	c.countTaskError(tr, a)
 	switch {
-	case w.broken():
-		m.acquit(w)
-	case len(w.failed) < brokenMachines && m.current(w):
-		if mc.faults == nil {
-			mc.faults = map[string]bool{}
+	case tr.isJobBroken():
+		c.discountMachineFailures(tr)
+	case len(tr.errorsByMachine) < brokenJobMachines && c.isCurrent(tr):
+		if mc.failedJobs == nil {
+			mc.failedJobs = map[string]bool{}
 		}
-		mc.faults[a.job.ID] = true
+		mc.failedJobs[a.job.ID] = true
 	}
-	wait := ms(m.p.ReportS)
-	for i := 1; i < min(len(w.failed), 8); i++ {
-		wait *= 2
+	backoff := secondsToMS(c.params.HeartbeatS)
+	for i := 1; i < min(len(tr.errorsByMachine), 8); i++ {
+		backoff *= 2
 	}
-	if len(w.failed) > 1 {
-		w.retryAt = m.now.Steady + min(wait, ms(errorPauseLeases*m.p.LeaseS))
+	if len(tr.errorsByMachine) > 1 {
+		tr.retryAt = c.now.MonotonicMS + min(backoff, secondsToMS(maxErrorBackoffLeases*c.params.LeaseS))
 	}
-	m.log(Info, "task failed", "task", a.key.task, "machine", mc.id, "errors", w.errors)
+	c.log(Info, "task failed", "task", a.key.task, "machine", mc.id, "errors", tr.errors)
 }
 
-// learn corrects the owners' estimates of a class by what its tasks took.
-func (m *Member) learn(j *Job, took int64) {
-	if j.EstimateS <= 0 || took <= 0 {
+// updateRuntimeEstimate corrects the owners' estimates of a class by what its tasks took.
+func (c *Controller) updateRuntimeEstimate(j *Job, runtimeMS int64) {
+	if j.EstimateS <= 0 || runtimeMS <= 0 {
 		return
 	}
-	c := m.corrected[j.Class]
-	if c == nil {
-		c = &correction{ratio: 1}
-		m.corrected[j.Class] = c
+	estimate := c.runtimeCorrections[j.Class]
+	if estimate == nil {
+		estimate = &runtimeCorrection{ratio: 1}
+		c.runtimeCorrections[j.Class] = estimate
 	}
-	r := min(max(float64(took)/1000/j.EstimateS, 0.2), 5)
-	c.seen++
-	c.ratio += (r - c.ratio) / float64(min(c.seen+4, 40))
+	ratio := min(max(float64(runtimeMS)/1000/j.EstimateS, 0.2), 5)
+	estimate.samples++
+	estimate.ratio += (ratio - estimate.ratio) / float64(min(estimate.samples+4, 40))
 }
 
-// length is how long a task of the job is expected to run.
-func (m *Member) length(j *Job) int64 {
-	l := j.EstimateS
-	if c := m.corrected[j.Class]; c != nil {
-		l *= min(max(c.ratio, 0.5), 3)
+// expectedRuntime is how long a task of the job is expected to run.
+func (c *Controller) expectedRuntime(j *Job) int64 {
+	seconds := j.EstimateS
+	if estimate := c.runtimeCorrections[j.Class]; estimate != nil {
+		seconds *= min(max(estimate.ratio, 0.5), 3)
 	}
-	return max(ms(l), 100)
+	return max(secondsToMS(seconds), 100)
 }
 
 // fetchTime is how long the job's image takes on a machine, 0 if it is there.
-func (m *Member) fetchTime(j *Job, mc *machine, t *MachineType) int64 {
-	if t == nil || mc.seat.Has(j.Image) {
+func (c *Controller) fetchTime(j *Job, mc *machine, t *MachineType) int64 {
+	if t == nil || mc.imageCache.Has(j.Image) {
 		return 0
 	}
-	return m.typeFetch(j, t.Name)
+	return c.imageFetchMS(j, t.Name)
 }
 
-// room is what a machine's live attempts leave of it.
-func (m *Member) room(mc *machine) availability.Room {
-	return roomOf(m.types[mc.rec.Type]).Sub(mc.use)
+// freeResources is what a machine's live attempts leave of it.
+func (c *Controller) freeResources(mc *machine) availability.Resources {
+	return resourcesOf(c.machineTypes[mc.rec.Type]).Sub(mc.usage)
 }
 
-// urgent tells whether a start should not wait for the machine's next report:
+// isUrgent tells whether a start should not wait for the machine's next report:
 // half an interval is much against the start aim of its class or against the
 // task's own length.
-func (m *Member) urgent(p planned) bool {
-	wait := ms(m.p.ReportS) / 2
-	for _, o := range m.p.Objectives[p.w.job.rec.Job.Class] {
-		if o.Kind == "wait" && wait*10 > ms(o.WithinS) {
+func (c *Controller) isUrgent(p plannedStart) bool {
+	meanDelay := secondsToMS(c.params.HeartbeatS) / 2
+	for _, o := range c.params.Objectives[p.taskRange.job.rec.Job.Class] {
+		if o.Kind == "wait" && meanDelay*10 > secondsToMS(o.WithinS) {
 			return true
 		}
 	}
-	return wait*50 > p.length
+	return meanDelay*50 > p.runtimeMS
 }
 
-// startNow sends urgent starts straight to their workers.
-func (m *Member) startNow(s *shard) {
+// sendUrgentStarts sends urgent starts straight to their workers.
+func (c *Controller) sendUrgentStarts(s *shard) {
 	for _, mc := range s.machines {
-		if len(mc.plan) == 0 || mc.doing || mc.refused || !mc.Squared() || mc.addr == "" {
+		if len(mc.plannedStarts) == 0 || mc.directCommandPending || mc.directCommandRefused || !mc.IsReconciled() || mc.addr == "" {
 			continue
 		}
-		if now := m.now.Steady; now-mc.Last > m.reportGap() {
+		if now := c.now.MonotonicMS; now-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
 			continue // silent: a start would only be one more thing unknown
 		}
-		if !slices.ContainsFunc(mc.plan, m.urgent) {
+		if !slices.ContainsFunc(mc.plannedStarts, c.isUrgent) {
 			continue
 		}
 		mc.commands = mc.commands[:0]
@@ -862,299 +868,299 @@
 		for k := range mc.attempts {
 			before[k] = true
 		}
-		m.starts(s, mc, &Report{Session: mc.Session, Seq: mc.Seq})
+		c.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: mc.Incarnation, Seq: mc.Seq})
 		if len(mc.commands) == 0 {
 			continue
 		}
-		var sent []*attempt
+		var started []*attempt
 		for _, a := range mc.byKey {
 			if !before[a.key] {
-				a.doToken = s.token
-				sent = append(sent, a)
+				a.directCommandToken = s.token
+				started = append(started, a)
 			}
 		}
-		m.sendDo(s, mc, mc.Session, sent)
+		c.sendDirectCommand(s, mc, mc.Incarnation, started)
 	}
 }
 
-// askMachines asks workers for their tasks that have our token and no reason to
+// probeUnreportedMachines asks workers for their tasks that have our token and no reason to
 // report before their interval is over: their answer squares them as a report does.
-func (m *Member) askMachines(s *shard) {
-	for _, u := range s.squares.Unseen() {
-		mc := m.machines[u.ID]
-		if mc == nil || mc.Machine != u || mc.doing || mc.addr == "" || !s.squares.Ask(u, m.now.Steady) {
+func (c *Controller) probeUnreportedMachines(s *shard) {
+	for _, unreported := range s.reconciler.Unreported() {
+		mc := c.machines[unreported.ID]
+		if mc == nil || mc.Machine != unreported || mc.directCommandPending || mc.addr == "" || !s.reconciler.TryStartTaskQuery(unreported, c.now.MonotonicMS) {
 			continue
 		}
 		mc.commands = mc.commands[:0]
-		m.sendDo(s, mc, mc.Told(), nil)
+		c.sendDirectCommand(s, mc, mc.NotifiedIncarnation(), nil)
 	}
 }
 
-func (m *Member) sendDo(s *shard, mc *machine, session uint64, sent []*attempt) {
-	m.nextID++
-	id, token := m.nextID, s.token
-	mc.doing = true
-	m.dos[id] = func(r DoResult) {
-		mc.doing = false
-		if m.machines[mc.id] != mc || m.mine[s.name] != s {
+func (c *Controller) sendDirectCommand(s *shard, mc *machine, incarnation uint64, started []*attempt) {
+	c.lastRequestID++
+	id, token := c.lastRequestID, s.token
+	mc.directCommandPending = true
+	c.directCommandCallbacks[id] = func(r DirectCommandResult) {
+		mc.directCommandPending = false
+		if c.machines[mc.id] != mc || c.ownedShards[s.name] != s {
 			return
 		}
 		switch r.Outcome {
 		case OK:
-			for _, a := range sent {
-				a.doToken = 0
+			for _, a := range started {
+				a.directCommandToken = 0
 			}
-			b := r.Report
-			if b != nil && !mc.Settled() && m.authority() {
+			hb := r.Heartbeat
+			if hb != nil && !mc.IsAccountedFor() && c.hasAuthority() {
 				// Nothing of ours is under way to it yet.
-				b.Machine = mc.id
-				m.square(s, mc, b, s.squares.Answer(mc.Machine, m.now.Steady, b.Session, b.Seq, b.Token))
-			} else if b != nil && b.Session == mc.Session && b.Seq > mc.Seq {
+				hb.Machine = mc.id
+				c.reconcileMachine(s, mc, hb, s.reconciler.ReceiveQueryResponse(mc.Machine, c.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token))
+			} else if hb != nil && hb.Incarnation == mc.Incarnation && hb.Seq > mc.Seq {
 				// Not a report that renews a lease, and attempts that it
 				// lacks may be in a report's answer still under way.
-				mc.Seq = b.Seq
+				mc.Seq = hb.Seq
 				mc.commands = mc.commands[:0]
-				for _, t := range b.Tasks {
-					if a := mc.attempts[attemptKey{t.Task, t.Attempt}]; a != nil {
-						a.seen = true
-						m.follow(s, mc, a, t, b)
+				for _, status := range hb.Tasks {
+					if a := mc.attempts[attemptKey{status.Task, status.Attempt}]; a != nil {
+						a.observed = true
+						c.applyTaskStatus(s, mc, a, status, hb)
 					}
 				}
 			}
 		case Conflict:
 			// It is in another session, or obeys a later claim: until it
 			// reports, the same would come of the next start, at once.
-			mc.refused = true
-			for _, a := range sent {
+			mc.directCommandRefused = true
+			for _, a := range started {
 				if mc.attempts[a.key] == a {
-					a.unbegun = true
-					m.over(mc, a)
+					a.neverStarted = true
+					c.removeAttempt(mc, a)
 				}
 			}
 		default:
-			if len(sent) == 0 {
+			if len(started) == 0 {
 				return // a question
 			}
 			// It may yet run, on whatever machine state there is by then.
 			// A higher token makes that impossible.
-			s.void = max(s.void, token)
-			m.raise(s)
+			s.voidToken = max(s.voidToken, token)
+			c.raiseToken(s)
 		}
 	}
-	m.out.Do = append(m.out.Do, Do{ID: id, Addr: mc.addr, Machine: mc.id, Token: s.token, Session: session,
+	c.outputs.DirectCommands = append(c.outputs.DirectCommands, DirectCommand{ID: id, Addr: mc.addr, Machine: mc.id, Token: s.token, Incarnation: incarnation,
 		Commands: append([]Command(nil), mc.commands...)})
 }
 
-// DoDone takes a worker's answer to commands that were sent straight to it.
-func (m *Member) DoDone(now Now, id uint64, r DoResult) {
-	m.now = now
-	if f := m.dos[id]; f != nil {
-		delete(m.dos, id)
+// HandleDirectCommandResult takes a worker's answer to commands that were sent straight to it.
+func (c *Controller) HandleDirectCommandResult(now Now, id uint64, r DirectCommandResult) {
+	c.now = now
+	if f := c.directCommandCallbacks[id]; f != nil {
+		delete(c.directCommandCallbacks, id)
 		f(r)
 	}
 }
 
-// starts turns the plan's starts on this machine into commands.
-func (m *Member) starts(s *shard, mc *machine, r *Report) {
-	if !m.usable(mc) || !mc.Up || !mc.Squared() || !m.authority() {
+// dispatchPlannedStarts turns the plan's starts on this machine into commands.
+func (c *Controller) dispatchPlannedStarts(s *shard, mc *machine, hb *Heartbeat) {
+	if !c.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() || !c.hasAuthority() {
 		return
 	}
-	plan := mc.plan
-	mc.plan = nil
-	free := m.room(mc)
-	for _, p := range plan {
-		w := p.w
-		j := &w.job.rec.Job
-		if !m.current(w) || w.moving {
+	plannedStarts := mc.plannedStarts
+	mc.plannedStarts = nil
+	free := c.freeResources(mc)
+	for _, p := range plannedStarts {
+		tr := p.taskRange
+		j := &tr.job.rec.Job
+		if !c.isCurrent(tr) || tr.moving {
 			continue
 		}
-		for range p.n {
-			i := w.next()
-			if i < 0 || !free.Holds(j.Request) || !m.mayStart(s, w, mc) {
+		for range p.count {
+			i := tr.nextTask()
+			if i < 0 || !free.Contains(j.Request) || !c.mayStart(s, tr, mc) {
 				break
 			}
-			if j.Kind == Gang && (w.gangTry == 0 || w.gangSent.has(i)) {
+			if j.Kind == Gang && (tr.gangAttempt == 0 || tr.gangStartsSent.has(i)) {
 				break // this try of it failed; a task has a number once
 			}
-			if !m.numbered(s) || !s.squares.Line.Start(m.now.Steady, p.aimed || j.Kind == Gang) {
+			if !c.hasAttemptIDs(s) || !s.reconciler.Pacer.TryStart(c.now.MonotonicMS, p.hasStartObjective || j.Kind == Gang) {
 				break
 			}
 			free = free.Sub(j.Request)
-			m.start(s, mc, w, i, p.length, p.fetch, r)
+			c.startTask(s, mc, tr, i, p.runtimeMS, p.fetchMS, hb)
 		}
 	}
 }
 
-// start begins an attempt; its command goes with whatever the machine is told
+// startTask begins an attempt; its command goes with whatever the machine is told
 // next.
-func (m *Member) start(s *shard, mc *machine, w *work, i int, length, fetch int64, r *Report) {
-	j := &w.job.rec.Job
-	length = max(length-w.saved[i], length/8)
-	number := w.gangTry
+func (c *Controller) startTask(s *shard, mc *machine, tr *taskRange, i int, runtimeMS, fetchMS int64, hb *Heartbeat) {
+	j := &tr.job.rec.Job
+	runtimeMS = max(runtimeMS-tr.checkpointedMS[i], runtimeMS/8)
+	attemptID := tr.gangAttempt
 	if j.Kind == Gang {
-		w.gangSent.set(i)
+		tr.gangStartsSent.set(i)
 	} else {
-		number = s.numbers.Next(m.now.Wall)
-	}
-	a := &attempt{key: attemptKey{taskName(j.ID, w.rng.Lo+i), number}, job: j, work: w, claim: s, index: i, shard: s.name,
-		session: r.Session, afterSeq: r.Seq, placedAt: m.now.Wall, length: length, fetch: fetch}
-	m.begin(mc, a)
-	if p := mc.pledge; p != nil && p.w == w {
-		if p.n--; p.n == 0 {
-			mc.pledge = nil
+		attemptID = s.attemptIDs.Next(c.now.WallMS)
+	}
+	a := &attempt{key: attemptKey{taskName(j.ID, tr.bounds.Lo+i), attemptID}, job: j, taskRange: tr, claim: s, taskIndex: i, shardName: s.name,
+		incarnation: hb.Incarnation, afterHeartbeatSeq: hb.Seq, placedAt: c.now.WallMS, expectedRuntimeMS: runtimeMS, expectedFetchMS: fetchMS}
+	c.allocateResources(mc, a)
+	if reservation := mc.reservation; reservation != nil && reservation.taskRange == tr {
+		if reservation.count--; reservation.count == 0 {
+			mc.reservation = nil
 		}
 	}
-	m.repay(s, j)
-	m.Counters.Starts++
-	for _, o := range m.p.Objectives[j.Class] {
-		if o.Kind == "wait" && m.now.Wall > w.job.rec.Accepted+ms(o.WithinS) {
-			m.tally.Late++
+	c.repayDebt(s, j)
+	c.Counters.Starts++
+	for _, o := range c.params.Objectives[j.Class] {
+		if o.Kind == "wait" && c.now.WallMS > tr.job.rec.AcceptedAtMS+secondsToMS(o.WithinS) {
+			c.rolloutCounts.LateStarts++
 		}
 	}
-	m.log(Debug, "start", "task", a.key.task, "attempt", a.key.attempt, "machine", mc.id)
-	mc.commands = append(mc.commands, Command{Kind: Start, Task: a.key.task, Attempt: a.key.attempt})
+	c.log(Debug, "start", "task", a.key.task, "attempt", a.key.attempt, "machine", mc.id)
+	mc.commands = append(mc.commands, Command{Kind: CommandStart, Task: a.key.task, Attempt: a.key.attempt})
 }
 
-// pick fills the room that a report shows beyond what the plan put there: the
+// startFromQueue fills the room that a report shows beyond what the plan put there: the
 // next tasks of the shard's queue, in the order of the last plan. A task whose
 // image is there goes before one that would fetch, if the latter can still
 // start behind it in time: l(δ) once more, with the passed-over task behind the
 // insertion point.
-func (m *Member) pick(s *shard, mc *machine, r *Report) {
-	if len(s.queue) == 0 || !m.usable(mc) || !mc.Up || !mc.Squared() || !m.authority() {
+func (c *Controller) startFromQueue(s *shard, mc *machine, hb *Heartbeat) {
+	if len(s.queue) == 0 || !c.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() || !c.hasAuthority() {
 		return
 	}
-	free := m.room(mc).Sub(m.held(mc))
-	t := m.types[mc.rec.Type]
-	x := int64(1) << 62 // the latest start of what was passed over
+	free := c.freeResources(mc).Sub(c.reservedResources(mc))
+	t := c.machineTypes[mc.rec.Type]
+	latestStart := int64(1) << 62 // the latest start of what was passed over
 	for free.CPUs > 0 {
-		var first, here *group
+		var first, withImage *taskGroup
 		for _, g := range s.queue {
-			if g.j.Kind == Gang || g.w.pending() <= 0 || !free.Holds(withoutDisk(g.j.Request)) || !m.mayPick(s, mc, t, g) {
+			if g.job.Kind == Gang || g.taskRange.pending() <= 0 || !free.Contains(withoutDisk(g.job.Request)) || !c.mayStartUnplanned(s, mc, t, g) {
 				continue
 			}
 			if first == nil {
 				first = g
 			}
-			if g.j.Priority != first.j.Priority {
+			if g.job.Priority != first.job.Priority {
 				break
 			}
-			fetch := m.fetchTime(g.j, mc, t)
-			if fetch == 0 && (g == first || m.now.Wall+int64(float64(g.Length)*planner.Padding) <= x) {
-				here = g
+			fetch := c.fetchTime(g.job, mc, t)
+			if fetch == 0 && (g == first || c.now.WallMS+int64(float64(g.LengthMS)*planner.RuntimePadding) <= latestStart) {
+				withImage = g
 				break
 			}
 			// One that can still start as its class asks must not wait past
 			// that, whatever its deadline.
-			by := g.Due
-			if g.Tight < by && g.Tight-g.Length-fetch > m.now.Wall {
-				by = g.Tight
+			endBy := g.DeadlineMS
+			if g.ObjectiveDeadlineMS < endBy && g.ObjectiveDeadlineMS-g.LengthMS-fetch > c.now.WallMS {
+				endBy = g.ObjectiveDeadlineMS
 			}
-			x = min(x, by-g.Length-fetch)
+			latestStart = min(latestStart, endBy-g.LengthMS-fetch)
 		}
-		g := here
+		g := withImage
 		if g == nil {
 			g = first
 		}
 		if g == nil {
 			return
 		}
-		fetch := m.fetchTime(g.j, mc, t)
-		for free.Holds(withoutDisk(g.j.Request)) && m.mayPick(s, mc, t, g) {
-			i := g.w.next()
+		fetch := c.fetchTime(g.job, mc, t)
+		for free.Contains(withoutDisk(g.job.Request)) && c.mayStartUnplanned(s, mc, t, g) {
+			i := g.taskRange.nextTask()
 			if i < 0 {
 				break
 			}
-			if !m.numbered(s) || !s.squares.Line.Start(m.now.Steady, g.Aimed) {
+			if !c.hasAttemptIDs(s) || !s.reconciler.Pacer.TryStart(c.now.MonotonicMS, g.HasObjective) {
 				return
 			}
-			free = free.Sub(g.j.Request)
-			s.spare -= g.j.Request.CPUs
-			m.start(s, mc, g.w, i, g.Length, fetch, r)
+			free = free.Sub(g.job.Request)
+			s.spareCPUs -= g.job.Request.CPUs
+			c.startTask(s, mc, g.taskRange, i, g.LengthMS, fetch, hb)
 		}
 	}
 }
 
-// mayPick tells whether a task of a group may start on a machine without a new
+// mayStartUnplanned tells whether a task of a group may start on a machine without a new
 // plan. What the plan decides with a view of the whole shard is left to it:
 // types that others cannot do without, the reserve, and ordinary machines for
 // work that spot machines end in time, or they would never be idle and returned.
-func (m *Member) mayPick(s *shard, mc *machine, t *MachineType, g *group) bool {
-	j := &g.w.job.rec.Job
-	if g.First && g.w.begun() {
+func (c *Controller) mayStartUnplanned(s *shard, mc *machine, t *MachineType, g *taskGroup) bool {
+	j := &g.taskRange.job.rec.Job
+	if g.IsFirstTask && g.taskRange.hasStarted() {
 		return false // the rest has its own place in the queue
 	}
-	if !m.current(g.w) || g.w.moving || m.now.Steady < g.w.retryAt || g.w.failed[mc.id] > 0 {
+	if !c.isCurrent(g.taskRange) || g.taskRange.moving || c.now.MonotonicMS < g.taskRange.retryAt || g.taskRange.errorsByMachine[mc.id] > 0 {
 		return false
 	}
-	if g.Tight >= g.Due && s.spare-s.reserve < j.Request.CPUs || m.short(j, t) || j.Spot && !mc.rec.Spot && !g.Dear && !m.catalog.Needed(t.Name) {
+	if g.ObjectiveDeadlineMS >= g.DeadlineMS && s.spareCPUs-s.reserveCPUs < j.Request.CPUs || c.isTypeScarce(j, t) || j.Spot && !mc.rec.Spot && !g.SpotInsufficient && !c.placementCatalog.IsRequired(t.Name) {
 		return false
 	}
-	return m.mayStart(s, g.w, mc)
+	return c.mayStart(s, g.taskRange, mc)
 }
 
 // mayStart checks, at the last moment, what the rules ask of a start.
-func (m *Member) mayStart(s *shard, w *work, mc *machine) bool {
-	j := &w.job.rec.Job
-	if !m.allowed(j, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) || mc.tries() || m.blocked(s, w) || m.probing(w) || !m.mayBegin(w) {
+func (c *Controller) mayStart(s *shard, tr *taskRange, mc *machine) bool {
+	j := &tr.job.rec.Job
+	if !c.isOfferingAllowed(j, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) || mc.hasUnconfirmedStart() || c.isBlockedByUnreported(s, tr) || c.hasProbeRunning(tr) || !c.canBegin(tr) {
 		return false
 	}
-	return m.zoneAllows(w, mc.rec.Zone) && m.teamAllows(s, j)
+	return c.isZoneAllowed(tr, mc.rec.Zone) && c.isWithinTeamLimit(s, j)
 }
 
-// tries tells whether a machine that did not hear of a start is trying another one. Its
+// hasUnconfirmedStart tells whether a machine that did not hear of a start is trying another one. Its
 // reports arrive, but it is not alive for more work than that: what was planned there
 // waited for a report each time, to be started anew.
-func (mc *machine) tries() bool {
-	if !mc.unheard {
+func (mc *machine) hasUnconfirmedStart() bool {
+	if !mc.startUndelivered {
 		return false
 	}
 	for _, a := range mc.byKey {
-		if !a.seen && !a.exited {
+		if !a.observed && !a.exited {
 			return true
 		}
 	}
 	return false
 }
 
-// numbered tells whether starts can have numbers of their own.
-func (m *Member) numbered(s *shard) bool { return !s.numbers.Spent(m.now.Wall) }
+// hasAttemptIDs tells whether starts can have numbers of their own.
+func (c *Controller) hasAttemptIDs(s *shard) bool { return !s.attemptIDs.IsExhausted(c.now.WallMS) }
 
-// blocked tells whether a work's tasks may still run somewhere unseen: on a
+// isBlockedByUnreported tells whether a work's tasks may still run somewhere unseen: on a
 // machine that is unseen, that its job allows, and whose note, if there is one,
 // names it.
-func (m *Member) blocked(s *shard, w *work) bool {
-	if !w.recovered {
+func (c *Controller) isBlockedByUnreported(s *shard, tr *taskRange) bool {
+	if !tr.recovered {
 		return false
 	}
-	for _, u := range s.squares.Unseen() {
-		if mc := m.machines[u.ID]; mc == nil || m.mayHold(s, mc, w) {
+	for _, unreported := range s.reconciler.Unreported() {
+		if mc := c.machines[unreported.ID]; mc == nil || c.mayHaveTasks(s, mc, tr) {
 			return true
 		}
 	}
-	w.recovered = false
-	m.recoveredOnce(w)
+	tr.recovered = false
+	c.failJobOnUnknownProgress(tr)
 	return false
 }
 
-// mayHold tells whether an unseen machine may have tasks of a work.
-func (m *Member) mayHold(s *shard, mc *machine, w *work) bool {
-	if n, noted := s.squares.Book.Holds(mc.id); noted {
-		return slices.Contains(n.Ranges, w.name())
+// mayHaveTasks tells whether an unseen machine may have tasks of a work.
+func (c *Controller) mayHaveTasks(s *shard, mc *machine, tr *taskRange) bool {
+	if entry, recorded := s.reconciler.Ledger.Entry(mc.id); recorded {
+		return slices.Contains(entry.Ranges, tr.name())
 	}
-	j := &w.job.rec.Job
+	j := &tr.job.rec.Job
 	return !(mc.rec.Spot && !j.Spot || j.Zone != "" && j.Zone != mc.rec.Zone || len(j.Types) > 0 && !slices.Contains(j.Types, mc.rec.Type))
 }
 
-// zoneAllows checks one-zone and spread jobs against where their other tasks
+// isZoneAllowed checks one-zone and spread jobs against where their other tasks
 // are. Such jobs are held whole by one shard, which sees all of them.
-func (m *Member) zoneAllows(w *work, zone string) bool {
-	j := &w.job.rec.Job
-	if !j.whole() {
+func (c *Controller) isZoneAllowed(tr *taskRange, zone string) bool {
+	j := &tr.job.rec.Job
+	if !j.requiresOneShard() {
 		return true
 	}
-	here, elsewhere := w.zones[zone], 0
-	for z, n := range w.zones {
+	here, elsewhere := tr.attemptsByZone[zone], 0
+	for z, n := range tr.attemptsByZone {
 		if z != zone {
 			elsewhere += n
 		}
--- a/scheduler/member.go
+++ b/scheduler/member.go
@@ -29,37 +29,37 @@
 // Objective is an aim for a class of jobs. Kind is deadline, wait, finished or
 // guarantee; others are ignored.
 type Objective struct {
-	Kind    string
-	WithinS float64
-	Times   float64 // deadline: the deadline times this
+	Kind           string
+	WithinS        float64
+	DeadlineFactor float64 // deadline: the deadline times this
 }
 
 // Params is what a core needs of the settings.
 type Params struct {
-	Member     string
-	Zone       string
-	Peers      []string
-	Teams      map[string]Team
-	Objectives map[string][]Objective // by class
-	GuaranteeS float64                // work within a guarantee starts this soon; 0: no such aim
-	ReportS    float64
-	LeaseS     float64
-	CancelS    float64
-	CPUShare   float64 // of one core; 0: not limited
-	Debug      bool    // debug lines are wanted
-	ValueBytes int
-	TxnOps     int
-	ListLagS   float64
-	AcceptRate float64 // changes a second that the state service allows this member; 0: submissions are written one by one
-	Relays     int     // users' requests that peers may be answering at once; 0: none
-	Aging      bool    // first tasks of jobs that waited too long to begin go before their equals
-	Quota      bool    // teams get their guarantees by what others run beyond theirs
-	Rollout    bool    // machines are drained and replaced in steps, by plans
-	Recovery   bool    // orders after a claim are paced, and what reports do not say is remembered
-	HoldLife   float64 // life of holds, against the longest that is safe; 0: that
-}
-
-const drift = access.Drift
+	MemberID         string
+	Zone             string
+	PeerIDs          []string
+	Teams            map[string]Team
+	Objectives       map[string][]Objective // by class
+	GuaranteeWithinS float64                // work within a guarantee starts this soon; 0: no such aim
+	HeartbeatS       float64
+	LeaseS           float64
+	CancelWithinS    float64
+	CPUShare         float64 // of one core; 0: not limited
+	Debug            bool    // debug lines are wanted
+	MaxValueBytes    int
+	MaxTxnOps        int
+	CloudListLagS    float64
+	StoreChangeRate  float64 // changes a second that the state service allows this member; 0: submissions are written one by one
+	MaxPendingRelays int     // users' requests that peers may be answering at once; 0: none
+	Aging            bool    // first tasks of jobs that waited too long to begin go before their equals
+	Quota            bool    // teams get their guarantees by what others run beyond theirs
+	Rollout          bool    // machines are drained and replaced in steps, by plans
+	Recovery         bool    // orders after a claim are paced, and what reports do not say is remembered
+	LeaseTTLRatio    float64 // life of holds, against the longest that is safe; 0: that
+}
+
+const maxClockDriftMS = access.MaxClockDrift
 
 // Settings are the operators' own, kept in the store and changed through the
 // administration API.
@@ -85,8 +85,8 @@
 	return Settings{Functions: 125, Samples: 10, LateShare: 0.25, SummaryS: 1, IdleBoots: 1.5, BeginWithinS: 240}
 }
 
-// Check says what is wrong with settings, or nothing.
-func (s Settings) Check() string {
+// Validate says what is wrong with settings, or nothing.
+func (s Settings) Validate() string {
 	switch {
 	case s.Functions < 1 || s.Functions > 1000:
 		return "functions must be from 1 to 1000"
@@ -105,9 +105,9 @@
 	case len(s.Disruption) > 100:
 		return "disruption must name at most 100 teams"
 	}
-	for team, b := range inOrder(s.Disruption) {
-		if why := b.Check(); why != "" {
-			return "disruption." + team + "." + why
+	for team, budget := range sortedByKey(s.Disruption) {
+		if reason := budget.Validate(); reason != "" {
+			return "disruption." + team + "." + reason
 		}
 	}
 	return ""
@@ -115,547 +115,547 @@
 
 // job is a live job of the mirror.
 type job struct {
-	rec   jobRecord
-	rev   uint64
-	busy  bool // a write on its record is under way
-	works map[int]*work
-	doom  string // why the job is to be given up
-	begin bool   // Once: a task waits for the record to say that it may begin
+	rec                 jobRecord
+	rev                 uint64
+	recordWritePending  bool // a write on its record is under way
+	taskRanges          map[int]*taskRange
+	failureReason       string // why the job is to be given up
+	awaitingBegunRecord bool   // Once: a task waits for the record to say that it may begin
 }
 
-// Member is the core of one controller.
-type Member struct {
-	p   Params
-	rng *rand.Rand
-	now Now
-	out Outputs
+// Controller is the core of one controller.
+type Controller struct {
+	params  Params
+	rng     *rand.Rand
+	now     Now
+	outputs Outputs
 
-	nextID  uint64
-	store   map[uint64]func(StoreResult)
-	clouds  map[uint64]func(CloudResult)
-	dos     map[uint64]func(DoResult)
-	started int64
+	lastRequestID          uint64
+	storeCallbacks         map[uint64]func(StoreResult)
+	cloudCallbacks         map[uint64]func(CloudResult)
+	directCommandCallbacks map[uint64]func(DirectCommandResult)
+	startedAtMS            int64
 
-	acc *access.Access // how the member stands with the state service
+	storeAccess *access.LeaseKeeper // how the member stands with the state service
 
 	// The mirror of everything live.
-	revs     map[string]uint64 // revision of every mirrored key
-	tombs    map[string]uint64 // removals that the watch has not passed yet
-	jobs     map[string]*job
-	machines map[string]*machine
-	rosters  map[string]*roster  // by key
-	ups      map[string][]string // machines that are up, by the key of their list
-	shards   map[string]shardRecord
-	books    map[string]*quota.Book // of teams with a limit
-	watch    *quota.Watch
-	standing standing
-	up       capacity
-	volumes  volumes
-	lead     string
-	types    map[string]*MachineType
-	catalog  *planner.Catalog // the same, as placement sees it
-	settings Settings
-	rev      uint64
-
-	mine     map[string]*shard
-	claiming map[string]int64 // shard: when to try again
-	absent   map[string]int64 // shard: since when nobody holds it
-	wants    map[string]int64 // shard: when its own member last asked for it
-
-	beside map[string]Item // what subsystems beside the core keep in the mirror
-
-	pauses []pause // of writes in doubt
-
-	notes    map[string]*peerState // of members that the lead may not hear
-	noting   bool
-	noted    bool // the last note said something
-	nextNote int64
-
-	accepts   *admission.Queue[accept]
-	questions map[uint64]*question // without an answer, by reply
-	asked     []*question          // the same, in order
-	relays    map[uint64]relay
-	nextRelay uint64
-	hurry     float64 // relays that may go only to hurry
-
-	reads    reads
-	finals   map[string]finalRecord
-	finalLog []string
-	waiting  map[string][]waiter // machine: reports that wait for its registration
-
-	peers      map[string]*peerState
-	nextPeer   int64
-	turns      int // of peers that get summaries
-	corrected  map[string]*correction
-	fleet      fleet
-	roll       rollouts
-	tally      rollout.Tally     // what the gates of rollouts count, here
-	homes      map[string]string // team with a limit: the shard that its jobs go to
-	Counters   Counters
-	lastUsable bool
-	lastLink   access.Link
+	keyRevisions     map[string]uint64 // revision of every mirrored key
+	tombstones       map[string]uint64 // removals that the watch has not passed yet
+	jobs             map[string]*job
+	machines         map[string]*machine
+	registryPages    map[string]*registryPage // by key
+	liveMachines     map[string][]string      // machines that are up, by the key of their list
+	shardClaims      map[string]claimRecord
+	quotaLedgers     map[string]*quota.Ledger // of teams with a limit
+	usageMonitor     *quota.UsageMonitor
+	guaranteeStatus  guaranteeStatus
+	capacitySnapshot capacitySnapshot
+	meanJobVolumes   meanJobVolumes
+	leader           string
+	machineTypes     map[string]*MachineType
+	placementCatalog *planner.Catalog // the same, as placement sees it
+	settings         Settings
+	mirrorRevision   uint64
+
+	ownedShards      map[string]*shard
+	claimRetryAtMS   map[string]int64 // shard: when to try again
+	ownerlessSinceMS map[string]int64 // shard: since when nobody holds it
+	shardRequests    map[string]int64 // shard: when its own member last asked for it
+
+	extensionRecords map[string]KeyValue // what subsystems beside the core keep in the mirror
+
+	delayedSteps []delayedStep // of writes in doubt
+
+	statusRecords            map[string]*peerState // of members that the lead may not hear
+	writingStatusRecord      bool
+	lastStatusRecordNonEmpty bool // the last note said something
+	nextStatusRecordAtMS     int64
+
+	submissionQueue   *admission.Queue[pendingSubmission]
+	pendingRequests   map[uint64]*pendingRequest // without an answer, by reply
+	requestsByArrival []*pendingRequest          // the same, in order
+	pendingRelays     map[uint64]pendingRelay
+	relayRoundRobin   uint64
+	expediteBudget    float64 // relays that may go only to hurry
+
+	queryBatcher       queryBatches
+	terminalStates     map[string]terminalRecord
+	terminalStateOrder []string
+	parkedHeartbeats   map[string][]parkedHeartbeat // machine: reports that wait for its registration
+
+	peers               map[string]*peerState
+	nextPeerMessageAtMS int64
+	summaryTurn         int // of peers that get summaries
+	runtimeCorrections  map[string]*runtimeCorrection
+	fleet               fleetState
+	rolloutState        rolloutState
+	rolloutCounts       rollout.HealthCounts // what the gates of rollouts count, here
+	homeShards          map[string]string    // team with a limit: the shard that its jobs go to
+	Counters            Counters
+	hadAuthority        bool
+	lastStoreLink       access.LinkState
 }
 
 // Counters counts what operators watch.
 type Counters struct {
-	Starts    uint64 `json:"starts"`
-	Lost      uint64 `json:"lost"`
-	Errors    uint64 `json:"errors"`
-	Claims    uint64 `json:"claims"`
-	Rented    uint64 `json:"rented"`
-	Returned  uint64 `json:"returned"`
-	Moved     uint64 `json:"moved"`
-	Replans   uint64 `json:"replans"`
-	Accepted  uint64 `json:"accepted"`
-	Finished  uint64 `json:"finished"`
-	Preempted uint64 `json:"preempted"`
-	Refused   uint64 `json:"refused"`
-	Relayed   uint64 `json:"relayed"`
-	Batches   uint64 `json:"read_batches"` // of users' questions that shared a read
-	Shed      uint64 `json:"shed"`
-	Adopted   uint64 `json:"adopted"`    // tasks of earlier claims that go on
-	Strays    uint64 `json:"strays"`     // tasks that were not ours to keep
-	Ceded     uint64 `json:"ceded"`      // tasks stopped for another team's guarantee
-	InDoubt   uint64 `json:"in_doubt"`   // writes of which nobody said whether they were carried out
-	Old       uint64 `json:"old_report"` // reports that were no newer than another
-	Confirmed uint64 `json:"confirmed"`  // submissions answered by their record, with no answer to their write
-	Unheard   uint64 `json:"unheard"`    // starts in the answer to a report that its worker did not hear
-}
-
-type waiter struct {
-	reply  uint64
-	report Report
-	at     int64
+	Starts               uint64 `json:"starts"`
+	LostTasks            uint64 `json:"lost"`
+	Errors               uint64 `json:"errors"`
+	Claims               uint64 `json:"claims"`
+	Provisioned          uint64 `json:"rented"`
+	Released             uint64 `json:"returned"`
+	MovedTasks           uint64 `json:"moved"`
+	Replans              uint64 `json:"replans"`
+	Accepted             uint64 `json:"accepted"`
+	Finished             uint64 `json:"finished"`
+	Preempted            uint64 `json:"preempted"`
+	UnavailableResponses uint64 `json:"refused"`
+	Relayed              uint64 `json:"relayed"`
+	QueryBatches         uint64 `json:"read_batches"` // of users' questions that shared a read
+	ShedSubmissions      uint64 `json:"shed"`
+	AdoptedTasks         uint64 `json:"adopted"`    // tasks of earlier claims that go on
+	OrphanedTasks        uint64 `json:"strays"`     // tasks that were not ours to keep
+	ReclaimedTasks       uint64 `json:"ceded"`      // tasks stopped for another team's guarantee
+	InDoubtWrites        uint64 `json:"in_doubt"`   // writes of which nobody said whether they were carried out
+	StaleHeartbeats      uint64 `json:"old_report"` // reports that were no newer than another
+	ConfirmedSubmissions uint64 `json:"confirmed"`  // submissions answered by their record, with no answer to their write
+	UndeliveredStarts    uint64 `json:"unheard"`    // starts in the answer to a report that its worker did not hear
+}
+
+type parkedHeartbeat struct {
+	replyID    uint64
+	heartbeat  Heartbeat
+	parkedAtMS int64
 }
 
 type peerState struct {
-	at   int64 // steady time of the last message
-	wall int64 // its own time of day
-	msg  PeerMessage
+	receivedAtMS int64 // steady time of the last message
+	sentWallMS   int64 // its own time of day
+	message      PeerMessage
 }
 
-// correction learns how long a class takes against its owners' estimates.
-type correction struct {
-	ratio float64
-	seen  int
+// runtimeCorrection learns how long a class takes against its owners' estimates.
+type runtimeCorrection struct {
+	ratio   float64
+	samples int
 }
 
 // New makes the core of a member. The seed only spreads retries and names
 // claims; nothing that others rely on hangs on it.
-func New(p Params, seed uint64, now Now) *Member {
-	m := &Member{
-		p: p, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), now: now, started: now.Steady,
-		store: map[uint64]func(StoreResult){}, clouds: map[uint64]func(CloudResult){}, dos: map[uint64]func(DoResult){},
-		revs: map[string]uint64{}, tombs: map[string]uint64{}, jobs: map[string]*job{}, machines: map[string]*machine{},
-		rosters: map[string]*roster{}, ups: map[string][]string{},
-		shards: map[string]shardRecord{}, types: map[string]*MachineType{}, catalog: planner.NewCatalog(),
-		settings: DefaultSettings(), mine: map[string]*shard{}, claiming: map[string]int64{}, absent: map[string]int64{},
-		wants: map[string]int64{}, notes: map[string]*peerState{}, questions: map[uint64]*question{}, relays: map[uint64]relay{}, hurry: hurryBurst, finals: map[string]finalRecord{}, waiting: map[string][]waiter{},
-		beside: map[string]Item{}, peers: map[string]*peerState{}, corrected: map[string]*correction{},
+func New(params Params, seed uint64, now Now) *Controller {
+	m := &Controller{
+		params: params, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), now: now, startedAtMS: now.MonotonicMS,
+		storeCallbacks: map[uint64]func(StoreResult){}, cloudCallbacks: map[uint64]func(CloudResult){}, directCommandCallbacks: map[uint64]func(DirectCommandResult){},
+		keyRevisions: map[string]uint64{}, tombstones: map[string]uint64{}, jobs: map[string]*job{}, machines: map[string]*machine{},
+		registryPages: map[string]*registryPage{}, liveMachines: map[string][]string{},
+		shardClaims: map[string]claimRecord{}, machineTypes: map[string]*MachineType{}, placementCatalog: planner.NewCatalog(),
+		settings: DefaultSettings(), ownedShards: map[string]*shard{}, claimRetryAtMS: map[string]int64{}, ownerlessSinceMS: map[string]int64{},
+		shardRequests: map[string]int64{}, statusRecords: map[string]*peerState{}, pendingRequests: map[uint64]*pendingRequest{}, pendingRelays: map[uint64]pendingRelay{}, expediteBudget: expediteBurst, terminalStates: map[string]terminalRecord{}, parkedHeartbeats: map[string][]parkedHeartbeat{},
+		extensionRecords: map[string]KeyValue{}, peers: map[string]*peerState{}, runtimeCorrections: map[string]*runtimeCorrection{},
 	}
-	m.acc = access.New(access.Settings{Life: m.life(), Drift: drift, Slack: 50, Timeout: access.Timeout.Milliseconds()})
-	m.accepts = newAccepts(m)
-	m.openTeams()
-	m.watch = quota.NewWatch(p.Member, now.Wall)
+	m.storeAccess = access.NewLeaseKeeper(access.Settings{LeaseTTLMS: m.leaseTTLMS(), MaxClockDrift: maxClockDriftMS, AuthoritySlackMS: 50, RequestTimeoutMS: access.RequestTimeout.Milliseconds()})
+	m.submissionQueue = newSubmissionQueue(m)
+	m.initTeamLedgers()
+	m.usageMonitor = quota.NewUsageMonitor(params.MemberID, now.WallMS)
 	m.fleet.init()
-	m.roll.accounts = map[string]disruption.Record{}
+	m.rolloutState.disruptionRecords = map[string]disruption.Record{}
 	return m
 }
 
-// Take returns what the inputs since the last call want done.
-func (m *Member) Take() Outputs {
-	o := m.out
-	m.out = Outputs{}
-	return o
+// TakeOutputs returns what the inputs since the last call want done.
+func (c *Controller) TakeOutputs() Outputs {
+	outputs := c.outputs
+	c.outputs = Outputs{}
+	return outputs
 }
 
-func (m *Member) log(l Level, text string, args ...any) {
-	if l == Debug && !m.p.Debug {
+func (c *Controller) log(level LogLevel, text string, args ...any) {
+	if level == Debug && !c.params.Debug {
 		return
 	}
-	m.out.Logs = append(m.out.Logs, LogLine{l, text, args})
+	c.outputs.Logs = append(c.outputs.Logs, LogLine{level, text, args})
 }
 
-func (m *Member) ask(op StoreOp, done func(StoreResult)) {
-	m.nextID++
-	op.ID = m.nextID
+func (c *Controller) sendStore(op StoreOp, onResult func(StoreResult)) {
+	c.lastRequestID++
+	op.ID = c.lastRequestID
 	switch {
-	case op.Kind == StoreWatch && op.MS > 0: // waits by its nature
-		m.store[op.ID] = done
-	case op.Urgency == Progress:
+	case op.Kind == StoreWatch && op.DurationMS > 0: // waits by its nature
+		c.storeCallbacks[op.ID] = onResult
+	case op.Urgency == UrgencyBackground:
 		// Put off for as long as the rate is short: its time is not the state
 		// service's.
-		m.store[op.ID] = func(r StoreResult) {
-			m.acc.Heard(m.now.Steady, r.Outcome)
-			done(r)
+		c.storeCallbacks[op.ID] = func(r StoreResult) {
+			c.storeAccess.ObserveOutcome(c.now.MonotonicMS, r.Outcome)
+			onResult(r)
 		}
 	default:
-		t := m.acc.Sent(m.now.Steady)
-		m.store[op.ID] = func(r StoreResult) {
-			m.acc.Ended(m.now.Steady, t, r.QueueMS, r.Outcome)
-			done(r)
+		ticket := c.storeAccess.BeginRequest(c.now.MonotonicMS)
+		c.storeCallbacks[op.ID] = func(r StoreResult) {
+			c.storeAccess.CompleteRequest(c.now.MonotonicMS, ticket, r.QueuedMS, r.Outcome)
+			onResult(r)
 		}
 	}
-	m.out.Store = append(m.out.Store, op)
+	c.outputs.StoreOps = append(c.outputs.StoreOps, op)
 }
 
-// StoreDone takes the answer of the state service to a request.
-func (m *Member) StoreDone(now Now, id uint64, r StoreResult) {
-	m.now = now
-	if f := m.store[id]; f != nil {
-		delete(m.store, id)
-		f(r)
+// HandleStoreResult takes the answer of the state service to a request.
+func (c *Controller) HandleStoreResult(now Now, id uint64, result StoreResult) {
+	c.now = now
+	if onResult := c.storeCallbacks[id]; onResult != nil {
+		delete(c.storeCallbacks, id)
+		onResult(result)
 	}
 }
 
-func (m *Member) askCloud(op CloudOp, done func(CloudResult)) {
-	m.nextID++
-	op.ID = m.nextID
-	m.clouds[op.ID] = done
-	m.out.Cloud = append(m.out.Cloud, op)
+func (c *Controller) sendCloud(op CloudOp, onResult func(CloudResult)) {
+	c.lastRequestID++
+	op.ID = c.lastRequestID
+	c.cloudCallbacks[op.ID] = onResult
+	c.outputs.CloudOps = append(c.outputs.CloudOps, op)
 }
 
-// CloudDone takes the cloud's answer to a request.
-func (m *Member) CloudDone(now Now, id uint64, r CloudResult) {
-	m.now = now
-	if f := m.clouds[id]; f != nil {
-		delete(m.clouds, id)
-		f(r)
+// HandleCloudResult takes the cloud's answer to a request.
+func (c *Controller) HandleCloudResult(now Now, id uint64, result CloudResult) {
+	c.now = now
+	if onResult := c.cloudCallbacks[id]; onResult != nil {
+		delete(c.cloudCallbacks, id)
+		onResult(result)
 	}
 }
 
-// life is how long this member's holds last (access.Life).
-func (m *Member) life() int64 {
-	l := access.Life(ms(m.p.CancelS), ms(m.p.LeaseS))
-	if m.p.HoldLife > 0 {
-		l = int64(float64(l) * min(1, m.p.HoldLife))
+// leaseTTLMS is how long this member's holds last (access.Life).
+func (c *Controller) leaseTTLMS() int64 {
+	ttlMS := access.LeaseTTLMS(secondsToMS(c.params.CancelWithinS), secondsToMS(c.params.LeaseS))
+	if c.params.LeaseTTLRatio > 0 {
+		ttlMS = int64(float64(ttlMS) * min(1, c.params.LeaseTTLRatio))
 	}
-	return l
+	return ttlMS
 }
 
-// step is how often holds are extended and watches renewed.
-func (m *Member) step() int64 { return m.acc.Step() }
+// leaseRenewalIntervalMS is how often holds are extended and watches renewed.
+func (c *Controller) leaseRenewalIntervalMS() int64 { return c.storeAccess.RenewIntervalMS() }
 
-// authority tells whether this member may act for its shards. Past it, no
+// hasAuthority tells whether this member may act for its shards. Past it, no
 // starts, no decisions, and no answer that would renew a worker's lease.
-func (m *Member) authority() bool { return m.acc.Authority(m.now.Steady) }
+func (c *Controller) hasAuthority() bool { return c.storeAccess.HasAuthority(c.now.MonotonicMS) }
 
 // Tick lets time pass. The caller does so every tenth of a second.
-func (m *Member) Tick(now Now) {
-	m.now = now
-	m.tickAccess()
-	m.tickPauses()
-	if a := m.authority(); a != m.lastUsable {
-		m.lastUsable = a
-		m.log(Info, "authority", "held", a)
+func (c *Controller) Tick(now Now) {
+	c.now = now
+	c.tickStoreAccess()
+	c.runDueSteps()
+	if authority := c.hasAuthority(); authority != c.hadAuthority {
+		c.hadAuthority = authority
+		c.log(Info, "authority", "held", authority)
 	}
-	m.tickShards()
-	m.tickPeers()
-	m.tickFleet()
-	m.pumpAccepts()
-	m.pumpReads()
-	m.confirmSeen()
-	m.hurryQuestions()
+	c.tickShards()
+	c.sendPeerMessage()
+	c.tickFleet()
+	c.writeQueuedSubmissions()
+	c.sendQueryBatch()
+	c.confirmMirroredSubmissions()
+	c.expediteSlowRequests()
 }
 
-// tickAccess asks what the member's standing needs: its hold, and the mirror of
+// tickStoreAccess asks what the member's standing needs: its hold, and the mirror of
 // everything live, by one list and then watches. A watch that comes back proves
 // that everything up to its sending was seen.
-func (m *Member) tickAccess() {
-	ask := m.acc.Tick(m.now.Steady)
-	if l := m.acc.Link(m.now.Steady); l != m.lastLink {
-		m.lastLink = l
-		m.log(Info, "state service", "link", l)
+func (c *Controller) tickStoreAccess() {
+	actions := c.storeAccess.Tick(c.now.MonotonicMS)
+	if link := c.storeAccess.Link(c.now.MonotonicMS); link != c.lastStoreLink {
+		c.lastStoreLink = link
+		c.log(Info, "state service", "link", link)
 	}
-	if ask.Hold {
-		m.ask(StoreOp{Kind: StoreHold, MS: m.life()}, func(r StoreResult) { m.acc.Held(m.now.Steady, r.Outcome, r.Hold) })
+	if actions.GrantLease {
+		c.sendStore(StoreOp{Kind: StoreGrantLease, DurationMS: c.leaseTTLMS()}, func(r StoreResult) { c.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, r.LeaseID) })
 	}
-	if ask.Extend != 0 {
-		m.ask(StoreOp{Kind: StoreExtend, Hold: ask.Extend}, func(r StoreResult) {
-			if !m.acc.Held(m.now.Steady, r.Outcome, 0) {
+	if actions.RenewLease != 0 {
+		c.sendStore(StoreOp{Kind: StoreRenewLease, LeaseID: actions.RenewLease}, func(r StoreResult) {
+			if !c.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, 0) {
 				return
 			}
 			// The hold ended: every claim that hung on it is gone.
-			m.log(Warn, "hold lost", "shards", len(m.mine))
-			for _, s := range inOrder(m.mine) {
-				m.dropShard(s)
+			c.log(Warn, "hold lost", "shards", len(c.ownedShards))
+			for _, s := range sortedByKey(c.ownedShards) {
+				c.dropShard(s)
 			}
 		})
 	}
-	if ask.List {
-		m.list(livePrefix, func(items []Item, rev uint64, o Outcome) {
-			if o == OK {
-				m.mirror(items, rev)
+	if actions.ListMirror {
+		c.listAll(livePrefix, func(kvs []KeyValue, rev uint64, outcome Outcome) {
+			if outcome == OK {
+				c.applySnapshot(kvs, rev)
 			}
-			m.acc.Looked(m.now.Steady, ask.Look, o, m.rng.Float64())
+			c.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, actions.ReadID, outcome, c.rng.Float64())
 		})
 	}
-	if ask.Watch {
-		m.ask(StoreOp{Kind: StoreWatch, Key: livePrefix, Rev: m.rev, MS: m.step()}, func(r StoreResult) {
-			if !m.acc.Looked(m.now.Steady, ask.Look, r.Outcome, m.rng.Float64()) || r.Outcome != OK {
+	if actions.WatchMirror {
+		c.sendStore(StoreOp{Kind: StoreWatch, Key: livePrefix, Rev: c.mirrorRevision, DurationMS: c.leaseRenewalIntervalMS()}, func(r StoreResult) {
+			if !c.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, actions.ReadID, r.Outcome, c.rng.Float64()) || r.Outcome != OK {
 				return
 			}
-			m.watched(r)
+			c.applyWatchResult(r)
 		})
 	}
 }
 
-// watched takes all changes since a revision that the mirror had.
-func (m *Member) watched(r StoreResult) {
-	for _, it := range r.Items {
-		m.apply(it)
+// applyWatchResult takes all changes since a revision that the mirror had.
+func (c *Controller) applyWatchResult(result StoreResult) {
+	for _, kv := range result.KVs {
+		c.applyChange(kv)
 	}
-	m.rev = max(m.rev, r.Rev)
-	for k, at := range m.tombs {
-		if at <= m.rev {
-			delete(m.tombs, k)
+	c.mirrorRevision = max(c.mirrorRevision, result.Rev)
+	for key, removedAt := range c.tombstones {
+		if removedAt <= c.mirrorRevision {
+			delete(c.tombstones, key)
 		}
 	}
 }
 
-// mirror takes a list of everything live.
-func (m *Member) mirror(items []Item, rev uint64) {
-	found := make(map[string]bool, len(items))
-	for _, it := range items {
-		found[it.Key] = true
-		m.apply(it)
+// applySnapshot takes a list of everything live.
+func (c *Controller) applySnapshot(kvs []KeyValue, revision uint64) {
+	found := make(map[string]bool, len(kvs))
+	for _, kv := range kvs {
+		found[kv.Key] = true
+		c.applyChange(kv)
 	}
 	var gone []string
-	for k, at := range m.revs {
-		if !found[k] && at <= rev {
-			gone = append(gone, k)
+	for key, keyRevision := range c.keyRevisions {
+		if !found[key] && keyRevision <= revision {
+			gone = append(gone, key)
 		}
 	}
 	slices.Sort(gone)
-	for _, k := range gone {
-		m.apply(Item{Key: k, Rev: rev})
+	for _, key := range gone {
+		c.applyChange(KeyValue{Key: key, Rev: revision})
 	}
-	m.rev = rev
-	m.log(Info, "mirror read", "keys", len(items), "revision", rev)
+	c.mirrorRevision = revision
+	c.log(Info, "mirror read", "keys", len(kvs), "revision", revision)
 }
 
-// list reads all keys with a prefix. rev is the revision of the first page:
+// listAll reads all keys with a prefix. rev is the revision of the first page:
 // watching from there on misses nothing.
-func (m *Member) list(prefix string, done func(items []Item, rev uint64, o Outcome)) {
-	var all []Item
-	var rev uint64
-	var page func(from string)
-	page = func(from string) {
-		m.ask(StoreOp{Kind: StoreList, Key: prefix, From: from}, func(r StoreResult) {
+func (c *Controller) listAll(prefix string, onResult func(kvs []KeyValue, revision uint64, outcome Outcome)) {
+	var collected []KeyValue
+	var revision uint64
+	var readPage func(startAfter string)
+	readPage = func(startAfter string) {
+		c.sendStore(StoreOp{Kind: StoreList, Key: prefix, StartAfter: startAfter}, func(r StoreResult) {
 			if r.Outcome != OK {
-				done(nil, 0, r.Outcome)
+				onResult(nil, 0, r.Outcome)
 				return
 			}
-			if from == "" {
-				rev = r.Rev
+			if startAfter == "" {
+				revision = r.Rev
 			}
-			all = append(all, r.Items...)
-			if r.More && len(r.Items) > 0 {
-				page(r.Items[len(r.Items)-1].Key)
+			collected = append(collected, r.KVs...)
+			if r.More && len(r.KVs) > 0 {
+				readPage(r.KVs[len(r.KVs)-1].Key)
 				return
 			}
-			done(all, rev, OK)
+			onResult(collected, revision, OK)
 		})
 	}
-	page("")
+	readPage("")
 }
 
-// apply brings the mirror up to a change, unless it has a newer one already.
-func (m *Member) apply(it Item) {
-	if !strings.HasPrefix(it.Key, livePrefix) {
+// applyChange brings the mirror up to a change, unless it has a newer one already.
+func (c *Controller) applyChange(kv KeyValue) {
+	if !strings.HasPrefix(kv.Key, livePrefix) {
 		return
 	}
-	if it.Rev <= m.revs[it.Key] || it.Rev <= m.tombs[it.Key] {
+	if kv.Rev <= c.keyRevisions[kv.Key] || kv.Rev <= c.tombstones[kv.Key] {
 		return
 	}
 	// The mirror has everything up to m.rev. A read that was under way while its
 	// key was removed says less: applied, it made a cancelled job start again.
-	if _, known := m.revs[it.Key]; !known && m.acc.Synced() && it.Rev <= m.rev {
+	if _, known := c.keyRevisions[kv.Key]; !known && c.storeAccess.IsSynced() && kv.Rev <= c.mirrorRevision {
 		return
 	}
-	gone := it.Value == nil
-	if gone {
+	removed := kv.Value == nil
+	if removed {
 		// A watch that lags behind our own removal must not bring the key
 		// back: a job that is over would start again.
-		if it.Rev > m.rev {
-			m.tombs[it.Key] = it.Rev
+		if kv.Rev > c.mirrorRevision {
+			c.tombstones[kv.Key] = kv.Rev
 		}
-		if _, ok := m.revs[it.Key]; !ok {
+		if _, ok := c.keyRevisions[kv.Key]; !ok {
 			return
 		}
-		delete(m.revs, it.Key)
+		delete(c.keyRevisions, kv.Key)
 	} else {
-		m.revs[it.Key] = it.Rev
+		c.keyRevisions[kv.Key] = kv.Rev
 	}
-	bad := func(err error) {
-		m.log(Warn, "record unreadable", "key", it.Key, "error", err)
+	logUnreadable := func(err error) {
+		c.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 	}
 	switch {
-	case strings.HasPrefix(it.Key, jobPrefix):
-		id := it.Key[len(jobPrefix):]
-		if gone {
-			m.jobGone(id)
+	case strings.HasPrefix(kv.Key, jobPrefix):
+		id := kv.Key[len(jobPrefix):]
+		if removed {
+			c.deleteJob(id)
 			return
 		}
 		var rec jobRecord
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
-			bad(err)
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
+			logUnreadable(err)
 			return
 		}
-		m.jobChanged(id, rec, it.Rev)
-	case strings.HasPrefix(it.Key, machinePrefix), strings.HasPrefix(it.Key, upPrefix):
-		if err := m.applyFleet(it); err != nil {
-			bad(err)
+		c.upsertJob(id, rec, kv.Rev)
+	case strings.HasPrefix(kv.Key, registryPrefix), strings.HasPrefix(kv.Key, liveMachinesPrefix):
+		if err := c.applyMachineRecord(kv); err != nil {
+			logUnreadable(err)
 		}
-	case strings.HasPrefix(it.Key, shardPrefix):
-		id := it.Key[len(shardPrefix):]
-		var rec shardRecord
-		if !gone {
-			if err := json.Unmarshal(it.Value, &rec); err != nil {
-				bad(err)
+	case strings.HasPrefix(kv.Key, claimPrefix):
+		id := kv.Key[len(claimPrefix):]
+		var rec claimRecord
+		if !removed {
+			if err := json.Unmarshal(kv.Value, &rec); err != nil {
+				logUnreadable(err)
 				return
 			}
-			m.shards[id] = rec
+			c.shardClaims[id] = rec
 		} else {
-			delete(m.shards, id)
+			delete(c.shardClaims, id)
 		}
 		// Another claim of a shard that we held: it is no longer ours. The
 		// same claim with a higher revision is one that we raised.
-		if s := m.mine[id]; s != nil && !gone && rec.Nonce == s.nonce {
-			s.token = max(s.token, it.Rev)
-			s.numbers.Rebase(s.token, m.now.Wall)
-		} else if s != nil && it.Rev > s.token {
-			m.log(Warn, "shard lost", "shard", id)
-			m.dropShard(s)
+		if s := c.ownedShards[id]; s != nil && !removed && rec.Nonce == s.nonce {
+			s.token = max(s.token, kv.Rev)
+			s.attemptIDs.Rebase(s.token, c.now.WallMS)
+		} else if s != nil && kv.Rev > s.token {
+			c.log(Warn, "shard lost", "shard", id)
+			c.dropShard(s)
 		}
-	case strings.HasPrefix(it.Key, teamPrefix):
-		id := it.Key[len(teamPrefix):]
-		b := m.books[id]
-		if b == nil {
+	case strings.HasPrefix(kv.Key, teamPrefix):
+		id := kv.Key[len(teamPrefix):]
+		ledger := c.quotaLedgers[id]
+		if ledger == nil {
 			return // it had a limit once
 		}
-		if gone {
-			b.Heard(nil, 0)
+		if removed {
+			ledger.Observe(nil, 0)
 		} else {
 			var rec quota.Record
-			if err := json.Unmarshal(it.Value, &rec); err != nil {
-				bad(err)
+			if err := json.Unmarshal(kv.Value, &rec); err != nil {
+				logUnreadable(err)
 				return
 			}
-			b.Heard(&rec, it.Rev)
+			ledger.Observe(&rec, kv.Rev)
 		}
-		m.dirtyAll()
-	case strings.HasPrefix(it.Key, notePrefix):
-		if err := m.applyNote(it); err != nil {
-			bad(err)
+		c.markAllShardsDirty()
+	case strings.HasPrefix(kv.Key, statusPrefix):
+		if err := c.applyStatusRecord(kv); err != nil {
+			logUnreadable(err)
 		}
-	case it.Key == rolloutKey, strings.HasPrefix(it.Key, disruptionPrefix):
-		if err := m.applyRollout(it); err != nil {
-			bad(err)
+	case kv.Key == rolloutKey, strings.HasPrefix(kv.Key, disruptionPrefix):
+		if err := c.applyRolloutRecord(kv); err != nil {
+			logUnreadable(err)
 		}
-	case strings.HasPrefix(it.Key, besidePrefix):
-		if gone {
-			delete(m.beside, it.Key)
+	case strings.HasPrefix(kv.Key, extensionPrefix):
+		if removed {
+			delete(c.extensionRecords, kv.Key)
 		} else {
-			m.beside[it.Key] = it
+			c.extensionRecords[kv.Key] = kv
 		}
-	case it.Key == leadKey:
-		var rec shardRecord
-		if !gone {
-			if err := json.Unmarshal(it.Value, &rec); err != nil {
-				bad(err)
+	case kv.Key == leaderKey:
+		var rec claimRecord
+		if !removed {
+			if err := json.Unmarshal(kv.Value, &rec); err != nil {
+				logUnreadable(err)
 				return
 			}
 		}
-		if rec.Nonce != m.fleet.nonce {
-			m.fleet.leading = false
+		if rec.Nonce != c.fleet.nonce {
+			c.fleet.leading = false
 		}
-		m.lead = rec.Holder
-	case it.Key == catalogKey:
+		c.leader = rec.Owner
+	case kv.Key == catalogKey:
 		var rec catalogRecord
-		if gone {
+		if removed {
 			return
 		}
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
-			bad(err)
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
+			logUnreadable(err)
 			return
 		}
-		m.setTypes(rec.Types)
-	case it.Key == settingsKey:
+		c.setMachineTypes(rec.Types)
+	case kv.Key == settingsKey:
 		s := DefaultSettings()
-		if !gone {
-			if err := json.Unmarshal(it.Value, &s); err != nil || s.Check() != "" {
+		if !removed {
+			if err := json.Unmarshal(kv.Value, &s); err != nil || s.Validate() != "" {
 				return
 			}
 		}
-		m.settings = s
-		m.dirtyAll()
+		c.settings = s
+		c.markAllShardsDirty()
 	}
 }
 
-func (m *Member) setTypes(ts []MachineType) {
-	for _, t := range ts {
-		m.types[t.Name] = &t
-		m.catalog.Set(planner.Type{Name: t.Name, Room: t.Room, FetchGBps: t.FetchGBps, Boot: ms(t.BootS), Zones: t.Zones})
+func (c *Controller) setMachineTypes(machineTypes []MachineType) {
+	for _, t := range machineTypes {
+		c.machineTypes[t.Name] = &t
+		c.placementCatalog.SetTypes(planner.MachineType{Name: t.Name, Resources: t.Resources, FetchGBps: t.ImageFetchGBps, BootMS: secondsToMS(t.BootS), Zones: t.Zones})
 	}
-	m.dirtyAll()
+	c.markAllShardsDirty()
 }
 
-func (m *Member) dirtyAll() {
-	for _, s := range m.mine {
+func (c *Controller) markAllShardsDirty() {
+	for _, s := range c.ownedShards {
 		s.dirty = true
 	}
 }
 
-// txn sends a transaction. When it is known to have worked, the mirror has its
+// sendTxn sends a transaction. When it is known to have worked, the mirror has its
 // changes before done is called.
-func (m *Member) txn(u Urgency, guards []Guard, changes []Change, done func(StoreResult)) {
-	m.ask(StoreOp{Kind: StoreTxn, Urgency: u, Guards: guards, Changes: changes}, func(r StoreResult) {
-		if r.Outcome == OK {
-			for _, c := range changes {
-				m.apply(Item{Key: c.Key, Value: c.Value, Rev: r.Rev})
+func (c *Controller) sendTxn(urgency Urgency, preconditions []Precondition, changes []Change, onResult func(StoreResult)) {
+	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: urgency, Preconditions: preconditions, Changes: changes}, func(result StoreResult) {
+		if result.Outcome == OK {
+			for _, change := range changes {
+				c.applyChange(KeyValue{Key: change.Key, Value: change.Value, Rev: result.Rev})
 			}
 		}
-		done(r)
+		onResult(result)
 	})
 }
 
-// reread settles a write whose outcome is not known: the store's word on the
+// rereadKey settles a write whose outcome is not known: the store's word on the
 // keys, before anything rests on them.
-func (m *Member) reread(key string, done func(StoreResult)) {
-	m.ask(StoreOp{Kind: StoreGet, Urgency: Answers, Key: key}, func(r StoreResult) {
-		if r.Outcome == OK && len(r.Items) == 1 {
-			m.apply(r.Items[0])
+func (c *Controller) rereadKey(key string, onResult func(StoreResult)) {
+	c.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyUser, Key: key}, func(result StoreResult) {
+		if result.Outcome == OK && len(result.KVs) == 1 {
+			c.applyChange(result.KVs[0])
 		}
-		if r.Outcome == NotFound {
-			m.apply(Item{Key: key, Rev: r.Rev})
+		if result.Outcome == NotFound {
+			c.applyChange(KeyValue{Key: key, Rev: result.Rev})
 		}
-		done(r)
+		onResult(result)
 	})
 }
 
-// members lists all members in order.
-func (m *Member) members() []string {
-	return m.p.Members()
+// memberIDs lists all members in order.
+func (c *Controller) memberIDs() []string {
+	return c.params.MemberIDs()
 }
 
-func roomOf(t *MachineType) availability.Room {
+func resourcesOf(t *MachineType) availability.Resources {
 	if t == nil {
-		return availability.Room{}
+		return availability.Resources{}
 	}
-	return t.Room
+	return t.Resources
 }
 
-// Usable tells whether users should be sent here. A member that can't act for
+// IsReadyForUsers tells whether users should be sent here. A member that can't act for
 // its shards steps aside only while a peer says that it can: when the state
 // service is away from all, answering 503 at once is as good as any member can
 // do, and one that left would be kept out for a while after the outage.
-func (m *Member) Usable() bool {
-	if m.authority() && len(m.types) > 0 {
+func (c *Controller) IsReadyForUsers() bool {
+	if c.hasAuthority() && len(c.machineTypes) > 0 {
 		return true
 	}
-	for name, p := range m.peers {
-		if name != m.p.Member && m.fresh(p) && len(p.msg.Shards) > 0 {
+	for memberID, peer := range c.peers {
+		if memberID != c.params.MemberID && c.isFresh(peer) && len(peer.message.OwnedShards) > 0 {
 			return false
 		}
 	}
--- a/scheduler/member_test.go
+++ b/scheduler/member_test.go
@@ -12,259 +12,259 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
-func testMember(t *testing.T) *Member {
+func newTestController(t *testing.T) *Controller {
 	t.Helper()
-	return New(Params{Member: "m0", Peers: []string{"m1"}, ReportS: 1, LeaseS: 10, CancelS: 30, ValueBytes: 8192, TxnOps: 16}, 1, Now{1, 1})
+	return New(Params{MemberID: "m0", PeerIDs: []string{"m1"}, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}, 1, Now{1, 1})
 }
 
-func testJob(ranges ...Range) jobRecord {
-	hi := 0
+func newTestJobRecord(ranges ...Range) jobRecord {
+	tasks := 0
 	for _, r := range ranges {
-		hi = max(hi, r.Hi)
+		tasks = max(tasks, r.Hi)
 	}
-	return jobRecord{Job: Job{ID: "job-000001", Kind: Array, Tasks: hi, Request: availability.Room{CPUs: 1}}, Ranges: ranges}
+	return jobRecord{Job: Job{ID: "job-000001", Kind: Array, Tasks: tasks, Request: availability.Resources{CPUs: 1}}, Ranges: ranges}
 }
 
 // A read that was under way while the job was cancelled arrives after the
 // watch has told of the cancellation: the job stays gone.
-func TestLateReadDoesNotBringAJobBack(t *testing.T) {
-	m := testMember(t)
-	m.acc.Stand(0, 0, 0)
-	put := Item{Key: jobKey("job-000001"), Value: encode(testJob(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 5}
-	m.apply(put)
-	if m.jobs["job-000001"] == nil {
+func TestLateReadDoesNotRestoreCancelledJob(t *testing.T) {
+	ctrl := newTestController(t)
+	ctrl.storeAccess.SetState(0, 0, 0)
+	put := KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 5}
+	ctrl.applyChange(put)
+	if ctrl.jobs["job-000001"] == nil {
 		t.Fatal("the job is not in the mirror")
 	}
-	m.apply(Item{Key: put.Key, Rev: 9})
-	m.rev = 12
-	clear(m.tombs) // the watch has passed the removal
-	m.apply(put)
-	if m.jobs["job-000001"] != nil {
+	ctrl.applyChange(KeyValue{Key: put.Key, Rev: 9})
+	ctrl.mirrorRevision = 12
+	clear(ctrl.tombstones) // the watch has passed the removal
+	ctrl.applyChange(put)
+	if ctrl.jobs["job-000001"] != nil {
 		t.Error("a late read brought a cancelled job back")
 	}
 }
 
 // A watch that lags behind our own removal tells of the job's creation last.
-func TestLaggingWatchDoesNotBringAJobBack(t *testing.T) {
-	m := testMember(t)
-	m.acc.Stand(0, 0, 0)
-	m.rev = 3
-	put := Item{Key: jobKey("job-000001"), Value: encode(testJob(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 5}
-	m.apply(put)
-	m.apply(Item{Key: put.Key, Rev: 9})
-	m.apply(put)
-	if m.jobs["job-000001"] != nil {
+func TestLaggingWatchDoesNotRestoreRemovedJob(t *testing.T) {
+	ctrl := newTestController(t)
+	ctrl.storeAccess.SetState(0, 0, 0)
+	ctrl.mirrorRevision = 3
+	put := KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 5}
+	ctrl.applyChange(put)
+	ctrl.applyChange(KeyValue{Key: put.Key, Rev: 9})
+	ctrl.applyChange(put)
+	if ctrl.jobs["job-000001"] != nil {
 		t.Error("a lagging watch brought a job back that we had removed")
 	}
 }
 
 // A member that adopted a shard, handed it back, and then gets a range of it
 // by a move must run that range: works of an ended claim are no use.
-func TestWorkOfAnEndedClaimIsReplaced(t *testing.T) {
-	m := testMember(t)
-	m.acc.Stand(0, 0, 0)
-	own, adopted := m.newShard("m0", 0, 1), m.newShard("m1", 0, 2)
-	m.mine["m0"], m.mine["m1"] = own, adopted
+func TestRangeOfEndedClaimIsReplaced(t *testing.T) {
+	ctrl := newTestController(t)
+	ctrl.storeAccess.SetState(0, 0, 0)
+	ownShard, adoptedShard := ctrl.newShard("m0", 0, 1), ctrl.newShard("m1", 0, 2)
+	ctrl.ownedShards["m0"], ctrl.ownedShards["m1"] = ownShard, adoptedShard
 	key := jobKey("job-000001")
-	m.apply(Item{Key: key, Value: encode(testJob(Range{Lo: 0, Hi: 2, Shard: "m1"})), Rev: 5})
-	m.dropShard(adopted)
-	m.apply(Item{Key: key, Value: encode(testJob(Range{Lo: 0, Hi: 2, Shard: "m0", Moved: true})), Rev: 6})
-	w := m.jobs["job-000001"].works[0]
-	if w == nil || w.claim != own || w.shard != "m0" {
-		t.Errorf("the range is run as %+v", w)
+	ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m1"})), Rev: 5})
+	ctrl.dropShard(adoptedShard)
+	ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0", MovedFromPeer: true})), Rev: 6})
+	tr := ctrl.jobs["job-000001"].taskRanges[0]
+	if tr == nil || tr.claim != ownShard || tr.shardName != "m0" {
+		t.Errorf("the range is run as %+v", tr)
 	}
 }
 
 // Authority counts from the sending of the last extension and of the last
 // watch that came back, whichever is older, and never outlasts the hold.
-func TestAuthorityEndsWithTheOlderProof(t *testing.T) {
-	m := testMember(t)
+func TestAuthorityExpiresWithOlderOfLeaseAndWatch(t *testing.T) {
+	ctrl := newTestController(t)
 	for _, c := range []struct {
-		hold, fresh, now int64
-		want             bool
+		leaseRenewedAt, watchedAt, at int64
+		expected                      bool
 	}{
-		{1000, 1000, 1000 + m.life()/2, true},
-		{1000, 1000, 1000 + m.life(), false},
-		{1000 + m.life(), 1000, 1000 + m.life(), false}, // the watch is stuck
-		{1000, 1000 + m.life(), 1000 + m.life(), false}, // the hold is not extended
-		{1000 + m.life(), 1000 + m.life(), 1000 + m.life(), true},
+		{1000, 1000, 1000 + ctrl.leaseTTLMS()/2, true},
+		{1000, 1000, 1000 + ctrl.leaseTTLMS(), false},
+		{1000 + ctrl.leaseTTLMS(), 1000, 1000 + ctrl.leaseTTLMS(), false}, // the watch is stuck
+		{1000, 1000 + ctrl.leaseTTLMS(), 1000 + ctrl.leaseTTLMS(), false}, // the hold is not extended
+		{1000 + ctrl.leaseTTLMS(), 1000 + ctrl.leaseTTLMS(), 1000 + ctrl.leaseTTLMS(), true},
 	} {
-		m.now.Steady = c.now
-		m.acc.Stand(1, c.hold, c.fresh)
-		if m.authority() != c.want {
-			t.Errorf("hold at %d, watch at %d, now %d: %v", c.hold, c.fresh, c.now, !c.want)
+		ctrl.now.MonotonicMS = c.at
+		ctrl.storeAccess.SetState(1, c.leaseRenewedAt, c.watchedAt)
+		if ctrl.hasAuthority() != c.expected {
+			t.Errorf("hold at %d, watch at %d, now %d: %v", c.leaseRenewedAt, c.watchedAt, c.at, !c.expected)
 		}
 	}
-	if l := m.life() + ms(m.p.LeaseS); l >= ms(m.p.CancelS) {
-		t.Errorf("a cut-off owner's tasks live for %d ms", l)
+	if lifetime := ctrl.leaseTTLMS() + secondsToMS(ctrl.params.LeaseS); lifetime >= secondsToMS(ctrl.params.CancelWithinS) {
+		t.Errorf("a cut-off owner's tasks live for %d ms", lifetime)
 	}
 }
 
 // A shard that gave a part of a team's limit away, and is not told whether the
 // write worked, counts on what the store then says: never on what it had before.
-func TestUnknownTeamWriteIsSettledByTheStore(t *testing.T) {
-	m := testMember(t)
-	m.p.Teams = map[string]Team{"ops": {MaxCPUs: 64}}
-	m.openTeams()
-	m.acc.Stand(1, 1, 1)
-	m.rev = 20
-	s := m.newShard("m0", 0, 1)
-	m.mine["m0"] = s
-	m.apply(Item{Key: teamKey("ops"), Value: json.RawMessage(`{"parts":{"m0":{"cpus":32},"m1":{"cpus":32}},"wants":{"m1":{"cpus":32}}}`), Rev: 21})
-	m.draftTeams(s)
-	if p := m.books["ops"].Part("m0"); p.CPUs != 0 {
-		t.Fatalf("counts on %v while the write is under way", p)
-	}
-	write := m.Take().Store[0]
-	m.StoreDone(m.now, write.ID, StoreResult{Outcome: Unknown})
-	read := m.Take().Store[0]
-	m.rev = 30 // the watch has passed by then
-	m.StoreDone(m.now, read.ID, StoreResult{Rev: 30, Items: []Item{{Key: teamKey("ops"), Value: write.Changes[0].Value, Rev: 25}}})
-	if p := m.books["ops"].Parts(); p["m0"].CPUs != 0 || p["m1"].CPUs != 64 {
-		t.Errorf("counts on %v after the write had worked", p)
+func TestInDoubtTeamWriteIsResolvedFromStore(t *testing.T) {
+	ctrl := newTestController(t)
+	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 64}}
+	ctrl.initTeamLedgers()
+	ctrl.storeAccess.SetState(1, 1, 1)
+	ctrl.mirrorRevision = 20
+	s := ctrl.newShard("m0", 0, 1)
+	ctrl.ownedShards["m0"] = s
+	ctrl.applyChange(KeyValue{Key: teamKey("ops"), Value: json.RawMessage(`{"parts":{"m0":{"cpus":32},"m1":{"cpus":32}},"wants":{"m1":{"cpus":32}}}`), Rev: 21})
+	ctrl.proposeAllocations(s)
+	if allocation := ctrl.quotaLedgers["ops"].Allocation("m0"); allocation.CPUs != 0 {
+		t.Fatalf("counts on %v while the write is under way", allocation)
+	}
+	write := ctrl.TakeOutputs().StoreOps[0]
+	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Outcome: Unknown})
+	read := ctrl.TakeOutputs().StoreOps[0]
+	ctrl.mirrorRevision = 30 // the watch has passed by then
+	ctrl.HandleStoreResult(ctrl.now, read.ID, StoreResult{Rev: 30, KVs: []KeyValue{{Key: teamKey("ops"), Value: write.Changes[0].Value, Rev: 25}}})
+	if allocation := ctrl.quotaLedgers["ops"].Allocations(); allocation["m0"].CPUs != 0 || allocation["m1"].CPUs != 64 {
+		t.Errorf("counts on %v after the write had worked", allocation)
 	}
 }
 
 // A member without the store steps aside only for one that has it.
-func TestUsableStaysInWhenAllAreOut(t *testing.T) {
-	m := testMember(t)
-	m.now.Steady = 10_000
-	if !m.Usable() {
+func TestMemberStaysUsableUnlessPeerHasStore(t *testing.T) {
+	ctrl := newTestController(t)
+	ctrl.now.MonotonicMS = 10_000
+	if !ctrl.IsReadyForUsers() {
 		t.Error("steps aside while no member is known to be better off")
 	}
-	m.peers["m1"] = &peerState{at: 9_500, msg: PeerMessage{From: "m1"}}
-	if !m.Usable() {
+	ctrl.peers["m1"] = &peerState{receivedAtMS: 9_500, message: PeerMessage{From: "m1"}}
+	if !ctrl.IsReadyForUsers() {
 		t.Error("steps aside for a member without authority")
 	}
-	m.peers["m1"].msg.Shards = []ShardReport{{Shard: "m1"}}
-	if m.Usable() {
+	ctrl.peers["m1"].message.OwnedShards = []PeerShard{{Shard: "m1"}}
+	if ctrl.IsReadyForUsers() {
 		t.Error("stays in while a peer can take requests")
 	}
 }
 
-// holding makes a member that holds its own shard with one machine on it.
-func holding(t *testing.T) (*Member, *shard, *machine) {
+// newControllerWithShard makes a member that holds its own shard with one machine on it.
+func newControllerWithShard(t *testing.T) (*Controller, *shard, *machine) {
 	t.Helper()
-	m := testMember(t)
-	m.rev = 10
-	m.now = Now{1000, 1000}
-	m.acc.Stand(1, 1000, 1000)
-	m.setTypes([]MachineType{{Name: "small", Room: availability.Room{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}}})
-	s := m.newShard("m0", 7, 11)
+	ctrl := newTestController(t)
+	ctrl.mirrorRevision = 10
+	ctrl.now = Now{1000, 1000}
+	ctrl.storeAccess.SetState(1, 1000, 1000)
+	ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}}})
+	s := ctrl.newShard("m0", 7, 11)
 	s.ready = true
-	m.mine["m0"] = s
-	m.apply(Item{Key: shardKey("m0"), Value: encode(shardRecord{"m0", 7}), Rev: 11})
-	m.apply(Item{Key: machinePrefix + "1-1", Value: encode(rosterRecord{Shard: "m0", Type: "small", Zone: "a", Machines: []string{"i-1"}}), Rev: 12})
-	m.apply(Item{Key: upPrefix + "m0/0", Value: encode(upRecord{[]string{"i-1"}}), Rev: 12})
-	m.Report(m.now, 1, Report{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 3, Token: 11})
-	if a := m.Take().Workers[1]; !a.Accepted {
+	ctrl.ownedShards["m0"] = s
+	ctrl.applyChange(KeyValue{Key: claimKey("m0"), Value: mustEncode(claimRecord{"m0", 7}), Rev: 11})
+	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-1", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{"i-1"}}), Rev: 12})
+	ctrl.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 12})
+	ctrl.HandleHeartbeat(ctrl.now, 1, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 3, Token: 11})
+	if resp := ctrl.TakeOutputs().HeartbeatResponses[1]; !resp.Accepted {
 		t.Fatal("a report of our machine is not taken")
 	}
-	return m, s, m.machines["i-1"]
+	return ctrl, s, ctrl.machines["i-1"]
 }
 
 // The answer to a direct command overtakes a report; answering that report
 // still renews the worker's lease, so silence counts from there.
-func TestOvertakenReportRenewsTheLease(t *testing.T) {
-	m, s, mc := holding(t)
+func TestOvertakenHeartbeatRenewsWorkerLease(t *testing.T) {
+	ctrl, s, mc := newControllerWithShard(t)
 	mc.Seq = 9 // the direct command's answer
-	m.Report(Now{2000, 2000}, 2, Report{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 8, Token: 11})
-	if a := m.Take().Workers[2]; !a.Accepted || len(a.Commands) > 0 {
-		t.Fatalf("an overtaken report is answered %+v", a)
+	ctrl.HandleHeartbeat(Now{2000, 2000}, 2, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 8, Token: 11})
+	if resp := ctrl.TakeOutputs().HeartbeatResponses[2]; !resp.Accepted || len(resp.Commands) > 0 {
+		t.Fatalf("an overtaken report is answered %+v", resp)
 	}
-	if end := s.squares.LeaseEnd(mc.Machine); end < 2000+ms(m.p.LeaseS) {
-		t.Errorf("the lease is taken to end at %d", end)
+	if leaseEnd := s.reconciler.LeaseExpiresAt(mc.Machine); leaseEnd < 2000+secondsToMS(ctrl.params.LeaseS) {
+		t.Errorf("the lease is taken to end at %d", leaseEnd)
 	}
 }
 
 // A direct start without an answer stays on its machine until a higher token is
 // out, which is asked for until it works.
-func TestUnansweredStartIsVoidedByAHigherToken(t *testing.T) {
-	m, s, mc := holding(t)
-	m.apply(Item{Key: jobKey("job-000001"), Value: encode(testJob(Range{Lo: 0, Hi: 1, Shard: "m0"})), Rev: 13})
-	m.jobs["job-000001"].rec.Job.EstimateS = 1
-	m.plan(s)
-	m.startNow(s)
-	out := m.Take()
-	if len(out.Do) != 1 {
-		t.Fatalf("%d direct commands, not one", len(out.Do))
-	}
-	m.DoDone(m.now, out.Do[0].ID, DoResult{Outcome: Unknown})
-	raise := m.Take().Store
-	if len(raise) != 1 || raise[0].Changes[0].Key != shardKey("m0") {
-		t.Fatalf("the token is not raised: %+v", raise)
-	}
-	m.StoreDone(m.now, raise[0].ID, StoreResult{Outcome: Refused})
-	m.now.Steady += 1000
-	m.Take()
-	m.tickShard(s)
-	raise = m.Take().Store
-	if len(raise) == 0 {
+func TestUnacknowledgedStartIsFencedByHigherToken(t *testing.T) {
+	ctrl, s, mc := newControllerWithShard(t)
+	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})), Rev: 13})
+	ctrl.jobs["job-000001"].rec.Job.EstimateS = 1
+	ctrl.planShard(s)
+	ctrl.sendUrgentStarts(s)
+	outputs := ctrl.TakeOutputs()
+	if len(outputs.DirectCommands) != 1 {
+		t.Fatalf("%d direct commands, not one", len(outputs.DirectCommands))
+	}
+	ctrl.HandleDirectCommandResult(ctrl.now, outputs.DirectCommands[0].ID, DirectCommandResult{Outcome: Unknown})
+	tokenRaise := ctrl.TakeOutputs().StoreOps
+	if len(tokenRaise) != 1 || tokenRaise[0].Changes[0].Key != claimKey("m0") {
+		t.Fatalf("the token is not raised: %+v", tokenRaise)
+	}
+	ctrl.HandleStoreResult(ctrl.now, tokenRaise[0].ID, StoreResult{Outcome: Refused})
+	ctrl.now.MonotonicMS += 1000
+	ctrl.TakeOutputs()
+	ctrl.tickShard(s)
+	tokenRaise = ctrl.TakeOutputs().StoreOps
+	if len(tokenRaise) == 0 {
 		t.Fatal("a refused raise is not tried again")
 	}
-	report := func(seq, token uint64) {
-		m.Report(m.now, seq, Report{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: token})
+	heartbeat := func(seq, token uint64) {
+		ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: token})
 	}
-	report(20, 11)
-	if mc.live != 1 {
+	heartbeat(20, 11)
+	if mc.liveAttemptCount != 1 {
 		t.Error("an unanswered start is given up while it may still run")
 	}
-	m.StoreDone(m.now, raise[0].ID, StoreResult{Rev: 30})
-	report(21, 11)
-	if mc.live != 1 {
+	ctrl.HandleStoreResult(ctrl.now, tokenRaise[0].ID, StoreResult{Rev: 30})
+	heartbeat(21, 11)
+	if mc.liveAttemptCount != 1 {
 		t.Error("an unanswered start is given up before its worker saw the higher token")
 	}
-	first := len(mc.attempts)
-	report(22, 30)
-	for _, a := range mc.attempts {
-		if a.doToken == 11 {
-			t.Errorf("a start that can no longer run is kept: %d attempts before, %+v", first, a)
+	attemptsBefore := len(mc.attempts)
+	heartbeat(22, 30)
+	for _, attempt := range mc.attempts {
+		if attempt.directCommandToken == 11 {
+			t.Errorf("a start that can no longer run is kept: %d attempts before, %+v", attemptsBefore, attempt)
 		}
 	}
 }
 
 // A job of the largest size fits the store: its record, and the progress of
 // each of its ranges, however scattered.
-func TestLargestJobFitsTheStore(t *testing.T) {
-	m := testMember(t)
+func TestLargestJobFitsStoreValueLimit(t *testing.T) {
+	ctrl := newTestController(t)
 	j := &Job{ID: "job-000001", Kind: Array, Tasks: 100_000}
-	rec := jobRecord{Job: *j, Ranges: m.allot(j)}
-	next := 0
+	rec := jobRecord{Job: *j, Ranges: ctrl.assignRanges(j)}
+	covered := 0
 	for _, r := range rec.Ranges {
-		if r.Lo != next || r.Hi <= r.Lo {
+		if r.Lo != covered || r.Hi <= r.Lo {
 			t.Fatalf("ranges %v", rec.Ranges)
 		}
-		next = r.Hi
-		done := newBits(r.Hi - r.Lo)
+		covered = r.Hi
+		done := newBitset(r.Hi - r.Lo)
 		for i := 0; i < r.Hi-r.Lo; i += 2 {
 			done.set(i)
 		}
-		if n := len(encode(progressRecord{map[string][]byte{"job-000001/100000": done}})); n > m.p.ValueBytes {
+		if n := len(mustEncode(progressRecord{map[string][]byte{"job-000001/100000": done}})); n > ctrl.params.MaxValueBytes {
 			t.Errorf("progress of %v takes %d bytes", r, n)
 		}
 	}
-	if n := len(encode(rec)); next != j.Tasks || n > m.p.ValueBytes {
-		t.Errorf("%d tasks in a record of %d bytes", next, n)
+	if n := len(mustEncode(rec)); covered != j.Tasks || n > ctrl.params.MaxValueBytes {
+		t.Errorf("%d tasks in a record of %d bytes", covered, n)
 	}
 }
 
 // A gang starts only when all of it can.
-func TestGangStartsWhole(t *testing.T) {
-	m, s, mc := holding(t) // 8 CPUs
+func TestGangStartsAllTasksOrNone(t *testing.T) {
+	ctrl, s, mc := newControllerWithShard(t) // 8 CPUs
 	for _, c := range []struct {
-		tasks, want int
+		tasks, expected int
 	}{{9, 0}, {8, 8}} {
-		rec := testJob(Range{Lo: 0, Hi: c.tasks, Shard: "m0"})
+		rec := newTestJobRecord(Range{Lo: 0, Hi: c.tasks, Shard: "m0"})
 		rec.Job.Kind, rec.Job.EstimateS = Gang, 1
-		m.apply(Item{Key: jobKey("job-000001"), Rev: m.revs[jobKey("job-000001")] + 1})
-		clear(m.tombs)
-		m.apply(Item{Key: jobKey("job-000001"), Value: encode(rec), Rev: uint64(100 + c.tasks*c.want)})
-		m.plan(s)
+		ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Rev: ctrl.keyRevisions[jobKey("job-000001")] + 1})
+		clear(ctrl.tombstones)
+		ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: uint64(100 + c.tasks*c.expected)})
+		ctrl.planShard(s)
 		n := 0
-		for _, p := range mc.plan {
-			n += p.n
+		for _, planned := range mc.plannedStarts {
+			n += planned.count
 		}
-		if n != c.want {
+		if n != c.expected {
 			t.Errorf("%d of a gang of %d start on 8 CPUs", n, c.tasks)
 		}
 		if n == 0 {
@@ -272,90 +272,90 @@
 		}
 		// Workers match mates by their attempt: one number for all of a try,
 		// another for the next, and no task twice in one.
-		numbers := map[uint64]int{}
+		attemptNumbers := map[uint64]int{}
 		for try := range 2 {
 			mc.commands = nil
-			m.starts(s, mc, &Report{Session: 1, Seq: uint64(4 + try)})
+			ctrl.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: uint64(4 + try)})
 			for _, cmd := range mc.commands {
-				numbers[cmd.Attempt]++
+				attemptNumbers[cmd.Attempt]++
 			}
-			for _, a := range mc.attempts {
-				m.over(mc, a)
+			for _, att := range mc.attempts {
+				ctrl.removeAttempt(mc, att)
 				break
 			}
-			mc.plan = []planned{{w: m.jobs["job-000001"].works[0], n: 1}}
+			mc.plannedStarts = []plannedStart{{taskRange: ctrl.jobs["job-000001"].taskRanges[0], count: 1}}
 			mc.commands = nil
-			if m.starts(s, mc, &Report{Session: 1, Seq: 9}); len(mc.commands) > 0 {
+			if ctrl.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 9}); len(mc.commands) > 0 {
 				t.Errorf("a task of a try that failed is told %+v", mc.commands)
 			}
-			for _, a := range mc.attempts {
-				m.over(mc, a)
+			for _, att := range mc.attempts {
+				ctrl.removeAttempt(mc, att)
 			}
-			mc.full = 0
-			m.plan(s)
+			mc.fullUntil = 0
+			ctrl.planShard(s)
 		}
-		if len(numbers) != 2 || slices.Max(slices.Collect(maps.Values(numbers))) != 8 {
-			t.Errorf("attempts of a gang in two tries: %v", numbers)
+		if len(attemptNumbers) != 2 || slices.Max(slices.Collect(maps.Values(attemptNumbers))) != 8 {
+			t.Errorf("attempts of a gang in two tries: %v", attemptNumbers)
 		}
 	}
 }
 
 // While the state service gives no answer at all, users are told at once to come
 // back; its first answer ends that.
-func TestUsersAreNotHeldWhileTheStoreIsSilent(t *testing.T) {
-	m, _, _ := holding(t)
-	ask := func(reply uint64) (UserAnswer, bool) {
-		m.User(m.now, reply, UserRequest{Kind: Query, ID: "job-000009"})
-		a, ok := m.out.Users[reply]
-		return a, ok
-	}
-	if _, ok := ask(1); ok {
+func TestRequestsAreRefusedImmediatelyWhileStoreIsSilent(t *testing.T) {
+	ctrl, _, _ := newControllerWithShard(t)
+	query := func(replyID uint64) (UserResponse, bool) {
+		ctrl.HandleUserRequest(ctrl.now, replyID, UserRequest{Kind: QueryJob, ID: "job-000009"})
+		resp, ok := ctrl.outputs.UserResponses[replyID]
+		return resp, ok
+	}
+	if _, ok := query(1); ok {
 		t.Fatal("a question is answered without the store")
 	}
-	lost := m.Take().Store
-	m.StoreDone(Now{2000, 2000}, lost[0].ID, StoreResult{Outcome: Unknown})
-	m.now = Now{3000, 3000}
-	if a, ok := ask(2); !ok || a.Status != 503 || a.RetryS < 1 {
-		t.Errorf("a question to a silent store gets %+v", a)
+	unansweredOps := ctrl.TakeOutputs().StoreOps
+	ctrl.HandleStoreResult(Now{2000, 2000}, unansweredOps[0].ID, StoreResult{Outcome: Unknown})
+	ctrl.now = Now{3000, 3000}
+	if resp, ok := query(2); !ok || resp.Status != 503 || resp.RetryAfterS < 1 {
+		t.Errorf("a question to a silent store gets %+v", resp)
 	}
-	m.out = Outputs{}
-	m.ask(StoreOp{Kind: StoreGet, Key: "x"}, func(StoreResult) {})
-	m.StoreDone(m.now, m.Take().Store[0].ID, StoreResult{Outcome: NotFound})
-	if _, ok := ask(3); ok {
+	ctrl.outputs = Outputs{}
+	ctrl.sendStore(StoreOp{Kind: StoreGet, Key: "x"}, func(StoreResult) {})
+	ctrl.HandleStoreResult(ctrl.now, ctrl.TakeOutputs().StoreOps[0].ID, StoreResult{Outcome: NotFound})
+	if _, ok := query(3); ok {
 		t.Error("users are refused after the store has answered")
 	}
 }
 
-func partsOf(m *Member, team string) map[string]quota.Amounts {
-	if b := m.books[team]; b != nil {
-		return b.Parts()
+func allocationsOf(ctrl *Controller, team string) map[string]quota.Amounts {
+	if ledger := ctrl.quotaLedgers[team]; ledger != nil {
+		return ledger.Allocations()
 	}
 	return nil
 }
 
 // A limited team's whole limit is with one shard, the same for every member, and
 // its jobs go there.
-func TestLimitedTeamsHaveAHome(t *testing.T) {
+func TestTeamLimitHasOneHomeShard(t *testing.T) {
 	teams := map[string]Team{"a": {MaxCPUs: 64}, "b": {MaxCPUs: 64}, "free": {}}
 	homes := map[string]map[string]string{}
-	for _, me := range []string{"m0", "m1"} {
-		p := Params{Member: me, Peers: []string{"m0", "m1"}, Teams: teams, ReportS: 1, LeaseS: 10, CancelS: 30, ValueBytes: 8192, TxnOps: 16}
-		p.Peers = slices.DeleteFunc(p.Peers, func(n string) bool { return n == me })
-		m := New(p, 1, Now{1, 1})
-		homes[me] = m.homes
+	for _, memberID := range []string{"m0", "m1"} {
+		cfg := Params{MemberID: memberID, PeerIDs: []string{"m0", "m1"}, Teams: teams, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}
+		cfg.PeerIDs = slices.DeleteFunc(cfg.PeerIDs, func(n string) bool { return n == memberID })
+		ctrl := New(cfg, 1, Now{1, 1})
+		homes[memberID] = ctrl.homeShards
 		for name, limit := range teams {
 			sum := 0.0
-			for _, part := range partsOf(m, name) {
-				sum += part.CPUs
+			for _, allocation := range allocationsOf(ctrl, name) {
+				sum += allocation.CPUs
 			}
 			if sum != limit.MaxCPUs {
 				t.Errorf("the parts of %s add up to %v of %v", name, sum, limit.MaxCPUs)
 			}
 		}
 		for _, team := range []string{"a", "b"} {
-			for _, r := range m.allot(&Job{ID: "job-000001", Kind: Array, Team: team, Tasks: 5}) {
-				if r.Shard != m.homes[team] {
-					t.Errorf("tasks of %s go to %s from %s, not to its home %s", team, r.Shard, me, m.homes[team])
+			for _, r := range ctrl.assignRanges(&Job{ID: "job-000001", Kind: Array, Team: team, Tasks: 5}) {
+				if r.Shard != ctrl.homeShards[team] {
+					t.Errorf("tasks of %s go to %s from %s, not to its home %s", team, r.Shard, memberID, ctrl.homeShards[team])
 				}
 			}
 		}
@@ -367,122 +367,122 @@
 
 // A team's limit admits like a queue: a job that cannot be done in time goes
 // behind one that can, though its deadline is earlier.
-func TestTeamLimitAdmitsWhatItEndsInTime(t *testing.T) {
-	m, s, _ := holding(t)
-	m.p.Teams = map[string]Team{"ops": {MaxCPUs: 4}}
-	m.openTeams()
+func TestTeamLimitAdmitsJobsThatMeetTheirDeadlines(t *testing.T) {
+	ctrl, s, _ := newControllerWithShard(t)
+	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 4}}
+	ctrl.initTeamLedgers()
 	put := func(id string, tasks int, deadline float64, rev uint64) {
-		rec := testJob(Range{Lo: 0, Hi: tasks, Shard: "m0"})
-		rec.Job.ID, rec.Job.Team, rec.Job.EstimateS, rec.Job.DeadlineS, rec.Accepted = id, "ops", 10, deadline, m.now.Wall
-		m.apply(Item{Key: jobKey(id), Value: encode(rec), Rev: rev})
+		rec := newTestJobRecord(Range{Lo: 0, Hi: tasks, Shard: "m0"})
+		rec.Job.ID, rec.Job.Team, rec.Job.EstimateS, rec.Job.DeadlineS, rec.AcceptedAtMS = id, "ops", 10, deadline, ctrl.now.WallMS
+		ctrl.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
 	}
 	put("job-000001", 40, 50, 21) // 100 s of the whole limit
 	put("job-000002", 8, 60, 22)  // 20 s
-	gs := m.groups(s)
-	if len(gs) != 2 || gs[0].j.ID != "job-000002" || !gs[1].Lost {
-		t.Errorf("%s goes first, the other is lost: %v", gs[0].j.ID, gs[1].Lost)
+	gs := ctrl.waitingTaskGroups(s)
+	if len(gs) != 2 || gs[0].job.ID != "job-000002" || !gs[1].MissedObjectives {
+		t.Errorf("%s goes first, the other is lost: %v", gs[0].job.ID, gs[1].MissedObjectives)
 	}
 }
 
 // Ordinary machines are not rented for an aim that they come too late for.
-func TestNoOrdinaryMachineThatComesTooLate(t *testing.T) {
-	m, _, _ := holding(t)
-	m.setTypes([]MachineType{{Name: "small", Room: availability.Room{CPUs: 8, MemoryGB: 32}, BootS: 10, Price: 1, SpotPrice: 0.25, Zones: []string{"a"}}})
-	m.fleet.refused[offer{"small", "a", true}] = m.now.Steady + 100_000
-	for within, want := range map[int64]bool{15_000: false, 25_000: true} {
-		j := &Job{Spot: true, Request: availability.Room{CPUs: 1}}
-		g := &group{j: j, Group: planner.Group{Ask: j.ask(), Left: 8, Length: 10_000, Due: m.now.Wall + within}}
-		if o, ok := m.cheapest(g, false, map[offer]offer{}); ok != want {
-			t.Errorf("with %d ms left: %v, %v", within, o, ok)
+func TestOnDemandMachineIsNotProvisionedTooLate(t *testing.T) {
+	ctrl, _, _ := newControllerWithShard(t)
+	ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Price: 1, SpotPrice: 0.25, Zones: []string{"a"}}})
+	ctrl.fleet.unavailableUntil[offering{"small", "a", true}] = ctrl.now.MonotonicMS + 100_000
+	for dueInMS, expected := range map[int64]bool{15_000: false, 25_000: true} {
+		j := &Job{Spot: true, Request: availability.Resources{CPUs: 1}}
+		g := &taskGroup{job: j, Group: planner.Group{Request: j.resourceRequest(), Remaining: 8, LengthMS: 10_000, DeadlineMS: ctrl.now.WallMS + dueInMS}}
+		if offering, ok := ctrl.cheapestOffering(g, false, map[offering]offering{}); ok != expected {
+			t.Errorf("with %d ms left: %v, %v", dueInMS, offering, ok)
 		}
 	}
 }
 
 // Both the rosters' and the lists' machines come and go with their records, and a
 // machine that is listed as up before its roster is known counts as up.
-func TestRostersAndLists(t *testing.T) {
-	m := testMember(t)
-	m.acc.Stand(0, 0, 0)
-	m.apply(Item{Key: upPrefix + "m0/0", Value: encode(upRecord{[]string{"i-1"}}), Rev: 4})
-	m.apply(Item{Key: machinePrefix + "1-1", Value: encode(rosterRecord{Shard: "m0", Type: "small", Machines: []string{"i-1", "i-2"}}), Rev: 5})
-	if len(m.machines) != 2 || !m.machines["i-1"].Up || m.machines["i-2"].Up {
-		t.Fatalf("machines %v", m.machines)
-	}
-	if m.machines["i-1"].Settled() || !m.machines["i-2"].Settled() {
+func TestMachinesFollowRegistryAndLiveRecords(t *testing.T) {
+	ctrl := newTestController(t)
+	ctrl.storeAccess.SetState(0, 0, 0)
+	ctrl.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 4})
+	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-1", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-1", "i-2"}}), Rev: 5})
+	if len(ctrl.machines) != 2 || !ctrl.machines["i-1"].Up || ctrl.machines["i-2"].Up {
+		t.Fatalf("machines %v", ctrl.machines)
+	}
+	if ctrl.machines["i-1"].IsAccountedFor() || !ctrl.machines["i-2"].IsAccountedFor() {
 		t.Error("only a machine that is up may run what an earlier claim started")
 	}
-	m.apply(Item{Key: machinePrefix + "1-1", Value: encode(rosterRecord{Shard: "m0", Type: "small", Machines: []string{"i-2"}}), Rev: 6})
-	if len(m.machines) != 1 || m.machines["i-2"] == nil {
-		t.Errorf("machines %v", m.machines)
+	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-1", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-2"}}), Rev: 6})
+	if len(ctrl.machines) != 1 || ctrl.machines["i-2"] == nil {
+		t.Errorf("machines %v", ctrl.machines)
 	}
-	m.apply(Item{Key: machinePrefix + "1-1", Rev: 7})
-	if len(m.machines) != 0 {
-		t.Errorf("machines %v", m.machines)
+	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-1", Rev: 7})
+	if len(ctrl.machines) != 0 {
+		t.Errorf("machines %v", ctrl.machines)
 	}
 }
 
 // A shard is ready only when the mirror has passed its claim: what the earlier
 // claim listed as up last of all may run tasks that would start a second time.
-func TestShardWaitsForTheMirror(t *testing.T) {
-	m, s, _ := holding(t)
-	s.ready, s.read = false, true
-	m.rev = s.base - 1
-	m.tickShard(s)
+func TestShardIsNotReadyBeforeMirrorPassesItsClaim(t *testing.T) {
+	ctrl, s, _ := newControllerWithShard(t)
+	s.ready, s.progressRead = false, true
+	ctrl.mirrorRevision = s.claimRev - 1
+	ctrl.tickShard(s)
 	if s.ready {
 		t.Error("ready before the mirror has passed the claim")
 	}
-	m.rev = s.base
-	m.tickShard(s)
+	ctrl.mirrorRevision = s.claimRev
+	ctrl.tickShard(s)
 	if !s.ready {
 		t.Error("not ready though everything is known")
 	}
 }
 
 // Each member takes its part of a peer's room only, and uses it up.
-func TestPeersRoomIsShared(t *testing.T) {
-	m := New(Params{Member: "m0", Peers: []string{"m1", "m2", "m3"}, ReportS: 1, LeaseS: 10, CancelS: 30, ValueBytes: 8192, TxnOps: 16}, 1, Now{1000, 1000})
-	m.acc.Stand(0, 0, 0)
-	m.setTypes([]MachineType{{Name: "small", Room: availability.Room{CPUs: 1, MemoryGB: 32}, Zones: []string{"a"}}})
-	m.shards["m1"] = shardRecord{Holder: "m1"}
-	free := availability.Function{Kind: planner.Kind{Type: "small", Zone: "a"}.Name(), Count: 30, Room: availability.Room{CPUs: 1, MemoryGB: 32},
-		Samples: []availability.Sample{{At: 1000}, {At: 101_000, Free: 100_000}}}
-	m.peers["m1"] = &peerState{at: 1000, msg: PeerMessage{From: "m1", Shards: []ShardReport{{Shard: "m1", Summary: availability.Summary{free}}}}}
-	j := &Job{Request: availability.Room{CPUs: 1}, Tasks: 100}
-	offers := m.peerOffers(j, 10_000, 12_000, 100)
-	if len(offers) != 1 || offers[0].n != 10 {
+func TestPeerCapacityIsSharedAmongMembers(t *testing.T) {
+	ctrl := New(Params{MemberID: "m0", PeerIDs: []string{"m1", "m2", "m3"}, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}, 1, Now{1000, 1000})
+	ctrl.storeAccess.SetState(0, 0, 0)
+	ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 1, MemoryGB: 32}, Zones: []string{"a"}}})
+	ctrl.shardClaims["m1"] = claimRecord{Owner: "m1"}
+	free := availability.Function{Kind: planner.InstanceOffering{Type: "small", Zone: "a"}.Key(), Count: 30, Resources: availability.Resources{CPUs: 1, MemoryGB: 32},
+		Samples: []availability.Sample{{TimeMS: 1000}, {TimeMS: 101_000, AvailableMS: 100_000}}}
+	ctrl.peers["m1"] = &peerState{receivedAtMS: 1000, message: PeerMessage{From: "m1", OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{free}}}}}
+	j := &Job{Request: availability.Resources{CPUs: 1}, Tasks: 100}
+	offers := ctrl.peerCapacities(j, 10_000, 12_000, 100)
+	if len(offers) != 1 || offers[0].tasks != 10 {
 		t.Fatalf("offers %+v", offers)
 	}
-	if n := m.peerRoom(offers[0].sr, j, 10_000, 12_000, 10, true); n != 10 {
+	if n := ctrl.peerTaskCapacity(offers[0].peerShard, j, 10_000, 12_000, 10, true); n != 10 {
 		t.Errorf("%d tasks taken", n)
 	}
-	if n := m.peerRoom(offers[0].sr, j, 10_000, 12_000, 100, false); n != 20 {
+	if n := ctrl.peerTaskCapacity(offers[0].peerShard, j, 10_000, 12_000, 100, false); n != 20 {
 		t.Errorf("%d left", n)
 	}
 }
 
 // A machine with room takes a task whose image it has before one that would have
 // to fetch, but not past the start that the latter's class asks for.
-func TestPickKeepsStartAims(t *testing.T) {
+func TestImageLocalityYieldsToStartObjectives(t *testing.T) {
 	for _, c := range []struct {
-		tight int64 // how long until the first job must end to have started in time
-		want  string
+		slackMS  int64 // how long until the first job must end to have started in time
+		expected string
 	}{{40_000, "job-000002/0"}, {13_000, "job-000001/0"}} {
-		m, s, mc := holding(t)
-		m.setTypes([]MachineType{{Name: "small", Room: availability.Room{CPUs: 8, MemoryGB: 32}, FetchGBps: 1, BootS: 10, Zones: []string{"a"}}})
-		mc.seat.Keep("here", planner.Image{UsedAt: 1, GB: 2}, 0)
-		s.spare = 8
+		ctrl, s, mc := newControllerWithShard(t)
+		ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, ImageFetchGBps: 1, BootS: 10, Zones: []string{"a"}}})
+		mc.imageCache.RecordUse("here", planner.Image{LastUsedMS: 1, SizeGB: 2}, 0)
+		s.spareCPUs = 8
 		for i, image := range []string{"away", "here"} {
-			rec := testJob(Range{Lo: 0, Hi: 1, Shard: "m0"})
+			rec := newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})
 			rec.Job.ID = []string{"job-000001", "job-000002"}[i]
-			rec.Job.Image, rec.Job.Request = image, availability.Room{CPUs: 8, DiskGB: 2}
-			m.apply(Item{Key: jobKey(rec.Job.ID), Value: encode(rec), Rev: uint64(20 + i)})
-			w := m.jobs[rec.Job.ID].works[0]
-			s.queue = append(s.queue, &group{w: w, j: &w.job.rec.Job, Group: planner.Group{Ask: w.job.rec.Job.ask(), Length: 10_000, Tight: m.now.Wall + c.tight, Due: m.now.Wall + 100_000}})
+			rec.Job.Image, rec.Job.Request = image, availability.Resources{CPUs: 8, DiskGB: 2}
+			ctrl.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(20 + i)})
+			tr := ctrl.jobs[rec.Job.ID].taskRanges[0]
+			s.queue = append(s.queue, &taskGroup{taskRange: tr, job: &tr.job.rec.Job, Group: planner.Group{Request: tr.job.rec.Job.resourceRequest(), LengthMS: 10_000, ObjectiveDeadlineMS: ctrl.now.WallMS + c.slackMS, DeadlineMS: ctrl.now.WallMS + 100_000}})
 		}
 		mc.commands = nil
-		m.pick(s, mc, &Report{Session: 1, Seq: 4})
-		if len(mc.commands) != 1 || mc.commands[0].Task != c.want {
-			t.Errorf("with %d ms to the aim: %+v, not %s", c.tight, mc.commands, c.want)
+		ctrl.startFromQueue(s, mc, &Heartbeat{Incarnation: 1, Seq: 4})
+		if len(mc.commands) != 1 || mc.commands[0].Task != c.expected {
+			t.Errorf("with %d ms to the aim: %+v, not %s", c.slackMS, mc.commands, c.expected)
 		}
 	}
 }
@@ -490,7 +490,7 @@
 // A team whose limit a lower priority fills gets its guarantee for a higher one
 // by stopping tasks that lose nothing: saving ones, or ones whose image is not
 // there. What they give up goes to whom they were stopped for.
-func TestSavingTasksMakeRoomForTheGuarantee(t *testing.T) {
+func TestCheckpointedTasksAreStoppedForGuarantee(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		checkpoint         float64
@@ -504,90 +504,90 @@
 		{"no guarantee", 1, "running", 0, 0, false},
 		{"would be late by it", 1, "running", 4, 25, false},
 	} {
-		m, s, mc := holding(t)
-		m.p.Teams = map[string]Team{"ops": {CPUs: c.guarantee, MaxCPUs: 4}}
-		m.p.GuaranteeS = 10
-		m.openTeams()
+		ctrl, s, mc := newControllerWithShard(t)
+		ctrl.params.Teams = map[string]Team{"ops": {CPUs: c.guarantee, MaxCPUs: 4}}
+		ctrl.params.GuaranteeWithinS = 10
+		ctrl.initTeamLedgers()
 		put := func(id string, p Priority, tasks int, cpus, checkpoint, deadline float64, rev uint64) {
-			rec := testJob(Range{Lo: 0, Hi: tasks, Shard: "m0"})
+			rec := newTestJobRecord(Range{Lo: 0, Hi: tasks, Shard: "m0"})
 			j := &rec.Job
-			j.ID, j.Team, j.Priority, j.EstimateS, j.DeadlineS, rec.Accepted = id, "ops", p, 20, deadline, m.now.Wall
-			j.Request.CPUs, j.CheckpointS, j.SaveS = cpus, checkpoint, checkpoint
-			m.apply(Item{Key: jobKey(id), Value: encode(rec), Rev: rev})
+			j.ID, j.Team, j.Priority, j.EstimateS, j.DeadlineS, rec.AcceptedAtMS = id, "ops", p, 20, deadline, ctrl.now.WallMS
+			j.Request.CPUs, j.CheckpointIntervalS, j.CheckpointDurationS = cpus, checkpoint, checkpoint
+			ctrl.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
 		}
 		seq := uint64(3)
-		report := func(tasks ...TaskReport) []Command {
+		heartbeat := func(tasks ...TaskStatus) []Command {
 			seq++
-			m.Report(m.now, seq, Report{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: 11, Tasks: tasks})
-			return m.Take().Workers[seq].Commands
+			ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks})
+			return ctrl.TakeOutputs().HeartbeatResponses[seq].Commands
 		}
 		put("job-000001", Normal, 1, 4, c.checkpoint, c.overdue, 21)
-		m.plan(s)
-		cs := report()
-		if len(cs) != 1 {
-			t.Fatalf("%s: the first job is told %+v", c.name, cs)
+		ctrl.planShard(s)
+		commands := heartbeat()
+		if len(commands) != 1 {
+			t.Fatalf("%s: the first job is told %+v", c.name, commands)
 		}
-		task := TaskReport{Task: cs[0].Task, Attempt: cs[0].Attempt, State: c.state}
-		report(task)
+		task := TaskStatus{Task: commands[0].Task, Attempt: commands[0].Attempt, State: c.state}
+		heartbeat(task)
 		put("job-000002", High, 2, 2, 0, 60, 22)
-		m.plan(s)
-		cs = report(task)
-		if stopped := len(cs) == 1 && cs[0].Kind == Stop && cs[0].GraceS >= c.checkpoint; stopped != c.stops || !stopped && len(cs) > 0 {
-			t.Errorf("%s: told %+v", c.name, cs)
+		ctrl.planShard(s)
+		commands = heartbeat(task)
+		if stopped := len(commands) == 1 && commands[0].Kind == CommandStop && commands[0].GraceS >= c.checkpoint; stopped != c.stops || !stopped && len(commands) > 0 {
+			t.Errorf("%s: told %+v", c.name, commands)
 			continue
 		}
 		if !c.stops {
 			continue
 		}
-		if use := s.use["ops"].CPUs; use != 4 {
-			t.Errorf("%s: a task that was told to stop no longer counts: %g in use", c.name, use)
+		if usedCPUs := s.usage["ops"].CPUs; usedCPUs != 4 {
+			t.Errorf("%s: a task that was told to stop no longer counts: %g in use", c.name, usedCPUs)
 		}
-		m.now = Now{m.now.Steady + 2000, m.now.Wall + 2000}
-		m.acc.Stand(1, m.now.Steady, m.now.Steady)
-		task.State, task.Why, task.Saved = "exited", "stopped", c.checkpoint > 0
-		m.plan(s)
+		ctrl.now = Now{ctrl.now.MonotonicMS + 2000, ctrl.now.WallMS + 2000}
+		ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+		task.State, task.Reason, task.Checkpointed = "exited", "stopped", c.checkpoint > 0
+		ctrl.planShard(s)
 		var started []string
-		for _, cmd := range report(task) {
-			if cmd.Kind == Start {
+		for _, cmd := range heartbeat(task) {
+			if cmd.Kind == CommandStart {
 				started = append(started, cmd.Task)
 			}
 		}
 		if !slices.Equal(started, []string{"job-000002/0", "job-000002/1"}) {
 			t.Errorf("%s: %v start when it is over", c.name, started)
 		}
-		if mc.live != 2 {
-			t.Errorf("%s: %d attempts on the machine", c.name, mc.live)
+		if mc.liveAttemptCount != 2 {
+			t.Errorf("%s: %d attempts on the machine", c.name, mc.liveAttemptCount)
 		}
 	}
 }
 
 // A machine that was thought lost tells of a result while the tail that it
 // belongs to goes to a peer. What is left still ends.
-func TestMovedTailDoesNotCount(t *testing.T) {
-	m, s, mc := holding(t)
+func TestResultsOfMovedRangeDoNotCount(t *testing.T) {
+	ctrl, s, mc := newControllerWithShard(t)
 	put := func(rev uint64, ranges ...Range) {
-		rec := testJob(ranges...)
+		rec := newTestJobRecord(ranges...)
 		rec.Job.Tasks = 4
-		m.apply(Item{Key: jobKey("job-000001"), Value: encode(rec), Rev: rev})
+		ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: rev})
 	}
 	put(21, Range{Lo: 0, Hi: 4, Shard: "m0"})
-	w := m.jobs["job-000001"].works[0]
-	w.finish(0)
-	w.moving = true
-	m.takeTasks(s, mc, &Report{Machine: "i-1", Session: 1, Seq: 9, Tasks: []TaskReport{
-		{Task: "job-000001/3", Attempt: 1, State: "exited", Why: "done"}, {Task: "job-000001/2", Attempt: 2, State: "running"}}})
-	if w.nDone != 2 || w.nBusy != 0 || len(mc.commands) != 1 || mc.commands[0].Kind != Stop || mc.commands[0].Task != "job-000001/2" {
-		t.Fatalf("while moving: %d done, %d busy, told %+v", w.nDone, w.nBusy, mc.commands)
-	}
-	put(22, Range{Lo: 0, Hi: 2, Shard: "m0"}, Range{Lo: 2, Hi: 4, Shard: "m1", Moved: true})
-	w.moving = false
-	if w.size() != 2 || w.nDone != 1 || w.pending() != 1 {
-		t.Fatalf("%d tasks, %d done, %d wait", w.size(), w.nDone, w.pending())
-	}
-	w.finish(1)
-	m.Take()
-	m.tickShard(s)
-	if ops := m.Take().Store; !slices.ContainsFunc(ops, func(op StoreOp) bool {
+	tr := ctrl.jobs["job-000001"].taskRanges[0]
+	tr.markDone(0)
+	tr.moving = true
+	ctrl.reconcileTasks(s, mc, &Heartbeat{Machine: "i-1", Incarnation: 1, Seq: 9, Tasks: []TaskStatus{
+		{Task: "job-000001/3", Attempt: 1, State: "exited", Reason: "done"}, {Task: "job-000001/2", Attempt: 2, State: "running"}}})
+	if tr.doneCount != 2 || tr.assignedCount != 0 || len(mc.commands) != 1 || mc.commands[0].Kind != CommandStop || mc.commands[0].Task != "job-000001/2" {
+		t.Fatalf("while moving: %d done, %d busy, told %+v", tr.doneCount, tr.assignedCount, mc.commands)
+	}
+	put(22, Range{Lo: 0, Hi: 2, Shard: "m0"}, Range{Lo: 2, Hi: 4, Shard: "m1", MovedFromPeer: true})
+	tr.moving = false
+	if tr.size() != 2 || tr.doneCount != 1 || tr.pending() != 1 {
+		t.Fatalf("%d tasks, %d done, %d wait", tr.size(), tr.doneCount, tr.pending())
+	}
+	tr.markDone(1)
+	ctrl.TakeOutputs()
+	ctrl.tickShard(s)
+	if ops := ctrl.TakeOutputs().StoreOps; !slices.ContainsFunc(ops, func(op StoreOp) bool {
 		return op.Kind == StoreTxn && slices.ContainsFunc(op.Changes, func(c Change) bool { return c.Key == jobKey("job-000001") })
 	}) {
 		t.Errorf("its end is not written: %+v", ops)
@@ -596,96 +596,96 @@
 
 // A notice asks for what the tasks will need that the machine does not end,
 // beyond the room that other machines have.
-func TestNoticeAsksForMachinesAhead(t *testing.T) {
-	m, s, mc := holding(t)
+func TestTerminationNoticeForecastsDemand(t *testing.T) {
+	ctrl, s, mc := newControllerWithShard(t)
 	for i, length := range []float64{5, 60} {
-		rec := testJob(Range{Lo: 0, Hi: 2, Shard: "m0"})
+		rec := newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})
 		rec.Job.ID, rec.Job.EstimateS, rec.Job.Spot = fmt.Sprintf("job-%06d", i+1), length, true
 		rec.Job.Request.CPUs = 2
-		m.apply(Item{Key: jobKey(rec.Job.ID), Value: encode(rec), Rev: uint64(21 + i)})
+		ctrl.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(21 + i)})
 	}
-	m.plan(s)
-	m.starts(s, mc, &Report{Session: 1, Seq: 3})
-	if mc.live != 4 {
-		t.Fatalf("%d tasks run", mc.live)
+	ctrl.planShard(s)
+	ctrl.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 3})
+	if mc.liveAttemptCount != 4 {
+		t.Fatalf("%d tasks run", mc.liveAttemptCount)
 	}
-	m.plan(s)
-	if len(s.foreseen) != 0 {
-		t.Fatalf("without a notice: %+v", s.foreseen)
+	ctrl.planShard(s)
+	if len(s.forecastDemand) != 0 {
+		t.Fatalf("without a notice: %+v", s.forecastDemand)
 	}
-	mc.goneAt = m.now.Steady + 20_000
-	m.plan(s)
-	if len(s.foreseen) != 1 || s.foreseen[0].Count != 2 || s.foreseen[0].Length != 60_000 || !s.foreseen[0].SpotOnly {
-		t.Fatalf("with a notice of 20 s: %+v", s.foreseen)
+	mc.terminatesAt = ctrl.now.MonotonicMS + 20_000
+	ctrl.planShard(s)
+	if len(s.forecastDemand) != 1 || s.forecastDemand[0].Tasks != 2 || s.forecastDemand[0].TaskRuntimeMS != 60_000 || !s.forecastDemand[0].SpotOnly {
+		t.Fatalf("with a notice of 20 s: %+v", s.forecastDemand)
 	}
-	m.apply(Item{Key: machinePrefix + "1-2", Value: encode(rosterRecord{Shard: "m0", Type: "small", Zone: "a", Spot: true, Machines: []string{"i-2"}, Rented: m.now.Wall}), Rev: 30})
-	if m.plan(s); len(s.foreseen) != 0 {
-		t.Errorf("with a machine that boots: %+v", s.foreseen)
+	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-2", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", Spot: true, MachineIDs: []string{"i-2"}, ProvisionedAtMS: ctrl.now.WallMS}), Rev: 30})
+	if ctrl.planShard(s); len(s.forecastDemand) != 0 {
+		t.Errorf("with a machine that boots: %+v", s.forecastDemand)
 	}
 }
 
 // A claim whose progress is not read renews no lease: it could not stop a task whose
 // job was cancelled while its shard had no holder.
-func TestNoLeaseIsRenewedBeforeTheShardIsReady(t *testing.T) {
-	m, s, _ := holding(t)
+func TestWorkerLeaseIsNotRenewedBeforeShardIsReady(t *testing.T) {
+	ctrl, s, _ := newControllerWithShard(t)
 	s.ready = false
-	m.Report(m.now, 5, Report{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 4, Token: 11})
-	if a := m.Take().Workers[5]; a.Accepted || a.Redirect != "" {
+	ctrl.HandleHeartbeat(ctrl.now, 5, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 4, Token: 11})
+	if a := ctrl.TakeOutputs().HeartbeatResponses[5]; a.Accepted || a.RedirectTo != "" {
 		t.Errorf("answered %+v", a)
 	}
 }
 
 // A machine that an operator drains starts nothing; taken off the list, it does.
-func TestDrainIsUndone(t *testing.T) {
-	m, s, mc := holding(t)
-	m.apply(Item{Key: jobKey("job-000001"), Value: encode(testJob(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13})
-	run := TaskReport{Task: "job-000001/0", Attempt: 7 << 28, State: "running"}
+func TestUndrainedMachineStartsTasksAgain(t *testing.T) {
+	ctrl, s, mc := newControllerWithShard(t)
+	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13})
+	running := TaskStatus{Task: "job-000001/0", Attempt: 7 << 28, State: "running"}
 	seq := uint64(3)
-	tick := func(list ...string) {
-		m.now.Steady += 1000
-		m.acc.Stand(1, m.now.Steady, m.now.Steady)
-		m.settings.Drain = list
+	heartbeatAndTick := func(drainList ...string) {
+		ctrl.now.MonotonicMS += 1000
+		ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+		ctrl.settings.Drain = drainList
 		seq++
-		m.Report(m.now, seq, Report{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: 11, Tasks: []TaskReport{run}})
-		m.tickShard(s)
+		ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: []TaskStatus{running}})
+		ctrl.tickShard(s)
 	}
-	tick("i-1")
-	before := m.Counters.Starts // the first report came before the list
-	tick("i-1")
-	if !mc.aside || m.Counters.Starts != before || mc.returning {
-		t.Errorf("drained: %+v, %d starts", mc, m.Counters.Starts-before)
+	heartbeatAndTick("i-1")
+	startsBefore := ctrl.Counters.Starts // the first report came before the list
+	heartbeatAndTick("i-1")
+	if !mc.cordoned || ctrl.Counters.Starts != startsBefore || mc.releasing {
+		t.Errorf("drained: %+v, %d starts", mc, ctrl.Counters.Starts-startsBefore)
 	}
-	tick()
-	tick()
-	if mc.aside || m.Counters.Starts == before || mc.returning {
-		t.Errorf("undone: aside %v, returning %v", mc.aside, mc.returning)
+	heartbeatAndTick()
+	heartbeatAndTick()
+	if mc.cordoned || ctrl.Counters.Starts == startsBefore || mc.releasing {
+		t.Errorf("undone: aside %v, returning %v", mc.cordoned, mc.releasing)
 	}
 }
 
 // After a claim, a few machines that stay silent are given up after half a lease;
 // where most are, it is the network, and they are waited for.
-func TestFewSilentMachinesAreGivenUp(t *testing.T) {
+func TestFewSilentMachinesAreReleasedAfterHalfALease(t *testing.T) {
 	for _, silent := range []int{1, 3} {
-		m, s, _ := holding(t)
+		ctrl, s, _ := newControllerWithShard(t)
 		ids := []string{"i-2", "i-3", "i-4"}
-		m.apply(Item{Key: machinePrefix + "1-2", Value: encode(rosterRecord{Shard: "m0", Type: "small", Zone: "a", Machines: ids}), Rev: 30})
-		m.apply(Item{Key: upPrefix + "m0/1", Value: encode(upRecord{ids}), Rev: 31})
+		ctrl.applyChange(KeyValue{Key: registryPrefix + "1-2", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: ids}), Rev: 30})
+		ctrl.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/1", Value: mustEncode(liveMachinesRecord{ids}), Rev: 31})
 		for _, id := range ids[silent:] {
-			m.Report(m.now, 7, Report{Machine: id, Addr: "x", Type: "small", Zone: "a", Session: 1, Seq: 3, Token: 11})
+			ctrl.HandleHeartbeat(ctrl.now, 7, Heartbeat{Machine: id, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 3, Token: 11})
 		}
-		for _, half := range []bool{false, true} {
-			if half {
-				m.now.Steady += ms(m.p.LeaseS)/2 + 1
+		for _, halfLeasePassed := range []bool{false, true} {
+			if halfLeasePassed {
+				ctrl.now.MonotonicMS += secondsToMS(ctrl.params.LeaseS)/2 + 1
 			}
-			m.tickSquares(s)
-			given := 0
+			ctrl.tickReconcile(s)
+			released := 0
 			for _, mc := range s.machines {
-				if mc.returning {
-					given++
+				if mc.releasing {
+					released++
 				}
 			}
-			if want := map[bool]int{true: 1}[half && silent == 1]; given != want {
-				t.Errorf("%d of 4 silent, half a lease passed %v: %d given up", silent, half, given)
+			if expected := map[bool]int{true: 1}[halfLeasePassed && silent == 1]; released != expected {
+				t.Errorf("%d of 4 silent, half a lease passed %v: %d given up", silent, halfLeasePassed, released)
 			}
 		}
 	}
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -12,193 +12,193 @@
 // shard beside the pages of progress: how long classes of jobs take against their
 // owners' estimates, and what machines hold that went silent (reconcile.Book).
 
-// memoryRecord is that value.
-type memoryRecord struct {
-	Lengths map[string]learnt         `json:"lengths,omitempty"`
-	Silent  map[string]reconcile.Note `json:"silent,omitempty"`
+// recoveryRecord is that value.
+type recoveryRecord struct {
+	Runtimes    map[string]runtimeRecord                `json:"lengths,omitempty"`
+	Unreachable map[string]reconcile.UnreachableMachine `json:"silent,omitempty"`
 }
 
-// learnt is a class's correction in a memoryRecord.
-type learnt struct {
-	Ratio float64 `json:"r"`
-	Seen  int     `json:"n"`
+// runtimeRecord is a class's correction in a recoveryRecord.
+type runtimeRecord struct {
+	Ratio   float64 `json:"r"`
+	Samples int     `json:"n"`
 }
 
-// memory is when a shard's is written and what was.
-type memory struct {
-	page    page
-	next    int64            // lengths alone are not worth a write before
-	lengths map[string]int64 // by class: the ratio that was written, in hundredths
-	quiet   int64            // no notes before: we stood still ourselves
-	ticked  int64
+// recoveryState is when a shard's is written and what was.
+type recoveryState struct {
+	writeState           recordWriteState
+	nextRuntimeWriteAtMS int64            // lengths alone are not worth a write before
+	writtenRuntimes      map[string]int64 // by class: the ratio that was written, in hundredths
+	quietUntilMS         int64            // no notes before: we stood still ourselves
+	lastTickMS           int64
 }
 
-// memoryKey is a shard's value. Pages are digits or hold a slash.
-func memoryKey(shard string) string { return progressPrefix + shard + "/memory" }
+// recoveryKey is a shard's value. Pages are digits or hold a slash.
+func recoveryKey(shard string) string { return progressPrefix + shard + "/memory" }
 
-// memoryClasses bounds the classes that are remembered, and memoryPart is which
+// maxRecoveryClasses bounds the classes that are remembered, and unreachableValueDivisor is which
 // part of a value silent machines' notes may take.
 const (
-	memoryClasses = 64
-	memoryPart    = 2
+	maxRecoveryClasses      = 64
+	unreachableValueDivisor = 2
 )
 
-// recall takes what an earlier claim wrote down.
-func (m *Member) recall(s *shard, it Item) {
-	s.memory.page.rev = it.Rev
-	var rec memoryRecord
-	if err := json.Unmarshal(it.Value, &rec); err != nil {
-		m.log(Warn, "record unreadable", "key", it.Key, "error", err)
+// restoreRecoveryRecord takes what an earlier claim wrote down.
+func (c *Controller) restoreRecoveryRecord(s *shard, kv KeyValue) {
+	s.memory.writeState.rev = kv.Rev
+	var rec recoveryRecord
+	if err := json.Unmarshal(kv.Value, &rec); err != nil {
+		c.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 		return
 	}
-	for class, l := range rec.Lengths {
-		if c := m.corrected[class]; (c == nil || c.seen < l.Seen) && l.Ratio > 0 && l.Ratio <= 5 {
-			m.corrected[class] = &correction{ratio: l.Ratio, seen: l.Seen}
+	for class, runtime := range rec.Runtimes {
+		if known := c.runtimeCorrections[class]; (known == nil || known.samples < runtime.Samples) && runtime.Ratio > 0 && runtime.Ratio <= 5 {
+			c.runtimeCorrections[class] = &runtimeCorrection{ratio: runtime.Ratio, samples: runtime.Samples}
 		}
 	}
-	s.squares.Book.Restore(rec.Silent)
-	for id := range rec.Silent {
-		if mc := m.machines[id]; mc == nil || mc.rec.Shard != s.name {
-			s.squares.Book.Remove(id)
+	s.reconciler.Ledger.Restore(rec.Unreachable)
+	for id := range rec.Unreachable {
+		if mc := c.machines[id]; mc == nil || mc.rec.Shard != s.name {
+			s.reconciler.Ledger.Remove(id)
 		}
 	}
 }
 
-// lengthsNews tells whether some class's length is off what was written by a
+// hasRuntimeUpdates tells whether some class's length is off what was written by a
 // twentieth.
-func (m *Member) lengthsNews(s *shard) bool {
-	for class, c := range m.corrected {
-		if was, ok := s.memory.lengths[class]; !ok || math.Abs(float64(was)-c.ratio*100) > 5 {
+func (c *Controller) hasRuntimeUpdates(s *shard) bool {
+	for class, correction := range c.runtimeCorrections {
+		if written, ok := s.memory.writtenRuntimes[class]; !ok || math.Abs(float64(written)-correction.ratio*100) > 5 {
 			return true
 		}
 	}
 	return false
 }
 
-// writeMemory writes a shard's memory when it has news; with recovery off, when
+// writeRecoveryRecord writes a shard's memory when it has news; with recovery off, when
 // notes that were made while it was on are out of date. What it says of silent
 // machines holds until another record is certain to have taken its place.
-func (m *Member) writeMemory(s *shard) {
-	me, now := &s.memory, m.now.Steady
-	if me.page.writing || now < me.page.next || !s.squares.Book.Dirty() && (!m.p.Recovery || now < me.next || !m.lengthsNews(s)) {
+func (c *Controller) writeRecoveryRecord(s *shard) {
+	recovery, now := &s.memory, c.now.MonotonicMS
+	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt || !s.reconciler.Ledger.HasUnstoredChanges() && (!c.params.Recovery || now < recovery.nextRuntimeWriteAtMS || !c.hasRuntimeUpdates(s)) {
 		return
 	}
-	rec := memoryRecord{Lengths: map[string]learnt{}, Silent: s.squares.Book.Record()}
+	rec := recoveryRecord{Runtimes: map[string]runtimeRecord{}, Unreachable: s.reconciler.Ledger.BuildRecord()}
 	written := map[string]int64{}
-	for class, c := range inOrder(m.corrected) {
-		if len(rec.Lengths) < memoryClasses && len(class) < 64 {
-			rec.Lengths[class] = learnt{math.Round(c.ratio*1000) / 1000, c.seen}
+	for class, correction := range sortedByKey(c.runtimeCorrections) {
+		if len(rec.Runtimes) < maxRecoveryClasses && len(class) < 64 {
+			rec.Runtimes[class] = runtimeRecord{math.Round(correction.ratio*1000) / 1000, correction.samples}
 		}
-		written[class] = int64(math.Round(c.ratio * 100))
+		written[class] = int64(math.Round(correction.ratio * 100))
 	}
-	me.next = now + ms(m.p.LeaseS)
-	m.writeOwn(s, memoryKey(s.name), &me.page, rec, m.progressEvery()/2, func(ok bool) {
+	recovery.nextRuntimeWriteAtMS = now + secondsToMS(c.params.LeaseS)
+	c.writeShardRecord(s, recoveryKey(s.name), &recovery.writeState, rec, c.progressWriteInterval()/2, func(ok bool) {
 		if !ok {
-			s.squares.Book.Failed()
+			s.reconciler.Ledger.MarkStoreFailed()
 			return
 		}
-		me.lengths = written
-		if len(s.squares.Book.Stored(rec.Silent)) > 0 {
+		recovery.writtenRuntimes = written
+		if len(s.reconciler.Ledger.ConfirmStored(rec.Unreachable)) > 0 {
 			s.dirty = true
 		}
 	})
 }
 
-// noteSilent writes down what machines hold that missed their reports, so that a
+// recordUnreachableMachines writes down what machines hold that missed their reports, so that a
 // claim after ours waits for them with no more than that. It is not done where we
 // may be the silent ones: after standing still, without the store, or when it is
 // more than a few.
-func (m *Member) noteSilent(s *shard) {
-	me, now := &s.memory, m.now.Steady
-	if now-me.ticked > m.reportGap()/4 {
-		me.quiet = now + m.reportGap()
+func (c *Controller) recordUnreachableMachines(s *shard) {
+	recovery, now := &s.memory, c.now.MonotonicMS
+	if now-recovery.lastTickMS > c.maxHeartbeatIntervalMS()/4 {
+		recovery.quietUntilMS = now + c.maxHeartbeatIntervalMS()
 	}
-	me.ticked = now
-	if !m.p.Recovery || now < me.quiet || m.acc.Link(now) != access.Up {
+	recovery.lastTickMS = now
+	if !c.params.Recovery || now < recovery.quietUntilMS || c.storeAccess.Link(now) != access.LinkUp {
 		return
 	}
-	var silent []*machine
+	var unreachable []*machine
 	for _, mc := range s.machines {
-		if mc.Up && mc.squared && now-mc.Last > m.reportGap() {
-			if n, noted := s.squares.Book.Holds(mc.id); !noted || mc.Standing() == reconcile.Silent && len(n.Ranges) > 0 {
-				silent = append(silent, mc)
+		if mc.Up && mc.everReconciled && now-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
+			if entry, recorded := s.reconciler.Ledger.Entry(mc.id); !recorded || mc.State() == reconcile.LeaseExpired && len(entry.Ranges) > 0 {
+				unreachable = append(unreachable, mc)
 			}
 		}
 	}
-	if len(silent) > len(s.machines)/reconcile.Few {
+	if len(unreachable) > len(s.machines)/reconcile.GiveUpDivisor {
 		return
 	}
-	for _, mc := range silent {
-		if mc.strays > 0 && mc.Squared() {
+	for _, mc := range unreachable {
+		if mc.orphanedTasks > 0 && mc.IsReconciled() {
 			continue
 		}
-		n := reconcile.Note{Use: map[string]reconcile.Amounts{}}
-		for _, a := range mc.byKey {
-			if !a.exited {
-				n.Ranges = append(n.Ranges, a.work.name())
-				n.Use[a.job.Team] = n.Use[a.job.Team].Add(reconcile.Amounts{CPUs: a.job.Request.CPUs, GPUs: a.job.Request.GPUs})
+		entry := reconcile.UnreachableMachine{UsageByTeam: map[string]reconcile.ResourceUsage{}}
+		for _, attempt := range mc.byKey {
+			if !attempt.exited {
+				entry.Ranges = append(entry.Ranges, attempt.taskRange.name())
+				entry.UsageByTeam[attempt.job.Team] = entry.UsageByTeam[attempt.job.Team].Add(reconcile.ResourceUsage{CPUs: attempt.job.Request.CPUs, GPUs: attempt.job.Request.GPUs})
 			}
 		}
-		s.squares.Book.Write(mc.id, n, m.p.ValueBytes/memoryPart)
+		s.reconciler.Ledger.Put(mc.id, entry, c.params.MaxValueBytes/unreachableValueDivisor)
 	}
 }
 
-// tickSquares lets the squaring of a shard go on: machines that never speak are
+// tickReconcile lets the squaring of a shard go on: machines that never speak are
 // given up, those that are slow to are asked, and the line's pace follows what runs.
-func (m *Member) tickSquares(s *shard) {
-	now := m.now.Steady
-	for _, u := range s.squares.GiveUp(now) {
-		if mc := m.machines[u.ID]; mc != nil {
-			m.drain(s, mc, "silent since the claim")
+func (c *Controller) tickReconcile(s *shard) {
+	now := c.now.MonotonicMS
+	for _, unreported := range s.reconciler.MachinesToGiveUp(now) {
+		if mc := c.machines[unreported.ID]; mc != nil {
+			c.drain(s, mc, "silent since the claim")
 		}
 	}
-	m.askMachines(s)
-	m.noteSilent(s)
-	m.writeMemory(s)
-	unseen := len(s.squares.Unseen())
-	if unseen == 0 && !s.squared {
-		s.squared = true
-		m.logSquared(s)
+	c.probeUnreportedMachines(s)
+	c.recordUnreachableMachines(s)
+	c.writeRecoveryRecord(s)
+	unreportedMachines := len(s.reconciler.Unreported())
+	if unreportedMachines == 0 && !s.reconciled {
+		s.reconciled = true
+		c.logReconciled(s)
 	}
-	line := &s.squares.Line
-	if !line.On(now) {
+	pacer := &s.reconciler.Pacer
+	if !pacer.IsActive(now) {
 		return
 	}
 	if now-s.pacedAt >= 500 {
 		s.pacedAt = now
-		ends, seen := 0.0, 0
+		completionRate, reconciledMachines := 0.0, 0
 		for _, mc := range s.machines {
-			if mc.Up && mc.Squared() {
-				seen++
+			if mc.Up && mc.IsReconciled() {
+				reconciledMachines++
 			}
-			for _, a := range mc.byKey {
-				if !a.exited {
-					ends += 1 / float64(max(a.length, 1))
+			for _, attempt := range mc.byKey {
+				if !attempt.exited {
+					completionRate += 1 / float64(max(attempt.expectedRuntimeMS, 1))
 				}
 			}
 		}
-		line.Pace(ends * float64(seen+unseen) / float64(max(seen, 1)))
+		pacer.SetRate(completionRate * float64(reconciledMachines+unreportedMachines) / float64(max(reconciledMachines, 1)))
 	}
-	if unseen == 0 && now-s.squares.Since() > 2*m.reportGap() && line.Idle(now) {
-		line.End()
+	if unreportedMachines == 0 && now-s.reconciler.ClaimedAt() > 2*c.maxHeartbeatIntervalMS() && pacer.IsIdle(now) {
+		pacer.Deactivate()
 	}
 }
 
-// logSquared tells how a claim's squaring went.
-func (m *Member) logSquared(s *shard) {
+// logReconciled tells how a claim's squaring went.
+func (c *Controller) logReconciled(s *shard) {
 	var adopted, stopped, counted uint64
-	for p := range s.squares.Tally {
-		for _, n := range s.squares.Tally[p][reconcile.Live : reconcile.Live+1] {
-			if reconcile.Place(p) == reconcile.Free {
+	for place := range s.reconciler.VerdictCounts {
+		for _, n := range s.reconciler.VerdictCounts[place][reconcile.Active : reconcile.Active+1] {
+			if reconcile.TaskState(place) == reconcile.Unassigned {
 				adopted += n
 			} else {
 				stopped += n
 			}
 		}
 	}
-	for _, p := range []reconcile.Place{reconcile.Free, reconcile.Busy, reconcile.Moving} {
-		counted += s.squares.Tally[p][reconcile.Finished]
+	for _, place := range []reconcile.TaskState{reconcile.Unassigned, reconcile.Assigned, reconcile.Transferring} {
+		counted += s.reconciler.VerdictCounts[place][reconcile.Succeeded]
 	}
-	m.log(Info, "shard squared", "shard", s.name, "ms", m.now.Steady-s.squares.Since(), "machines", len(s.machines),
+	c.log(Info, "shard squared", "shard", s.name, "ms", c.now.MonotonicMS-s.reconciler.ClaimedAt(), "machines", len(s.machines),
 		"adopted", adopted, "results", counted, "stopped", stopped)
 }
--- a/scheduler/notes.go
+++ b/scheduler/notes.go
@@ -7,93 +7,93 @@
 // brings. Without it, nothing was rented for them, and nothing of theirs
 // returned, until members heard each other again.
 
-const notePrefix = "l/n/"
+const statusPrefix = "l/n/"
 
-// noteRecord is what a member's message says to the lead.
-type noteRecord struct {
-	Wall   int64       `json:"at"`
-	Shards []noteShard `json:"shards,omitempty"`
+// statusRecord is what a member's message says to the lead.
+type statusRecord struct {
+	WallMS int64               `json:"at"`
+	Shards []statusRecordShard `json:"shards,omitempty"`
 }
 
-type noteShard struct {
-	Shard   string   `json:"s"`
-	Needs   []Need   `json:"n,omitempty"`
-	Returns []string `json:"r,omitempty"`
+type statusRecordShard struct {
+	Shard             string           `json:"s"`
+	Demands           []CapacityDemand `json:"n,omitempty"`
+	MachinesToRelease []string         `json:"r,omitempty"`
 }
 
-// noteEvery is how often a note is written, in times between summaries: a
+// statusRecordSummaries is how often a note is written, in times between summaries: a
 // change each, and fresh for as long as a message is.
-const noteEvery = 2
+const statusRecordSummaries = 2
 
-// tellLead writes a note of what a message says if the lead cannot be heard.
-func (m *Member) tellLead(msg *PeerMessage) {
-	if m.p.Relays == 0 || m.lead == "" || m.lead == m.p.Member || m.noting || m.now.Steady < m.nextNote || !m.authority() || m.fresh(m.peers[m.lead]) {
+// publishStatusRecord writes a note of what a message says if the lead cannot be heard.
+func (c *Controller) publishStatusRecord(msg *PeerMessage) {
+	if c.params.MaxPendingRelays == 0 || c.leader == "" || c.leader == c.params.MemberID || c.writingStatusRecord || c.now.MonotonicMS < c.nextStatusRecordAtMS || !c.hasAuthority() || c.isFresh(c.peers[c.leader]) {
 		return
 	}
-	rec := noteRecord{Wall: msg.Wall}
+	rec := statusRecord{WallMS: msg.WallMS}
 	size := 64
-	said := 0
-	for _, sr := range msg.Shards {
-		ns := noteShard{Shard: sr.Shard}
-		size += len(sr.Shard) + 32
-		for _, n := range sr.Needs {
-			if size += len(encode(n)) + 1; size > m.p.ValueBytes {
+	entries := 0
+	for _, peerShard := range msg.OwnedShards {
+		recordShard := statusRecordShard{Shard: peerShard.Shard}
+		size += len(peerShard.Shard) + 32
+		for _, demand := range peerShard.Demands {
+			if size += len(mustEncode(demand)) + 1; size > c.params.MaxValueBytes {
 				break
 			}
-			ns.Needs = append(ns.Needs, n)
+			recordShard.Demands = append(recordShard.Demands, demand)
 		}
-		for _, id := range sr.Returns {
-			if size += len(id) + 3; size > m.p.ValueBytes {
+		for _, id := range peerShard.MachinesToRelease {
+			if size += len(id) + 3; size > c.params.MaxValueBytes {
 				break
 			}
-			ns.Returns = append(ns.Returns, id)
+			recordShard.MachinesToRelease = append(recordShard.MachinesToRelease, id)
 		}
-		said += len(ns.Needs) + len(ns.Returns)
-		rec.Shards = append(rec.Shards, ns)
+		entries += len(recordShard.Demands) + len(recordShard.MachinesToRelease)
+		rec.Shards = append(rec.Shards, recordShard)
 	}
-	if said == 0 && !m.noted {
+	if entries == 0 && !c.lastStatusRecordNonEmpty {
 		return
 	}
-	m.noting, m.noted, m.nextNote = true, said > 0, m.now.Steady+noteEvery*ms(m.settings.SummaryS)
-	key := notePrefix + m.p.Member
+	c.writingStatusRecord, c.lastStatusRecordNonEmpty, c.nextStatusRecordAtMS = true, entries > 0, c.now.MonotonicMS+statusRecordSummaries*secondsToMS(c.settings.SummaryS)
+	key := statusPrefix + c.params.MemberID
 	// Under the hold alone: the newest replaces what there is, and one that
 	// the network held back says its age.
-	m.ask(StoreOp{Kind: StoreTxn, Urgency: Progress, Changes: []Change{{Key: key, Value: encode(rec), Hold: m.acc.Hold()}}}, func(StoreResult) { m.noting = false })
+	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyBackground, Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}}}, func(StoreResult) { c.writingStatusRecord = false })
 }
 
-// applyNote takes a peer's note from the mirror.
-func (m *Member) applyNote(it Item) error {
-	from := it.Key[len(notePrefix):]
-	var rec noteRecord
-	if it.Value == nil {
-		delete(m.notes, from)
+// applyStatusRecord takes a peer's note from the mirror.
+func (c *Controller) applyStatusRecord(kv KeyValue) error {
+	from := kv.Key[len(statusPrefix):]
+	var rec statusRecord
+	if kv.Value == nil {
+		delete(c.statusRecords, from)
 		return nil
 	}
-	if err := json.Unmarshal(it.Value, &rec); err != nil {
+	if err := json.Unmarshal(kv.Value, &rec); err != nil {
 		return err
 	}
-	if m.now.Wall-rec.Wall > m.freshFor() {
+	if c.now.WallMS-rec.WallMS > c.maxMessageAgeMS() {
 		return nil // read with the mirror, or held back
 	}
-	if n := m.notes[from]; n != nil && n.wall > rec.Wall {
+	if last := c.statusRecords[from]; last != nil && last.sentWallMS > rec.WallMS {
 		return nil // carried out late, after a newer one
 	}
-	msg := PeerMessage{From: from, Wall: rec.Wall}
+	msg := PeerMessage{From: from, WallMS: rec.WallMS}
 	for _, s := range rec.Shards {
-		msg.Shards = append(msg.Shards, ShardReport{Shard: s.Shard, Needs: s.Needs, Returns: s.Returns})
+		msg.OwnedShards = append(msg.OwnedShards, PeerShard{Shard: s.Shard, Demands: s.Demands, MachinesToRelease: s.MachinesToRelease})
 	}
-	m.notes[from] = &peerState{at: m.now.Steady, wall: rec.Wall, msg: msg}
+	c.statusRecords[from] = &peerState{receivedAtMS: c.now.MonotonicMS, sentWallMS: rec.WallMS, message: msg}
 	return nil
 }
 
-// heard visits what the lead knows of each member's wants: by message or, if
+// forEachFreshMessage visits what the lead knows of each member's wants: by message or, if
 // those do not come, by note.
-func (m *Member) heard(f func(from string, msg *PeerMessage)) {
-	for _, from := range m.members() {
-		if p := m.peers[from]; m.fresh(p) {
-			f(from, &p.msg)
-		} else if p := m.notes[from]; m.fresh(p) {
-			f(from, &p.msg)
+func (c *Controller) forEachFreshMessage(visit func(from string, msg *PeerMessage)) {
+	for _, from := range c.memberIDs() {
+		if peer := c.peers[from]; c.isFresh(peer) {
+			visit(from, &peer.message)
+		} else if peer := c.statusRecords[from]; c.isFresh(peer) {
+			visit(from, &peer.message)
 		}
 	}
 }
--- a/scheduler/pairs_test.go
+++ b/scheduler/pairs_test.go
@@ -8,50 +8,50 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// burst has a dozen jobs come at once.
-func (w *world) burst() {
-	w.bursts++
-	first := 1000 * w.bursts
+// submitBurst has a dozen jobs come at once.
+func (sim *testSimulation) submitBurst() {
+	sim.burstCount++
+	first := 1000 * sim.burstCount
 	for n := range 12 {
-		w.After(w.Rand.Int64N(1500), func() { w.submit(first + n) })
+		sim.After(sim.Rand.Int64N(1500), func() { sim.submitNthJob(first + n) })
 	}
 }
 
 // Pairs of everything, each trouble with each other and with itself, two or three times a
 // day at random moments: no rule breaks, all jobs end, nobody is forgotten or left out.
-func TestPairsOfTroubles(t *testing.T) {
+func TestInvariantsSurvivePairsOfFaults(t *testing.T) {
 	// A burst is of this test's jobs: it stands for a trouble that the emulator does not know.
-	troubles := append(slices.Clone(emulator.Troubles), emulator.Trouble{Name: "a burst"})
-	begins := func(w *world, x emulator.Trouble) {
-		if x.Begins == nil {
-			w.burst()
+	faults := append(slices.Clone(emulator.Faults), emulator.Fault{Name: "a burst"})
+	inject := func(sim *testSimulation, fault emulator.Fault) {
+		if fault.Inject == nil {
+			sim.submitBurst()
 		} else {
-			x.Begins(w.World)
+			fault.Inject(sim.Simulation)
 		}
 	}
-	for i, a := range troubles {
-		t.Run(a.Name, func(t *testing.T) {
+	for i, first := range faults {
+		t.Run(first.Name, func(t *testing.T) {
 			t.Parallel()
-			for k, b := range troubles[i:] {
-				for seed := range max(1, *seeds/24) {
-					id := 100_000 + 10_000*i + 100*(i+k) + seed // for -sim
-					w := build(scale{members: 3, capacity: 3, tasks: 8, teamCPUs: 64}, emulator.Options{
-						Seed: uint64(id), RunMS: func(w *emulator.World, _ *emulator.Job, _ string) int64 { return 1000 + w.Rand.Int64N(15_000) }})
-					w.calm, w.Trace = true, *trace == id
-					for range 2 + w.Rand.IntN(2) {
-						w.After(9000+w.Rand.Int64N(30_000), func() { begins(w, a) })
-						w.After(9000+w.Rand.Int64N(30_000), func() { begins(w, b) })
+			for offset, second := range faults[i:] {
+				for seed := range max(1, *seedCount/24) {
+					id := 100_000 + 10_000*i + 100*(i+offset) + seed // for -sim
+					sim := newTestSimulationWith(simScale{members: 3, capacityPerOffering: 3, maxTasks: 8, teamCPUs: 64}, emulator.Options{
+						Seed: uint64(id), TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(15_000) }})
+					sim.noRandomFaults, sim.TraceEnabled = true, *traceSeed == id
+					for range 2 + sim.Rand.IntN(2) {
+						sim.After(9000+sim.Rand.Int64N(30_000), func() { inject(sim, first) })
+						sim.After(9000+sim.Rand.Int64N(30_000), func() { inject(sim, second) })
 					}
-					w.shape = func(j *scheduler.Job, n int) {
+					sim.adjustJob = func(j *scheduler.Job, n int) {
 						if n >= 1000 {
 							j.Tasks = min(j.Tasks, 4)
 						}
 					}
-					w.run(45_000, 700_000, 24)
-					w.check(t)
-					w.served(t)
+					sim.runScenario(45_000, 700_000, 24)
+					sim.checkInvariants(t)
+					sim.checkServed(t)
 					if t.Failed() {
-						t.Fatalf("%s and %s: -sim %d", a.Name, b.Name, id)
+						t.Fatalf("%s and %s: -sim %d", first.Name, second.Name, id)
 					}
 				}
 			}
