--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -10,214 +10,214 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// farSpan is the horizon of a job without any aim, in leases: far enough that
+// noDeadlineSpanLeases is the horizon of a job without any aim, in leases: far enough that
 // any job with a deadline goes first.
-const farSpan = 100
+const noDeadlineSpanLeases = 100
 
-// aims are the times that a job's tasks are admitted for. tight is when they
+// taskDeadlines are the times that a job's tasks are admitted for. tight is when they
 // must end to have started as their class's aims ask; due is the earliest time
 // that still counts for something and can still be met. lost says that none can:
 // due is then the last one, and the job aims late.
-func (m *Member) aims(j *Job, accepted, length int64) (tight, due int64, lost bool) {
-	far := accepted + farSpan*ms(m.p.LeaseS)
-	start := far
-	for _, o := range m.p.Objectives[j.Class] {
+func (c *Controller) taskDeadlines(j *Job, accepted, runtimeMS int64) (startObjectiveEnd, deadline int64, missed bool) {
+	far := accepted + noDeadlineSpanLeases*secondsToMS(c.params.LeaseS)
+	startBy := far
+	for _, o := range c.params.Objectives[j.Class] {
 		if o.Kind == "wait" {
-			start = min(start, accepted+ms(o.WithinS))
+			startBy = min(startBy, accepted+secondsToMS(o.WithinS))
 		}
 	}
-	if t := m.p.Teams[j.Team]; m.p.GuaranteeS > 0 && (t.CPUs > 0 || t.GPUs > 0) {
-		start = min(start, accepted+ms(m.p.GuaranteeS))
+	if t := c.params.Teams[j.Team]; c.params.GuaranteeWithinS > 0 && (t.CPUs > 0 || t.GPUs > 0) {
+		startBy = min(startBy, accepted+secondsToMS(c.params.GuaranteeWithinS))
 	}
-	due = far
-	if ladder := m.rungs(j, accepted); len(ladder) > 0 {
-		lost = true
-		due = ladder[len(ladder)-1]
-		for _, t := range ladder {
-			if m.now.Wall+length <= t {
-				due, lost = t, false
+	deadline = far
+	if deadlines := c.objectiveDeadlines(j, accepted); len(deadlines) > 0 {
+		missed = true
+		deadline = deadlines[len(deadlines)-1]
+		for _, t := range deadlines {
+			if c.now.WallMS+runtimeMS <= t {
+				deadline, missed = t, false
 				break
 			}
 		}
 	}
-	return min(start+length, due), due, lost
+	return min(startBy+runtimeMS, deadline), deadline, missed
 }
 
-// rungs are the times by which it counts that a job is done, in order.
-func (m *Member) rungs(j *Job, accepted int64) []int64 {
-	var ladder []int64
+// objectiveDeadlines are the times by which it counts that a job is done, in order.
+func (c *Controller) objectiveDeadlines(j *Job, accepted int64) []int64 {
+	var deadlines []int64
 	if j.DeadlineS > 0 {
-		ladder = append(ladder, accepted+ms(j.DeadlineS))
+		deadlines = append(deadlines, accepted+secondsToMS(j.DeadlineS))
 	}
-	for _, o := range m.p.Objectives[j.Class] {
+	for _, o := range c.params.Objectives[j.Class] {
 		switch o.Kind {
 		case "deadline":
-			if j.DeadlineS > 0 && o.Times > 1 {
-				ladder = append(ladder, accepted+ms(j.DeadlineS*o.Times))
+			if j.DeadlineS > 0 && o.DeadlineFactor > 1 {
+				deadlines = append(deadlines, accepted+secondsToMS(j.DeadlineS*o.DeadlineFactor))
 			}
 		case "finished":
-			ladder = append(ladder, accepted+ms(o.WithinS))
+			deadlines = append(deadlines, accepted+secondsToMS(o.WithinS))
 		}
 	}
-	slices.Sort(ladder)
-	return ladder
+	slices.Sort(deadlines)
+	return deadlines
 }
 
-// ask is what placement sees of a job.
-func (j *Job) ask() planner.Ask {
-	return planner.Ask{Request: j.Request, Image: j.Image, Types: j.Types, Zone: j.Zone, Spot: j.Spot}
+// resourceRequest is what placement sees of a job.
+func (j *Job) resourceRequest() planner.ResourceRequest {
+	return planner.ResourceRequest{Resources: j.Request, Image: j.Image, Types: j.Types, Zone: j.Zone, AllowsSpot: j.Spot}
 }
 
-// allowed tells whether a job may use a kind of machine at all.
-func (m *Member) allowed(j *Job, typ, zone string, spot bool) bool {
-	a := j.ask()
-	return m.catalog.Allowed(&a, planner.Kind{Type: typ, Zone: zone, Spot: spot})
+// isOfferingAllowed tells whether a job may use a kind of machine at all.
+func (c *Controller) isOfferingAllowed(j *Job, typ, zone string, spot bool) bool {
+	request := j.resourceRequest()
+	return c.placementCatalog.IsAllowed(&request, planner.InstanceOffering{Type: typ, Zone: zone, Spot: spot})
 }
 
 // fitsType tells whether some machine of a type may take a job.
-func (m *Member) fitsType(j *Job, t *MachineType) bool {
-	a := j.ask()
-	return m.catalog.Fits(&a, m.catalog.Type(t.Name))
+func (c *Controller) fitsType(j *Job, t *MachineType) bool {
+	request := j.resourceRequest()
+	return c.placementCatalog.FitsType(&request, c.placementCatalog.Type(t.Name))
 }
 
-// short tells whether a type should be left to others by a job that fits other
+// isTypeScarce tells whether a type should be left to others by a job that fits other
 // types too: some live job fits no other.
-func (m *Member) short(j *Job, t *MachineType) bool {
-	a := j.ask()
-	return m.catalog.Short(&a, t.Name)
+func (c *Controller) isTypeScarce(j *Job, t *MachineType) bool {
+	request := j.resourceRequest()
+	return c.placementCatalog.ShouldAvoid(&request, t.Name)
 }
 
 // withoutDisk leaves the image out: a machine that must make room for it does.
-func withoutDisk(r availability.Room) availability.Room {
+func withoutDisk(r availability.Resources) availability.Resources {
 	r.DiskGB = 0
 	return r
 }
 
-// fillBoard puts a shard's machines on its board, with a lane for each live attempt.
-func (m *Member) fillBoard(s *shard) {
-	wall := m.now.Wall
-	b := s.board
+// buildClusterView puts a shard's machines on its board, with a lane for each live attempt.
+func (c *Controller) buildClusterView(s *shard) {
+	wall := c.now.WallMS
+	b := s.clusterView
 	b.Begin(wall)
-	s.onBoard = s.onBoard[:0]
-	s.aimed = 0
-	clear(s.rest)
-	clear(s.pledged)
+	s.viewMachines = s.viewMachines[:0]
+	s.objectiveCPUs = 0
+	clear(s.remainingWork)
+	clear(s.reservedTasks)
 	for _, mc := range s.machines {
-		mc.plan = nil
-		if !m.usable(mc) {
+		mc.plannedStarts = nil
+		if !c.isSchedulable(mc) {
 			continue
 		}
 		upAt := wall
 		if !mc.Up {
-			boot := ms(m.types[mc.rec.Type].BootS)
-			upAt = mc.rec.Rented + boot
-			if late := wall - upAt; late > 0 {
-				if late > boot*2 {
+			boot := secondsToMS(c.machineTypes[mc.rec.Type].BootS)
+			upAt = mc.rec.ProvisionedAtMS + boot
+			if overdue := wall - upAt; overdue > 0 {
+				if overdue > boot*2 {
 					continue // it may never come up
 				}
-				upAt = wall + late/2
+				upAt = wall + overdue/2
 			}
-		} else if !mc.Squared() {
-			upAt = wall + ms(m.p.LeaseS)/2
+		} else if !mc.IsReconciled() {
+			upAt = wall + secondsToMS(c.params.LeaseS)/2
 		}
-		pm := b.Add(mc.id, planner.Kind{Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot}, mc.seat)
-		pm.UpAt, pm.Up = upAt, mc.Squared()
-		s.onBoard = append(s.onBoard, mc)
+		viewMachine := b.AddMachine(mc.id, planner.InstanceOffering{Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot}, mc.imageCache)
+		viewMachine.ReadyAtMS, viewMachine.Ready = upAt, mc.IsReconciled()
+		s.viewMachines = append(s.viewMachines, mc)
 		for _, a := range mc.byKey {
 			if a.exited {
 				continue
 			}
-			pm.Free = pm.Free.Sub(a.job.Request)
-			ends := a.ends(wall)
-			pm.AddLane(a.job.Request, ends)
-			s.rest[a.job.Team] += float64(ends-wall) * a.job.Request.CPUs
-			if pm.Up && a.aimed {
-				s.aimed += a.job.Request.CPUs
+			viewMachine.Free = viewMachine.Free.Sub(a.job.Request)
+			expectedEnd := a.expectedEnd(wall)
+			viewMachine.AddSlot(a.job.Request, expectedEnd)
+			s.remainingWork[a.job.Team] += float64(expectedEnd-wall) * a.job.Request.CPUs
+			if viewMachine.Ready && a.hasStartObjective {
+				s.objectiveCPUs += a.job.Request.CPUs
 			}
 		}
-		pm.Free = pm.Free.Sub(m.held(mc))
-		if p := mc.pledge; p != nil {
-			s.pledged[p.w] += p.n
+		viewMachine.Free = viewMachine.Free.Sub(c.reservedResources(mc))
+		if reservation := mc.reservation; reservation != nil {
+			s.reservedTasks[reservation.taskRange] += reservation.count
 		}
-		slices.SortFunc(pm.Lanes, func(a, b planner.Lane) int {
-			return cmp.Or(cmp.Compare(a.Queue.Base, b.Queue.Base), cmp.Compare(a.Room.CPUs, b.Room.CPUs), cmp.Compare(a.Room.MemoryGB, b.Room.MemoryGB))
+		slices.SortFunc(viewMachine.Slots, func(a, b planner.Slot) int {
+			return cmp.Or(cmp.Compare(a.Queue.EarliestStart, b.Queue.EarliestStart), cmp.Compare(a.Resources.CPUs, b.Resources.CPUs), cmp.Compare(a.Resources.MemoryGB, b.Resources.MemoryGB))
 		})
 	}
-	b.Done()
+	b.FinishAdding()
 }
 
-// group is the tasks of one work that wait for a machine.
-type group struct {
+// taskGroup is the tasks of one work that wait for a machine.
+type taskGroup struct {
 	planner.Group
-	w *work
-	j *Job
+	taskRange *taskRange
+	job       *Job
 }
 
-// newGroup makes a group of tasks of a work.
-func (m *Member) newGroup(w *work, left int) *group {
-	j := &w.job.rec.Job
-	g := &group{w: w, j: j, Group: planner.Group{Ask: j.ask(), Priority: int(j.Priority), Left: left, Tasks: j.Tasks, Length: m.length(j), Accepted: w.job.rec.Accepted,
-		Begun: w.begun(), Held: w.admitted, Name: j.ID, Lo: w.rng.Lo, Gang: j.Kind == Gang, OneZone: j.OneZone, Spread: j.Spread, Live: w.zones, Failed: w.failed}}
-	g.Tight, g.Due, g.Lost = m.aims(j, g.Accepted, g.Length)
+// newTaskGroup makes a group of tasks of a work.
+func (c *Controller) newTaskGroup(tr *taskRange, pending int) *taskGroup {
+	j := &tr.job.rec.Job
+	g := &taskGroup{taskRange: tr, job: j, Group: planner.Group{Request: j.resourceRequest(), Priority: int(j.Priority), Remaining: pending, JobTasks: j.Tasks, LengthMS: c.expectedRuntime(j), AcceptedMS: tr.job.rec.AcceptedAtMS,
+		HasBegun: tr.hasStarted(), PreviouslyAdmitted: tr.admitted, Name: j.ID, RangeStart: tr.bounds.Lo, IsGang: j.Kind == Gang, SingleZone: j.OneZone, SpreadZones: j.Spread, RunningByZone: tr.attemptsByZone, FailuresByMachine: tr.errorsByMachine}}
+	g.ObjectiveDeadlineMS, g.DeadlineMS, g.MissedObjectives = c.taskDeadlines(j, g.AcceptedMS, g.LengthMS)
 	return g
 }
 
-func sortGroups(gs []*group) {
-	planner.Sort(gs, func(g *group) *planner.Group { return &g.Group })
+func sortTaskGroups(groups []*taskGroup) {
+	planner.SortGroups(groups, func(g *taskGroup) *planner.Group { return &g.Group })
 }
 
-// groups lists a shard's waiting work: higher priority first; within one, what
+// waitingTaskGroups lists a shard's waiting work: higher priority first; within one, what
 // can meet an aim before what can't, what was admitted keeps its place, then earliest deadline, then arrival.
-func (m *Member) groups(s *shard) []*group {
-	var out []*group
-	for _, w := range s.works {
-		waiting := m.plannable(w)
+func (c *Controller) waitingTaskGroups(s *shard) []*taskGroup {
+	var out []*taskGroup
+	for _, tr := range s.taskRanges {
+		waiting := c.schedulableTasks(tr)
 		if waiting <= 0 {
 			continue
 		}
-		g := m.newGroup(w, waiting)
-		g.Within = m.p.Quota && m.guaranteed(g.j)
-		g.Aimed = g.Tight < g.Due && g.Tight-g.Length >= m.now.Wall
+		g := c.newTaskGroup(tr, waiting)
+		g.WithinGuarantee = c.params.Quota && c.isWithinGuarantee(g.job)
+		g.HasObjective = g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS-g.LengthMS >= c.now.WallMS
 		out = append(out, g)
 	}
-	sortGroups(out)
-	if m.admitToTeams(s, out) {
-		sortGroups(out)
+	sortTaskGroups(out)
+	if c.admitToTeamLimits(s, out) {
+		sortTaskGroups(out)
 	}
-	if m.p.Quota && m.level(out) {
-		sortGroups(out)
+	if c.params.Quota && c.assignUsageTiers(out) {
+		sortTaskGroups(out)
 	}
-	return m.age(out)
+	return c.applyAging(out)
 }
 
-// admitToTeams admits groups to their teams' limits as tasks are admitted to
+// admitToTeamLimits admits groups to their teams' limits as tasks are admitted to
 // machines: a limit is a queue that works at the speed of its processors. A
 // group that would not be done in time there, or would make one late that was
 // admitted, aims for the next time that counts, or goes last. Without it a team
 // over its limit ran the earliest deadlines, which it had missed already, and
 // nothing in time.
-func (m *Member) admitToTeams(s *shard, gs []*group) (changed bool) {
+func (c *Controller) admitToTeamLimits(s *shard, groups []*taskGroup) (changed bool) {
 	queues := map[string]*availability.Queue{}
-	for _, g := range gs {
-		part, t, limited := m.part(s, g.j.Team)
-		if !limited || t.MaxCPUs <= 0 || part.CPUs <= 0 || g.j.Kind != Array || g.Lost {
+	for _, g := range groups {
+		allocation, t, limited := c.teamAllocation(s, g.job.Team)
+		if !limited || t.MaxCPUs <= 0 || allocation.CPUs <= 0 || g.job.Kind != Array || g.MissedObjectives {
 			continue
 		}
-		q := queues[g.j.Team]
-		if q == nil {
-			q = &availability.Queue{Base: m.now.Wall + int64(s.rest[g.j.Team]/part.CPUs)}
-			queues[g.j.Team] = q
+		queue := queues[g.job.Team]
+		if queue == nil {
+			queue = &availability.Queue{EarliestStart: c.now.WallMS + int64(s.remainingWork[g.job.Team]/allocation.CPUs)}
+			queues[g.job.Team] = queue
 		}
-		work := int64(float64(g.Left) * g.j.Request.CPUs / part.CPUs * float64(g.Length))
+		duration := int64(float64(g.Remaining) * g.job.Request.CPUs / allocation.CPUs * float64(g.LengthMS))
 		// However wide the limit, its last task takes its length.
-		tail := max(0, g.Length-work)
-		if q.Admit(g.Due-tail, work, 1) == 1 {
+		tail := max(0, g.LengthMS-duration)
+		if queue.Admit(g.DeadlineMS-tail, duration, 1) == 1 {
 			continue
 		}
-		changed, g.Lost = true, true
-		for _, t := range m.rungs(g.j, g.w.job.rec.Accepted) {
-			if t > g.Due && q.Admit(t-tail, work, 1) == 1 {
-				g.Due, g.Lost = t, false
+		changed, g.MissedObjectives = true, true
+		for _, t := range c.objectiveDeadlines(g.job, g.taskRange.job.rec.AcceptedAtMS) {
+			if t > g.DeadlineMS && queue.Admit(t-tail, duration, 1) == 1 {
+				g.DeadlineMS, g.MissedObjectives = t, false
 				break
 			}
 		}
@@ -225,191 +225,191 @@
 	return changed
 }
 
-// plan admits a shard's waiting work to its machines' queues, tightest aims
+// planShard admits a shard's waiting work to its machines' queues, tightest aims
 // first, and notes what starts now and what no machine can take in time.
-func (m *Member) plan(s *shard) {
-	m.Counters.Replans++
-	s.dirty, s.hasten, s.planned = false, false, m.now.Steady
-	s.needs = s.needs[:0]
+func (c *Controller) planShard(s *shard) {
+	c.Counters.Replans++
+	s.dirty, s.planExpedited, s.plannedAt = false, false, c.now.MonotonicMS
+	s.demand = s.demand[:0]
 	if !s.ready {
 		return
 	}
-	m.catalog.Need(func(yield func(planner.Ask) bool) {
-		for _, j := range m.jobs {
-			if !yield(j.rec.Job.ask()) {
+	c.placementCatalog.SetRequired(func(yield func(planner.ResourceRequest) bool) {
+		for _, j := range c.jobs {
+			if !yield(j.rec.Job.resourceRequest()) {
 				return
 			}
 		}
 	})
-	b := s.board
-	m.fillBoard(s)
-	m.setReserve(s)
-	s.queue = m.groups(s)
-	b.Steps += len(s.queue)
-	b.Line = s.squares.Line.Room(m.now.Steady, m.now.Steady+max(m.reportGap(), int64(2*m.planGap(s))))
+	view := s.clusterView
+	c.buildClusterView(s)
+	c.updateReserve(s)
+	s.queue = c.waitingTaskGroups(s)
+	view.Examined += len(s.queue)
+	view.PacedStartsLeft = s.reconciler.Pacer.Available(c.now.MonotonicMS, c.now.MonotonicMS+max(c.maxHeartbeatIntervalMS(), int64(2*c.planInterval(s))))
 	// What a plan starts uses its team's limit up for what comes behind, and what it
 	// asks machines for, for what asks behind. Each group saw all that was free of
 	// the limit, and machines were rented for all of them: in the second after an
 	// end of all, and wherever a team had some room and many jobs that fit nowhere.
-	begun, asked := map[string]availability.Room{}, map[string]availability.Room{}
-	of := func(n int, j *Job) availability.Room {
-		return availability.Room{CPUs: float64(n) * j.Request.CPUs, GPUs: float64(n) * j.Request.GPUs}
+	started, requested := map[string]availability.Resources{}, map[string]availability.Resources{}
+	requestOf := func(n int, j *Job) availability.Resources {
+		return availability.Resources{CPUs: float64(n) * j.Request.CPUs, GPUs: float64(n) * j.Request.GPUs}
 	}
-	clear(s.soon)
-	clear(s.kept)
-	s.cedes = nil
+	clear(s.placeableDemand)
+	clear(s.firstTaskReservations)
+	s.reclaimableTeams = nil
 	for _, g := range s.queue {
-		if m.now.Steady < g.w.retryAt || m.blocked(s, g.w) || g.w.moving {
+		if c.now.MonotonicMS < g.taskRange.retryAt || c.isBlockedByUnreported(s, g.taskRange) || g.taskRange.moving {
 			continue
 		}
-		cap := m.teamCopies(s, g.j, begun[g.j.Team])
-		if g.First && cap == 0 {
-			m.keep(s, g)
+		limit := c.tasksWithinTeamLimit(s, g.job, started[g.job.Team])
+		if g.IsFirstTask && limit == 0 {
+			c.reserveLimitForFirstTask(s, g)
 		}
-		if cap < g.Left {
+		if limit < g.Remaining {
 			// More cannot run at once; asking for machines would not help.
-			m.couldUse(s, g)
-			g.Left = cap + m.preemptable(s, g, g.Left-cap)
+			c.recordPlaceableDemand(s, g)
+			g.Remaining = limit + c.preemptibleTaskCount(s, g, g.Remaining-limit)
 		}
-		g.Askable = m.teamCopies(s, g.j, begun[g.j.Team].Add(asked[g.j.Team])) + max(0, g.Left-cap)
-		if g.Left > 0 {
-			started := m.place(s, g)
-			if started > cap {
-				m.preempt(s, g, started-cap)
+		g.ProvisionLimit = c.tasksWithinTeamLimit(s, g.job, started[g.job.Team].Add(requested[g.job.Team])) + max(0, g.Remaining-limit)
+		if g.Remaining > 0 {
+			startedTasks := c.placeGroup(s, g)
+			if startedTasks > limit {
+				c.preempt(s, g, startedTasks-limit)
 			}
-			m.giveGuarantee(s, g, min(g.Waiting, cap-started))
-			begun[g.j.Team] = begun[g.j.Team].Add(of(started, g.j))
-			asked[g.j.Team] = asked[g.j.Team].Add(of(g.Asked, g.j))
+			c.reclaimForGuarantee(s, g, min(g.Waiting, limit-startedTasks))
+			started[g.job.Team] = started[g.job.Team].Add(requestOf(startedTasks, g.job))
+			requested[g.job.Team] = requested[g.job.Team].Add(requestOf(g.ProvisionRequested, g.job))
 		}
 	}
-	m.foresee(s)
-	s.spare, s.steps = b.Spare, b.Steps
-	if s.squares.Waits(m.now.Steady) {
+	c.forecastDemand(s)
+	s.spareCPUs, s.planSteps = view.SpareCPUs, view.Examined
+	if s.reconciler.IsAwaitingHeartbeats(c.now.MonotonicMS) {
 		// Machines that have not spoken yet would serve: nothing is rented for
 		// what they take, nor moved, until they had the time to.
-		s.needs, s.foreseen = s.needs[:0], s.foreseen[:0]
+		s.demand, s.forecastDemand = s.demand[:0], s.forecastDemand[:0]
 	}
 }
 
-// foresee notes what tasks will need that run on machines with a notice and will
+// forecastDemand notes what tasks will need that run on machines with a notice and will
 // not end before it: a new machine takes longer to boot than a notice lasts, and
 // without it is asked for only when they are lost.
-func (m *Member) foresee(s *shard) {
-	s.foreseen = s.foreseen[:0]
-	doomed := map[*work]int{}
+func (c *Controller) forecastDemand(s *shard) {
+	s.forecastDemand = s.forecastDemand[:0]
+	unfinished := map[*taskRange]int{}
 	for _, mc := range s.machines {
-		if mc.goneAt == 0 || mc.live == 0 || mc.Standing() == reconcile.Silent {
+		if mc.terminatesAt == 0 || mc.liveAttemptCount == 0 || mc.State() == reconcile.LeaseExpired {
 			continue
 		}
-		until := m.now.Wall + mc.goneAt - m.now.Steady
+		until := c.now.WallMS + mc.terminatesAt - c.now.MonotonicMS
 		for _, a := range mc.byKey {
-			if !a.exited && a.ends(m.now.Wall) > until && m.jobs[a.job.ID] == a.work.job {
-				doomed[a.work]++
+			if !a.exited && a.expectedEnd(c.now.WallMS) > until && c.jobs[a.job.ID] == a.taskRange.job {
+				unfinished[a.taskRange]++
 			}
 		}
 	}
-	if len(doomed) == 0 {
+	if len(unfinished) == 0 {
 		return
 	}
-	machines := s.board.Machines()
-	free := make([]availability.Room, len(machines))
-	for i, pm := range machines {
-		free[i] = pm.Free
+	machines := s.clusterView.Machines()
+	free := make([]availability.Resources, len(machines))
+	for i, viewMachine := range machines {
+		free[i] = viewMachine.Free
 	}
-	for _, w := range s.works {
-		left := doomed[w]
-		if left == 0 {
+	for _, tr := range s.taskRanges {
+		remaining := unfinished[tr]
+		if remaining == 0 {
 			continue
 		}
-		j := &w.job.rec.Job
+		j := &tr.job.rec.Job
 		req := withoutDisk(j.Request)
-		ask := j.ask()
-		for i, pm := range machines {
-			if left == 0 {
+		request := j.resourceRequest()
+		for i, viewMachine := range machines {
+			if remaining == 0 {
 				break
 			}
-			if !m.catalog.Allowed(&ask, pm.Kind) || m.catalog.Short(&ask, pm.Kind.Type) {
+			if !c.placementCatalog.IsAllowed(&request, viewMachine.Offering) || c.placementCatalog.ShouldAvoid(&request, viewMachine.Offering.Type) {
 				continue
 			}
-			n := free[i].Copies(req, left)
-			left -= n
+			n := free[i].MaxCopies(req, remaining)
+			remaining -= n
 			for range n {
 				free[i] = free[i].Sub(req)
 			}
 		}
-		if left > 0 {
-			length := m.length(j)
-			_, due, _ := m.aims(j, w.job.rec.Accepted, length)
-			s.foreseen = append(s.foreseen, Need{Job: j.ID, Count: left, Deadline: due, Length: length, SpotOnly: j.Spot})
+		if remaining > 0 {
+			runtimeMS := c.expectedRuntime(j)
+			_, deadline, _ := c.taskDeadlines(j, tr.job.rec.AcceptedAtMS, runtimeMS)
+			s.forecastDemand = append(s.forecastDemand, CapacityDemand{Job: j.ID, Tasks: remaining, DeadlineMS: deadline, TaskRuntimeMS: runtimeMS, SpotOnly: j.Spot})
 		}
 	}
 }
 
-// reserveShare is how much room is kept free for jobs with a start aim by jobs
+// reserveFactor is how much room is kept free for jobs with a start aim by jobs
 // that have none and can wait in a queue in time, against how much the use of
 // the former varies. If jobs arrive at random, that is the root of their average
 // use times the size of one: a share of the use itself, which did for a few
 // machines, kept a tenth of hundreds idle.
-const reserveShare = 0.5
+const reserveFactor = 0.5
 
-// reserveMemory is over how many leases that average runs.
-const reserveMemory = 3
+// reserveAveragingLeases is over how many leases that average runs.
+const reserveAveragingLeases = 3
 
-// setReserve brings the reserve of a shard up to date: room on machines that are
+// updateReserve brings the reserve of a shard up to date: room on machines that are
 // up for the next jobs of classes with a start aim.
-func (m *Member) setReserve(s *shard) {
-	n, size := 0.0, 0.0
-	for _, w := range s.works {
-		if j := &w.job.rec.Job; m.startAim(j) {
-			n++
-			size += float64(w.size()) * j.Request.CPUs
+func (c *Controller) updateReserve(s *shard) {
+	jobs, cpus := 0.0, 0.0
+	for _, tr := range s.taskRanges {
+		if j := &tr.job.rec.Job; c.hasStartObjective(j) {
+			jobs++
+			cpus += float64(tr.size()) * j.Request.CPUs
 		}
 	}
-	if passed := float64(m.now.Steady - s.reserveAt); passed > 0 {
-		part := min(1, passed/(reserveMemory*m.p.LeaseS*1000))
-		s.average += (s.aimed - s.average) * part
-		if n > 0 {
-			s.jobSize += (size/n - s.jobSize) * part
+	if passed := float64(c.now.MonotonicMS - s.reserveUpdatedAt); passed > 0 {
+		weight := min(1, passed/(reserveAveragingLeases*c.params.LeaseS*1000))
+		s.meanObjectiveCPUs += (s.objectiveCPUs - s.meanObjectiveCPUs) * weight
+		if jobs > 0 {
+			s.meanObjectiveJobCPUs += (cpus/jobs - s.meanObjectiveJobCPUs) * weight
 		}
-		s.reserveAt = m.now.Steady
+		s.reserveUpdatedAt = c.now.MonotonicMS
 	}
-	s.reserve = min(s.average, math.Sqrt(s.average*s.jobSize)) * reserveShare
-	s.board.Reserve = s.reserve
+	s.reserveCPUs = min(s.meanObjectiveCPUs, math.Sqrt(s.meanObjectiveCPUs*s.meanObjectiveJobCPUs)) * reserveFactor
+	s.clusterView.ReservedCPUs = s.reserveCPUs
 }
 
-// startAim tells whether a job's class has a start aim of its own.
-func (m *Member) startAim(j *Job) bool {
-	return slices.ContainsFunc(m.p.Objectives[j.Class], func(o Objective) bool { return o.Kind == "wait" })
+// hasStartObjective tells whether a job's class has a start aim of its own.
+func (c *Controller) hasStartObjective(j *Job) bool {
+	return slices.ContainsFunc(c.params.Objectives[j.Class], func(o Objective) bool { return o.Kind == "wait" })
 }
 
-// place admits a group to the shard's machines and returns how many of its
+// placeGroup admits a group to the shard's machines and returns how many of its
 // tasks start now.
-func (m *Member) place(s *shard, g *group) int {
-	if g.Gang {
-		g.Try, g.Short = planner.TryNew, g.Left < g.w.pending()
-		if g.w.nBusy > 0 {
+func (c *Controller) placeGroup(s *shard, g *taskGroup) int {
+	if g.IsGang {
+		g.GangAttempt, g.IncompleteGang = planner.GangAttemptNew, g.Remaining < g.taskRange.pending()
+		if g.taskRange.assignedCount > 0 {
 			// Its machines are told one after the other, as they report.
-			if g.Try = planner.TryWaits; m.now.Steady-g.w.gangAt < 3*m.reportGap() {
-				g.Try = planner.TryGoesOn
+			if g.GangAttempt = planner.GangAttemptWaits; c.now.MonotonicMS-g.taskRange.gangStartedAt < 3*c.maxHeartbeatIntervalMS() {
+				g.GangAttempt = planner.GangAttemptContinues
 			}
 		}
 	}
-	p := s.board.Place(&g.Group, m.settings.LateShare)
-	if p.Gang {
-		g.w.gangAt, g.w.gangTry, g.w.gangSent = m.now.Steady, s.numbers.Next(m.now.Wall), newBits(g.w.size())
+	placement := s.clusterView.Place(&g.Group, c.settings.LateShare)
+	if placement.StartsGang {
+		g.taskRange.gangStartedAt, g.taskRange.gangAttempt, g.taskRange.gangStartsSent = c.now.MonotonicMS, s.attemptIDs.Next(c.now.WallMS), newBitset(g.taskRange.size())
 	}
-	g.w.admitted = p.Held
-	for _, st := range p.Starts {
-		mc := s.onBoard[st.At]
-		mc.plan = append(mc.plan, planned{w: g.w, n: st.N, length: g.Length, fetch: st.Fetch, aimed: g.Aimed})
+	g.taskRange.admitted = placement.Admitted
+	for _, start := range placement.Starts {
+		mc := s.viewMachines[start.MachineIndex]
+		mc.plannedStarts = append(mc.plannedStarts, plannedStart{taskRange: g.taskRange, count: start.Count, runtimeMS: g.LengthMS, fetchMS: start.FetchMS, hasStartObjective: g.HasObjective})
 	}
-	for _, n := range p.Needs {
-		s.needs = append(s.needs, Need{Job: g.j.ID, Count: n.Count, Deadline: n.Deadline, Length: g.Length, SpotOnly: n.SpotOnly})
+	for _, n := range placement.Demands {
+		s.demand = append(s.demand, CapacityDemand{Job: g.job.ID, Tasks: n.Count, DeadlineMS: n.DeadlineMS, TaskRuntimeMS: g.LengthMS, SpotOnly: n.SpotOnly})
 	}
-	return p.Started
+	return placement.StartedTasks
 }
 
-// summary is a shard's availability as its peers see it.
-func (m *Member) summary(s *shard) availability.Summary {
-	return s.board.Summary(m.now.Wall+farSpan*ms(m.p.LeaseS), m.settings.Functions, m.settings.Samples)
+// availabilitySummary is a shard's availability as its peers see it.
+func (c *Controller) availabilitySummary(s *shard) availability.Summary {
+	return s.clusterView.Summary(c.now.WallMS+noDeadlineSpanLeases*secondsToMS(c.params.LeaseS), c.settings.Functions, c.settings.Samples)
 }
--- a/scheduler/reads.go
+++ b/scheduler/reads.go
@@ -9,96 +9,96 @@
 // answered with anything older than what another member has told.
 
 const (
-	// readPause is how long after a read of the state service the next one goes, as a part
+	// batchIntervalDivisor is how long after a read of the state service the next one goes, as a part
 	// of a request's time: what comes meanwhile shares it.
-	readPause = 20
-	// batchFrom is from how many questions on a batch is cheaper than one read for each.
-	batchFrom = 3
+	batchIntervalDivisor = 20
+	// minBatchSize is from how many questions on a batch is cheaper than one read for each.
+	minBatchSize = 3
 )
 
-// reads are questions that wait to be asked.
-type reads struct {
-	waiting []*question
-	busy    bool  // a batch is under way
-	next    int64 // when the next may go
+// queryBatches are questions that wait to be asked.
+type queryBatches struct {
+	queued        []*pendingRequest
+	batchInFlight bool  // a batch is under way
+	nextBatchAtMS int64 // when the next may go
 }
 
-// query puts a question in line.
-func (m *Member) query(q *question) {
-	m.reads.waiting = append(m.reads.waiting, q)
-	m.pumpReads()
+// enqueueQuery puts a question in line.
+func (c *Controller) enqueueQuery(pending *pendingRequest) {
+	c.queryBatcher.queued = append(c.queryBatcher.queued, pending)
+	c.sendQueryBatch()
 }
 
-// pumpReads asks what waits, unless the last read was a moment ago.
-func (m *Member) pumpReads() {
-	r := &m.reads
-	if len(r.waiting) == 0 || r.busy || m.now.Steady < r.next {
+// sendQueryBatch asks what waits, unless the last read was a moment ago.
+func (c *Controller) sendQueryBatch() {
+	batches := &c.queryBatcher
+	if len(batches.queued) == 0 || batches.batchInFlight || c.now.MonotonicMS < batches.nextBatchAtMS {
 		return
 	}
-	batch := r.waiting
-	r.waiting = nil
-	r.next = m.now.Steady + access.Timeout.Milliseconds()/readPause
-	if len(batch) < batchFrom || !m.acc.Synced() {
-		m.lookupEach(batch)
+	batch := batches.queued
+	batches.queued = nil
+	batches.nextBatchAtMS = c.now.MonotonicMS + access.RequestTimeout.Milliseconds()/batchIntervalDivisor
+	if len(batch) < minBatchSize || !c.storeAccess.IsSynced() {
+		c.readJobsOneByOne(batch)
 		return
 	}
-	r.busy = true
-	m.Counters.Batches++
-	m.catchUp(func(o Outcome) {
-		r.busy = false
-		m.answerBatch(batch, o)
-		m.pumpReads()
+	batches.batchInFlight = true
+	c.Counters.QueryBatches++
+	c.syncMirror(func(outcome Outcome) {
+		batches.batchInFlight = false
+		c.completeBatch(batch, outcome)
+		c.sendQueryBatch()
 	})
 }
 
-// catchUp brings the mirror up to everything that was written before now.
-func (m *Member) catchUp(done func(Outcome)) {
-	m.ask(StoreOp{Kind: StoreWatch, Urgency: Reads, Key: livePrefix, Rev: m.rev}, func(r StoreResult) {
-		if r.Outcome == OK && m.acc.Synced() {
-			m.watched(r)
+// syncMirror brings the mirror up to everything that was written before now.
+func (c *Controller) syncMirror(onResult func(Outcome)) {
+	c.sendStore(StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: c.mirrorRevision}, func(result StoreResult) {
+		if result.Outcome == OK && c.storeAccess.IsSynced() {
+			c.applyWatchResult(result)
 		}
-		done(r.Outcome)
+		onResult(result.Outcome)
 	})
 }
 
-// answerBatch answers questions that came before a read that ended so.
-func (m *Member) answerBatch(batch []*question, o Outcome) {
+// completeBatch answers questions that came before a read that ended so.
+func (c *Controller) completeBatch(batch []*pendingRequest, outcome Outcome) {
 	switch {
-	case o == Gone || o == OK && !m.acc.Synced():
+	case outcome == Gone || outcome == OK && !c.storeAccess.IsSynced():
 		// The mirror is read anew: it says nothing for now.
-		m.lookupEach(batch)
-	case o != OK:
-		for _, q := range batch {
-			m.reply(q.reply, unavailable(q.r.ID, "state service unavailable"))
+		c.readJobsOneByOne(batch)
+	case outcome != OK:
+		for _, pending := range batch {
+			c.completeRequest(pending.replyID, unavailableResponse(pending.request.ID, "state service unavailable"))
 		}
 	default:
-		for _, q := range batch {
-			m.answerFromMirror(q)
+		for _, pending := range batch {
+			c.completeFromMirror(pending)
 		}
 	}
 }
 
-// answerFromMirror answers a question by the mirror, which is as new as the question. A
+// completeFromMirror answers a question by the mirror, which is as new as the question. A
 // job that is not live is over, or was never accepted.
-func (m *Member) answerFromMirror(q *question) {
-	id := q.r.ID
-	j := m.jobs[id]
+func (c *Controller) completeFromMirror(pending *pendingRequest) {
+	id := pending.request.ID
+	j := c.jobs[id]
 	switch {
-	case q.over: // by a peer
+	case pending.completed: // by a peer
 	case j != nil:
-		m.reply(q.reply, m.liveAnswer(id, &j.rec))
-	case m.revs[jobKey(id)] != 0: // its record is unreadable
-		m.lookupEach([]*question{q})
+		c.completeRequest(pending.replyID, c.liveJobResponse(id, &j.rec))
+	case c.keyRevisions[jobKey(id)] != 0: // its record is unreadable
+		c.readJobsOneByOne([]*pendingRequest{pending})
 	default:
-		m.lookupFinal(id, Reads, func(a UserAnswer) { m.reply(q.reply, a) })
+		c.readTerminalState(id, UrgencyRead, func(response UserResponse) { c.completeRequest(pending.replyID, response) })
 	}
 }
 
-// lookupEach asks the state service about each question's job.
-func (m *Member) lookupEach(batch []*question) {
-	for _, q := range batch {
-		if !q.over {
-			m.lookup(q.r.ID, Reads, func(a UserAnswer, _ *Item) { m.reply(q.reply, a) })
+// readJobsOneByOne asks the state service about each question's job.
+func (c *Controller) readJobsOneByOne(batch []*pendingRequest) {
+	for _, pending := range batch {
+		if !pending.completed {
+			c.readJob(pending.request.ID, UrgencyRead, func(response UserResponse, _ *KeyValue) { c.completeRequest(pending.replyID, response) })
 		}
 	}
 }
--- a/scheduler/reads_unit_test.go
+++ b/scheduler/reads_unit_test.go
@@ -7,95 +7,95 @@
 	"github.com/grebedock/grebedock/access"
 )
 
-// askAll asks about so many live jobs at once, from reply 100 on.
-func askAll(m *Member, jobs int) {
+// queryAll asks about so many live jobs at once, from reply 100 on.
+func queryAll(ctrl *Controller, jobs int) {
 	for n := range jobs {
-		m.User(m.now, uint64(100+n), UserRequest{Kind: Query, ID: fmt.Sprintf("job-%06d", n)})
+		ctrl.HandleUserRequest(ctrl.now, uint64(100+n), UserRequest{Kind: QueryJob, ID: fmt.Sprintf("job-%06d", n)})
 	}
 }
 
-// withJobs returns a member whose mirror has so many live jobs, and that has just read.
-func withJobs(t *testing.T, jobs int) *Member {
+// newControllerWithJobs returns a member whose mirror has so many live jobs, and that has just read.
+func newControllerWithJobs(t *testing.T, jobs int) *Controller {
 	t.Helper()
-	m, _, _ := holding(t)
+	ctrl, _, _ := newControllerWithShard(t)
 	for n := range jobs {
-		rec := testJob(Range{Lo: 0, Hi: 1, Shard: "m0"})
+		rec := newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})
 		rec.Job.ID = fmt.Sprintf("job-%06d", n)
-		m.apply(Item{Key: jobKey(rec.Job.ID), Value: encode(rec), Rev: uint64(20 + n)})
+		ctrl.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(20 + n)})
 	}
-	m.rev = 20 + uint64(jobs)
-	m.reads.next = m.now.Steady + access.Timeout.Milliseconds()/readPause
-	return m
+	ctrl.mirrorRevision = 20 + uint64(jobs)
+	ctrl.queryBatcher.nextBatchAtMS = ctrl.now.MonotonicMS + access.RequestTimeout.Milliseconds()/batchIntervalDivisor
+	return ctrl
 }
 
 // Questions that come together share one read that is sent after all of them, and none is
 // answered before it is back.
-func TestQuestionsShareARead(t *testing.T) {
+func TestConcurrentQueriesShareOneRead(t *testing.T) {
 	const jobs = 12
-	m := withJobs(t, jobs)
-	askAll(m, jobs)
-	if o := m.Take(); len(o.Store) > 0 || len(o.Users) > 0 {
-		t.Fatalf("%d requests and %d answers before the pause is over", len(o.Store), len(o.Users))
+	ctrl := newControllerWithJobs(t, jobs)
+	queryAll(ctrl, jobs)
+	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps) > 0 || len(outputs.UserResponses) > 0 {
+		t.Fatalf("%d requests and %d answers before the pause is over", len(outputs.StoreOps), len(outputs.UserResponses))
 	}
-	m.now.Steady = m.reads.next
-	m.pumpReads()
-	o := m.Take()
-	if len(o.Store) != 1 || o.Store[0].Kind != StoreWatch || o.Store[0].MS != 0 || o.Store[0].Rev != m.rev || len(o.Users) > 0 {
-		t.Fatalf("asks %+v, answers %d", o.Store, len(o.Users))
+	ctrl.now.MonotonicMS = ctrl.queryBatcher.nextBatchAtMS
+	ctrl.sendQueryBatch()
+	outputs := ctrl.TakeOutputs()
+	if len(outputs.StoreOps) != 1 || outputs.StoreOps[0].Kind != StoreWatch || outputs.StoreOps[0].DurationMS != 0 || outputs.StoreOps[0].Rev != ctrl.mirrorRevision || len(outputs.UserResponses) > 0 {
+		t.Fatalf("asks %+v, answers %d", outputs.StoreOps, len(outputs.UserResponses))
 	}
 	// One that comes while the read is under way is not answered by it.
-	m.User(m.now, 200, UserRequest{Kind: Query, ID: "job-000000"})
+	ctrl.HandleUserRequest(ctrl.now, 200, UserRequest{Kind: QueryJob, ID: "job-000000"})
 	// Meanwhile a peer has told somebody that job 3 is cancelled.
-	m.StoreDone(m.now, o.Store[0].ID, StoreResult{Outcome: OK, Rev: 90, Items: []Item{{Key: jobKey("job-000003"), Rev: 88}}})
-	o = m.Take()
-	if len(o.Users) != jobs-1 || o.Users[103].Status != 0 || o.Users[200].Status != 0 {
-		t.Fatalf("%d answers: %+v", len(o.Users), o.Users)
+	ctrl.HandleStoreResult(ctrl.now, outputs.StoreOps[0].ID, StoreResult{Outcome: OK, Rev: 90, KVs: []KeyValue{{Key: jobKey("job-000003"), Rev: 88}}})
+	outputs = ctrl.TakeOutputs()
+	if len(outputs.UserResponses) != jobs-1 || outputs.UserResponses[103].Status != 0 || outputs.UserResponses[200].Status != 0 {
+		t.Fatalf("%d answers: %+v", len(outputs.UserResponses), outputs.UserResponses)
 	}
-	if len(o.Store) != 1 || o.Store[0].Kind != StoreGet || o.Store[0].Key != finalKey("job-000003") {
-		t.Fatalf("asks %+v for the job that is over", o.Store)
+	if len(outputs.StoreOps) != 1 || outputs.StoreOps[0].Kind != StoreGet || outputs.StoreOps[0].Key != terminalKey("job-000003") {
+		t.Fatalf("asks %+v for the job that is over", outputs.StoreOps)
 	}
-	m.StoreDone(m.now, o.Store[0].ID, StoreResult{Outcome: OK, Items: []Item{{Key: finalKey("job-000003"), Value: encode(finalRecord{State: Cancelled, Tasks: 1}), Rev: 88}}})
-	if a := m.Take().Users[103]; a.State != Cancelled {
-		t.Errorf("the cancelled job is answered %+v", a)
+	ctrl.HandleStoreResult(ctrl.now, outputs.StoreOps[0].ID, StoreResult{Outcome: OK, KVs: []KeyValue{{Key: terminalKey("job-000003"), Value: mustEncode(terminalRecord{State: Cancelled, Tasks: 1}), Rev: 88}}})
+	if resp := ctrl.TakeOutputs().UserResponses[103]; resp.State != Cancelled {
+		t.Errorf("the cancelled job is answered %+v", resp)
 	}
 }
 
 // A read that does not work answers nothing from the mirror.
-func TestAReadThatFailsAnswersNothing(t *testing.T) {
-	for o, reads := range map[Outcome]int{Refused: 0, Throttled: 0, Unknown: 0, Gone: 5} {
-		m := withJobs(t, 5)
-		askAll(m, 5)
-		m.now.Steady = m.reads.next
-		m.pumpReads()
-		m.StoreDone(m.now, m.Take().Store[0].ID, StoreResult{Outcome: o})
-		out := m.Take()
+func TestFailedReadAnswersNoQuery(t *testing.T) {
+	for outcome, reads := range map[Outcome]int{Refused: 0, Throttled: 0, Unknown: 0, Gone: 5} {
+		ctrl := newControllerWithJobs(t, 5)
+		queryAll(ctrl, 5)
+		ctrl.now.MonotonicMS = ctrl.queryBatcher.nextBatchAtMS
+		ctrl.sendQueryBatch()
+		ctrl.HandleStoreResult(ctrl.now, ctrl.TakeOutputs().StoreOps[0].ID, StoreResult{Outcome: outcome})
+		outputs := ctrl.TakeOutputs()
 		gets := 0
-		for _, op := range out.Store {
+		for _, op := range outputs.StoreOps {
 			if op.Kind == StoreGet {
 				gets++
 			}
 		}
-		for reply, a := range out.Users {
-			if a.Status != 503 || a.RetryS == 0 {
-				t.Errorf("outcome %v: question %d is answered %+v", o, reply, a)
+		for replyID, resp := range outputs.UserResponses {
+			if resp.Status != 503 || resp.RetryAfterS == 0 {
+				t.Errorf("outcome %v: question %d is answered %+v", outcome, replyID, resp)
 			}
 		}
-		if gets != reads || len(out.Users)+gets != 5 {
-			t.Errorf("outcome %v: %d reads and %d answers", o, gets, len(out.Users))
+		if gets != reads || len(outputs.UserResponses)+gets != 5 {
+			t.Errorf("outcome %v: %d reads and %d answers", outcome, gets, len(outputs.UserResponses))
 		}
 	}
 }
 
 // A mirror that is being read anew answers nothing, also if a read ends well meanwhile.
-func TestAMirrorThatIsReadAnewAnswersNothing(t *testing.T) {
-	m := withJobs(t, 5)
-	askAll(m, 5)
-	m.now.Steady = m.reads.next
-	m.pumpReads()
-	id := m.Take().Store[0].ID
-	m.acc.Reread(m.now.Steady)
-	m.StoreDone(m.now, id, StoreResult{Outcome: OK, Rev: 90})
-	if o := m.Take(); len(o.Users) > 0 || len(o.Store) != 5 {
-		t.Errorf("%d answers, %d reads", len(o.Users), len(o.Store))
+func TestReloadingMirrorAnswersNoQuery(t *testing.T) {
+	ctrl := newControllerWithJobs(t, 5)
+	queryAll(ctrl, 5)
+	ctrl.now.MonotonicMS = ctrl.queryBatcher.nextBatchAtMS
+	ctrl.sendQueryBatch()
+	id := ctrl.TakeOutputs().StoreOps[0].ID
+	ctrl.storeAccess.ResyncMirror(ctrl.now.MonotonicMS)
+	ctrl.HandleStoreResult(ctrl.now, id, StoreResult{Outcome: OK, Rev: 90})
+	if outputs := ctrl.TakeOutputs(); len(outputs.UserResponses) > 0 || len(outputs.StoreOps) != 5 {
+		t.Errorf("%d answers, %d reads", len(outputs.UserResponses), len(outputs.StoreOps))
 	}
 }
--- a/scheduler/recovery_test.go
+++ b/scheduler/recovery_test.go
@@ -9,136 +9,138 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// BenchmarkRecoveryOfAll ends all members of a busy fleet at once and starts
+// BenchmarkRecoveryOfAllMembers ends all members of a busy fleet at once and starts
 // them again after three seconds, in simulated time, within a state service's
 // rates. It tells when, counted from their start, a submission is first accepted,
 // a task first starts, and nineteen of twenty machines have been heard, and what
 // the members ask of the state service until then.
-func BenchmarkRecoveryOfAll(b *testing.B) {
+func BenchmarkRecoveryOfAllMembers(b *testing.B) {
 	for _, machines := range []int{800, 1500, 10_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
-				r := recoverAll(b, machines)
-				b.ReportMetric(float64(r.machines), "machines")
-				b.ReportMetric(float64(r.accept)/1000, "s_to_accept")
-				b.ReportMetric(float64(r.start)/1000, "s_to_start")
-				b.ReportMetric(float64(r.full)/1000, "s_to_full")
-				b.ReportMetric(float64(r.requests), "requests")
-				b.ReportMetric(float64(r.lists), "lists")
-				b.ReportMetric(float64(r.changes), "changes")
-				b.ReportMetric(float64(r.killed), "killed")
+				result := measureRecovery(b, machines)
+				b.ReportMetric(float64(result.machines), "machines")
+				b.ReportMetric(float64(result.firstAcceptanceMS)/1000, "s_to_accept")
+				b.ReportMetric(float64(result.firstStartMS)/1000, "s_to_start")
+				b.ReportMetric(float64(result.fullRecoveryMS)/1000, "s_to_full")
+				b.ReportMetric(float64(result.requests), "requests")
+				b.ReportMetric(float64(result.lists), "lists")
+				b.ReportMetric(float64(result.changes), "changes")
+				b.ReportMetric(float64(result.expiredWorkers), "killed")
 			}
 		})
 	}
 }
 
-type recovery struct {
-	machines, requests, lists, changes, killed int
-	accept, start, full                        int64
+type recoveryResult struct {
+	machines, requests, lists, changes, expiredWorkers int
+	firstAcceptanceMS, firstStartMS, fullRecoveryMS    int64
 }
 
-func recoverAll(tb testing.TB, machines int) (r recovery) {
+func measureRecovery(tb testing.TB, machines int) (result recoveryResult) {
 	tb.Helper()
 	// Tasks end all the time, at very different lengths, and more wait. Each
 	// job fills a fiftieth of the fleet.
-	w := build(scale{members: 3, capacity: machines * 3 / 4}, emulator.Options{Seed: 5, // of each zone and kind
-		RunMS: func(w *emulator.World, _ *emulator.Job, _ string) int64 { return 30_000 + w.Rand.Int64N(90_000) }})
-	w.Unchecked, w.calm, w.Loss, w.RPS, w.WPS, w.State.Page = true, true, 0, 600, 80, 500
-	w.Params.Debug = false
-	w.Params.Teams = map[string]scheduler.Team{"t0": {}, "t1": {}}
-	w.Params.ReportS, w.Params.LeaseS, w.Params.CancelS, w.Params.ValueBytes, w.Params.AcceptRate = 3, 17.5, 42.5, 16384, 80.0/3
+	sim := newTestSimulationWith(simScale{members: 3, capacityPerOffering: machines * 3 / 4}, emulator.Options{Seed: 5, // of each zone and kind
+		TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
+			return 30_000 + sim.Rand.Int64N(90_000)
+		}})
+	sim.ChecksDisabled, sim.noRandomFaults, sim.MessageLoss, sim.StoreRPS, sim.StoreWriteRPS, sim.Store.PageSize = true, true, 0, 600, 80, 500
+	sim.Params.Debug = false
+	sim.Params.Teams = map[string]scheduler.Team{"t0": {}, "t1": {}}
+	sim.Params.HeartbeatS, sim.Params.LeaseS, sim.Params.CancelWithinS, sim.Params.MaxValueBytes, sim.Params.StoreChangeRate = 3, 17.5, 42.5, 16384, 80.0/3
 	tasks := machines * 4 / 50
 	for n := range 75 {
-		w.After(int64(1000+300*n), func() {
+		sim.After(int64(1000+300*n), func() {
 			id := fmt.Sprintf("job-%06d", n)
 			j := emulator.NewJob(scheduler.Job{ID: id, Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal,
-				Tasks: tasks, Request: availability.Room{CPUs: 4, MemoryGB: 8}, Types: []string{"small"}, Spot: true, EstimateS: 60})
-			w.Submit(j)
+				Tasks: tasks, Request: availability.Resources{CPUs: 4, MemoryGB: 8}, Types: []string{"small"}, Spot: true, EstimateS: 60})
+			sim.Submit(j)
 		})
 	}
-	end, up := int64(110_000), int64(113_000)
-	heard := func(since int64) (n, of int) {
-		for _, id := range w.IDs {
-			if h := w.Hosts[id]; h.Up && !h.Gone {
-				of++
-				if h.HeardAt >= since {
+	crashAt, restartAt := int64(110_000), int64(113_000)
+	countAcknowledged := func(since int64) (n, total int) {
+		for _, id := range sim.WorkerIDs {
+			if worker := sim.Workers[id]; worker.Up && !worker.Gone {
+				total++
+				if worker.AcknowledgedAt >= since {
 					n++
 				}
 			}
 		}
-		return n, of
+		return n, total
 	}
-	started := 0
-	sessions := func() (n uint64) {
-		for _, id := range w.IDs {
-			if h := w.Hosts[id]; h.Worker != nil {
-				n += h.Worker.Session - 1
+	startsBefore := 0
+	renewedIncarnations := func() (n uint64) {
+		for _, id := range sim.WorkerIDs {
+			if worker := sim.Workers[id]; worker.Agent != nil {
+				n += worker.Agent.Incarnation - 1
 			}
 		}
 		return n
 	}
-	var before uint64
-	w.After(end, func() {
-		before = sessions()
-		for _, m := range w.Members {
-			m.Crash(up - end)
+	var renewedBefore uint64
+	sim.After(crashAt, func() {
+		renewedBefore = renewedIncarnations()
+		for _, m := range sim.Members {
+			m.Crash(restartAt - crashAt)
 		}
-		for _, j := range w.Jobs {
-			for _, n := range j.Began {
-				started += n
+		for _, j := range sim.Jobs {
+			for _, n := range j.StartCounts {
+				startsBefore += n
 			}
 		}
 	})
-	w.After(up, func() {
-		clear(w.Asked)
-		w.Changes = 0
+	sim.After(restartAt, func() {
+		clear(sim.StoreRequests)
+		sim.StoreChanges = 0
 		n := 0
 		var probe func()
 		probe = func() {
 			n++
 			id := fmt.Sprintf("job-8%05d", n)
 			j := emulator.NewJob(scheduler.Job{ID: id, Class: "quick", Team: "t0", Kind: scheduler.Array, Priority: scheduler.High,
-				Tasks: 1, Request: availability.Room{CPUs: 1, MemoryGB: 1}, Spot: true, EstimateS: 5, DeadlineS: 60})
-			w.Jobs[id] = j
-			w.Ask(scheduler.UserRequest{Kind: scheduler.Submit, ID: id, Job: &j.Job}, func(a scheduler.UserAnswer, ok bool) {
-				if ok && a.Status == 201 && r.accept == 0 {
-					r.accept = w.Now - up
+				Tasks: 1, Request: availability.Resources{CPUs: 1, MemoryGB: 1}, Spot: true, EstimateS: 5, DeadlineS: 60})
+			sim.Jobs[id] = j
+			sim.SendRequest(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Job: &j.Spec}, func(resp scheduler.UserResponse, ok bool) {
+				if ok && resp.Status == 201 && result.firstAcceptanceMS == 0 {
+					result.firstAcceptanceMS = sim.Now - restartAt
 				}
 			})
-			if r.accept == 0 {
-				w.After(50, probe)
+			if result.firstAcceptanceMS == 0 {
+				sim.After(50, probe)
 			}
 		}
 		probe()
-		var watch func()
-		watch = func() {
+		var measure func()
+		measure = func() {
 			total := 0
-			for _, j := range w.Jobs {
-				for _, n := range j.Began {
+			for _, j := range sim.Jobs {
+				for _, n := range j.StartCounts {
 					total += n
 				}
 			}
-			if total > started && r.start == 0 {
-				r.start = w.Now - up
+			if total > startsBefore && result.firstStartMS == 0 {
+				result.firstStartMS = sim.Now - restartAt
 			}
-			if n, of := heard(up); r.full == 0 && n*20 >= of*19 {
-				r.full, r.machines = w.Now-up, of
-				for k, n := range w.Asked {
-					r.requests += n
+			if n, total := countAcknowledged(restartAt); result.fullRecoveryMS == 0 && n*20 >= total*19 {
+				result.fullRecoveryMS, result.machines = sim.Now-restartAt, total
+				for k, n := range sim.StoreRequests {
+					result.requests += n
 					if k == scheduler.StoreList {
-						r.lists += n
+						result.lists += n
 					}
 				}
-				r.changes = w.Changes
+				result.changes = sim.StoreChanges
 			}
-			if r.full == 0 || r.start == 0 || r.accept == 0 {
-				w.After(20, watch)
+			if result.fullRecoveryMS == 0 || result.firstStartMS == 0 || result.firstAcceptanceMS == 0 {
+				sim.After(20, measure)
 				return
 			}
-			r.killed = int(sessions() - before)
+			result.expiredWorkers = int(renewedIncarnations() - renewedBefore)
 		}
-		watch()
+		measure()
 	})
-	w.run(up+5_000, up+40_000, 0)
-	return r
+	sim.runScenario(restartAt+5_000, restartAt+40_000, 0)
+	return result
 }
--- a/scheduler/relay.go
+++ b/scheduler/relay.go
@@ -6,19 +6,19 @@
 	"github.com/grebedock/grebedock/access"
 )
 
-// question is a user's request that has no answer yet. It is asked of the state
+// pendingRequest is a user's request that has no answer yet. It is asked of the state
 // service here, or of a peer, or of both; the first that can tell answers it.
-type question struct {
-	reply   uint64
-	r       UserRequest
-	at      int64
-	own     bool        // asked here, and not ended
-	relayed bool        // a peer was asked, once at most
-	waiting bool        // for the peer
-	bad     *UserAnswer // what was learned here: come back later
-	written bool        // a submission whose write was sent
-	reading bool        // its record was seen in the mirror, and is read
-	over    bool
+type pendingRequest struct {
+	replyID        uint64
+	request        UserRequest
+	receivedAtMS   int64
+	pendingLocally bool          // asked here, and not ended
+	relayed        bool          // a peer was asked, once at most
+	awaitingPeer   bool          // for the peer
+	localFault     *UserResponse // what was learned here: come back later
+	writeSent      bool          // a submission whose write was sent
+	readingRecord  bool          // its record was seen in the mirror, and is read
+	completed      bool
 }
 
 // Relays that only hurry an answer along double what the state service is
@@ -26,151 +26,151 @@
 // of all requests, and some more at first. Polls leave a part to submissions and
 // cancellations: many polls that wait for their turn in this member's rate took all.
 const (
-	hurryShare = 0.1
-	hurryBurst = 10
-	hurryKept  = hurryBurst / 2
+	expediteShare   = 0.1
+	expediteBurst   = 10
+	expediteReserve = expediteBurst / 2
 )
 
-// serves tells whether this member can answer users from the state service.
-func (m *Member) serves() bool {
-	return m.acc.Synced() && len(m.types) > 0 && m.acc.Answering(m.now.Steady)
+// canServeUsers tells whether this member can answer users from the state service.
+func (c *Controller) canServeUsers() bool {
+	return c.storeAccess.IsSynced() && len(c.machineTypes) > 0 && c.storeAccess.IsResponsive(c.now.MonotonicMS)
 }
 
-// storeAway tells whether the state service refuses this member or does not
+// isStoreUnreachable tells whether the state service refuses this member or does not
 // answer it. Each request would take its whole patience to learn the same; the
 // hold's extension asks on, and its answer ends this.
-func (m *Member) storeAway() bool {
-	l := m.acc.Link(m.now.Steady)
-	return l == access.Silent || l == access.RefusedHere
+func (c *Controller) isStoreUnreachable() bool {
+	link := c.storeAccess.Link(c.now.MonotonicMS)
+	return link == access.LinkSilent || link == access.LinkRefused
 }
 
-const storeAway = "state service does not answer"
+const storeUnreachableMessage = "state service does not answer"
 
-// User takes a user's request; reply names it in the outputs' answers.
-func (m *Member) User(now Now, reply uint64, r UserRequest) {
-	m.now = now
-	q := &question{reply: reply, r: r, at: now.Steady, own: true}
-	m.questions[reply] = q
-	if f, ok := m.finals[r.ID]; ok {
-		m.reply(reply, f.answer(r.ID))
+// HandleUserRequest takes a user's request; reply names it in the outputs' answers.
+func (c *Controller) HandleUserRequest(now Now, replyID uint64, request UserRequest) {
+	c.now = now
+	pending := &pendingRequest{replyID: replyID, request: request, receivedAtMS: now.MonotonicMS, pendingLocally: true}
+	c.pendingRequests[replyID] = pending
+	if final, ok := c.terminalStates[request.ID]; ok {
+		c.completeRequest(replyID, final.response(request.ID))
 		return
 	}
-	m.asked = append(m.asked, q)
-	m.hurry = min(hurryBurst, m.hurry+hurryShare)
-	if m.storeAway() && !(r.Kind == Submit && r.ID == "") {
-		m.reply(reply, unavailable(r.ID, storeAway))
+	c.requestsByArrival = append(c.requestsByArrival, pending)
+	c.expediteBudget = min(expediteBurst, c.expediteBudget+expediteShare)
+	if c.isStoreUnreachable() && !(request.Kind == SubmitJob && request.ID == "") {
+		c.completeRequest(replyID, unavailableResponse(request.ID, storeUnreachableMessage))
 		return
 	}
-	switch r.Kind {
-	case Submit:
-		m.submit(reply, r)
-	case Query:
-		m.query(q)
-	case Cancel:
-		m.cancel(reply, r.ID, 3)
+	switch request.Kind {
+	case SubmitJob:
+		c.handleSubmit(replyID, request)
+	case QueryJob:
+		c.enqueueQuery(pending)
+	case CancelJob:
+		c.handleCancel(replyID, request.ID, 3)
 	}
 }
 
-// reply ends what is asked here. While the state service fails this member
+// completeRequest ends what is asked here. While the state service fails this member
 // only, a peer answers in its place.
-func (m *Member) reply(id uint64, a UserAnswer) {
-	q := m.questions[id]
-	if q == nil {
+func (c *Controller) completeRequest(replyID uint64, response UserResponse) {
+	pending := c.pendingRequests[replyID]
+	if pending == nil {
 		return // a peer was faster
 	}
-	q.own = false
-	if a.fault {
-		q.bad = &a
-		if q.waiting || m.relay(q) {
+	pending.pendingLocally = false
+	if response.retryableAtPeer {
+		pending.localFault = &response
+		if pending.awaitingPeer || c.relayToPeer(pending) {
 			return
 		}
 	}
-	m.answerUser(q, a)
+	c.sendUserResponse(pending, response)
 }
 
-func (m *Member) answerUser(q *question, a UserAnswer) {
-	q.over = true
-	delete(m.questions, q.reply)
-	if m.out.Users == nil {
-		m.out.Users = map[uint64]UserAnswer{}
+func (c *Controller) sendUserResponse(pending *pendingRequest, response UserResponse) {
+	pending.completed = true
+	delete(c.pendingRequests, pending.replyID)
+	if c.outputs.UserResponses == nil {
+		c.outputs.UserResponses = map[uint64]UserResponse{}
 	}
-	m.out.Users[q.reply] = a
-	if a.Status == 503 {
-		m.Counters.Refused++
+	c.outputs.UserResponses[pending.replyID] = response
+	if response.Status == 503 {
+		c.Counters.UnavailableResponses++
 	}
 }
 
-// relay asks the next peer that says that it can answer.
-func (m *Member) relay(q *question) bool {
-	if q.relayed || q.r.Relayed || len(m.relays) >= m.p.Relays {
+// relayToPeer asks the next peer that says that it can answer.
+func (c *Controller) relayToPeer(pending *pendingRequest) bool {
+	if pending.relayed || pending.request.Relayed || len(c.pendingRelays) >= c.params.MaxPendingRelays {
 		return false
 	}
-	var peers []string
-	for name, p := range inOrder(m.peers) {
-		if name != m.p.Member && m.fresh(p) && p.msg.Serves {
-			peers = append(peers, name)
+	var servingPeers []string
+	for name, state := range sortedByKey(c.peers) {
+		if name != c.params.MemberID && c.isFresh(state) && state.message.ServesUsers {
+			servingPeers = append(servingPeers, name)
 		}
 	}
-	if len(peers) == 0 {
+	if len(servingPeers) == 0 {
 		return false
 	}
-	peer := peers[m.nextRelay%uint64(len(peers))]
-	m.nextRelay++
-	m.nextID++
-	q.relayed, q.waiting = true, true
-	m.relays[m.nextID] = relay{q, peer}
-	r := q.r
-	r.Relayed = true
-	m.out.Relays = append(m.out.Relays, Relay{m.nextID, peer, r})
-	m.Counters.Relayed++
+	peer := servingPeers[c.relayRoundRobin%uint64(len(servingPeers))]
+	c.relayRoundRobin++
+	c.lastRequestID++
+	pending.relayed, pending.awaitingPeer = true, true
+	c.pendingRelays[c.lastRequestID] = pendingRelay{pending, peer}
+	request := pending.request
+	request.Relayed = true
+	c.outputs.Relays = append(c.outputs.Relays, RelayRequest{c.lastRequestID, peer, request})
+	c.Counters.Relayed++
 	return true
 }
 
-type relay struct {
-	q    *question
-	peer string
+type pendingRelay struct {
+	request *pendingRequest
+	peer    string
 }
 
-// RelayDone takes a peer's answer, or learns that there is none.
-func (m *Member) RelayDone(now Now, id uint64, a UserAnswer, ok bool) {
-	m.now = now
-	r, known := m.relays[id]
+// HandleRelayResult takes a peer's answer, or learns that there is none.
+func (c *Controller) HandleRelayResult(now Now, id uint64, response UserResponse, ok bool) {
+	c.now = now
+	relay, known := c.pendingRelays[id]
 	if !known {
 		return
 	}
-	delete(m.relays, id)
-	q := r.q
-	q.waiting = false
-	if !ok || a.Status == 503 {
+	delete(c.pendingRelays, id)
+	pending := relay.request
+	pending.awaitingPeer = false
+	if !ok || response.Status == 503 {
 		// What it said of itself is out of date; its next message says more.
-		if p := m.peers[r.peer]; p != nil {
-			p.msg.Serves = false
+		if peer := c.peers[relay.peer]; peer != nil {
+			peer.message.ServesUsers = false
 		}
 	}
 	switch {
-	case q.over:
-	case ok && a.Status != 503:
-		m.answerUser(q, a)
-	case !q.own && q.bad != nil:
-		m.answerUser(q, *q.bad)
+	case pending.completed:
+	case ok && response.Status != 503:
+		c.sendUserResponse(pending, response)
+	case !pending.pendingLocally && pending.localFault != nil:
+		c.sendUserResponse(pending, *pending.localFault)
 	}
 }
 
-// hurryQuestions asks a peer too about what takes longer than answers do: the
+// expediteSlowRequests asks a peer too about what takes longer than answers do: the
 // state service may have stopped answering this member, which shows for certain
 // only when a request's whole time is up. Both may carry a request out: each
 // submission and cancellation is one conditional write, whoever sends it.
-func (m *Member) hurryQuestions() {
-	m.asked = slices.DeleteFunc(m.asked, func(q *question) bool { return q.over })
-	for _, q := range m.asked {
-		if m.now.Steady-q.at <= m.acc.Late() || m.hurry < 1 {
+func (c *Controller) expediteSlowRequests() {
+	c.requestsByArrival = slices.DeleteFunc(c.requestsByArrival, func(pending *pendingRequest) bool { return pending.completed })
+	for _, pending := range c.requestsByArrival {
+		if c.now.MonotonicMS-pending.receivedAtMS <= c.storeAccess.OverdueAfterMS() || c.expediteBudget < 1 {
 			break
 		}
-		if q.r.Kind == Query && m.hurry < 1+hurryKept {
+		if pending.request.Kind == QueryJob && c.expediteBudget < 1+expediteReserve {
 			continue
 		}
-		if q.own && m.relay(q) {
-			m.hurry--
+		if pending.pendingLocally && c.relayToPeer(pending) {
+			c.expediteBudget--
 		}
 	}
 }
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -22,178 +22,178 @@
 	disruptionPrefix = "l/d/"
 )
 
-// rollouts is what a member knows and, while it leads, decides of the plan.
-type rollouts struct {
-	rec      *rollout.Record
-	accounts map[string]disruption.Record // by shard, as the store has them
-	ledger   *disruption.Ledger           // while it leads
-	ledgerOf string                       // the plan that the ledger is of
-	next     int64
-	writing  bool
-	renting  bool
-	nextRent int64
-	past     []pastTally // of all members, for what is usual
-	fleet    []rollout.Machine
+// rolloutState is what a member knows and, while it leads, decides of the plan.
+type rolloutState struct {
+	rec               *rollout.Record
+	disruptionRecords map[string]disruption.Record // by shard, as the store has them
+	ledger            *disruption.Ledger           // while it leads
+	ledgerPlanID      string                       // the plan that the ledger is of
+	nextTickAt        int64
+	writing           bool
+	provisioning      bool
+	nextProvisionAt   int64
+	countsHistory     []countsSample // of all members, for what is usual
+	machines          []rollout.Machine
 }
 
-type pastTally struct {
-	at    int64
-	tally rollout.Tally
+type countsSample struct {
+	at     int64
+	counts rollout.HealthCounts
 }
 
-// pastTallies and pastEvery bound what is remembered of what is usual: five minutes.
+// maxCountsSamples and countsSampleIntervalMS bound what is remembered of what is usual: five minutes.
 const (
-	pastTallies = 30
-	pastEvery   = 10_000
+	maxCountsSamples       = 30
+	countsSampleIntervalMS = 10_000
 )
 
-// disrupted is a shard's side: its account, what it would stop, and what it lost.
-type disrupted struct {
-	account *disruption.Account
-	page    page
-	wants   map[string]disruption.Demand
-	next    int64
+// shardDisruption is a shard's side: its account, what it would stop, and what it lost.
+type shardDisruption struct {
+	account    *disruption.Account
+	record     recordWriteState
+	demands    map[string]disruption.Demand
+	nextTickAt int64
 }
 
-// openTasks bounds the charges of a shard that are open, within half a value.
-func (m *Member) openTasks() int { return max(16, m.p.ValueBytes/2/80) }
+// maxOpenCharges bounds the charges of a shard that are open, within half a value.
+func (c *Controller) maxOpenCharges() int { return max(16, c.params.MaxValueBytes/2/80) }
 
-func (m *Member) planMachine(mc *machine) rollout.Machine {
-	return rollout.Machine{ID: mc.id, Type: mc.rec.Type, Zone: mc.rec.Zone, Shard: mc.rec.Shard, Spot: mc.rec.Spot, Up: mc.Up, Rented: mc.rec.Rented, For: mc.rec.For}
+func (c *Controller) rolloutMachine(mc *machine) rollout.Machine {
+	return rollout.Machine{ID: mc.id, Type: mc.rec.Type, Zone: mc.rec.Zone, Shard: mc.rec.Shard, Spot: mc.rec.Spot, Up: mc.Up, ProvisionedAt: mc.rec.ProvisionedAtMS, ProvisionedForPlan: mc.rec.ReplacementPlan}
 }
 
-// applyRollout takes a record of a plan or of what a shard stopped.
-func (m *Member) applyRollout(it Item) error {
-	r := &m.roll
-	if it.Key == rolloutKey {
-		if it.Value == nil {
+// applyRolloutRecord takes a record of a plan or of what a shard stopped.
+func (c *Controller) applyRolloutRecord(kv KeyValue) error {
+	r := &c.rolloutState
+	if kv.Key == rolloutKey {
+		if kv.Value == nil {
 			r.rec = nil
 			return nil
 		}
 		rec := &rollout.Record{}
-		if err := json.Unmarshal(it.Value, rec); err != nil {
+		if err := json.Unmarshal(kv.Value, rec); err != nil {
 			return err
 		}
 		r.rec = rec
-		m.dirtyAll()
+		c.markAllShardsDirty()
 		return nil
 	}
-	shard := it.Key[len(disruptionPrefix):]
+	shard := kv.Key[len(disruptionPrefix):]
 	var rec disruption.Record
-	if it.Value != nil {
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
+	if kv.Value != nil {
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
 			return err
 		}
 	}
-	r.accounts[shard] = rec
+	r.disruptionRecords[shard] = rec
 	return nil
 }
 
-// covered tells whether the plan has a machine emptied now.
-func (m *Member) covered(mc *machine) bool {
-	if m.roll.rec == nil || !m.p.Rollout {
+// isDrainedByRollout tells whether the plan has a machine emptied now.
+func (c *Controller) isDrainedByRollout(mc *machine) bool {
+	if c.rolloutState.rec == nil || !c.params.Rollout {
 		return false
 	}
-	p := m.planMachine(mc)
-	return m.roll.rec.Covers(&p)
+	p := c.rolloutMachine(mc)
+	return c.rolloutState.rec.Covers(&p)
 }
 
-// budget is a team's, by the operators' settings; "*" stands for teams without one.
-func (m *Member) budget(team string) disruption.Budget {
-	if b, ok := m.settings.Disruption[team]; ok {
+// disruptionBudget is a team's, by the operators' settings; "*" stands for teams without one.
+func (c *Controller) disruptionBudget(team string) disruption.Budget {
+	if b, ok := c.settings.Disruption[team]; ok {
 		return b
 	}
-	return m.settings.Disruption["*"]
+	return c.settings.Disruption["*"]
 }
 
 // tickRollout leads the plan on: once or twice a second, by one write for all that
 // changed.
-func (m *Member) tickRollout() {
-	r, now := &m.roll, m.now.Steady
-	if !m.p.Rollout || now < r.next {
+func (c *Controller) tickRollout() {
+	r, now := &c.rolloutState, c.now.MonotonicMS
+	if !c.params.Rollout || now < r.nextTickAt {
 		return
 	}
-	r.next = now + 500
-	tally := m.tallyAll()
-	if n := len(r.past); n == 0 || now-r.past[n-1].at >= pastEvery {
-		r.past = append(r.past[max(0, n-pastTallies+1):], pastTally{now, tally})
+	r.nextTickAt = now + 500
+	counts := c.clusterCounts()
+	if n := len(r.countsHistory); n == 0 || now-r.countsHistory[n-1].at >= countsSampleIntervalMS {
+		r.countsHistory = append(r.countsHistory[max(0, n-maxCountsSamples+1):], countsSample{now, counts})
 	}
-	if r.rec == nil || r.rec.State.Over() || r.writing {
+	if r.rec == nil || r.rec.State.IsTerminal() || r.writing {
 		return
 	}
-	if r.ledger == nil || r.ledgerOf != r.rec.Plan.ID {
-		r.ledger, r.ledgerOf = disruption.NewLedger(r.rec.Issued), r.rec.Plan.ID
+	if r.ledger == nil || r.ledgerPlanID != r.rec.Plan.ID {
+		r.ledger, r.ledgerPlanID = disruption.NewLedger(r.rec.Issued), r.rec.Plan.ID
 	}
 	rec := *r.rec
-	changed, rent := rec.Next(m.now.Wall, m.planFleet(), tally, m.planPrice)
-	if rec.State == rollout.Running && m.issue() {
+	changed, toProvision := rec.Advance(c.now.WallMS, c.rolloutMachines(), counts, c.hourlyPrice)
+	if rec.State == rollout.Running && c.issueDisruptionTokens() {
 		changed = true
 	}
 	if changed {
 		rec.Issued = r.ledger.Issued()
-		m.writeRollout(&rec, []Guard{{leadKey, m.fleet.rev}}, func(StoreResult) {})
+		c.writeRolloutRecord(&rec, []Precondition{{leaderKey, c.fleet.leaderRev}}, func(StoreResult) {})
 	}
-	if len(rent) > 0 && !r.renting && now >= r.nextRent {
-		r.nextRent = now + 1000
-		m.rentReplacements(rec.Plan.ID, rent)
+	if len(toProvision) > 0 && !r.provisioning && now >= r.nextProvisionAt {
+		r.nextProvisionAt = now + 1000
+		c.provisionReplacements(rec.Plan.ID, toProvision)
 	}
 }
 
-// issue hands out tokens for what the shards want to stop.
-func (m *Member) issue() (changed bool) {
-	r := &m.roll
-	wants := map[string]map[string]disruption.Demand{} // team, shard
-	m.heard(func(from string, msg *PeerMessage) {
-		for i := range msg.Shards {
-			if sr := &msg.Shards[i]; m.shards[sr.Shard].Holder == from {
-				for team, d := range sr.Disruption {
-					if wants[team] == nil {
-						wants[team] = map[string]disruption.Demand{}
+// issueDisruptionTokens hands out tokens for what the shards want to stop.
+func (c *Controller) issueDisruptionTokens() (changed bool) {
+	r := &c.rolloutState
+	demands := map[string]map[string]disruption.Demand{} // team, shard
+	c.forEachFreshMessage(func(from string, msg *PeerMessage) {
+		for i := range msg.OwnedShards {
+			if peerShard := &msg.OwnedShards[i]; c.shardClaims[peerShard.Shard].Owner == from {
+				for team, d := range peerShard.DisruptionDemands {
+					if demands[team] == nil {
+						demands[team] = map[string]disruption.Demand{}
 					}
-					wants[team][sr.Shard] = d
+					demands[team][peerShard.Shard] = d
 				}
 			}
 		}
 	})
-	rows, most := 0, max(16, m.p.ValueBytes/2/40) // a row takes some forty bytes
-	known := map[string]bool{}
+	rows, maxRows := 0, max(16, c.params.MaxValueBytes/2/40) // a row takes some forty bytes
+	recorded := map[string]bool{}
 	for _, teams := range r.ledger.Issued() {
 		rows += len(teams)
 		for t := range teams {
-			known[t] = true
+			recorded[t] = true
 		}
 	}
-	for team, by := range inOrder(wants) {
-		if !known[team] {
-			if rows += len(by); rows > most {
+	for team, shardDemands := range sortedByKey(demands) {
+		if !recorded[team] {
+			if rows += len(shardDemands); rows > maxRows {
 				continue // no room in the record: its machines wait for their tasks to end
 			}
 		}
 		settled := map[string]uint64{}
-		for s, a := range r.accounts {
+		for s, a := range r.disruptionRecords {
 			settled[s] = a.Settled[team]
 		}
-		if r.ledger.Issue(m.now.Steady, team, m.budget(team), by, settled) {
+		if r.ledger.Issue(c.now.MonotonicMS, team, c.disruptionBudget(team), shardDemands, settled) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// planFleet lists the machines that are recorded, in order. What is asked back is on
+// rolloutMachines lists the machines that are recorded, in order. What is asked back is on
 // its way and counts as there until the cloud has said so.
-func (m *Member) planFleet() []rollout.Machine {
-	r := &m.roll
-	r.fleet = r.fleet[:0]
-	for _, mc := range m.machines {
-		r.fleet = append(r.fleet, m.planMachine(mc))
-	}
-	slices.SortFunc(r.fleet, func(a, b rollout.Machine) int { return strings.Compare(a.ID, b.ID) })
-	return r.fleet
+func (c *Controller) rolloutMachines() []rollout.Machine {
+	r := &c.rolloutState
+	r.machines = r.machines[:0]
+	for _, mc := range c.machines {
+		r.machines = append(r.machines, c.rolloutMachine(mc))
+	}
+	slices.SortFunc(r.machines, func(a, b rollout.Machine) int { return strings.Compare(a.ID, b.ID) })
+	return r.machines
 }
 
-func (m *Member) planPrice(k rollout.Kind) float64 {
-	t := m.types[k.Type]
+func (c *Controller) hourlyPrice(k rollout.InstanceOffering) float64 {
+	t := c.machineTypes[k.Type]
 	switch {
 	case t == nil:
 		return 0
@@ -203,91 +203,91 @@
 	return t.Price
 }
 
-// tallyAll is what gates count, over all members that are heard.
-func (m *Member) tallyAll() (sum rollout.Tally) {
-	m.heard(func(_ string, msg *PeerMessage) { sum = sum.Add(msg.Tally) })
+// clusterCounts is what gates count, over all members that are heard.
+func (c *Controller) clusterCounts() (sum rollout.HealthCounts) {
+	c.forEachFreshMessage(func(_ string, msg *PeerMessage) { sum = sum.Add(msg.RolloutCounts) })
 	return sum
 }
 
-// usual is what gates count in an ordinary second.
-func (m *Member) usual() rollout.Rate {
-	past := m.roll.past
-	if len(past) == 0 {
-		return rollout.Rate{}
+// baselineRate is what gates count in an ordinary second.
+func (c *Controller) baselineRate() rollout.HealthRates {
+	history := c.rolloutState.countsHistory
+	if len(history) == 0 {
+		return rollout.HealthRates{}
 	}
-	return m.tallyAll().Since(past[0].tally).Per(m.now.Steady - past[0].at)
+	return c.clusterCounts().Since(history[0].counts).RatesOver(c.now.MonotonicMS - history[0].at)
 }
 
-// rentReplacements asks for machines that a plan replaces others by, one call for all
+// provisionReplacements asks for machines that a plan replaces others by, one call for all
 // of a kind and zone.
-func (m *Member) rentReplacements(plan string, rent map[rollout.Kind]int) {
-	r := &m.roll
-	by := map[offer]map[string]int{}
-	var order []offer
-	for k, n := range rent {
-		o := offer{k.Type, k.Zone, k.Spot}
-		if m.types[k.Type] == nil || m.now.Steady < m.fleet.refused[o] {
+func (c *Controller) provisionReplacements(plan string, toProvision map[rollout.InstanceOffering]int) {
+	r := &c.rolloutState
+	requests := map[offering]map[string]int{}
+	var order []offering
+	for k, n := range toProvision {
+		o := offering{k.Type, k.Zone, k.Spot}
+		if c.machineTypes[k.Type] == nil || c.now.MonotonicMS < c.fleet.unavailableUntil[o] {
 			continue
 		}
-		if by[o] == nil {
-			by[o] = map[string]int{}
+		if requests[o] == nil {
+			requests[o] = map[string]int{}
 			order = append(order, o)
 		}
-		by[o][k.Shard] += n
+		requests[o][k.Shard] += n
 	}
-	slices.SortFunc(order, offer.compare)
-	left := len(order)
-	r.renting = left > 0
+	slices.SortFunc(order, offering.compare)
+	pending := len(order)
+	r.provisioning = pending > 0
 	for _, o := range order {
-		m.rent(o, by[o], plan, func() {
-			if left--; left == 0 {
-				r.renting = false
+		c.provision(o, requests[o], plan, func() {
+			if pending--; pending == 0 {
+				r.provisioning = false
 			}
 		})
 	}
 }
 
-// writeRollout changes the plan's record, under a condition beside its revision.
-func (m *Member) writeRollout(rec *rollout.Record, guards []Guard, done func(StoreResult)) {
-	r := &m.roll
+// writeRolloutRecord changes the plan's record, under a condition beside its revision.
+func (c *Controller) writeRolloutRecord(rec *rollout.Record, preconditions []Precondition, onResult func(StoreResult)) {
+	r := &c.rolloutState
 	r.writing = true
-	m.txn(Answers, append(guards, Guard{rolloutKey, m.revs[rolloutKey]}), []Change{{Key: rolloutKey, Value: encode(rec)}}, func(res StoreResult) {
+	c.sendTxn(UrgencyUser, append(preconditions, Precondition{rolloutKey, c.keyRevisions[rolloutKey]}), []Change{{Key: rolloutKey, Value: mustEncode(rec)}}, func(res StoreResult) {
 		if res.Outcome != Unknown && res.Outcome != Conflict {
 			r.writing = false
-			done(res)
+			onResult(res)
 			return
 		}
 		// Tokens that the record would have issued count as issued, in the ledger
 		// of this leader and, if it was written, in the record.
-		m.reread(rolloutKey, func(StoreResult) {
+		c.rereadKey(rolloutKey, func(StoreResult) {
 			r.writing = false
-			done(res)
+			onResult(res)
 		})
 	})
 }
 
-// keepRollout is a shard's part in each tick: what was stopped and runs again is
+// tickShardDisruption is a shard's part in each tick: what was stopped and runs again is
 // settled, what is to be stopped is charged, and the account is written.
-func (m *Member) keepRollout(s *shard) {
-	d := &s.disrupted
-	if !m.p.Rollout || m.now.Steady < d.next {
+func (c *Controller) tickShardDisruption(s *shard) {
+	d := &s.disruption
+	if !c.params.Rollout || c.now.MonotonicMS < d.nextTickAt {
 		return
 	}
-	d.next = m.now.Steady + 250
+	d.nextTickAt = c.now.MonotonicMS + 250
 	if d.account == nil {
-		d.account = disruption.Open(m.roll.accounts[s.name], m.openTasks())
-		d.page.rev = m.revs[disruptionPrefix+s.name]
+		d.account = disruption.OpenAccount(c.rolloutState.disruptionRecords[s.name], c.maxOpenCharges())
+		d.record.rev = c.keyRevisions[disruptionPrefix+s.name]
 	}
-	m.settle(s)
-	m.wantStops(s)
-	m.writeAccount(s)
+	c.settleCharges(s)
+	c.requestEvictions(s)
+	c.writeDisruptionAccount(s)
 }
 
-// settle closes the charges of tasks that run again, are done or are nobody's any
+// settleCharges closes the charges of tasks that run again, are done or are nobody's any
 // more, and of tasks that go on where they are.
-func (m *Member) settle(s *shard) {
-	d := &s.disrupted
-	if d.account.Empty() {
+func (c *Controller) settleCharges(s *shard) {
+	d := &s.disruption
+	if d.account.IsEmpty() {
 		return
 	}
 	live := map[string]*attempt{}
@@ -298,145 +298,145 @@
 			}
 		}
 	}
-	d.account.Losses(func(task, _ string) {
-		if w, i := m.workOf(task); w == nil || w.done.has(i) || live[task] != nil {
-			d.account.Found(task)
+	d.account.EachLost(func(task, _ string) {
+		if tr, i := c.taskRangeOf(task); tr == nil || tr.done.has(i) || live[task] != nil {
+			d.account.RecordRecovery(task)
 		}
 	})
-	if len(s.squares.Unseen()) > 0 {
+	if len(s.reconciler.Unreported()) > 0 {
 		return // what is not heard may be what runs
 	}
-	d.account.Each(func(task string, t disruption.Task) {
-		w, i := m.workOf(task)
+	d.account.EachReserved(func(task string, t disruption.StoppedTask) {
+		tr, i := c.taskRangeOf(task)
 		a := live[task]
 		switch {
-		case w == nil, w.done.has(i):
-			d.account.Settle(task)
+		case tr == nil, tr.done.has(i):
+			d.account.Release(task)
 		case a != nil && a.key.attempt != t.Attempt:
-			d.account.Settle(task)
-		case a != nil && !a.evicted && !m.covered(a.on):
-			d.account.Settle(task) // it was never told to stop, and is not to be
+			d.account.Release(task)
+		case a != nil && !a.evicted && !c.isDrainedByRollout(a.machine):
+			d.account.Release(task) // it was never told to stop, and is not to be
 		}
 	})
 }
 
 // eviction is a task that would be stopped, with what that loses.
 type eviction struct {
-	a    *attempt
-	lost float64 // work, in processor milliseconds
+	attempt  *attempt
+	lostWork float64 // work, in processor milliseconds
 }
 
-// wantStops finds what the plan would have stopped, charges what was issued for, and
+// requestEvictions finds what the plan would have stopped, charges what was issued for, and
 // tells what more it wants. What ends in time is let end.
-func (m *Member) wantStops(s *shard) {
-	d, rec, wall := &s.disrupted, m.roll.rec, m.now.Wall
-	d.wants = map[string]disruption.Demand{}
-	if rec == nil || rec.State.Over() {
+func (c *Controller) requestEvictions(s *shard) {
+	d, rec, wall := &s.disruption, c.rolloutState.rec, c.now.WallMS
+	d.demands = map[string]disruption.Demand{}
+	if rec == nil || rec.State.IsTerminal() {
 		return
 	}
 	for _, mc := range s.machines {
 		for _, a := range mc.byKey {
 			if !a.exited && a.running {
-				w := d.wants[a.job.Team]
-				w.Running++
-				d.wants[a.job.Team] = w
+				demand := d.demands[a.job.Team]
+				demand.Running++
+				d.demands[a.job.Team] = demand
 			}
 		}
 	}
-	d.account.Losses(func(_, team string) {
-		w := d.wants[team]
-		w.Lost++
-		d.wants[team] = w
+	d.account.EachLost(func(_, team string) {
+		demand := d.demands[team]
+		demand.Lost++
+		d.demands[team] = demand
 	})
-	if rec.State != rollout.Running || !s.squared {
+	if rec.State != rollout.Running || !s.reconciled {
 		return
 	}
-	late, by := rec.Late(wall), rec.Deadline()
-	var list []eviction
+	late, deadline := rec.IsPastDeadline(wall), rec.StepDeadline()
+	var candidates []eviction
 	for _, mc := range s.machines {
-		if !mc.aside || !mc.Squared() || mc.live == 0 || !m.covered(mc) {
+		if !mc.cordoned || !mc.IsReconciled() || mc.liveAttemptCount == 0 || !c.isDrainedByRollout(mc) {
 			continue
 		}
 		for _, a := range mc.byKey {
-			if a.exited || a.saving || a.job.Once || d.account.IsOpen(a.key.task) {
+			if a.exited || a.checkpointing || a.job.AtMostOnce || d.account.IsReserved(a.key.task) {
 				continue
 			}
-			ends := a.ends(wall)
-			soon := ends-wall <= 2*m.reportGap()+ms(a.job.SaveS)
-			e := eviction{a: a}
+			expectedEnd := a.expectedEnd(wall)
+			endsByItself := expectedEnd-wall <= 2*c.maxHeartbeatIntervalMS()+secondsToMS(a.job.CheckpointDurationS)
+			e := eviction{attempt: a}
 			switch {
-			case a.job.Kind == Array && soon || by > 0 && !late && a.job.Kind == Array && ends <= by && a.running:
+			case a.job.Kind == Array && endsByItself || deadline > 0 && !late && a.job.Kind == Array && expectedEnd <= deadline && a.running:
 				continue // over by itself in time
 			case !a.running && a.job.Kind == Array:
 				// Nothing is lost.
 			case late:
-				e.lost = float64(wall-a.ranAt) * a.job.Request.CPUs
-				if a.job.CheckpointS > 0 {
-					e.lost = min(e.lost, a.job.SaveS*1000*a.job.Request.CPUs)
+				e.lostWork = float64(wall-a.runningSince) * a.job.Request.CPUs
+				if a.job.CheckpointIntervalS > 0 {
+					e.lostWork = min(e.lostWork, a.job.CheckpointDurationS*1000*a.job.Request.CPUs)
 				}
-			case a.job.Kind == Array && a.job.CheckpointS > 0 && by > 0 && !m.onlyHere(a.job, mc):
-				e.lost = a.job.SaveS * 1000 * a.job.Request.CPUs
+			case a.job.Kind == Array && a.job.CheckpointIntervalS > 0 && deadline > 0 && !c.fitsOnlyTypeOf(a.job, mc):
+				e.lostWork = a.job.CheckpointDurationS * 1000 * a.job.Request.CPUs
 			default:
 				continue
 			}
-			list = append(list, e)
+			candidates = append(candidates, e)
 		}
 	}
-	slices.SortFunc(list, func(x, y eviction) int {
-		return cmp.Or(cmp.Compare(x.lost, y.lost), cmp.Compare(x.a.key.task, y.a.key.task))
+	slices.SortFunc(candidates, func(x, y eviction) int {
+		return cmp.Or(cmp.Compare(x.lostWork, y.lostWork), cmp.Compare(x.attempt.key.task, y.attempt.key.task))
 	})
-	for _, e := range list {
-		a := e.a
-		tasks := m.withIt(s, a)
+	for _, e := range candidates {
+		a := e.attempt
+		tasks := c.tasksEvictedTogether(s, a)
 		if tasks == nil {
 			continue
 		}
 		team := a.job.Team
-		if d.account.Charge(team, rec.Issued[s.name][team], tasks) {
+		if d.account.Reserve(team, rec.Issued[s.name][team], tasks) {
 			continue
 		}
-		w := d.wants[team]
-		w.Want += len(tasks)
-		d.wants[team] = w
+		demand := d.demands[team]
+		demand.Requested += len(tasks)
+		d.demands[team] = demand
 	}
-	for team := range d.wants {
-		if d.wants[team].Want == 0 {
-			d.account.Return(team, rec.Issued[s.name][team])
+	for team := range d.demands {
+		if d.demands[team].Requested == 0 {
+			d.account.ReturnUnspent(team, rec.Issued[s.name][team])
 		}
 	}
 }
 
-// onlyHere tells whether no other type of machine takes a job.
-func (m *Member) onlyHere(j *Job, mc *machine) bool {
-	for _, t := range m.types {
-		if t.Name != mc.rec.Type && m.fitsType(j, t) {
+// fitsOnlyTypeOf tells whether no other type of machine takes a job.
+func (c *Controller) fitsOnlyTypeOf(j *Job, mc *machine) bool {
+	for _, t := range c.machineTypes {
+		if t.Name != mc.rec.Type && c.fitsType(j, t) {
 			return false
 		}
 	}
-	return m.catalog.Needed(mc.rec.Type)
+	return c.placementCatalog.IsRequired(mc.rec.Type)
 }
 
-// withIt is what goes down with a task: a gang all of it; nil if a service would fall
+// tasksEvictedTogether is what goes down with a task: a gang all of it; nil if a service would fall
 // under what its team's budget keeps.
-func (m *Member) withIt(s *shard, a *attempt) map[string]uint64 {
+func (c *Controller) tasksEvictedTogether(s *shard, a *attempt) map[string]uint64 {
 	tasks := map[string]uint64{a.key.task: a.key.attempt}
 	switch a.job.Kind {
 	case Service:
 		down := 0
-		s.disrupted.account.Each(func(task string, _ disruption.Task) {
-			if w, _ := m.workOf(task); w == a.work {
+		s.disruption.account.EachReserved(func(task string, _ disruption.StoppedTask) {
+			if tr, _ := c.taskRangeOf(task); tr == a.taskRange {
 				down++
 			}
 		})
-		keep := int(math.Ceil(m.budget(a.job.Team).Keep * float64(a.work.size())))
-		if min(a.work.running, a.work.size()-down)-1 < keep {
+		minRunning := int(math.Ceil(c.disruptionBudget(a.job.Team).MinReplicaShare * float64(a.taskRange.size())))
+		if min(a.taskRange.runningCount, a.taskRange.size()-down)-1 < minRunning {
 			return nil
 		}
 	case Gang:
 		for _, mc := range s.machines {
-			for _, o := range mc.byKey {
-				if !o.exited && o.work == a.work {
-					tasks[o.key.task] = o.key.attempt
+			for _, other := range mc.byKey {
+				if !other.exited && other.taskRange == a.taskRange {
+					tasks[other.key.task] = other.key.attempt
 				}
 			}
 		}
@@ -445,27 +445,27 @@
 }
 
 // mayEvict tells whether a task's stop may leave: its charge is in the store.
-func (m *Member) mayEvict(s *shard, mc *machine, a *attempt) bool {
-	d := &s.disrupted
-	if !m.p.Rollout || d.account == nil || !d.account.MayStop(a.key.task, a.key.attempt) {
+func (c *Controller) mayEvict(s *shard, mc *machine, a *attempt) bool {
+	d := &s.disruption
+	if !c.params.Rollout || d.account == nil || !d.account.CanStop(a.key.task, a.key.attempt) {
 		return false
 	}
 	// A gang goes down whole, wherever its tasks are.
-	return a.evicted || m.roll.rec != nil && m.roll.rec.State == rollout.Running && (mc.aside && m.covered(mc) || a.job.Kind == Gang)
+	return a.evicted || c.rolloutState.rec != nil && c.rolloutState.rec.State == rollout.Running && (mc.cordoned && c.isDrainedByRollout(mc) || a.job.Kind == Gang)
 }
 
-// writeAccount stores a shard's account when it changed.
-func (m *Member) writeAccount(s *shard) {
-	d := &s.disrupted
-	if d.page.writing || !d.account.Dirty() || m.now.Steady < d.page.next {
+// writeDisruptionAccount stores a shard's account when it changed.
+func (c *Controller) writeDisruptionAccount(s *shard) {
+	d := &s.disruption
+	if d.record.writing || !d.account.HasUnstoredChanges() || c.now.MonotonicMS < d.record.nextWriteAt {
 		return
 	}
-	rec := d.account.Record()
-	m.writeOwn(s, disruptionPrefix+s.name, &d.page, rec, m.progressEvery()/2, func(ok bool) {
+	rec := d.account.BuildRecord()
+	c.writeShardRecord(s, disruptionPrefix+s.name, &d.record, rec, c.progressWriteInterval()/2, func(ok bool) {
 		if ok {
-			d.account.Stored(rec)
+			d.account.ConfirmStored(rec)
 		} else {
-			d.account.Failed()
+			d.account.MarkStoreFailed()
 		}
 	})
 }
@@ -473,152 +473,152 @@
 // RolloutStatus is a plan as the administration API shows it.
 type RolloutStatus struct {
 	*rollout.Record
-	Left     int            `json:"left"`              // machines of the plan that are there still
-	Emptying int            `json:"emptying"`          // of them, being emptied now
-	Booting  int            `json:"booting"`           // replacements that are not up yet
-	Down     map[string]int `json:"down"`              // by team: tasks stopped that do not run again yet
-	Waits    map[string]int `json:"waiting,omitempty"` // by team: tasks that wait for its budget
+	Remaining        int            `json:"left"`              // machines of the plan that are there still
+	Emptying         int            `json:"emptying"`          // of them, being emptied now
+	Booting          int            `json:"booting"`           // replacements that are not up yet
+	Disrupted        map[string]int `json:"down"`              // by team: tasks stopped that do not run again yet
+	WaitingForBudget map[string]int `json:"waiting,omitempty"` // by team: tasks that wait for its budget
 }
 
 // Rollout tells how the plan stands, nil without one.
-func (m *Member) Rollout(now Now) *RolloutStatus {
-	m.now = now
-	rec := m.roll.rec
+func (c *Controller) Rollout(now Now) *RolloutStatus {
+	c.now = now
+	rec := c.rolloutState.rec
 	if rec == nil {
 		return nil
 	}
-	st := &RolloutStatus{Record: rec, Down: map[string]int{}, Waits: map[string]int{}}
-	for _, mc := range m.machines {
-		p := m.planMachine(mc)
+	status := &RolloutStatus{Record: rec, Disrupted: map[string]int{}, WaitingForBudget: map[string]int{}}
+	for _, mc := range c.machines {
+		p := c.rolloutMachine(mc)
 		switch {
-		case rec.Names(&p):
-			st.Left++
+		case rec.Selects(&p):
+			status.Remaining++
 			if rec.Covers(&p) {
-				st.Emptying++
+				status.Emptying++
 			}
-		case p.For == rec.Plan.ID && !p.Up:
-			st.Booting++
+		case p.ProvisionedForPlan == rec.Plan.ID && !p.Up:
+			status.Booting++
 		}
 	}
-	for _, a := range m.roll.accounts {
-		for _, t := range a.Open {
-			st.Down[t.Team]++
+	for _, a := range c.rolloutState.disruptionRecords {
+		for _, t := range a.Reserved {
+			status.Disrupted[t.Team]++
 		}
 	}
-	m.heard(func(_ string, msg *PeerMessage) {
-		for i := range msg.Shards {
-			for team, d := range msg.Shards[i].Disruption {
-				if d.Want > 0 {
-					st.Waits[team] += d.Want
+	c.forEachFreshMessage(func(_ string, msg *PeerMessage) {
+		for i := range msg.OwnedShards {
+			for team, d := range msg.OwnedShards[i].DisruptionDemands {
+				if d.Requested > 0 {
+					status.WaitingForBudget[team] += d.Requested
 				}
 			}
 		}
 	})
-	return st
+	return status
 }
 
 // RolloutPreview is what a plan would do, by what is there now.
 type RolloutPreview struct {
-	Machines int            `json:"machines"`
-	Kinds    map[string]int `json:"kinds"` // by type, zone and kind
-	Tasks    map[string]int `json:"tasks"` // by team: running on this member's machines of them
-	Steps    int            `json:"steps"`
-	Beyond   float64        `json:"beyond"`  // money an hour while all of the surge is there
-	Budgets  map[string]int `json:"budgets"` // by team: tasks that may be down at once
-	Wrong    string         `json:"wrong,omitempty"`
+	Machines         int            `json:"machines"`
+	Kinds            map[string]int `json:"kinds"` // by type, zone and kind
+	Tasks            map[string]int `json:"tasks"` // by team: running on this member's machines of them
+	Steps            int            `json:"steps"`
+	SurgeCostPerHour float64        `json:"beyond"`  // money an hour while all of the surge is there
+	MaxDisrupted     map[string]int `json:"budgets"` // by team: tasks that may be down at once
+	InvalidReason    string         `json:"wrong,omitempty"`
 }
 
 // PreviewRollout tells what a plan would do, and stores nothing.
-func (m *Member) PreviewRollout(now Now, p rollout.Plan) RolloutPreview {
-	m.now = now
-	out := RolloutPreview{Kinds: map[string]int{}, Tasks: map[string]int{}, Budgets: map[string]int{}}
-	rec, why := rollout.Begin(p, m.now.Wall, m.planFleet(), rollout.Rate{})
-	if why != "" {
-		out.Wrong = why
-		return out
-	}
-	out.Machines = rec.Total
-	var dearest float64
+func (c *Controller) PreviewRollout(now Now, p rollout.Plan) RolloutPreview {
+	c.now = now
+	preview := RolloutPreview{Kinds: map[string]int{}, Tasks: map[string]int{}, MaxDisrupted: map[string]int{}}
+	rec, reason := rollout.NewRecord(p, c.now.WallMS, c.rolloutMachines(), rollout.HealthRates{})
+	if reason != "" {
+		preview.InvalidReason = reason
+		return preview
+	}
+	preview.Machines = rec.TotalMachines
+	var highestPrice float64
 	zones := map[string]int{}
-	for _, mc := range m.machines {
-		x := m.planMachine(mc)
-		if !rec.Names(&x) {
+	for _, mc := range c.machines {
+		target := c.rolloutMachine(mc)
+		if !rec.Selects(&target) {
 			continue
 		}
-		out.Kinds[planner.Kind{Type: x.Type, Zone: x.Zone, Spot: x.Spot}.Name()]++
-		zones[x.Zone]++
-		dearest = max(dearest, m.planPrice(rollout.Kind{Type: x.Type, Zone: x.Zone, Spot: x.Spot}))
+		preview.Kinds[planner.InstanceOffering{Type: target.Type, Zone: target.Zone, Spot: target.Spot}.Key()]++
+		zones[target.Zone]++
+		highestPrice = max(highestPrice, c.hourlyPrice(rollout.InstanceOffering{Type: target.Type, Zone: target.Zone, Spot: target.Spot}))
 		for _, a := range mc.byKey {
 			if !a.exited && a.running {
-				out.Tasks[a.job.Team]++
+				preview.Tasks[a.job.Team]++
 			}
 		}
 	}
-	for team, n := range out.Tasks {
-		out.Budgets[team] = m.budget(team).Most(n)
+	for team, n := range preview.Tasks {
+		preview.MaxDisrupted[team] = c.disruptionBudget(team).MaxDown(n)
 	}
-	out.Steps = rec.Steps(zones)
-	out.Beyond = dearest * float64(min(p.Surge, rec.Total))
-	return out
+	preview.Steps = rec.StepCount(zones)
+	preview.SurgeCostPerHour = highestPrice * float64(min(p.Surge, rec.TotalMachines))
+	return preview
 }
 
 // ApplyRollout stores a plan, for the member that leads the fleet to carry out;
 // reply names the answer among the users'.
-func (m *Member) ApplyRollout(now Now, reply uint64, p rollout.Plan) {
-	m.changeRollout(now, reply, func() (*rollout.Record, string, int) {
-		if old := m.roll.rec; old != nil && !old.State.Over() {
-			return nil, "plan " + old.Plan.ID + " is " + string(old.State) + ": abort it first", 409
-		} else if old != nil && old.Plan.ID == p.ID {
+func (c *Controller) ApplyRollout(now Now, replyID uint64, p rollout.Plan) {
+	c.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
+		if current := c.rolloutState.rec; current != nil && !current.State.IsTerminal() {
+			return nil, "plan " + current.Plan.ID + " is " + string(current.State) + ": abort it first", 409
+		} else if current != nil && current.Plan.ID == p.ID {
 			return nil, "id: plan " + p.ID + " has been already", 409
 		}
-		if p.Type != "" && m.types[p.Type] == nil {
+		if p.Type != "" && c.machineTypes[p.Type] == nil {
 			return nil, "type: no machine type " + p.Type, 400
 		}
-		rec, why := rollout.Begin(p, m.now.Wall, m.planFleet(), m.usual())
-		if rec != nil && m.roll.rec != nil {
-			rec.Issued = m.roll.rec.Issued // tokens are the shards', whatever the plan
+		rec, reason := rollout.NewRecord(p, c.now.WallMS, c.rolloutMachines(), c.baselineRate())
+		if rec != nil && c.rolloutState.rec != nil {
+			rec.Issued = c.rolloutState.rec.Issued // tokens are the shards', whatever the plan
 		}
-		return rec, why, 400
+		return rec, reason, 400
 	})
 }
 
 // CommandRollout carries an operator's command to the plan out.
-func (m *Member) CommandRollout(now Now, reply uint64, c rollout.Command) {
-	m.changeRollout(now, reply, func() (*rollout.Record, string, int) {
-		if m.roll.rec == nil {
+func (c *Controller) CommandRollout(now Now, replyID uint64, command rollout.Command) {
+	c.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
+		if c.rolloutState.rec == nil {
 			return nil, "there is no plan", 404
 		}
-		rec := *m.roll.rec
-		why := rec.Do(c, m.now.Wall, m.tallyAll())
-		return &rec, why, 409
+		rec := *c.rolloutState.rec
+		reason := rec.ApplyCommand(command, c.now.WallMS, c.clusterCounts())
+		return &rec, reason, 409
 	})
 }
 
-func (m *Member) changeRollout(now Now, reply uint64, change func() (rec *rollout.Record, why string, status int)) {
-	m.now = now
-	m.questions[reply] = &question{reply: reply, at: now.Steady, own: true, relayed: true} // this member's to answer
-	if !m.p.Rollout {
-		m.reply(reply, UserAnswer{Status: 404, Error: "rollouts are switched off (features: [rollout])"})
+func (c *Controller) changeRollout(now Now, replyID uint64, change func() (rec *rollout.Record, reason string, status int)) {
+	c.now = now
+	c.pendingRequests[replyID] = &pendingRequest{replyID: replyID, receivedAtMS: now.MonotonicMS, pendingLocally: true, relayed: true} // this member's to answer
+	if !c.params.Rollout {
+		c.completeRequest(replyID, UserResponse{Status: 404, Error: "rollouts are switched off (features: [rollout])"})
 		return
 	}
-	if !m.acc.Synced() || m.roll.writing {
-		m.reply(reply, unavailable("", "state service unavailable"))
+	if !c.storeAccess.IsSynced() || c.rolloutState.writing {
+		c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		return
 	}
-	rec, why, status := change()
-	if why != "" {
-		m.reply(reply, UserAnswer{Status: status, Error: why})
+	rec, reason, status := change()
+	if reason != "" {
+		c.completeRequest(replyID, UserResponse{Status: status, Error: reason})
 		return
 	}
-	m.log(Info, "rollout", "plan", rec.Plan.ID, "state", rec.State, "machines", rec.Total)
-	m.writeRollout(rec, nil, func(r StoreResult) {
+	c.log(Info, "rollout", "plan", rec.Plan.ID, "state", rec.State, "machines", rec.TotalMachines)
+	c.writeRolloutRecord(rec, nil, func(r StoreResult) {
 		switch r.Outcome {
 		case OK:
-			m.reply(reply, UserAnswer{Status: 200})
+			c.completeRequest(replyID, UserResponse{Status: 200})
 		case Conflict:
-			m.reply(reply, UserAnswer{Status: 409, Error: "the plan moved on meanwhile; try again"})
+			c.completeRequest(replyID, UserResponse{Status: 409, Error: "the plan moved on meanwhile; try again"})
 		default:
-			m.reply(reply, unavailable("", "state service unavailable"))
+			c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		}
 	})
 }
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -14,443 +14,443 @@
 // that leads the fleet and by no other, and a few lists for a shard of those
 // that are up, written by its holder.
 
-// rosterRecord is machines of one kind in one shard.
-type rosterRecord struct {
-	Shard    string   `json:"shard"`
-	Type     string   `json:"type"`
-	Zone     string   `json:"zone"`
-	Spot     bool     `json:"spot,omitempty"`
-	Rented   int64    `json:"rented"`        // time of day, ms
-	For      string   `json:"for,omitempty"` // the plan whose machines they replace
-	Machines []string `json:"machines"`
+// registryRecord is machines of one kind in one shard.
+type registryRecord struct {
+	Shard           string   `json:"shard"`
+	Type            string   `json:"type"`
+	Zone            string   `json:"zone"`
+	Spot            bool     `json:"spot,omitempty"`
+	ProvisionedAtMS int64    `json:"rented"`        // time of day, ms
+	ReplacementPlan string   `json:"for,omitempty"` // the plan whose machines they replace
+	MachineIDs      []string `json:"machines"`
 }
 
-// upRecord lists machines of a shard that are up. Nothing starts on a machine
+// liveMachinesRecord lists machines of a shard that are up. Nothing starts on a machine
 // before it is listed, so one that is not listed has no tasks.
-type upRecord struct {
-	Up []string `json:"up"`
+type liveMachinesRecord struct {
+	MachineIDs []string `json:"up"`
 }
 
-// roster is a roster of the mirror.
-type roster struct {
-	rec rosterRecord
+// registryPage is a roster of the mirror.
+type registryPage struct {
+	rec registryRecord
 	rev uint64
 }
 
-// addition is a roster that the lead is to write. Its key and contents never
+// registryAddition is a roster that the lead is to write. Its key and contents never
 // change: a write whose outcome is not known is sent again as it was.
-type addition struct {
-	key  string
-	rec  rosterRecord
-	done func()
+type registryAddition struct {
+	key       string
+	rec       registryRecord
+	onWritten func()
 }
 
-// changesAtOnce bounds the changes of one transaction that is not urgent, so
+// maxChangesPerBackgroundTxn bounds the changes of one transaction that is not urgent, so
 // that it does not use up a member's part of the store's rate at once.
-func (m *Member) changesAtOnce() int { return max(1, m.p.TxnOps/4) }
+func (c *Controller) maxChangesPerBackgroundTxn() int { return max(1, c.params.MaxTxnOps/4) }
 
-// rosterSize bounds the machines of a roster, by the bytes that a value takes;
+// maxMachinesPerPage bounds the machines of a roster, by the bytes that a value takes;
 // names take up to some twenty of them.
-func (m *Member) rosterSize() int { return max(1, m.p.ValueBytes/2/24) }
+func (c *Controller) maxMachinesPerPage() int { return max(1, c.params.MaxValueBytes/2/24) }
 
-func (m *Member) rosterChanged(key string, rec *rosterRecord, rev uint64) {
-	old := m.rosters[key]
-	keep := map[string]bool{}
+func (c *Controller) applyRegistryPage(key string, rec *registryRecord, rev uint64) {
+	previous := c.registryPages[key]
+	kept := map[string]bool{}
 	if rec != nil {
-		m.rosters[key] = &roster{*rec, rev}
-		for _, id := range rec.Machines {
-			keep[id] = true
-			m.machineKnown(id, key, rec)
+		c.registryPages[key] = &registryPage{*rec, rev}
+		for _, id := range rec.MachineIDs {
+			kept[id] = true
+			c.upsertMachine(id, key, rec)
 		}
 	} else {
-		delete(m.rosters, key)
+		delete(c.registryPages, key)
 	}
-	if old == nil {
+	if previous == nil {
 		return
 	}
-	for _, id := range old.rec.Machines {
-		if !keep[id] {
-			m.machineGone(id)
+	for _, id := range previous.rec.MachineIDs {
+		if !kept[id] {
+			c.deleteMachine(id)
 		}
 	}
 }
 
-// upChanged takes a list of machines that are up. What a list no longer names is
+// applyLiveMachines takes a list of machines that are up. What a list no longer names is
 // gone from the rosters too, or stands in another list.
-func (m *Member) upChanged(key string, rec *upRecord) {
+func (c *Controller) applyLiveMachines(key string, rec *liveMachinesRecord) {
 	if rec == nil {
-		delete(m.ups, key)
+		delete(c.liveMachines, key)
 		return
 	}
-	m.ups[key] = rec.Up
-	for _, id := range rec.Up {
-		mc := m.machines[id]
+	c.liveMachines[key] = rec.MachineIDs
+	for _, id := range rec.MachineIDs {
+		mc := c.machines[id]
 		if mc == nil || mc.Up {
 			continue
 		}
-		s := m.mine[mc.rec.Shard]
+		s := c.ownedShards[mc.rec.Shard]
 		if s == nil || mc.claim != s {
 			mc.Up = true
 		} else {
-			s.squares.List(mc.Machine)
+			s.reconciler.MarkListed(mc.Machine)
 		}
 		if s != nil {
-			s.dirty, s.hasten = true, true
+			s.dirty, s.planExpedited = true, true
 		}
 	}
 }
 
-// writeUps lists the machines of a shard that came up since the last time, and
+// writeLiveMachines lists the machines of a shard that came up since the last time, and
 // drops those that are gone.
-func (m *Member) writeUps(s *shard) {
-	if s.upWriting || len(s.upNew) == 0 || m.now.Steady < s.nextUp {
+func (c *Controller) writeLiveMachines(s *shard) {
+	if s.liveListWriting || len(s.newlyLive) == 0 || c.now.MonotonicMS < s.nextLiveListWriteAt {
 		return
 	}
-	prefix := upPrefix + s.name + "/"
+	prefix := liveMachinesPrefix + s.name + "/"
 	var key string
-	var list []string
-	for n := 0; ; n++ {
-		key = fmt.Sprintf("%s%d", prefix, n)
-		list = list[:0]
-		for _, id := range m.ups[key] {
-			if m.machines[id] != nil {
-				list = append(list, id)
+	var machineIDs []string
+	for index := 0; ; index++ {
+		key = fmt.Sprintf("%s%d", prefix, index)
+		machineIDs = machineIDs[:0]
+		for _, id := range c.liveMachines[key] {
+			if c.machines[id] != nil {
+				machineIDs = append(machineIDs, id)
 			}
 		}
-		if len(list) < m.rosterSize() {
+		if len(machineIDs) < c.maxMachinesPerPage() {
 			break
 		}
 	}
-	for _, id := range slices.Clone(s.upNew) {
-		if mc := m.machines[id]; mc == nil || mc.Up {
-			s.upNew = slices.DeleteFunc(s.upNew, func(x string) bool { return x == id })
-		} else if len(list) < m.rosterSize() {
-			list = append(list, id)
+	for _, id := range slices.Clone(s.newlyLive) {
+		if mc := c.machines[id]; mc == nil || mc.Up {
+			s.newlyLive = slices.DeleteFunc(s.newlyLive, func(x string) bool { return x == id })
+		} else if len(machineIDs) < c.maxMachinesPerPage() {
+			machineIDs = append(machineIDs, id)
 		}
 	}
-	if len(s.upNew) == 0 {
+	if len(s.newlyLive) == 0 {
 		return
 	}
-	s.upWriting = true
+	s.liveListWriting = true
 	// The next ones share a write.
-	s.nextUp = m.now.Steady + max(300, ms(m.p.ReportS)/8)
-	value := encode(upRecord{slices.Clone(list)})
-	m.txn(Answers, []Guard{{shardKey(s.name), s.token}, {key, m.revs[key]}}, []Change{{Key: key, Value: value}}, func(r StoreResult) {
-		s.upWriting = false
-		if r.Outcome == Unknown || r.Outcome == Conflict {
-			s.upWriting = true
-			m.reread(key, func(StoreResult) { s.upWriting = false })
+	s.nextLiveListWriteAt = c.now.MonotonicMS + max(300, secondsToMS(c.params.HeartbeatS)/8)
+	value := mustEncode(liveMachinesRecord{slices.Clone(machineIDs)})
+	c.sendTxn(UrgencyUser, []Precondition{{claimKey(s.name), s.token}, {key, c.keyRevisions[key]}}, []Change{{Key: key, Value: value}}, func(result StoreResult) {
+		s.liveListWriting = false
+		if result.Outcome == Unknown || result.Outcome == Conflict {
+			s.liveListWriting = true
+			c.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
 		}
 	})
 }
 
-// addMachines gives machines an owner, as soon as the store has them.
-func (m *Member) addMachines(ids []string, o offer, shard, plan string, rented int64, done func()) {
-	f := &m.fleet
-	var fresh []string
+// addMachinesToRegistry gives machines an owner, as soon as the store has them.
+func (c *Controller) addMachinesToRegistry(ids []string, offering offering, shard, replacementPlan string, provisionedAtMS int64, onWritten func()) {
+	fleet := &c.fleet
+	var newIDs []string
 	for _, id := range ids {
-		if m.machines[id] == nil && !f.adding[id] && f.returned[id] == 0 {
-			f.adding[id] = true
-			fresh = append(fresh, id)
+		if c.machines[id] == nil && !fleet.unrecordedMachines[id] && fleet.releasedAt[id] == 0 {
+			fleet.unrecordedMachines[id] = true
+			newIDs = append(newIDs, id)
 		}
 	}
-	if len(fresh) == 0 {
-		done()
+	if len(newIDs) == 0 {
+		onWritten()
 		return
 	}
-	for part := range slices.Chunk(fresh, m.rosterSize()) {
-		f.rosters++
-		last := func() {}
-		if part[len(part)-1] == fresh[len(fresh)-1] {
-			last = done
+	for chunk := range slices.Chunk(newIDs, c.maxMachinesPerPage()) {
+		fleet.lastRegistryPageNumber++
+		onChunkWritten := func() {}
+		if chunk[len(chunk)-1] == newIDs[len(newIDs)-1] {
+			onChunkWritten = onWritten
 		}
-		f.additions = append(f.additions, &addition{key: fmt.Sprintf("%s%d-%d", machinePrefix, f.rev, f.rosters), done: last,
-			rec: rosterRecord{Shard: shard, Type: o.typ, Zone: o.zone, Spot: o.spot, Rented: rented, For: plan, Machines: slices.Clone(part)}})
+		fleet.pendingAdditions = append(fleet.pendingAdditions, &registryAddition{key: fmt.Sprintf("%s%d-%d", registryPrefix, fleet.leaderRev, fleet.lastRegistryPageNumber), onWritten: onChunkWritten,
+			rec: registryRecord{Shard: shard, Type: offering.machineType, Zone: offering.zone, Spot: offering.spot, ProvisionedAtMS: provisionedAtMS, ReplacementPlan: replacementPlan, MachineIDs: slices.Clone(chunk)}})
 	}
-	m.writeRosters()
+	c.writeRegistry()
 }
 
-// writeRosters writes what is to be added to and removed from the rosters, one
+// writeRegistry writes what is to be added to and removed from the rosters, one
 // transaction at a time.
-func (m *Member) writeRosters() {
-	f := &m.fleet
-	if f.writing || !m.mayLead() || len(f.additions)+len(f.removals) == 0 || m.now.Steady < f.nextWrite {
+func (c *Controller) writeRegistry() {
+	fleet := &c.fleet
+	if fleet.registryWriting || !c.canActAsLeader() || len(fleet.pendingAdditions)+len(fleet.pendingRemovals) == 0 || c.now.MonotonicMS < fleet.nextRegistryWriteAt {
 		return
 	}
-	guards := []Guard{{leadKey, f.rev}}
+	preconditions := []Precondition{{leaderKey, fleet.leaderRev}}
 	var changes []Change
-	for _, a := range f.additions[:min(len(f.additions), m.changesAtOnce())] {
-		guards = append(guards, Guard{a.key, 0})
-		changes = append(changes, Change{Key: a.key, Value: encode(a.rec)})
-	}
-	touched := map[string]bool{}
-	for id := range f.removals {
-		if mc := m.machines[id]; mc != nil {
-			touched[mc.roster] = true
+	for _, addition := range fleet.pendingAdditions[:min(len(fleet.pendingAdditions), c.maxChangesPerBackgroundTxn())] {
+		preconditions = append(preconditions, Precondition{addition.key, 0})
+		changes = append(changes, Change{Key: addition.key, Value: mustEncode(addition.rec)})
+	}
+	touchedPages := map[string]bool{}
+	for id := range fleet.pendingRemovals {
+		if mc := c.machines[id]; mc != nil {
+			touchedPages[mc.registryKey] = true
 		} else {
-			delete(f.removals, id)
+			delete(fleet.pendingRemovals, id)
 		}
 	}
-	for key := range inOrder(touched) {
-		if len(changes) >= m.changesAtOnce() {
+	for key := range sortedByKey(touchedPages) {
+		if len(changes) >= c.maxChangesPerBackgroundTxn() {
 			break
 		}
-		r := m.rosters[key]
+		r := c.registryPages[key]
 		rec := r.rec
-		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(id string) bool { return f.removals[id] })
-		guards = append(guards, Guard{key, r.rev})
-		if len(rec.Machines) == 0 {
+		rec.MachineIDs = slices.DeleteFunc(slices.Clone(rec.MachineIDs), func(id string) bool { return fleet.pendingRemovals[id] })
+		preconditions = append(preconditions, Precondition{key, r.rev})
+		if len(rec.MachineIDs) == 0 {
 			changes = append(changes, Change{Key: key})
 		} else {
-			changes = append(changes, Change{Key: key, Value: encode(rec)})
+			changes = append(changes, Change{Key: key, Value: mustEncode(rec)})
 		}
 	}
 	if len(changes) == 0 {
 		return
 	}
-	f.writing = true
-	rev := f.rev
-	m.txn(Answers, guards, changes, func(r StoreResult) {
-		f.writing = false
-		if f.rev != rev {
+	fleet.registryWriting = true
+	leaderRevision := fleet.leaderRev
+	c.sendTxn(UrgencyUser, preconditions, changes, func(r StoreResult) {
+		fleet.registryWriting = false
+		if fleet.leaderRev != leaderRevision {
 			return
 		}
 		switch r.Outcome {
 		case OK:
-			m.rostersWritten()
-			m.writeRosters()
+			c.completeRegistryAdditions()
+			c.writeRegistry()
 		case Unknown, Conflict:
 			// Each key is read before anything is written again. An addition
 			// that had worked is in the mirror then.
-			f.writing = true
-			left := len(changes)
-			for _, c := range changes {
-				m.reread(c.Key, func(StoreResult) {
-					if left--; left == 0 {
-						f.writing = false
-						f.nextWrite = m.now.Steady + 300
-						m.rostersWritten()
+			fleet.registryWriting = true
+			remaining := len(changes)
+			for _, change := range changes {
+				c.rereadKey(change.Key, func(StoreResult) {
+					if remaining--; remaining == 0 {
+						fleet.registryWriting = false
+						fleet.nextRegistryWriteAt = c.now.MonotonicMS + 300
+						c.completeRegistryAdditions()
 					}
 				})
 			}
-			m.reread(leadKey, func(StoreResult) {})
+			c.rereadKey(leaderKey, func(StoreResult) {})
 		default:
-			f.nextWrite = m.now.Steady + 500
+			fleet.nextRegistryWriteAt = c.now.MonotonicMS + 500
 		}
 	})
 }
 
-// rostersWritten drops the additions that the mirror has.
-func (m *Member) rostersWritten() {
-	f := &m.fleet
-	var done []func()
-	f.additions = slices.DeleteFunc(f.additions, func(a *addition) bool {
-		if m.revs[a.key] == 0 {
+// completeRegistryAdditions drops the additions that the mirror has.
+func (c *Controller) completeRegistryAdditions() {
+	fleet := &c.fleet
+	var callbacks []func()
+	fleet.pendingAdditions = slices.DeleteFunc(fleet.pendingAdditions, func(addition *registryAddition) bool {
+		if c.keyRevisions[addition.key] == 0 {
 			return false
 		}
-		for _, id := range a.rec.Machines {
-			delete(f.adding, id)
+		for _, id := range addition.rec.MachineIDs {
+			delete(fleet.unrecordedMachines, id)
 		}
-		done = append(done, a.done)
+		callbacks = append(callbacks, addition.onWritten)
 		return true
 	})
-	for _, d := range done {
-		d()
+	for _, onWritten := range callbacks {
+		onWritten()
 	}
 }
 
-// mayLead tells whether this member leads the fleet and has seen all that its
+// canActAsLeader tells whether this member leads the fleet and has seen all that its
 // predecessors wrote: a machine that it took for unknown would get two owners.
-func (m *Member) mayLead() bool {
-	return m.fleet.leading && m.authority() && m.rev >= m.fleet.rev
+func (c *Controller) canActAsLeader() bool {
+	return c.fleet.leading && c.hasAuthority() && c.mirrorRevision >= c.fleet.leaderRev
 }
 
-// giveBack notes that the lead is to return a machine.
-func (m *Member) giveBack(id, why string) {
-	f := &m.fleet
-	if _, ok := f.leaving[id]; ok || f.returned[id] != 0 {
+// markForRelease notes that the lead is to return a machine.
+func (c *Controller) markForRelease(id, reason string) {
+	fleet := &c.fleet
+	if _, ok := fleet.pendingReleases[id]; ok || fleet.releasedAt[id] != 0 {
 		return
 	}
-	f.leaving[id] = true
-	m.log(Info, "machine leaves", "machine", id, "why", why)
+	fleet.pendingReleases[id] = true
+	c.log(Info, "machine leaves", "machine", id, "why", reason)
 }
 
 // releaseMachines returns the machines that their owners gave up, as their
 // messages say, and those that the lead itself found gone or never up. By the
 // time of the answer they are gone with everything on them, which their removal
 // from the rosters tells the owners.
-func (m *Member) releaseMachines() {
-	f := &m.fleet
-	m.heard(func(from string, msg *PeerMessage) {
-		for i := range msg.Shards {
-			sr := &msg.Shards[i]
-			if m.shards[sr.Shard].Holder != from {
+func (c *Controller) releaseMachines() {
+	fleet := &c.fleet
+	c.forEachFreshMessage(func(from string, msg *PeerMessage) {
+		for i := range msg.OwnedShards {
+			peerShard := &msg.OwnedShards[i]
+			if c.shardClaims[peerShard.Shard].Owner != from {
 				continue
 			}
-			for _, id := range sr.Returns {
-				if mc := m.machines[id]; mc != nil && mc.rec.Shard == sr.Shard && f.returned[id] == 0 {
-					f.leaving[id] = true
+			for _, id := range peerShard.MachinesToRelease {
+				if mc := c.machines[id]; mc != nil && mc.rec.Shard == peerShard.Shard && fleet.releasedAt[id] == 0 {
+					fleet.pendingReleases[id] = true
 				}
 			}
 		}
 	})
-	if len(f.leaving) == 0 {
+	if len(fleet.pendingReleases) == 0 {
 		return
 	}
 	var ids []string
-	for id := range f.leaving {
+	for id := range fleet.pendingReleases {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	ids = ids[:min(len(ids), 100)]
-	f.releasing = true
-	m.askCloud(CloudOp{Kind: CloudRelease, Machines: ids}, func(r CloudResult) {
-		f.releasing = false
-		f.nextRelease = m.now.Steady + 500
+	fleet.releasePending = true
+	c.sendCloud(CloudOp{Kind: CloudRelease, Machines: ids}, func(r CloudResult) {
+		fleet.releasePending = false
+		fleet.nextReleaseAt = c.now.MonotonicMS + 500
 		if r.Outcome != OK {
-			f.nextRelease = m.now.Steady + 1000
+			fleet.nextReleaseAt = c.now.MonotonicMS + 1000
 			return
 		}
-		m.Counters.Returned += uint64(len(ids))
+		c.Counters.Released += uint64(len(ids))
 		for _, id := range ids {
-			delete(f.leaving, id)
-			f.returned[id] = m.now.Steady
-			f.removals[id] = true
+			delete(fleet.pendingReleases, id)
+			fleet.releasedAt[id] = c.now.MonotonicMS
+			fleet.pendingRemovals[id] = true
 		}
-		m.log(Info, "machines returned", "count", len(ids), "machines", ids)
-		m.writeRosters()
+		c.log(Info, "machines returned", "count", len(ids), "machines", ids)
+		c.writeRegistry()
 	})
 }
 
-// register takes in a machine that no roster names: one that was there before
+// registerUnknownMachine takes in a machine that no roster names: one that was there before
 // us, or a rental that was executed late. Only the lead writes rosters, so
 // other members send the worker there.
-func (m *Member) register(reply uint64, r Report) {
-	f := &m.fleet
-	if !f.leading {
-		a := WorkerAnswer{}
-		if m.lead != m.p.Member {
-			a.Redirect = m.lead
+func (c *Controller) registerUnknownMachine(replyID uint64, heartbeat Heartbeat) {
+	fleet := &c.fleet
+	if !fleet.leading {
+		response := HeartbeatResponse{}
+		if c.leader != c.params.MemberID {
+			response.RedirectTo = c.leader
 		}
-		m.answer(reply, a)
+		c.respondWorker(replyID, response)
 		return
 	}
-	if !m.mayLead() || m.types[r.Type] == nil || f.returned[r.Machine] != 0 {
-		m.answer(reply, WorkerAnswer{})
+	if !c.canActAsLeader() || c.machineTypes[heartbeat.Type] == nil || fleet.releasedAt[heartbeat.Machine] != 0 {
+		c.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
-	m.waiting[r.Machine] = append(m.waiting[r.Machine], waiter{reply, r, m.now.Steady})
-	if !f.adding[r.Machine] {
-		f.adding[r.Machine] = true
-		f.found = append(f.found, r)
+	c.parkedHeartbeats[heartbeat.Machine] = append(c.parkedHeartbeats[heartbeat.Machine], parkedHeartbeat{replyID, heartbeat, c.now.MonotonicMS})
+	if !fleet.unrecordedMachines[heartbeat.Machine] {
+		fleet.unrecordedMachines[heartbeat.Machine] = true
+		fleet.unknownMachines = append(fleet.unknownMachines, heartbeat)
 	}
 }
 
-// recordFound gives the machines that were found since the last time to the
+// assignFoundMachines gives the machines that were found since the last time to the
 // shards that have least. Those of a kind and a shard share a roster.
-func (m *Member) recordFound() {
-	f := &m.fleet
-	if len(f.found) == 0 || m.now.Steady < f.nextFound {
+func (c *Controller) assignFoundMachines() {
+	fleet := &c.fleet
+	if len(fleet.unknownMachines) == 0 || c.now.MonotonicMS < fleet.nextFound {
 		return
 	}
-	f.nextFound = m.now.Steady + 300
-	type place struct {
-		o     offer
-		shard string
-	}
-	loads := m.loads()
-	by := map[place][]string{}
-	var order []place
-	for _, r := range f.found {
-		delete(f.adding, r.Machine)
-		p := place{offer{r.Type, r.Zone, r.Spot}, m.poorest(loads, r.Type)}
-		if len(by[p]) == 0 {
-			order = append(order, p)
+	fleet.nextFound = c.now.MonotonicMS + 300
+	type assignment struct {
+		offering offering
+		shard    string
+	}
+	loads := c.shardLoads()
+	machineIDs := map[assignment][]string{}
+	var targets []assignment
+	for _, heartbeat := range fleet.unknownMachines {
+		delete(fleet.unrecordedMachines, heartbeat.Machine)
+		target := assignment{offering{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}, c.assignToLeastLoaded(loads, heartbeat.Type)}
+		if len(machineIDs[target]) == 0 {
+			targets = append(targets, target)
 		}
-		by[p] = append(by[p], r.Machine)
+		machineIDs[target] = append(machineIDs[target], heartbeat.Machine)
 	}
-	m.log(Info, "machines found", "count", len(f.found))
-	f.found = nil
-	for _, p := range order {
-		m.addMachines(by[p], p.o, p.shard, "", m.now.Wall, func() {})
+	c.log(Info, "machines found", "count", len(fleet.unknownMachines))
+	fleet.unknownMachines = nil
+	for _, target := range targets {
+		c.addMachinesToRegistry(machineIDs[target], target.offering, target.shard, "", c.now.WallMS, func() {})
 	}
 }
 
-// load is what a shard has of machines.
-type load struct {
-	cpus float64
-	same map[string]int
+// shardLoad is what a shard has of machines.
+type shardLoad struct {
+	cpus           float64
+	machinesByType map[string]int
 }
 
-func (m *Member) loads() map[string]*load {
-	loads := map[string]*load{}
-	for _, n := range m.members() {
-		if _, held := m.shards[n]; held || len(m.shards) == 0 {
-			loads[n] = &load{same: map[string]int{}}
+func (c *Controller) shardLoads() map[string]*shardLoad {
+	loads := map[string]*shardLoad{}
+	for _, shardName := range c.memberIDs() {
+		if _, claimed := c.shardClaims[shardName]; claimed || len(c.shardClaims) == 0 {
+			loads[shardName] = &shardLoad{machinesByType: map[string]int{}}
 		}
 	}
 	if len(loads) == 0 {
-		loads[m.p.Member] = &load{same: map[string]int{}}
+		loads[c.params.MemberID] = &shardLoad{machinesByType: map[string]int{}}
 	}
-	for _, mc := range m.machines {
-		if l := loads[mc.rec.Shard]; l != nil {
-			l.same[mc.rec.Type]++
+	for _, mc := range c.machines {
+		if load := loads[mc.rec.Shard]; load != nil {
+			load.machinesByType[mc.rec.Type]++
 		}
 	}
-	for _, l := range loads {
-		for typ, n := range inOrder(l.same) { // the same sum every time
-			l.cpus += float64(n) * roomOf(m.types[typ]).CPUs
+	for _, load := range loads {
+		for typ, shardName := range sortedByKey(load.machinesByType) { // the same sum every time
+			load.cpus += float64(shardName) * resourcesOf(c.machineTypes[typ]).CPUs
 		}
 	}
 	return loads
 }
 
-// poorest is the shard with the least processors, then the least machines of a
+// assignToLeastLoaded is the shard with the least processors, then the least machines of a
 // type; it is taken to get one.
-func (m *Member) poorest(loads map[string]*load, typ string) string {
-	best := ""
-	for n, l := range inOrder(loads) {
-		if best == "" || l.cpus < loads[best].cpus || l.cpus == loads[best].cpus && l.same[typ] < loads[best].same[typ] {
-			best = n
+func (c *Controller) assignToLeastLoaded(loads map[string]*shardLoad, machineType string) string {
+	leastLoaded := ""
+	for shardName, load := range sortedByKey(loads) {
+		if leastLoaded == "" || load.cpus < loads[leastLoaded].cpus || load.cpus == loads[leastLoaded].cpus && load.machinesByType[machineType] < loads[leastLoaded].machinesByType[machineType] {
+			leastLoaded = shardName
 		}
 	}
-	loads[best].cpus += roomOf(m.types[typ]).CPUs
-	loads[best].same[typ]++
-	return best
+	loads[leastLoaded].cpus += resourcesOf(c.machineTypes[machineType]).CPUs
+	loads[leastLoaded].machinesByType[machineType]++
+	return leastLoaded
 }
 
-// answerWaiting answers the reports of a machine that has an owner now.
-func (m *Member) answerWaiting(id string) {
-	ws := m.waiting[id]
-	delete(m.waiting, id)
-	for _, w := range ws {
-		m.report(w.reply, w.report)
+// processParkedHeartbeats answers the reports of a machine that has an owner now.
+func (c *Controller) processParkedHeartbeats(id string) {
+	parkedForMachine := c.parkedHeartbeats[id]
+	delete(c.parkedHeartbeats, id)
+	for _, parked := range parkedForMachine {
+		c.processHeartbeat(parked.replyID, parked.heartbeat)
 	}
 }
 
-// applyFleet brings the mirror of rosters and lists up to a change.
-func (m *Member) applyFleet(it Item) error {
+// applyMachineRecord brings the mirror of rosters and lists up to a change.
+func (c *Controller) applyMachineRecord(kv KeyValue) error {
 	switch {
-	case strings.HasPrefix(it.Key, machinePrefix):
-		if it.Value == nil {
-			m.rosterChanged(it.Key, nil, it.Rev)
+	case strings.HasPrefix(kv.Key, registryPrefix):
+		if kv.Value == nil {
+			c.applyRegistryPage(kv.Key, nil, kv.Rev)
 			return nil
 		}
-		var rec rosterRecord
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
+		var rec registryRecord
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
 			return err
 		}
-		m.rosterChanged(it.Key, &rec, it.Rev)
-	case strings.HasPrefix(it.Key, upPrefix):
-		if it.Value == nil {
-			m.upChanged(it.Key, nil)
+		c.applyRegistryPage(kv.Key, &rec, kv.Rev)
+	case strings.HasPrefix(kv.Key, liveMachinesPrefix):
+		if kv.Value == nil {
+			c.applyLiveMachines(kv.Key, nil)
 			return nil
 		}
-		var rec upRecord
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
+		var rec liveMachinesRecord
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
 			return err
 		}
-		m.upChanged(it.Key, &rec)
+		c.applyLiveMachines(kv.Key, &rec)
 	}
 	return nil
 }
--- a/scheduler/shard.go
+++ b/scheduler/shard.go
@@ -16,620 +16,622 @@
 // shard is a claim that this member holds: the machines and task ranges whose
 // records name it. Every member has one of its own and may adopt others'.
 type shard struct {
-	name       string
-	nonce      uint64
-	base       uint64 // revision of the claim
-	token      uint64 // revision that the claim was last raised to; workers obey the highest they saw
-	raising    bool
-	void       uint64 // commands with this token or a lower one must not run any more
-	raiseAt    int64
-	ready      bool // progress is read
-	reading    bool
-	read       bool
-	numbers    reconcile.Numbers
-	squares    *reconcile.Claim // what is known of its machines
-	mostSilent int64            // when most of its machines were last silent past their lease
-	squared    bool             // nothing of earlier claims is unseen any more
-	pacedAt    int64
-	nextReturn int64 // no idle machine is returned before
-	nextDraft  int64 // no team's record is written before
-	strays     int   // machines with tasks that are not ours to keep
-	memory     memory
-
-	disrupted disrupted
-	dirty     bool
-	planned   int64
-	leaving   bool // being handed back
+	name                string
+	nonce               uint64
+	claimRev            uint64 // revision of the claim
+	token               uint64 // revision that the claim was last raised to; workers obey the highest they saw
+	raisingToken        bool
+	voidToken           uint64 // commands with this token or a lower one must not run any more
+	nextRaiseAt         int64
+	ready               bool // progress is read
+	requestPending      bool
+	progressRead        bool
+	attemptIDs          reconcile.AttemptIDs
+	reconciler          *reconcile.Claim // what is known of its machines
+	mostSilentAt        int64            // when most of its machines were last silent past their lease
+	reconciled          bool             // nothing of earlier claims is unseen any more
+	pacedAt             int64
+	nextReleaseAt       int64 // no idle machine is returned before
+	nextProposalAt      int64 // no team's record is written before
+	machinesWithOrphans int   // machines with tasks that are not ours to keep
+	memory              recoveryState
+
+	disruption shardDisruption
+	dirty      bool
+	plannedAt  int64
+	releasing  bool // being handed back
 
 	// What the shard owns, in order, and what of it is in use: nothing that
 	// happens on a report or a tick may look at other shards' machines and
 	// jobs, nor at machines times jobs.
-	machines []*machine
-	works    []*work
-	use      map[string]availability.Room // by team, of live attempts
-	live     map[string][]*attempt        // by team, those: what a team asks must not cost all machines
-	owed     map[string]owed              // by team, of its limit
-	kept     map[string]*Job              // by team, the job for whose first task room of the limit is kept
-	pledged  map[*work]int                // for how many tasks room is kept, at the last plan
-	cedes    map[string]bool              // teams that had something to cede at this plan; nil: not looked up
-	ceded    map[string]quota.Amounts     // by team: of use, what is told to stop for others' guarantees
-	soon     map[string]quota.Amounts     // by team with a limit: what of its waiting work had room at the last plan
-	rest     map[string]float64           // by team: what they have left to do, in processor milliseconds
-	pages    map[string]*page
+	machines              []*machine
+	taskRanges            []*taskRange
+	usage                 map[string]availability.Resources // by team, of live attempts
+	liveAttempts          map[string][]*attempt             // by team, those: what a team asks must not cost all machines
+	debts                 map[string]preemptionDebt         // by team, of its limit
+	firstTaskReservations map[string]*Job                   // by team, the job for whose first task room of the limit is kept
+	reservedTasks         map[*taskRange]int                // for how many tasks room is kept, at the last plan
+	reclaimableTeams      map[string]bool                   // teams that had something to cede at this plan; nil: not looked up
+	reclaimedUsage        map[string]quota.Amounts          // by team: of use, what is told to stop for others' guarantees
+	placeableDemand       map[string]quota.Amounts          // by team with a limit: what of its waiting work had room at the last plan
+	remainingWork         map[string]float64                // by team: what they have left to do, in processor milliseconds
+	progressRecords       map[string]*recordWriteState
 
 	// Machines that reported and are not listed as up yet.
-	upNew     []string
-	upWriting bool
-	nextUp    int64
+	newlyLive           []string
+	liveListWriting     bool
+	nextLiveListWriteAt int64
 
 	// The last plan: the machines it considered, and the groups that waited,
 	// in their order.
-	board   *planner.Board
-	onBoard []*machine // by their places on it
-	queue   []*group
-	steps   int // how much work it was, for the pace of the next one
-	hasten  bool
+	clusterView   *planner.ClusterView
+	viewMachines  []*machine // by their places on it
+	queue         []*taskGroup
+	planSteps     int // how much work it was, for the pace of the next one
+	planExpedited bool
 
 	// Room that is kept free for jobs with a start aim, in processors.
-	reserve, spare, average, jobSize float64
-	aimed                            float64 // processors that tasks with a start aim use
-	reserveAt                        int64
-	needs                            []Need
-	foreseen                         []Need // of tasks that their machines will not end
+	reserveCPUs, spareCPUs, meanObjectiveCPUs, meanObjectiveJobCPUs float64
+	objectiveCPUs                                                   float64 // processors that tasks with a start aim use
+	reserveUpdatedAt                                                int64
+	demand                                                          []CapacityDemand
+	forecastDemand                                                  []CapacityDemand // of tasks that their machines will not end
 }
 
-func (m *Member) newShard(name string, nonce, rev uint64) *shard {
-	s := &shard{name: name, nonce: nonce, base: rev, token: rev, dirty: true, board: planner.NewBoard(m.catalog),
-		squares: reconcile.New(reconcile.Settings{Report: m.reportGap(), Lease: ms(m.p.LeaseS), Drift: drift, Slack: leaseSlack}, rev, m.now.Steady), use: map[string]availability.Room{}, live: map[string][]*attempt{}, rest: map[string]float64{}, owed: map[string]owed{}, kept: map[string]*Job{}, ceded: map[string]quota.Amounts{}, pledged: map[*work]int{}, soon: map[string]quota.Amounts{}, pages: map[string]*page{}}
-	s.numbers.Rebase(rev, m.now.Wall)
+func (c *Controller) newShard(name string, nonce, rev uint64) *shard {
+	s := &shard{name: name, nonce: nonce, claimRev: rev, token: rev, dirty: true, clusterView: planner.NewClusterView(c.placementCatalog),
+		reconciler: reconcile.NewClaim(reconcile.Settings{MaxHeartbeatIntervalMS: c.maxHeartbeatIntervalMS(), LeaseMS: secondsToMS(c.params.LeaseS), MaxClockDrift: maxClockDriftMS, LeaseSlackMS: leaseSlack}, rev, c.now.MonotonicMS), usage: map[string]availability.Resources{}, liveAttempts: map[string][]*attempt{}, remainingWork: map[string]float64{}, debts: map[string]preemptionDebt{}, firstTaskReservations: map[string]*Job{}, reclaimedUsage: map[string]quota.Amounts{}, reservedTasks: map[*taskRange]int{}, placeableDemand: map[string]quota.Amounts{}, progressRecords: map[string]*recordWriteState{}}
+	s.attemptIDs.Rebase(rev, c.now.WallMS)
 	return s
 }
 
 // leaseSlack is what measuring a lease costs, in milliseconds.
 const leaseSlack = 300
 
-// work is a range of a job that a shard of ours runs.
-type work struct {
-	job    *job
-	rng    Range
-	shard  string
-	claim  *shard
-	done   bits
-	nDone  int
-	busy   bits // an attempt has it, running or not known to be over
-	nBusy  int
-	low    int
-	stored bits   // done, as the store has it
-	key    string // of its progress in the store
+// taskRange is a range of a job that a shard of ours runs.
+type taskRange struct {
+	job           *job
+	bounds        Range
+	shardName     string
+	claim         *shard
+	done          bitset
+	doneCount     int
+	assigned      bitset // an attempt has it, running or not known to be over
+	assignedCount int
+	searchFrom    int
+	storedDone    bitset // done, as the store has it
+	progressKey   string // of its progress in the store
 
 	// recovered works were run by an earlier claim, so a task of theirs may
 	// still run on any machine that has not spoken under our token.
 	recovered bool
 
-	dirty    bool // done differs from stored
-	writing  bool
-	wroteAt  int64
-	admitted bool
-	retryAt  int64 // after errors: wait until then
-	errors   int
-	failed   map[string]int // machine: errors of this job there
-	taskErrs map[int]int    // task: errors, for jobs that bound them
-	ceded    map[int]string // task: the team that it was last stopped for
-	saved    map[int]int64  // task: how long it had run when it saved and stopped
-	moving   bool
-	running  int            // attempts that run
-	zones    map[string]int // zone: live attempts
-	gangAt   int64          // when the last try to start all of a gang began
-	gangTry  uint64         // its attempt, the same for all tasks
-	gangSent bits           // the tasks that were started in it
-}
-
-func (w *work) size() int    { return w.rng.Hi - w.rng.Lo }
-func (w *work) pending() int { return w.size() - w.nDone - w.nBusy }
-
-// begun tells whether a task of the range runs or is done.
-func (w *work) begun() bool { return w.nBusy > 0 || w.nDone > 0 }
-
-// next finds the lowest task that is neither done nor taken. All below low are.
-func (w *work) next() int {
-	for ; w.low < w.size(); w.low++ {
-		if !w.done.has(w.low) && !w.busy.has(w.low) {
-			return w.low
+	dirty           bool // done differs from stored
+	writing         bool
+	nextWriteAt     int64
+	admitted        bool
+	retryAt         int64 // after errors: wait until then
+	errors          int
+	errorsByMachine map[string]int // machine: errors of this job there
+	errorsByTask    map[int]int    // task: errors, for jobs that bound them
+	reclaimedFor    map[int]string // task: the team that it was last stopped for
+	checkpointedMS  map[int]int64  // task: how long it had run when it saved and stopped
+	moving          bool
+	runningCount    int            // attempts that run
+	attemptsByZone  map[string]int // zone: live attempts
+	gangStartedAt   int64          // when the last try to start all of a gang began
+	gangAttempt     uint64         // its attempt, the same for all tasks
+	gangStartsSent  bitset         // the tasks that were started in it
+}
+
+func (tr *taskRange) size() int    { return tr.bounds.Hi - tr.bounds.Lo }
+func (tr *taskRange) pending() int { return tr.size() - tr.doneCount - tr.assignedCount }
+
+// hasStarted tells whether a task of the range runs or is done.
+func (tr *taskRange) hasStarted() bool { return tr.assignedCount > 0 || tr.doneCount > 0 }
+
+// nextTask finds the lowest task that is neither done nor taken. All below low are.
+func (tr *taskRange) nextTask() int {
+	for ; tr.searchFrom < tr.size(); tr.searchFrom++ {
+		if !tr.done.has(tr.searchFrom) && !tr.assigned.has(tr.searchFrom) {
+			return tr.searchFrom
 		}
 	}
 	return -1
 }
 
-func (m *Member) tickShards() {
-	if !m.acc.Synced() || m.acc.Hold() == 0 {
+func (c *Controller) tickShards() {
+	if !c.storeAccess.IsSynced() || c.storeAccess.LeaseID() == 0 {
 		return
 	}
-	now := m.now.Steady
-	for _, name := range m.members() {
-		rec, held := m.shards[name]
-		if !held {
-			if _, ok := m.absent[name]; !ok {
-				m.absent[name] = now
+	now := c.now.MonotonicMS
+	for _, name := range c.memberIDs() {
+		rec, claimed := c.shardClaims[name]
+		if !claimed {
+			if _, ok := c.ownerlessSinceMS[name]; !ok {
+				c.ownerlessSinceMS[name] = now
 			}
 		} else {
-			delete(m.absent, name)
+			delete(c.ownerlessSinceMS, name)
 		}
-		if s := m.mine[name]; s != nil {
-			m.tickShard(s)
+		if s := c.ownedShards[name]; s != nil {
+			c.tickShard(s)
 			continue
 		}
-		if now < m.claiming[name] || now-m.acc.Fresh() > m.step()*3 {
+		if now < c.claimRetryAtMS[name] || now-c.storeAccess.MirrorReadSentAt() > c.leaseRenewalIntervalMS()*3 {
 			continue
 		}
-		own := name == m.p.Member
+		own := name == c.params.MemberID
 		switch {
-		case own && (!held || rec.Holder == m.p.Member):
+		case own && (!claimed || rec.Owner == c.params.MemberID):
 			// Held under our own name and not by us: by our predecessor,
 			// which is dead.
-		case !held && !own && now-m.absent[name] > m.adoptAfter():
+		case !claimed && !own && now-c.ownerlessSinceMS[name] > c.adoptionDelay():
 			// Its hold ended, and its member does not come back.
-		case held && rec.Holder == m.p.Member:
+		case claimed && rec.Owner == c.params.MemberID:
 			// An adoption of our predecessor's.
 		default:
 			continue
 		}
-		m.claim(name)
+		c.claimShard(name)
 	}
 }
 
-// adoptAfter is how long a shard must have been without a holder before
+// adoptionDelay is how long a shard must have been without a holder before
 // another member adopts it, a step of a hold at most. Its hold has ended by then; the rest lets its own
 // member, which starts again within seconds, come first.
-func (m *Member) adoptAfter() int64 {
-	if m.now.Steady-m.started < m.life() {
-		return m.life()
+func (c *Controller) adoptionDelay() int64 {
+	if c.now.MonotonicMS-c.startedAtMS < c.leaseTTLMS() {
+		return c.leaseTTLMS()
 	}
-	return m.step()/2 + m.rng.Int64N(m.step()/2)
+	return c.leaseRenewalIntervalMS()/2 + c.rng.Int64N(c.leaseRenewalIntervalMS()/2)
 }
 
-func (m *Member) claim(name string) {
-	nonce := m.rng.Uint64()
-	key := shardKey(name)
-	m.claiming[name] = m.now.Steady + 10*m.step()
-	hold := m.acc.Hold()
-	take := func(rev uint64) {
-		if m.acc.Hold() != hold {
-			m.claiming[name] = 0
+func (c *Controller) claimShard(name string) {
+	nonce := c.rng.Uint64()
+	key := claimKey(name)
+	c.claimRetryAtMS[name] = c.now.MonotonicMS + 10*c.leaseRenewalIntervalMS()
+	leaseID := c.storeAccess.LeaseID()
+	takeClaim := func(rev uint64) {
+		if c.storeAccess.LeaseID() != leaseID {
+			c.claimRetryAtMS[name] = 0
 			return
 		}
-		delete(m.claiming, name)
-		m.mine[name] = m.newShard(name, nonce, rev)
-		m.Counters.Claims++
-		m.log(Info, "shard claimed", "shard", name, "token", rev)
-		m.beginShard(m.mine[name])
+		delete(c.claimRetryAtMS, name)
+		c.ownedShards[name] = c.newShard(name, nonce, rev)
+		c.Counters.Claims++
+		c.log(Info, "shard claimed", "shard", name, "token", rev)
+		c.takeOverShard(c.ownedShards[name])
 	}
-	again := func() { m.claiming[name] = m.now.Steady + 300 + m.rng.Int64N(300) }
-	m.ask(StoreOp{Kind: StoreTxn, Urgency: Holds, Guards: []Guard{{key, m.revs[key]}},
-		Changes: []Change{{Key: key, Value: encode(shardRecord{m.p.Member, nonce}), Hold: hold}}},
+	retryLater := func() { c.claimRetryAtMS[name] = c.now.MonotonicMS + 300 + c.rng.Int64N(300) }
+	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{key, c.keyRevisions[key]}},
+		Changes: []Change{{Key: key, Value: mustEncode(claimRecord{c.params.MemberID, nonce}), LeaseID: leaseID}}},
 		func(r StoreResult) {
 			switch r.Outcome {
 			case OK:
-				take(r.Rev)
-				m.apply(Item{Key: key, Value: encode(shardRecord{m.p.Member, nonce}), Rev: r.Rev})
+				takeClaim(r.Rev)
+				c.applyChange(KeyValue{Key: key, Value: mustEncode(claimRecord{c.params.MemberID, nonce}), Rev: r.Rev})
 			case Unknown, Conflict:
-				m.reread(key, func(r StoreResult) {
-					again()
-					if r.Outcome != OK || len(r.Items) != 1 {
+				c.rereadKey(key, func(r StoreResult) {
+					retryLater()
+					if r.Outcome != OK || len(r.KVs) != 1 {
 						return
 					}
-					var rec shardRecord
-					if json.Unmarshal(r.Items[0].Value, &rec) == nil && rec.Nonce == nonce {
-						take(r.Items[0].Rev)
+					var rec claimRecord
+					if json.Unmarshal(r.KVs[0].Value, &rec) == nil && rec.Nonce == nonce {
+						takeClaim(r.KVs[0].Rev)
 					}
 				})
 			default:
-				again()
+				retryLater()
 			}
 		})
 }
 
-// raise gives a shard a higher token. Once a worker has seen it, commands that
+// raiseToken gives a shard a higher token. Once a worker has seen it, commands that
 // were sent to it before and never answered can no longer run, however long the
 // network held them.
-func (m *Member) raise(s *shard) {
-	if s.raising || s.leaving || m.acc.Hold() == 0 || m.now.Steady < s.raiseAt {
+func (c *Controller) raiseToken(s *shard) {
+	if s.raisingToken || s.releasing || c.storeAccess.LeaseID() == 0 || c.now.MonotonicMS < s.nextRaiseAt {
 		return
 	}
-	s.raising, s.raiseAt = true, m.now.Steady+500
-	key := shardKey(s.name)
-	rec := shardRecord{m.p.Member, s.nonce}
-	m.ask(StoreOp{Kind: StoreTxn, Urgency: Holds, Guards: []Guard{{key, s.token}},
-		Changes: []Change{{Key: key, Value: encode(rec), Hold: m.acc.Hold()}}}, func(r StoreResult) {
-		s.raising = false
+	s.raisingToken, s.nextRaiseAt = true, c.now.MonotonicMS+500
+	key := claimKey(s.name)
+	rec := claimRecord{c.params.MemberID, s.nonce}
+	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{key, s.token}},
+		Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}}}, func(r StoreResult) {
+		s.raisingToken = false
 		if r.Outcome == OK {
-			m.apply(Item{Key: key, Value: encode(rec), Rev: r.Rev})
-			m.log(Info, "token raised", "shard", s.name, "token", r.Rev)
+			c.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: r.Rev})
+			c.log(Info, "token raised", "shard", s.name, "token", r.Rev)
 			return
 		}
-		m.reread(key, func(StoreResult) {})
+		c.rereadKey(key, func(StoreResult) {})
 	})
 }
 
 // dropShard forgets a claim that ended.
-func (m *Member) dropShard(s *shard) {
-	if m.mine[s.name] != s {
+func (c *Controller) dropShard(s *shard) {
+	if c.ownedShards[s.name] != s {
 		return
 	}
-	delete(m.mine, s.name)
-	for _, j := range inOrder(m.jobs) {
-		m.syncWorks(j, false)
+	delete(c.ownedShards, s.name)
+	for _, j := range sortedByKey(c.jobs) {
+		c.syncTaskRanges(j, false)
 	}
 }
 
-// beginShard takes over what the mirror says the shard owns. The path is the
+// takeOverShard takes over what the mirror says the shard owns. The path is the
 // same for a first start, a restart, an adoption and a hand-back.
-func (m *Member) beginShard(s *shard) {
-	for _, mc := range inOrder(m.machines) {
+func (c *Controller) takeOverShard(s *shard) {
+	for _, mc := range sortedByKey(c.machines) {
 		if mc.rec.Shard == s.name {
-			m.resetMachine(mc)
+			c.resetMachine(mc)
 			s.machines = append(s.machines, mc)
 		}
 	}
-	for _, j := range inOrder(m.jobs) {
-		m.syncWorks(j, true)
+	for _, j := range sortedByKey(c.jobs) {
+		c.syncTaskRanges(j, true)
 	}
-	m.readProgress(s)
+	c.readProgress(s)
 }
 
-func (m *Member) readProgress(s *shard) {
-	if s.reading {
+func (c *Controller) readProgress(s *shard) {
+	if s.requestPending {
 		return
 	}
-	s.reading = true
-	m.list(progressPrefix+s.name+"/", func(items []Item, _ uint64, o Outcome) {
-		s.reading = false
-		if o != OK || m.mine[s.name] != s {
-			s.planned = m.now.Steady
+	s.requestPending = true
+	c.listAll(progressPrefix+s.name+"/", func(kvs []KeyValue, _ uint64, outcome Outcome) {
+		s.requestPending = false
+		if outcome != OK || c.ownedShards[s.name] != s {
+			s.plannedAt = c.now.MonotonicMS
 			return
 		}
 		done := map[string][]byte{}
-		for _, it := range items {
-			if it.Key == memoryKey(s.name) {
-				m.recall(s, it)
+		for _, kv := range kvs {
+			if kv.Key == recoveryKey(s.name) {
+				c.restoreRecoveryRecord(s, kv)
 				continue
 			}
 			var rec progressRecord
-			if json.Unmarshal(it.Value, &rec) != nil {
+			if json.Unmarshal(kv.Value, &rec) != nil {
 				continue
 			}
-			s.page(it.Key).rev = it.Rev
-			for name, d := range rec.Done {
-				done[name] = d
+			s.progressRecord(kv.Key).rev = kv.Rev
+			for name, bitmap := range rec.DoneBitmaps {
+				done[name] = bitmap
 			}
 		}
-		for _, w := range s.works {
-			for i := range w.size() {
-				if bits(done[w.name()]).has(i) {
-					w.stored.set(i)
-					w.finish(i)
+		for _, tr := range s.taskRanges {
+			for i := range tr.size() {
+				if bitset(done[tr.name()]).has(i) {
+					tr.storedDone.set(i)
+					tr.markDone(i)
 				}
 			}
 		}
-		s.read = true
+		s.progressRead = true
 	})
 }
 
-// shrink cuts a work down to what its shard keeps. A machine that was thought
+// shrinkTo cuts a work down to what its shard keeps. A machine that was thought
 // lost may have told of a result while the move was under way: left in the
 // count, it made the work done more often than it has tasks, and its job never
 // ended. The peer runs that task once more, or hears the same result.
-func (w *work) shrink(r Range) {
-	for i := r.Hi - r.Lo; i < w.size(); i++ {
-		if w.done.has(i) {
-			w.done.clear(i)
-			w.nDone--
+func (tr *taskRange) shrinkTo(kept Range) {
+	for i := kept.Hi - kept.Lo; i < tr.size(); i++ {
+		if tr.done.has(i) {
+			tr.done.clear(i)
+			tr.doneCount--
 		}
-		w.stored.clear(i)
+		tr.storedDone.clear(i)
 	}
-	w.rng = r
+	tr.bounds = kept
 }
 
-func (w *work) finish(i int) {
-	if !w.done.has(i) {
-		w.done.set(i)
-		w.nDone++
+func (tr *taskRange) markDone(i int) {
+	if !tr.done.has(i) {
+		tr.done.set(i)
+		tr.doneCount++
 	}
 }
 
-func (w *work) take(i int) {
-	if !w.busy.has(i) {
-		w.busy.set(i)
-		w.nBusy++
+func (tr *taskRange) assign(i int) {
+	if !tr.assigned.has(i) {
+		tr.assigned.set(i)
+		tr.assignedCount++
 	}
 }
 
-func (w *work) free(i int) {
-	if w.busy.has(i) {
-		w.busy.clear(i)
-		w.nBusy--
-		w.low = min(w.low, i)
+func (tr *taskRange) unassign(i int) {
+	if tr.assigned.has(i) {
+		tr.assigned.clear(i)
+		tr.assignedCount--
+		tr.searchFrom = min(tr.searchFrom, i)
 	}
 }
 
-// jobChanged follows a live job's record.
-func (m *Member) jobChanged(id string, rec jobRecord, rev uint64) {
-	j := m.jobs[id]
+// upsertJob follows a live job's record.
+func (c *Controller) upsertJob(id string, rec jobRecord, rev uint64) {
+	j := c.jobs[id]
 	if j == nil {
-		j = &job{works: map[int]*work{}}
-		m.jobs[id] = j
+		j = &job{taskRanges: map[int]*taskRange{}}
+		c.jobs[id] = j
 	}
 	j.rec, j.rev = rec, rev
-	m.standing.known = false
-	m.syncWorks(j, false)
+	c.guaranteeStatus.valid = false
+	c.syncTaskRanges(j, false)
 }
 
-// syncWorks makes a job's works those of its ranges that are ours.
-func (m *Member) syncWorks(j *job, recovered bool) {
+// syncTaskRanges makes a job's works those of its ranges that are ours.
+func (c *Controller) syncTaskRanges(j *job, recovered bool) {
 	keep := map[int]bool{}
 	for _, r := range j.rec.Ranges {
-		s := m.mine[r.Shard]
+		s := c.ownedShards[r.Shard]
 		if s == nil {
 			continue
 		}
 		keep[r.Lo] = true
 		s.dirty = true
-		w := j.works[r.Lo]
-		if w == nil || w.claim != s {
+		tr := j.taskRanges[r.Lo]
+		if tr == nil || tr.claim != s {
 			// A work of a claim that ended must not pass for one of this
 			// claim: a shard handed back and a range moved here from it
 			// left a range that nobody ran.
 			n := r.Hi - r.Lo
-			w = &work{job: j, rng: r, shard: r.Shard, claim: s, done: newBits(n), busy: newBits(n), stored: newBits(n),
-				recovered: recovered, zones: map[string]int{}}
-			j.works[r.Lo] = w
-			at, _ := slices.BinarySearchFunc(s.works, w, (*work).compare)
-			s.works = slices.Insert(s.works, at, w)
-			s.hasten = true
+			tr = &taskRange{job: j, bounds: r, shardName: r.Shard, claim: s, done: newBitset(n), assigned: newBitset(n), storedDone: newBitset(n),
+				recovered: recovered, attemptsByZone: map[string]int{}}
+			j.taskRanges[r.Lo] = tr
+			pos, _ := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare)
+			s.taskRanges = slices.Insert(s.taskRanges, pos, tr)
+			s.planExpedited = true
 			continue
 		}
-		if r.Hi != w.rng.Hi {
+		if r.Hi != tr.bounds.Hi {
 			// The tail went to a peer; none of it was started.
-			w.shrink(r)
+			tr.shrinkTo(r)
 		}
 	}
-	for lo, w := range j.works {
+	for lo, tr := range j.taskRanges {
 		if !keep[lo] {
-			m.dropWork(w)
-			delete(j.works, lo)
+			c.dropTaskRange(tr)
+			delete(j.taskRanges, lo)
 		}
 	}
 }
 
-// dropWork takes a work off its claim's list.
-func (m *Member) dropWork(w *work) {
-	s := w.claim
+// dropTaskRange takes a work off its claim's list.
+func (c *Controller) dropTaskRange(tr *taskRange) {
+	s := tr.claim
 	s.dirty = true
-	if w.nDone == 0 {
-		m.acquit(w)
+	if tr.doneCount == 0 {
+		c.discountMachineFailures(tr)
 	}
-	if p := s.pages[w.key]; p != nil && p.rev != 0 && strings.HasSuffix(w.key, w.name()) {
-		p.dirty = true // a page of its own goes with it
+	if record := s.progressRecords[tr.progressKey]; record != nil && record.rev != 0 && strings.HasSuffix(tr.progressKey, tr.name()) {
+		record.dirty = true // a page of its own goes with it
 	}
-	if at, ok := slices.BinarySearchFunc(s.works, w, (*work).compare); ok && s.works[at] == w {
-		s.works = slices.Delete(s.works, at, at+1)
+	if pos, ok := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare); ok && s.taskRanges[pos] == tr {
+		s.taskRanges = slices.Delete(s.taskRanges, pos, pos+1)
 	}
 }
 
 // compare orders works by job and place in it.
-func (w *work) compare(o *work) int {
-	if c := strings.Compare(w.job.rec.Job.ID, o.job.rec.Job.ID); c != 0 {
+func (tr *taskRange) compare(other *taskRange) int {
+	if c := strings.Compare(tr.job.rec.Job.ID, other.job.rec.Job.ID); c != 0 {
 		return c
 	}
-	return w.rng.Lo - o.rng.Lo
+	return tr.bounds.Lo - other.bounds.Lo
 }
 
-// jobGone handles the end of a job's live record: it is done or cancelled, and
+// deleteJob handles the end of a job's live record: it is done or cancelled, and
 // whatever still runs of it is stopped when its machine reports.
-func (m *Member) jobGone(id string) {
-	j := m.jobs[id]
+func (c *Controller) deleteJob(id string) {
+	j := c.jobs[id]
 	if j == nil {
 		return
 	}
-	delete(m.jobs, id)
-	m.standing.known = false
-	for _, w := range j.works {
-		m.dropWork(w)
+	delete(c.jobs, id)
+	c.guaranteeStatus.valid = false
+	for _, tr := range j.taskRanges {
+		c.dropTaskRange(tr)
 	}
-	clear(j.works)
+	clear(j.taskRanges)
 }
 
-// workOf finds the work that a task of ours belongs to.
-func (m *Member) workOf(name string) (*work, int) {
-	id, n, ok := splitTask(name)
+// taskRangeOf finds the work that a task of ours belongs to.
+func (c *Controller) taskRangeOf(name string) (*taskRange, int) {
+	id, n, ok := parseTaskName(name)
 	if !ok {
 		return nil, 0
 	}
-	j := m.jobs[id]
+	j := c.jobs[id]
 	if j == nil {
 		return nil, 0
 	}
-	for _, w := range j.works {
-		if n >= w.rng.Lo && n < w.rng.Hi {
-			return w, n - w.rng.Lo
+	for _, tr := range j.taskRanges {
+		if n >= tr.bounds.Lo && n < tr.bounds.Hi {
+			return tr, n - tr.bounds.Lo
 		}
 	}
 	return nil, 0
 }
 
-// guard returns the conditions under which a shard may change a job's record:
+// claimPreconditions returns the conditions under which a shard may change a job's record:
 // the claim still stands, and the record is the one that we know.
-func (m *Member) guard(s *shard, j *job) []Guard {
-	return []Guard{{shardKey(s.name), s.token}, {jobKey(j.rec.Job.ID), j.rev}}
+func (c *Controller) claimPreconditions(s *shard, j *job) []Precondition {
+	return []Precondition{{claimKey(s.name), s.token}, {jobKey(j.rec.Job.ID), j.rev}}
 }
 
-// progressEvery is how long progress may stay unwritten: a result is kept by
+// progressWriteInterval is how long progress may stay unwritten: a result is kept by
 // its machine until it is stored, so only a machine's loss costs it.
-func (m *Member) progressEvery() int64 { return max(ms(m.p.ReportS), 1500) }
+func (c *Controller) progressWriteInterval() int64 {
+	return max(secondsToMS(c.params.HeartbeatS), 1500)
+}
 
 // tickShard writes results and progress, watches for silent machines, and
 // plans when something changed.
-func (m *Member) tickShard(s *shard) {
-	now := m.now.Steady
-	if s.leaving {
-		if !s.reading && now-s.planned > 500 {
-			m.removeClaim(s)
+func (c *Controller) tickShard(s *shard) {
+	now := c.now.MonotonicMS
+	if s.releasing {
+		if !s.requestPending && now-s.plannedAt > 500 {
+			c.removeClaim(s)
 		}
 		return
 	}
 	if !s.ready {
 		// The mirror must have passed the claim: a machine that the earlier
 		// claim listed as up last of all may run what would start again.
-		if s.read && m.rev >= s.base {
+		if s.progressRead && c.mirrorRevision >= s.claimRev {
 			s.ready, s.dirty = true, true
-			if m.p.Recovery && len(s.works) > 0 {
-				s.squares.Line.Begin(now, len(s.machines), ms(m.p.ReportS), ms(m.p.LeaseS))
+			if c.params.Recovery && len(s.taskRanges) > 0 {
+				s.reconciler.Pacer.Activate(now, len(s.machines), secondsToMS(c.params.HeartbeatS), secondsToMS(c.params.LeaseS))
 			}
-			m.log(Info, "shard ready", "shard", s.name, "machines", len(s.machines), "ranges", len(s.works))
-		} else if !s.read && !s.reading && now-s.planned > 500 {
-			m.readProgress(s)
+			c.log(Info, "shard ready", "shard", s.name, "machines", len(s.machines), "ranges", len(s.taskRanges))
+		} else if !s.progressRead && !s.requestPending && now-s.plannedAt > 500 {
+			c.readProgress(s)
 		}
 		return
 	}
-	if !m.authority() {
+	if !c.hasAuthority() {
 		return
 	}
-	if s.token <= s.void {
+	if s.token <= s.voidToken {
 		// Tried until it worked: refused once, in an outage, it left a task
 		// waiting for good.
-		m.raise(s)
+		c.raiseToken(s)
 	}
-	if s.numbers.Worn(m.now.Wall) {
-		m.raise(s)
+	if s.attemptIDs.IsHalfExhausted(c.now.WallMS) {
+		c.raiseToken(s)
 	}
-	for _, w := range s.works {
-		if w.writing || w.job.busy || now < w.wroteAt {
+	for _, tr := range s.taskRanges {
+		if tr.writing || tr.job.recordWritePending || now < tr.nextWriteAt {
 			continue
 		}
-		if w.job.doom != "" {
-			m.failJob(s, w)
+		if tr.job.failureReason != "" {
+			c.failJob(s, tr)
 			continue
 		}
-		if w.job.begin {
-			m.writeBegun(s, w)
+		if tr.job.awaitingBegunRecord {
+			c.writeBegunRecord(s, tr)
 			continue
 		}
-		if w.nDone == w.size() && w.job.rec.Job.Kind != Service {
-			m.endRange(s, w)
+		if tr.doneCount == tr.size() && tr.job.rec.Job.Kind != Service {
+			c.finishTaskRange(s, tr)
 		}
 	}
-	m.tickSquares(s)
-	m.keepRollout(s)
-	m.writeProgress(s)
-	m.writeUps(s)
-	if s.mostAreSilent() {
-		s.mostSilent = m.now.Steady
+	c.tickReconcile(s)
+	c.tickShardDisruption(s)
+	c.writeProgress(s)
+	c.writeLiveMachines(s)
+	if s.mostMachinesSilent() {
+		s.mostSilentAt = c.now.MonotonicMS
 	}
 	for _, mc := range s.machines {
-		m.tickMachine(s, mc)
+		c.tickMachine(s, mc)
 	}
-	if m.planDue(s) {
-		m.plan(s)
-		m.stopNow(s)
-		m.startNow(s)
+	if c.isPlanDue(s) {
+		c.planShard(s)
+		c.sendReclaimStops(s)
+		c.sendUrgentStarts(s)
 	}
-	m.draftTeams(s)
+	c.proposeAllocations(s)
 }
 
-// stepCost is what a step of the planner is taken to cost, in milliseconds of a
+// planStepCostMS is what a step of the planner is taken to cost, in milliseconds of a
 // whole processor. It only paces the planner, so a rough figure does.
-const stepCost = 20e-6
+const planStepCostMS = 20e-6
 
-// planShare is which part of its processor a member spends on planning at most.
-const planShare = 0.2
+// planningCPUShare is which part of its processor a member spends on planning at most.
+const planningCPUShare = 0.2
 
-// planDue tells whether a shard is to be planned anew: soon when a job arrived,
+// isPlanDue tells whether a shard is to be planned anew: soon when a job arrived,
 // otherwise as often as the last plan's cost allows. Machines that report room
 // in between take the next task of the queue by themselves.
-func (m *Member) planDue(s *shard) bool {
-	gap := m.planGap(s)
-	passed := float64(m.now.Steady - s.planned)
+func (c *Controller) isPlanDue(s *shard) bool {
+	interval := c.planInterval(s)
+	passed := float64(c.now.MonotonicMS - s.plannedAt)
 	switch {
-	case s.hasten:
-		return passed >= max(50, gap/2)
+	case s.planExpedited:
+		return passed >= max(50, interval/2)
 	case s.dirty:
-		return passed >= max(50, min(m.p.ReportS*1000/4, 500), gap)
+		return passed >= max(50, min(c.params.HeartbeatS*1000/4, 500), interval)
 	}
-	return passed >= max(1000, 2*gap)
+	return passed >= max(1000, 2*interval)
 }
 
-// planGap is how long the last plan's cost asks to wait for the next one, in
+// planInterval is how long the last plan's cost asks to wait for the next one, in
 // milliseconds.
-func (m *Member) planGap(s *shard) float64 {
-	gap := float64(s.steps) * stepCost / planShare
-	if m.p.CPUShare > 0 {
-		gap /= m.p.CPUShare
+func (c *Controller) planInterval(s *shard) float64 {
+	interval := float64(s.planSteps) * planStepCostMS / planningCPUShare
+	if c.params.CPUShare > 0 {
+		interval /= c.params.CPUShare
 	}
-	return gap
+	return interval
 }
 
-// page is a value of the store with the progress of several ranges of a shard:
+// recordWriteState is a value of the store with the progress of several ranges of a shard:
 // one for each would cost a change each, every few seconds.
-type page struct {
-	rev     uint64
-	dirty   bool
-	writing bool
-	next    int64
+type recordWriteState struct {
+	rev         uint64
+	dirty       bool
+	writing     bool
+	nextWriteAt int64
 }
 
-// pages is how many values the progress of a shard's small ranges is spread over.
-const pages = 4
+// sharedProgressRecords is how many values the progress of a shard's small ranges is spread over.
+const sharedProgressRecords = 4
 
-func (s *shard) page(key string) *page {
-	p := s.pages[key]
-	if p == nil {
-		p = &page{}
-		s.pages[key] = p
+func (s *shard) progressRecord(key string) *recordWriteState {
+	state := s.progressRecords[key]
+	if state == nil {
+		state = &recordWriteState{}
+		s.progressRecords[key] = state
 	}
-	return p
+	return state
 }
 
 // name names a range in its page.
-func (w *work) name() string { return taskName(w.job.rec.Job.ID, w.rng.Lo) }
+func (tr *taskRange) name() string { return taskName(tr.job.rec.Job.ID, tr.bounds.Lo) }
 
-// pageKey is the value that a range's progress is kept in: one of its own for a
+// progressKey is the value that a range's progress is kept in: one of its own for a
 // large range, which would fill a shared one.
-func (m *Member) pageKey(w *work) string {
-	if w.key == "" {
-		w.key = progressPrefix + w.shard + "/"
-		if name := w.name(); len(w.done) > m.p.ValueBytes/16 {
-			w.key += name
+func (c *Controller) progressKey(tr *taskRange) string {
+	if tr.progressKey == "" {
+		tr.progressKey = progressPrefix + tr.shardName + "/"
+		if name := tr.name(); len(tr.done) > c.params.MaxValueBytes/16 {
+			tr.progressKey += name
 		} else {
 			h := fnv.New32a()
 			h.Write([]byte(name))
-			w.key += strconv.Itoa(int(h.Sum32() % pages))
+			tr.progressKey += strconv.Itoa(int(h.Sum32() % sharedProgressRecords))
 		}
 	}
-	return w.key
+	return tr.progressKey
 }
 
-// writeOwn writes a value of a shard's own, or removes it (nil), under its claim and the
+// writeShardRecord writes a value of a shard's own, or removes it (nil), under its claim and the
 // value's revision, and not again before a while. stored says whether the store is known to have it; if
 // it may, the revision is read before anything is written again.
-func (m *Member) writeOwn(s *shard, key string, p *page, value any, gap int64, stored func(ok bool)) {
-	p.writing, p.next = true, m.now.Steady+gap
+func (c *Controller) writeShardRecord(s *shard, key string, state *recordWriteState, value any, interval int64, onResult func(ok bool)) {
+	state.writing, state.nextWriteAt = true, c.now.MonotonicMS+interval
 	change := Change{Key: key}
 	if value != nil {
-		change.Value = encode(value)
+		change.Value = mustEncode(value)
 	}
-	m.txn(Progress, []Guard{{shardKey(s.name), s.token}, {key, p.rev}}, []Change{change}, func(r StoreResult) {
-		p.writing = false
+	c.sendTxn(UrgencyBackground, []Precondition{{claimKey(s.name), s.token}, {key, state.rev}}, []Change{change}, func(r StoreResult) {
+		state.writing = false
 		if r.Outcome == OK {
-			p.rev = r.Rev
+			state.rev = r.Rev
 		}
-		stored(r.Outcome == OK)
+		onResult(r.Outcome == OK)
 		if r.Outcome == Unknown || r.Outcome == Conflict {
-			p.writing = true
-			m.reread(key, func(r StoreResult) {
-				p.writing = false
-				if r.Outcome == OK && len(r.Items) == 1 {
-					p.rev = r.Items[0].Rev
+			state.writing = true
+			c.rereadKey(key, func(r StoreResult) {
+				state.writing = false
+				if r.Outcome == OK && len(r.KVs) == 1 {
+					state.rev = r.KVs[0].Rev
 				} else if r.Outcome == NotFound {
-					p.rev = 0
+					state.rev = 0
 				}
 			})
 		}
@@ -637,133 +639,133 @@
 }
 
 // writeProgress writes the pages of a shard that have news.
-func (m *Member) writeProgress(s *shard) {
-	now := m.now.Steady
-	for _, w := range s.works {
-		if w.dirty {
-			s.page(m.pageKey(w)).dirty = true
+func (c *Controller) writeProgress(s *shard) {
+	now := c.now.MonotonicMS
+	for _, tr := range s.taskRanges {
+		if tr.dirty {
+			s.progressRecord(c.progressKey(tr)).dirty = true
 		}
 	}
-	for key, p := range inOrder(s.pages) {
-		if p.dirty && !p.writing && now >= p.next {
-			m.writePage(s, key, p)
+	for key, state := range sortedByKey(s.progressRecords) {
+		if state.dirty && !state.writing && now >= state.nextWriteAt {
+			c.writeProgressRecord(s, key, state)
 		}
 	}
 }
 
-func (m *Member) writePage(s *shard, key string, p *page) {
-	rec := progressRecord{Done: map[string][]byte{}}
-	snaps := map[*work]bits{}
+func (c *Controller) writeProgressRecord(s *shard, key string, state *recordWriteState) {
+	rec := progressRecord{DoneBitmaps: map[string][]byte{}}
+	snapshots := map[*taskRange]bitset{}
 	size := 0
-	for _, w := range s.works {
-		if w.nDone == 0 || m.pageKey(w) != key {
+	for _, tr := range s.taskRanges {
+		if tr.doneCount == 0 || c.progressKey(tr) != key {
 			continue
 		}
 		// What does not fit waits until other ranges end: their machines
 		// keep the results.
-		if size += len(w.done)*4/3 + len(w.name()) + 12; size > m.p.ValueBytes-64 {
+		if size += len(tr.done)*4/3 + len(tr.name()) + 12; size > c.params.MaxValueBytes-64 {
 			break
 		}
-		snap := append(bits(nil), w.done...)
-		snaps[w], rec.Done[w.name()] = snap, snap
-		w.dirty = false
+		snapshot := append(bitset(nil), tr.done...)
+		snapshots[tr], rec.DoneBitmaps[tr.name()] = snapshot, snapshot
+		tr.dirty = false
 	}
-	p.dirty = false
+	state.dirty = false
 	var value any
-	if len(rec.Done) > 0 {
+	if len(rec.DoneBitmaps) > 0 {
 		value = rec
 	}
-	m.writeOwn(s, key, p, value, m.progressEvery(), func(ok bool) {
+	c.writeShardRecord(s, key, state, value, c.progressWriteInterval(), func(ok bool) {
 		if !ok {
-			p.dirty = true
-			for w := range snaps {
-				w.dirty = true
+			state.dirty = true
+			for tr := range snapshots {
+				tr.dirty = true
 			}
 			return
 		}
 		if value == nil {
-			delete(s.pages, key)
+			delete(s.progressRecords, key)
 		}
-		for w, snap := range snaps {
-			w.stored = snap
+		for tr, snapshot := range snapshots {
+			tr.storedDone = snapshot
 		}
 	})
 }
 
-// endRange records that all of a range is done. The last range of a job moves
+// finishTaskRange records that all of a range is done. The last range of a job moves
 // it to its final record in the same transaction.
-func (m *Member) endRange(s *shard, w *work) {
-	j := w.job
+func (c *Controller) finishTaskRange(s *shard, tr *taskRange) {
+	j := tr.job
 	id := j.rec.Job.ID
-	var guards []Guard
+	var preconditions []Precondition
 	var changes []Change
-	rest := make([]Range, 0, len(j.rec.Ranges))
+	remaining := make([]Range, 0, len(j.rec.Ranges))
 	for _, r := range j.rec.Ranges {
-		if r.Lo != w.rng.Lo {
-			rest = append(rest, r)
+		if r.Lo != tr.bounds.Lo {
+			remaining = append(remaining, r)
 		}
 	}
-	final := finalRecord{State: Done, Tasks: j.rec.Job.Tasks, Run: j.rec.Job.Run}
-	if len(rest) == 0 {
-		changes = append(changes, Change{Key: jobKey(id)}, Change{Key: finalKey(id), Value: encode(final)})
-		guards = append(guards, Guard{finalKey(id), 0})
+	final := terminalRecord{State: Done, Tasks: j.rec.Job.Tasks, WorkflowRun: j.rec.Job.WorkflowRun}
+	if len(remaining) == 0 {
+		changes = append(changes, Change{Key: jobKey(id)}, Change{Key: terminalKey(id), Value: mustEncode(final)})
+		preconditions = append(preconditions, Precondition{terminalKey(id), 0})
 	} else {
 		rec := j.rec
-		rec.Ranges = rest
-		changes = append(changes, Change{Key: jobKey(id), Value: encode(rec)})
-	}
-	m.writeJob(s, w, changes, guards, func() {
-		if len(rest) == 0 {
-			m.Counters.Finished++
-			if dl := j.rec.Job.DeadlineS; dl > 0 && m.now.Wall > j.rec.Accepted+ms(dl) {
-				m.tally.Missed++
+		rec.Ranges = remaining
+		changes = append(changes, Change{Key: jobKey(id), Value: mustEncode(rec)})
+	}
+	c.writeJob(s, tr, changes, preconditions, func() {
+		if len(remaining) == 0 {
+			c.Counters.Finished++
+			if deadlineS := j.rec.Job.DeadlineS; deadlineS > 0 && c.now.WallMS > j.rec.AcceptedAtMS+secondsToMS(deadlineS) {
+				c.rolloutCounts.MissedDeadlines++
 			}
-			m.remember(id, final)
+			c.cacheTerminalState(id, final)
 		}
 	})
 }
 
 // writeJob changes a job's record under its shard's claim.
-func (m *Member) writeJob(s *shard, w *work, changes []Change, guards []Guard, done func()) {
-	j := w.job
-	w.writing, j.busy, w.wroteAt = true, true, m.now.Steady
-	m.txn(Answers, append(m.guard(s, j), guards...), changes, func(r StoreResult) {
-		w.writing, j.busy = false, false
+func (c *Controller) writeJob(s *shard, tr *taskRange, changes []Change, preconditions []Precondition, onSuccess func()) {
+	j := tr.job
+	tr.writing, j.recordWritePending, tr.nextWriteAt = true, true, c.now.MonotonicMS
+	c.sendTxn(UrgencyUser, append(c.claimPreconditions(s, j), preconditions...), changes, func(r StoreResult) {
+		tr.writing, j.recordWritePending = false, false
 		if r.Outcome == OK {
-			done()
+			onSuccess()
 			return
 		}
-		w.wroteAt = m.now.Steady + 200 // not before
+		tr.nextWriteAt = c.now.MonotonicMS + 200 // not before
 		if r.Outcome == Unknown || r.Outcome == Conflict {
-			w.writing, j.busy = true, true
-			m.reread(jobKey(j.rec.Job.ID), func(StoreResult) {
-				w.writing, j.busy = false, false
+			tr.writing, j.recordWritePending = true, true
+			c.rereadKey(jobKey(j.rec.Job.ID), func(StoreResult) {
+				tr.writing, j.recordWritePending = false, false
 			})
 		}
 	})
 }
 
-// release hands a shard back to its own member: first we stop acting for it,
+// releaseShard hands a shard back to its own member: first we stop acting for it,
 // then the claim is removed. There is no way back once the removal was sent: it
 // may be applied late, and the next claim may follow at once.
-func (m *Member) release(s *shard) {
-	if s.leaving {
+func (c *Controller) releaseShard(s *shard) {
+	if s.releasing {
 		return
 	}
-	s.leaving = true
-	m.log(Info, "shard handed back", "shard", s.name)
-	m.removeClaim(s)
+	s.releasing = true
+	c.log(Info, "shard handed back", "shard", s.name)
+	c.removeClaim(s)
 }
 
-func (m *Member) removeClaim(s *shard) {
-	key := shardKey(s.name)
-	s.reading = true
-	m.txn(Holds, []Guard{{key, s.token}}, []Change{{Key: key}}, func(r StoreResult) {
-		s.reading = false
-		s.planned = m.now.Steady
+func (c *Controller) removeClaim(s *shard) {
+	key := claimKey(s.name)
+	s.requestPending = true
+	c.sendTxn(UrgencyLease, []Precondition{{key, s.token}}, []Change{{Key: key}}, func(r StoreResult) {
+		s.requestPending = false
+		s.plannedAt = c.now.MonotonicMS
 		if r.Outcome == OK || r.Outcome == Conflict {
-			m.dropShard(s)
-			m.absent[s.name] = m.now.Steady
+			c.dropShard(s)
+			c.ownerlessSinceMS[s.name] = c.now.MonotonicMS
 		}
 	})
 }
--- a/scheduler/turns_test.go
+++ b/scheduler/turns_test.go
@@ -10,76 +10,76 @@
 
 // Beyond a few peers, summaries go to some of them at a time and to all in turn; what a peer
 // heard last stands until then, with what was taken of it.
-func TestSummariesTakeTurns(t *testing.T) {
-	p := Params{Member: "m00", ReportS: 1, LeaseS: 10, CancelS: 30, ValueBytes: 8192, TxnOps: 16}
+func TestSummariesRotateAmongPeers(t *testing.T) {
+	cfg := Params{MemberID: "m00", HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}
 	for i := 1; i < 100; i++ {
-		p.Peers = append(p.Peers, fmt.Sprintf("m%02d", i))
+		cfg.PeerIDs = append(cfg.PeerIDs, fmt.Sprintf("m%02d", i))
 	}
-	m := New(p, 1, Now{1000, 1000})
-	turns := (len(p.Peers) + wholeAtOnce - 1) / wholeAtOnce
-	heard := map[string]int{}
+	ctrl := New(cfg, 1, Now{1000, 1000})
+	turns := (len(cfg.PeerIDs) + maxSummaryRecipients - 1) / maxSummaryRecipients
+	summariesReceived := map[string]int{}
 	for range 3 * turns {
-		whole := m.turn()
-		if len(whole) == 0 || len(whole) > wholeAtOnce {
-			t.Fatalf("%d peers get summaries at once", len(whole))
+		peersWithSummaries := ctrl.summaryRecipients()
+		if len(peersWithSummaries) == 0 || len(peersWithSummaries) > maxSummaryRecipients {
+			t.Fatalf("%d peers get summaries at once", len(peersWithSummaries))
 		}
-		for _, name := range whole {
-			heard[name]++
+		for _, name := range peersWithSummaries {
+			summariesReceived[name]++
 		}
 	}
-	for _, name := range p.Peers {
-		if heard[name] != 3 {
-			t.Errorf("%s got %d summaries in three rounds", name, heard[name])
+	for _, name := range cfg.PeerIDs {
+		if summariesReceived[name] != 3 {
+			t.Errorf("%s got %d summaries in three rounds", name, summariesReceived[name])
 		}
 	}
-	if m.p.Peers = p.Peers[:wholeAtOnce]; m.turn() != nil {
+	if ctrl.params.PeerIDs = cfg.PeerIDs[:maxSummaryRecipients]; ctrl.summaryRecipients() != nil {
 		t.Error("a few peers take turns")
 	}
-	room := availability.Room{CPUs: 8, MemoryGB: 32}
-	msg := PeerMessage{From: "m01", Wall: 1, Shards: []ShardReport{{Shard: "m01", Summary: availability.Summary{{Kind: "s|a|small", Count: 3, Room: room}}}}}
-	m.Peer(Now{1000, 1000}, msg)
-	m.peers["m01"].msg.Shards[0].Summary[0].Count = 2 // one was taken
-	brief := msg.WithoutSummaries()
-	if msg.Shards[0].Summary == nil {
+	room := availability.Resources{CPUs: 8, MemoryGB: 32}
+	msg := PeerMessage{From: "m01", WallMS: 1, OwnedShards: []PeerShard{{Shard: "m01", Summary: availability.Summary{{Kind: "s|a|small", Count: 3, Resources: room}}}}}
+	ctrl.HandlePeerMessage(Now{1000, 1000}, msg)
+	ctrl.peers["m01"].message.OwnedShards[0].Summary[0].Count = 2 // one was taken
+	withoutSummaries := msg.WithoutSummaries()
+	if msg.OwnedShards[0].Summary == nil {
 		t.Fatal("the message has lost its summaries")
 	}
-	brief.Wall, brief.Shards[0].Needs = 2, []Need{{Job: "job-1"}}
-	brief.Shards = append(brief.Shards, ShardReport{Shard: "adopted"})
-	m.Peer(Now{2000, 2000}, *brief)
-	if got := m.peers["m01"].msg.Shards; len(got) != 2 || len(got[0].Summary) != 1 || got[0].Summary[0].Count != 2 || len(got[0].Needs) != 1 || got[1].Summary != nil {
+	withoutSummaries.WallMS, withoutSummaries.OwnedShards[0].Demands = 2, []CapacityDemand{{Job: "job-1"}}
+	withoutSummaries.OwnedShards = append(withoutSummaries.OwnedShards, PeerShard{Shard: "adopted"})
+	ctrl.HandlePeerMessage(Now{2000, 2000}, *withoutSummaries)
+	if got := ctrl.peers["m01"].message.OwnedShards; len(got) != 2 || len(got[0].Summary) != 1 || got[0].Summary[0].Count != 2 || len(got[0].Demands) != 1 || got[1].Summary != nil {
 		t.Errorf("after a brief message: %+v", got)
 	}
 }
 
 // A peer that was not heard for a while guides nothing, however much its last summary promises,
 // and what a summary promises for a moment that has passed is nothing either.
-func TestOldSummariesPromiseNothing(t *testing.T) {
-	m, _ := fleetOf(t, 10, 2)
-	now := m.now
-	m.shards["m1"] = shardRecord{Holder: "m1"}
-	j := &m.jobs["job-000001"].rec.Job
-	offers := func() int {
+func TestStaleSummariesOfferNoCapacity(t *testing.T) {
+	ctrl, _ := newControllerWithFleet(t, 10, 2)
+	now := ctrl.now
+	ctrl.shardClaims["m1"] = claimRecord{Owner: "m1"}
+	j := &ctrl.jobs["job-000001"].rec.Job
+	countOffered := func() int {
 		n := 0
-		for _, o := range m.peerOffers(j, 20_000, m.now.Wall+60_000, 40) {
-			n += o.n
+		for _, o := range ctrl.peerCapacities(j, 20_000, ctrl.now.WallMS+60_000, 40) {
+			n += o.tasks
 		}
 		return n
 	}
-	tell := func(at Now, wall int64) {
-		m.Peer(at, PeerMessage{From: "m1", Wall: wall, Shards: []ShardReport{{Shard: "m1", Summary: availability.Summary{{Kind: "s|a|small", Count: 30,
-			Room: availability.Room{CPUs: 8, MemoryGB: 64}, Samples: []availability.Sample{{At: wall}, {At: wall + 90_000, Free: 90_000}}}}}}})
+	sendSummary := func(at Now, wall int64) {
+		ctrl.HandlePeerMessage(at, PeerMessage{From: "m1", WallMS: wall, OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{{Kind: "s|a|small", Count: 30,
+			Resources: availability.Resources{CPUs: 8, MemoryGB: 64}, Samples: []availability.Sample{{TimeMS: wall}, {TimeMS: wall + 90_000, AvailableMS: 90_000}}}}}}})
 	}
-	tell(now, now.Wall)
-	if offers() == 0 {
+	sendSummary(now, now.WallMS)
+	if countOffered() == 0 {
 		t.Fatal("a summary of this moment offers nothing")
 	}
-	m.now = Now{now.Steady + 120_000, now.Wall + 120_000}
-	if n := offers(); n != 0 {
+	ctrl.now = Now{now.MonotonicMS + 120_000, now.WallMS + 120_000}
+	if n := countOffered(); n != 0 {
 		t.Errorf("two minutes later it offers %d", n)
 	}
 	// Heard now, but with figures of two minutes ago: constant behind its last sample.
-	tell(m.now, now.Wall)
-	if sr := &m.peers["m1"].msg.Shards[0]; m.peerRoom(sr, j, 100_000, m.now.Wall+60_000, 40, false) != 0 {
+	sendSummary(ctrl.now, now.WallMS)
+	if sr := &ctrl.peers["m1"].message.OwnedShards[0]; ctrl.peerTaskCapacity(sr, j, 100_000, ctrl.now.WallMS+60_000, 40, false) != 0 {
 		t.Error("more than its last sample is promised")
 	}
 }
@@ -87,7 +87,7 @@
 // BenchmarkMemory is what a member keeps, in bytes: of a machine that another member has, of
 // one of its own that is idle, of a live job and of a task that runs.
 func BenchmarkMemory(b *testing.B) {
-	used := func() float64 {
+	heapBytes := func() float64 {
 		runtime.GC()
 		var s runtime.MemStats
 		runtime.ReadMemStats(&s)
@@ -95,40 +95,40 @@
 	}
 	const machines, jobs = 10_000, 1000
 	for b.Loop() {
-		m := New(Params{Member: "m0", Peers: []string{"m1"}, ReportS: 1, LeaseS: 10, CancelS: 30, ValueBytes: 8192, TxnOps: 16}, 1, Now{1000, 1000})
-		m.setTypes([]MachineType{{Name: "small", Room: availability.Room{CPUs: 64, MemoryGB: 256}, BootS: 10, Zones: []string{"a"}}})
-		s := m.newShard("m0", 7, 5)
-		s.ready, m.mine["m0"] = true, s
+		ctrl := New(Params{MemberID: "m0", PeerIDs: []string{"m1"}, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}, 1, Now{1000, 1000})
+		ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 64, MemoryGB: 256}, BootS: 10, Zones: []string{"a"}}})
+		s := ctrl.newShard("m0", 7, 5)
+		s.ready, ctrl.ownedShards["m0"] = true, s
 		rev := uint64(20)
 		put := func(key string, v any) {
 			rev++
-			m.apply(Item{Key: key, Value: encode(v), Rev: rev})
+			ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(v), Rev: rev})
 		}
-		grows := func(name string, n int, by func(i int)) {
-			before := used()
+		measureGrowth := func(name string, n int, add func(i int)) {
+			before := heapBytes()
 			for i := range n {
-				by(i)
+				add(i)
 			}
-			m.Take()
-			b.ReportMetric((used()-before)/float64(n), name)
+			ctrl.TakeOutputs()
+			b.ReportMetric((heapBytes()-before)/float64(n), name)
 		}
 		for _, shard := range []string{"m1", "m0"} {
 			var ids []string
-			grows("machine_of_"+shard, machines, func(i int) {
+			measureGrowth("machine_of_"+shard, machines, func(i int) {
 				if ids = append(ids, fmt.Sprintf("i-%s-%06d", shard, i)); len(ids) == 50 {
-					put(machinePrefix+ids[0], rosterRecord{Shard: shard, Type: "small", Zone: "a", Machines: ids})
-					put(upPrefix+shard+"/"+ids[0], upRecord{ids})
+					put(registryPrefix+ids[0], registryRecord{Shard: shard, Type: "small", Zone: "a", MachineIDs: ids})
+					put(liveMachinesPrefix+shard+"/"+ids[0], liveMachinesRecord{ids})
 					ids = nil
 				}
 			})
 		}
-		grows("job", jobs, func(i int) {
+		measureGrowth("job", jobs, func(i int) {
 			put(jobKey(fmt.Sprintf("job-%06d", i)), jobRecord{Job: Job{ID: fmt.Sprintf("job-%06d", i), Class: "batch", Team: "ops", Kind: Array, Tasks: 40, EstimateS: 60,
-				Request: availability.Room{CPUs: 4, MemoryGB: 14}, Image: "img-1"}, Accepted: 1000, Ranges: []Range{{Lo: 0, Hi: 40, Shard: "m0"}}})
+				Request: availability.Resources{CPUs: 4, MemoryGB: 14}, Image: "img-1"}, AcceptedAtMS: 1000, Ranges: []Range{{Lo: 0, Hi: 40, Shard: "m0"}}})
 		})
-		grows("task", 3*machines, func(i int) {
-			w := s.works[i%jobs]
-			m.start(s, s.machines[i/3], w, w.next(), 20_000, 0, &Report{Session: 1, Seq: 1})
+		measureGrowth("task", 3*machines, func(i int) {
+			tr := s.taskRanges[i%jobs]
+			ctrl.startTask(s, s.machines[i/3], tr, tr.nextTask(), 20_000, 0, &Heartbeat{Incarnation: 1, Seq: 1})
 		})
 	}
 }
@@ -136,48 +136,48 @@
 // What a plan looks at stays within bounds of the machines and the groups, however they
 // come: after the adoption of a shard of thousands, in a burst, with one job larger than all, and when all machines
 // changed at once. Steps are counted, not seconds.
-func TestPlansAreBounded(t *testing.T) {
+func TestPlanningStepsAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		machines, jobs int
-		change         func(m *Member, s *shard)
+		change         func(ctrl *Controller, s *shard)
 	}{
-		"a shard of five thousand machines": {5000, 300, func(*Member, *shard) {}},
-		"a burst of two thousand jobs":      {300, 2000, func(*Member, *shard) {}},
-		"a job of a hundred thousand tasks": {300, 30, func(m *Member, s *shard) {
-			m.apply(Item{Key: jobKey("job-999999"), Rev: 1 << 30, Value: encode(jobRecord{Job: Job{ID: "job-999999", Class: "batch", Kind: Array, Priority: High, Tasks: 100_000, Spot: true, EstimateS: 30,
-				Request: availability.Room{CPUs: 4, MemoryGB: 14}}, Accepted: 90_000, Ranges: []Range{{Lo: 0, Hi: 100_000, Shard: "m0"}}})})
+		"a shard of five thousand machines": {5000, 300, func(*Controller, *shard) {}},
+		"a burst of two thousand jobs":      {300, 2000, func(*Controller, *shard) {}},
+		"a job of a hundred thousand tasks": {300, 30, func(ctrl *Controller, s *shard) {
+			ctrl.applyChange(KeyValue{Key: jobKey("job-999999"), Rev: 1 << 30, Value: mustEncode(jobRecord{Job: Job{ID: "job-999999", Class: "batch", Kind: Array, Priority: High, Tasks: 100_000, Spot: true, EstimateS: 30,
+				Request: availability.Resources{CPUs: 4, MemoryGB: 14}}, AcceptedAtMS: 90_000, Ranges: []Range{{Lo: 0, Hi: 100_000, Shard: "m0"}}})})
 		}},
-		"every machine in a new session": {1500, 300, func(m *Member, s *shard) {
+		"every machine in a new session": {1500, 300, func(ctrl *Controller, s *shard) {
 			for i, mc := range s.machines {
-				m.Report(m.now, uint64(i), Report{Machine: mc.id, Addr: "x", Type: mc.rec.Type, Zone: "a", Spot: mc.rec.Spot, Session: 2, Seq: 1, Token: s.token})
+				ctrl.HandleHeartbeat(ctrl.now, uint64(i), Heartbeat{Machine: mc.id, Addr: "x", Type: mc.rec.Type, Zone: "a", Spot: mc.rec.Spot, Incarnation: 2, Seq: 1, Token: s.token})
 			}
 		}},
-		"machines that flap": {1500, 300, func(m *Member, s *shard) {
+		"machines that flap": {1500, 300, func(ctrl *Controller, s *shard) {
 			for i, mc := range s.machines {
-				mc.aside = i%2 == 0
+				mc.cordoned = i%2 == 0
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, s := fleetOf(t, c.machines, c.jobs)
-			m.plan(s)
-			c.change(m, s)
-			m.plan(s)
+			ctrl, s := newControllerWithFleet(t, c.machines, c.jobs)
+			ctrl.planShard(s)
+			c.change(ctrl, s)
+			ctrl.planShard(s)
 			// Passes look at blocks; what is placed is looked at machine by machine, and a job
 			// of many tasks once for each queue that takes some.
-			const passes, block = 14, 32
-			lanes, placed := 0, 0
-			for _, pm := range s.board.Machines() {
-				lanes += len(pm.Lanes)
-				for i := range pm.Lanes {
-					placed += len(pm.Lanes[i].Queue.Entries())
+			const filters, block = 14, 32
+			slots, placed := 0, 0
+			for _, planMachine := range s.clusterView.Machines() {
+				slots += len(planMachine.Slots)
+				for i := range planMachine.Slots {
+					placed += len(planMachine.Slots[i].Queue.Entries())
 				}
 			}
-			bound := 4*c.machines + len(s.queue)*(c.machines/block+1)*passes*4 + 64*placed + 8*lanes
-			if s.steps > bound || placed == 0 {
-				t.Errorf("%d steps for %d machines, %d groups, %d queues and %d places in them: more than %d", s.steps, c.machines, len(s.queue), lanes, placed, bound)
+			bound := 4*c.machines + len(s.queue)*(c.machines/block+1)*filters*4 + 64*placed + 8*slots
+			if s.planSteps > bound || placed == 0 {
+				t.Errorf("%d steps for %d machines, %d groups, %d queues and %d places in them: more than %d", s.planSteps, c.machines, len(s.queue), slots, placed, bound)
 			}
-			if sum := m.summary(s); len(sum) > m.settings.Functions {
+			if sum := ctrl.availabilitySummary(s); len(sum) > ctrl.settings.Functions {
 				t.Errorf("a summary of %d functions", len(sum))
 			}
 		})
--- a/scheduler/users.go
+++ b/scheduler/users.go
@@ -5,220 +5,220 @@
 	"slices"
 )
 
-// finalsKept bounds the cache of final states; the store keeps them all.
-const finalsKept = 2048
+// maxCachedTerminalStates bounds the cache of final states; the store keeps them all.
+const maxCachedTerminalStates = 2048
 
-// remember keeps a final state, which never changes, for later questions.
-func (m *Member) remember(id string, f finalRecord) {
-	if _, ok := m.finals[id]; ok {
+// cacheTerminalState keeps a final state, which never changes, for later questions.
+func (c *Controller) cacheTerminalState(id string, final terminalRecord) {
+	if _, ok := c.terminalStates[id]; ok {
 		return
 	}
-	m.finals[id] = f
-	m.finalLog = append(m.finalLog, id)
-	if len(m.finalLog) > finalsKept {
-		delete(m.finals, m.finalLog[0])
-		m.finalLog = slices.Delete(m.finalLog, 0, 1)
+	c.terminalStates[id] = final
+	c.terminalStateOrder = append(c.terminalStateOrder, id)
+	if len(c.terminalStateOrder) > maxCachedTerminalStates {
+		delete(c.terminalStates, c.terminalStateOrder[0])
+		c.terminalStateOrder = slices.Delete(c.terminalStateOrder, 0, 1)
 	}
 }
 
-func unavailable(id, why string) UserAnswer {
-	return UserAnswer{Status: 503, ID: id, Error: why, RetryS: 1, fault: true}
+func unavailableResponse(id, reason string) UserResponse {
+	return UserResponse{Status: 503, ID: id, Error: reason, RetryAfterS: 1, retryableAtPeer: true}
 }
 
-func (f finalRecord) answer(id string) UserAnswer {
-	a := UserAnswer{Status: 200, ID: id, State: f.State, Failed: f.Failed, Run: f.Run}
+func (f terminalRecord) response(id string) UserResponse {
+	response := UserResponse{Status: 200, ID: id, State: f.State, FailureReason: f.FailureReason, WorkflowRun: f.WorkflowRun}
 	if f.State == Done {
-		a.Done = f.Tasks
+		response.Done = f.Tasks
 	}
-	return a
+	return response
 }
 
-// lookup asks the store for a job: the live record first, then the final one,
+// readJob asks the store for a job: the live record first, then the final one,
 // in the order in which a job moves, so that one is found whenever it exists.
 // The mirror may lag, so it answers nothing here.
-func (m *Member) lookup(id string, u Urgency, done func(UserAnswer, *Item)) {
-	m.ask(StoreOp{Kind: StoreGet, Urgency: u, Key: jobKey(id)}, func(r StoreResult) {
+func (c *Controller) readJob(id string, urgency Urgency, onResult func(UserResponse, *KeyValue)) {
+	c.sendStore(StoreOp{Kind: StoreGet, Urgency: urgency, Key: jobKey(id)}, func(result StoreResult) {
 		switch {
-		case r.Outcome == OK && len(r.Items) == 1:
+		case result.Outcome == OK && len(result.KVs) == 1:
 			var rec jobRecord
-			if json.Unmarshal(r.Items[0].Value, &rec) != nil {
+			if json.Unmarshal(result.KVs[0].Value, &rec) != nil {
 				// Known all the same: it was accepted, and is not over. Answered 503, it
 				// would be forgotten, and its user could not even cancel it.
-				done(UserAnswer{Status: 200, ID: id, State: Pending}, &r.Items[0])
+				onResult(UserResponse{Status: 200, ID: id, State: Pending}, &result.KVs[0])
 				return
 			}
-			m.apply(r.Items[0])
-			done(m.liveAnswer(id, &rec), &r.Items[0])
-		case r.Outcome == NotFound:
-			m.lookupFinal(id, u, func(a UserAnswer) { done(a, nil) })
+			c.applyChange(result.KVs[0])
+			onResult(c.liveJobResponse(id, &rec), &result.KVs[0])
+		case result.Outcome == NotFound:
+			c.readTerminalState(id, urgency, func(response UserResponse) { onResult(response, nil) })
 		default:
-			done(unavailable(id, "state service unavailable"), nil)
+			onResult(unavailableResponse(id, "state service unavailable"), nil)
 		}
 	})
 }
 
-// lookupFinal asks the store for the end of a job that is not live.
-func (m *Member) lookupFinal(id string, u Urgency, done func(UserAnswer)) {
-	if f, ok := m.finals[id]; ok {
-		done(f.answer(id))
+// readTerminalState asks the store for the end of a job that is not live.
+func (c *Controller) readTerminalState(id string, urgency Urgency, onResult func(UserResponse)) {
+	if final, ok := c.terminalStates[id]; ok {
+		onResult(final.response(id))
 		return
 	}
-	m.ask(StoreOp{Kind: StoreGet, Urgency: u, Key: finalKey(id)}, func(r StoreResult) {
+	c.sendStore(StoreOp{Kind: StoreGet, Urgency: urgency, Key: terminalKey(id)}, func(result StoreResult) {
 		switch {
-		case r.Outcome == OK && len(r.Items) == 1:
-			var f finalRecord
-			if json.Unmarshal(r.Items[0].Value, &f) != nil {
-				done(unavailable(id, "record unreadable"))
+		case result.Outcome == OK && len(result.KVs) == 1:
+			var final terminalRecord
+			if json.Unmarshal(result.KVs[0].Value, &final) != nil {
+				onResult(unavailableResponse(id, "record unreadable"))
 				return
 			}
-			m.remember(id, f)
-			done(f.answer(id))
-		case r.Outcome == NotFound:
-			done(UserAnswer{Status: 404, ID: id, Error: "no such job"})
+			c.cacheTerminalState(id, final)
+			onResult(final.response(id))
+		case result.Outcome == NotFound:
+			onResult(UserResponse{Status: 404, ID: id, Error: "no such job"})
 		default:
-			done(unavailable(id, "state service unavailable"))
+			onResult(unavailableResponse(id, "state service unavailable"))
 		}
 	})
 }
 
-// liveAnswer gives the state of a live job with what members last knew of it.
-func (m *Member) liveAnswer(id string, rec *jobRecord) UserAnswer {
-	a := UserAnswer{Status: 200, ID: id, State: Pending, Run: rec.Job.Run}
-	left := 0
-	for _, r := range rec.Ranges {
-		left += r.Hi - r.Lo
-	}
-	a.Done = rec.Job.Tasks - left
-	if j := m.jobs[id]; j != nil {
-		for _, w := range j.works {
-			a.Running += w.running
-			a.Done += w.nDone
+// liveJobResponse gives the state of a live job with what members last knew of it.
+func (c *Controller) liveJobResponse(id string, rec *jobRecord) UserResponse {
+	response := UserResponse{Status: 200, ID: id, State: Pending, WorkflowRun: rec.Job.WorkflowRun}
+	unfinished := 0
+	for _, bounds := range rec.Ranges {
+		unfinished += bounds.Hi - bounds.Lo
+	}
+	response.Done = rec.Job.Tasks - unfinished
+	if j := c.jobs[id]; j != nil {
+		for _, tr := range j.taskRanges {
+			response.Running += tr.runningCount
+			response.Done += tr.doneCount
 		}
 	}
-	for _, p := range m.peers {
-		for _, sr := range p.msg.Shards {
-			if m.mine[sr.Shard] == nil {
-				c := sr.Running[id]
-				a.Running += c.Running
-				a.Done += c.Done
+	for _, peer := range c.peers {
+		for _, peerShard := range peer.message.OwnedShards {
+			if c.ownedShards[peerShard.Shard] == nil {
+				counts := peerShard.TaskCounts[id]
+				response.Running += counts.Running
+				response.Done += counts.Done
 			}
 		}
 	}
-	a.Done = min(a.Done, rec.Job.Tasks)
-	if a.Running > 0 {
-		a.State = Running
+	response.Done = min(response.Done, rec.Job.Tasks)
+	if response.Running > 0 {
+		response.State = Running
 	}
-	return a
+	return response
 }
 
-// counts is how far each live job is in a shard.
-func (m *Member) counts(s *shard) map[string]Counts {
-	out := map[string]Counts{}
-	for _, w := range s.works {
-		if w.running > 0 || w.nDone > 0 {
-			c := out[w.job.rec.Job.ID]
-			c.Running += w.running
-			c.Done += w.nDone
-			out[w.job.rec.Job.ID] = c
+// taskCounts is how far each live job is in a shard.
+func (c *Controller) taskCounts(s *shard) map[string]TaskCounts {
+	byJob := map[string]TaskCounts{}
+	for _, tr := range s.taskRanges {
+		if tr.runningCount > 0 || tr.doneCount > 0 {
+			c := byJob[tr.job.rec.Job.ID]
+			c.Running += tr.runningCount
+			c.Done += tr.doneCount
+			byJob[tr.job.rec.Job.ID] = c
 		}
 	}
-	return out
+	return byJob
 }
 
-// impossible says why a job can never run, or nothing. known is false while
+// unrunnableReason says why a job can never run, or nothing. known is false while
 // that cannot be decided.
-func (m *Member) impossible(j *Job) (why string, known bool) {
-	t, ok := m.p.Teams[j.Team]
+func (c *Controller) unrunnableReason(j *Job) (reason string, decided bool) {
+	t, ok := c.params.Teams[j.Team]
 	if !ok {
 		return "unknown team", true
 	}
-	n := 1.0
+	concurrentTasks := 1.0
 	if j.Kind != Array {
-		n = float64(j.Tasks)
+		concurrentTasks = float64(j.Tasks)
 	}
-	if t.MaxCPUs > 0 && n*j.Request.CPUs > t.MaxCPUs || t.MaxGPUs > 0 && n*j.Request.GPUs > t.MaxGPUs {
+	if t.MaxCPUs > 0 && concurrentTasks*j.Request.CPUs > t.MaxCPUs || t.MaxGPUs > 0 && concurrentTasks*j.Request.GPUs > t.MaxGPUs {
 		return "needs more than the team's limit", true
 	}
-	if len(m.types) == 0 {
+	if len(c.machineTypes) == 0 {
 		return "", false
 	}
-	for _, t := range m.types {
-		if m.fitsType(j, t) {
+	for _, t := range c.machineTypes {
+		if c.fitsType(j, t) {
 			return "", true
 		}
 	}
 	return "a task fits no allowed machine type", true
 }
 
-func (m *Member) submit(reply uint64, r UserRequest) {
-	refuse := func(a UserAnswer) {
-		if r.ID == "" {
-			m.reply(reply, a)
+func (c *Controller) handleSubmit(replyID uint64, request UserRequest) {
+	rejectUnlessKnown := func(response UserResponse) {
+		if request.ID == "" {
+			c.completeRequest(replyID, response)
 			return
 		}
 		// A repeated submission of a known job is welcome whatever its
 		// body says now.
-		m.lookup(r.ID, Answers, func(known UserAnswer, _ *Item) {
+		c.readJob(request.ID, UrgencyUser, func(known UserResponse, _ *KeyValue) {
 			if known.Status == 404 {
-				known = a
+				known = response
 			}
-			m.reply(reply, known)
+			c.completeRequest(replyID, known)
 		})
 	}
-	if r.Job == nil {
-		refuse(UserAnswer{Status: 400, ID: r.ID, Error: r.Bad})
+	if request.Job == nil {
+		rejectUnlessKnown(UserResponse{Status: 400, ID: request.ID, Error: request.Malformed})
 		return
 	}
-	why, known := m.impossible(r.Job)
-	if why != "" {
-		refuse(UserAnswer{Status: 422, ID: r.ID, Error: why})
+	reason, known := c.unrunnableReason(request.Job)
+	if reason != "" {
+		rejectUnlessKnown(UserResponse{Status: 422, ID: request.ID, Error: reason})
 		return
 	}
 	if !known {
-		refuse(unavailable(r.ID, "machine types not known yet"))
+		rejectUnlessKnown(unavailableResponse(request.ID, "machine types not known yet"))
 		return
 	}
-	if len(encode(jobRecord{Job: *r.Job, Accepted: m.now.Wall, Ranges: []Range{{0, r.Job.Tasks, m.p.Member, false}}})) > m.p.ValueBytes {
+	if len(mustEncode(jobRecord{Job: *request.Job, AcceptedAtMS: c.now.WallMS, Ranges: []Range{{0, request.Job.Tasks, c.params.MemberID, false}}})) > c.params.MaxValueBytes {
 		// No value of the store holds it, however often it is sent.
-		refuse(UserAnswer{Status: 400, ID: r.ID, Error: "the job's names are too long"})
+		rejectUnlessKnown(UserResponse{Status: 400, ID: request.ID, Error: "the job's names are too long"})
 		return
 	}
-	if m.jobs[r.ID] == nil {
-		m.offer(reply, r)
+	if c.jobs[request.ID] == nil {
+		c.enqueueSubmission(replyID, request)
 		return
 	}
 	// Known already: a write would only fail.
-	m.lookup(r.ID, Answers, func(a UserAnswer, _ *Item) {
-		if a.Status == 404 {
-			m.offer(reply, r)
+	c.readJob(request.ID, UrgencyUser, func(response UserResponse, _ *KeyValue) {
+		if response.Status == 404 {
+			c.enqueueSubmission(replyID, request)
 			return
 		}
-		m.reply(reply, a)
+		c.completeRequest(replyID, response)
 	})
 }
 
-func (m *Member) cancel(reply uint64, id string, tries int) {
-	m.lookup(id, Answers, func(a UserAnswer, it *Item) {
-		if it == nil {
-			m.reply(reply, a)
+func (c *Controller) handleCancel(replyID uint64, id string, retries int) {
+	c.readJob(id, UrgencyUser, func(response UserResponse, kv *KeyValue) {
+		if kv == nil {
+			c.completeRequest(replyID, response)
 			return
 		}
 		var rec jobRecord
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
-			m.log(Warn, "record unreadable", "key", it.Key, "error", err)
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
+			c.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 		}
-		f := finalRecord{State: Cancelled, Tasks: rec.Job.Tasks, Run: rec.Job.Run}
-		changes := []Change{{Key: jobKey(id)}, {Key: finalKey(id), Value: encode(f)}}
-		m.txn(Answers, []Guard{{jobKey(id), it.Rev}, {finalKey(id), 0}}, changes, func(r StoreResult) {
+		final := terminalRecord{State: Cancelled, Tasks: rec.Job.Tasks, WorkflowRun: rec.Job.WorkflowRun}
+		changes := []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}
+		c.sendTxn(UrgencyUser, []Precondition{{jobKey(id), kv.Rev}, {terminalKey(id), 0}}, changes, func(result StoreResult) {
 			switch {
-			case r.Outcome == OK:
-				m.remember(id, f)
-				m.log(Info, "job cancelled", "job", id)
-				m.reply(reply, f.answer(id))
-			case (r.Outcome == Conflict || r.Outcome == Unknown) && tries > 0:
-				m.cancel(reply, id, tries-1)
+			case result.Outcome == OK:
+				c.cacheTerminalState(id, final)
+				c.log(Info, "job cancelled", "job", id)
+				c.completeRequest(replyID, final.response(id))
+			case (result.Outcome == Conflict || result.Outcome == Unknown) && retries > 0:
+				c.handleCancel(replyID, id, retries-1)
 			default:
-				m.reply(reply, unavailable(id, "state service unavailable"))
+				c.completeRequest(replyID, unavailableResponse(id, "state service unavailable"))
 			}
 		})
 	})
--- a/schedules/golden_test.go
+++ b/schedules/golden_test.go
@@ -22,19 +22,19 @@
 }
 
 func TestStoredRecordsKeepTheirForm(t *testing.T) {
-	record[markRecord](t, "mark.json")
-	record[defRecord](t, "definition.json")
-	record[progRecord](t, "progress.json")
+	record[changeIndexRecord](t, "mark.json")
+	record[definitionRecord](t, "definition.json")
+	record[progressRecord](t, "progress.json")
 	record[[]Decision](t, "page.json")
 	var all []byte
-	for _, v := range []any{markRecord{}, defRecord{}, progRecord{}, Decision{}} {
+	for _, v := range []any{changeIndexRecord{}, definitionRecord{}, progressRecord{}, Decision{}} {
 		all = append(append(all, extension.Encode(v)...), '\n')
 	}
 	golden.Compare(t, "empty.jsonl", all)
 }
 
 func TestAnswersKeepTheirForm(t *testing.T) {
-	record[Answer](t, "answer.json")
+	record[Response](t, "answer.json")
 }
 
 // TestFilesKeepTheirForm holds the operators' file of calendars and schedules.
@@ -48,11 +48,11 @@
 
 func TestStoreKeysKeepTheirForm(t *testing.T) {
 	for _, k := range []struct{ got, want string }{
-		{MarkPrefix, "l/x/s/"},
-		{markKey("m0"), "l/x/s/m0"},
-		{defKey("m0", "nightly"), "s/m0/nightly"},
-		{progKey("m0", "nightly"), "sp/m0/nightly"},
-		{pageKey("m0", "nightly", 7), "sh/m0/nightly/000007"},
+		{ChangeIndexPrefix, "l/x/s/"},
+		{changeIndexKey("m0"), "l/x/s/m0"},
+		{definitionKey("m0", "nightly"), "s/m0/nightly"},
+		{progressKey("m0", "nightly"), "sp/m0/nightly"},
+		{historyKey("m0", "nightly", 7), "sh/m0/nightly/000007"},
 	} {
 		if k.got != k.want {
 			t.Errorf("the key is %q, not %q", k.got, k.want)
