--- a/schedules/host_test.go
+++ b/schedules/host_test.go
@@ -14,38 +14,38 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-const cal = "[[calendar]]\nname = \"c\"\n[[calendar.holidays]]\nname = \"h\"\ndates = [\"2027-03-15\", \"04-13\", \"12-31\"]\n"
+const calendarText = "[[calendar]]\nname = \"c\"\n[[calendar.holidays]]\nname = \"h\"\ndates = [\"2027-03-15\", \"04-13\", \"12-31\"]\n"
 
-func spec(name, rest string) string {
+func scheduleText(name, rest string) string {
 	return fmt.Sprintf("[[schedule]]\nname = %q\nfrom = \"2026-01-01\"\n%s\n[schedule.job]\nteam = \"ops\"\ncpus = 1.0\n", name, rest)
 }
 
-// year plays a year, or a quarter with sabotage, and returns what is broken.
-func year(t testing.TB, seed uint64, faults bool, sabotage func(*world)) []string {
-	w := newWorld(t, seed, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), faults)
+// simulateYear plays a year, or a quarter with sabotage, and returns what is broken.
+func simulateYear(t testing.TB, seed uint64, faults bool, injectFault func(*simulation)) []string {
+	w := newSimulation(t, seed, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), faults)
 	specs := []*Spec{
-		w.apply(cal + spec("all", "zone = \"America/Los_Angeles\"\nrule = \"FREQ=DAILY\"\nat = [\"02:30\", \"17:00\"]\ncalendar = \"c\"\nshift = \"next\"\nmissed = \"all\"\nlate_s = 1e9")),
-		w.apply(spec("latest", "zone = \"Asia/Kathmandu\"\nrule = \"FREQ=DAILY\"\nat = [\"00:00\", \"06:00\", \"12:00\", \"18:00\"]")),
-		w.apply(spec("skip", "zone = \"Australia/Lord_Howe\"\nrule = \"FREQ=WEEKLY;BYDAY=SU\"\nat = [\"02:15\"]\noverlap = \"both\"\nmissed = \"skip\"")),
-		w.apply(spec("forbid", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"forbid\"\nmissed = \"all\"")),
-		w.apply(spec("queue", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"queue\"\nmissed = \"all\"\nlate_s = 1e9")),
-		w.apply(spec("replace", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"replace\"\nmissed = \"all\"")),
+		w.apply(calendarText + scheduleText("all", "zone = \"America/Los_Angeles\"\nrule = \"FREQ=DAILY\"\nat = [\"02:30\", \"17:00\"]\ncalendar = \"c\"\nshift = \"next\"\nmissed = \"all\"\nlate_s = 1e9")),
+		w.apply(scheduleText("latest", "zone = \"Asia/Kathmandu\"\nrule = \"FREQ=DAILY\"\nat = [\"00:00\", \"06:00\", \"12:00\", \"18:00\"]")),
+		w.apply(scheduleText("skip", "zone = \"Australia/Lord_Howe\"\nrule = \"FREQ=WEEKLY;BYDAY=SU\"\nat = [\"02:15\"]\noverlap = \"both\"\nmissed = \"skip\"")),
+		w.apply(scheduleText("forbid", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"forbid\"\nmissed = \"all\"")),
+		w.apply(scheduleText("queue", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"queue\"\nmissed = \"all\"\nlate_s = 1e9")),
+		w.apply(scheduleText("replace", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"replace\"\nmissed = \"all\"")),
 	}
 	since := map[string]int64{}
 	for _, s := range specs {
-		a := w.user(Request{Kind: Show, Name: s.Name})
-		var d defRecord
-		_ = json.Unmarshal(w.store.Value(defKey(extension.ShardOf(w.members, s.Name), s.Name)), &d)
+		a := w.request(Request{Kind: Show, Name: s.Name})
+		var d definitionRecord
+		_ = json.Unmarshal(w.store.Value(definitionKey(extension.ShardOf(w.members, s.Name), s.Name)), &d)
 		if a.Status != 200 || a.Version != 1 {
 			t.Fatalf("%s is shown as %+v", s.Name, a)
 		}
-		since[s.Name] = d.Since
+		since[s.Name] = d.SinceMS
 	}
-	if sabotage != nil {
-		sabotage(w)
+	if injectFault != nil {
+		injectFault(w)
 	}
 	end := time.Date(2028, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
-	if sabotage != nil {
+	if injectFault != nil {
 		end = time.Date(2027, 4, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
 	}
 	for w.now < end {
@@ -61,49 +61,49 @@
 		}
 	}
 	// Then quiet: what is left is decided, what is late arrives.
-	w.faults, w.away = false, 0
-	for len(w.late) > 0 {
-		w.late[0]()
-		w.late = w.late[1:]
+	w.faults, w.storeOutageUntil = false, 0
+	for len(w.delayed) > 0 {
+		w.delayed[0]()
+		w.delayed = w.delayed[1:]
 	}
 	for range 600 {
 		w.step(2000)
 	}
-	if faults && sabotage == nil && w.lost < 100 {
-		t.Errorf("seed %d: %d requests were lost: too few to say anything", seed, w.lost)
+	if faults && injectFault == nil && w.lostRequests < 100 {
+		t.Errorf("seed %d: %d requests were lost: too few to say anything", seed, w.lostRequests)
 	}
 	var out []string
 	for _, s := range specs {
-		out = append(out, w.broken(s, since[s.Name], w.now)...)
+		out = append(out, w.violations(s, since[s.Name], w.now)...)
 	}
 	return out
 }
 
 // A year with a clock of its own: every moment is decided once, and run once
 // where it is to be, whatever happens at it.
-func TestAYearWithoutDuplicateOrGap(t *testing.T) {
+func TestEachMomentIsDecidedOnceInAYearOfFaults(t *testing.T) {
 	for seed := range uint64(2) {
-		if b := year(t, seed, seed > 0, nil); len(b) > 0 {
+		if b := simulateYear(t, seed, seed > 0, nil); len(b) > 0 {
 			t.Fatalf("seed %d: %d faults, the first: %s", seed, len(b), strings.Join(b[:min(5, len(b))], "\n"))
 		}
 	}
 }
 
 // The check sees a run that is there twice and one that is missing.
-func TestCheckSeesDuplicatesAndGaps(t *testing.T) {
-	if b := year(t, 1, true, func(w *world) { w.twice = true }); !slices.ContainsFunc(b, func(s string) bool { return strings.Contains(s, "times") }) {
+func TestSimulationDetectsDuplicateAndMissingRuns(t *testing.T) {
+	if b := simulateYear(t, 1, true, func(w *simulation) { w.duplicateSubmissions = true }); !slices.ContainsFunc(b, func(s string) bool { return strings.Contains(s, "times") }) {
 		t.Errorf("runs that are there twice go unseen: %v", b)
 	}
-	if b := year(t, 1, true, func(w *world) { w.drop = true }); !slices.ContainsFunc(b, func(s string) bool { return strings.Contains(s, "missing") }) {
+	if b := simulateYear(t, 1, true, func(w *simulation) { w.dropSubmissions = true }); !slices.ContainsFunc(b, func(s string) bool { return strings.Contains(s, "missing") }) {
 		t.Errorf("missing runs go unseen: %v", b)
 	}
 }
 
 // A new version counts from its moment on; what is decided stays decided.
-func TestVersions(t *testing.T) {
-	w := newWorld(t, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
+func TestChangedScheduleAppliesFromItsEffectiveTime(t *testing.T) {
+	w := newSimulation(t, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
 	daily := func(at string) string {
-		return spec("v", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\""+at+"\"]")
+		return scheduleText("v", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\""+at+"\"]")
 	}
 	w.apply(daily("06:00"))
 	pass := func(until string) {
@@ -115,34 +115,34 @@
 	pass("2027-01-02T12:00:00Z")
 	v2 := []byte(daily("18:00"))
 	effective := time.Date(2027, 1, 4, 0, 0, 0, 0, time.UTC).UnixMilli()
-	if a := w.user(Request{Kind: Apply, Name: "v", Body: v2, Effective: effective}); a.State != "applied" || a.Version != 2 {
+	if a := w.request(Request{Kind: Apply, Name: "v", Body: v2, EffectiveMS: effective}); a.State != "applied" || a.Version != 2 {
 		t.Fatalf("a new version gets %+v", a)
 	}
-	if a := w.user(Request{Kind: Apply, Name: "v", Body: v2}); a.State != "unchanged" {
+	if a := w.request(Request{Kind: Apply, Name: "v", Body: v2}); a.State != "unchanged" {
 		t.Errorf("the same version again gets %+v", a)
 	}
 	pass("2027-01-06T12:00:00Z")
-	if a := w.user(Request{Kind: Pause, Name: "v"}); a.State != "paused" {
+	if a := w.request(Request{Kind: Pause, Name: "v"}); a.State != "paused" {
 		t.Errorf("a pause gets %+v", a)
 	}
 	pass("2027-01-08T12:00:00Z")
-	if a := w.user(Request{Kind: Resume, Name: "v"}); a.State != "resumed" {
+	if a := w.request(Request{Kind: Resume, Name: "v"}); a.State != "resumed" {
 		t.Errorf("going on gets %+v", a)
 	}
 	pass("2027-01-09T12:00:00Z")
-	if a := w.user(Request{Kind: Remove, Name: "v"}); a.State != "removed" {
+	if a := w.request(Request{Kind: Remove, Name: "v"}); a.State != "removed" {
 		t.Errorf("a removal gets %+v", a)
 	}
 	pass("2027-01-12T12:00:00Z")
 	var got []string
 	for _, d := range w.history("v") {
-		got = append(got, fmt.Sprintf("%s/%d", time.UnixMilli(d.At).UTC().Format("02T15"), d.Version))
+		got = append(got, fmt.Sprintf("%s/%d", time.UnixMilli(d.AtMS).UTC().Format("02T15"), d.Version))
 	}
 	if want := "01T06/1 02T06/1 03T06/1 04T18/2 05T18/2 08T18/2"; strings.Join(got, " ") != want {
 		t.Errorf("decided %s, not %s", strings.Join(got, " "), want)
 	}
 	for _, k := range []Kind{Pause, Resume, Remove, Show} {
-		if a := w.user(Request{Kind: k, Name: "v"}); a.Status != 404 {
+		if a := w.request(Request{Kind: k, Name: "v"}); a.Status != 404 {
 			t.Errorf("request %d on what is removed gets %+v", k, a)
 		}
 	}
@@ -150,38 +150,38 @@
 
 // A calendar that changes a second before a moment changes that moment, for all
 // schedules that use it, and nothing that was decided.
-func TestCalendarChangesASecondBefore(t *testing.T) {
-	w := newWorld(t, 1, time.Date(2027, 3, 9, 0, 0, 0, 0, time.UTC), false)
-	text := cal + spec("s", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]\ncalendar = \"c\"\nshift = \"skip\"")
+func TestCalendarChangeJustBeforeDueMomentApplies(t *testing.T) {
+	w := newSimulation(t, 1, time.Date(2027, 3, 9, 0, 0, 0, 0, time.UTC), false)
+	text := calendarText + scheduleText("s", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]\ncalendar = \"c\"\nshift = \"skip\"")
 	w.apply(text)
-	w.apply(spec("other", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]"))
+	w.apply(scheduleText("other", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]"))
 	pass := func(until time.Time) {
 		for w.now < until.UnixMilli() {
 			w.step(min(5000, until.UnixMilli()-w.now))
 		}
 	}
 	pass(time.Date(2027, 3, 11, 5, 59, 50, 0, time.UTC))
-	changed := strings.Replace(cal, "2027-03-15", "2027-03-11", 1)
-	if a := w.user(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "applied" || len(a.Schedules) != 1 || a.Schedules[0].Version != 2 {
+	changed := strings.Replace(calendarText, "2027-03-15", "2027-03-11", 1)
+	if a := w.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "applied" || len(a.Schedules) != 1 || a.Schedules[0].Version != 2 {
 		t.Fatalf("a changed calendar gets %+v", a)
 	}
 	if w.now >= time.Date(2027, 3, 11, 6, 0, 0, 0, time.UTC).UnixMilli() {
 		t.Fatal("the change came too late for what is tried")
 	}
-	if a := w.user(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "unchanged" {
+	if a := w.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "unchanged" {
 		t.Errorf("the same calendar again gets %+v", a)
 	}
-	if a := w.user(Request{Kind: ShowCalendar, Name: "c"}); a.Status != 200 || a.Calendar.Holidays[0].Dates[0] != "2027-03-11" {
+	if a := w.request(Request{Kind: ShowCalendar, Name: "c"}); a.Status != 200 || a.Calendar.Holidays[0].Dates[0] != "2027-03-11" {
 		t.Errorf("the calendar is shown as %+v", a)
 	}
-	if a := w.user(Request{Kind: ApplyCalendar, Name: "d", Body: []byte(strings.Replace(cal, `"c"`, `"d"`, 1))}); a.Status != 404 {
+	if a := w.request(Request{Kind: ApplyCalendar, Name: "d", Body: []byte(strings.Replace(calendarText, `"c"`, `"d"`, 1))}); a.Status != 404 {
 		t.Errorf("a calendar that nobody uses gets %+v", a)
 	}
 	pass(time.Date(2027, 3, 16, 12, 0, 0, 0, time.UTC))
 	for name, want := range map[string]string{"s": "09 10 12 15 16", "other": "09 10 11 12 13 14 15 16"} {
 		var got []string
 		for _, d := range w.history(name) {
-			got = append(got, time.UnixMilli(d.At).UTC().Format("02"))
+			got = append(got, time.UnixMilli(d.AtMS).UTC().Format("02"))
 		}
 		if strings.Join(got, " ") != want {
 			t.Errorf("%s ran on %v, not %s", name, got, want)
@@ -190,25 +190,25 @@
 }
 
 // A tick costs what is due, not what exists.
-func BenchmarkTick(b *testing.B) {
+func BenchmarkTickWithManySchedules(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			h := NewHost(Params{Members: []string{"m-0"}, TxnOps: 16, Rate: 1000})
 			s := &shard{name: "m-0", token: 1, entries: map[string]*entry{}}
 			h.shards["m-0"] = s
-			f, err := ParseFile([]byte(spec("x", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]")))
+			f, err := ParseFile([]byte(scheduleText("x", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]")))
 			if err != nil {
 				b.Fatal(err)
 			}
 			for i := range n {
-				e := &entry{shard: s, name: fmt.Sprint("s-", i), index: -1, def: defRecord{Spec: *f.Schedules[0]}}
+				e := &entry{shard: s, name: fmt.Sprint("s-", i), index: -1, definition: definitionRecord{Spec: *f.Schedules[0]}}
 				s.entries[e.name] = e
 				h.enqueueAt(e, int64(1e15)+int64(i))
 			}
-			v := scheduler.View{Authority: true, Claims: map[string]uint64{"m-0": 1}}
-			now := scheduler.Now{Steady: 1, Wall: 1}
+			v := scheduler.ExtensionView{HasAuthority: true, ClaimTokens: map[string]uint64{"m-0": 1}}
+			now := scheduler.Now{MonotonicMS: 1, WallMS: 1}
 			for b.Loop() {
-				now.Steady += 200
+				now.MonotonicMS += 200
 				h.Tick(now, v)
 			}
 		})
@@ -218,19 +218,19 @@
 // What 5,000 schedules that fall due at once take at the rates of the fleet
 // sites: a quarter of a member's part of 80 changes a second on three members,
 // of 50 on five.
-func BenchmarkAllAtOnce(b *testing.B) {
+func BenchmarkAllSchedulesDueAtOnce(b *testing.B) {
 	for _, c := range []struct {
 		name string
 		rate float64 // decisions a second, of three members
 	}{{"siam-meterline-fleet", 80 / 3.0 / 4}, {"cascadia-refund-fleet", 50 / 5.0 / 4 * 5 / 3}} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				w := newWorld(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
+				w := newSimulation(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
 				for _, h := range w.hosts {
-					h.p.Rate = c.rate
+					h.params.Rate = c.rate
 				}
 				const n = 5000
-				w.seed(n, "06:00")
+				w.storeSchedules(n, "06:00")
 				due := time.Date(2027, 1, 1, 6, 0, 0, 0, time.UTC).UnixMilli()
 				for w.now < due {
 					w.step(min(60_000, due-w.now))
@@ -246,26 +246,26 @@
 
 // What a member does to go on with 10,000 schedules after it took over all
 // shards.
-func BenchmarkRecoveryOf10000(b *testing.B) {
+func BenchmarkShardLoadOf10000Schedules(b *testing.B) {
 	for b.Loop() {
-		w := newWorld(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
+		w := newSimulation(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
 		const n = 10_000
-		w.seed(n, "06:00")
+		w.storeSchedules(n, "06:00")
 		for _, s := range w.members {
 			w.claim(s, "m-0")
 		}
-		w.start("m-0")
+		w.startHost("m-0")
 		h, requests, took := w.hosts["m-0"], 0, time.Duration(0)
 		for len(h.due) < n {
 			w.now += 200
-			w.view("m-0")
+			w.refreshView("m-0")
 			at := time.Now()
 			h.Tick(w.clock(), w.views["m-0"])
 			took += time.Since(at)
 			for ops := h.Take().Store; len(ops) > 0; ops = h.Take().Store {
 				requests += len(ops)
 				for _, op := range ops {
-					r := w.do(op)
+					r := w.applyStoreOp(op)
 					at := time.Now()
 					h.StoreDone(w.clock(), op.ID, r)
 					took += time.Since(at)
@@ -277,9 +277,9 @@
 	}
 }
 
-func TestFiles(t *testing.T) {
-	good := spec("s", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"01:00\"]")
-	for _, c := range []struct{ text, want string }{
+func TestInvalidFileIsRejectedNamingTheField(t *testing.T) {
+	good := scheduleText("s", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"01:00\"]")
+	for _, c := range []struct{ text, expectedErr string }{
 		{good, ""},
 		{good + "cpu = 1\n", "line 10 column 1: schedule.job.cpu is no field"},
 		{strings.Replace(good, "cpus = 1.0", "", 1), "schedule[0] s: job.cpus must be above 0"},
@@ -290,8 +290,8 @@
 		{strings.Replace(good, "UTC", "Mars", 1), "is no time zone"},
 	} {
 		_, err := ParseFile([]byte(c.text))
-		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%v, not %q", err, c.want)
+		if c.expectedErr == "" && err != nil || c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
+			t.Errorf("%v, not %q", err, c.expectedErr)
 		}
 	}
 	files, _ := filepath.Glob("../docs/examples/schedules/*.toml")
--- a/schedules/queue.go
+++ b/schedules/queue.go
@@ -7,36 +7,36 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// queue orders entries by when they are due, so that a tick costs what is due
+// dueQueue orders entries by when they are due, so that a tick costs what is due
 // and not what exists.
-type queue []*entry
+type dueQueue []*entry
 
-func (q queue) Len() int { return len(q) }
+func (q dueQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+func (q dueQueue) Less(i, j int) bool {
+	if q[i].dueAt != q[j].dueAt {
+		return q[i].dueAt < q[j].dueAt
 	}
-	if a, b := q[i].rank(), q[j].rank(); a != b {
+	if a, b := q[i].priority(), q[j].priority(); a != b {
 		return a > b
 	}
 	return q[i].name < q[j].name
 }
 
-func (q queue) Swap(i, j int) {
+func (q dueQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index, q[j].index = i, j
 }
 
 // Push and Pop are the heap's.
-func (q *queue) Push(x any) {
+func (q *dueQueue) Push(x any) {
 	e := x.(*entry)
 	e.index = len(*q)
 	*q = append(*q, e)
 }
 
 // Pop takes the last.
-func (q *queue) Pop() any {
+func (q *dueQueue) Pop() any {
 	o := *q
 	e := o[len(o)-1]
 	*q = o[:len(o)-1]
@@ -44,54 +44,56 @@
 	return e
 }
 
-func (e *entry) rank() scheduler.Priority { return priorities[e.def.Spec.Job.Priority] }
+func (e *entry) priority() scheduler.Priority {
+	return prioritiesByName[e.definition.Spec.Job.Priority]
+}
 
-func (h *Host) unqueue(e *entry) {
+func (h *Host) dequeue(e *entry) {
 	if e.index >= 0 {
 		heap.Remove(&h.due, e.index)
 	}
 }
 
-// after is the time up to which an entry has decided, or must not.
-func (e *entry) after() int64 {
-	since := e.def.Since
-	if e.old != nil {
-		since = e.old.Since
+// decidedUpTo is the time up to which an entry has decided, or must not.
+func (e *entry) decidedUpTo() int64 {
+	since := e.definition.SinceMS
+	if e.previous != nil {
+		since = e.previous.SinceMS
 	}
-	return max(e.prog.UpTo, since-1)
+	return max(e.progress.DecidedUpToMS, since-1)
 }
 
 // moment is a moment with the version that it goes by.
 type moment struct {
-	at  int64
-	v   *version
-	why string
+	at      int64
+	version *version
+	reason  string
 }
 
 // nextMoment is the first moment after a time.
 func (e *entry) nextMoment(after int64) (m moment, ok bool) {
-	if e.old != nil && after < e.cur.Since-1 {
-		if x, is := e.old.Spec.Next(time.UnixMilli(after)); is && x.At.UnixMilli() < e.cur.Since {
-			return moment{x.At.UnixMilli(), e.old, x.Why}, true
+	if e.previous != nil && after < e.current.SinceMS-1 {
+		if x, is := e.previous.Spec.Next(time.UnixMilli(after)); is && x.At.UnixMilli() < e.current.SinceMS {
+			return moment{x.At.UnixMilli(), e.previous, x.Reason}, true
 		}
 	}
-	x, is := e.cur.Spec.Next(time.UnixMilli(max(after, e.cur.Since-1)))
-	return moment{x.At.UnixMilli(), e.cur, x.Why}, is
+	x, is := e.current.Spec.Next(time.UnixMilli(max(after, e.current.SinceMS-1)))
+	return moment{x.At.UnixMilli(), e.current, x.Reason}, is
 }
 
-// plan puts an entry where it is due next.
-func (h *Host) plan(e *entry) {
-	h.unqueue(e)
-	if e.cur == nil || e.def.Paused {
+// enqueueNext puts an entry where it is due next.
+func (h *Host) enqueueNext(e *entry) {
+	h.dequeue(e)
+	if e.current == nil || e.definition.Paused {
 		return
 	}
-	if m, ok := e.nextMoment(e.after()); ok {
+	if m, ok := e.nextMoment(e.decidedUpTo()); ok {
 		h.enqueueAt(e, m.at)
 	}
 }
 
 func (h *Host) enqueueAt(e *entry, at int64) {
-	h.unqueue(e)
-	e.at = at
+	h.dequeue(e)
+	e.dueAt = at
 	heap.Push(&h.due, e)
 }
--- a/schedules/records.go
+++ b/schedules/records.go
@@ -11,55 +11,55 @@
 // revision tells its holder that definitions changed; definitions and progress
 // are read by the holder alone, so that their number costs others nothing.
 const (
-	MarkPrefix = scheduler.BesidePrefix + "s/"
-	defPrefix  = "s/"
-	progPrefix = "sp/"
-	pagePrefix = "sh/"
+	ChangeIndexPrefix = scheduler.ExtensionPrefix + "s/"
+	definitionPrefix  = "s/"
+	progressPrefix    = "sp/"
+	historyPrefix     = "sh/"
 )
 
-func markKey(shard string) string { return MarkPrefix + shard }
+func changeIndexKey(shard string) string { return ChangeIndexPrefix + shard }
 
-func defKey(shard, name string) string { return defPrefix + shard + "/" + name }
+func definitionKey(shard, name string) string { return definitionPrefix + shard + "/" + name }
 
-func progKey(shard, name string) string { return progPrefix + shard + "/" + name }
+func progressKey(shard, name string) string { return progressPrefix + shard + "/" + name }
 
-func pageKey(shard, name string, n int) string {
-	return fmt.Sprintf("%s%s/%s/%06d", pagePrefix, shard, name, n)
+func historyKey(shard, name string, n int) string {
+	return fmt.Sprintf("%s%s/%s/%06d", historyPrefix, shard, name, n)
 }
 
-// markRecord tells a shard's holder what changed last.
-type markRecord struct {
+// changeIndexRecord tells a shard's holder what changed last.
+type changeIndexRecord struct {
 	Seq   int      `json:"seq"`
 	Names []string `json:"names"` // of the last changes, newest last
 }
 
-const markNames = 16
+const maxIndexedChanges = 16
 
-// add notes that a schedule changed.
-func (m *markRecord) add(name string) {
+// addChange notes that a schedule changed.
+func (m *changeIndexRecord) addChange(name string) {
 	m.Seq++
 	m.Names = append(m.Names, name)
-	if n := len(m.Names); n > markNames {
-		m.Names = m.Names[n-markNames:]
+	if n := len(m.Names); n > maxIndexedChanges {
+		m.Names = m.Names[n-maxIndexedChanges:]
 	}
 }
 
-// defRecord is a schedule's definition. A version counts from a moment on: what
+// definitionRecord is a schedule's definition. A version counts from a moment on: what
 // was due before it goes by the one before.
-type defRecord struct {
-	Version int      `json:"version"`
-	Since   int64    `json:"since"` // time of day, ms
-	Spec    Spec     `json:"spec"`
-	Cal     calendar `json:"calendar"`
-	Paused  bool     `json:"paused,omitempty"`
-	Old     *version `json:"old,omitempty"`
+type definitionRecord struct {
+	Version  int      `json:"version"`
+	SinceMS  int64    `json:"since"` // time of day, ms
+	Spec     Spec     `json:"spec"`
+	Calendar calendar `json:"calendar"`
+	Paused   bool     `json:"paused,omitempty"`
+	Previous *version `json:"old,omitempty"`
 }
 
 type version struct {
-	Version int      `json:"version"`
-	Since   int64    `json:"since"`
-	Spec    Spec     `json:"spec"`
-	Cal     calendar `json:"calendar"`
+	Version  int      `json:"version"`
+	SinceMS  int64    `json:"since"`
+	Spec     Spec     `json:"spec"`
+	Calendar calendar `json:"calendar"`
 }
 
 // calendar is nil where a schedule names none.
@@ -67,35 +67,35 @@
 
 // Decision is what became of a moment.
 type Decision struct {
-	At      int64  `json:"at"` // the moment, time of day, ms
-	Run     bool   `json:"run"`
-	Job     string `json:"job,omitempty"`
-	Why     string `json:"why,omitempty"` // why it is late, moved or not run
-	Version int    `json:"version"`
-	Decided int64  `json:"decided"`
+	AtMS      int64  `json:"at"` // the moment, time of day, ms
+	Run       bool   `json:"run"`
+	Job       string `json:"job,omitempty"`
+	Reason    string `json:"why,omitempty"` // why it is late, moved or not run
+	Version   int    `json:"version"`
+	DecidedMS int64  `json:"decided"`
 }
 
-// progRecord is what a schedule decided. Pending are runs that may not have been
+// progressRecord is what a schedule decided. Pending are runs that may not have been
 // submitted yet.
-type progRecord struct {
-	UpTo    int64      `json:"upto"` // all moments up to this one are decided
-	Pending []Decision `json:"pending,omitempty"`
-	Last    string     `json:"last,omitempty"` // the newest run's job
-	Log     []Decision `json:"log,omitempty"`
-	Pages   int        `json:"pages,omitempty"`
+type progressRecord struct {
+	DecidedUpToMS int64      `json:"upto"` // all moments up to this one are decided
+	Pending       []Decision `json:"pending,omitempty"`
+	Last          string     `json:"last,omitempty"` // the newest run's job
+	Log           []Decision `json:"log,omitempty"`
+	Pages         int        `json:"pages,omitempty"`
 }
 
-// ready checks a version that came from the store.
-func (v *version) ready() error {
+// validate checks a version that came from the store.
+func (v *version) validate() error {
 	cals := map[string]*recurrence.Calendar{}
-	if v.Cal != nil {
-		if err := v.Cal.Check(); err != nil {
+	if v.Calendar != nil {
+		if err := v.Calendar.Validate(); err != nil {
 			return err
 		}
-		cals[v.Cal.Name] = v.Cal
+		cals[v.Calendar.Name] = v.Calendar
 	}
-	if err := v.Spec.Schedule.Check(cals); err != nil {
+	if err := v.Spec.Schedule.Validate(cals); err != nil {
 		return err
 	}
-	return v.Spec.check()
+	return v.Spec.validate()
 }
--- a/schedules/simulation_test.go
+++ b/schedules/simulation_test.go
@@ -15,86 +15,86 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// world is a year of a state service, a core and members' hosts, whose clocks
+// simulation is a year of a state service, a core and members' hosts, whose clocks
 // disagree within the platform's bound, with crashes, hand-overs, outages and
 // lost, late and doubled requests.
-type world struct {
-	t       testing.TB
-	rng     *rand.Rand
-	now     int64 // true time of day, ms
-	store   *standin.State
-	members []string
-	hosts   map[string]*Host
-	views   map[string]scheduler.View
-	revs    map[string]uint64
-	queue   []func()
-	late    []func()
-	jobs    map[string]*run
-	answers map[uint64]Answer
-	nextID  uint64
-	away    int64 // until then the state service refuses everybody
-	lost    int
-	faults  bool
-	twice   bool // sabotage: a repeated submission makes another job
-	drop    bool // sabotage: one submission in fifty is confirmed and forgotten
+type simulation struct {
+	t                    testing.TB
+	rng                  *rand.Rand
+	now                  int64 // true time of day, ms
+	store                *standin.State
+	members              []string
+	hosts                map[string]*Host
+	views                map[string]scheduler.ExtensionView
+	claims               map[string]uint64
+	queue                []func()
+	delayed              []func()
+	jobs                 map[string]*fakeJob
+	responses            map[uint64]Response
+	nextID               uint64
+	storeOutageUntil     int64 // until then the state service refuses everybody
+	lostRequests         int
+	faults               bool
+	duplicateSubmissions bool // sabotage: a repeated submission makes another job
+	dropSubmissions      bool // sabotage: one submission in fifty is confirmed and forgotten
 }
 
-type run struct {
-	name    string
-	created int64
-	made    int
-	over    int64
+type fakeJob struct {
+	name        string
+	created     int64
+	submissions int
+	endsAt      int64
 }
 
-const clockError = 5
+const clockErrorMS = 5
 
 // valueBytes is half of what the smaller deployment allows.
 const valueBytes = 4 << 10
 
-func newWorld(t testing.TB, seed uint64, at time.Time, faults bool) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: at.UnixMilli(), store: standin.NewState(), members: []string{"m-0", "m-1", "m-2"}, hosts: map[string]*Host{},
-		views: map[string]scheduler.View{}, revs: map[string]uint64{}, jobs: map[string]*run{}, answers: map[uint64]Answer{}, nextID: 1, faults: faults}
+func newSimulation(t testing.TB, seed uint64, at time.Time, faults bool) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: at.UnixMilli(), store: standin.NewState(), members: []string{"m-0", "m-1", "m-2"}, hosts: map[string]*Host{},
+		views: map[string]scheduler.ExtensionView{}, claims: map[string]uint64{}, jobs: map[string]*fakeJob{}, responses: map[uint64]Response{}, nextID: 1, faults: faults}
 	for _, m := range w.members {
-		w.start(m)
+		w.startHost(m)
 		w.claim(m, m)
 	}
 	return w
 }
 
-func (w *world) start(m string) {
-	w.hosts[m] = NewHost(Params{Members: w.members, Teams: map[string]scheduler.Team{"ops": {}}, ValueBytes: valueBytes, TxnOps: 16, ClockErrorMS: clockError, Rate: 1000})
-	w.views[m] = scheduler.View{}
+func (w *simulation) startHost(m string) {
+	w.hosts[m] = NewHost(Params{Members: w.members, Teams: map[string]scheduler.Team{"ops": {}}, ValueBytes: valueBytes, TxnOps: 16, ClockErrorMS: clockErrorMS, Rate: 1000})
+	w.views[m] = scheduler.ExtensionView{}
 }
 
-func (w *world) claim(shard, member string) {
+func (w *simulation) claim(shard, member string) {
 	b, _ := json.Marshal(member)
-	r, _ := w.store.Do(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: scheduler.ShardKey(shard), Value: b}}})
-	w.revs[shard] = r.Rev
+	r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: scheduler.ClaimKey(shard), Value: b}}})
+	w.claims[shard] = r.Rev
 }
 
 // clock is a member's: within the bound of true time, and moving about in it.
-func (w *world) clock() scheduler.Now {
-	return scheduler.Now{Steady: w.now, Wall: w.now + int64(w.rng.IntN(2*clockError+1)-clockError)}
+func (w *simulation) clock() scheduler.Now {
+	return scheduler.Now{MonotonicMS: w.now, WallMS: w.now + int64(w.rng.IntN(2*clockErrorMS+1)-clockErrorMS)}
 }
 
-func (w *world) view(m string) {
-	v := scheduler.View{Authority: true, Claims: map[string]uint64{}}
-	for s, rev := range w.revs {
-		var holder string
-		_ = json.Unmarshal(w.store.Value(scheduler.ShardKey(s)), &holder)
-		if holder == m {
-			v.Claims[s] = rev
+func (w *simulation) refreshView(m string) {
+	v := scheduler.ExtensionView{HasAuthority: true, ClaimTokens: map[string]uint64{}}
+	for s, rev := range w.claims {
+		var owner string
+		_ = json.Unmarshal(w.store.Value(scheduler.ClaimKey(s)), &owner)
+		if owner == m {
+			v.ClaimTokens[s] = rev
 		}
 	}
 	for _, s := range w.members {
-		r, _ := w.store.Do(w.now, scheduler.StoreOp{Kind: scheduler.StoreGet, Key: markKey(s)})
-		v.Records = append(v.Records, r.Items...)
+		r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreGet, Key: changeIndexKey(s)})
+		v.KVs = append(v.KVs, r.KVs...)
 	}
 	w.views[m] = v
 }
 
-func (w *world) do(op scheduler.StoreOp) scheduler.StoreResult {
-	if w.now < w.away {
+func (w *simulation) applyStoreOp(op scheduler.StoreOp) scheduler.StoreResult {
+	if w.now < w.storeOutageUntil {
 		return scheduler.StoreResult{Outcome: scheduler.Refused}
 	}
 	total := 0
@@ -103,94 +103,94 @@
 			w.t.Errorf("%s takes %d bytes, more than a value may", c.Key, len(c.Value))
 		}
 	}
-	if total > 60<<10 || len(op.Changes) > 16 || len(op.Guards) > 64 {
-		w.t.Errorf("a transaction has %d bytes, %d changes and %d conditions", total, len(op.Changes), len(op.Guards))
+	if total > 60<<10 || len(op.Changes) > 16 || len(op.Preconditions) > 64 {
+		w.t.Errorf("a transaction has %d bytes, %d changes and %d conditions", total, len(op.Changes), len(op.Preconditions))
 	}
-	r, _ := w.store.Do(w.now, op)
+	r, _ := w.store.Apply(w.now, op)
 	return r
 }
 
-func (w *world) core(r scheduler.UserRequest) scheduler.UserAnswer {
-	if w.now < w.away {
-		return scheduler.UserAnswer{Status: 503, RetryS: 1}
+func (w *simulation) handleCoreRequest(r scheduler.UserRequest) scheduler.UserResponse {
+	if w.now < w.storeOutageUntil {
+		return scheduler.UserResponse{Status: 503, RetryAfterS: 1}
 	}
 	j := w.jobs[r.ID]
-	if r.Kind == scheduler.Submit && (j == nil || w.twice) {
-		if w.drop && w.rng.IntN(50) == 0 {
-			return scheduler.UserAnswer{Status: 201, ID: r.ID}
+	if r.Kind == scheduler.SubmitJob && (j == nil || w.duplicateSubmissions) {
+		if w.dropSubmissions && w.rng.IntN(50) == 0 {
+			return scheduler.UserResponse{Status: 201, ID: r.ID}
 		}
-		res, _ := w.store.Do(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Guards: r.Guards, Changes: []scheduler.Change{{Key: "jobs/" + r.ID, Value: json.RawMessage("1")}}})
+		res, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Preconditions: r.Preconditions, Changes: []scheduler.Change{{Key: "jobs/" + r.ID, Value: json.RawMessage("1")}}})
 		if res.Outcome != scheduler.OK {
-			return scheduler.UserAnswer{Status: 409, ID: r.ID}
+			return scheduler.UserResponse{Status: 409, ID: r.ID}
 		}
 		if j == nil {
-			j = &run{name: r.Job.Run, created: w.now, over: w.now + int64(w.rng.IntN(600_000))}
+			j = &fakeJob{name: r.Job.WorkflowRun, created: w.now, endsAt: w.now + int64(w.rng.IntN(600_000))}
 			w.jobs[r.ID] = j
 		}
-		j.made++
-		return scheduler.UserAnswer{Status: 201, ID: r.ID}
+		j.submissions++
+		return scheduler.UserResponse{Status: 201, ID: r.ID}
 	}
 	if j == nil {
-		return scheduler.UserAnswer{Status: 404, ID: r.ID}
+		return scheduler.UserResponse{Status: 404, ID: r.ID}
 	}
-	if r.Kind == scheduler.Cancel {
-		j.over = min(j.over, w.now)
+	if r.Kind == scheduler.CancelJob {
+		j.endsAt = min(j.endsAt, w.now)
 	}
-	a := scheduler.UserAnswer{Status: 200, ID: r.ID, State: scheduler.Running, Run: j.name}
-	if j.over <= w.now {
+	a := scheduler.UserResponse{Status: 200, ID: r.ID, State: scheduler.Running, WorkflowRun: j.name}
+	if j.endsAt <= w.now {
 		a.State = scheduler.Done
 	}
 	return a
 }
 
-func (w *world) take(m string) {
+func (w *simulation) dispatchOutputs(m string) {
 	h := w.hosts[m]
 	o := h.Take()
 	chance := func(p float64) bool { return w.faults && w.rng.Float64() < p }
-	for id, a := range o.Answers {
-		w.answers[id] = a
+	for id, a := range o.Responses {
+		w.responses[id] = a
 	}
 	for _, op := range o.Store {
 		w.queue = append(w.queue, func() {
 			if chance(0.03) {
-				w.lost++
+				w.lostRequests++
 				if w.rng.IntN(2) == 0 {
-					w.do(op) // done, and nobody hears of it
+					w.applyStoreOp(op) // done, and nobody hears of it
 				} else {
-					w.late = append(w.late, func() { w.do(op) })
+					w.delayed = append(w.delayed, func() { w.applyStoreOp(op) })
 				}
 				h.StoreDone(w.clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
 				return
 			}
-			h.StoreDone(w.clock(), op.ID, w.do(op))
+			h.StoreDone(w.clock(), op.ID, w.applyStoreOp(op))
 		})
 	}
 	for _, c := range o.Core {
 		w.queue = append(w.queue, func() {
 			if chance(0.05) {
-				w.lost++
+				w.lostRequests++
 				if w.rng.IntN(2) == 0 {
-					w.core(c.Request)
+					w.handleCoreRequest(c.UserRequest)
 				} else {
-					w.late = append(w.late, func() { w.core(c.Request) })
+					w.delayed = append(w.delayed, func() { w.handleCoreRequest(c.UserRequest) })
 				}
-				h.CoreDone(w.clock(), c.ID, scheduler.UserAnswer{Status: 503, RetryS: 1})
+				h.CoreDone(w.clock(), c.ID, scheduler.UserResponse{Status: 503, RetryAfterS: 1})
 				return
 			}
-			h.CoreDone(w.clock(), c.ID, w.core(c.Request))
+			h.CoreDone(w.clock(), c.ID, w.handleCoreRequest(c.UserRequest))
 		})
 	}
 }
 
 // step lets time pass and a little happen.
-func (w *world) step(ms int64) {
+func (w *simulation) step(ms int64) {
 	w.now += ms
 	for _, m := range w.members {
 		if !w.faults || w.rng.IntN(5) > 0 {
-			w.view(m)
+			w.refreshView(m)
 		}
 		w.hosts[m].Tick(w.clock(), w.views[m])
-		w.take(m)
+		w.dispatchOutputs(m)
 	}
 	for n := 0; len(w.queue) > 0 && n < 40; n++ {
 		i := w.rng.IntN(len(w.queue))
@@ -198,65 +198,65 @@
 		w.queue = append(w.queue[:i], w.queue[i+1:]...)
 		f()
 		for _, m := range w.members {
-			w.take(m)
+			w.dispatchOutputs(m)
 		}
 	}
 	if !w.faults {
 		return
 	}
-	if len(w.late) > 0 && w.rng.IntN(10) == 0 {
-		i := w.rng.IntN(len(w.late))
-		f := w.late[i]
-		w.late = append(w.late[:i], w.late[i+1:]...)
+	if len(w.delayed) > 0 && w.rng.IntN(10) == 0 {
+		i := w.rng.IntN(len(w.delayed))
+		f := w.delayed[i]
+		w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
 		f()
 	}
 	if w.rng.IntN(12) == 0 {
-		w.start(w.members[w.rng.IntN(3)])
+		w.startHost(w.members[w.rng.IntN(3)])
 	}
 	if w.rng.IntN(20) == 0 {
 		w.claim(w.members[w.rng.IntN(3)], w.members[w.rng.IntN(3)])
 	}
 	if w.rng.IntN(60) == 0 {
-		w.away = w.now + int64(w.rng.IntN(36*3600_000))
+		w.storeOutageUntil = w.now + int64(w.rng.IntN(36*3600_000))
 	}
 }
 
-func (w *world) user(r Request) Answer {
+func (w *simulation) request(r Request) Response {
 	for range 300 {
 		m := w.members[w.rng.IntN(3)]
 		w.nextID++
 		id := w.nextID
-		w.hosts[m].User(w.clock(), id, r)
+		w.hosts[m].HandleRequest(w.clock(), id, r)
 		for range 20 {
 			w.step(200)
-			if a, ok := w.answers[id]; ok {
+			if a, ok := w.responses[id]; ok {
 				if a.Status == 503 {
 					break
 				}
 				return a
 			}
 		}
-		w.away = 0
+		w.storeOutageUntil = 0
 	}
 	w.t.Fatal("no answer")
-	return Answer{}
+	return Response{}
 }
 
-func (w *world) apply(text string) *Spec {
+func (w *simulation) apply(text string) *Spec {
 	f, err := ParseFile([]byte(text))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if a := w.user(Request{Kind: Apply, Name: f.Schedules[0].Name, Body: []byte(text)}); a.Status != 200 {
+	if a := w.request(Request{Kind: Apply, Name: f.Schedules[0].Name, Body: []byte(text)}); a.Status != 200 {
 		w.t.Fatalf("%s gets %d %s", f.Schedules[0].Name, a.Status, a.Error)
 	}
 	return f.Schedules[0]
 }
 
 // history reads all that a schedule decided.
-func (w *world) history(name string) (out []Decision) {
+func (w *simulation) history(name string) (out []Decision) {
 	for from := ""; ; {
-		a := w.user(Request{Kind: History, Name: name, From: from})
+		a := w.request(Request{Kind: History, Name: name, From: from})
 		out = append(out, a.Decisions...)
 		if from = a.More; from == "" {
 			return out
@@ -264,33 +264,33 @@
 	}
 }
 
-// broken holds what was decided and run against the moments that a schedule has.
-func (w *world) broken(s *Spec, since, until int64) (out []string) {
+// violations holds what was decided and run against the moments that a schedule has.
+func (w *simulation) violations(s *Spec, since, until int64) (out []string) {
 	ms, err := s.Between(time.UnixMilli(since), time.UnixMilli(until))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	decided := map[int64]Decision{}
 	for _, d := range w.history(s.Name) {
-		if _, twice := decided[d.At]; twice {
-			out = append(out, fmt.Sprintf("%s: %s is decided twice", s.Name, time.UnixMilli(d.At).UTC()))
+		if _, twice := decided[d.AtMS]; twice {
+			out = append(out, fmt.Sprintf("%s: %s is decided twice", s.Name, time.UnixMilli(d.AtMS).UTC()))
 		}
-		decided[d.At] = d
+		decided[d.AtMS] = d
 		j := w.jobs[d.Job]
 		switch {
 		case d.Run && j == nil:
-			out = append(out, fmt.Sprintf("%s: the run of %s is missing", s.Name, time.UnixMilli(d.At).UTC()))
-		case d.Run && j.made != 1:
-			out = append(out, fmt.Sprintf("%s: the run of %s is there %d times", s.Name, time.UnixMilli(d.At).UTC(), j.made))
-		case d.Run && j.created < d.At:
-			out = append(out, fmt.Sprintf("%s: the run of %s came %d ms early", s.Name, time.UnixMilli(d.At).UTC(), d.At-j.created))
-		case !d.Run && d.Why == "":
-			out = append(out, fmt.Sprintf("%s: %s is not run for no reason", s.Name, time.UnixMilli(d.At).UTC()))
+			out = append(out, fmt.Sprintf("%s: the run of %s is missing", s.Name, time.UnixMilli(d.AtMS).UTC()))
+		case d.Run && j.submissions != 1:
+			out = append(out, fmt.Sprintf("%s: the run of %s is there %d times", s.Name, time.UnixMilli(d.AtMS).UTC(), j.submissions))
+		case d.Run && j.created < d.AtMS:
+			out = append(out, fmt.Sprintf("%s: the run of %s came %d ms early", s.Name, time.UnixMilli(d.AtMS).UTC(), d.AtMS-j.created))
+		case !d.Run && d.Reason == "":
+			out = append(out, fmt.Sprintf("%s: %s is not run for no reason", s.Name, time.UnixMilli(d.AtMS).UTC()))
 		}
 	}
 	n := 0
 	for _, m := range ms {
-		if m.Fell {
+		if m.Dropped {
 			continue
 		}
 		n++
@@ -307,47 +307,47 @@
 			runs++
 		}
 	}
-	made := 0
+	createdJobs := 0
 	for _, j := range w.jobs {
 		if strings.HasPrefix(j.name, "schedule/"+s.Name+"@") {
-			made += j.made
+			createdJobs += j.submissions
 		}
 	}
 	if s.Busy != "allow" {
-		var mine []*run
+		var scheduledRuns []*fakeJob
 		for _, j := range w.jobs {
 			if strings.HasPrefix(j.name, "schedule/"+s.Name+"@") {
-				mine = append(mine, j)
+				scheduledRuns = append(scheduledRuns, j)
 			}
 		}
-		slices.SortFunc(mine, func(a, b *run) int { return cmp.Compare(a.created, b.created) })
-		for i := 1; i < len(mine); i++ {
-			if mine[i].created < mine[i-1].over {
-				out = append(out, fmt.Sprintf("%s: %s begins while %s runs", s.Name, mine[i].name, mine[i-1].name))
+		slices.SortFunc(scheduledRuns, func(a, b *fakeJob) int { return cmp.Compare(a.created, b.created) })
+		for i := 1; i < len(scheduledRuns); i++ {
+			if scheduledRuns[i].created < scheduledRuns[i-1].endsAt {
+				out = append(out, fmt.Sprintf("%s: %s begins while %s runs", s.Name, scheduledRuns[i].name, scheduledRuns[i-1].name))
 			}
 		}
 	}
-	if made != runs {
-		out = append(out, fmt.Sprintf("%s: %d jobs for %d runs", s.Name, made, runs))
+	if createdJobs != runs {
+		out = append(out, fmt.Sprintf("%s: %d jobs for %d runs", s.Name, createdJobs, runs))
 	}
 	return out
 }
 
-// seed stores n schedules as operators' requests would.
-func (w *world) seed(n int, at string) {
-	f, err := ParseFile([]byte(spec("x", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\""+at+"\"]")))
+// storeSchedules stores n schedules as operators' requests would.
+func (w *simulation) storeSchedules(n int, at string) {
+	f, err := ParseFile([]byte(scheduleText("x", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\""+at+"\"]")))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	put := func(key string, v any) {
-		w.store.Do(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: key, Value: extension.Encode(v)}}})
+		w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: key, Value: extension.Encode(v)}}})
 	}
 	for i := range n {
-		d := defRecord{Version: 1, Since: w.now, Spec: *f.Schedules[0]}
+		d := definitionRecord{Version: 1, SinceMS: w.now, Spec: *f.Schedules[0]}
 		d.Spec.Name = fmt.Sprint("s-", i)
-		put(defKey(extension.ShardOf(w.members, d.Spec.Name), d.Spec.Name), d)
+		put(definitionKey(extension.ShardOf(w.members, d.Spec.Name), d.Spec.Name), d)
 	}
 	for _, m := range w.members {
-		put(markKey(m), markRecord{Seq: n})
+		put(changeIndexKey(m), changeIndexRecord{Seq: n})
 	}
 }
--- a/schedules/spec.go
+++ b/schedules/spec.go
@@ -77,8 +77,8 @@
 }
 
 var (
-	scheduleName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
-	priorities   = map[string]scheduler.Priority{"low": scheduler.Low, "standard": scheduler.Normal, "high": scheduler.High, "production": scheduler.Production}
+	namePattern      = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+	prioritiesByName = map[string]scheduler.Priority{"low": scheduler.Low, "standard": scheduler.Normal, "high": scheduler.High, "production": scheduler.Production}
 )
 
 // ParseFile reads and checks a file. The error names line and field where the
@@ -88,22 +88,22 @@
 	if err := strict.Decode(b, &f); err != nil {
 		return nil, err
 	}
-	var plain []*recurrence.Schedule
+	var recurring []*recurrence.Schedule
 	for _, s := range f.Schedules {
-		plain = append(plain, &s.Schedule)
+		recurring = append(recurring, &s.Schedule)
 	}
-	wrong := []error{recurrence.CheckAll(f.Calendars, plain)}
+	errs := []error{recurrence.ValidateAll(f.Calendars, recurring)}
 	for i, s := range f.Schedules {
-		if err := s.check(); err != nil {
-			wrong = append(wrong, fmt.Errorf("schedule[%d] %s: %w", i, s.Name, err))
+		if err := s.validate(); err != nil {
+			errs = append(errs, fmt.Errorf("schedule[%d] %s: %w", i, s.Name, err))
 		}
 	}
-	return &f, errors.Join(wrong...)
+	return &f, errors.Join(errs...)
 }
 
-// check fills in defaults and says what is wrong beside the recurrence.
-func (s *Spec) check() error {
-	if !scheduleName.MatchString(s.Name) {
+// validate fills in defaults and says what is wrong beside the recurrence.
+func (s *Spec) validate() error {
+	if !namePattern.MatchString(s.Name) {
 		return errors.New("name must be 1 to 63 of a-z, 0-9 and -")
 	}
 	for _, f := range []struct {
@@ -142,11 +142,11 @@
 	return nil
 }
 
-// job is the run of a moment.
-func (s *Spec) job(id, run string) *scheduler.Job {
+// buildJob is the run of a moment.
+func (s *Spec) buildJob(id, run string) *scheduler.Job {
 	j := s.Job
-	return &scheduler.Job{ID: id, Run: run, Class: j.Class, Team: j.Team, Kind: scheduler.Array, Priority: priorities[j.Priority], Tasks: j.Tasks,
-		Request: availability.Room{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, DiskGB: j.ImageGB}, Image: j.Image, Spot: j.Spot,
+	return &scheduler.Job{ID: id, WorkflowRun: run, Class: j.Class, Team: j.Team, Kind: scheduler.Array, Priority: prioritiesByName[j.Priority], Tasks: j.Tasks,
+		Request: availability.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, DiskGB: j.ImageGB}, Image: j.Image, Spot: j.Spot,
 		EstimateS: j.EstimateS, DeadlineS: j.DeadlineS}
 }
 
@@ -155,8 +155,8 @@
 	return "schedule/" + schedule + "@" + time.UnixMilli(at).UTC().Format("20060102T150405Z")
 }
 
-// target is the id of a moment's job, or of its workflow's run.
-func (s *Spec) target(run string) string {
+// jobOrRunID is the id of a moment's job, or of its workflow's run.
+func (s *Spec) jobOrRunID(run string) string {
 	h := fnv.New64a()
 	h.Write([]byte(run))
 	kind := "job-"
@@ -166,8 +166,8 @@
 	return kind + strconv.FormatUint(1e15+h.Sum64()%9e15, 10)
 }
 
-// submission is the run of a workflow.
-func (s *Spec) submission(id string) []byte {
+// encodeSubmission is the run of a workflow.
+func (s *Spec) encodeSubmission(id string) []byte {
 	w := s.Workflow
 	return extension.Encode(map[string]any{"id": id, "document": json.RawMessage(w.Document), "inputs": w.Inputs,
 		"job": map[string]any{"team": s.Job.Team, "class": s.Job.Class, "priority": s.Job.Priority}})
--- a/strict/strict.go
+++ b/strict/strict.go
@@ -15,22 +15,22 @@
 // and field of all that is wrong.
 func Decode(b []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(into)
-	var missing *toml.StrictMissingError
-	var bad *toml.DecodeError
+	var unknownFields *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
-	case errors.As(err, &missing):
-		var all []string
-		for i := range missing.Errors {
-			row, col := missing.Errors[i].Position()
-			all = append(all, fmt.Sprintf("line %d column %d: %s is no field", row, col, strings.Join(missing.Errors[i].Key(), ".")))
+	case errors.As(err, &unknownFields):
+		var problems []string
+		for i := range unknownFields.Errors {
+			row, col := unknownFields.Errors[i].Position()
+			problems = append(problems, fmt.Sprintf("line %d column %d: %s is no field", row, col, strings.Join(unknownFields.Errors[i].Key(), ".")))
 		}
-		return errors.New(strings.Join(all, "; "))
-	case errors.As(err, &bad):
-		row, col := bad.Position()
-		if key := strings.Join(bad.Key(), "."); key != "" {
-			return fmt.Errorf("line %d column %d: %s: %s", row, col, key, bad.Error())
+		return errors.New(strings.Join(problems, "; "))
+	case errors.As(err, &decodeErr):
+		row, col := decodeErr.Position()
+		if key := strings.Join(decodeErr.Key(), "."); key != "" {
+			return fmt.Errorf("line %d column %d: %s: %s", row, col, key, decodeErr.Error())
 		}
-		return fmt.Errorf("line %d column %d: %s", row, col, bad.Error())
+		return fmt.Errorf("line %d column %d: %s", row, col, decodeErr.Error())
 	}
 	return err
 }
--- a/workflow/bench_test.go
+++ b/workflow/bench_test.go
@@ -6,72 +6,72 @@
 	"time"
 )
 
-// chain is a workflow of steps that follow each other; wide scatters one step.
-func chain(n int) obj {
-	steps, last := obj{}, "a"
+// chainWorkflow is a workflow of steps that follow each other; wide scatters one step.
+func chainWorkflow(n int) object {
+	steps, last := object{}, "a"
 	for i := range n {
 		id := fmt.Sprintf("s%d", i)
-		steps[id] = obj{"run": sumTool, "in": obj{"xs": obj{"source": []any{last, "b"}}}, "out": []any{"z"}}
+		steps[id] = object{"run": sumTool, "in": object{"xs": object{"source": []any{last, "b"}}}, "out": []any{"z"}}
 		last = id + "/z"
 	}
-	return obj{"class": "Workflow", "inputs": obj{"a": "int", "b": "int"}, "steps": steps, "outputs": obj{"r": obj{"type": "int", "outputSource": last}}}
+	return object{"class": "Workflow", "inputs": object{"a": "int", "b": "int"}, "steps": steps, "outputs": object{"r": object{"type": "int", "outputSource": last}}}
 }
 
-func wide() obj {
-	return obj{"class": "Workflow", "inputs": obj{"l": "int[]", "b": "int"}, "outputs": obj{"r": obj{"type": "int", "outputSource": "sum/z"}}, "steps": obj{
-		"each": obj{"run": addTool, "scatter": "x", "in": obj{"x": "l", "y": "b"}, "out": []any{"z"}},
-		"sum":  obj{"run": sumTool, "in": obj{"xs": "each/z"}, "out": []any{"z"}}}}
+func scatterWorkflow() object {
+	return object{"class": "Workflow", "inputs": object{"l": "int[]", "b": "int"}, "outputs": object{"r": object{"type": "int", "outputSource": "sum/z"}}, "steps": object{
+		"each": object{"run": addTool, "scatter": "x", "in": object{"x": "l", "y": "b"}, "out": []any{"z"}},
+		"sum":  object{"run": sumTool, "in": object{"xs": "each/z"}, "out": []any{"z"}}}}
 }
 
-// drive plays a world without faults until its runs are over; the time that its
+// runToEnd plays a world without faults until its runs are over; the time that its
 // hosts take is what is measured.
-func drive(t testing.TB, w *world, ids []string) (host time.Duration) {
-	left := map[string]bool{}
+func runToEnd(t testing.TB, w *simulation, ids []string) (hostTime time.Duration) {
+	remaining := map[string]bool{}
 	for _, id := range ids {
-		left[id] = true
+		remaining[id] = true
 	}
-	for n := 0; len(left) > 0; n++ {
+	for n := 0; len(remaining) > 0; n++ {
 		if n > 100_000 {
-			t.Fatalf("%d runs do not end", len(left))
+			t.Fatalf("%d runs do not end", len(remaining))
 		}
 		w.now += 200
 		for _, m := range w.members {
-			w.view(m)
+			w.refreshView(m)
 			at := time.Now()
-			w.hosts[m].Tick(w.time(), w.views[m])
-			host += time.Since(at)
-			w.take(m)
+			w.hosts[m].Tick(w.clock(), w.views[m])
+			hostTime += time.Since(at)
+			w.dispatchOutputs(m)
 		}
 		for len(w.queue) > 0 {
 			f := w.queue[0]
 			w.queue = w.queue[1:]
 			at := time.Now()
 			f()
-			host += time.Since(at)
+			hostTime += time.Since(at)
 			for _, m := range w.members {
-				w.take(m)
+				w.dispatchOutputs(m)
 			}
 		}
-		w.finish()
-		for id := range left {
+		w.finishRandomJob()
+		for id := range remaining {
 			if w.store.Value(finalKey(id)) != nil {
-				delete(left, id)
+				delete(remaining, id)
 			}
 		}
 	}
-	return host
+	return hostTime
 }
 
 // What a step costs: the host's time, and changes and bytes in the state service
 // beside those of its job.
 func BenchmarkChainOf1000(b *testing.B) {
-	_, doc := document(b, chain(1000))
+	_, doc := loadDocument(b, chainWorkflow(1000))
 	for b.Loop() {
-		w := newWorld(b, 1, false)
-		if a := w.user("m-0", Request{Kind: Submit, Body: submission("run", doc, map[string]any{"a": int64(1), "b": int64(38)})}); a.Status != 201 {
+		w := newSimulation(b, 1, false)
+		if a := w.request("m-0", Request{Kind: Submit, Body: submission("run", doc, map[string]any{"a": int64(1), "b": int64(38)})}); a.Status != 201 {
 			b.Fatal(a)
 		}
-		host := drive(b, w, []string{"run"})
+		host := runToEnd(b, w, []string{"run"})
 		if w.created != 1000 {
 			b.Fatalf("%d of 1000 steps ran", w.created)
 		}
@@ -82,51 +82,51 @@
 }
 
 func BenchmarkScatterOf10000(b *testing.B) {
-	_, doc := document(b, wide())
+	_, doc := loadDocument(b, scatterWorkflow())
 	l := make([]any, 10_000)
 	for i := range l {
 		l[i] = int64(i%9) * 41 // none of them fails
 	}
 	for b.Loop() {
-		w := newWorld(b, 1, false)
-		if a := w.user("m-0", Request{Kind: Submit, Body: submission("run", doc, map[string]any{"l": l, "b": int64(1)})}); a.Status != 201 {
+		w := newSimulation(b, 1, false)
+		if a := w.request("m-0", Request{Kind: Submit, Body: submission("run", doc, map[string]any{"l": l, "b": int64(1)})}); a.Status != 201 {
 			b.Fatal(a)
 		}
-		host := drive(b, w, []string{"run"})
+		host := runToEnd(b, w, []string{"run"})
 		b.ReportMetric(10_000/host.Seconds(), "tasks/s")
 		b.ReportMetric(float64(w.writes), "changes")
 		b.ReportMetric(float64(w.bytes), "bytes")
 	}
 }
 
-// pump answers one host's requests until it has none.
-func (w *world) pump(m string) (requests int, host time.Duration) {
+// dispatchAll answers one host's requests until it has none.
+func (w *simulation) dispatchAll(m string) (requests int, host time.Duration) {
 	h := w.hosts[m]
 	for {
 		o := h.Take()
-		for id, a := range o.Answers {
-			w.answers[id] = a
+		for id, a := range o.Responses {
+			w.responses[id] = a
 		}
 		if len(o.Store)+len(o.Core)+len(o.Requests) == 0 {
 			return requests, host
 		}
 		requests += len(o.Store) + len(o.Core)
 		for _, op := range o.Store {
-			r := w.do(op)
+			r := w.applyStoreOp(op)
 			at := time.Now()
-			h.StoreDone(w.time(), op.ID, r)
+			h.StoreDone(w.clock(), op.ID, r)
 			host += time.Since(at)
 		}
 		for _, c := range o.Core {
-			a := w.core(c.Request)
+			a := w.handleCoreRequest(c.UserRequest)
 			at := time.Now()
-			h.CoreDone(w.time(), c.ID, a)
+			h.CoreDone(w.clock(), c.ID, a)
 			host += time.Since(at)
 		}
 		for _, d := range o.Requests {
-			r := w.data(d.Body)
+			r := w.handleData(d.Body)
 			at := time.Now()
-			h.RequestDone(w.time(), d.ID, r)
+			h.RequestDone(w.clock(), d.ID, r)
 			host += time.Since(at)
 		}
 	}
@@ -137,34 +137,34 @@
 // views for a claim's worth of loads.
 func BenchmarkRecoveryOf1000Runs(b *testing.B) {
 	const runs = 1000
-	_, doc := document(b, chain(10))
+	_, doc := loadDocument(b, chainWorkflow(10))
 	for b.Loop() {
-		w := newWorld(b, 1, false)
+		w := newSimulation(b, 1, false)
 		for _, m := range w.members {
 			w.claim(m, "m-0")
 		}
 		for i := range runs {
-			w.hosts["m-0"].User(w.time(), uint64(i+1), Request{Kind: Submit, Body: submission(fmt.Sprintf("run-%d", i), doc, map[string]any{"a": int64(1), "b": int64(1)})})
-			w.pump("m-0")
+			w.hosts["m-0"].HandleRequest(w.clock(), uint64(i+1), Request{Kind: Submit, Body: submission(fmt.Sprintf("run-%d", i), doc, map[string]any{"a": int64(1), "b": int64(1)})})
+			w.dispatchAll("m-0")
 		}
 		begin := func() (ticks, requests int, host time.Duration) {
 			h := w.hosts["m-0"]
-			w.view("m-0")
-			for ; len(h.Watched()) < runs; ticks++ {
+			w.refreshView("m-0")
+			for ; len(h.WatchedJobs()) < runs; ticks++ {
 				if ticks > 10*runs {
-					b.Fatalf("%d of %d runs go on", len(h.Watched()), runs)
+					b.Fatalf("%d of %d runs go on", len(h.WatchedJobs()), runs)
 				}
 				w.now += 200
 				at := time.Now()
-				h.Tick(w.time(), w.views["m-0"])
+				h.Tick(w.clock(), w.views["m-0"])
 				host += time.Since(at)
-				n, d := w.pump("m-0")
+				n, d := w.dispatchAll("m-0")
 				requests, host = requests+n, host+d
 			}
 			return ticks, requests, host
 		}
 		begin()
-		w.start("m-0")
+		w.startHost("m-0")
 		ticks, requests, host := begin()
 		b.ReportMetric(host.Seconds()*1000, "host-ms")
 		b.ReportMetric(float64(requests), "requests")
--- a/workflow/calls.go
+++ b/workflow/calls.go
@@ -8,203 +8,205 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// phase is what a call waits for.
-type phase int
+// callPhase is what a call waits for.
+type callPhase int
 
 // The phases of a call. A call goes back to pending or running where an answer
 // is missing or says so.
 const (
-	pending    phase = iota // to be looked at: submitted, asked about, or read
-	submitting              // its description, then its submission, is under way
-	running                 // its job runs
-	querying                // how its job stands is asked
-	reading                 // the outputs of its job are read
-	cancelling              // its job is being cancelled
+	pending    callPhase = iota // to be looked at: submitted, asked about, or read
+	submitting                  // its description, then its submission, is under way
+	running                     // its job runs
+	querying                    // how its job stands is asked
+	reading                     // the outputs of its job are read
+	cancelling                  // its job is being cancelled
 )
 
 // callState is a call's job.
 type callState struct {
 	*Call
 	job     string
-	phase   phase
-	ended   bool // its job is done
+	phase   callPhase
+	jobDone bool // its job is done
 	retryAt int64
 }
 
-func (d *driven) adopt(calls []*Call) {
+func (d *activeRun) addCalls(calls []*Call) {
 	for _, c := range calls {
 		if d.calls[c.Path] == nil {
-			d.calls[c.Path] = &callState{Call: c, phase: pending, job: jobID(d.id, c.Path, d.rec.First, d.numbers)}
+			d.calls[c.Path] = &callState{Call: c, phase: pending, job: jobIDOf(d.id, c.Path, d.record.FirstJobID, d.jobNumbers)}
 		}
 	}
 }
 
-// stepCall goes on with a call. Its job may have been submitted before, by this
+// advanceCall goes on with a call. Its job may have been submitted before, by this
 // member or another: the id says so, and the answer tells how far it is.
-func (h *Host) stepCall(d *driven, c *callState) {
+func (h *Host) advanceCall(d *activeRun, c *callState) {
 	switch c.phase {
 	case pending:
 		switch {
-		case c.ended || d.known[c.Path]:
-			h.read(d, c)
-		case d.ending():
+		case c.jobDone || d.recordedDone[c.Path]:
+			h.readOutputs(d, c)
+		case d.isEnding():
 			h.query(d, c)
 		default:
-			h.describe(d, c)
+			h.writeDescription(d, c)
 		}
 	case running:
 		switch {
-		case d.ending():
+		case d.isEnding():
 			h.cancel(d, c)
-		case h.over[c.job]:
-			delete(h.over, c.job) // one question an end
+		case h.jobsOver[c.job]:
+			delete(h.jobsOver, c.job) // one question an end
 			h.query(d, c)
 		}
 	}
 }
 
-// still tells whether an answer that comes now finds what asked for it.
-func (h *Host) still(d *driven, c *callState) bool { return h.runs[d.id] == d && d.calls[c.Path] == c }
+// isCurrent tells whether an answer that comes now finds what asked for it.
+func (h *Host) isCurrent(d *activeRun, c *callState) bool {
+	return h.runs[d.id] == d && d.calls[c.Path] == c
+}
 
-// later has a call looked at again in some seconds.
-func (h *Host) later(c *callState, p phase, s int) {
-	c.phase, c.retryAt = p, h.Now.Steady+int64(max(s, 1))*1000
+// retryLater has a call looked at again in some seconds.
+func (h *Host) retryLater(c *callState, next callPhase, delayS int) {
+	c.phase, c.retryAt = next, h.Now.MonotonicMS+int64(max(delayS, 1))*1000
 }
 
-// describe writes what the workers are to run, then submits the job.
-func (h *Host) describe(d *driven, c *callState) {
-	job, err := h.job(d, c)
+// writeDescription writes what the workers are to run, then submits the job.
+func (h *Host) writeDescription(d *activeRun, c *callState) {
+	job, err := h.buildJob(d, c)
 	if err != nil {
 		h.failCall(d, c, err)
 		return
 	}
 	c.phase = submitting
-	h.Request(Data{Job: c.job, Description: Describe(c.Call)}, func(r DataResult) {
-		if !h.still(d, c) {
+	h.SendRequest(Data{Job: c.job, Description: EncodeDescription(c.Call)}, func(r DataResult) {
+		if !h.isCurrent(d, c) {
 			return
 		}
-		if r.Err != nil || d.ending() {
-			h.later(c, pending, 1)
+		if r.Err != nil || d.isEnding() {
+			h.retryLater(c, pending, 1)
 			return
 		}
 		h.submit(d, c, job)
 	})
 }
 
-func (h *Host) submit(d *driven, c *callState, job *scheduler.Job) {
-	token := h.view.Claims[d.rec.Shard]
+func (h *Host) submit(d *activeRun, c *callState, job *scheduler.Job) {
+	token := h.view.ClaimTokens[d.record.Shard]
 	// Under the run's record and the shard's claim: a submission that the
 	// network delivers late finds that the run was given up, or is driven by
 	// somebody else, and is void.
-	guards := []scheduler.Guard{{Key: liveKey(d.id), Rev: d.rev}, {Key: scheduler.ShardKey(d.rec.Shard), Rev: token}}
-	h.AskCore(scheduler.UserRequest{Kind: scheduler.Submit, ID: c.job, Job: job, Guards: guards}, func(a scheduler.UserAnswer) {
-		if !h.still(d, c) {
+	preconditions := []scheduler.Precondition{{Key: liveKey(d.id), Revision: d.revision}, {Key: scheduler.ClaimKey(d.record.Shard), Revision: token}}
+	h.SendCore(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: c.job, Job: job, Preconditions: preconditions}, func(response scheduler.UserResponse) {
+		if !h.isCurrent(d, c) {
 			return
 		}
 		switch {
-		case a.Status == 201:
-			h.Counters.Jobs++
+		case response.Status == 201:
+			h.Counters.JobsSubmitted++
 			c.phase = running
-		case a.Status == 200 && a.Run != d.id:
+		case response.Status == 200 && response.WorkflowRun != d.id:
 			h.failCall(d, c, fmt.Errorf("the job id %s is taken", c.job))
-		case a.Status == 200:
-			h.settle(d, c, a)
-		case a.Status == 400 || a.Status == 422:
-			h.failCall(d, c, errors.New(a.Error))
+		case response.Status == 200:
+			h.applyJobState(d, c, response)
+		case response.Status == 400 || response.Status == 422:
+			h.failCall(d, c, errors.New(response.Error))
 		default:
-			h.later(c, pending, a.RetryS)
+			h.retryLater(c, pending, response.RetryAfterS)
 		}
 	})
 }
 
 // query asks how a call's job ended.
-func (h *Host) query(d *driven, c *callState) {
+func (h *Host) query(d *activeRun, c *callState) {
 	c.phase = querying
-	h.AskCore(scheduler.UserRequest{Kind: scheduler.Query, ID: c.job}, func(a scheduler.UserAnswer) {
-		if !h.still(d, c) {
+	h.SendCore(scheduler.UserRequest{Kind: scheduler.QueryJob, ID: c.job}, func(a scheduler.UserResponse) {
+		if !h.isCurrent(d, c) {
 			return
 		}
 		switch {
-		case a.Status == 200 && a.Run == d.id:
-			h.settle(d, c, a)
+		case a.Status == 200 && a.WorkflowRun == d.id:
+			h.applyJobState(d, c, a)
 		case a.Status == 200 || a.Status == 404:
-			if d.ending() {
+			if d.isEnding() {
 				delete(d.calls, c.Path) // never started, and now it cannot be
 				return
 			}
-			h.later(c, pending, 1)
+			h.retryLater(c, pending, 1)
 		default:
-			h.later(c, running, a.RetryS)
+			h.retryLater(c, running, a.RetryAfterS)
 		}
 	})
 }
 
-// settle takes what is known of a call's job.
-func (h *Host) settle(d *driven, c *callState, a scheduler.UserAnswer) {
+// applyJobState takes what is known of a call's job.
+func (h *Host) applyJobState(d *activeRun, c *callState, a scheduler.UserResponse) {
 	switch {
 	case a.State == scheduler.Done:
-		h.read(d, c)
-	case a.State.Final() && a.Failed != "":
-		h.failCall(d, c, errors.New(a.Failed))
-	case a.State.Final():
+		h.readOutputs(d, c)
+	case a.State.IsTerminal() && a.FailureReason != "":
+		h.failCall(d, c, errors.New(a.FailureReason))
+	case a.State.IsTerminal():
 		h.failCall(d, c, fmt.Errorf("its job %s was cancelled", c.job))
 	default:
 		c.phase = running
 	}
 }
 
-func (h *Host) cancel(d *driven, c *callState) {
+func (h *Host) cancel(d *activeRun, c *callState) {
 	c.phase = cancelling
-	h.AskCore(scheduler.UserRequest{Kind: scheduler.Cancel, ID: c.job}, func(a scheduler.UserAnswer) {
-		if !h.still(d, c) {
+	h.SendCore(scheduler.UserRequest{Kind: scheduler.CancelJob, ID: c.job}, func(a scheduler.UserResponse) {
+		if !h.isCurrent(d, c) {
 			return
 		}
 		switch {
-		case a.Status == 200 && a.State.Final():
-			h.settle(d, c, a)
+		case a.Status == 200 && a.State.IsTerminal():
+			h.applyJobState(d, c, a)
 		case a.Status == 404:
 			delete(d.calls, c.Path)
 		default:
-			h.later(c, running, a.RetryS)
+			h.retryLater(c, running, a.RetryAfterS)
 		}
 	})
 }
 
-// read fetches the outputs of a call whose job is done.
-func (h *Host) read(d *driven, c *callState) {
+// readOutputs fetches the outputs of a call whose job is done.
+func (h *Host) readOutputs(d *activeRun, c *callState) {
 	c.phase = reading
-	h.Request(Data{Job: c.job, Tasks: len(c.Inputs)}, func(r DataResult) {
-		if !h.still(d, c) {
+	h.SendRequest(Data{Job: c.job, Tasks: len(c.Inputs)}, func(r DataResult) {
+		if !h.isCurrent(d, c) {
 			return
 		}
 		switch {
 		case r.Err != nil:
-			c.ended = true
-			h.later(c, pending, 1)
+			c.jobDone = true
+			h.retryLater(c, pending, 1)
 			return
 		case r.Missing != "":
 			h.failCall(d, c, errors.New(r.Missing))
 			return
 		}
-		h.noted(d, c)
-		d.run.Done(c.Path, r.Outputs)
-		h.step(d)
+		h.recordDone(d, c)
+		d.evaluation.CompleteCall(c.Path, r.Outputs)
+		h.advanceRun(d)
 	})
 }
 
-func (h *Host) noted(d *driven, c *callState) {
+func (h *Host) recordDone(d *activeRun, c *callState) {
 	delete(d.calls, c.Path)
-	d.finished++
-	if !d.known[c.Path] {
-		d.known[c.Path] = true
-		d.done = append(d.done, c.Path)
+	d.finishedCalls++
+	if !d.recordedDone[c.Path] {
+		d.recordedDone[c.Path] = true
+		d.donePaths = append(d.donePaths, c.Path)
 	}
 }
 
-func (h *Host) failCall(d *driven, c *callState, err error) {
+func (h *Host) failCall(d *activeRun, c *callState, err error) {
 	delete(d.calls, c.Path)
-	d.finished++
-	d.run.Fail(c.Path, err)
+	d.finishedCalls++
+	d.evaluation.FailCall(c.Path, err)
 }
 
 // defaults of jobs whose hints are silent.
@@ -213,22 +215,22 @@
 	defaultEstimateS = 60
 )
 
-var priorities = map[string]scheduler.Priority{"": scheduler.Normal, "low": scheduler.Low, "standard": scheduler.Normal, "high": scheduler.High, "production": scheduler.Production}
+var prioritiesByName = map[string]scheduler.Priority{"": scheduler.Normal, "low": scheduler.Low, "standard": scheduler.Normal, "high": scheduler.High, "production": scheduler.Production}
 
-// job is the job that a call becomes.
-func (h *Host) job(d *driven, c *callState) (*scheduler.Job, error) {
+// buildJob is the job that a call becomes.
+func (h *Host) buildJob(d *activeRun, c *callState) (*scheduler.Job, error) {
 	hint := c.Tool.Req.Job
 	if hint == nil {
 		hint = &cwl.JobHint{}
 	}
-	hint = hint.Under(d.sub.Job)
-	j := &scheduler.Job{ID: c.job, Run: d.id, Class: hint.Class, Team: hint.Team, Kind: scheduler.Array, Priority: priorities[hint.Priority],
-		Tasks: len(c.Inputs), Image: c.Tool.Req.Image, DeadlineS: hint.DeadlineS, EstimateS: hint.EstimateS, MaxErrors: defaultRetries + 1}
+	hint = hint.Under(d.submission.Job)
+	j := &scheduler.Job{ID: c.job, WorkflowRun: d.id, Class: hint.Class, Team: hint.Team, Kind: scheduler.Array, Priority: prioritiesByName[hint.Priority],
+		Tasks: len(c.Inputs), Image: c.Tool.Req.Image, DeadlineS: hint.DeadlineS, EstimateS: hint.EstimateS, MaxTaskErrors: defaultRetries + 1}
 	if hint.Retries != nil {
-		j.MaxErrors = *hint.Retries + 1
+		j.MaxTaskErrors = *hint.Retries + 1
 	}
-	j.Once = hint.Once != nil && *hint.Once
-	j.Spot = !j.Once
+	j.AtMostOnce = hint.Once != nil && *hint.Once
+	j.Spot = !j.AtMostOnce
 	if hint.Spot != nil {
 		j.Spot = *hint.Spot
 	}
--- a/workflow/data.go
+++ b/workflow/data.go
@@ -29,11 +29,13 @@
 	Inputs []map[string]any `json:"inputs"`
 }
 
-// Describe writes a call for the workers.
-func Describe(c *Call) []byte { return extension.Encode(description{cwl.Pack(c.Tool), c.Inputs}) }
+// EncodeDescription writes a call for the workers.
+func EncodeDescription(c *Call) []byte {
+	return extension.Encode(description{cwl.Pack(c.Tool), c.Inputs})
+}
 
-// Described reads it back.
-func Described(b []byte) (*cwl.Process, []map[string]any, error) {
+// DecodeDescription reads it back.
+func DecodeDescription(b []byte) (*cwl.Process, []map[string]any, error) {
 	var d struct {
 		Tool   json.RawMessage `json:"tool"`
 		Inputs json.RawMessage `json:"inputs"`
--- a/workflow/golden_test.go
+++ b/workflow/golden_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestAnswersKeepTheirForm(t *testing.T) {
-	record[Answer](t, "answer.json")
+	record[Response](t, "answer.json")
 }
 
 func TestSubmissionsKeepTheirForm(t *testing.T) {
@@ -32,7 +32,7 @@
 	golden.Fill(&s)
 	golden.CheckTags(t, "json", s)
 	golden.RoundTrip(t, "submission.json", s, func(s Submission) ([]byte, error) { return extension.Encode(s), nil },
-		func(b []byte) (s Submission, err error) { return s, decode(b, &s) })
+		func(b []byte) (s Submission, err error) { return s, decodeSubmission(b, &s) })
 }
 
 // TestStoredSubmissionsKeepTheirForm holds the pages of a stored submission. What
@@ -42,7 +42,7 @@
 	golden.Fill(&s)
 	var stored []json.RawMessage
 	encode := func(s Submission) ([]byte, error) {
-		values, err := pages(&s, 64)
+		values, err := encodePages(&s, 64)
 		if err != nil {
 			return nil, err
 		}
@@ -52,7 +52,7 @@
 		if err := json.Unmarshal(b, &stored); err != nil {
 			return Submission{}, err
 		}
-		read, err := unpack(stored)
+		read, err := decodePages(stored)
 		if err != nil {
 			return Submission{}, err
 		}
@@ -75,8 +75,8 @@
 		{pageKey("run", "d", 0), "w/run/d0"},
 		{pageKey("run", "s", 12), "w/run/s12"},
 		{finalKey("run"), "wf/run"},
-		{jobID("run", "step/tool", 0, nil), "job-3199551016688555"},
-		{jobID("run", "step/tool", 100, map[string]int{"step/tool": 2}), "job-102"},
+		{jobIDOf("run", "step/tool", 0, nil), "job-3199551016688555"},
+		{jobIDOf("run", "step/tool", 100, map[string]int{"step/tool": 2}), "job-102"},
 	} {
 		if k.got != k.want {
 			t.Errorf("the key is %q, not %q", k.got, k.want)
--- a/workflow/host.go
+++ b/workflow/host.go
@@ -16,64 +16,64 @@
 	Teams      map[string]scheduler.Team
 	ValueBytes int
 	TxnOps     int
-	ReportS    float64
+	HeartbeatS float64
 	// Limits bound the documents of runs: a member holds those that it drives.
 	Limits cwl.Limits
 }
 
 // Outputs is what a host wants done. The caller takes all of it after each
 // input.
-type Outputs = extension.Outputs[Data, Answer]
+type Outputs = extension.Outputs[Data, Response]
 
 // Host keeps the runs of a member.
 type Host struct {
-	p Params
-	extension.Base[Data, DataResult, Answer]
+	params Params
+	extension.Base[Data, DataResult, Response]
 
-	view     scheduler.View
-	over     map[string]bool // of the jobs that were asked about
-	runs     map[string]*driven
+	view     scheduler.ExtensionView
+	jobsOver map[string]bool // of the jobs that were asked about
+	runs     map[string]*activeRun
 	loading  int
 	Counters Counters
 }
 
 // Counters counts what operators watch.
-type Counters struct{ Accepted, Finished, Failed, Cancelled, Jobs, Loaded uint64 }
-
-// driven is a run that this member drives.
-type driven struct {
-	id      string
-	rec     liveRecord
-	rev     uint64
-	run     *Run
-	sub     *Submission
-	numbers map[string]int
-	calls   map[string]*callState // begun and not over
-	known   map[string]bool       // over, as the store's pages say
-	busy    bool                  // a load or a write on its record is under way
-	retryAt int64
-
-	done     []string // paths of calls that are over, in the order noted
-	stored   int      // of them, how many the store has for certain
-	pages    []pageState
-	writing  bool
-	noteAt   int64
-	finished int
+type Counters struct{ Accepted, Finished, Failed, Cancelled, JobsSubmitted, Loaded uint64 }
+
+// activeRun is a run that this member drives.
+type activeRun struct {
+	id           string
+	record       liveRecord
+	revision     uint64
+	evaluation   *Run
+	submission   *Submission
+	jobNumbers   map[string]int
+	calls        map[string]*callState // begun and not over
+	recordedDone map[string]bool       // over, as the store's pages say
+	busy         bool                  // a load or a write on its record is under way
+	retryAt      int64
+
+	donePaths       []string // paths of calls that are over, in the order noted
+	storedCount     int      // of them, how many the store has for certain
+	donePages       []pageState
+	writing         bool
+	nextDoneWriteAt int64
+	finishedCalls   int
 }
 
 type pageState struct {
-	rev  uint64
-	upTo int // calls up to this one are in it or before it
+	revision uint64
+	upTo     int // calls up to this one are in it or before it
 }
 
 // NewHost returns a host without runs.
 func NewHost(p Params) *Host {
-	return &Host{p: p, over: map[string]bool{}, runs: map[string]*driven{}}
+	return &Host{params: p, jobsOver: map[string]bool{}, runs: map[string]*activeRun{}}
 }
 
-// Watched lists the jobs whose end is waited for; the next View is to be asked
+// WatchedJobs lists the jobs whose end is waited for; the next View is to be asked
 // about them.
-func (h *Host) Watched() []string {
+func (h *Host) WatchedJobs() []string {
 	var out []string
 	for _, d := range h.runs {
 		for _, c := range d.calls {
@@ -85,57 +85,57 @@
 	return out
 }
 
-// loadsAtOnce bounds how many runs are read at the same time after a claim:
+// maxConcurrentLoads bounds how many runs are read at the same time after a claim:
 // their reads share the member's part of the store's rate with everything else.
-const loadsAtOnce = 8
+const maxConcurrentLoads = 8
 
 // Tick takes how the core stands, and goes on with all runs of the shards that
 // this member holds.
-func (h *Host) Tick(now scheduler.Now, v scheduler.View) {
+func (h *Host) Tick(now scheduler.Now, v scheduler.ExtensionView) {
 	h.Now, h.view = now, v
-	clear(h.over)
-	for _, id := range v.Over {
-		h.over[id] = true
+	clear(h.jobsOver)
+	for _, id := range v.EndedJobs {
+		h.jobsOver[id] = true
 	}
-	if !v.Authority {
+	if !v.HasAuthority {
 		return
 	}
-	alive := map[string]bool{}
-	for _, it := range v.Records {
-		id := strings.TrimPrefix(it.Key, LivePrefix)
+	liveRuns := map[string]bool{}
+	for _, kv := range v.KVs {
+		id := strings.TrimPrefix(kv.Key, LivePrefix)
 		var rec liveRecord
-		if json.Unmarshal(it.Value, &rec) != nil || v.Claims[rec.Shard] == 0 {
+		if json.Unmarshal(kv.Value, &rec) != nil || v.ClaimTokens[rec.Shard] == 0 {
 			continue
 		}
-		alive[id] = true
+		liveRuns[id] = true
 		d := h.runs[id]
 		if d == nil {
-			if h.loading >= loadsAtOnce {
+			if h.loading >= maxConcurrentLoads {
 				continue
 			}
-			d = &driven{id: id, calls: map[string]*callState{}, known: map[string]bool{}}
+			d = &activeRun{id: id, calls: map[string]*callState{}, recordedDone: map[string]bool{}}
 			h.runs[id] = d
-			d.rec, d.rev = rec, it.Rev
-			h.load(d)
-		} else if it.Rev > d.rev {
-			if rec.State != d.rec.State {
+			d.record, d.revision = rec, kv.Rev
+			h.loadRun(d)
+		} else if kv.Rev > d.revision {
+			if rec.State != d.record.State {
 				// Given up: what was started is looked for from the
 				// beginning, by whoever drives the run now.
 				delete(h.runs, id)
 				continue
 			}
-			d.rec, d.rev = rec, it.Rev
+			d.record, d.revision = rec, kv.Rev
 		}
 	}
 	for _, id := range sortedKeys(h.runs) {
 		d := h.runs[id]
-		if !alive[id] {
+		if !liveRuns[id] {
 			// Over, or no longer ours: whoever holds the shard goes on from
 			// the store.
 			delete(h.runs, id)
 			continue
 		}
-		h.step(d)
+		h.advanceRun(d)
 	}
 }
 
@@ -148,35 +148,35 @@
 	return out
 }
 
-// ending tells whether the run is given up and only stops what it started.
-func (d *driven) ending() bool { return d.rec.State != Running }
+// isEnding tells whether the run is given up and only stops what it started.
+func (d *activeRun) isEnding() bool { return d.record.State != Running }
 
-// step goes on with a run as far as it can.
-func (h *Host) step(d *driven) {
-	if d.busy || h.Now.Steady < d.retryAt {
+// advanceRun goes on with a run as far as it can.
+func (h *Host) advanceRun(d *activeRun) {
+	if d.busy || h.Now.MonotonicMS < d.retryAt {
 		return
 	}
-	if d.run != nil {
-		d.adopt(d.run.Fresh())
+	if d.evaluation != nil {
+		d.addCalls(d.evaluation.TakeNewCalls())
 	}
 	for _, path := range sortedKeys(d.calls) {
-		if c := d.calls[path]; c != nil && h.Now.Steady >= c.retryAt {
-			h.stepCall(d, c)
+		if c := d.calls[path]; c != nil && h.Now.MonotonicMS >= c.retryAt {
+			h.advanceCall(d, c)
 		}
 	}
-	if d.run != nil {
+	if d.evaluation != nil {
 		// What a call's end made ready at once.
-		d.adopt(d.run.Fresh())
+		d.addCalls(d.evaluation.TakeNewCalls())
 	}
 	switch {
-	case d.ending():
+	case d.isEnding():
 		if len(d.calls) == 0 {
-			h.finish(d)
+			h.finishRun(d)
 		}
-	case d.run.Over() && d.run.Err() != nil:
-		h.giveUp(d, Failing, d.run.Err().Error())
-	case d.run.Over():
-		h.finish(d)
+	case d.evaluation.IsOver() && d.evaluation.Err() != nil:
+		h.failRun(d, Failing, d.evaluation.Err().Error())
+	case d.evaluation.IsOver():
+		h.finishRun(d)
 	}
-	h.note(d)
+	h.writeDonePaths(d)
 }
--- a/workflow/host_test.go
+++ b/workflow/host_test.go
@@ -15,105 +15,107 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// world is a state service, a core that runs jobs, and members' hosts, with all
+// simulation is a state service, a core that runs jobs, and members' hosts, with all
 // that can go wrong between them.
-type world struct {
-	t             testing.TB
-	rng           *rand.Rand
-	now           int64
-	store         *standin.State
-	members       []string
-	hosts         map[string]*Host
-	views         map[string]scheduler.View // as each last saw it
-	queue         []func()                  // under way, in any order
-	late          []func()                  // held by the network, for long
-	jobs          map[string]*fakeJob
-	descs         map[string][]byte // descriptions of jobs
-	answers       map[uint64]Answer
-	nextID        uint64
-	revs          map[string]uint64 // claims, as the store has them
-	created       int
-	lost          int // requests whose answer or effect was lost
-	sabotage      bool
-	faults        bool
-	writes, bytes int
+type simulation struct {
+	t                   testing.TB
+	rng                 *rand.Rand
+	now                 int64
+	store               *standin.State
+	members             []string
+	hosts               map[string]*Host
+	views               map[string]scheduler.ExtensionView // as each last saw it
+	queue               []func()                           // under way, in any order
+	delayed             []func()                           // held by the network, for long
+	jobs                map[string]*fakeJob
+	descriptions        map[string][]byte // descriptions of jobs
+	responses           map[uint64]Response
+	nextID              uint64
+	claims              map[string]uint64 // claims, as the store has them
+	created             int
+	lostRequests        int // requests whose answer or effect was lost
+	ignorePreconditions bool
+	faults              bool
+	writes, bytes       int
 }
 
 type fakeJob struct {
-	id, run string
-	desc    []byte
-	state   scheduler.State
-	failed  string
-	outs    []map[string]any
+	id, run     string
+	description []byte
+	state       scheduler.JobState
+	failed      string
+	outputs     []map[string]any
 }
 
-func newWorld(t testing.TB, seed uint64, faults bool) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), store: standin.NewState(), members: []string{"m-0", "m-1", "m-2"}, hosts: map[string]*Host{},
-		views: map[string]scheduler.View{}, jobs: map[string]*fakeJob{}, descs: map[string][]byte{}, answers: map[uint64]Answer{}, revs: map[string]uint64{}, faults: faults, nextID: 1}
+func newSimulation(t testing.TB, seed uint64, faults bool) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 3)), store: standin.NewState(), members: []string{"m-0", "m-1", "m-2"}, hosts: map[string]*Host{},
+		views: map[string]scheduler.ExtensionView{}, jobs: map[string]*fakeJob{}, descriptions: map[string][]byte{}, responses: map[uint64]Response{}, claims: map[string]uint64{}, faults: faults, nextID: 1}
 	for _, m := range w.members {
-		w.start(m)
+		w.startHost(m)
 		w.claim(m, m)
 	}
 	return w
 }
 
-func (w *world) time() scheduler.Now { return scheduler.Now{Steady: w.now, Wall: w.now + 1e12} }
+func (w *simulation) clock() scheduler.Now {
+	return scheduler.Now{MonotonicMS: w.now, WallMS: w.now + 1e12}
+}
 
-func (w *world) start(m string) {
-	w.hosts[m] = NewHost(Params{Members: w.members, Teams: map[string]scheduler.Team{"ops": {}}, ValueBytes: 1024, TxnOps: 16, ReportS: 1, Limits: cwl.DefaultLimits})
-	w.views[m] = scheduler.View{}
+func (w *simulation) startHost(m string) {
+	w.hosts[m] = NewHost(Params{Members: w.members, Teams: map[string]scheduler.Team{"ops": {}}, ValueBytes: 1024, TxnOps: 16, HeartbeatS: 1, Limits: cwl.DefaultLimits})
+	w.views[m] = scheduler.ExtensionView{}
 }
 
-func (w *world) txn(guards []scheduler.Guard, changes ...scheduler.Change) scheduler.StoreResult {
-	r, _ := w.store.Do(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Guards: guards, Changes: changes})
+func (w *simulation) applyTxn(preconditions []scheduler.Precondition, changes ...scheduler.Change) scheduler.StoreResult {
+	r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Preconditions: preconditions, Changes: changes})
 	return r
 }
 
 // claim gives a shard to a member; its earlier holder learns of it only with its
 // next view.
-func (w *world) claim(shard, member string) {
-	r := w.txn(nil, scheduler.Change{Key: scheduler.ShardKey(shard), Value: extension.Encode(member)})
-	w.revs[shard] = r.Rev
+func (w *simulation) claim(shard, member string) {
+	r := w.applyTxn(nil, scheduler.Change{Key: scheduler.ClaimKey(shard), Value: extension.Encode(member)})
+	w.claims[shard] = r.Rev
 }
 
-// view lets a member see how things stand.
-func (w *world) view(m string) {
-	v := scheduler.View{Authority: true, Claims: map[string]uint64{}}
-	for s, rev := range w.revs {
-		var holder string
-		_ = json.Unmarshal(w.store.Value(scheduler.ShardKey(s)), &holder)
-		if holder == m {
-			v.Claims[s] = rev
+// refreshView lets a member see how things stand.
+func (w *simulation) refreshView(m string) {
+	v := scheduler.ExtensionView{HasAuthority: true, ClaimTokens: map[string]uint64{}}
+	for s, rev := range w.claims {
+		var owner string
+		_ = json.Unmarshal(w.store.Value(scheduler.ClaimKey(s)), &owner)
+		if owner == m {
+			v.ClaimTokens[s] = rev
 		}
 	}
 	for from := ""; ; {
-		r, _ := w.store.Do(w.now, scheduler.StoreOp{Kind: scheduler.StoreList, Key: LivePrefix, From: from})
-		v.Records = append(v.Records, r.Items...)
+		r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreList, Key: LivePrefix, StartAfter: from})
+		v.KVs = append(v.KVs, r.KVs...)
 		if !r.More {
 			break
 		}
-		from = r.Items[len(r.Items)-1].Key
+		from = r.KVs[len(r.KVs)-1].Key
 	}
-	for _, id := range w.hosts[m].Watched() {
-		if j := w.jobs[id]; j == nil || j.state.Final() {
-			v.Over = append(v.Over, id)
+	for _, id := range w.hosts[m].WatchedJobs() {
+		if j := w.jobs[id]; j == nil || j.state.IsTerminal() {
+			v.EndedJobs = append(v.EndedJobs, id)
 		}
 	}
 	w.views[m] = v
 }
 
-// take carries out what a host wants done, now or later, once or not at all.
-func (w *world) take(m string) {
+// dispatchOutputs carries out what a host wants done, now or later, once or not at all.
+func (w *simulation) dispatchOutputs(m string) {
 	h := w.hosts[m]
 	o := h.Take()
 	chance := func(p float64) bool { return w.faults && w.rng.Float64() < p }
-	for id, a := range o.Answers {
-		w.answers[id] = a
+	for id, a := range o.Responses {
+		w.responses[id] = a
 	}
-	send := func(do func() func()) {
+	enqueue := func(do func() func()) {
 		w.queue = append(w.queue, func() {
 			if chance(0.03) {
-				w.lost++
+				w.lostRequests++
 				do() // done, and nobody hears of it at once
 				return
 			}
@@ -131,46 +133,46 @@
 			// The caller gives up on it; it is applied later, or never.
 			w.queue = append(w.queue, func() {
 				if w.hosts[m] == h {
-					h.StoreDone(w.time(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
+					h.StoreDone(w.clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
 				}
 			})
 			if chance(0.7) {
-				w.late = append(w.late, func() { w.do(op) })
+				w.delayed = append(w.delayed, func() { w.applyStoreOp(op) })
 			}
-			w.lost++
+			w.lostRequests++
 			continue
 		}
 		w.queue = append(w.queue, func() {
-			r := w.do(op)
+			r := w.applyStoreOp(op)
 			if w.hosts[m] == h {
-				h.StoreDone(w.time(), op.ID, r)
+				h.StoreDone(w.clock(), op.ID, r)
 			}
 		})
 	}
 	for _, c := range o.Core {
 		w.queue = append(w.queue, func() {
 			if chance(0.03) {
-				w.late = append(w.late, func() { w.core(c.Request) })
-				w.lost++
-				h.CoreDone(w.time(), c.ID, scheduler.UserAnswer{Status: 503, RetryS: 1})
+				w.delayed = append(w.delayed, func() { w.handleCoreRequest(c.UserRequest) })
+				w.lostRequests++
+				h.CoreDone(w.clock(), c.ID, scheduler.UserResponse{Status: 503, RetryAfterS: 1})
 				return
 			}
-			a := w.core(c.Request)
+			a := w.handleCoreRequest(c.UserRequest)
 			if w.hosts[m] == h {
-				h.CoreDone(w.time(), c.ID, a)
+				h.CoreDone(w.clock(), c.ID, a)
 			}
 		})
 	}
 	for _, d := range o.Requests {
-		send(func() func() {
-			r := w.data(d.Body)
-			return func() { h.RequestDone(w.time(), d.ID, r) }
+		enqueue(func() func() {
+			r := w.handleData(d.Body)
+			return func() { h.RequestDone(w.clock(), d.ID, r) }
 		})
 	}
 }
 
-func (w *world) do(op scheduler.StoreOp) scheduler.StoreResult {
-	r, _ := w.store.Do(w.now, op)
+func (w *simulation) applyStoreOp(op scheduler.StoreOp) scheduler.StoreResult {
+	r, _ := w.store.Apply(w.now, op)
 	if op.Kind == scheduler.StoreTxn {
 		w.writes += len(op.Changes)
 		for _, c := range op.Changes {
@@ -179,56 +181,56 @@
 				w.t.Errorf("%s takes %d bytes, more than a value may", c.Key, len(c.Value))
 			}
 		}
-		if len(op.Changes) > 16 || len(op.Guards) > 64 {
-			w.t.Errorf("a transaction has %d changes and %d conditions", len(op.Changes), len(op.Guards))
+		if len(op.Changes) > 16 || len(op.Preconditions) > 64 {
+			w.t.Errorf("a transaction has %d changes and %d conditions", len(op.Changes), len(op.Preconditions))
 		}
 	}
 	return r
 }
 
-func (w *world) core(r scheduler.UserRequest) scheduler.UserAnswer {
+func (w *simulation) handleCoreRequest(r scheduler.UserRequest) scheduler.UserResponse {
 	j := w.jobs[r.ID]
-	tell := func() scheduler.UserAnswer {
-		return scheduler.UserAnswer{Status: 200, ID: r.ID, State: j.state, Run: j.run, Failed: j.failed}
+	response := func() scheduler.UserResponse {
+		return scheduler.UserResponse{Status: 200, ID: r.ID, State: j.state, WorkflowRun: j.run, FailureReason: j.failed}
 	}
 	switch {
-	case r.Kind == scheduler.Submit && j == nil:
-		if w.sabotage {
-			r.Guards = nil
+	case r.Kind == scheduler.SubmitJob && j == nil:
+		if w.ignorePreconditions {
+			r.Preconditions = nil
 		}
-		if res := w.txn(r.Guards, scheduler.Change{Key: "jobs/" + r.ID, Value: extension.Encode(r.ID)}); res.Outcome != scheduler.OK {
-			return scheduler.UserAnswer{Status: 409, ID: r.ID}
+		if res := w.applyTxn(r.Preconditions, scheduler.Change{Key: "jobs/" + r.ID, Value: extension.Encode(r.ID)}); res.Outcome != scheduler.OK {
+			return scheduler.UserResponse{Status: 409, ID: r.ID}
 		}
-		if w.store.Value(finalKey(r.Job.Run)) != nil {
-			w.t.Errorf("a job of %s starts after its run is over", r.Job.Run)
+		if w.store.Value(finalKey(r.Job.WorkflowRun)) != nil {
+			w.t.Errorf("a job of %s starts after its run is over", r.Job.WorkflowRun)
 		}
 		w.created++
-		w.jobs[r.ID] = &fakeJob{id: r.ID, run: r.Job.Run, state: scheduler.Pending, desc: w.descs[r.ID]}
-		return scheduler.UserAnswer{Status: 201, ID: r.ID}
+		w.jobs[r.ID] = &fakeJob{id: r.ID, run: r.Job.WorkflowRun, state: scheduler.Pending, description: w.descriptions[r.ID]}
+		return scheduler.UserResponse{Status: 201, ID: r.ID}
 	case j == nil:
-		return scheduler.UserAnswer{Status: 404, ID: r.ID}
-	case r.Kind == scheduler.Cancel && !j.state.Final():
+		return scheduler.UserResponse{Status: 404, ID: r.ID}
+	case r.Kind == scheduler.CancelJob && !j.state.IsTerminal():
 		j.state = scheduler.Cancelled
 	}
-	return tell()
+	return response()
 }
 
-func (w *world) data(d Data) DataResult {
+func (w *simulation) handleData(d Data) DataResult {
 	if w.faults && w.rng.Float64() < 0.02 {
 		return DataResult{Err: fmt.Errorf("the directory is away")}
 	}
 	if d.Description != nil {
-		w.descs[d.Job] = d.Description
+		w.descriptions[d.Job] = d.Description
 		return DataResult{}
 	}
-	return DataResult{Outputs: w.jobs[d.Job].outs}
+	return DataResult{Outputs: w.jobs[d.Job].outputs}
 }
 
-// finish runs one of the jobs that live.
-func (w *world) finish() {
+// finishRandomJob runs one of the jobs that live.
+func (w *simulation) finishRandomJob() {
 	var live []string
 	for id, j := range w.jobs {
-		if !j.state.Final() {
+		if !j.state.IsTerminal() {
 			live = append(live, id)
 		}
 	}
@@ -237,29 +239,29 @@
 	}
 	slices.Sort(live)
 	j := w.jobs[live[w.rng.IntN(len(live))]]
-	p, ins, err := Described(j.desc)
+	p, ins, err := DecodeDescription(j.description)
 	if err != nil {
 		w.t.Fatalf("a description is unreadable: %v", err)
 	}
 	j.state = scheduler.Done
 	for _, in := range ins {
-		out, err := tool(p, in)
+		out, err := evaluateTool(p, in)
 		if err != nil {
 			j.state, j.failed = scheduler.Cancelled, err.Error()
 		}
-		j.outs = append(j.outs, out)
+		j.outputs = append(j.outputs, out)
 	}
 }
 
-// user asks a member and waits for the answer, asking again as users do.
-func (w *world) user(m string, r Request) Answer {
+// request asks a member and waits for the answer, asking again as users do.
+func (w *simulation) request(m string, r Request) Response {
 	for range 200 {
 		w.nextID++
 		id := w.nextID
-		w.hosts[m].User(w.time(), id, r)
+		w.hosts[m].HandleRequest(w.clock(), id, r)
 		for range 60 {
 			w.step()
-			if a, ok := w.answers[id]; ok {
+			if a, ok := w.responses[id]; ok {
 				if a.Status == 503 {
 					break
 				}
@@ -269,18 +271,18 @@
 		m = w.members[w.rng.IntN(len(w.members))]
 	}
 	w.t.Fatal("no answer")
-	return Answer{}
+	return Response{}
 }
 
 // step lets a little happen.
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += int64(w.rng.IntN(120))
 	for _, m := range w.members {
 		if w.rng.IntN(4) > 0 || !w.faults {
-			w.view(m) // else it acts on what it saw before
+			w.refreshView(m) // else it acts on what it saw before
 		}
-		w.hosts[m].Tick(w.time(), w.views[m])
-		w.take(m)
+		w.hosts[m].Tick(w.clock(), w.views[m])
+		w.dispatchOutputs(m)
 	}
 	for range 1 + w.rng.IntN(1+len(w.queue)) {
 		if len(w.queue) == 0 {
@@ -291,27 +293,27 @@
 		w.queue = append(w.queue[:i], w.queue[i+1:]...)
 		f()
 		for _, m := range w.members {
-			w.take(m)
+			w.dispatchOutputs(m)
 		}
 	}
-	if len(w.late) > 0 && w.rng.IntN(40) == 0 {
-		i := w.rng.IntN(len(w.late))
-		f := w.late[i]
-		w.late = append(w.late[:i], w.late[i+1:]...)
+	if len(w.delayed) > 0 && w.rng.IntN(40) == 0 {
+		i := w.rng.IntN(len(w.delayed))
+		f := w.delayed[i]
+		w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
 		f()
 	}
 	if w.rng.IntN(2) == 0 {
-		w.finish()
+		w.finishRandomJob()
 	}
 	if w.faults && w.rng.IntN(40) == 0 {
-		w.start(w.members[w.rng.IntN(len(w.members))]) // a crash
+		w.startHost(w.members[w.rng.IntN(len(w.members))]) // a crash
 	}
 	if w.faults && w.rng.IntN(60) == 0 {
 		w.claim(w.members[w.rng.IntN(len(w.members))], w.members[w.rng.IntN(len(w.members))])
 	}
 	if w.faults && w.rng.IntN(200) == 0 {
 		for _, m := range w.members {
-			w.start(m)
+			w.startHost(m)
 		}
 	}
 }
@@ -320,63 +322,63 @@
 	return extension.Encode(map[string]any{"id": id, "document": json.RawMessage(doc), "inputs": in, "job": map[string]any{"team": "ops"}})
 }
 
-// play runs some workflows in a world and checks how they end.
-func play(t testing.TB, seed uint64, faults, sabotage bool) *world {
-	w := newWorld(t, seed, faults)
-	w.sabotage = sabotage
+// simulateRuns runs some workflows in a world and checks how they end.
+func simulateRuns(t testing.TB, seed uint64, faults, ignorePreconditions bool) *simulation {
+	w := newSimulation(t, seed, faults)
+	w.ignorePreconditions = ignorePreconditions
 	type expected struct {
 		outs    map[string]any
 		err     error
 		aborted bool
 	}
-	want := map[string]*expected{}
+	expectations := map[string]*expected{}
 	for i := range uint64(4) {
-		p, doc, in := generated(t, seed*31+i)
+		p, doc, in := generateWorkflow(t, seed*31+i)
 		id := fmt.Sprintf("run-%d-%d", seed, i)
-		outs, err := plainly(p, in)
-		want[id] = &expected{outs: outs, err: err}
-		if a := w.user(w.members[w.rng.IntN(3)], Request{Kind: Submit, Body: submission(id, doc, in)}); a.Status != 201 && a.Status != 200 {
+		outs, err := evaluateDirectly(p, in)
+		expectations[id] = &expected{outs: outs, err: err}
+		if a := w.request(w.members[w.rng.IntN(3)], Request{Kind: Submit, Body: submission(id, doc, in)}); a.Status != 201 && a.Status != 200 {
 			t.Fatalf("seed %d: a submission gets %d %s", seed, a.Status, a.Error)
 		}
 		// The same at another member.
-		if a := w.user(w.members[w.rng.IntN(3)], Request{Kind: Submit, Body: submission(id, doc, in)}); a.Status != 200 {
+		if a := w.request(w.members[w.rng.IntN(3)], Request{Kind: Submit, Body: submission(id, doc, in)}); a.Status != 200 {
 			t.Fatalf("seed %d: a repeated submission gets %d", seed, a.Status)
 		}
 		if w.rng.IntN(4) == 0 {
 			for range w.rng.IntN(60) {
 				w.step()
 			}
-			if a := w.user(w.members[w.rng.IntN(3)], Request{Kind: Abort, ID: id}); a.Status != 200 {
+			if a := w.request(w.members[w.rng.IntN(3)], Request{Kind: Abort, ID: id}); a.Status != 200 {
 				t.Fatalf("seed %d: a cancellation gets %d", seed, a.Status)
 			}
-			want[id].aborted = true
+			expectations[id].aborted = true
 		}
 	}
-	finals := map[string]string{}
-	for n := 0; len(finals) < len(want); n++ {
+	finalRecords := map[string]string{}
+	for n := 0; len(finalRecords) < len(expectations); n++ {
 		if n > 60_000 {
-			t.Fatalf("seed %d: %d of %d runs end", seed, len(finals), len(want))
+			t.Fatalf("seed %d: %d of %d runs end", seed, len(finalRecords), len(expectations))
 		}
 		w.step()
-		for id := range want {
+		for id := range expectations {
 			if v := w.store.Value(finalKey(id)); v != nil {
-				if finals[id] != "" && finals[id] != string(v) {
-					t.Fatalf("seed %d: the answer of %s changed from %s to %s", seed, id, finals[id], v)
+				if finalRecords[id] != "" && finalRecords[id] != string(v) {
+					t.Fatalf("seed %d: the answer of %s changed from %s to %s", seed, id, finalRecords[id], v)
 				}
-				finals[id] = string(v)
+				finalRecords[id] = string(v)
 			}
 		}
 	}
-	for len(w.late) > 0 {
+	for len(w.delayed) > 0 {
 		w.step()
 	}
 	for range 100 {
 		w.step()
 	}
-	for id, e := range want {
-		a := w.user("m-0", Request{Kind: Query, ID: id})
+	for id, e := range expectations {
+		a := w.request("m-0", Request{Kind: Query, ID: id})
 		switch {
-		case string(w.store.Value(finalKey(id))) != finals[id]:
+		case string(w.store.Value(finalKey(id))) != finalRecords[id]:
 			t.Errorf("seed %d: the answer of %s changed", seed, id)
 		case a.State == Cancelled && e.aborted:
 		case e.err != nil && a.State == Failed && a.Error != "":
@@ -391,14 +393,14 @@
 		}
 	}
 	for id, j := range w.jobs {
-		if !j.state.Final() {
+		if !j.state.IsTerminal() {
 			t.Errorf("seed %d: job %s of %s outlives it", seed, id, j.run)
 		}
 	}
 	if !faults {
-		r, _ := w.store.Do(w.now, scheduler.StoreOp{Kind: scheduler.StoreList, Key: "w/"})
-		if len(r.Items) > 0 {
-			t.Errorf("seed %d: %s is left behind", seed, r.Items[0].Key)
+		r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreList, Key: "w/"})
+		if len(r.KVs) > 0 {
+			t.Errorf("seed %d: %s is left behind", seed, r.KVs[0].Key)
 		}
 	}
 	return w
@@ -406,18 +408,18 @@
 
 // Whatever fails on the way, a run ends in one answer, that of a plain
 // evaluation; no step is started twice, and nothing outlives its run.
-func TestRunsEndOnceWhateverFails(t *testing.T) {
+func TestEachRunEndsOnceUnderInjectedFaults(t *testing.T) {
 	lost, created := 0, 0
 	for seed := range uint64(30) {
-		w := play(t, seed, true, false)
-		lost += w.lost
+		w := simulateRuns(t, seed, true, false)
+		lost += w.lostRequests
 		created += w.created
 	}
 	if lost < 100 || created < 250 {
 		t.Errorf("%d requests were lost, %d jobs created: too few to say anything", lost, created)
 	}
 	for seed := range uint64(10) {
-		play(t, seed, false, false)
+		simulateRuns(t, seed, false, false)
 	}
 }
 
@@ -432,10 +434,10 @@
 
 // Without the guards on submissions, jobs start after their runs are over: the
 // check above sees that.
-func TestCheckSeesLateSubmissions(t *testing.T) {
+func TestSimulationDetectsLateSubmissionWithoutPreconditions(t *testing.T) {
 	r := &recorder{TB: t}
 	for seed := uint64(0); seed < 60 && len(r.errs) == 0; seed++ {
-		play(r, seed, true, true)
+		simulateRuns(r, seed, true, true)
 	}
 	if len(r.errs) == 0 || !strings.Contains(strings.Join(r.errs, " "), "starts after its run is over") && !strings.Contains(strings.Join(r.errs, " "), "outlives") {
 		t.Errorf("submissions without guards go unseen: %v", r.errs)
@@ -443,7 +445,7 @@
 }
 
 // What cannot run is refused with its reason, and nothing of it is stored.
-func TestBadSubmissions(t *testing.T) {
+func TestInvalidSubmissionIsRejectedNamingTheField(t *testing.T) {
 	tool := func(extra string) string {
 		return `{"cwlVersion": "v1.2", "class": "CommandLineTool", "baseCommand": "x", "inputs": {"n": "int"}, "outputs": {}` + extra + `}`
 	}
@@ -462,9 +464,9 @@
 		random[i] = byte('a' + rng.IntN(26))
 	}
 	for _, c := range []struct {
-		name, body string
-		status     int
-		want       string
+		name, body  string
+		status      int
+		expectedErr string
 	}{
 		{"no JSON", "{", 400, "not a submission"},
 		{"no id", `{"document": {}}`, 400, "no run id"},
@@ -483,10 +485,10 @@
 		{"not packed", strings.Replace(packed(nil), `"id"`, `"packed": "eHh4", "id"`, 1), 400, "packed"},
 		{"too large", body(tool(`, "doc": "`+string(random)+`"`), ops), 400, "compressed, more than"},
 	} {
-		w := newWorld(t, 1, false)
-		a := w.user("m-0", Request{Kind: Submit, Body: []byte(c.body)})
-		if a.Status != c.status || !strings.Contains(a.Error, c.want) {
-			t.Errorf("%s: %d %.200s, not %d %s", c.name, a.Status, a.Error, c.status, c.want)
+		w := newSimulation(t, 1, false)
+		a := w.request("m-0", Request{Kind: Submit, Body: []byte(c.body)})
+		if a.Status != c.status || !strings.Contains(a.Error, c.expectedErr) {
+			t.Errorf("%s: %d %.200s, not %d %s", c.name, a.Status, a.Error, c.status, c.expectedErr)
 		}
 		if w.writes != 0 {
 			t.Errorf("%s: %d changes were made", c.name, w.writes)
@@ -495,14 +497,14 @@
 }
 
 // Reserved ids are used in the order of the steps, and no other.
-func TestReservedIDs(t *testing.T) {
-	_, doc := document(t, chain(3))
-	w := newWorld(t, 1, false)
+func TestRunUsesReservedJobIDs(t *testing.T) {
+	_, doc := loadDocument(t, chainWorkflow(3))
+	w := newSimulation(t, 1, false)
 	s := strings.TrimSuffix(string(submission("r", doc, map[string]any{"a": int64(1), "b": int64(1)})), "}") + `, "jobs": {"first": 700, "count": 3}}`
-	if a := w.user("m-0", Request{Kind: Submit, Body: []byte(s)}); a.Status != 201 {
+	if a := w.request("m-0", Request{Kind: Submit, Body: []byte(s)}); a.Status != 201 {
 		t.Fatal(a)
 	}
-	drive(t, w, []string{"r"})
+	runToEnd(t, w, []string{"r"})
 	for _, id := range []string{"job-700", "job-701", "job-702"} {
 		if w.jobs[id] == nil || w.jobs[id].run != "r" {
 			t.Errorf("%s is not used", id)
@@ -515,15 +517,15 @@
 
 // A run of many steps with long names is shown within a line's bound, its newest
 // steps last.
-func TestStepsFitALine(t *testing.T) {
-	w := newWorld(t, 1, false)
+func TestStepsOfAResponseStayWithinLineLimit(t *testing.T) {
+	w := newSimulation(t, 1, false)
 	h := w.hosts["m-0"]
-	d := &driven{id: "r", calls: map[string]*callState{}}
+	d := &activeRun{id: "r", calls: map[string]*callState{}}
 	for i := range 1000 {
-		d.done = append(d.done, fmt.Sprintf("%s-%d", strings.Repeat("step", 40), i))
+		d.donePaths = append(d.donePaths, fmt.Sprintf("%s-%d", strings.Repeat("step", 40), i))
 	}
 	h.runs["r"] = d
-	a := Answer{ID: "r"}
+	a := Response{ID: "r"}
 	h.addSteps(&a)
 	if n := len(extension.Encode(a)); n > 40<<10 || n < 20<<10 {
 		t.Errorf("an answer has %d bytes", n)
--- a/workflow/load.go
+++ b/workflow/load.go
@@ -9,92 +9,92 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// load reads a run's document and what is known to be over.
-func (h *Host) load(d *driven) {
+// loadRun reads a run's document and what is known to be over.
+func (h *Host) loadRun(d *activeRun) {
 	d.busy = true
 	h.loading++
-	var items []scheduler.Item
-	page := func(some []scheduler.Item) bool {
-		items = append(items, some...)
+	var items []scheduler.KeyValue
+	page := func(batch []scheduler.KeyValue) bool {
+		items = append(items, batch...)
 		return true
 	}
-	h.List(scheduler.Progress, pagesPrefix+d.id+"/", page, func(ok bool) {
+	h.List(scheduler.UrgencyBackground, pagesPrefix+d.id+"/", page, func(ok bool) {
 		h.loading--
 		if !ok {
 			delete(h.runs, d.id) // the next tick begins anew
 			return
 		}
 		h.Counters.Loaded++
-		h.loaded(d, items)
+		h.onRunLoaded(d, items)
 	})
 }
 
-// loaded goes on with a run whose records were read.
-func (h *Host) loaded(d *driven, items []scheduler.Item) {
+// onRunLoaded goes on with a run whose records were read.
+func (h *Host) onRunLoaded(d *activeRun, items []scheduler.KeyValue) {
 	d.busy = false
-	if err := d.begin(items, h.p.Limits); err != nil {
+	if err := d.restore(items, h.params.Limits); err != nil {
 		// Checked when it was submitted: only a change of the program's own
 		// reading brings it here.
 		h.Log("run unreadable", "run", d.id, "error", err)
-		d.rec.State, d.rec.Error = Failing, err.Error()
+		d.record.State, d.record.Error = Failing, err.Error()
 	}
 	if h.runs[d.id] == d {
-		h.step(d)
+		h.advanceRun(d)
 	}
 }
 
-// begin takes a run up from its records.
-func (d *driven) begin(items []scheduler.Item, limits cwl.Limits) error {
-	values := make([]json.RawMessage, d.rec.Pages)
-	notes := map[int]scheduler.Item{}
-	for _, it := range items {
+// restore takes a run up from its records.
+func (d *activeRun) restore(items []scheduler.KeyValue, limits cwl.Limits) error {
+	values := make([]json.RawMessage, d.record.Pages)
+	donePages := map[int]scheduler.KeyValue{}
+	for _, kv := range items {
 		var n int
-		name := it.Key[strings.LastIndexByte(it.Key, '/')+1:]
+		name := kv.Key[strings.LastIndexByte(kv.Key, '/')+1:]
 		if _, err := fmt.Sscanf(name[1:], "%d", &n); err != nil {
 			continue
 		}
 		switch {
 		case name[0] == 'd' && n < len(values):
-			values[n] = it.Value
+			values[n] = kv.Value
 		case name[0] == 's':
-			notes[n] = it
+			donePages[n] = kv
 		}
 	}
 	for n := 0; ; n++ {
-		it, ok := notes[n]
+		kv, ok := donePages[n]
 		if !ok {
 			break
 		}
 		var paths []string
-		if err := json.Unmarshal(it.Value, &paths); err != nil {
+		if err := json.Unmarshal(kv.Value, &paths); err != nil {
 			return err
 		}
 		for _, p := range paths {
-			d.known[p] = true
-			d.done = append(d.done, p)
+			d.recordedDone[p] = true
+			d.donePaths = append(d.donePaths, p)
 		}
-		d.stored = len(d.done)
-		d.pages = append(d.pages, pageState{it.Rev, len(d.done)})
+		d.storedCount = len(d.donePaths)
+		d.donePages = append(d.donePages, pageState{kv.Rev, len(d.donePaths)})
 	}
-	sub, err := unpack(values)
+	submission, err := decodePages(values)
 	if err != nil {
 		return err
 	}
-	d.sub = sub
-	p, err := sub.load(limits)
+	d.submission = submission
+	p, err := submission.loadDocument(limits)
 	if err != nil {
 		return err
 	}
-	if d.rec.First > 0 {
-		d.numbers = map[string]int{}
-		if err := number(p, "", d.numbers); err != nil {
+	if d.record.FirstJobID > 0 {
+		d.jobNumbers = map[string]int{}
+		if err := numberTools(p, "", d.jobNumbers); err != nil {
 			return err
 		}
 	}
-	if d.ending() {
-		d.run, err = Explore(p, sub.Inputs)
+	if d.isEnding() {
+		d.evaluation, err = Explore(p, submission.Inputs)
 	} else {
-		d.run, err = New(p, sub.Inputs)
+		d.evaluation, err = New(p, submission.Inputs)
 	}
 	return err
 }
--- a/workflow/records.go
+++ b/workflow/records.go
@@ -26,7 +26,7 @@
 //	w/ID/s0    paths of calls that are over, in pages
 //	wf/ID      its final answer
 const (
-	LivePrefix  = scheduler.BesidePrefix + "w/"
+	LivePrefix  = scheduler.ExtensionPrefix + "w/"
 	pagesPrefix = "w/"
 	finalPrefix = "wf/"
 )
@@ -37,7 +37,7 @@
 }
 func finalKey(id string) string { return finalPrefix + id }
 
-var runID = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+var runIDPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 // State is what users are told of a run.
 type State string
@@ -53,27 +53,27 @@
 	Cancelled  State = "cancelled"
 )
 
-// Final tells whether a run in this state never changes again.
-func (s State) Final() bool { return s == Done || s == Failed || s == Cancelled }
+// IsFinal tells whether a run in this state never changes again.
+func (s State) IsFinal() bool { return s == Done || s == Failed || s == Cancelled }
 
 // liveRecord is a run that lives.
 type liveRecord struct {
-	Shard    string `json:"shard"`
-	State    State  `json:"state"`
-	Error    string `json:"error,omitempty"`
-	Accepted int64  `json:"at"` // time of day, ms
-	Pages    int    `json:"pages"`
-	First    int64  `json:"first,omitempty"` // of the job ids that its submitter reserved
+	Shard      string `json:"shard"`
+	State      State  `json:"state"`
+	Error      string `json:"error,omitempty"`
+	AcceptedMS int64  `json:"at"` // time of day, ms
+	Pages      int    `json:"pages"`
+	FirstJobID int64  `json:"first,omitempty"` // of the job ids that its submitter reserved
 }
 
 // finalRecord is a run's one answer.
 type finalRecord struct {
-	State    State          `json:"state"`
-	Error    string         `json:"error,omitempty"`
-	Outputs  map[string]any `json:"outputs,omitempty"`
-	Accepted int64          `json:"at"`
-	Ended    int64          `json:"end"`
-	Jobs     int            `json:"jobs"`
+	State      State          `json:"state"`
+	Error      string         `json:"error,omitempty"`
+	Outputs    map[string]any `json:"outputs,omitempty"`
+	AcceptedMS int64          `json:"at"`
+	EndedMS    int64          `json:"end"`
+	Jobs       int            `json:"jobs"`
 }
 
 // Submission is a run as its user asks for it. The document is one of Document,
@@ -94,15 +94,15 @@
 }
 
 var (
-	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
-	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(cwl.DefaultLimits.Bytes)))
+	compressor, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(cwl.DefaultLimits.Bytes)))
 )
 
 // Pack compresses a document for a submission.
-func Pack(document []byte) []byte { return packer.EncodeAll(document, nil) }
+func Pack(document []byte) []byte { return compressor.EncodeAll(document, nil) }
 
-// inflate undoes Pack, for no more than so many bytes.
-func inflate(b []byte, limit int) ([]byte, error) {
+// decompress undoes Pack, for no more than so many bytes.
+func decompress(b []byte, limit int) ([]byte, error) {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(limit)))
 	if err != nil {
 		return nil, err
@@ -118,15 +118,15 @@
 	return out, nil
 }
 
-// maxBlob is how many characters a run's document and inputs may take in the
+// maxStoredChars is how many characters a run's document and inputs may take in the
 // store once compressed: they go in one transaction of 64 KiB.
-const maxBlob = 48 << 10
+const maxStoredChars = 48 << 10
 
-// pages writes a submission as values of the store.
-func pages(s *Submission, valueBytes int) ([]json.RawMessage, error) {
-	text := base64.StdEncoding.EncodeToString(packer.EncodeAll(extension.Encode(s), nil))
-	if len(text) > maxBlob {
-		return nil, fmt.Errorf("document and inputs take %d bytes compressed, more than %d", len(text), maxBlob)
+// encodePages writes a submission as values of the store.
+func encodePages(s *Submission, valueBytes int) ([]json.RawMessage, error) {
+	text := base64.StdEncoding.EncodeToString(compressor.EncodeAll(extension.Encode(s), nil))
+	if len(text) > maxStoredChars {
+		return nil, fmt.Errorf("document and inputs take %d bytes compressed, more than %d", len(text), maxStoredChars)
 	}
 	var out []json.RawMessage
 	for size := valueBytes - 2; len(text) > 0; {
@@ -137,8 +137,8 @@
 	return out, nil
 }
 
-// unpack reads them back.
-func unpack(values []json.RawMessage) (*Submission, error) {
+// decodePages reads them back.
+func decodePages(values []json.RawMessage) (*Submission, error) {
 	var text strings.Builder
 	for _, v := range values {
 		var s string
@@ -151,15 +151,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if b, err = unpacker.DecodeAll(b, nil); err != nil {
+	if b, err = decompressor.DecodeAll(b, nil); err != nil {
 		return nil, err
 	}
 	var s Submission
-	return &s, decode(b, &s)
+	return &s, decodeSubmission(b, &s)
 }
 
-// decode reads JSON whose inputs' whole numbers stay whole.
-func decode(b []byte, s *Submission) error {
+// decodeSubmission reads JSON whose inputs' whole numbers stay whole.
+func decodeSubmission(b []byte, s *Submission) error {
 	if err := json.Unmarshal(b, s); err != nil {
 		return err
 	}
@@ -176,10 +176,10 @@
 	return err
 }
 
-// load reads a submission's document.
-func (s *Submission) load(limits cwl.Limits) (*cwl.Process, error) {
+// loadDocument reads a submission's document.
+func (s *Submission) loadDocument(limits cwl.Limits) (*cwl.Process, error) {
 	if len(s.Packed) > 0 {
-		b, err := inflate(s.Packed, limits.Bytes)
+		b, err := decompress(s.Packed, limits.Bytes)
 		if err != nil {
 			return nil, err
 		}
@@ -196,9 +196,9 @@
 	})
 }
 
-// jobID is the id of a call's job: derived from the run and the path, or the
+// jobIDOf is the id of a call's job: derived from the run and the path, or the
 // call's place among the reserved ones.
-func jobID(run, path string, first int64, numbers map[string]int) string {
+func jobIDOf(run, path string, first int64, numbers map[string]int) string {
 	if first > 0 {
 		return "job-" + strconv.FormatInt(first+int64(numbers[path]), 10)
 	}
@@ -209,25 +209,25 @@
 	return "job-" + strconv.FormatUint(1e15+h.Sum64()%9e15, 10)
 }
 
-// number counts the tools that a process's steps run, by path. A scattered
+// numberTools counts the tools that a process's steps run, by path. A scattered
 // workflow has as many as its inputs say, so it has no such numbers.
-func number(p *cwl.Process, path string, out map[string]int) error {
+func numberTools(p *cwl.Process, path string, numbers map[string]int) error {
 	if p.Class != cwl.Flow {
-		p = alone(p)
+		p = singleStepWorkflow(p)
 	}
 	for _, s := range p.Steps {
-		at := s.ID
+		stepPath := s.ID
 		if path != "" {
-			at = path + "/" + at
+			stepPath = path + "/" + stepPath
 		}
 		switch s.Run.Class {
 		case cwl.Tool:
-			out[at] = len(out)
+			numbers[stepPath] = len(numbers)
 		case cwl.Flow:
 			if len(s.Scatter) > 0 {
-				return fmt.Errorf("step %s scatters a workflow: its jobs cannot be counted beforehand, so none can be reserved", at)
+				return fmt.Errorf("step %s scatters a workflow: its jobs cannot be counted beforehand, so none can be reserved", stepPath)
 			}
-			if err := number(s.Run, at, out); err != nil {
+			if err := numberTools(s.Run, stepPath, numbers); err != nil {
 				return err
 			}
 		}
--- a/workflow/run.go
+++ b/workflow/run.go
@@ -29,18 +29,18 @@
 	Tool   *cwl.Process
 	Inputs []map[string]any
 
-	state *stepState
-	slots []int // task: which of the scattered values it gives
-	over  bool
+	step   *stepState
+	slots  []int // task: which of the scattered values it gives
+	isOver bool
 }
 
 // frame is a workflow that runs, the whole or one that a step runs.
 type frame struct {
-	p     *cwl.Process
-	path  string
-	in    map[string]any
-	steps map[string]*stepState
-	left  int // steps that are not over
+	process        *cwl.Process
+	path           string
+	inputs         map[string]any
+	steps          map[string]*stepState
+	remainingSteps int // steps that are not over
 
 	parent *stepState // whose value at slot it gives
 	slot   int
@@ -48,53 +48,53 @@
 
 // stepState is a step that has begun.
 type stepState struct {
-	f       *frame
-	step    *cwl.Step
-	path    string
-	scatter cwl.Scatter
-	values  []map[string]any // by slot; nil: skipped
-	left    int              // slots without a value
-	outs    map[string]any   // once it is over
-	over    bool
+	frame         *frame
+	step          *cwl.Step
+	path          string
+	scatter       cwl.Scatter
+	values        []map[string]any // by slot; nil: skipped
+	missingValues int              // slots without a value
+	outputs       map[string]any   // once it is over
+	isOver        bool
 }
 
 // Run is a workflow's evaluation.
 type Run struct {
-	root  *frame
-	calls map[string]*Call // begun and not over
-	done  int              // calls that are over
-	fresh []*Call
-	err   error
-	outs  map[string]any
-	over  bool
+	root          *frame
+	calls         map[string]*Call // begun and not over
+	finishedCalls int              // calls that are over
+	newCalls      []*Call
+	err           error
+	outputs       map[string]any
+	isOver        bool
 
 	exploring bool
 }
 
 // New begins a run. A process that is no workflow runs as the one step of one.
-func New(p *cwl.Process, inputs map[string]any) (*Run, error) { return begin(p, inputs, false) }
+func New(p *cwl.Process, inputs map[string]any) (*Run, error) { return newRun(p, inputs, false) }
 
 // Explore begins a run that goes on past failures and is never over, for whoever
 // has to find every call that may have been started before a run was given up:
 // what does not depend on a failure is begun all the same.
-func Explore(p *cwl.Process, inputs map[string]any) (*Run, error) { return begin(p, inputs, true) }
+func Explore(p *cwl.Process, inputs map[string]any) (*Run, error) { return newRun(p, inputs, true) }
 
-func begin(p *cwl.Process, inputs map[string]any, exploring bool) (*Run, error) {
+func newRun(p *cwl.Process, inputs map[string]any, exploring bool) (*Run, error) {
 	in, err := p.CheckInputs(inputs)
 	if err != nil {
 		return nil, err
 	}
 	if p.Class != cwl.Flow {
-		p = alone(p)
+		p = singleStepWorkflow(p)
 	}
 	r := &Run{calls: map[string]*Call{}, exploring: exploring}
-	r.root = &frame{p: p, in: in, steps: map[string]*stepState{}, left: len(p.Steps)}
+	r.root = &frame{process: p, inputs: in, steps: map[string]*stepState{}, remainingSteps: len(p.Steps)}
 	r.advance(r.root)
 	return r, nil
 }
 
-// alone is a workflow of one step.
-func alone(p *cwl.Process) *cwl.Process {
+// singleStepWorkflow is a workflow of one step.
+func singleStepWorkflow(p *cwl.Process) *cwl.Process {
 	id := p.ID
 	if id == "" {
 		id = "main"
@@ -111,25 +111,25 @@
 	return w
 }
 
-// Fresh gives the calls that are to be started, each once.
-func (r *Run) Fresh() []*Call {
-	f := r.fresh
-	r.fresh = nil
+// TakeNewCalls gives the calls that are to be started, each once.
+func (r *Run) TakeNewCalls() []*Call {
+	f := r.newCalls
+	r.newCalls = nil
 	return f
 }
 
-// Over tells whether the run has ended; then Outputs or Err say how. Calls may
+// IsOver tells whether the run has ended; then Outputs or Err say how. Calls may
 // still be under way when it failed.
-func (r *Run) Over() bool { return r.over }
+func (r *Run) IsOver() bool { return r.isOver }
 
 // Outputs gives what the workflow gave.
-func (r *Run) Outputs() map[string]any { return r.outs }
+func (r *Run) Outputs() map[string]any { return r.outputs }
 
 // Err says why the workflow failed, or nothing.
 func (r *Run) Err() error { return r.err }
 
-// Open lists the calls that have begun and are not over, by path.
-func (r *Run) Open() []*Call {
+// OpenCalls lists the calls that have begun and are not over, by path.
+func (r *Run) OpenCalls() []*Call {
 	out := slices.Collect(maps.Values(r.calls))
 	slices.SortFunc(out, func(a, b *Call) int {
 		if a.Path < b.Path {
@@ -140,74 +140,74 @@
 	return out
 }
 
-// Done takes the outputs of a call's tasks, in their order. It may be called
+// CompleteCall takes the outputs of a call's tasks, in their order. It may be called
 // again: a call is over once.
-func (r *Run) Done(path string, outs []map[string]any) {
+func (r *Run) CompleteCall(path string, outputs []map[string]any) {
 	c := r.calls[path]
-	if c == nil || c.over {
+	if c == nil || c.isOver {
 		return
 	}
-	c.over = true
+	c.isOver = true
 	delete(r.calls, path)
-	r.done++
-	if r.over {
+	r.finishedCalls++
+	if r.isOver {
 		return
 	}
-	if len(outs) != len(c.Inputs) {
-		r.fail(path, fmt.Errorf("%d of %d tasks gave outputs", len(outs), len(c.Inputs)))
+	if len(outputs) != len(c.Inputs) {
+		r.fail(path, fmt.Errorf("%d of %d tasks gave outputs", len(outputs), len(c.Inputs)))
 		return
 	}
-	for i, o := range outs {
+	for i, o := range outputs {
 		if err := c.Tool.CheckOutputs(o); err != nil {
 			r.fail(path, fmt.Errorf("task %d: %w", i, err))
 			return
 		}
-		c.state.values[c.slots[i]] = o
+		c.step.values[c.slots[i]] = o
 	}
-	c.state.left -= len(outs)
-	r.settle(c.state)
+	c.step.missingValues -= len(outputs)
+	r.finishStepIfComplete(c.step)
 }
 
-// Fail takes the failure of a call: the run fails, and starts nothing more.
-func (r *Run) Fail(path string, err error) {
-	if c := r.calls[path]; c != nil && !c.over {
-		c.over = true
+// FailCall takes the failure of a call: the run fails, and starts nothing more.
+func (r *Run) FailCall(path string, err error) {
+	if c := r.calls[path]; c != nil && !c.isOver {
+		c.isOver = true
 		delete(r.calls, path)
-		r.done++
+		r.finishedCalls++
 		r.fail(path, err)
 	}
 }
 
 func (r *Run) fail(path string, err error) {
-	if r.over || r.exploring {
+	if r.isOver || r.exploring {
 		return
 	}
 	if path != "" {
 		err = fmt.Errorf("step %s: %w", path, err)
 	}
-	r.err, r.over, r.fresh = err, true, nil
+	r.err, r.isOver, r.newCalls = err, true, nil
 }
 
 // advance begins the steps of a frame whose sources are all there, and ends the
 // frame after the last.
 func (r *Run) advance(f *frame) {
-	for _, s := range f.p.Steps {
-		if r.over || f.steps == nil {
+	for _, s := range f.process.Steps {
+		if r.isOver || f.steps == nil {
 			return
 		}
-		if f.steps[s.ID] == nil && f.ready(s) {
-			r.begin(f, s)
+		if f.steps[s.ID] == nil && f.isReady(s) {
+			r.beginStep(f, s)
 		}
 	}
-	if f.left == 0 && f.steps != nil && !r.over {
+	if f.remainingSteps == 0 && f.steps != nil && !r.isOver {
 		r.endFrame(f)
 	}
 }
 
-func (f *frame) ready(s *cwl.Step) bool {
+func (f *frame) isReady(s *cwl.Step) bool {
 	for _, in := range s.In {
 		for _, src := range in.Link.Source {
-			if id, _, ok := cutStep(src); ok && (f.steps[id] == nil || !f.steps[id].over) {
+			if id, _, ok := splitSource(src); ok && (f.steps[id] == nil || !f.steps[id].isOver) {
 				return false
 			}
 		}
@@ -215,8 +215,8 @@
 	return true
 }
 
-// cutStep splits "step/output"; an input of the workflow has no step.
-func cutStep(src string) (step, out string, ok bool) {
+// splitSource splits "step/output"; an input of the workflow has no step.
+func splitSource(src string) (step, out string, ok bool) {
 	for i := len(src) - 1; i > 0; i-- {
 		if src[i] == '/' {
 			return src[:i], src[i+1:], true
@@ -225,27 +225,27 @@
 	return "", src, false
 }
 
-func (f *frame) get(src string) any {
-	if id, out, ok := cutStep(src); ok {
-		return f.steps[id].outs[out]
+func (f *frame) valueOf(src string) any {
+	if id, out, ok := splitSource(src); ok {
+		return f.steps[id].outputs[out]
 	}
-	return f.in[src]
+	return f.inputs[src]
 }
 
-// stepTime bounds the evaluation of one step's expressions, all its tasks
+// maxStepEvaluation bounds the evaluation of one step's expressions, all its tasks
 // together: each is bounded by itself, but a step may have 100,000 tasks, and
 // other runs of the member wait.
-const stepTime = 30 * time.Second
+const maxStepEvaluation = 30 * time.Second
 
-func (r *Run) begin(f *frame, s *cwl.Step) {
-	began := time.Now()
+func (r *Run) beginStep(f *frame, s *cwl.Step) {
+	startedAt := time.Now()
 	path := s.ID
 	if f.path != "" {
 		path = f.path + "/" + s.ID
 	}
-	st := &stepState{f: f, step: s, path: path}
+	st := &stepState{frame: f, step: s, path: path}
 	f.steps[s.ID] = st
-	in, err := s.StepInputs(f.get)
+	in, err := s.StepInputs(f.valueOf)
 	if err == nil {
 		st.scatter, err = s.Deal(in)
 	}
@@ -254,21 +254,21 @@
 		return
 	}
 	n := len(st.scatter.Inputs)
-	st.values, st.left = make([]map[string]any, n), n
-	call := &Call{Path: path, Tool: s.Run, state: st}
+	st.values, st.missingValues = make([]map[string]any, n), n
+	call := &Call{Path: path, Tool: s.Run, step: st}
 	var frames []*frame
-	for i, given := range st.scatter.Inputs {
-		where := path
+	for i, inputs := range st.scatter.Inputs {
+		slotPath := path
 		if len(s.Scatter) > 0 {
-			where = fmt.Sprintf("%s[%d]", path, i)
+			slotPath = fmt.Sprintf("%s[%d]", path, i)
 		}
-		if i%64 == 63 && time.Since(began) > stepTime {
-			r.fail(path, fmt.Errorf("its expressions take longer than %v", stepTime))
+		if i%64 == 63 && time.Since(startedAt) > maxStepEvaluation {
+			r.fail(path, fmt.Errorf("its expressions take longer than %v", maxStepEvaluation))
 			return
 		}
-		sub, err := call.add(i, where, given)
+		sub, err := call.addSlot(i, slotPath, inputs)
 		if err != nil {
-			r.fail(where, err)
+			r.fail(slotPath, err)
 			return
 		}
 		if sub != nil {
@@ -278,88 +278,88 @@
 	st.scatter.Inputs = nil
 	if len(call.Inputs) > 0 {
 		r.calls[path] = call
-		r.fresh = append(r.fresh, call)
+		r.newCalls = append(r.newCalls, call)
 	}
 	for _, x := range frames {
-		if !r.over {
+		if !r.isOver {
 			r.advance(x)
 		}
 	}
-	r.settle(st)
+	r.finishStepIfComplete(st)
 }
 
-// add takes one set of a step's inputs: into the call of a tool, as the value of
+// addSlot takes one set of a step's inputs: into the call of a tool, as the value of
 // an expression, or as the frame of a workflow, which is returned. A step whose
 // condition does not hold is not run.
-func (c *Call) add(slot int, path string, given map[string]any) (*frame, error) {
-	st := c.state
+func (c *Call) addSlot(slot int, path string, inputs map[string]any) (*frame, error) {
+	st := c.step
 	s := st.step
-	given, run, err := s.Finish(given)
+	inputs, run, err := s.Finish(inputs)
 	if err != nil {
 		return nil, err
 	}
 	if !run {
-		st.left--
+		st.missingValues--
 		return nil, nil
 	}
-	if given, err = s.Run.ForRun(given); err != nil {
+	if inputs, err = s.Run.ForRun(inputs); err != nil {
 		return nil, err
 	}
 	switch s.Run.Class {
 	case cwl.Tool:
-		c.Inputs = append(c.Inputs, given)
+		c.Inputs = append(c.Inputs, inputs)
 		c.slots = append(c.slots, slot)
 	case cwl.Expression:
-		out, err := s.Run.RunExpression(given)
+		out, err := s.Run.RunExpression(inputs)
 		if err != nil {
 			return nil, err
 		}
 		st.values[slot] = out
-		st.left--
+		st.missingValues--
 	case cwl.Flow:
-		return &frame{p: s.Run, path: path, in: given, steps: map[string]*stepState{}, left: len(s.Run.Steps), parent: st, slot: slot}, nil
+		return &frame{process: s.Run, path: path, inputs: inputs, steps: map[string]*stepState{}, remainingSteps: len(s.Run.Steps), parent: st, slot: slot}, nil
 	}
 	return nil, nil
 }
 
-// settle ends a step that has all its values, and goes on with its frame.
-func (r *Run) settle(st *stepState) {
-	if st.left > 0 || st.over || r.over {
+// finishStepIfComplete ends a step that has all its values, and goes on with its frame.
+func (r *Run) finishStepIfComplete(st *stepState) {
+	if st.missingValues > 0 || st.isOver || r.isOver {
 		return
 	}
-	st.over, st.outs = true, map[string]any{}
+	st.isOver, st.outputs = true, map[string]any{}
 	for _, id := range st.step.Out {
 		values := make([]any, len(st.values))
 		for i, v := range st.values {
 			values[i] = v[id]
 		}
-		st.outs[id] = st.scatter.Gather(st.step, values)
+		st.outputs[id] = st.scatter.Gather(st.step, values)
 	}
 	st.values = nil
-	st.f.left--
-	r.advance(st.f)
+	st.frame.remainingSteps--
+	r.advance(st.frame)
 }
 
 func (r *Run) endFrame(f *frame) {
 	outs := map[string]any{}
-	for _, o := range f.p.Outputs {
-		v, err := o.Link.Value(f.get)
+	for _, o := range f.process.Outputs {
+		v, err := o.Link.Value(f.valueOf)
 		if err != nil {
 			r.fail(f.path, fmt.Errorf("outputs.%s: %w", o.ID, err))
 			return
 		}
 		outs[o.ID] = v
 	}
-	if err := f.p.CheckOutputs(outs); err != nil {
+	if err := f.process.CheckOutputs(outs); err != nil {
 		r.fail(f.path, err)
 		return
 	}
 	f.steps = nil
 	if f.parent == nil {
-		r.outs, r.over = outs, !r.exploring
+		r.outputs, r.isOver = outs, !r.exploring
 		return
 	}
 	f.parent.values[f.slot] = outs
-	f.parent.left--
-	r.settle(f.parent)
+	f.parent.missingValues--
+	r.finishStepIfComplete(f.parent)
 }
--- a/workflow/run_test.go
+++ b/workflow/run_test.go
@@ -11,74 +11,74 @@
 	"github.com/grebedock/grebedock/cwl"
 )
 
-// plan writes a random workflow. Values are whole numbers and lists of them;
+// workflowGenerator writes a random workflow. Values are whole numbers and lists of them;
 // its tools add and sum, so that a plain evaluation gives the same.
-type plan struct {
+type workflowGenerator struct {
 	rng   *rand.Rand
 	depth int
 }
 
-type obj = map[string]any
+type object = map[string]any
 
-var addTool = obj{"class": "CommandLineTool", "id": "add", "baseCommand": "add", "inputs": obj{"x": "int", "y": "int"}, "outputs": obj{"z": "int"}}
-var sumTool = obj{"class": "CommandLineTool", "id": "sum", "baseCommand": "sum", "inputs": obj{"xs": "int[]"}, "outputs": obj{"z": "int"}}
-var threeTool = obj{"class": "ExpressionTool", "id": "three", "requirements": []any{obj{"class": "InlineJavascriptRequirement"}},
-	"inputs": obj{"x": "int"}, "outputs": obj{"zs": "int[]"}, "expression": "$({zs: [inputs.x, inputs.x + 1, inputs.x % 5]})"}
+var addTool = object{"class": "CommandLineTool", "id": "add", "baseCommand": "add", "inputs": object{"x": "int", "y": "int"}, "outputs": object{"z": "int"}}
+var sumTool = object{"class": "CommandLineTool", "id": "sum", "baseCommand": "sum", "inputs": object{"xs": "int[]"}, "outputs": object{"z": "int"}}
+var threeTool = object{"class": "ExpressionTool", "id": "three", "requirements": []any{object{"class": "InlineJavascriptRequirement"}},
+	"inputs": object{"x": "int"}, "outputs": object{"zs": "int[]"}, "expression": "$({zs: [inputs.x, inputs.x + 1, inputs.x % 5]})"}
 
-func (p *plan) flow(steps int) obj {
+func (p *workflowGenerator) generate(steps int) object {
 	ints, lists, maybes := []string{"a", "b"}, []string{"l"}, []string{}
 	pick := func(of []string) string { return of[p.rng.IntN(len(of))] }
 	list := []any{}
 	for i := range steps {
 		id := fmt.Sprintf("s%d", i)
-		step := obj{"id": id, "out": []any{"z"}}
+		step := object{"id": id, "out": []any{"z"}}
 		switch k := p.rng.IntN(9); {
 		case k == 0:
-			step["run"], step["in"], step["out"] = threeTool, obj{"x": pick(ints)}, []any{"zs"}
+			step["run"], step["in"], step["out"] = threeTool, object{"x": pick(ints)}, []any{"zs"}
 			lists = append(lists, id+"/zs")
 		case k == 1:
-			step["run"], step["in"] = sumTool, obj{"xs": pick(lists)}
+			step["run"], step["in"] = sumTool, object{"xs": pick(lists)}
 			ints = append(ints, id+"/z")
 		case k == 2:
-			step["run"], step["scatter"], step["in"] = addTool, "x", obj{"x": pick(lists), "y": pick(ints)}
+			step["run"], step["scatter"], step["in"] = addTool, "x", object{"x": pick(lists), "y": pick(ints)}
 			lists = append(lists, id+"/z")
 		case k == 3:
-			step["run"], step["scatter"], step["in"] = addTool, []any{"x", "y"}, obj{"x": pick(lists), "y": pick(lists)}
+			step["run"], step["scatter"], step["in"] = addTool, []any{"x", "y"}, object{"x": pick(lists), "y": pick(lists)}
 			step["scatterMethod"] = "flat_crossproduct"
 			lists = append(lists, id+"/z")
 		case k == 4:
-			step["run"], step["when"], step["in"] = addTool, "$(inputs.x % 2 == 0)", obj{"x": pick(ints), "y": obj{"source": pick(ints), "valueFrom": "$(self + 2)"}}
+			step["run"], step["when"], step["in"] = addTool, "$(inputs.x % 2 == 0)", object{"x": pick(ints), "y": object{"source": pick(ints), "valueFrom": "$(self + 2)"}}
 			maybes = append(maybes, id+"/z")
 		case k == 5 && len(maybes) > 0:
-			step["run"], step["in"] = addTool, obj{"x": obj{"source": []any{pick(maybes), pick(ints)}, "pickValue": "first_non_null"}, "y": pick(ints)}
+			step["run"], step["in"] = addTool, object{"x": object{"source": []any{pick(maybes), pick(ints)}, "pickValue": "first_non_null"}, "y": pick(ints)}
 			ints = append(ints, id+"/z")
 		case k == 6 && p.depth < 2:
 			p.depth++
-			step["run"], step["in"], step["out"] = p.flow(1+p.rng.IntN(4)), obj{"a": pick(ints), "b": pick(ints), "l": pick(lists)}, []any{"r"}
+			step["run"], step["in"], step["out"] = p.generate(1+p.rng.IntN(4)), object{"a": pick(ints), "b": pick(ints), "l": pick(lists)}, []any{"r"}
 			p.depth--
 			ints = append(ints, id+"/r")
 		case k == 7 && p.depth < 1:
 			p.depth++
-			step["run"], step["in"], step["out"] = p.flow(1+p.rng.IntN(3)), obj{"a": pick(lists), "b": pick(ints), "l": pick(lists)}, []any{"r"}
+			step["run"], step["in"], step["out"] = p.generate(1+p.rng.IntN(3)), object{"a": pick(lists), "b": pick(ints), "l": pick(lists)}, []any{"r"}
 			step["scatter"] = "a"
 			p.depth--
 			lists = append(lists, id+"/r")
 		case k == 8:
-			step["run"], step["in"] = sumTool, obj{"xs": obj{"source": []any{pick(lists), pick(lists)}, "linkMerge": "merge_flattened"}}
+			step["run"], step["in"] = sumTool, object{"xs": object{"source": []any{pick(lists), pick(lists)}, "linkMerge": "merge_flattened"}}
 			ints = append(ints, id+"/z")
 		default:
-			step["run"], step["in"] = addTool, obj{"x": pick(ints), "y": pick(ints)}
+			step["run"], step["in"] = addTool, object{"x": pick(ints), "y": pick(ints)}
 			ints = append(ints, id+"/z")
 		}
 		list = append(list, step)
 	}
 	p.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return obj{"class": "Workflow", "requirements": []any{obj{"class": "InlineJavascriptRequirement"}},
-		"inputs": obj{"a": "int", "b": "int", "l": "int[]"}, "steps": list,
-		"outputs": obj{"r": obj{"type": "int", "outputSource": ints[len(ints)-1]}, "rs": obj{"type": "int[]", "outputSource": lists[len(lists)-1]}}}
+	return object{"class": "Workflow", "requirements": []any{object{"class": "InlineJavascriptRequirement"}},
+		"inputs": object{"a": "int", "b": "int", "l": "int[]"}, "steps": list,
+		"outputs": object{"r": object{"type": "int", "outputSource": ints[len(ints)-1]}, "rs": object{"type": "int[]", "outputSource": lists[len(lists)-1]}}}
 }
 
-func document(t testing.TB, doc obj) (*cwl.Process, []byte) {
+func loadDocument(t testing.TB, doc object) (*cwl.Process, []byte) {
 	t.Helper()
 	doc["cwlVersion"] = cwl.Version
 	b, err := json.Marshal(doc)
@@ -92,8 +92,8 @@
 	return p, b
 }
 
-// tool does what a worker does. Some inputs make it fail.
-func tool(p *cwl.Process, in map[string]any) (map[string]any, error) {
+// evaluateTool does what a worker does. Some inputs make it fail.
+func evaluateTool(p *cwl.Process, in map[string]any) (map[string]any, error) {
 	n := func(v any) int64 { i, _ := v.(int64); return i }
 	var z int64
 	if p.ID == "add" {
@@ -108,11 +108,11 @@
 	return map[string]any{"z": z % 1000}, nil
 }
 
-// plainly evaluates a process step after step, without any of Run's code.
-func plainly(p *cwl.Process, in map[string]any) (map[string]any, error) {
+// evaluateDirectly evaluates a process step after step, without any of Run's code.
+func evaluateDirectly(p *cwl.Process, in map[string]any) (map[string]any, error) {
 	switch p.Class {
 	case cwl.Tool:
-		return tool(p, in)
+		return evaluateTool(p, in)
 	case cwl.Expression:
 		return p.RunExpression(in)
 	}
@@ -122,11 +122,11 @@
 	}
 	get := func(s string) any { return values[s] }
 	for _, s := range p.Steps {
-		given, err := s.StepInputs(get)
+		inputs, err := s.StepInputs(get)
 		if err != nil {
 			return nil, err
 		}
-		sc, err := s.Deal(given)
+		sc, err := s.Deal(inputs)
 		if err != nil {
 			return nil, err
 		}
@@ -138,7 +138,7 @@
 			}
 			out := map[string]any{}
 			if run {
-				if out, err = plainly(s.Run, s.Run.Complete(x)); err != nil {
+				if out, err = evaluateDirectly(s.Run, s.Run.Complete(x)); err != nil {
 					return nil, err
 				}
 			}
@@ -161,19 +161,19 @@
 	return outs, nil
 }
 
-func generated(t testing.TB, seed uint64) (p *cwl.Process, doc []byte, in map[string]any) {
+func generateWorkflow(t testing.TB, seed uint64) (p *cwl.Process, doc []byte, in map[string]any) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	p, doc = document(t, (&plan{rng: rng}).flow(1+rng.IntN(12)))
+	p, doc = loadDocument(t, (&workflowGenerator{rng: rng}).generate(1+rng.IntN(12)))
 	return p, doc, map[string]any{"a": rng.Int64N(20), "b": rng.Int64N(20), "l": []any{rng.Int64N(9), rng.Int64N(9)}}
 }
 
 // Whatever the order in which jobs end, a run gives what a plain evaluation
 // does, and fails where that fails.
-func TestRunEqualsPlainEvaluation(t *testing.T) {
+func TestRunEqualsDirectEvaluation(t *testing.T) {
 	failed, tasks := 0, 0
 	for seed := range uint64(250) {
-		p, _, in := generated(t, seed)
-		want, wantErr := plainly(p, in)
+		p, _, in := generateWorkflow(t, seed)
+		want, wantErr := evaluateDirectly(p, in)
 		rng := rand.New(rand.NewPCG(seed, 1))
 		r, err := New(p, in)
 		if err != nil {
@@ -181,8 +181,8 @@
 		}
 		started := map[string]bool{}
 		var open []*Call
-		for !r.Over() || len(open) > 0 {
-			for _, c := range r.Fresh() {
+		for !r.IsOver() || len(open) > 0 {
+			for _, c := range r.TakeNewCalls() {
 				if started[c.Path] {
 					t.Fatalf("seed %d: %s is started twice", seed, c.Path)
 				}
@@ -198,7 +198,7 @@
 			var outs []map[string]any
 			var fault error
 			for _, x := range c.Inputs {
-				o, err := tool(c.Tool, x)
+				o, err := evaluateTool(c.Tool, x)
 				if err != nil {
 					fault = err
 				}
@@ -206,13 +206,13 @@
 				tasks++
 			}
 			if fault != nil {
-				r.Fail(c.Path, fault)
+				r.FailCall(c.Path, fault)
 			} else {
-				r.Done(c.Path, outs)
-				r.Done(c.Path, outs)
+				r.CompleteCall(c.Path, outs)
+				r.CompleteCall(c.Path, outs)
 			}
 		}
-		if !r.Over() {
+		if !r.IsOver() {
 			t.Fatalf("seed %d: nothing is open and the run is not over", seed)
 		}
 		if (wantErr != nil) != (r.Err() != nil) {
