--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -54,8 +54,16 @@
 
 // StartPlatform starts a site.
 func StartPlatform(o Options) (*Platform, error) {
-	s := &Platform{startedAt: time.Now(), state: NewState(), cloud: NewCloud(o.Types, o.Capacity), jobs: map[string]*scheduler.Job{}, workers: map[string]*Worker{},
-		members: o.Members, stop: make(chan struct{}), servers: map[string]*fiber.App{}}
+	s := &Platform{
+		startedAt: time.Now(),
+		state:     NewState(),
+		cloud:     NewCloud(o.Types, o.Capacity),
+		jobs:      map[string]*scheduler.Job{},
+		workers:   map[string]*Worker{},
+		members:   o.Members,
+		stop:      make(chan struct{}),
+		servers:   map[string]*fiber.App{},
+	}
 	s.cloud.OnProvisioned = func(r *Instance) {
 		r.State = "running"
 		var t scheduler.MachineType
@@ -154,7 +162,10 @@
 		if s.workers[w.Machine.ID] != w {
 			return c.SendStatus(503)
 		}
-		r := w.ApplyDirectCommand(s.now(), scheduler.DirectCommand{Token: *b.Token, Incarnation: *b.Incarnation, Commands: decodeCommands(b.Commands)})
+		r := w.ApplyDirectCommand(
+			s.now(),
+			scheduler.DirectCommand{Token: *b.Token, Incarnation: *b.Incarnation, Commands: decodeCommands(b.Commands)},
+		)
 		if r.Outcome == scheduler.Conflict {
 			c.Status(409)
 		}
@@ -179,7 +190,10 @@
 func decodeCommands(bodies []commandBody) []scheduler.Command {
 	var out []scheduler.Command
 	for _, c := range bodies {
-		out = append(out, scheduler.Command{Kind: commandKinds[c.Command], Task: strings.Clone(c.Task), Attempt: c.Attempt, GraceS: c.GraceS})
+		out = append(
+			out,
+			scheduler.Command{Kind: commandKinds[c.Command], Task: strings.Clone(c.Task), Attempt: c.Attempt, GraceS: c.GraceS},
+		)
 	}
 	return out
 }
@@ -187,7 +201,10 @@
 func heartbeatBody(r *scheduler.Heartbeat) fiber.Map {
 	tasks := []fiber.Map{}
 	for _, t := range r.Tasks {
-		tasks = append(tasks, fiber.Map{"chick": t.Task, "try": t.Attempt, "stance": taskStateNames[t.State], "cause": exitReasonNames[t.Reason]})
+		tasks = append(
+			tasks,
+			fiber.Map{"chick": t.Task, "try": t.Attempt, "stance": taskStateNames[t.State], "cause": exitReasonNames[t.Reason]},
+		)
 	}
 	return fiber.Map{"berth": r.Machine, "addr": r.Addr, "hull": r.Type, "marsh": r.Zone, "driftwood": r.Spot,
 		"dive": r.Incarnation, "tally": r.Seq, "baton": r.Token, "ebb_s": nil, "chicks": tasks}
@@ -291,7 +308,10 @@
 func (s *Platform) stateServer() *fiber.App {
 	app := newServer()
 	app.Get("/keys", func(c *fiber.Ctx) error {
-		return s.applyStoreOp(c, scheduler.StoreOp{Kind: scheduler.StoreList, Key: c.Query("prefix"), StartAfter: c.Query("from")})
+		return s.applyStoreOp(
+			c,
+			scheduler.StoreOp{Kind: scheduler.StoreList, Key: c.Query("prefix"), StartAfter: c.Query("from")},
+		)
 	})
 	app.Get("/keys/*", func(c *fiber.Ctx) error {
 		return s.applyStoreOp(c, scheduler.StoreOp{Kind: scheduler.StoreGet, Key: c.Params("*")})
@@ -363,15 +383,39 @@
 	app.Get("/catalog", func(c *fiber.Ctx) error {
 		types := []fiber.Map{}
 		for _, t := range run(scheduler.CloudOp{Kind: scheduler.CloudCatalog}).Types {
-			types = append(types, fiber.Map{"sku": t.Name, "cpus": t.Resources.CPUs, "cards": t.Resources.GPUs, "memory_gb": t.Resources.MemoryGB, "local_gb": t.Resources.DiskGB,
-				"pull_gb_per_s": t.ImageFetchGBps, "hourly": t.Price, "market_price": t.SpotPrice, "ready_s": t.BootS, "marshes": t.Zones})
+			types = append(
+				types,
+				fiber.Map{
+					"sku":           t.Name,
+					"cpus":          t.Resources.CPUs,
+					"cards":         t.Resources.GPUs,
+					"memory_gb":     t.Resources.MemoryGB,
+					"local_gb":      t.Resources.DiskGB,
+					"pull_gb_per_s": t.ImageFetchGBps,
+					"hourly":        t.Price,
+					"market_price":  t.SpotPrice,
+					"ready_s":       t.BootS,
+					"marshes":       t.Zones,
+				},
+			)
 		}
 		return c.JSON(fiber.Map{"hulls": types})
 	})
 	app.Get("/rentals", func(c *fiber.Ctx) error {
 		list := []fiber.Map{}
 		for _, l := range run(scheduler.CloudOp{Kind: scheduler.CloudList, StartAfter: c.Query("from")}).List {
-			list = append(list, fiber.Map{"ref": l.ID, "addr": l.Addr, "hull": l.Type, "marsh": l.Zone, "driftwood": l.Spot, "stance": l.State, "held_s": l.AgeS})
+			list = append(
+				list,
+				fiber.Map{
+					"ref":       l.ID,
+					"addr":      l.Addr,
+					"hull":      l.Type,
+					"marsh":     l.Zone,
+					"driftwood": l.Spot,
+					"stance":    l.State,
+					"held_s":    l.AgeS,
+				},
+			)
 		}
 		return c.JSON(fiber.Map{"berths": list, "more": false})
 	})
@@ -386,7 +430,16 @@
 		if err := json.Unmarshal(c.Body(), &b); err != nil {
 			return c.SendStatus(400)
 		}
-		r := run(scheduler.CloudOp{Kind: scheduler.CloudProvision, IdempotencyKey: b.RequestID, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.HowMany})
+		r := run(
+			scheduler.CloudOp{
+				Kind:           scheduler.CloudProvision,
+				IdempotencyKey: b.RequestID,
+				Type:           b.Type,
+				Zone:           b.Zone,
+				Spot:           b.Spot,
+				Count:          b.HowMany,
+			},
+		)
 		if r.Outcome == scheduler.NotFound {
 			return c.Status(503).JSON(fiber.Map{"error": "no capacity"})
 		}
@@ -408,15 +461,35 @@
 // The protocol's words for states, causes and commands, written here again so
 // that a mistake in the program's own table is seen.
 var (
-	taskStateNames  = map[string]string{"fetching": "fetching", "running": "running", "saving": "saving", "exited": "ended"}
-	exitReasonNames = map[string]string{"": "", "done": "done", "stopped": "stopped", "error": "error", "no_room": "full", "busy": "in_use", "unknown": "unknown"}
-	commandKinds    = map[string]scheduler.CommandKind{"launch": scheduler.CommandStart, "halt": scheduler.CommandStop, "clear": scheduler.CommandForget}
+	taskStateNames = map[string]string{
+		"fetching": "fetching",
+		"running":  "running",
+		"saving":   "saving",
+		"exited":   "ended",
+	}
+	exitReasonNames = map[string]string{
+		"":        "",
+		"done":    "done",
+		"stopped": "stopped",
+		"error":   "error",
+		"no_room": "full",
+		"busy":    "in_use",
+		"unknown": "unknown",
+	}
+	commandKinds = map[string]scheduler.CommandKind{
+		"launch": scheduler.CommandStart,
+		"halt":   scheduler.CommandStop,
+		"clear":  scheduler.CommandForget,
+	}
 )
 
 // sendHeartbeats lets a worker report until the site or its machine ends.
 func (s *Platform) sendHeartbeats(w *Worker) {
 	memberIndex := 0
-	client := &http.Client{Timeout: 4 * time.Second, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	client := &http.Client{
+		Timeout:       4 * time.Second,
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
 	for {
 		select {
 		case <-s.stop:
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -200,10 +200,28 @@
 func (w *Worker) Heartbeat() scheduler.Heartbeat {
 	w.sequence++
 	w.HasChanges = false
-	r := scheduler.Heartbeat{Machine: w.Machine.ID, Addr: w.Machine.Addr, Type: w.Machine.Type, Zone: w.Machine.Zone, Spot: w.Machine.Spot,
-		Incarnation: w.Incarnation, Seq: w.sequence, Token: w.fencingToken, TerminationNoticeS: w.NoticeS}
+	r := scheduler.Heartbeat{
+		Machine:            w.Machine.ID,
+		Addr:               w.Machine.Addr,
+		Type:               w.Machine.Type,
+		Zone:               w.Machine.Zone,
+		Spot:               w.Machine.Spot,
+		Incarnation:        w.Incarnation,
+		Seq:                w.sequence,
+		Token:              w.fencingToken,
+		TerminationNoticeS: w.NoticeS,
+	}
 	for _, t := range w.Tasks() {
-		r.Tasks = append(r.Tasks, scheduler.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, Reason: t.Reason, Checkpointed: t.Checkpointed})
+		r.Tasks = append(
+			r.Tasks,
+			scheduler.TaskStatus{
+				Task:         t.Name,
+				Attempt:      t.Attempt,
+				State:        t.State,
+				Reason:       t.Reason,
+				Checkpointed: t.Checkpointed,
+			},
+		)
 	}
 	return r
 }
--- a/internal/toolrun/toolrun.go
+++ b/internal/toolrun/toolrun.go
@@ -182,7 +182,14 @@
 	if err != nil {
 		return nil, err
 	}
-	runtime := map[string]any{"outdir": out, "tmpdir": tmp, "cores": int64(max(1, resources.CPUs)), "ram": int64(resources.MemoryGB * 1e9 / (1 << 20)), "outdirSize": int64(1024), "tmpdirSize": int64(1024)}
+	runtime := map[string]any{
+		"outdir":     out,
+		"tmpdir":     tmp,
+		"cores":      int64(max(1, resources.CPUs)),
+		"ram":        int64(resources.MemoryGB * 1e9 / (1 << 20)),
+		"outdirSize": int64(1024),
+		"tmpdirSize": int64(1024),
+	}
 	c, err := p.CommandLine(inputs, runtime)
 	if err != nil {
 		return nil, err
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -12,25 +12,57 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-var sampleHeartbeat = []byte(`{"berth":"i-000231","addr":"10.1.0.232:9000","hull":"g8","marsh":"a","driftwood":true,"dive":1,"tally":88,"baton":41,"ebb_s":null,
+var sampleHeartbeat = []byte(
+	`{"berth":"i-000231","addr":"10.1.0.232:9000","hull":"g8","marsh":"a","driftwood":true,"dive":1,"tally":88,"baton":41,"ebb_s":null,
  "chicks":[{"chick":"job-000412/3","try":283467841537,"stance":"running"},{"chick":"job-000398/0","try":283467841538,"stance":"running"},
- {"chick":"job-000398/1","try":283467841539,"stance":"ended","cause":"done"}]}`)
+ {"chick":"job-000398/1","try":283467841539,"stance":"ended","cause":"done"}]}`,
+)
 
 // The quick decoder reads what the standard one reads, as the standard one does,
 // and keeps nothing of the body: the server uses its buffer again.
 func TestQuickDecoderMatchesStandardDecoder(t *testing.T) {
-	text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"i-1", "job-000001/0", "\u2028", `"\`, "ended", "full"}))
-	value := rapid.OneOf(rapid.Just(any(nil)), rapid.Map(text, func(s string) any { return s }), rapid.Map(rapid.Uint64(), func(n uint64) any { return n }),
-		rapid.Map(rapid.Float64Range(-1e300, 1e300), func(f float64) any { return f }), rapid.Just(any([]any{1, "a", nil})), rapid.Just(any(map[string]any{"try": 1.5})))
+	text := rapid.OneOf(
+		rapid.String(),
+		rapid.SampledFrom([]string{"i-1", "job-000001/0", "\u2028", `"\`, "ended", "full"}),
+	)
+	value := rapid.OneOf(
+		rapid.Just(any(nil)),
+		rapid.Map(text, func(s string) any { return s }),
+		rapid.Map(rapid.Uint64(), func(n uint64) any { return n }),
+		rapid.Map(
+			rapid.Float64Range(-1e300, 1e300),
+			func(f float64) any { return f },
+		),
+		rapid.Just(any([]any{1, "a", nil})),
+		rapid.Just(any(map[string]any{"try": 1.5})),
+	)
 	rapid.Check(t, func(t *rapid.T) {
-		b := heartbeatBody{Machine: text.Draw(t, "machine"), Addr: text.Draw(t, "addr"), Type: text.Draw(t, "type"), Spot: rapid.Bool().Draw(t, "spot"),
-			Incarnation: rapid.Uint64().Draw(t, "session"), Seq: rapid.Uint64().Draw(t, "seq"), Token: rapid.Uint64().Draw(t, "token")}
+		b := heartbeatBody{
+			Machine: text.Draw(t, "machine"),
+			Addr:    text.Draw(t, "addr"),
+			Type:    text.Draw(t, "type"),
+			Spot:    rapid.Bool().Draw(t, "spot"),
+			Incarnation: rapid.Uint64().Draw(
+				t,
+				"session",
+			),
+			Seq:   rapid.Uint64().Draw(t, "seq"),
+			Token: rapid.Uint64().Draw(t, "token"),
+		}
 		if rapid.Bool().Draw(t, "noticed") {
 			n := rapid.Float64Range(0, 1e6).Draw(t, "notice")
 			b.NoticeS = &n
 		}
 		for range rapid.IntRange(0, 5).Draw(t, "tasks") {
-			b.Tasks = append(b.Tasks, taskStatusBody{Task: text.Draw(t, "task"), Attempt: rapid.Uint64().Draw(t, "attempt"), State: text.Draw(t, "state"), Checkpointed: rapid.Bool().Draw(t, "saved")})
+			b.Tasks = append(
+				b.Tasks,
+				taskStatusBody{
+					Task:         text.Draw(t, "task"),
+					Attempt:      rapid.Uint64().Draw(t, "attempt"),
+					State:        text.Draw(t, "state"),
+					Checkpointed: rapid.Bool().Draw(t, "saved"),
+				},
+			)
 		}
 		body, err := json.Marshal(b)
 		if err != nil {
@@ -41,7 +73,10 @@
 			t.Fatal(err)
 		}
 		if rapid.Bool().Draw(t, "odd") {
-			m[rapid.SampledFrom([]string{"berth", "dive", "chicks", "ebb_s", "driftwood", "other"}).Draw(t, "field")] = value.Draw(t, "value")
+			m[rapid.SampledFrom([]string{"berth", "dive", "chicks", "ebb_s", "driftwood", "other"}).Draw(t, "field")] = value.Draw(
+				t,
+				"value",
+			)
 			if body, err = json.Marshal(m); err != nil {
 				t.Fatal(err)
 			}
@@ -109,7 +144,11 @@
 }
 
 func BenchmarkEncodeHeartbeatResponse(b *testing.B) {
-	a := scheduler.HeartbeatResponse{Accepted: true, Token: 41, Commands: []scheduler.Command{{Kind: scheduler.CommandStart, Task: "job-000001/0", Attempt: 5}}}
+	a := scheduler.HeartbeatResponse{
+		Accepted: true,
+		Token:    41,
+		Commands: []scheduler.Command{{Kind: scheduler.CommandStart, Task: "job-000001/0", Attempt: 5}},
+	}
 	b.ReportAllocs()
 	for b.Loop() {
 		EncodeHeartbeatResponse(a)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -64,8 +64,13 @@
 func TestUserAnswersKeepTheirForm(t *testing.T) {
 	for _, s := range []scheduler.JobState{scheduler.Pending, scheduler.Running, scheduler.Done, scheduler.Cancelled} {
 		a := scheduler.UserResponse{ID: "job-7", State: s, Done: 3, Running: 4}
-		golden.RoundTrip(t, "answer_"+string(s)+".json", a, func(a scheduler.UserResponse) ([]byte, error) { return EncodeUserResponse(a), nil },
-			func(b []byte) (scheduler.UserResponse, error) { return ParseUserResponse(200, b), nil })
+		golden.RoundTrip(
+			t,
+			"answer_"+string(s)+".json",
+			a,
+			func(a scheduler.UserResponse) ([]byte, error) { return EncodeUserResponse(a), nil },
+			func(b []byte) (scheduler.UserResponse, error) { return ParseUserResponse(200, b), nil },
+		)
 	}
 	golden.RoundTrip(t, "answer_error.json", scheduler.UserResponse{ID: "job-7", Error: "no such job"},
 		func(a scheduler.UserResponse) ([]byte, error) { return EncodeUserResponse(a), nil },
@@ -81,7 +86,10 @@
 		b.Tasks = append(b.Tasks, taskStatusBody{Task: "job-7/1", Attempt: 9, State: state})
 	}
 	for _, why := range []string{"done", "stopped", "error", "full", "in_use", "unknown", "mates_gone", "incomplete"} {
-		b.Tasks = append(b.Tasks, taskStatusBody{Task: "job-7/2", Attempt: 9, State: "ended", Reason: why, Checkpointed: true})
+		b.Tasks = append(
+			b.Tasks,
+			taskStatusBody{Task: "job-7/2", Attempt: 9, State: "ended", Reason: why, Checkpointed: true},
+		)
 	}
 	golden.RoundTrip(t, "report.json", b, func(b heartbeatBody) ([]byte, error) { return mustEncode(b), nil },
 		func(body []byte) (b heartbeatBody, err error) { return b, decode(body, &b) })
@@ -93,14 +101,23 @@
 }
 
 func TestWorkerAnswersKeepTheirForm(t *testing.T) {
-	commands := []scheduler.Command{{Kind: scheduler.CommandStart, Task: "job-7/1", Attempt: 9}, {Kind: scheduler.CommandStop, Task: "job-7/2", Attempt: 9, GraceS: 4.5},
-		{Kind: scheduler.CommandForget, Task: "job-7/3", Attempt: 9}}
+	commands := []scheduler.Command{
+		{Kind: scheduler.CommandStart, Task: "job-7/1", Attempt: 9},
+		{Kind: scheduler.CommandStop, Task: "job-7/2", Attempt: 9, GraceS: 4.5},
+		{Kind: scheduler.CommandForget, Task: "job-7/3", Attempt: 9},
+	}
 	var out []byte
 	for _, a := range []scheduler.HeartbeatResponse{{Accepted: true, Token: 11, Commands: commands}, {Accepted: true}, {RedirectTo: "m1"}, {}} {
 		status, body := EncodeHeartbeatResponse(a)
 		out = fmt.Appendf(out, "%d %s\n", status, body)
 	}
-	out = append(out, requests(DirectCommandRequest(scheduler.DirectCommand{ID: 1, Addr: "addr", Machine: "i-1", Token: 11, Incarnation: 12, Commands: commands}))...)
+	out = append(
+		out,
+		requests(
+			DirectCommandRequest(
+				scheduler.DirectCommand{ID: 1, Addr: "addr", Machine: "i-1", Token: 11, Incarnation: 12, Commands: commands},
+			),
+		)...)
 	golden.Compare(t, "worker_answers.txt", out)
 	var results []any
 	for _, status := range []int{200, 400, 409, 503} {
@@ -135,7 +152,12 @@
 	golden.Compare(t, "store_answers.jsonl", read(results...))
 }
 
-var cloudKinds = []scheduler.CloudOpKind{scheduler.CloudCatalog, scheduler.CloudList, scheduler.CloudProvision, scheduler.CloudRelease}
+var cloudKinds = []scheduler.CloudOpKind{
+	scheduler.CloudCatalog,
+	scheduler.CloudList,
+	scheduler.CloudProvision,
+	scheduler.CloudRelease,
+}
 
 func TestCloudRequestsKeepTheirForm(t *testing.T) {
 	var rs []Request
@@ -160,7 +182,12 @@
 		golden.Fill(v)
 	}
 	list.Machines[0].State = "starting"
-	bodies := map[scheduler.CloudOpKind]any{scheduler.CloudCatalog: catalog, scheduler.CloudList: list, scheduler.CloudProvision: machines, scheduler.CloudRelease: struct{}{}}
+	bodies := map[scheduler.CloudOpKind]any{
+		scheduler.CloudCatalog:   catalog,
+		scheduler.CloudList:      list,
+		scheduler.CloudProvision: machines,
+		scheduler.CloudRelease:   struct{}{},
+	}
 	var sent []byte
 	var results []any
 	for _, kind := range cloudKinds {
@@ -173,7 +200,10 @@
 			results = append(results, ParseCloudResult(scheduler.CloudOp{Kind: kind}, status, body))
 		}
 	}
-	results = append(results, ParseCloudResult(scheduler.CloudOp{Kind: scheduler.CloudProvision}, 503, []byte(`{"error":"no capacity"}`)))
+	results = append(
+		results,
+		ParseCloudResult(scheduler.CloudOp{Kind: scheduler.CloudProvision}, 503, []byte(`{"error":"no capacity"}`)),
+	)
 	golden.Compare(t, "cloud_bodies.jsonl", sent)
 	golden.Compare(t, "cloud_answers.jsonl", read(results...))
 }
--- a/internal/wire/store_and_cloud.go
+++ b/internal/wire/store_and_cloud.go
@@ -73,7 +73,11 @@
 		}
 		return Request{Method: "GET", Path: "/keys?" + q.Encode()}
 	case scheduler.StoreWatch:
-		q := url.Values{"prefix": {op.Key}, "from": {strconv.FormatUint(op.Rev, 10)}, "hold_ms": {strconv.FormatInt(op.DurationMS, 10)}}
+		q := url.Values{
+			"prefix":  {op.Key},
+			"from":    {strconv.FormatUint(op.Rev, 10)},
+			"hold_ms": {strconv.FormatInt(op.DurationMS, 10)},
+		}
 		return Request{Method: "GET", Path: "/watch?" + q.Encode()}
 	case scheduler.StoreGrantLease:
 		return Request{Method: "POST", Path: "/holds", Body: mustEncode(leaseTTLBody{op.DurationMS})}
@@ -194,7 +198,11 @@
 		}
 		return Request{Method: "GET", Path: "/rentals?" + q.Encode()}
 	case scheduler.CloudProvision:
-		return Request{Method: "POST", Path: "/rentals", Body: mustEncode(provisionBody{op.IdempotencyKey, op.Type, op.Zone, op.Spot, op.Count})}
+		return Request{
+			Method: "POST",
+			Path:   "/rentals",
+			Body:   mustEncode(provisionBody{op.IdempotencyKey, op.Type, op.Zone, op.Spot, op.Count}),
+		}
 	}
 	return Request{Method: "POST", Path: "/rentals/release", Body: mustEncode(machineIDsBody{op.Machines})}
 }
--- a/internal/wire/users_and_workers.go
+++ b/internal/wire/users_and_workers.go
@@ -38,7 +38,11 @@
 	"low": scheduler.Low, "standard": scheduler.Normal, "high": scheduler.High, "production": scheduler.Production,
 }
 
-var jobKindsByName = map[string]scheduler.JobKind{"sweep": scheduler.Array, "standing": scheduler.Service, "gang": scheduler.Gang}
+var jobKindsByName = map[string]scheduler.JobKind{
+	"sweep":    scheduler.Array,
+	"standing": scheduler.Service,
+	"gang":     scheduler.Gang,
+}
 
 type jobBody struct {
 	Class               *string  `json:"flock"`
@@ -257,7 +261,13 @@
 }
 
 var taskStateNames = map[string]string{"gathering": "waiting", "ended": "exited"}
-var exitReasonNames = map[string]string{"full": "no_room", "in_use": "busy", "mates_gone": "peers", "incomplete": "alone"}
+
+var exitReasonNames = map[string]string{
+	"full":       "no_room",
+	"in_use":     "busy",
+	"mates_gone": "peers",
+	"incomplete": "alone",
+}
 
 func translate(names map[string]string, s string) string {
 	if t, ok := names[s]; ok {
@@ -279,7 +289,10 @@
 		Incarnation: b.Incarnation, Seq: b.Seq, Token: b.Token, TerminationNoticeS: b.NoticeS}
 	for _, t := range b.Tasks {
 		r.Tasks = append(r.Tasks, scheduler.TaskStatus{Task: t.Task, Attempt: t.Attempt,
-			State: translate(taskStateNames, t.State), Reason: translate(exitReasonNames, t.Reason), Checkpointed: t.Checkpointed})
+			State: translate(
+				taskStateNames,
+				t.State,
+			), Reason: translate(exitReasonNames, t.Reason), Checkpointed: t.Checkpointed})
 	}
 	return r, nil
 }
@@ -316,7 +329,11 @@
 
 // DirectCommandRequest writes commands that go straight to a worker.
 func DirectCommandRequest(d scheduler.DirectCommand) Request {
-	return Request{Method: "POST", Path: "/do", Body: mustEncode(directCommandBody{d.Token, d.Incarnation, encodeCommands(d.Commands)})}
+	return Request{
+		Method: "POST",
+		Path:   "/do",
+		Body:   mustEncode(directCommandBody{d.Token, d.Incarnation, encodeCommands(d.Commands)}),
+	}
 }
 
 // ParseDirectCommandResult reads a worker's answer to them.
@@ -341,7 +358,11 @@
 	Member string `json:"harbor,omitempty"`
 }
 
-var commandNames = map[scheduler.CommandKind]string{scheduler.CommandStart: "launch", scheduler.CommandStop: "halt", scheduler.CommandForget: "clear"}
+var commandNames = map[scheduler.CommandKind]string{
+	scheduler.CommandStart:  "launch",
+	scheduler.CommandStop:   "halt",
+	scheduler.CommandForget: "clear",
+}
 
 // EncodeHeartbeatResponse writes the status and body of an answer to a report.
 func EncodeHeartbeatResponse(a scheduler.HeartbeatResponse) (int, []byte) {
--- a/internal/wire/users_and_workers_test.go
+++ b/internal/wire/users_and_workers_test.go
@@ -46,7 +46,8 @@
 	if j.Class != "train" || j.Team != "vision" || j.Kind != scheduler.Array || j.Priority != scheduler.High || j.Tasks != 16 ||
 		j.Request.CPUs != 8 || j.Request.GPUs != 1 || j.Request.MemoryGB != 64 || j.Request.DiskGB != 6.2 || j.Image != "img-07" ||
 		!reflect.DeepEqual(j.Types, []string{"g8"}) || j.Zone != "" || !j.OneZone || j.Spread || !j.Spot ||
-		j.EstimateS != 240 || j.CheckpointIntervalS != 30 || j.CheckpointDurationS != 4 || j.DeadlineS != 900 {
+		j.EstimateS != 240 || j.CheckpointIntervalS != 30 || j.CheckpointDurationS != 4 ||
+		j.DeadlineS != 900 {
 		t.Fatalf("read as %+v", j)
 	}
 	// What may be null may be left out.
@@ -57,7 +58,24 @@
 }
 
 func TestInvalidJobIsRejectedNamingTheField(t *testing.T) {
-	required := []string{"flock", "crew", "shape", "rank", "chicks", "cpus", "cards", "memory_gb", "plumage", "size_gb", "same_place", "spread", "driftwood", "swim_s", "surface_s", "preen_s"}
+	required := []string{
+		"flock",
+		"crew",
+		"shape",
+		"rank",
+		"chicks",
+		"cpus",
+		"cards",
+		"memory_gb",
+		"plumage",
+		"size_gb",
+		"same_place",
+		"spread",
+		"driftwood",
+		"swim_s",
+		"surface_s",
+		"preen_s",
+	}
 	check := func(what, field string, body []byte) {
 		r := ParseJob(body)
 		if r.Job != nil || !strings.Contains(r.Malformed, field) || r.ID != "job-000412" {
@@ -96,7 +114,21 @@
 		rapid.Just(any([]any{1, "a", nil})), rapid.Just(any(map[string]any{"ref": 1})))
 	rapid.Check(t, func(t *rapid.T) {
 		body := editedJob(t, func(m map[string]any) {
-			keys := []string{"ref", "flock", "crew", "shape", "rank", "chicks", "cpus", "memory_gb", "hulls", "marsh", "dusk_s", "spread", "swim_s"}
+			keys := []string{
+				"ref",
+				"flock",
+				"crew",
+				"shape",
+				"rank",
+				"chicks",
+				"cpus",
+				"memory_gb",
+				"hulls",
+				"marsh",
+				"dusk_s",
+				"spread",
+				"swim_s",
+			}
 			for range rapid.IntRange(1, 3).Draw(t, "changes") {
 				m[rapid.SampledFrom(keys).Draw(t, "field")] = value.Draw(t, "value")
 			}
@@ -108,7 +140,8 @@
 		if (r.Job == nil) != (r.Malformed != "") {
 			t.Fatalf("%s: %+v", body, r)
 		}
-		if j := r.Job; j != nil && (j.ID != r.ID || !IsValidJobID(j.ID) || j.Tasks < 1 || j.Tasks > MaxTasks || j.Request.CPUs < 0 || j.DeadlineS < 0) {
+		if j := r.Job; j != nil &&
+			(j.ID != r.ID || !IsValidJobID(j.ID) || j.Tasks < 1 || j.Tasks > MaxTasks || j.Request.CPUs < 0 || j.DeadlineS < 0) {
 			t.Fatalf("%s passes as %+v", body, j)
 		}
 		// Reports and the services' answers are read by the same rules.
@@ -124,15 +157,32 @@
      "dive":1,"tally":88,"baton":18446744073709551615,"ebb_s":12.5,
      "chicks":[{"chick":"job-000412/3","try":2,"stance":"running"},{"chick":"job-000398/0","try":1,"stance":"ended","cause":"full","kept":true}]}`))
 	notice := 12.5
-	want := scheduler.Heartbeat{Machine: "i-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 1, Seq: 88, Token: math.MaxUint64, TerminationNoticeS: &notice,
-		Tasks: []scheduler.TaskStatus{{Task: "job-000412/3", Attempt: 2, State: "running"}, {Task: "job-000398/0", Attempt: 1, State: "exited", Reason: "no_room", Checkpointed: true}}}
+	want := scheduler.Heartbeat{
+		Machine:            "i-000231",
+		Addr:               "10.1.0.232:9000",
+		Type:               "g8",
+		Zone:               "a",
+		Spot:               true,
+		Incarnation:        1,
+		Seq:                88,
+		Token:              math.MaxUint64,
+		TerminationNoticeS: &notice,
+		Tasks: []scheduler.TaskStatus{
+			{Task: "job-000412/3", Attempt: 2, State: "running"},
+			{Task: "job-000398/0", Attempt: 1, State: "exited", Reason: "no_room", Checkpointed: true},
+		},
+	}
 	if err != nil || !reflect.DeepEqual(r, want) {
 		t.Fatalf("%+v, %v", r, err)
 	}
 }
 
 func TestHeartbeatResponseIsEncodedWithinLineLimit(t *testing.T) {
-	cs := []scheduler.Command{{Kind: scheduler.CommandStart, Task: "job-000001/0", Attempt: 5}, {Kind: scheduler.CommandStop, Task: "job-000002/0", Attempt: 6}, {Kind: scheduler.CommandForget, Task: "job-000003/0", Attempt: 7}}
+	cs := []scheduler.Command{
+		{Kind: scheduler.CommandStart, Task: "job-000001/0", Attempt: 5},
+		{Kind: scheduler.CommandStop, Task: "job-000002/0", Attempt: 6},
+		{Kind: scheduler.CommandForget, Task: "job-000003/0", Attempt: 7},
+	}
 	status, body := EncodeHeartbeatResponse(scheduler.HeartbeatResponse{Accepted: true, Token: 41, Commands: cs})
 	want := `{"baton":41,"calls":[{"call":"launch","chick":"job-000001/0","try":5},{"call":"halt","chick":"job-000002/0","try":6,"slack_s":0},{"call":"clear","chick":"job-000003/0","try":7}]}`
 	if status != 200 || string(body) != want {
@@ -141,12 +191,19 @@
 	// No line may be longer than a worker reads, however much there is to say.
 	many := make([]scheduler.Command, 5000)
 	for i := range many {
-		many[i] = scheduler.Command{Kind: scheduler.CommandStop, Task: "job-000000000000000000000000000001/99999", Attempt: math.MaxUint64}
+		many[i] = scheduler.Command{
+			Kind:    scheduler.CommandStop,
+			Task:    "job-000000000000000000000000000001/99999",
+			Attempt: math.MaxUint64,
+		}
 	}
-	if _, body := EncodeHeartbeatResponse(scheduler.HeartbeatResponse{Accepted: true, Commands: many}); len(body) > MaxBody {
+	if _, body := EncodeHeartbeatResponse(scheduler.HeartbeatResponse{Accepted: true, Commands: many}); len(
+		body,
+	) > MaxBody {
 		t.Errorf("an answer of %d bytes", len(body))
 	}
-	if status, body := EncodeHeartbeatResponse(scheduler.HeartbeatResponse{RedirectTo: "m-2"}); status != 421 || string(body) != `{"harbor":"m-2"}` {
+	if status, body := EncodeHeartbeatResponse(scheduler.HeartbeatResponse{RedirectTo: "m-2"}); status != 421 ||
+		string(body) != `{"harbor":"m-2"}` {
 		t.Errorf("%d %s", status, body)
 	}
 	if status, _ := EncodeHeartbeatResponse(scheduler.HeartbeatResponse{}); status != 503 {
--- a/planner/aging_test.go
+++ b/planner/aging_test.go
@@ -11,10 +11,28 @@
 	n := rapid.IntRange(1, 12).Draw(t, "groups")
 	for i := range n {
 		g := &Group{Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Remaining: rapid.IntRange(1, 9).Draw(t, "left"),
-			LengthMS: rapid.Int64Range(1, 200_000).Draw(t, "length"), AcceptedMS: now - rapid.Int64Range(0, 400_000).Draw(t, "waited"),
-			MissedObjectives: rapid.Bool().Draw(t, "lost"), WithinGuarantee: rapid.Bool().Draw(t, "within"), QuotaTier: rapid.IntRange(0, 3).Draw(t, "level"),
-			PreviouslyAdmitted: rapid.Bool().Draw(t, "held"), HasBegun: rapid.Bool().Draw(t, "begun"), IsGang: rapid.IntRange(0, 5).Draw(t, "gang") == 0,
-			SingleZone: rapid.IntRange(0, 5).Draw(t, "one zone") == 0, Name: string(rune('a' + i)), RangeStart: rapid.IntRange(0, 3).Draw(t, "lo") / 3}
+			LengthMS: rapid.Int64Range(
+				1,
+				200_000,
+			).Draw(
+				t,
+				"length",
+			), AcceptedMS: now - rapid.Int64Range(0, 400_000).Draw(t, "waited"),
+			MissedObjectives: rapid.Bool().Draw(
+				t,
+				"lost",
+			), WithinGuarantee: rapid.Bool().Draw(t, "within"), QuotaTier: rapid.IntRange(0, 3).Draw(t, "level"),
+			PreviouslyAdmitted: rapid.Bool().Draw(
+				t,
+				"held",
+			), HasBegun: rapid.Bool().Draw(t, "begun"), IsGang: rapid.IntRange(0, 5).Draw(t, "gang") == 0,
+			SingleZone: rapid.IntRange(
+				0,
+				5,
+			).Draw(
+				t,
+				"one zone",
+			) == 0, Name: string(rune('a' + i)), RangeStart: rapid.IntRange(0, 3).Draw(t, "lo") / 3}
 		g.DeadlineMS = g.AcceptedMS + rapid.Int64Range(1000, 500_000).Draw(t, "due")
 		groups = append(groups, g)
 	}
--- a/planner/catalog.go
+++ b/planner/catalog.go
@@ -61,7 +61,13 @@
 	c.sorted, c.largest = c.sorted[:0], availability.Resources{}
 	for _, t := range c.types {
 		c.sorted = append(c.sorted, t)
-		c.largest.CPUs, c.largest.MemoryGB = max(c.largest.CPUs, t.Resources.CPUs), max(c.largest.MemoryGB, t.Resources.MemoryGB)
+		c.largest.CPUs, c.largest.MemoryGB = max(
+			c.largest.CPUs,
+			t.Resources.CPUs,
+		), max(
+			c.largest.MemoryGB,
+			t.Resources.MemoryGB,
+		)
 	}
 	slices.SortFunc(c.sorted, func(a, b *MachineType) int { return strings.Compare(a.Name, b.Name) })
 }
@@ -71,7 +77,8 @@
 
 // FitsType tells whether some machine of a type may take a job.
 func (c *Catalog) FitsType(request *ResourceRequest, t *MachineType) bool {
-	if len(request.Types) > 0 && !slices.Contains(request.Types, t.Name) || request.Zone != "" && !slices.Contains(t.Zones, request.Zone) {
+	if len(request.Types) > 0 && !slices.Contains(request.Types, t.Name) ||
+		request.Zone != "" && !slices.Contains(t.Zones, request.Zone) {
 		return false
 	}
 	return t.Resources.Contains(request.WithoutImage())
@@ -79,7 +86,8 @@
 
 // IsAllowed tells whether a job may use a kind of machine at all.
 func (c *Catalog) IsAllowed(request *ResourceRequest, offering InstanceOffering) bool {
-	if offering.Spot && !request.AllowsSpot || request.Zone != "" && request.Zone != offering.Zone || len(request.Types) > 0 && !slices.Contains(request.Types, offering.Type) {
+	if offering.Spot && !request.AllowsSpot || request.Zone != "" && request.Zone != offering.Zone ||
+		len(request.Types) > 0 && !slices.Contains(request.Types, offering.Type) {
 		return false
 	}
 	t := c.types[offering.Type]
--- a/planner/cluster_view.go
+++ b/planner/cluster_view.go
@@ -95,7 +95,12 @@
 	maxResources              availability.Resources // greatest of each
 }
 
-var emptyBounds = queueBounds{minEndMS: math.MaxInt64, minStartMS: math.MaxInt64, maxSlackMS: math.MinInt64, maxDeadlineMS: math.MinInt64}
+var emptyBounds = queueBounds{
+	minEndMS:      math.MaxInt64,
+	minStartMS:    math.MaxInt64,
+	maxSlackMS:    math.MinInt64,
+	maxDeadlineMS: math.MinInt64,
+}
 
 // maxAvailableMS is an upper bound of l(deadline) over the queues.
 func (b *queueBounds) maxAvailableMS(deadlineMS int64) int64 {
@@ -110,7 +115,19 @@
 }
 
 func (b *queueBounds) widen(o *queueBounds) {
-	b.minEndMS, b.minStartMS, b.maxSlackMS, b.maxDeadlineMS = min(b.minEndMS, o.minEndMS), min(b.minStartMS, o.minStartMS), max(b.maxSlackMS, o.maxSlackMS), max(b.maxDeadlineMS, o.maxDeadlineMS)
+	b.minEndMS, b.minStartMS, b.maxSlackMS, b.maxDeadlineMS = min(
+		b.minEndMS,
+		o.minEndMS,
+	), min(
+		b.minStartMS,
+		o.minStartMS,
+	), max(
+		b.maxSlackMS,
+		o.maxSlackMS,
+	), max(
+		b.maxDeadlineMS,
+		o.maxDeadlineMS,
+	)
 	b.maxResources = componentMax(b.maxResources, o.maxResources)
 }
 
@@ -121,7 +138,11 @@
 
 // componentMax is the greatest of each.
 func componentMax(a, b availability.Resources) availability.Resources {
-	return availability.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
+	return availability.Resources{
+		CPUs:     max(a.CPUs, b.CPUs),
+		GPUs:     max(a.GPUs, b.GPUs),
+		MemoryGB: max(a.MemoryGB, b.MemoryGB),
+	}
 }
 
 // blockSize is how many machines share bounds: about the root of a shard's.
@@ -167,7 +188,12 @@
 
 // NewClusterView makes an empty board.
 func NewClusterView(catalog *Catalog) *ClusterView {
-	return &ClusterView{catalog: catalog, offeringIndex: map[InstanceOffering]int{}, cachesByImage: map[string]map[*ImageCache]struct{}{}, machinesByImage: map[string]*imageMachines{}}
+	return &ClusterView{
+		catalog:         catalog,
+		offeringIndex:   map[InstanceOffering]int{},
+		cachesByImage:   map[string]map[*ImageCache]struct{}{},
+		machinesByImage: map[string]*imageMachines{},
+	}
 }
 
 // Begin empties the board for a round at a time of day.
@@ -207,7 +233,16 @@
 	}
 	m := v.machinePool[index]
 	machineType := v.offerings[i].machineType
-	*m = Machine{Offering: offering, Type: machineType, Index: index, ReadyAtMS: v.nowMS, Free: machineType.Resources, Slots: m.Slots[:0], ID: id, offeringIndex: i}
+	*m = Machine{
+		Offering:      offering,
+		Type:          machineType,
+		Index:         index,
+		ReadyAtMS:     v.nowMS,
+		Free:          machineType.Resources,
+		Slots:         m.Slots[:0],
+		ID:            id,
+		offeringIndex: i,
+	}
 	v.machines = append(v.machines, m)
 	if cache != nil {
 		cache.round, cache.machineIndex = v.round, int32(index)
@@ -244,7 +279,13 @@
 	all := emptyBounds
 	for i := range m.Slots {
 		q := &m.Slots[i].Queue
-		bounds := queueBounds{minEndMS: q.End(), minStartMS: q.EarliestStart, maxSlackMS: math.MinInt64, maxDeadlineMS: math.MinInt64, maxResources: m.Slots[i].Resources}
+		bounds := queueBounds{
+			minEndMS:      q.End(),
+			minStartMS:    q.EarliestStart,
+			maxSlackMS:    math.MinInt64,
+			maxDeadlineMS: math.MinInt64,
+			maxResources:  m.Slots[i].Resources,
+		}
 		if last, ok := q.LastDeadline(); ok {
 			bounds.maxDeadlineMS, bounds.maxSlackMS = last, last-bounds.minEndMS
 		}
--- a/planner/image_cache.go
+++ b/planner/image_cache.go
@@ -62,7 +62,8 @@
 	for totalGB > capacityGB && len(c.images) > 1 {
 		oldest := ""
 		for otherName, other := range c.images {
-			if previous := c.images[oldest]; otherName != name && (oldest == "" || other.LastUsedMS < previous.LastUsedMS || other.LastUsedMS == previous.LastUsedMS && otherName < oldest) {
+			if previous := c.images[oldest]; otherName != name &&
+				(oldest == "" || other.LastUsedMS < previous.LastUsedMS || other.LastUsedMS == previous.LastUsedMS && otherName < oldest) {
 				oldest = otherName
 			}
 		}
--- a/planner/placement.go
+++ b/planner/placement.go
@@ -121,7 +121,13 @@
 
 // AdmitToMachine puts as many tasks of the group on the machine as its queues end by
 // deadline, with an image that takes fetch there. Tasks that can start now are counted in now, what was looked at in steps.
-func AdmitToMachine(m *Machine, g *Group, fetchMS, deadlineMS int64, limit int, mode QueueMode) (admitted, startable, examined int) {
+func AdmitToMachine(
+	m *Machine,
+	g *Group,
+	fetchMS, deadlineMS int64,
+	limit int,
+	mode QueueMode,
+) (admitted, startable, examined int) {
 	request := g.Request.WithoutImage()
 	lengthMS := int64(float64(g.LengthMS)*RuntimePadding) + fetchMS
 	remaining := limit
@@ -174,9 +180,20 @@
 func (v *ClusterView) offeringUses(g *Group) []offeringUse {
 	uses := v.search.uses[:0]
 	for _, offering := range v.offerings {
-		u := offeringUse{allowed: v.catalog.IsAllowed(&g.Request, offering.InstanceOffering), earliestStartMS: math.MaxInt64, queues: emptyBounds}
+		u := offeringUse{
+			allowed:         v.catalog.IsAllowed(&g.Request, offering.InstanceOffering),
+			earliestStartMS: math.MaxInt64,
+			queues:          emptyBounds,
+		}
 		if u.allowed {
-			u.avoid, u.costly, u.fetchMS = v.catalog.ShouldAvoid(&g.Request, offering.Type), g.Request.AllowsSpot && !offering.Spot, v.catalog.FetchMS(&g.Request, offering.Type)
+			u.avoid, u.costly, u.fetchMS = v.catalog.ShouldAvoid(
+				&g.Request,
+				offering.Type,
+			), g.Request.AllowsSpot &&
+				!offering.Spot, v.catalog.FetchMS(
+				&g.Request,
+				offering.Type,
+			)
 			u.rank = bitIf(u.avoid, 2) | bitIf(u.costly, 1)
 		}
 		uses = append(uses, u)
@@ -241,7 +258,16 @@
 func (v *ClusterView) StartSearch(g *Group) *CandidateSearch {
 	search := &v.search
 	v.searchID++
-	*search = CandidateSearch{view: v, group: g, uses: v.offeringUses(g), request: g.Request.WithoutImage(), candidates: search.candidates[:0], cached: search.cached, uncached: search.uncached, fetchAlwaysNeeded: true}
+	*search = CandidateSearch{
+		view:              v,
+		group:             g,
+		uses:              v.offeringUses(g),
+		request:           g.Request.WithoutImage(),
+		candidates:        search.candidates[:0],
+		cached:            search.cached,
+		uncached:          search.uncached,
+		fetchAlwaysNeeded: true,
+	}
 	for i := range search.uses {
 		if use := &search.uses[i]; use.allowed {
 			search.fetchAlwaysNeeded = search.fetchAlwaysNeeded && use.fetchMS != 0
@@ -260,7 +286,8 @@
 		for _, m := range v.blockMachines(i) {
 			v.Examined++
 			use := &search.uses[m.offeringIndex]
-			if !use.allowed || !m.Free.Contains(search.request) || len(g.FailuresByMachine) > 0 && g.FailuresByMachine[m.ID] > 0 {
+			if !use.allowed || !m.Free.Contains(search.request) ||
+				len(g.FailuresByMachine) > 0 && g.FailuresByMachine[m.ID] > 0 {
 				continue
 			}
 			entry := &v.scanEntries[m.Index]
@@ -273,9 +300,18 @@
 			use.booting = use.booting || !m.Ready
 			use.earliestStartMS = min(use.earliestStartMS, m.ReadyAtMS+fetchMS)
 			use.queues.widen(&entry.queues)
-			leftover := (m.Free.CPUs-search.request.CPUs)/max(largest.CPUs, 1) + (m.Free.MemoryGB-search.request.MemoryGB)/max(largest.MemoryGB, 1)
-			search.candidates = append(search.candidates, openMachine{m, bitIf(use.avoid, 3) | bitIf(!m.Ready, 2) | bitIf(use.costly, 1) | bitIf(fetchMS != 0, 0),
-				max(leftover, 0) + float64(g.DeadlineMS-m.ReadyAtMS-g.LengthMS-fetchMS)/spanMS/4, fetchMS})
+			leftover := (m.Free.CPUs-search.request.CPUs)/max(
+				largest.CPUs,
+				1,
+			) + (m.Free.MemoryGB-search.request.MemoryGB)/max(
+				largest.MemoryGB,
+				1,
+			)
+			search.candidates = append(
+				search.candidates,
+				openMachine{m, bitIf(use.avoid, 3) | bitIf(!m.Ready, 2) | bitIf(use.costly, 1) | bitIf(fetchMS != 0, 0),
+					max(leftover, 0) + float64(g.DeadlineMS-m.ReadyAtMS-g.LengthMS-fetchMS)/spanMS/4, fetchMS},
+			)
 		}
 	}
 	for i := len(search.candidates)/2 - 1; i >= 0; i-- {
@@ -331,7 +367,8 @@
 			break
 		}
 		s.view.Examined++
-		if mode == ExistingQueues && !s.view.scanEntries[candidate.machine.Index].queues.mayAdmit(s.request, deadlineMS, lengthMS+candidate.fetchMS) {
+		if mode == ExistingQueues &&
+			!s.view.scanEntries[candidate.machine.Index].queues.mayAdmit(s.request, deadlineMS, lengthMS+candidate.fetchMS) {
 			continue
 		}
 		s.tryMachine(candidate.machine, candidate.fetchMS, deadlineMS, mode)
@@ -352,7 +389,12 @@
 func (s *CandidateSearch) canAdmitAny(deadlineMS, lengthMS int64, mode QueueMode) bool {
 	v, g := s.view, s.group
 	reserveExhausted := s.enforceLimits && mode == NewSlotsInTime && g.ObjectiveDeadlineMS >= g.DeadlineMS &&
-		availability.Resources{CPUs: v.SpareCPUs - v.ReservedCPUs}.MaxCopies(availability.Resources{CPUs: g.Request.Resources.CPUs}, 1) == 0
+		availability.Resources{
+			CPUs: v.SpareCPUs - v.ReservedCPUs,
+		}.MaxCopies(
+			availability.Resources{CPUs: g.Request.Resources.CPUs},
+			1,
+		) == 0
 	for i := range s.uses {
 		use := &s.uses[i]
 		if use.openMachines == 0 || s.skipsOffering(i) {
@@ -411,7 +453,8 @@
 		v.Examined++
 		entry := &v.scanEntries[i]
 		use := &s.uses[entry.offeringIndex]
-		if entry.openForSearch == v.searchID || !entry.queues.mayAdmit(s.request, deadlineMS, minLengthMS) || !slices.Contains(offerings, int(entry.offeringIndex)) {
+		if entry.openForSearch == v.searchID || !entry.queues.mayAdmit(s.request, deadlineMS, minLengthMS) ||
+			!slices.Contains(offerings, int(entry.offeringIndex)) {
 			return
 		}
 		fetchMS := use.fetchMS
@@ -437,9 +480,10 @@
 	}
 	for i := 0; i < len(v.blocks) && g.Remaining > 0; i++ {
 		block := v.refreshedBlock(i)
-		if !block.queues.mayAdmit(s.request, deadlineMS, minLengthMS) || !slices.ContainsFunc(offerings, func(offering int) bool {
-			return block.queuesByOffering[offering].mayAdmit(s.request, deadlineMS, minLengthMS)
-		}) {
+		if !block.queues.mayAdmit(s.request, deadlineMS, minLengthMS) ||
+			!slices.ContainsFunc(offerings, func(offering int) bool {
+				return block.queuesByOffering[offering].mayAdmit(s.request, deadlineMS, minLengthMS)
+			}) {
 			continue
 		}
 		for index := i * blockSize; index < min((i+1)*blockSize, len(v.machines)) && g.Remaining > 0; index++ {
@@ -455,7 +499,12 @@
 	}
 	limit := min(g.Remaining, g.zoneAllowance(m))
 	if s.enforceLimits && mode == NewSlotsInTime && m.Ready && g.ObjectiveDeadlineMS >= g.DeadlineMS {
-		limit = availability.Resources{CPUs: v.SpareCPUs - v.ReservedCPUs}.MaxCopies(availability.Resources{CPUs: g.Request.Resources.CPUs}, limit)
+		limit = availability.Resources{
+			CPUs: v.SpareCPUs - v.ReservedCPUs,
+		}.MaxCopies(
+			availability.Resources{CPUs: g.Request.Resources.CPUs},
+			limit,
+		)
 	}
 	if limit <= 0 {
 		return
@@ -497,7 +546,10 @@
 	if g.IsGang {
 		if fits, missing := search.checkGang(); !fits {
 			if missing > 0 {
-				search.placement.Demands = append(search.placement.Demands, CapacityDemand{Count: missing, DeadlineMS: g.DeadlineMS})
+				search.placement.Demands = append(
+					search.placement.Demands,
+					CapacityDemand{Count: missing, DeadlineMS: g.DeadlineMS},
+				)
 			}
 			search.placement.Admitted, g.Waiting = g.PreviouslyAdmitted, total
 			return search.placement
@@ -580,7 +632,10 @@
 		if candidate == nil {
 			break
 		}
-		n := candidate.machine.Free.MaxCopies(s.request, min(g.Remaining-startable-booting, g.zoneAllowance(candidate.machine)))
+		n := candidate.machine.Free.MaxCopies(
+			s.request,
+			min(g.Remaining-startable-booting, g.zoneAllowance(candidate.machine)),
+		)
 		if candidate.machine.Ready {
 			startable += n
 		} else {
--- a/planner/placement_test.go
+++ b/planner/placement_test.go
@@ -50,11 +50,22 @@
 		if r.hasImage(m.Index, g.Request.Image) {
 			fetchMS = 0
 		}
-		c := candidate{m: m, fetchMS: fetchMS, avoid: v.catalog.ShouldAvoid(&g.Request, m.Offering.Type), hasRoom: m.Free.Contains(request)}
+		c := candidate{
+			m:       m,
+			fetchMS: fetchMS,
+			avoid:   v.catalog.ShouldAvoid(&g.Request, m.Offering.Type),
+			hasRoom: m.Free.Contains(request),
+		}
 		costly := g.Request.AllowsSpot && !m.Offering.Spot
 		if c.hasRoom {
 			spanMS := float64(max(g.DeadlineMS-v.nowMS, 1000))
-			leftover := (m.Free.CPUs-request.CPUs)/max(v.catalog.largest.CPUs, 1) + (m.Free.MemoryGB-request.MemoryGB)/max(v.catalog.largest.MemoryGB, 1)
+			leftover := (m.Free.CPUs-request.CPUs)/max(
+				v.catalog.largest.CPUs,
+				1,
+			) + (m.Free.MemoryGB-request.MemoryGB)/max(
+				v.catalog.largest.MemoryGB,
+				1,
+			)
 			c.leftover = max(leftover, 0) + float64(g.DeadlineMS-m.ReadyAtMS-g.LengthMS-fetchMS)/spanMS/4
 			c.rank = bitIf(c.avoid, 3) | bitIf(!m.Ready, 2) | bitIf(costly, 1) | bitIf(fetchMS != 0, 0)
 		} else {
@@ -76,7 +87,12 @@
 			}
 			limit := min(g.Remaining, g.zoneAllowance(c.m))
 			if mode == NewSlotsInTime && c.m.Ready && g.ObjectiveDeadlineMS >= g.DeadlineMS {
-				limit = availability.Resources{CPUs: v.SpareCPUs - v.ReservedCPUs}.MaxCopies(availability.Resources{CPUs: g.Request.Resources.CPUs}, limit)
+				limit = availability.Resources{
+					CPUs: v.SpareCPUs - v.ReservedCPUs,
+				}.MaxCopies(
+					availability.Resources{CPUs: g.Request.Resources.CPUs},
+					limit,
+				)
 			}
 			if limit <= 0 {
 				continue
@@ -201,15 +217,28 @@
 	model := &shardModel{catalog: NewCatalog()}
 	for i := range rapid.IntRange(1, 4).Draw(t, "types") {
 		cpus := float64(rapid.SampledFrom([]int{4, 8, 16, 64}).Draw(t, "cpus"))
-		model.catalog.SetTypes(MachineType{Name: fmt.Sprint("t", i), Resources: availability.Resources{CPUs: cpus, MemoryGB: cpus * 4, GPUs: float64(i % 2)},
-			FetchGBps: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "fetch"), BootMS: 10_000, Zones: zones})
+		model.catalog.SetTypes(
+			MachineType{
+				Name:      fmt.Sprint("t", i),
+				Resources: availability.Resources{CPUs: cpus, MemoryGB: cpus * 4, GPUs: float64(i % 2)},
+				FetchGBps: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "fetch"),
+				BootMS:    10_000,
+				Zones:     zones,
+			},
+		)
 	}
 	return model
 }
 
 func (model *shardModel) drawRequest(t *rapid.T) ResourceRequest {
-	request := ResourceRequest{Resources: availability.Resources{CPUs: rapid.SampledFrom([]float64{0.5, 1, 4, 7, 16}).Draw(t, "request"), MemoryGB: float64(rapid.IntRange(1, 24).Draw(t, "memory")),
-		DiskGB: rapid.SampledFrom([]float64{0, 2, 6}).Draw(t, "image size")}, AllowsSpot: rapid.Bool().Draw(t, "spot")}
+	request := ResourceRequest{
+		Resources: availability.Resources{
+			CPUs:     rapid.SampledFrom([]float64{0.5, 1, 4, 7, 16}).Draw(t, "request"),
+			MemoryGB: float64(rapid.IntRange(1, 24).Draw(t, "memory")),
+			DiskGB:   rapid.SampledFrom([]float64{0, 2, 6}).Draw(t, "image size"),
+		},
+		AllowsSpot: rapid.Bool().Draw(t, "spot"),
+	}
 	if rapid.Bool().Draw(t, "has image") {
 		request.Image = fmt.Sprint("img", rapid.IntRange(0, 4).Draw(t, "image"))
 	}
@@ -225,7 +254,16 @@
 func (model *shardModel) drawChanges(t *rapid.T, view *ClusterView, nowMS int64) {
 	for range rapid.IntRange(0, 40).Draw(t, "come") {
 		model.lastID++
-		m := &modelMachine{id: fmt.Sprintf("i-%04d", model.lastID), offering: InstanceOffering{model.catalog.sorted[rapid.IntRange(0, len(model.catalog.sorted)-1).Draw(t, "type")].Name, rapid.SampledFrom(zones).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")}, cache: view.NewImageCache(), expectedImages: map[string]bool{}}
+		m := &modelMachine{
+			id: fmt.Sprintf("i-%04d", model.lastID),
+			offering: InstanceOffering{
+				model.catalog.sorted[rapid.IntRange(0, len(model.catalog.sorted)-1).Draw(t, "type")].Name,
+				rapid.SampledFrom(zones).Draw(t, "zone"),
+				rapid.Bool().Draw(t, "spot"),
+			},
+			cache:          view.NewImageCache(),
+			expectedImages: map[string]bool{},
+		}
 		if rapid.IntRange(0, 4).Draw(t, "boots") == 0 {
 			m.readyAtMS = nowMS + rapid.Int64Range(1, 30_000).Draw(t, "up")
 		}
@@ -250,7 +288,9 @@
 				for _, slot := range m.running {
 					free = free.Sub(slot.Resources)
 				}
-				slot := Slot{Resources: availability.Resources{CPUs: rapid.SampledFrom([]float64{1, 4, 16}).Draw(t, "lane"), MemoryGB: 2}}
+				slot := Slot{
+					Resources: availability.Resources{CPUs: rapid.SampledFrom([]float64{1, 4, 16}).Draw(t, "lane"), MemoryGB: 2},
+				}
 				slot.Queue.Reset(nowMS + rapid.Int64Range(1, 60_000).Draw(t, "ends"))
 				if free.Contains(slot.Resources) {
 					m.running = append(m.running, slot)
@@ -281,21 +321,55 @@
 func (model *shardModel) drawGroups(t *rapid.T, nowMS int64) []*Group {
 	var groups []*Group
 	for i := range rapid.IntRange(1, 25).Draw(t, "groups") {
-		g := &Group{Request: model.drawRequest(t), Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Remaining: rapid.IntRange(1, 40).Draw(t, "tasks"), Name: fmt.Sprint("job", i),
-			LengthMS: rapid.Int64Range(100, 90_000).Draw(t, "length"), AcceptedMS: nowMS - rapid.Int64Range(0, 50_000).Draw(t, "accepted"), ProvisionLimit: rapid.IntRange(0, 60).Draw(t, "askable")}
+		g := &Group{
+			Request:   model.drawRequest(t),
+			Priority:  rapid.IntRange(0, 2).Draw(t, "priority"),
+			Remaining: rapid.IntRange(1, 40).Draw(t, "tasks"),
+			Name:      fmt.Sprint("job", i),
+			LengthMS: rapid.Int64Range(
+				100,
+				90_000,
+			).Draw(
+				t,
+				"length",
+			),
+			AcceptedMS:     nowMS - rapid.Int64Range(0, 50_000).Draw(t, "accepted"),
+			ProvisionLimit: rapid.IntRange(0, 60).Draw(t, "askable"),
+		}
 		g.JobTasks = g.Remaining + 2
 		g.DeadlineMS = g.AcceptedMS + rapid.Int64Range(1000, 300_000).Draw(t, "due")
 		g.ObjectiveDeadlineMS = min(g.DeadlineMS, g.AcceptedMS+rapid.Int64Range(1000, 300_000).Draw(t, "tight"))
 		g.HasObjective = g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS-g.LengthMS >= nowMS
-		g.MissedObjectives, g.PreviouslyAdmitted, g.QuotaTier = rapid.Bool().Draw(t, "lost"), rapid.Bool().Draw(t, "held"), rapid.IntRange(0, 2).Draw(t, "level")
+		g.MissedObjectives, g.PreviouslyAdmitted, g.QuotaTier = rapid.Bool().Draw(
+			t,
+			"lost",
+		), rapid.Bool().Draw(
+			t,
+			"held",
+		), rapid.IntRange(
+			0,
+			2,
+		).Draw(
+			t,
+			"level",
+		)
 		switch rapid.IntRange(0, 7).Draw(t, "kind") {
 		case 0:
-			g.IsGang, g.GangAttempt, g.IncompleteGang = true, GangAttempt(rapid.IntRange(0, 2).Draw(t, "try")), rapid.Bool().Draw(t, "short")
+			g.IsGang, g.GangAttempt, g.IncompleteGang = true, GangAttempt(
+				rapid.IntRange(0, 2).Draw(t, "try"),
+			), rapid.Bool().Draw(
+				t,
+				"short",
+			)
 			g.Remaining = min(g.Remaining, 4)
 		case 1:
-			g.SingleZone, g.RunningByZone = true, map[string]int{rapid.SampledFrom(zones).Draw(t, "runs in"): rapid.IntRange(0, 2).Draw(t, "live")}
+			g.SingleZone, g.RunningByZone = true, map[string]int{
+				rapid.SampledFrom(zones).Draw(t, "runs in"): rapid.IntRange(0, 2).Draw(t, "live"),
+			}
 		case 2:
-			g.SpreadZones, g.RunningByZone = true, map[string]int{rapid.SampledFrom(zones).Draw(t, "runs in"): rapid.IntRange(0, 2).Draw(t, "live")}
+			g.SpreadZones, g.RunningByZone = true, map[string]int{
+				rapid.SampledFrom(zones).Draw(t, "runs in"): rapid.IntRange(0, 2).Draw(t, "live"),
+			}
 		}
 		if len(model.machines) > 0 && rapid.IntRange(0, 3).Draw(t, "failed") == 0 {
 			g.FailuresByMachine = map[string]int{model.machines[rapid.IntRange(0, len(model.machines)-1).Draw(t, "on")].id: 1}
@@ -318,8 +392,16 @@
 			for slot := range m.Slots {
 				queue := &m.Slots[slot].Queue
 				for _, deadline := range deadlines {
-					if n := queue.Available(deadline); n > 0 && (!entry.queues.mayAdmit(m.Slots[slot].Resources, deadline, n) || !block.queues.mayAdmit(m.Slots[slot].Resources, deadline, n) || !block.queuesByOffering[m.offeringIndex].mayAdmit(m.Slots[slot].Resources, deadline, n) || !queue.MayAdmit(deadline, n)) {
-						t.Fatalf("l(%d) is %d, bounded by %d, %d and %d", deadline, n, entry.queues.maxAvailableMS(deadline), block.queues.maxAvailableMS(deadline), block.queuesByOffering[m.offeringIndex].maxAvailableMS(deadline))
+					if n := queue.Available(deadline); n > 0 &&
+						(!entry.queues.mayAdmit(m.Slots[slot].Resources, deadline, n) || !block.queues.mayAdmit(m.Slots[slot].Resources, deadline, n) || !block.queuesByOffering[m.offeringIndex].mayAdmit(m.Slots[slot].Resources, deadline, n) || !queue.MayAdmit(deadline, n)) {
+						t.Fatalf(
+							"l(%d) is %d, bounded by %d, %d and %d",
+							deadline,
+							n,
+							entry.queues.maxAvailableMS(deadline),
+							block.queues.maxAvailableMS(deadline),
+							block.queuesByOffering[m.offeringIndex].maxAvailableMS(deadline),
+						)
 					}
 				}
 			}
@@ -342,7 +424,10 @@
 			model.fillView(view, nowMS)
 			model.fillView(fresh, nowMS) // its seats' places are the same
 			model.fillView(view, nowMS)
-			reference := referencePlanner{fresh, func(index int, image string) bool { return model.added[index].expectedImages[image] }}
+			reference := referencePlanner{
+				fresh,
+				func(index int, image string) bool { return model.added[index].expectedImages[image] },
+			}
 			reserved := view.SpareCPUs * rapid.Float64Range(0, 1).Draw(t, "reserve")
 			pacedStarts := rapid.IntRange(0, 200).Draw(t, "line")
 			view.ReservedCPUs, fresh.ReservedCPUs, view.PacedStartsLeft, fresh.PacedStartsLeft = reserved, reserved, pacedStarts, pacedStarts
@@ -369,18 +454,35 @@
 				}
 				copied := *g
 				got, want := view.Place(g, 0.25), reference.place(&copied, 0.25)
-				if !reflect.DeepEqual(got, want) || g.Remaining != copied.Remaining || g.Waiting != copied.Waiting || g.SpotInsufficient != copied.SpotInsufficient || g.ProvisionRequested != copied.ProvisionRequested {
-					t.Fatalf("group %d of %+v:\n%+v, %d left\nplain:\n%+v, %d left", i, g.Request, got, g.Remaining, want, copied.Remaining)
+				if !reflect.DeepEqual(got, want) || g.Remaining != copied.Remaining || g.Waiting != copied.Waiting ||
+					g.SpotInsufficient != copied.SpotInsufficient ||
+					g.ProvisionRequested != copied.ProvisionRequested {
+					t.Fatalf(
+						"group %d of %+v:\n%+v, %d left\nplain:\n%+v, %d left",
+						i,
+						g.Request,
+						got,
+						g.Remaining,
+						want,
+						copied.Remaining,
+					)
 				}
 				for index, m := range view.machines {
 					if n := fresh.machines[index]; m.Free != n.Free || !slices.EqualFunc(m.Slots, n.Slots, func(x, y Slot) bool {
-						return x.Resources == y.Resources && x.Queue.EarliestStart == y.Queue.EarliestStart && slices.Equal(x.Queue.Entries(), y.Queue.Entries())
+						return x.Resources == y.Resources && x.Queue.EarliestStart == y.Queue.EarliestStart &&
+							slices.Equal(x.Queue.Entries(), y.Queue.Entries())
 					}) {
 						t.Fatalf("%s differs after group %d", m.ID, i)
 					}
 				}
 				if math.Abs(view.SpareCPUs-fresh.SpareCPUs) > 1e-9 || view.PacedStartsLeft != fresh.PacedStartsLeft {
-					t.Fatalf("%g spare and a line of %d, not %g and %d", view.SpareCPUs, view.PacedStartsLeft, fresh.SpareCPUs, fresh.PacedStartsLeft)
+					t.Fatalf(
+						"%g spare and a line of %d, not %g and %d",
+						view.SpareCPUs,
+						view.PacedStartsLeft,
+						fresh.SpareCPUs,
+						fresh.PacedStartsLeft,
+					)
 				}
 				starts += got.StartedTasks
 				queued += g.Waiting - g.Remaining
@@ -410,8 +512,16 @@
 	}
 	view.FinishAdding()
 	view.refreshedBlock(0).queues.minEndMS += 20_000 // it has room, and says that it has none
-	g := Group{Request: ResourceRequest{Resources: availability.Resources{CPUs: 4, MemoryGB: 4}}, Remaining: 5, LengthMS: 1000, ObjectiveDeadlineMS: startMS + 9000, DeadlineMS: startMS + 9000, AcceptedMS: startMS}
-	if view.Place(&g, 0.25); g.Remaining != 0 || len(view.machines[0].Slots[0].Queue.Entries()) != 0 || len(view.machines[blockSize].Slots[0].Queue.Entries()) == 0 {
+	g := Group{
+		Request:             ResourceRequest{Resources: availability.Resources{CPUs: 4, MemoryGB: 4}},
+		Remaining:           5,
+		LengthMS:            1000,
+		ObjectiveDeadlineMS: startMS + 9000,
+		DeadlineMS:          startMS + 9000,
+		AcceptedMS:          startMS,
+	}
+	if view.Place(&g, 0.25); g.Remaining != 0 || len(view.machines[0].Slots[0].Queue.Entries()) != 0 ||
+		len(view.machines[blockSize].Slots[0].Queue.Entries()) == 0 {
 		t.Errorf("%d left, and a block that is said to be full was looked at", g.Remaining)
 	}
 }
--- a/quota/grace_period_test.go
+++ b/quota/grace_period_test.go
@@ -38,7 +38,12 @@
 
 // smallTaskDemand is what a shard has of tasks of 4 that start as soon as its part has room.
 func smallTaskDemand(used, pending float64) Demand {
-	return Demand{Used: Amounts{CPUs: used}, Pending: Amounts{CPUs: pending}, Startable: Amounts{CPUs: pending}, LargestPending: Amounts{CPUs: 4}}
+	return Demand{
+		Used:           Amounts{CPUs: used},
+		Pending:        Amounts{CPUs: pending},
+		Startable:      Amounts{CPUs: pending},
+		LargestPending: Amounts{CPUs: 4},
+	}
 }
 
 // fourSmallTasks is four tasks of b's, of which as many run as its part has room for.
@@ -50,7 +55,12 @@
 // What a shard keeps and can't use goes to a shard that can, after a while and not before;
 // kept for ever, both waited (found by TestPairsOfTroubles: a job was left waiting for 91 s).
 func TestUnusableAllocationIsGrantedAfterGracePeriod(t *testing.T) {
-	large := Demand{Used: Amounts{CPUs: 32}, Pending: Amounts{CPUs: 32}, Startable: Amounts{CPUs: 32}, LargestPending: Amounts{CPUs: 32}}
+	large := Demand{
+		Used:           Amounts{CPUs: 32},
+		Pending:        Amounts{CPUs: 32},
+		Startable:      Amounts{CPUs: 32},
+		LargestPending: Amounts{CPUs: 32},
+	}
 	const gracePeriodMS = 30_000
 	for _, configuredMS := range []int64{0, gracePeriodMS} {
 		k := newTwoShardLedger(configuredMS)
@@ -61,7 +71,8 @@
 				grantedMS = k.nowMS
 			}
 		}
-		if configuredMS == 0 && grantedMS != 0 || configuredMS > 0 && (grantedMS <= gracePeriodMS || grantedMS > gracePeriodMS+2000) {
+		if configuredMS == 0 && grantedMS != 0 ||
+			configuredMS > 0 && (grantedMS <= gracePeriodMS || grantedMS > gracePeriodMS+2000) {
 			t.Errorf("patience %d: given after %d ms", configuredMS, grantedMS)
 		}
 		if sum := k.ledger.Allocation("a").Add(k.ledger.Allocation("b")); !(Amounts{CPUs: 64}).Contains(sum) {
@@ -94,7 +105,12 @@
 func TestGracePeriodRestartsWithoutRequests(t *testing.T) {
 	const gracePeriodMS = 30_000
 	k := newTwoShardLedger(gracePeriodMS)
-	large := Demand{Used: Amounts{CPUs: 32}, Pending: Amounts{CPUs: 32}, Startable: Amounts{CPUs: 32}, LargestPending: Amounts{CPUs: 32}}
+	large := Demand{
+		Used:           Amounts{CPUs: 32},
+		Pending:        Amounts{CPUs: 32},
+		Startable:      Amounts{CPUs: 32},
+		LargestPending: Amounts{CPUs: 32},
+	}
 	for k.nowMS < 20_000 {
 		k.proposeBoth(large, k.fourSmallTasks)
 	}
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -229,7 +229,15 @@
 	for _, recipient := range slices.Sorted(maps.Keys(grants)) {
 		granted = granted.Add(grants[recipient])
 	}
-	shortfall := demand.Used.Add(demand.Pending).Sub(allocation.Sub(granted)).Max(Amounts{}).Min(l.limit.Sub(allocation.Sub(granted)).Max(Amounts{}))
+	shortfall := demand.Used.Add(
+		demand.Pending,
+	).Sub(
+		allocation.Sub(granted),
+	).Max(
+		Amounts{},
+	).Min(
+		l.limit.Sub(allocation.Sub(granted)).Max(Amounts{}),
+	)
 	requestChanged := false
 	switch {
 	case !shortfall.isSignificant():
@@ -238,7 +246,8 @@
 		shortfall = ownRequest.Amounts
 	default:
 		requestChanged = !hasRequest || shortfall.CPUs > ownRequest.CPUs*requestRiseFactor+roundingTolerance || shortfall.GPUs > ownRequest.GPUs*requestRiseFactor+roundingTolerance ||
-			shortfall.CPUs < ownRequest.CPUs*requestFallFactor-roundingTolerance || shortfall.GPUs < ownRequest.GPUs*requestFallFactor-roundingTolerance
+			shortfall.CPUs < ownRequest.CPUs*requestFallFactor-roundingTolerance ||
+			shortfall.GPUs < ownRequest.GPUs*requestFallFactor-roundingTolerance
 	}
 	if len(grants) == 0 && !requestChanged {
 		return nil
@@ -252,7 +261,19 @@
 		record.Allocations[shard] = record.Allocations[shard].Sub(grant)
 		record.Allocations[recipient] = record.Allocations[recipient].Add(grant)
 		request := requests[recipient]
-		request.Amounts, request.Startable, request.MinIncrement = request.Sub(grant).Max(Amounts{}), request.Startable.Sub(grant).Max(Amounts{}), request.MinIncrement.Sub(grant).Max(Amounts{})
+		request.Amounts, request.Startable, request.MinIncrement = request.Sub(
+			grant,
+		).Max(
+			Amounts{},
+		), request.Startable.Sub(
+			grant,
+		).Max(
+			Amounts{},
+		), request.MinIncrement.Sub(
+			grant,
+		).Max(
+			Amounts{},
+		)
 		if !request.isSignificant() {
 			delete(record.Requests, recipient)
 		} else {
@@ -266,7 +287,12 @@
 				sinceMS = ownRequest.SinceMS
 			}
 			free := allocation.Sub(granted).Sub(demand.Used).Max(Amounts{})
-			record.Requests[shard] = Request{shortfall, shortfall.Min(demand.Startable.Sub(free).Max(Amounts{})), demand.LargestPending.Sub(free).Max(Amounts{}).Min(shortfall), sinceMS}
+			record.Requests[shard] = Request{
+				shortfall,
+				shortfall.Min(demand.Startable.Sub(free).Max(Amounts{})),
+				demand.LargestPending.Sub(free).Max(Amounts{}).Min(shortfall),
+				sinceMS,
+			}
 		} else {
 			delete(record.Requests, shard)
 		}
@@ -281,14 +307,23 @@
 	if l.record != nil {
 		requests = l.record.Requests
 	}
-	ownClaim := Claim{Shard: shard, Startable: demand.Startable.Min(demand.Pending), Total: demand.Pending, MinIncrement: demand.LargestPending, SinceMS: nowMS}
+	ownClaim := Claim{
+		Shard:        shard,
+		Startable:    demand.Startable.Min(demand.Pending),
+		Total:        demand.Pending,
+		MinIncrement: demand.LargestPending,
+		SinceMS:      nowMS,
+	}
 	if ownRequest, hasRequest := requests[shard]; hasRequest {
 		ownClaim.SinceMS = ownRequest.SinceMS
 	}
 	var otherClaims []Claim
 	for other, request := range requests {
 		if other != shard {
-			otherClaims = append(otherClaims, Claim{other, request.Startable.Min(request.Amounts), request.Amounts, request.MinIncrement, request.SinceMS})
+			otherClaims = append(
+				otherClaims,
+				Claim{other, request.Startable.Min(request.Amounts), request.Amounts, request.MinIncrement, request.SinceMS},
+			)
 		}
 	}
 	if !spare.isSignificant() || len(otherClaims) == 0 {
@@ -351,12 +386,26 @@
 			}
 		}
 	}
-	lendDimension(loan.CPUs, l.limit.CPUs, idle.CPUs, demand.LargestTask.CPUs, func(shard string) float64 { return allocations[shard].CPUs }, func(shard string, amount float64) {
-		grants[shard] = grants[shard].Add(Amounts{CPUs: amount})
-	})
-	lendDimension(loan.GPUs, l.limit.GPUs, idle.GPUs, demand.LargestTask.GPUs, func(shard string) float64 { return allocations[shard].GPUs }, func(shard string, amount float64) {
-		grants[shard] = grants[shard].Add(Amounts{GPUs: amount})
-	})
+	lendDimension(
+		loan.CPUs,
+		l.limit.CPUs,
+		idle.CPUs,
+		demand.LargestTask.CPUs,
+		func(shard string) float64 { return allocations[shard].CPUs },
+		func(shard string, amount float64) {
+			grants[shard] = grants[shard].Add(Amounts{CPUs: amount})
+		},
+	)
+	lendDimension(
+		loan.GPUs,
+		l.limit.GPUs,
+		idle.GPUs,
+		demand.LargestTask.GPUs,
+		func(shard string) float64 { return allocations[shard].GPUs },
+		func(shard string, amount float64) {
+			grants[shard] = grants[shard].Add(Amounts{GPUs: amount})
+		},
+	)
 }
 
 // RecordOutcome tells how a try of the write that is under way ended.
--- a/quota/ledger_model_test.go
+++ b/quota/ledger_model_test.go
@@ -54,7 +54,17 @@
 
 func (s *clusterState) clone() *clusterState {
 	copied := *s
-	copied.owners, copied.fencingTokens, copied.incarnations, copied.used, copied.inFlight = slices.Clone(s.owners), slices.Clone(s.fencingTokens), slices.Clone(s.incarnations), slices.Clone(s.used), slices.Clone(s.inFlight)
+	copied.owners, copied.fencingTokens, copied.incarnations, copied.used, copied.inFlight = slices.Clone(
+		s.owners,
+	), slices.Clone(
+		s.fencingTokens,
+	), slices.Clone(
+		s.incarnations,
+	), slices.Clone(
+		s.used,
+	), slices.Clone(
+		s.inFlight,
+	)
 	copied.ledgers = make([]*Ledger, len(s.ledgers))
 	for i, ledger := range s.ledgers {
 		copied.ledgers[i] = ledger.clone()
@@ -92,7 +102,12 @@
 	for i := range 3 {
 		allocation := r.Allocations[shardName(i)]
 		request, hasRequest := r.Requests[shardName(i)]
-		d.putInts(thousandths(allocation.CPUs), thousandths(request.CPUs), thousandths(request.Startable.CPUs), thousandths(request.MinIncrement.CPUs))
+		d.putInts(
+			thousandths(allocation.CPUs),
+			thousandths(request.CPUs),
+			thousandths(request.Startable.CPUs),
+			thousandths(request.MinIncrement.CPUs),
+		)
 		d.putBools(hasRequest)
 	}
 }
@@ -119,14 +134,22 @@
 		d.putRecord(ledger.record)
 		if ledger.pendingWrite != nil {
 			d.putInts(int(ledger.pendingWrite.Shard[0]), int(ledger.pendingWrite.Revision))
-			d.putInts(int(nextAfterRefusal(ledger.pendingWrite.ConditionalWrite)), int(nextAfterRead(ledger.pendingWrite.ConditionalWrite)))
+			d.putInts(
+				int(nextAfterRefusal(ledger.pendingWrite.ConditionalWrite)),
+				int(nextAfterRead(ledger.pendingWrite.ConditionalWrite)),
+			)
 			d.putRecord(&ledger.pendingWrite.Record)
 		}
 	}
 	for _, flight := range s.inFlight {
 		// Of claims and processes it matters only whether they still stand.
 		d.putInts(flight.member, int(flight.write.Shard[0]), int(flight.write.Revision))
-		d.putBools(flight.incarnation == s.incarnations[flight.member], flight.fencingToken == s.fencingTokens[flight.write.Shard[0]-'a'], flight.arrived, flight.applied)
+		d.putBools(
+			flight.incarnation == s.incarnations[flight.member],
+			flight.fencingToken == s.fencingTokens[flight.write.Shard[0]-'a'],
+			flight.arrived,
+			flight.applied,
+		)
 		d.putRecord(&flight.write.Record)
 	}
 	return xxhash.Sum64(d)
@@ -217,7 +240,10 @@
 			return
 		}
 		// SendAgain: the same write once more.
-		state.inFlight = append(state.inFlight, inFlightWrite{member: member, incarnation: state.incarnations[member], fencingToken: fencingToken, write: write})
+		state.inFlight = append(
+			state.inFlight,
+			inFlightWrite{member: member, incarnation: state.incarnations[member], fencingToken: fencingToken, write: write},
+		)
 		return
 	}
 }
@@ -250,10 +276,23 @@
 		if state.writes < x.maxWrites {
 			for _, pending := range []float64{0, 2} {
 				next := state.clone()
-				demand := Demand{Used: Amounts{CPUs: float64(state.used[shard])}, Pending: Amounts{CPUs: pending}, Startable: Amounts{CPUs: pending}, LargestPending: Amounts{CPUs: min(pending, 1)}}
+				demand := Demand{
+					Used:           Amounts{CPUs: float64(state.used[shard])},
+					Pending:        Amounts{CPUs: pending},
+					Startable:      Amounts{CPUs: pending},
+					LargestPending: Amounts{CPUs: min(pending, 1)},
+				}
 				if write := next.ledgers[owner].Propose(0, shardName(shard), demand); write != nil {
 					next.writes++
-					next.inFlight = append(next.inFlight, inFlightWrite{member: owner, incarnation: next.incarnations[owner], fencingToken: next.fencingTokens[shard], write: *write})
+					next.inFlight = append(
+						next.inFlight,
+						inFlightWrite{
+							member:       owner,
+							incarnation:  next.incarnations[owner],
+							fencingToken: next.fencingTokens[shard],
+							write:        *write,
+						},
+					)
 					x.visit(next, "write")
 				}
 			}
@@ -265,7 +304,8 @@
 			next := state.clone()
 			arriving := &next.inFlight[n]
 			arriving.arrived = true
-			if (flight.fencingToken == state.fencingTokens[shard] && state.owners[shard] >= 0 || x.fault == acceptsStaleClaims) && flight.write.Revision == state.revision {
+			if (flight.fencingToken == state.fencingTokens[shard] && state.owners[shard] >= 0 || x.fault == acceptsStaleClaims) &&
+				flight.write.Revision == state.revision {
 				arriving.applied = true
 				next.revision++
 				record := flight.write.Record
@@ -273,7 +313,10 @@
 			}
 			x.visit(next, "arrives")
 		}
-		awaitsOutcome := state.incarnations[flight.member] == flight.incarnation && state.ledgers[flight.member].pendingWrite != nil && state.ledgers[flight.member].pendingWrite.Shard == flight.write.Shard && state.ledgers[flight.member].pendingWrite.Revision == flight.write.Revision
+		awaitsOutcome := state.incarnations[flight.member] == flight.incarnation &&
+			state.ledgers[flight.member].pendingWrite != nil &&
+			state.ledgers[flight.member].pendingWrite.Shard == flight.write.Shard &&
+			state.ledgers[flight.member].pendingWrite.Revision == flight.write.Revision
 		if flight.arrived {
 			next := state.clone()
 			next.inFlight = slices.Delete(next.inFlight, n, n+1)
@@ -359,10 +402,28 @@
 
 // explore visits every state within the bounds, or as many as most.
 func explore(shards, maxWrites, maxFailures int, planted fault, maxStates int) *explorer {
-	x := &explorer{fault: planted, maxWrites: maxWrites, maxFailures: maxFailures, seen: map[uint64]bool{}, stepsTaken: map[string]bool{}}
+	x := &explorer{
+		fault:       planted,
+		maxWrites:   maxWrites,
+		maxFailures: maxFailures,
+		seen:        map[uint64]bool{},
+		stepsTaken:  map[string]bool{},
+	}
 	s := &clusterState{}
 	for i := range shards {
-		s.owners, s.fencingTokens, s.incarnations, s.used = append(s.owners, i), append(s.fencingTokens, 1), append(s.incarnations, 0), append(s.used, 0)
+		s.owners, s.fencingTokens, s.incarnations, s.used = append(
+			s.owners,
+			i,
+		), append(
+			s.fencingTokens,
+			1,
+		), append(
+			s.incarnations,
+			0,
+		), append(
+			s.used,
+			0,
+		)
 		s.ledgers = append(s.ledgers, NewLedger(Amounts{CPUs: teamLimit}, "a"))
 	}
 	x.visit(s, "begin")
--- a/quota/record_compatibility_test.go
+++ b/quota/record_compatibility_test.go
@@ -28,8 +28,14 @@
 	if write == nil || write.Record.Allocations["m1"].CPUs != 32 || len(write.Record.Requests) != 0 {
 		t.Fatalf("a want without a unit is met with %+v", write)
 	}
-	encoded, err := json.Marshal(Record{Allocations: map[string]Amounts{"m0": {CPUs: 4}}, Requests: map[string]Request{"m1": {Amounts: Amounts{CPUs: 8}, MinIncrement: Amounts{CPUs: 2}, SinceMS: 5}}})
-	if want := `{"parts":{"m0":{"cpus":4}},"wants":{"m1":{"cpus":8,"unit":{"cpus":2},"at":5}}}`; err != nil || string(encoded) != want {
+	encoded, err := json.Marshal(
+		Record{
+			Allocations: map[string]Amounts{"m0": {CPUs: 4}},
+			Requests:    map[string]Request{"m1": {Amounts: Amounts{CPUs: 8}, MinIncrement: Amounts{CPUs: 2}, SinceMS: 5}},
+		},
+	)
+	if want := `{"parts":{"m0":{"cpus":4}},"wants":{"m1":{"cpus":8,"unit":{"cpus":2},"at":5}}}`; err != nil ||
+		string(encoded) != want {
 		t.Errorf("written as %s, %v", encoded, err)
 	}
 }
--- a/quota/usage_monitor.go
+++ b/quota/usage_monitor.go
@@ -64,7 +64,13 @@
 // NewUsageMonitor returns the watch of a member that starts at a time of day, which has heard
 // nobody.
 func NewUsageMonitor(memberID string, wallMS int64) *UsageMonitor {
-	return &UsageMonitor{memberID: memberID, startVersion: wallMS, version: wallMS, snapshots: map[string]receivedSnapshot{}, preemptionBudgets: map[string]preemptionBudget{}}
+	return &UsageMonitor{
+		memberID:          memberID,
+		startVersion:      wallMS,
+		version:           wallMS,
+		snapshots:         map[string]receivedSnapshot{},
+		preemptionBudgets: map[string]preemptionBudget{},
+	}
 }
 
 // Snapshot returns the figures to send. wall is the time of day, which makes those of a
@@ -96,7 +102,14 @@
 func (m *UsageMonitor) PeerUsage(team string, nowMS, sinceMS int64) (used, pending Amounts, ageMS int64) {
 	for _, peerID := range m.peerIDs {
 		if snapshot := m.snapshots[peerID]; snapshot.receivedMS >= sinceMS {
-			used, pending, ageMS = used.Add(snapshot.Used[team]), pending.Add(snapshot.Pending[team]), max(ageMS, nowMS-snapshot.receivedMS)
+			used, pending, ageMS = used.Add(
+				snapshot.Used[team],
+			), pending.Add(
+				snapshot.Pending[team],
+			), max(
+				ageMS,
+				nowMS-snapshot.receivedMS,
+			)
 		}
 	}
 	return used, pending, ageMS
@@ -146,7 +159,10 @@
 		}
 		return (total - guarantee) * ownUsage / total
 	}
-	return Amounts{preemptible(ownUsage.CPUs, total.CPUs, guarantee.CPUs), preemptible(ownUsage.GPUs, total.GPUs, guarantee.GPUs)}
+	return Amounts{
+		preemptible(ownUsage.CPUs, total.CPUs, guarantee.CPUs),
+		preemptible(ownUsage.GPUs, total.GPUs, guarantee.GPUs),
+	}
 }
 
 // TryPreempt takes what is to be stopped of a team off what may be, and says whether it may.
--- a/quota/usage_monitor_test.go
+++ b/quota/usage_monitor_test.go
@@ -25,12 +25,27 @@
 }
 
 func (s *monitorState) clone() *monitorState {
-	copied := &monitorState{used: slices.Clone(s.used), inTransit: slices.Clone(s.inTransit), snapshotsSent: slices.Clone(s.snapshotsSent), starts: s.starts}
+	copied := &monitorState{
+		used:          slices.Clone(s.used),
+		inTransit:     slices.Clone(s.inTransit),
+		snapshotsSent: slices.Clone(s.snapshotsSent),
+		starts:        s.starts,
+	}
 	for i, monitor := range s.inTransit {
 		copied.inTransit[i] = slices.Clone(monitor)
 	}
 	for _, monitor := range s.monitors {
-		copied.monitors = append(copied.monitors, &UsageMonitor{memberID: monitor.memberID, startVersion: monitor.startVersion, version: monitor.version, peerIDs: slices.Clone(monitor.peerIDs), snapshots: maps.Clone(monitor.snapshots), preemptionBudgets: maps.Clone(monitor.preemptionBudgets)})
+		copied.monitors = append(
+			copied.monitors,
+			&UsageMonitor{
+				memberID:          monitor.memberID,
+				startVersion:      monitor.startVersion,
+				version:           monitor.version,
+				peerIDs:           slices.Clone(monitor.peerIDs),
+				snapshots:         maps.Clone(monitor.snapshots),
+				preemptionBudgets: maps.Clone(monitor.preemptionBudgets),
+			},
+		)
 	}
 	return copied
 }
@@ -186,25 +201,38 @@
 		{"the other was not heard since: it counts as using nothing", 10, 200, 0},
 		{"but what is here beyond all of the guarantee", 25, 200, 5},
 	} {
-		if got := monitor.PreemptibleExcess(team, Amounts{CPUs: c.own}, guarantee, int64(c.since)); math.Abs(got.CPUs-c.expected) > roundingTolerance {
+		if got := monitor.PreemptibleExcess(team, Amounts{CPUs: c.own}, guarantee, int64(c.since)); math.Abs(
+			got.CPUs-c.expected,
+		) > roundingTolerance {
 			t.Errorf("%s: %g, not %g", c.name, got.CPUs, c.expected)
 		}
 	}
-	if excess := monitor.PreemptibleExcess(team, Amounts{CPUs: 4, GPUs: 2}, Amounts{}, 0); !math.IsInf(excess.CPUs, 1) || !math.IsInf(excess.GPUs, 1) {
+	if excess := monitor.PreemptibleExcess(team, Amounts{CPUs: 4, GPUs: 2}, Amounts{}, 0); !math.IsInf(excess.CPUs, 1) ||
+		!math.IsInf(excess.GPUs, 1) {
 		t.Errorf("a team without a guarantee: %v", excess)
 	}
 	monitor.Snapshot(50, cpus(10), nil)
-	if monitor.TryPreempt(team, Amounts{CPUs: 10}, guarantee, 0, Amounts{CPUs: 6}) || !monitor.TryPreempt(team, Amounts{CPUs: 10}, guarantee, 0, Amounts{CPUs: 4}) {
+	if monitor.TryPreempt(team, Amounts{CPUs: 10}, guarantee, 0, Amounts{CPUs: 6}) ||
+		!monitor.TryPreempt(team, Amounts{CPUs: 10}, guarantee, 0, Amounts{CPUs: 4}) {
 		t.Error("of 5 it may stop 6, or not 4")
 	}
 	if excess := monitor.PreemptibleExcess(team, Amounts{CPUs: 6}, guarantee, 0); excess.CPUs != 1 {
 		t.Errorf("after a stop of which nobody heard: %v", excess)
 	}
-	if monitor.TryPreempt(team, Amounts{CPUs: 6}, guarantee, 0, Amounts{CPUs: 1}); monitor.PreemptibleExcess(team, Amounts{CPUs: 5}, guarantee, 0).CPUs != 0 {
+	if monitor.TryPreempt(team, Amounts{CPUs: 6}, guarantee, 0, Amounts{CPUs: 1}); monitor.PreemptibleExcess(
+		team,
+		Amounts{CPUs: 5},
+		guarantee,
+		0,
+	).CPUs != 0 {
 		t.Error("more than its part before anybody heard")
 	}
 	snapshot := monitor.Snapshot(60, cpus(5), nil)
-	monitor.Receive(300, "b", UsageSnapshot{Version: 3, Used: cpus(30), ReceivedVersions: map[string]int64{"a": snapshot.Version}})
+	monitor.Receive(
+		300,
+		"b",
+		UsageSnapshot{Version: 3, Used: cpus(30), ReceivedVersions: map[string]int64{"a": snapshot.Version}},
+	)
 	if excess := monitor.PreemptibleExcess(team, Amounts{CPUs: 5}, guarantee, 0); excess.CPUs <= 0 {
 		t.Errorf("after the other heard of the stop: %v", excess)
 	}
@@ -215,7 +243,12 @@
 }
 
 func TestJobsWithinGuaranteeAreTakenInArrivalOrder(t *testing.T) {
-	jobs := []Job{{"c", 30, Amounts{CPUs: 1}}, {"a", 10, Amounts{CPUs: 4}}, {"b", 10, Amounts{CPUs: 6}}, {"d", 20, Amounts{CPUs: 1}}}
+	jobs := []Job{
+		{"c", 30, Amounts{CPUs: 1}},
+		{"a", 10, Amounts{CPUs: 4}},
+		{"b", 10, Amounts{CPUs: 6}},
+		{"d", 20, Amounts{CPUs: 1}},
+	}
 	for _, c := range []struct {
 		guarantee float64
 		expected  string
@@ -288,7 +321,8 @@
 			}
 			return int(a.Shard[0]) - int(b.Shard[0])
 		})
-		if want := oldest.MinIncrement.Min(oldest.Startable); pool.CPUs >= want.CPUs && grants[oldest.Shard].CPUs < want.CPUs-roundingTolerance {
+		if want := oldest.MinIncrement.Min(oldest.Startable); pool.CPUs >= want.CPUs &&
+			grants[oldest.Shard].CPUs < want.CPUs-roundingTolerance {
 			t.Fatalf("the oldest, %v, gets %v of %v", oldest, grants[oldest.Shard], pool)
 		}
 	})
@@ -299,10 +333,16 @@
 // limits that differ from the record's.
 func TestAllocationsKeepLimitThatDiffersFromRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Amounts{CPUs: float64(rapid.IntRange(1, 30).Draw(t, "limit")), GPUs: float64(rapid.IntRange(0, 3).Draw(t, "gpus"))}
+		limit := Amounts{
+			CPUs: float64(rapid.IntRange(1, 30).Draw(t, "limit")),
+			GPUs: float64(rapid.IntRange(0, 3).Draw(t, "gpus")),
+		}
 		rec := &Record{Allocations: map[string]Amounts{}, Requests: map[string]Request{}}
 		for i := range 3 {
-			rec.Allocations[shardName(i)] = Amounts{CPUs: float64(rapid.IntRange(0, 20).Draw(t, "part")), GPUs: float64(rapid.IntRange(0, 2).Draw(t, "part"))}
+			rec.Allocations[shardName(i)] = Amounts{
+				CPUs: float64(rapid.IntRange(0, 20).Draw(t, "part")),
+				GPUs: float64(rapid.IntRange(0, 2).Draw(t, "part")),
+			}
 		}
 		rev := uint64(1)
 		for range 20 {
@@ -316,8 +356,17 @@
 				t.Fatalf("parts %v under a limit of %v", ledger.Allocations(), limit)
 			}
 			shard := shardName(rapid.IntRange(0, 2).Draw(t, "s"))
-			demand := Demand{Used: Amounts{CPUs: float64(rapid.IntRange(0, 10).Draw(t, "use"))}, Pending: Amounts{CPUs: float64(rapid.IntRange(0, 40).Draw(t, "wait"))}}
-			demand.Startable, demand.LargestPending, demand.LargestTask = demand.Pending.Scale(0.5), Amounts{CPUs: min(2, demand.Pending.CPUs)}, Amounts{CPUs: 2}
+			demand := Demand{
+				Used:    Amounts{CPUs: float64(rapid.IntRange(0, 10).Draw(t, "use"))},
+				Pending: Amounts{CPUs: float64(rapid.IntRange(0, 40).Draw(t, "wait"))},
+			}
+			demand.Startable, demand.LargestPending, demand.LargestTask = demand.Pending.Scale(
+				0.5,
+			), Amounts{
+				CPUs: min(2, demand.Pending.CPUs),
+			}, Amounts{
+				CPUs: 2,
+			}
 			before := ledger.Allocation(shard)
 			write := ledger.Propose(int64(rev), shard, demand)
 			if write == nil {
@@ -326,7 +375,8 @@
 			if after := write.Record.Allocations[shard]; after.CPUs < min(before.CPUs, demand.Used.CPUs)-roundingTolerance {
 				t.Fatalf("it gives %v of %v away and uses %v", after, before, demand.Used)
 			}
-			if _, requested := write.Record.Requests[shard]; requested && !demand.Used.Add(demand.Pending).Sub(write.Record.Allocations[shard]).isSignificant() {
+			if _, requested := write.Record.Requests[shard]; requested &&
+				!demand.Used.Add(demand.Pending).Sub(write.Record.Allocations[shard]).isSignificant() {
 				t.Fatalf("it asks for what it has: %+v", write)
 			}
 			rev++
@@ -347,7 +397,8 @@
 		t.Errorf("lent while more than half is in use: %+v", write)
 	}
 	write := home.Propose(1, "a", Demand{Used: Amounts{CPUs: 4}, LargestTask: Amounts{CPUs: 4}})
-	if write == nil || write.Record.Allocations["a"].CPUs != 32 || write.Record.Allocations["b"].CPUs != 8 || write.Record.Allocations["c"].CPUs != 8 {
+	if write == nil || write.Record.Allocations["a"].CPUs != 32 || write.Record.Allocations["b"].CPUs != 8 ||
+		write.Record.Allocations["c"].CPUs != 8 {
 		t.Fatalf("lends %+v", write)
 	}
 	home.Observe(&write.Record, 1)
@@ -355,12 +406,23 @@
 	if again := home.Propose(2, "a", Demand{Used: Amounts{CPUs: 4}, LargestTask: Amounts{CPUs: 4}}); again != nil {
 		t.Errorf("lends once more: %+v", again)
 	}
-	write = home.Propose(3, "a", Demand{Used: Amounts{CPUs: 32}, Pending: Amounts{CPUs: 12}, Startable: Amounts{CPUs: 12}, LargestPending: Amounts{CPUs: 4}, LargestTask: Amounts{CPUs: 4}})
+	write = home.Propose(
+		3,
+		"a",
+		Demand{
+			Used:           Amounts{CPUs: 32},
+			Pending:        Amounts{CPUs: 12},
+			Startable:      Amounts{CPUs: 12},
+			LargestPending: Amounts{CPUs: 4},
+			LargestTask:    Amounts{CPUs: 4},
+		},
+	)
 	if write == nil || write.Record.Requests["a"].CPUs != 12 {
 		t.Fatalf("asks back %+v", write)
 	}
 	borrower.Observe(&write.Record, 2)
-	if write = borrower.Propose(4, "b", Demand{}); write == nil || write.Record.Allocations["a"].CPUs != 40 || write.Record.Requests["a"].CPUs != 4 {
+	if write = borrower.Propose(4, "b", Demand{}); write == nil || write.Record.Allocations["a"].CPUs != 40 ||
+		write.Record.Requests["a"].CPUs != 4 {
 		t.Errorf("gives back %+v", write)
 	}
 }
@@ -368,12 +430,25 @@
 // A want that is met is met once: the giver takes it off the record with what it gives.
 func TestGrantedRequestIsRemovedFromRecord(t *testing.T) {
 	a, b := NewLedger(Amounts{CPUs: 10}, "a"), NewLedger(Amounts{CPUs: 10}, "a")
-	write := b.Propose(5, "b", Demand{Pending: Amounts{CPUs: 4}, Startable: Amounts{CPUs: 4}, LargestPending: Amounts{CPUs: 2}})
+	write := b.Propose(
+		5,
+		"b",
+		Demand{Pending: Amounts{CPUs: 4}, Startable: Amounts{CPUs: 4}, LargestPending: Amounts{CPUs: 2}},
+	)
 	if write == nil || write.Record.Requests["b"].CPUs != 4 || write.Record.Allocations["a"].CPUs != 10 {
 		t.Fatalf("asks with %+v", write)
 	}
 	a.Observe(&write.Record, 1)
-	write = a.Propose(6, "a", Demand{Used: Amounts{CPUs: 7}, Pending: Amounts{CPUs: 1}, Startable: Amounts{CPUs: 1}, LargestPending: Amounts{CPUs: 1}})
+	write = a.Propose(
+		6,
+		"a",
+		Demand{
+			Used:           Amounts{CPUs: 7},
+			Pending:        Amounts{CPUs: 1},
+			Startable:      Amounts{CPUs: 1},
+			LargestPending: Amounts{CPUs: 1},
+		},
+	)
 	if write == nil || a.Allocation("a").CPUs >= 10 || len(write.Record.Requests) != 1 {
 		t.Fatalf("gives with %+v, and counts on %v", write, a.Allocation("a"))
 	}
@@ -392,7 +467,8 @@
 	if again := a.Propose(7, "a", Demand{}); again != nil {
 		t.Errorf("a second write beside the first: %+v", again)
 	}
-	if a.RecordOutcome(access.Unknown) != indoubt.ReadBack || a.Resolve(access.OK, &write.Record, 2) != indoubt.Settled || a.Allocation("a").CPUs != 10-granted {
+	if a.RecordOutcome(access.Unknown) != indoubt.ReadBack || a.Resolve(access.OK, &write.Record, 2) != indoubt.Settled ||
+		a.Allocation("a").CPUs != 10-granted {
 		t.Errorf("read back: part %v", a.Allocation("a"))
 	}
 }
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -173,7 +173,11 @@
 
 // updateUnreported keeps the list of machines that are unseen.
 func (c *Claim) updateUnreported(m *Machine) {
-	index, found := slices.BinarySearchFunc(c.unreported, m, func(a, b *Machine) int { return strings.Compare(a.ID, b.ID) })
+	index, found := slices.BinarySearchFunc(
+		c.unreported,
+		m,
+		func(a, b *Machine) int { return strings.Compare(a.ID, b.ID) },
+	)
 	if found && c.unreported[index] != m {
 		c.unreported[index] = m // it stands for the same machine, added anew
 	}
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -116,7 +116,11 @@
 	m.completed, m.assigned = append([]bool(nil), m.resultStored...), make([]int, modelTasks)
 	m.claim.Ledger.Restore(m.storedEntries)
 	for _, worker := range m.workers {
-		worker.machine, worker.ownedAttempts, worker.startedAtSeq, worker.orphanedTasks = m.claim.AddMachine(worker.id, true, m.now), map[[2]int]bool{}, map[[2]int]uint64{}, 0
+		worker.machine, worker.ownedAttempts, worker.startedAtSeq, worker.orphanedTasks = m.claim.AddMachine(
+			worker.id,
+			true,
+			m.now,
+		), map[[2]int]bool{}, map[[2]int]uint64{}, 0
 	}
 }
 
@@ -146,7 +150,11 @@
 
 // sendHeartbeat is what a worker says now; it is taken now, and its answer may be late or
 // lost.
-func (m *model) sendHeartbeat(worker *modelWorker, responseLost bool, receive func(worker *Machine, now int64, incarnation, seq, fencingToken uint64) Disposition) {
+func (m *model) sendHeartbeat(
+	worker *modelWorker,
+	responseLost bool,
+	receive func(worker *Machine, now int64, incarnation, seq, fencingToken uint64) Disposition,
+) {
 	worker.seq++
 	worker.pendingCommands = nil // one report at a time: an answer that did not come is dropped
 	incarnation, seq, sentAt := worker.incarnation, worker.seq, m.now
@@ -228,7 +236,8 @@
 
 // checkVerdict holds a verdict against what the rules ask, cell or no cell.
 func (m *model) checkVerdict(task int, state TaskState, observation Observation, verdict Verdict) {
-	unavailable := state == Assigned || state == Transferring || state == Completed || state == ResultStored || state == Obsolete
+	unavailable := state == Assigned || state == Transferring || state == Completed || state == ResultStored ||
+		state == Obsolete
 	switch {
 	case verdict == Adopt && (unavailable || observation != Active):
 		m.fail("%d goes on, %v and %v", task, state, observation)
@@ -269,7 +278,11 @@
 		}
 	}
 	for task := range m.completed {
-		if m.taskState(task) != Unassigned || !isPlaceable(task, worker.id) || assigned+possiblyRunning >= m.taskLimit && !ignoresTaskLimit || assigned >= m.taskLimit || len(worker.ownedAttempts) >= worker.maxTasks || m.mayRunOnUnreported(task) && !startsPossiblyRunningTasks {
+		if m.taskState(task) != Unassigned || !isPlaceable(task, worker.id) ||
+			assigned+possiblyRunning >= m.taskLimit && !ignoresTaskLimit ||
+			assigned >= m.taskLimit ||
+			len(worker.ownedAttempts) >= worker.maxTasks ||
+			m.mayRunOnUnreported(task) && !startsPossiblyRunningTasks {
 			continue
 		}
 		assigned++
@@ -335,7 +348,10 @@
 }
 
 func (w *modelWorker) dropTask(key [2]int) {
-	w.tasks = slices.DeleteFunc(w.tasks, func(task modelTask) bool { return task.task == key[0] && task.attempt == key[1] && !task.active })
+	w.tasks = slices.DeleteFunc(
+		w.tasks,
+		func(task modelTask) bool { return task.task == key[0] && task.attempt == key[1] && !task.active },
+	)
 }
 
 // tick lets time pass for the holder and for workers.
@@ -349,7 +365,8 @@
 				m.releaseAttempt(worker, key)
 			}
 		}
-		if now := m.now; worker.machine.IsReconciled() && now-worker.machine.LastHeartbeatAt > modelSettings.MaxHeartbeatIntervalMS {
+		if now := m.now; worker.machine.IsReconciled() &&
+			now-worker.machine.LastHeartbeatAt > modelSettings.MaxHeartbeatIntervalMS {
 			entry := UnreachableMachine{UsageByTeam: map[string]ResourceUsage{}}
 			for key := range worker.ownedAttempts {
 				entry.Ranges = append(entry.Ranges, fmt.Sprint(key[0]))
@@ -368,9 +385,22 @@
 }
 
 func runModel(t *rapid.T, seenVerdicts *VerdictCounts) string {
-	m := &model{t: t, now: 1000, completed: make([]bool, modelTasks), resultStored: make([]bool, modelTasks), obsolete: make([]bool, modelTasks), transferring: make([]bool, modelTasks), seenVerdicts: seenVerdicts, storedEntries: map[string]UnreachableMachine{}, taskLimit: 4}
+	m := &model{
+		t:             t,
+		now:           1000,
+		completed:     make([]bool, modelTasks),
+		resultStored:  make([]bool, modelTasks),
+		obsolete:      make([]bool, modelTasks),
+		transferring:  make([]bool, modelTasks),
+		seenVerdicts:  seenVerdicts,
+		storedEntries: map[string]UnreachableMachine{},
+		taskLimit:     4,
+	}
 	for i := range 3 {
-		m.workers = append(m.workers, &modelWorker{id: fmt.Sprint("w", i), incarnation: 1, lastResponseAt: m.now, maxTasks: 3})
+		m.workers = append(
+			m.workers,
+			&modelWorker{id: fmt.Sprint("w", i), incarnation: 1, lastResponseAt: m.now, maxTasks: 3},
+		)
 	}
 	m.startClaim()
 	for range 400 {
@@ -431,7 +461,16 @@
 			}
 			task, active := rapid.IntRange(0, modelTasks-1).Draw(t, "task"), rapid.Bool().Draw(t, "live")
 			m.lastAttempt++
-			worker.tasks = append(worker.tasks, modelTask{task: task, attempt: m.lastAttempt, active: active, completed: !active && rapid.Bool().Draw(t, "done"), orphaned: true})
+			worker.tasks = append(
+				worker.tasks,
+				modelTask{
+					task:      task,
+					attempt:   m.lastAttempt,
+					active:    active,
+					completed: !active && rapid.Bool().Draw(t, "done"),
+					orphaned:  true,
+				},
+			)
 		case 13: // its own answer to a question
 			if worker.machine.State() == Notified && !worker.hung && worker.token == m.fencingToken {
 				m.sendHeartbeat(worker, true, m.claim.ReceiveQueryResponse)
@@ -467,7 +506,8 @@
 func TestLateHeartbeatOfEndedIncarnationIsStale(t *testing.T) {
 	claim := NewClaim(modelSettings, 7, 0)
 	machine := claim.AddMachine("w", true, 0)
-	if claim.ReceiveHeartbeat(machine, 10, 1, 1, 3) != NotifyToken || claim.ReceiveHeartbeat(machine, 20, 1, 2, 7) != Accept {
+	if claim.ReceiveHeartbeat(machine, 10, 1, 1, 3) != NotifyToken ||
+		claim.ReceiveHeartbeat(machine, 20, 1, 2, 7) != Accept {
 		t.Fatal("the machine is not squared")
 	}
 	expiredAt := claim.LeaseExpiresAt(machine) + 1
@@ -477,7 +517,8 @@
 	if got := claim.ReceiveHeartbeat(machine, expiredAt+5, 1, 3, 7); got != Stale || machine.State() != LeaseExpired {
 		t.Errorf("its session is over: %v, %v", got, machine.State())
 	}
-	if got := claim.ReceiveHeartbeat(machine, expiredAt+9, 2, 4, 7); got != AcceptNewIncarnation || !machine.IsReconciled() {
+	if got := claim.ReceiveHeartbeat(machine, expiredAt+9, 2, 4, 7); got != AcceptNewIncarnation ||
+		!machine.IsReconciled() {
 		t.Errorf("the next session: %v, %v", got, machine.State())
 	}
 }
@@ -508,7 +549,9 @@
 func TestEarlierIncarnationDoesNotReviveAnEndedOne(t *testing.T) {
 	claim := NewClaim(modelSettings, 7, 0)
 	machine := claim.AddMachine("w", true, 0)
-	if claim.ReceiveHeartbeat(machine, 10, 5, 20, 3) != NotifyToken || claim.ReceiveHeartbeat(machine, 12, 3, 11, 3) != Stale || machine.NotifiedIncarnation() != 5 {
+	if claim.ReceiveHeartbeat(machine, 10, 5, 20, 3) != NotifyToken ||
+		claim.ReceiveHeartbeat(machine, 12, 3, 11, 3) != Stale ||
+		machine.NotifiedIncarnation() != 5 {
 		t.Fatalf("told in session %d", machine.NotifiedIncarnation())
 	}
 	expiredAt := claim.LeaseExpiresAt(machine) + 1
@@ -528,14 +571,19 @@
 	machine := claim.AddMachine("w", true, 100)
 	leaseEnd := int64(100) + claim.maxLeaseMS() + responseTTLMS
 	for seq, now := uint64(1), int64(200); now <= leaseEnd; seq, now = seq+1, now+300 {
-		if claim.ReceiveHeartbeat(machine, now, 1+seq/40, seq, 3) != NotifyToken || machine.IsAccountedFor() || len(claim.Unreported()) != 1 {
+		if claim.ReceiveHeartbeat(machine, now, 1+seq/40, seq, 3) != NotifyToken || machine.IsAccountedFor() ||
+			len(claim.Unreported()) != 1 {
 			t.Fatalf("at %d: %v, settled %v", now, machine.State(), machine.IsAccountedFor())
 		}
 	}
-	if claim.ReceiveHeartbeat(machine, leaseEnd+1, 2, 900, 3) != NotifyToken || !machine.IsAccountedFor() || !machine.IsInboundPartitioned() || len(claim.Unreported()) != 0 || machine.IsReconciled() {
+	if claim.ReceiveHeartbeat(machine, leaseEnd+1, 2, 900, 3) != NotifyToken || !machine.IsAccountedFor() ||
+		!machine.IsInboundPartitioned() ||
+		len(claim.Unreported()) != 0 ||
+		machine.IsReconciled() {
 		t.Errorf("after its lease: %v, settled %v", machine.State(), machine.IsAccountedFor())
 	}
-	if claim.ReceiveHeartbeat(machine, leaseEnd+9, 2, 901, 7) != Accept || !machine.IsReconciled() || machine.IsInboundPartitioned() {
+	if claim.ReceiveHeartbeat(machine, leaseEnd+9, 2, 901, 7) != Accept || !machine.IsReconciled() ||
+		machine.IsInboundPartitioned() {
 		t.Error("it hears again, and is not squared")
 	}
 }
--- a/recurrence/calendar.go
+++ b/recurrence/calendar.go
@@ -96,7 +96,7 @@
 
 // Holidays is a named set of days: dates, or days of every year as MM-DD.
 type Holidays struct {
-	Name  string   `toml:"name" json:"name"`
+	Name  string   `toml:"name"  json:"name"`
 	Dates []string `toml:"dates" json:"dates"`
 }
 
@@ -104,24 +104,24 @@
 type Exception struct {
 	Date      Date   `toml:"date" json:"date"`
 	IsWorking bool   `toml:"work" json:"work"`
-	Reason    string `toml:"why" json:"why"`
+	Reason    string `toml:"why"  json:"why"`
 }
 
 // Move shifts what is due on one day to another, whether or not either is a
 // working day.
 type Move struct {
 	From   Date   `toml:"from" json:"from"`
-	To     Date   `toml:"to" json:"to"`
-	Reason string `toml:"why" json:"why"`
+	To     Date   `toml:"to"   json:"to"`
+	Reason string `toml:"why"  json:"why"`
 }
 
 // Calendar tells working days. The zero value's are Monday to Friday.
 type Calendar struct {
-	Name       string      `toml:"name" json:"name"`
-	Working    []string    `toml:"working" json:"working"` // mon ... sun
-	Holidays   []Holidays  `toml:"holidays" json:"holidays"`
+	Name       string      `toml:"name"       json:"name"`
+	Working    []string    `toml:"working"    json:"working"` // mon ... sun
+	Holidays   []Holidays  `toml:"holidays"   json:"holidays"`
 	Exceptions []Exception `toml:"exceptions" json:"exceptions"`
-	Moves      []Move      `toml:"moves" json:"moves"`
+	Moves      []Move      `toml:"moves"      json:"moves"`
 
 	validated       bool
 	workingWeekdays [7]bool
@@ -160,7 +160,8 @@
 			m, err1 := strconv.Atoi(month)
 			d, err2 := strconv.Atoi(day)
 			// The 29th of February is a day of leap years.
-			if !ok || err1 != nil || err2 != nil || m < 1 || m > 12 || d < 1 || DateOf(time.Date(2024, time.Month(m), d, 0, 0, 0, 0, time.UTC)).Month != time.Month(m) {
+			if !ok || err1 != nil || err2 != nil || m < 1 || m > 12 || d < 1 ||
+				DateOf(time.Date(2024, time.Month(m), d, 0, 0, 0, 0, time.UTC)).Month != time.Month(m) {
 				return fmt.Errorf("holidays[%d].dates: %q is neither YYYY-MM-DD nor MM-DD", i, s)
 			}
 			c.yearlyHolidays[[2]int{m, d}] = h.Name
--- a/recurrence/moments.go
+++ b/recurrence/moments.go
@@ -33,16 +33,16 @@
 
 // Schedule says when something recurs.
 type Schedule struct {
-	Name     string  `toml:"name" json:"name"`
-	Zone     string  `toml:"zone" json:"zone"` // of the IANA database
+	Name     string  `toml:"name"     json:"name"`
+	Zone     string  `toml:"zone"     json:"zone"` // of the IANA database
 	Calendar string  `toml:"calendar" json:"calendar"`
-	Rule     string  `toml:"rule" json:"rule"` // RFC 5545's RRULE, of days: FREQ from DAILY to YEARLY
-	From     Date    `toml:"from" json:"from"` // the first day that counts, and what INTERVAL counts from
-	Until    *Date   `toml:"until" json:"until,omitempty"`
-	At       []Clock `toml:"at" json:"at"`
-	Shift    Shift   `toml:"shift" json:"shift"`
-	Gap      Gap     `toml:"gap" json:"gap"`
-	Overlap  Overlap `toml:"overlap" json:"overlap"`
+	Rule     string  `toml:"rule"     json:"rule"` // RFC 5545's RRULE, of days: FREQ from DAILY to YEARLY
+	From     Date    `toml:"from"     json:"from"` // the first day that counts, and what INTERVAL counts from
+	Until    *Date   `toml:"until"    json:"until,omitempty"`
+	At       []Clock `toml:"at"       json:"at"`
+	Shift    Shift   `toml:"shift"    json:"shift"`
+	Gap      Gap     `toml:"gap"      json:"gap"`
+	Overlap  Overlap `toml:"overlap"  json:"overlap"`
 
 	calendar *Calendar
 	location *time.Location
@@ -70,7 +70,18 @@
 	ErrInvalidRule = errors.New("is no rule")
 )
 
-var allowedRuleFields = []string{"FREQ", "INTERVAL", "COUNT", "BYDAY", "BYMONTHDAY", "BYYEARDAY", "BYWEEKNO", "BYMONTH", "BYSETPOS", "WKST"}
+var allowedRuleFields = []string{
+	"FREQ",
+	"INTERVAL",
+	"COUNT",
+	"BYDAY",
+	"BYMONTHDAY",
+	"BYYEARDAY",
+	"BYWEEKNO",
+	"BYMONTH",
+	"BYSETPOS",
+	"WKST",
+}
 
 // Validate says what is wrong with a schedule and makes it ready for use; calendars
 // must be checked.
--- a/recurrence/moments_test.go
+++ b/recurrence/moments_test.go
@@ -132,7 +132,18 @@
 
 // Zones with changes of an hour and of half an hour, at midnight, across a date,
 // and without any.
-var zones = []string{"Asia/Bangkok", "America/Los_Angeles", "America/Vancouver", "Australia/Lord_Howe", "Asia/Kathmandu", "America/Sao_Paulo", "Pacific/Apia", "Europe/London", "Asia/Kolkata", "UTC"}
+var zones = []string{
+	"Asia/Bangkok",
+	"America/Los_Angeles",
+	"America/Vancouver",
+	"Australia/Lord_Howe",
+	"Asia/Kathmandu",
+	"America/Sao_Paulo",
+	"Pacific/Apia",
+	"Europe/London",
+	"Asia/Kolkata",
+	"UTC",
+}
 
 // Ten years of generated rules, calendars and zones equal the slow way: no
 // moment twice, none missing.
@@ -142,7 +153,26 @@
 		year := rapid.IntRange(2010, 2019).Draw(t, "year")
 		c := &Calendar{Name: "c"}
 		for range rapid.IntRange(0, 12).Draw(t, "holidays") {
-			c.Holidays = append(c.Holidays, Holidays{Name: "h", Dates: []string{time.Date(year, 1, 1+rapid.IntRange(0, 364).Draw(t, "day"), 0, 0, 0, 0, time.UTC).Format(rapid.SampledFrom([]string{"2006-01-02", "01-02"}).Draw(t, "kind"))}})
+			c.Holidays = append(
+				c.Holidays,
+				Holidays{
+					Name: "h",
+					Dates: []string{
+						time.Date(
+							year,
+							1,
+							1+rapid.IntRange(0, 364).Draw(t, "day"),
+							0,
+							0,
+							0,
+							0,
+							time.UTC,
+						).Format(
+							rapid.SampledFrom([]string{"2006-01-02", "01-02"}).Draw(t, "kind"),
+						),
+					},
+				},
+			)
 		}
 		day := func(name string) Date {
 			return DateOf(time.Date(year, 1, 1+rapid.IntRange(-5, 369).Draw(t, name), 0, 0, 0, 0, time.UTC))
@@ -155,10 +185,17 @@
 		if from, to := day("from"), day("to"); from != to && rapid.Bool().Draw(t, "move") {
 			c.Moves = []Move{{From: from, To: to}}
 		}
-		s := &Schedule{Name: "s", Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Calendar: "c", From: mustParseDate(fmt.Sprintf("%d-01-%02d", year-rapid.IntRange(0, 2).Draw(t, "age"), rapid.IntRange(1, 28).Draw(t, "start"))),
+		s := &Schedule{
+			Name:     "s",
+			Zone:     rapid.SampledFrom(zones).Draw(t, "zone"),
+			Calendar: "c",
+			From: mustParseDate(
+				fmt.Sprintf("%d-01-%02d", year-rapid.IntRange(0, 2).Draw(t, "age"), rapid.IntRange(1, 28).Draw(t, "start")),
+			),
 			Shift:   rapid.SampledFrom([]Shift{Run, Skip, Next, Previous, NextInMonth, PreviousInMonth}).Draw(t, "shift"),
 			Gap:     rapid.SampledFrom([]Gap{GapAfter, GapSkip}).Draw(t, "gap"),
-			Overlap: rapid.SampledFrom([]Overlap{OverlapFirst, OverlapSecond, OverlapBoth}).Draw(t, "overlap")}
+			Overlap: rapid.SampledFrom([]Overlap{OverlapFirst, OverlapSecond, OverlapBoth}).Draw(t, "overlap"),
+		}
 		for range rapid.IntRange(1, 3).Draw(t, "times") {
 			s.At = append(s.At, Clock(rapid.IntRange(0, 95).Draw(t, "quarter")*900))
 		}
@@ -244,7 +281,11 @@
 		{"a leap day", `zone = "Asia/Bangkok"` + "\n" + `rule = "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29"` + "\n" + `at = ["12:00"]`, "2026-01-01", "2033-01-01", "2028-02-29T12:00:00+07:00 2032-02-29T12:00:00+07:00"},
 		{"a holiday on a clock change", `zone = "America/Los_Angeles"` + "\n" + `rule = "FREQ=DAILY"` + "\n" + `at = ["02:30"]` + "\n" + `calendar = "c"` + "\n" + `shift = "next"`, "2027-03-13", "2027-03-16", "2027-03-13T02:30:00-08:00 2027-03-15T02:30:00-07:00"},
 	} {
-		f, err := ParseFile([]byte("[[calendar]]\nname = \"c\"\nworking = [\"mon\", \"tue\", \"wed\", \"thu\", \"fri\", \"sat\", \"sun\"]\nholidays = [{name = \"h\", dates = [\"2027-03-14\"]}]\n[[schedule]]\nname = \"s\"\nfrom = \"2010-01-01\"\n" + c.text))
+		f, err := ParseFile(
+			[]byte(
+				"[[calendar]]\nname = \"c\"\nworking = [\"mon\", \"tue\", \"wed\", \"thu\", \"fri\", \"sat\", \"sun\"]\nholidays = [{name = \"h\", dates = [\"2027-03-14\"]}]\n[[schedule]]\nname = \"s\"\nfrom = \"2010-01-01\"\n" + c.text,
+			),
+		)
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 			continue
@@ -284,7 +325,8 @@
 		{"[[calendar]]\nname = \"c\"\nmoves = [{from = \"2027-01-01\", to = \"2027-01-02\"}, {from = \"2027-01-02\", to = \"2027-01-03\"}]\n", "is moved on"},
 	} {
 		_, err := ParseFile([]byte(c.text))
-		if c.expectedErr == "" && err != nil || c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
+		if c.expectedErr == "" && err != nil ||
+			c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
 			t.Errorf("%v, not %q", err, c.expectedErr)
 		}
 	}
@@ -298,17 +340,32 @@
 			c.Exceptions = append(c.Exceptions, Exception{Date: d})
 		}
 	}
-	s := &Schedule{Name: "s", Zone: "UTC", Calendar: "c", Rule: "FREQ=DAILY", From: mustParseDate("2027-01-01"), At: []Clock{0}, Shift: Next}
+	s := &Schedule{
+		Name:     "s",
+		Zone:     "UTC",
+		Calendar: "c",
+		Rule:     "FREQ=DAILY",
+		From:     mustParseDate("2027-01-01"),
+		At:       []Clock{0},
+		Shift:    Next,
+	}
 	if err := s.Validate(map[string]*Calendar{"c": c}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Between(mustParseDate("2028-01-01").utc(), mustParseDate("2028-01-03").utc()); err == nil || !strings.Contains(err.Error(), "no working day") {
+	if _, err := s.Between(mustParseDate("2028-01-01").utc(), mustParseDate("2028-01-03").utc()); err == nil ||
+		!strings.Contains(err.Error(), "no working day") {
 		t.Errorf("an empty calendar gives %v", err)
 	}
 }
 
 func BenchmarkNext(b *testing.B) {
-	s := &Schedule{Name: "s", Zone: "Asia/Bangkok", Rule: "FREQ=DAILY", From: mustParseDate("2017-01-01"), At: []Clock{3600}}
+	s := &Schedule{
+		Name: "s",
+		Zone: "Asia/Bangkok",
+		Rule: "FREQ=DAILY",
+		From: mustParseDate("2017-01-01"),
+		At:   []Clock{3600},
+	}
 	if err := s.Validate(nil); err != nil {
 		b.Fatal(err)
 	}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -43,22 +43,22 @@
 
 	// Which machines: by name, or all that fit what is said.
 	Machines []string `json:"machines,omitempty" toml:"machines"`
-	All      bool     `json:"all,omitempty" toml:"all"`
-	Type     string   `json:"type,omitempty" toml:"type"`
-	Zone     string   `json:"zone,omitempty" toml:"zone"`
-	Spot     *bool    `json:"spot,omitempty" toml:"spot"`
-	MinAgeS  float64  `json:"older_s,omitempty" toml:"older_s"` // rented at least so many seconds before the plan began
-
-	Mode             Mode    `json:"mode" toml:"mode"`
-	Surge            int     `json:"surge,omitempty" toml:"surge"`             // replace: machines beyond those there were
+	All      bool     `json:"all,omitempty"      toml:"all"`
+	Type     string   `json:"type,omitempty"     toml:"type"`
+	Zone     string   `json:"zone,omitempty"     toml:"zone"`
+	Spot     *bool    `json:"spot,omitempty"     toml:"spot"`
+	MinAgeS  float64  `json:"older_s,omitempty"  toml:"older_s"` // rented at least so many seconds before the plan began
+
+	Mode             Mode    `json:"mode"                  toml:"mode"`
+	Surge            int     `json:"surge,omitempty"       toml:"surge"`       // replace: machines beyond those there were
 	SurgeCostPerHour float64 `json:"surge_money,omitempty" toml:"surge_money"` // and what they may cost an hour; 0: any
 
-	FirstStepMachines int         `json:"first,omitempty" toml:"first"`     // machines of the first step
-	StepShare         float64     `json:"step,omitempty" toml:"step"`       // share of all in each later one; 0: all that is left
-	ByZone            bool        `json:"by_zone,omitempty" toml:"by_zone"` // a zone after the other
-	StepPauseS        float64     `json:"pause_s,omitempty" toml:"pause_s"` // after each step
+	FirstStepMachines int         `json:"first,omitempty"      toml:"first"`   // machines of the first step
+	StepShare         float64     `json:"step,omitempty"       toml:"step"`    // share of all in each later one; 0: all that is left
+	ByZone            bool        `json:"by_zone,omitempty"    toml:"by_zone"` // a zone after the other
+	StepPauseS        float64     `json:"pause_s,omitempty"    toml:"pause_s"` // after each step
 	DeadlineS         float64     `json:"deadline_s,omitempty" toml:"deadline_s"`
-	Gates             HealthGates `json:"gates" toml:"gates"`
+	Gates             HealthGates `json:"gates"                toml:"gates"`
 }
 
 // HealthGates are how much more than usual may go wrong from a step's beginning to the next
@@ -66,23 +66,29 @@
 type HealthGates struct {
 	Errors            int `json:"errors,omitempty" toml:"errors"` // tasks that failed
 	Losses            int `json:"losses,omitempty" toml:"losses"` // tasks lost with their machines
-	LateStarts        int `json:"late,omitempty" toml:"late"`     // starts later than their class asks
+	LateStarts        int `json:"late,omitempty"   toml:"late"`   // starts later than their class asks
 	MissedDeadlines   int `json:"missed,omitempty" toml:"missed"` // deadlines of jobs
-	ReplacementErrors int `json:"fresh,omitempty" toml:"fresh"`   // tasks that failed on replacements; none are usual
+	ReplacementErrors int `json:"fresh,omitempty"  toml:"fresh"`  // tasks that failed on replacements; none are usual
 }
 
 // HealthCounts is what gates count, since some beginning.
 type HealthCounts struct {
 	Errors            uint64 `json:"errors" msgpack:"e"`
 	Losses            uint64 `json:"losses" msgpack:"l"`
-	LateStarts        uint64 `json:"late" msgpack:"t"`
+	LateStarts        uint64 `json:"late"   msgpack:"t"`
 	MissedDeadlines   uint64 `json:"missed" msgpack:"m"`
-	ReplacementErrors uint64 `json:"fresh" msgpack:"f"`
+	ReplacementErrors uint64 `json:"fresh"  msgpack:"f"`
 }
 
 // Add returns the sum.
 func (c HealthCounts) Add(other HealthCounts) HealthCounts {
-	return HealthCounts{c.Errors + other.Errors, c.Losses + other.Losses, c.LateStarts + other.LateStarts, c.MissedDeadlines + other.MissedDeadlines, c.ReplacementErrors + other.ReplacementErrors}
+	return HealthCounts{
+		c.Errors + other.Errors,
+		c.Losses + other.Losses,
+		c.LateStarts + other.LateStarts,
+		c.MissedDeadlines + other.MissedDeadlines,
+		c.ReplacementErrors + other.ReplacementErrors,
+	}
 }
 
 // Since is how much came since an earlier tally. A count that fell began anew.
@@ -93,7 +99,13 @@
 		}
 		return current - previous
 	}
-	return HealthCounts{increase(c.Errors, earlier.Errors), increase(c.Losses, earlier.Losses), increase(c.LateStarts, earlier.LateStarts), increase(c.MissedDeadlines, earlier.MissedDeadlines), increase(c.ReplacementErrors, earlier.ReplacementErrors)}
+	return HealthCounts{
+		increase(c.Errors, earlier.Errors),
+		increase(c.Losses, earlier.Losses),
+		increase(c.LateStarts, earlier.LateStarts),
+		increase(c.MissedDeadlines, earlier.MissedDeadlines),
+		increase(c.ReplacementErrors, earlier.ReplacementErrors),
+	}
 }
 
 // HealthRates is a tally's counts by the second.
@@ -107,7 +119,12 @@
 // RatesOver is a tally over so many milliseconds as a rate.
 func (c HealthCounts) RatesOver(ms int64) HealthRates {
 	perSecond := 1000 / float64(max(ms, 1000))
-	return HealthRates{float64(c.Errors) * perSecond, float64(c.Losses) * perSecond, float64(c.LateStarts) * perSecond, float64(c.MissedDeadlines) * perSecond}
+	return HealthRates{
+		float64(c.Errors) * perSecond,
+		float64(c.Losses) * perSecond,
+		float64(c.LateStarts) * perSecond,
+		float64(c.MissedDeadlines) * perSecond,
+	}
 }
 
 // maxNamedMachines bounds the names of a plan, so that it fits half a value of 8 KB.
@@ -211,7 +228,8 @@
 
 // Covers tells whether a machine is to be emptied now.
 func (r *Record) Covers(m *Machine) bool {
-	return !r.State.IsTerminal() && r.Step > 0 && r.LastCovered != "" && r.Selects(m) && r.compareMachines(m.Zone, m.ID, r.LastCoveredZone, r.LastCovered) <= 0
+	return !r.State.IsTerminal() && r.Step > 0 && r.LastCovered != "" && r.Selects(m) &&
+		r.compareMachines(m.Zone, m.ID, r.LastCoveredZone, r.LastCovered) <= 0
 }
 
 func (r *Record) compareMachines(zone, id, zone2, id2 string) int {
@@ -269,7 +287,12 @@
 
 // Advance moves a running plan on. The fleet is in the order of names; price is what a machine of a kind costs an hour. It
 // returns whether the record changed, and which replacements are to be rented.
-func (r *Record) Advance(wallMS int64, fleet []Machine, counts HealthCounts, hourlyPrice func(InstanceOffering) float64) (changed bool, provision map[InstanceOffering]int) {
+func (r *Record) Advance(
+	wallMS int64,
+	fleet []Machine,
+	counts HealthCounts,
+	hourlyPrice func(InstanceOffering) float64,
+) (changed bool, provision map[InstanceOffering]int) {
 	if r.State != Running {
 		return false, nil
 	}
@@ -330,7 +353,12 @@
 	}
 	reason := ""
 	if r.Plan.Mode == Replace && coverable <= 0 && covered == 0 {
-		reason = fmt.Sprintf("waits for replacements: %d came up, %d boot, %d machines are emptied", r.ReadyReplacements, booting, r.CoveredMachines)
+		reason = fmt.Sprintf(
+			"waits for replacements: %d came up, %d boot, %d machines are emptied",
+			r.ReadyReplacements,
+			booting,
+			r.CoveredMachines,
+		)
 	}
 	if reason != r.Reason {
 		r.Reason, changed = reason, true
@@ -387,7 +415,11 @@
 
 // replacementsToProvision are the machines to be rented now: one for each of those to come, no more
 // at a time than the surge and its money allow beyond those that were emptied.
-func (r *Record) replacementsToProvision(uncovered []*Machine, emptied, booting int, hourlyPrice func(InstanceOffering) float64) map[InstanceOffering]int {
+func (r *Record) replacementsToProvision(
+	uncovered []*Machine,
+	emptied, booting int,
+	hourlyPrice func(InstanceOffering) float64,
+) map[InstanceOffering]int {
 	provision := map[InstanceOffering]int{}
 	existing := r.ReadyReplacements + booting
 	limit := r.CoverLimit
@@ -401,7 +433,12 @@
 		if index < 0 || index >= len(uncovered) {
 			continue
 		}
-		offering := InstanceOffering{uncovered[index].Type, uncovered[index].Zone, uncovered[index].Spot, uncovered[index].Shard}
+		offering := InstanceOffering{
+			uncovered[index].Type,
+			uncovered[index].Zone,
+			uncovered[index].Spot,
+			uncovered[index].Shard,
+		}
 		if r.Plan.SurgeCostPerHour > 0 && float64(i+1-emptied)*hourlyPrice(offering) > r.Plan.SurgeCostPerHour {
 			break
 		}
@@ -425,7 +462,15 @@
 	}{{"errors", r.Plan.Gates.Errors, increase.Errors, r.BaselineRates.Errors}, {"losses", r.Plan.Gates.Losses, increase.Losses, r.BaselineRates.Losses},
 		{"late", r.Plan.Gates.LateStarts, increase.LateStarts, r.BaselineRates.LateStarts}, {"missed", r.Plan.Gates.MissedDeadlines, increase.MissedDeadlines, r.BaselineRates.MissedDeadlines}, {"fresh", r.Plan.Gates.ReplacementErrors, increase.ReplacementErrors, 0}} {
 		if excess := float64(gate.count) - gate.baseline*elapsedS; gate.allowed > 0 && excess > float64(gate.allowed) {
-			return fmt.Sprintf("gate %s: %d in step %d, %.1f are usual in %.0f s, %d more allowed", gate.name, gate.count, r.Step, gate.baseline*elapsedS, elapsedS, gate.allowed)
+			return fmt.Sprintf(
+				"gate %s: %d in step %d, %.1f are usual in %.0f s, %d more allowed",
+				gate.name,
+				gate.count,
+				r.Step,
+				gate.baseline*elapsedS,
+				elapsedS,
+				gate.allowed,
+			)
 		}
 	}
 	return ""
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -9,7 +9,17 @@
 
 func testFleet(n int) (machines []Machine) {
 	for i := range n {
-		machines = append(machines, Machine{ID: fmt.Sprintf("i-%03d", i), Type: "small", Zone: string("ab"[i%2]), Spot: i%3 == 0, Up: true, ProvisionedAt: int64(i)})
+		machines = append(
+			machines,
+			Machine{
+				ID:            fmt.Sprintf("i-%03d", i),
+				Type:          "small",
+				Zone:          string("ab"[i%2]),
+				Spot:          i%3 == 0,
+				Up:            true,
+				ProvisionedAt: int64(i),
+			},
+		)
 	}
 	return machines
 }
@@ -34,7 +44,10 @@
 			t.Errorf("%q: %q", want, reason)
 		}
 	}
-	if _, reason := NewRecord(Plan{ID: "p", Machines: []string{"i-9"}, Mode: Drain}, 100, testFleet(3), HealthRates{}); !strings.Contains(reason, "i-9") {
+	if _, reason := NewRecord(Plan{ID: "p", Machines: []string{"i-9"}, Mode: Drain}, 100, testFleet(3), HealthRates{}); !strings.Contains(
+		reason,
+		"i-9",
+	) {
 		t.Errorf("a machine that is none: %q", reason)
 	}
 	if _, reason := NewRecord(Plan{ID: "p", Type: "large", Mode: Drain}, 100, testFleet(3), HealthRates{}); reason == "" {
@@ -44,7 +57,12 @@
 
 // simulateRollout moves a plan on until it is over or stands for long: machines that are covered
 // go after a while, those that are rented come up.
-func simulateRollout(t *testing.T, record *Record, machines []Machine, countsAt func(wallMS int64, machines []Machine) HealthCounts) []Machine {
+func simulateRollout(
+	t *testing.T,
+	record *Record,
+	machines []Machine,
+	countsAt func(wallMS int64, machines []Machine) HealthCounts,
+) []Machine {
 	t.Helper()
 	nextID := 1000
 	bootAt, goneAt := map[string]int64{}, map[string]int64{}
@@ -58,7 +76,17 @@
 			for range n {
 				id := fmt.Sprintf("i-%d", nextID)
 				nextID++
-				machines = append(machines, Machine{ID: id, Type: offering.Type, Zone: offering.Zone, Spot: offering.Spot, ProvisionedAt: wallMS, ProvisionedForPlan: record.Plan.ID})
+				machines = append(
+					machines,
+					Machine{
+						ID:                 id,
+						Type:               offering.Type,
+						Zone:               offering.Zone,
+						Spot:               offering.Spot,
+						ProvisionedAt:      wallMS,
+						ProvisionedForPlan: record.Plan.ID,
+					},
+				)
 				bootAt[id] = wallMS + 20_000
 			}
 		}
@@ -79,7 +107,21 @@
 func TestMachinesAreReplacedInStepsWithinSurge(t *testing.T) {
 	for _, byZone := range []bool{false, true} {
 		machines := testFleet(20)
-		record, reason := NewRecord(Plan{ID: "p", All: true, Mode: Replace, Surge: 3, FirstStepMachines: 2, StepShare: 0.25, ByZone: byZone, StepPauseS: 5}, 1000, machines, HealthRates{})
+		record, reason := NewRecord(
+			Plan{
+				ID:                "p",
+				All:               true,
+				Mode:              Replace,
+				Surge:             3,
+				FirstStepMachines: 2,
+				StepShare:         0.25,
+				ByZone:            byZone,
+				StepPauseS:        5,
+			},
+			1000,
+			machines,
+			HealthRates{},
+		)
 		if reason != "" {
 			t.Fatal(reason)
 		}
@@ -122,7 +164,20 @@
 // anew; aborted, it covers nothing.
 func TestPlanPausesWhenHealthGateFails(t *testing.T) {
 	machines := testFleet(10)
-	record, _ := NewRecord(Plan{ID: "p", All: true, Mode: Drain, FirstStepMachines: 2, StepShare: 0.2, StepPauseS: 3, Gates: HealthGates{Errors: 4}}, 1000, machines, HealthRates{Errors: 0.5})
+	record, _ := NewRecord(
+		Plan{
+			ID:                "p",
+			All:               true,
+			Mode:              Drain,
+			FirstStepMachines: 2,
+			StepShare:         0.2,
+			StepPauseS:        3,
+			Gates:             HealthGates{Errors: 4},
+		},
+		1000,
+		machines,
+		HealthRates{Errors: 0.5},
+	)
 	taskErrors := uint64(0)
 	machines = simulateRollout(t, record, machines, func(wallMS int64, _ []Machine) HealthCounts {
 		if wallMS%2000 == 0 {
@@ -133,14 +188,18 @@
 		}
 		return HealthCounts{Errors: taskErrors}
 	})
-	if record.State != Paused || record.Step != 2 || !strings.HasPrefix(record.Reason, "gate errors") || len(machines) < 6 {
+	if record.State != Paused || record.Step != 2 || !strings.HasPrefix(record.Reason, "gate errors") ||
+		len(machines) < 6 {
 		t.Fatalf("%+v, %d machines left", record, len(machines))
 	}
-	if reason := record.ApplyCommand(Resume, 90_000, HealthCounts{Errors: taskErrors}); reason != "" || record.State != Running || record.failedGate(90_500, HealthCounts{Errors: taskErrors}) != "" {
+	if reason := record.ApplyCommand(Resume, 90_000, HealthCounts{Errors: taskErrors}); reason != "" ||
+		record.State != Running ||
+		record.failedGate(90_500, HealthCounts{Errors: taskErrors}) != "" {
 		t.Errorf("resumed: %q, %+v", reason, record)
 	}
 	covered := slices.IndexFunc(machines, func(m Machine) bool { return record.Covers(&m) })
-	if reason := record.ApplyCommand(Abort, 91_000, HealthCounts{}); reason != "" || covered >= 0 && record.Covers(&machines[covered]) {
+	if reason := record.ApplyCommand(Abort, 91_000, HealthCounts{}); reason != "" ||
+		covered >= 0 && record.Covers(&machines[covered]) {
 		t.Errorf("aborted: %q, %+v", reason, record)
 	}
 	if record.ApplyCommand(Resume, 92_000, HealthCounts{}) == "" {
@@ -151,7 +210,12 @@
 // What a plan of ten thousand machines costs its leader each time that it looks.
 func BenchmarkAdvance(b *testing.B) {
 	machines := testFleet(10_000)
-	record, _ := NewRecord(Plan{ID: "p", All: true, Mode: Replace, Surge: 50, FirstStepMachines: 10, StepShare: 0.05}, 100_000, machines, HealthRates{})
+	record, _ := NewRecord(
+		Plan{ID: "p", All: true, Mode: Replace, Surge: 50, FirstStepMachines: 10, StepShare: 0.05},
+		100_000,
+		machines,
+		HealthRates{},
+	)
 	b.ReportAllocs()
 	for b.Loop() {
 		record.Advance(101_000, machines, HealthCounts{}, func(InstanceOffering) float64 { return 1 })
--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -83,12 +83,29 @@
 // Status tells how the member stands.
 func (c *Controller) Status(now Now) Status {
 	c.now = now
-	status := Status{Member: c.params.MemberID, Authority: c.hasAuthority(), Leading: c.fleet.leading, Leader: c.leader, Revision: c.mirrorRevision, StoreLink: c.storeAccess.Link(now.MonotonicMS).String(), Jobs: len(c.jobs), Counters: c.Counters}
+	status := Status{
+		Member:    c.params.MemberID,
+		Authority: c.hasAuthority(),
+		Leading:   c.fleet.leading,
+		Leader:    c.leader,
+		Revision:  c.mirrorRevision,
+		StoreLink: c.storeAccess.Link(now.MonotonicMS).String(),
+		Jobs:      len(c.jobs),
+		Counters:  c.Counters,
+	}
 	for _, shardName := range c.memberIDs() {
 		shardStatus := ShardStatus{Shard: shardName, Owner: c.shardClaims[shardName].Owner}
 		if s := c.ownedShards[shardName]; s != nil {
-			shardStatus.Owned, shardStatus.Ready, shardStatus.Token, shardStatus.Demands, shardStatus.PlanIntervalS = true, s.ready, s.token, len(s.demand), c.planInterval(s)/1000
-			shardStatus.Unreported, shardStatus.RecordedUnreachable, shardStatus.Paced = len(s.reconciler.Unreported()), s.reconciler.Ledger.Len(), s.reconciler.Pacer.IsActive(now.MonotonicMS)
+			shardStatus.Owned, shardStatus.Ready, shardStatus.Token, shardStatus.Demands, shardStatus.PlanIntervalS = true, s.ready, s.token, len(
+				s.demand,
+			), c.planInterval(
+				s,
+			)/1000
+			shardStatus.Unreported, shardStatus.RecordedUnreachable, shardStatus.Paced = len(
+				s.reconciler.Unreported(),
+			), s.reconciler.Ledger.Len(), s.reconciler.Pacer.IsActive(
+				now.MonotonicMS,
+			)
 			for _, g := range c.waitingTaskGroups(s) {
 				shardStatus.QueuedTasks += g.Remaining
 			}
@@ -100,25 +117,53 @@
 		status.Teams = append(status.Teams, c.teamStatus(name, team, usageByTeam[name], waitingByTeam[name]))
 	}
 	for id, mc := range c.machines {
-		status.Machines = append(status.Machines, MachineStatus{ID: id, Shard: mc.rec.Shard, Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot,
-			Up: mc.Up, Releasing: mc.releasing, Cordoned: mc.cordoned || slices.Contains(c.settings.Drain, id), Unreachable: mc.State() == reconcile.LeaseExpired, Tasks: mc.liveAttemptCount})
+		status.Machines = append(
+			status.Machines,
+			MachineStatus{ID: id, Shard: mc.rec.Shard, Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot,
+				Up: mc.Up, Releasing: mc.releasing, Cordoned: mc.cordoned || slices.Contains(c.settings.Drain, id), Unreachable: mc.State() == reconcile.LeaseExpired, Tasks: mc.liveAttemptCount},
+		)
 	}
 	slices.SortFunc(status.Machines, func(a, b MachineStatus) int { return strings.Compare(a.ID, b.ID) })
 	return status
 }
 
 func (c *Controller) teamStatus(name string, team Team, usage, waiting quota.Amounts) TeamStatus {
-	status := TeamStatus{Team: name, CPUs: team.CPUs, MaxCPUs: team.MaxCPUs, UsedCPUs: usage.CPUs, WaitingCPUs: waiting.CPUs, Guarantee: guaranteeOf(team),
-		Limit: quota.Amounts{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}}
+	status := TeamStatus{
+		Team:        name,
+		CPUs:        team.CPUs,
+		MaxCPUs:     team.MaxCPUs,
+		UsedCPUs:    usage.CPUs,
+		WaitingCPUs: waiting.CPUs,
+		Guarantee:   guaranteeOf(team),
+		Limit:       quota.Amounts{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs},
+	}
 	var ageMS int64
-	status.TotalUsage, status.TotalWaiting, ageMS = c.usageMonitor.PeerUsage(name, c.now.MonotonicMS, c.now.MonotonicMS-c.maxMessageAgeMS())
-	status.TotalUsage, status.TotalWaiting, status.OldestUsageAgeS = status.TotalUsage.Add(usage), status.TotalWaiting.Add(waiting), float64(ageMS)/1000
+	status.TotalUsage, status.TotalWaiting, ageMS = c.usageMonitor.PeerUsage(
+		name,
+		c.now.MonotonicMS,
+		c.now.MonotonicMS-c.maxMessageAgeMS(),
+	)
+	status.TotalUsage, status.TotalWaiting, status.OldestUsageAgeS = status.TotalUsage.Add(
+		usage,
+	), status.TotalWaiting.Add(
+		waiting,
+	), float64(
+		ageMS,
+	)/1000
 	for _, j := range sortedByKey(c.jobs) { // the same sum every time
 		if j.rec.Job.Team == name && c.isWithinGuarantee(&j.rec.Job) {
 			status.GuaranteedDemand = status.GuaranteedDemand.Add(totalRequest(&j.rec.Job))
 		}
 	}
-	status.GuaranteeShortfall = status.GuaranteedDemand.Min(status.Guarantee).Sub(status.TotalUsage).Min(status.TotalWaiting).Max(quota.Amounts{})
+	status.GuaranteeShortfall = status.GuaranteedDemand.Min(
+		status.Guarantee,
+	).Sub(
+		status.TotalUsage,
+	).Min(
+		status.TotalWaiting,
+	).Max(
+		quota.Amounts{},
+	)
 	if ledger := c.quotaLedgers[name]; ledger != nil {
 		status.Allocations = ledger.Allocations()
 		if rec := ledger.Record(); rec != nil {
@@ -139,7 +184,12 @@
 // reply names the answer among the users'.
 func (c *Controller) ChangeSettings(now Now, replyID uint64, s Settings) {
 	c.now = now
-	c.pendingRequests[replyID] = &pendingRequest{replyID: replyID, receivedAtMS: now.MonotonicMS, pendingLocally: true, relayed: true} // this member's to answer
+	c.pendingRequests[replyID] = &pendingRequest{
+		replyID:        replyID,
+		receivedAtMS:   now.MonotonicMS,
+		pendingLocally: true,
+		relayed:        true,
+	} // this member's to answer
 	if reason := s.Validate(); reason != "" {
 		c.completeRequest(replyID, UserResponse{Status: 400, Error: reason})
 		return
@@ -148,15 +198,23 @@
 		c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		return
 	}
-	c.sendTxn(UrgencyUser, []Precondition{{settingsKey, c.keyRevisions[settingsKey]}}, []Change{{Key: settingsKey, Value: mustEncode(s)}}, func(result StoreResult) {
-		switch result.Outcome {
-		case OK:
-			c.log(Info, "settings changed")
-			c.completeRequest(replyID, UserResponse{Status: 200})
-		case Conflict:
-			c.completeRequest(replyID, UserResponse{Status: 409, Error: "changed by somebody else meanwhile; read and try again"})
-		default:
-			c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
-		}
-	})
+	c.sendTxn(
+		UrgencyUser,
+		[]Precondition{{settingsKey, c.keyRevisions[settingsKey]}},
+		[]Change{{Key: settingsKey, Value: mustEncode(s)}},
+		func(result StoreResult) {
+			switch result.Outcome {
+			case OK:
+				c.log(Info, "settings changed")
+				c.completeRequest(replyID, UserResponse{Status: 200})
+			case Conflict:
+				c.completeRequest(
+					replyID,
+					UserResponse{Status: 409, Error: "changed by somebody else meanwhile; read and try again"},
+				)
+			default:
+				c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+			}
+		},
+	)
 }
--- a/scheduler/aging.go
+++ b/scheduler/aging.go
@@ -77,7 +77,10 @@
 	}
 	s.firstTaskReservations[g.job.Team] = g.job
 	if s.clusterView.CountStartable(&g.Group, 1) == 0 {
-		s.demand = append(s.demand, CapacityDemand{Job: g.job.ID, Tasks: 1, DeadlineMS: g.DeadlineMS, TaskRuntimeMS: g.LengthMS})
+		s.demand = append(
+			s.demand,
+			CapacityDemand{Job: g.job.ID, Tasks: 1, DeadlineMS: g.DeadlineMS, TaskRuntimeMS: g.LengthMS},
+		)
 	}
 }
 
--- a/scheduler/aging_test.go
+++ b/scheduler/aging_test.go
@@ -25,11 +25,17 @@
 	cfg := newParams(500)
 	cfg.Teams = map[string]scheduler.Team{"t0": {CPUs: 300, MaxCPUs: 500}}
 	cfg.Objectives = map[string][]scheduler.Objective{
-		"reads":  {{Kind: "deadline", DeadlineFactor: 1}, {Kind: "deadline", DeadlineFactor: 1.5}, {Kind: "wait", WithinS: 250}},
+		"reads": {
+			{Kind: "deadline", DeadlineFactor: 1},
+			{Kind: "deadline", DeadlineFactor: 1.5},
+			{Kind: "wait", WithinS: 250},
+		},
 		"checks": {{Kind: "deadline", DeadlineFactor: 1}, {Kind: "wait", WithinS: 60}}}
 	cfg.Aging, cfg.HeartbeatS, cfg.LeaseS, cfg.CancelWithinS = aging, 3, 17.5, 42.5
-	sim := emulator.New(emulator.Options{Seed: seed, Members: 3, Types: simTypes, CapacityPerOffering: 5, Params: cfg, MessageLoss: 0.002,
-		TaskRunMS: func(_ *emulator.Simulation, j *emulator.Job, _ string) int64 { return int64(1000 * j.TaskRunS) }})
+	sim := emulator.New(
+		emulator.Options{Seed: seed, Members: 3, Types: simTypes, CapacityPerOffering: 5, Params: cfg, MessageLoss: 0.002,
+			TaskRunMS: func(_ *emulator.Simulation, j *emulator.Job, _ string) int64 { return int64(1000 * j.TaskRunS) }},
+	)
 	sim.SweepIntervalMS = 5000
 	rng := rand.New(rand.NewPCG(seed, 2))
 	arrive := func(everyS float64, job func(n int) (scheduler.Job, float64)) {
@@ -51,13 +57,28 @@
 	}
 	arrive(8, func(n int) (scheduler.Job, float64) {
 		runS := drawLognormal(rng, 50, 100, 150)
-		return scheduler.Job{ID: fmt.Sprintf("job-%06d", n), Class: "reads", Priority: scheduler.Normal, DeadlineS: 2*runS + 80,
-			Tasks: max(1, int(drawLognormal(rng, 10, 40, 60))), Request: availability.Resources{CPUs: 24, MemoryGB: 96, DiskGB: 4}}, runS
+		return scheduler.Job{
+			ID:        fmt.Sprintf("job-%06d", n),
+			Class:     "reads",
+			Priority:  scheduler.Normal,
+			DeadlineS: 2*runS + 80,
+			Tasks: max(
+				1,
+				int(drawLognormal(rng, 10, 40, 60)),
+			),
+			Request: availability.Resources{CPUs: 24, MemoryGB: 96, DiskGB: 4},
+		}, runS
 	})
 	arrive(25, func(n int) (scheduler.Job, float64) {
 		runS := drawLognormal(rng, 20, 40, 60)
-		return scheduler.Job{ID: fmt.Sprintf("job-9%05d", n), Class: "checks", Priority: scheduler.High, DeadlineS: 2*runS + 20,
-			Tasks: 12, Request: availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1}}, runS
+		return scheduler.Job{
+			ID:        fmt.Sprintf("job-9%05d", n),
+			Class:     "checks",
+			Priority:  scheduler.High,
+			DeadlineS: 2*runS + 20,
+			Tasks:     12,
+			Request:   availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1},
+		}, runS
 	})
 	sim.Run(until, func() bool { return false })
 	return sim
@@ -126,7 +147,19 @@
 	for seed := range uint64(6) {
 		cfg := newParams(64)
 		cfg.Aging = true
-		sim := &testSimulation{size: simScale{members: 3, capacityPerOffering: 3, maxTasks: 12}, Simulation: emulator.New(emulator.Options{Seed: 8900 + seed, Members: 3, Types: simTypes, CapacityPerOffering: 3, Params: cfg, MessageLoss: 0.002})}
+		sim := &testSimulation{
+			size: simScale{members: 3, capacityPerOffering: 3, maxTasks: 12},
+			Simulation: emulator.New(
+				emulator.Options{
+					Seed:                8900 + seed,
+					Members:             3,
+					Types:               simTypes,
+					CapacityPerOffering: 3,
+					Params:              cfg,
+					MessageLoss:         0.002,
+				},
+			),
+		}
 		sim.After(1000, func() {
 			settings := scheduler.DefaultSettings()
 			settings.BeginWithinS = 2
@@ -145,15 +178,26 @@
 		cfg := newParams(64)
 		cfg.Teams = map[string]scheduler.Team{"t0": {MaxCPUs: 40}}
 		cfg.Aging = true
-		sim := emulator.New(emulator.Options{Seed: 9000 + seed, Members: 3, Types: simTypes, CapacityPerOffering: 4, Params: cfg, MessageLoss: 0.002})
+		sim := emulator.New(
+			emulator.Options{
+				Seed:                9000 + seed,
+				Members:             3,
+				Types:               simTypes,
+				CapacityPerOffering: 4,
+				Params:              cfg,
+				MessageLoss:         0.002,
+			},
+		)
 		sim.After(1000, func() {
 			settings := scheduler.DefaultSettings()
 			settings.BeginWithinS = 40
 			sim.Members[0].Core.ChangeSettings(sim.Members[0].Clock(), 1<<50, settings)
 		})
 		submit := func(id string, tasks int, cpus float64) *emulator.Job {
-			j := emulator.NewJob(scheduler.Job{ID: id, Class: "batch", Team: "t0", Kind: scheduler.Array, Priority: scheduler.Normal,
-				Tasks: tasks, Request: availability.Resources{CPUs: cpus, MemoryGB: 8, DiskGB: 1}, Image: "img-0", Spot: true, EstimateS: 6})
+			j := emulator.NewJob(
+				scheduler.Job{ID: id, Class: "batch", Team: "t0", Kind: scheduler.Array, Priority: scheduler.Normal,
+					Tasks: tasks, Request: availability.Resources{CPUs: cpus, MemoryGB: 8, DiskGB: 1}, Image: "img-0", Spot: true, EstimateS: 6},
+			)
 			sim.Submit(j)
 			return j
 		}
@@ -167,7 +211,12 @@
 			t.Errorf("seed %d: %s: %s", seed, rule, what)
 		}
 		if large.FirstStartAt == 0 || large.FirstStartAt-large.AcceptedAt > 60_000 {
-			t.Errorf("seed %d: the large job was accepted after %d ms and began after %d", seed, large.AcceptedAt, large.FirstStartAt)
+			t.Errorf(
+				"seed %d: the large job was accepted after %d ms and began after %d",
+				seed,
+				large.AcceptedAt,
+				large.FirstStartAt,
+			)
 		}
 	}
 }
--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -253,7 +253,14 @@
 		shardRequests: map[string]int64{}, statusRecords: map[string]*peerState{}, pendingRequests: map[uint64]*pendingRequest{}, pendingRelays: map[uint64]pendingRelay{}, expediteBudget: expediteBurst, terminalStates: map[string]terminalRecord{}, parkedHeartbeats: map[string][]parkedHeartbeat{},
 		extensionRecords: map[string]KeyValue{}, peers: map[string]*peerState{}, runtimeCorrections: map[string]*runtimeCorrection{},
 	}
-	m.storeAccess = access.NewLeaseKeeper(access.Settings{LeaseTTLMS: m.leaseTTLMS(), MaxClockDrift: maxClockDriftMS, AuthoritySlackMS: 50, RequestTimeoutMS: access.RequestTimeout.Milliseconds()})
+	m.storeAccess = access.NewLeaseKeeper(
+		access.Settings{
+			LeaseTTLMS:       m.leaseTTLMS(),
+			MaxClockDrift:    maxClockDriftMS,
+			AuthoritySlackMS: 50,
+			RequestTimeoutMS: access.RequestTimeout.Milliseconds(),
+		},
+	)
 	m.submissionQueue = newSubmissionQueue(m)
 	m.initTeamLedgers()
 	m.usageMonitor = quota.NewUsageMonitor(params.MemberID, now.WallMS)
@@ -368,7 +375,10 @@
 		c.log(Info, "state service", "link", link)
 	}
 	if actions.GrantLease {
-		c.sendStore(StoreOp{Kind: StoreGrantLease, DurationMS: c.leaseTTLMS()}, func(r StoreResult) { c.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, r.LeaseID) })
+		c.sendStore(
+			StoreOp{Kind: StoreGrantLease, DurationMS: c.leaseTTLMS()},
+			func(r StoreResult) { c.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, r.LeaseID) },
+		)
 	}
 	if actions.RenewLease != 0 {
 		c.sendStore(StoreOp{Kind: StoreRenewLease, LeaseID: actions.RenewLease}, func(r StoreResult) {
@@ -391,12 +401,16 @@
 		})
 	}
 	if actions.WatchMirror {
-		c.sendStore(StoreOp{Kind: StoreWatch, Key: livePrefix, Rev: c.mirrorRevision, DurationMS: c.leaseRenewalIntervalMS()}, func(r StoreResult) {
-			if !c.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, actions.ReadID, r.Outcome, c.rng.Float64()) || r.Outcome != OK {
-				return
-			}
-			c.applyWatchResult(r)
-		})
+		c.sendStore(
+			StoreOp{Kind: StoreWatch, Key: livePrefix, Rev: c.mirrorRevision, DurationMS: c.leaseRenewalIntervalMS()},
+			func(r StoreResult) {
+				if !c.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, actions.ReadID, r.Outcome, c.rng.Float64()) ||
+					r.Outcome != OK {
+					return
+				}
+				c.applyWatchResult(r)
+			},
+		)
 	}
 }
 
@@ -596,7 +610,15 @@
 func (c *Controller) setMachineTypes(machineTypes []MachineType) {
 	for _, t := range machineTypes {
 		c.machineTypes[t.Name] = &t
-		c.placementCatalog.SetTypes(planner.MachineType{Name: t.Name, Resources: t.Resources, FetchGBps: t.ImageFetchGBps, BootMS: secondsToMS(t.BootS), Zones: t.Zones})
+		c.placementCatalog.SetTypes(
+			planner.MachineType{
+				Name:      t.Name,
+				Resources: t.Resources,
+				FetchGBps: t.ImageFetchGBps,
+				BootMS:    secondsToMS(t.BootS),
+				Zones:     t.Zones,
+			},
+		)
 	}
 	c.markAllShardsDirty()
 }
@@ -609,15 +631,23 @@
 
 // sendTxn sends a transaction. When it is known to have worked, the mirror has its
 // changes before done is called.
-func (c *Controller) sendTxn(urgency Urgency, preconditions []Precondition, changes []Change, onResult func(StoreResult)) {
-	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: urgency, Preconditions: preconditions, Changes: changes}, func(result StoreResult) {
-		if result.Outcome == OK {
-			for _, change := range changes {
-				c.applyChange(KeyValue{Key: change.Key, Value: change.Value, Rev: result.Rev})
+func (c *Controller) sendTxn(
+	urgency Urgency,
+	preconditions []Precondition,
+	changes []Change,
+	onResult func(StoreResult),
+) {
+	c.sendStore(
+		StoreOp{Kind: StoreTxn, Urgency: urgency, Preconditions: preconditions, Changes: changes},
+		func(result StoreResult) {
+			if result.Outcome == OK {
+				for _, change := range changes {
+					c.applyChange(KeyValue{Key: change.Key, Value: change.Value, Rev: result.Rev})
+				}
 			}
-		}
-		onResult(result)
-	})
+			onResult(result)
+		},
+	)
 }
 
 // rereadKey settles a write whose outcome is not known: the store's word on the
--- a/scheduler/controller_test.go
+++ b/scheduler/controller_test.go
@@ -14,7 +14,19 @@
 
 func newTestController(t *testing.T) *Controller {
 	t.Helper()
-	return New(Params{MemberID: "m0", PeerIDs: []string{"m1"}, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}, 1, Now{1, 1})
+	return New(
+		Params{
+			MemberID:      "m0",
+			PeerIDs:       []string{"m1"},
+			HeartbeatS:    1,
+			LeaseS:        10,
+			CancelWithinS: 30,
+			MaxValueBytes: 8192,
+			MaxTxnOps:     16,
+		},
+		1,
+		Now{1, 1},
+	)
 }
 
 func newTestJobRecord(ranges ...Range) jobRecord {
@@ -22,7 +34,10 @@
 	for _, r := range ranges {
 		tasks = max(tasks, r.Hi)
 	}
-	return jobRecord{Job: Job{ID: "job-000001", Kind: Array, Tasks: tasks, Request: availability.Resources{CPUs: 1}}, Ranges: ranges}
+	return jobRecord{
+		Job:    Job{ID: "job-000001", Kind: Array, Tasks: tasks, Request: availability.Resources{CPUs: 1}},
+		Ranges: ranges,
+	}
 }
 
 // A read that was under way while the job was cancelled arrives after the
@@ -30,7 +45,11 @@
 func TestLateReadDoesNotRestoreCancelledJob(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.storeAccess.SetState(0, 0, 0)
-	put := KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 5}
+	put := KeyValue{
+		Key:   jobKey("job-000001"),
+		Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})),
+		Rev:   5,
+	}
 	ctrl.applyChange(put)
 	if ctrl.jobs["job-000001"] == nil {
 		t.Fatal("the job is not in the mirror")
@@ -49,7 +68,11 @@
 	ctrl := newTestController(t)
 	ctrl.storeAccess.SetState(0, 0, 0)
 	ctrl.mirrorRevision = 3
-	put := KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 5}
+	put := KeyValue{
+		Key:   jobKey("job-000001"),
+		Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})),
+		Rev:   5,
+	}
 	ctrl.applyChange(put)
 	ctrl.applyChange(KeyValue{Key: put.Key, Rev: 9})
 	ctrl.applyChange(put)
@@ -68,7 +91,13 @@
 	key := jobKey("job-000001")
 	ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m1"})), Rev: 5})
 	ctrl.dropShard(adoptedShard)
-	ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0", MovedFromPeer: true})), Rev: 6})
+	ctrl.applyChange(
+		KeyValue{
+			Key:   key,
+			Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0", MovedFromPeer: true})),
+			Rev:   6,
+		},
+	)
 	tr := ctrl.jobs["job-000001"].taskRanges[0]
 	if tr == nil || tr.claim != ownShard || tr.shardName != "m0" {
 		t.Errorf("the range is run as %+v", tr)
@@ -95,7 +124,9 @@
 			t.Errorf("hold at %d, watch at %d, now %d: %v", c.leaseRenewedAt, c.watchedAt, c.at, !c.expected)
 		}
 	}
-	if lifetime := ctrl.leaseTTLMS() + secondsToMS(ctrl.params.LeaseS); lifetime >= secondsToMS(ctrl.params.CancelWithinS) {
+	if lifetime := ctrl.leaseTTLMS() + secondsToMS(ctrl.params.LeaseS); lifetime >= secondsToMS(
+		ctrl.params.CancelWithinS,
+	) {
 		t.Errorf("a cut-off owner's tasks live for %d ms", lifetime)
 	}
 }
@@ -110,7 +141,13 @@
 	ctrl.mirrorRevision = 20
 	s := ctrl.newShard("m0", 0, 1)
 	ctrl.ownedShards["m0"] = s
-	ctrl.applyChange(KeyValue{Key: teamKey("ops"), Value: json.RawMessage(`{"parts":{"m0":{"cpus":32},"m1":{"cpus":32}},"wants":{"m1":{"cpus":32}}}`), Rev: 21})
+	ctrl.applyChange(
+		KeyValue{
+			Key:   teamKey("ops"),
+			Value: json.RawMessage(`{"parts":{"m0":{"cpus":32},"m1":{"cpus":32}},"wants":{"m1":{"cpus":32}}}`),
+			Rev:   21,
+		},
+	)
 	ctrl.proposeAllocations(s)
 	if allocation := ctrl.quotaLedgers["ops"].Allocation("m0"); allocation.CPUs != 0 {
 		t.Fatalf("counts on %v while the write is under way", allocation)
@@ -119,7 +156,11 @@
 	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Outcome: Unknown})
 	read := ctrl.TakeOutputs().StoreOps[0]
 	ctrl.mirrorRevision = 30 // the watch has passed by then
-	ctrl.HandleStoreResult(ctrl.now, read.ID, StoreResult{Rev: 30, KVs: []KeyValue{{Key: teamKey("ops"), Value: write.Changes[0].Value, Rev: 25}}})
+	ctrl.HandleStoreResult(
+		ctrl.now,
+		read.ID,
+		StoreResult{Rev: 30, KVs: []KeyValue{{Key: teamKey("ops"), Value: write.Changes[0].Value, Rev: 25}}},
+	)
 	if allocation := ctrl.quotaLedgers["ops"].Allocations(); allocation["m0"].CPUs != 0 || allocation["m1"].CPUs != 64 {
 		t.Errorf("counts on %v after the write had worked", allocation)
 	}
@@ -149,14 +190,30 @@
 	ctrl.mirrorRevision = 10
 	ctrl.now = Now{1000, 1000}
 	ctrl.storeAccess.SetState(1, 1000, 1000)
-	ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}}})
+	ctrl.setMachineTypes(
+		[]MachineType{
+			{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}},
+		},
+	)
 	s := ctrl.newShard("m0", 7, 11)
 	s.ready = true
 	ctrl.ownedShards["m0"] = s
 	ctrl.applyChange(KeyValue{Key: claimKey("m0"), Value: mustEncode(claimRecord{"m0", 7}), Rev: 11})
-	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-1", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{"i-1"}}), Rev: 12})
-	ctrl.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 12})
-	ctrl.HandleHeartbeat(ctrl.now, 1, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 3, Token: 11})
+	ctrl.applyChange(
+		KeyValue{
+			Key:   registryPrefix + "1-1",
+			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{"i-1"}}),
+			Rev:   12,
+		},
+	)
+	ctrl.applyChange(
+		KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 12},
+	)
+	ctrl.HandleHeartbeat(
+		ctrl.now,
+		1,
+		Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 3, Token: 11},
+	)
 	if resp := ctrl.TakeOutputs().HeartbeatResponses[1]; !resp.Accepted {
 		t.Fatal("a report of our machine is not taken")
 	}
@@ -168,7 +225,11 @@
 func TestOvertakenHeartbeatRenewsWorkerLease(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	mc.Seq = 9 // the direct command's answer
-	ctrl.HandleHeartbeat(Now{2000, 2000}, 2, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 8, Token: 11})
+	ctrl.HandleHeartbeat(
+		Now{2000, 2000},
+		2,
+		Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 8, Token: 11},
+	)
 	if resp := ctrl.TakeOutputs().HeartbeatResponses[2]; !resp.Accepted || len(resp.Commands) > 0 {
 		t.Fatalf("an overtaken report is answered %+v", resp)
 	}
@@ -181,7 +242,9 @@
 // out, which is asked for until it works.
 func TestUnacknowledgedStartIsFencedByHigherToken(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})), Rev: 13})
+	ctrl.applyChange(
+		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})), Rev: 13},
+	)
 	ctrl.jobs["job-000001"].rec.Job.EstimateS = 1
 	ctrl.planShard(s)
 	ctrl.sendUrgentStarts(s)
@@ -203,7 +266,11 @@
 		t.Fatal("a refused raise is not tried again")
 	}
 	heartbeat := func(seq, token uint64) {
-		ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: token})
+		ctrl.HandleHeartbeat(
+			ctrl.now,
+			seq,
+			Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: token},
+		)
 	}
 	heartbeat(20, 11)
 	if mc.liveAttemptCount != 1 {
@@ -339,7 +406,16 @@
 	teams := map[string]Team{"a": {MaxCPUs: 64}, "b": {MaxCPUs: 64}, "free": {}}
 	homes := map[string]map[string]string{}
 	for _, memberID := range []string{"m0", "m1"} {
-		cfg := Params{MemberID: memberID, PeerIDs: []string{"m0", "m1"}, Teams: teams, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}
+		cfg := Params{
+			MemberID:      memberID,
+			PeerIDs:       []string{"m0", "m1"},
+			Teams:         teams,
+			HeartbeatS:    1,
+			LeaseS:        10,
+			CancelWithinS: 30,
+			MaxValueBytes: 8192,
+			MaxTxnOps:     16,
+		}
 		cfg.PeerIDs = slices.DeleteFunc(cfg.PeerIDs, func(n string) bool { return n == memberID })
 		ctrl := New(cfg, 1, Now{1, 1})
 		homes[memberID] = ctrl.homeShards
@@ -387,11 +463,30 @@
 // Ordinary machines are not rented for an aim that they come too late for.
 func TestOnDemandMachineIsNotProvisionedTooLate(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
-	ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Price: 1, SpotPrice: 0.25, Zones: []string{"a"}}})
+	ctrl.setMachineTypes(
+		[]MachineType{
+			{
+				Name:      "small",
+				Resources: availability.Resources{CPUs: 8, MemoryGB: 32},
+				BootS:     10,
+				Price:     1,
+				SpotPrice: 0.25,
+				Zones:     []string{"a"},
+			},
+		},
+	)
 	ctrl.fleet.unavailableUntil[offering{"small", "a", true}] = ctrl.now.MonotonicMS + 100_000
 	for dueInMS, expected := range map[int64]bool{15_000: false, 25_000: true} {
 		j := &Job{Spot: true, Request: availability.Resources{CPUs: 1}}
-		g := &taskGroup{job: j, Group: planner.Group{Request: j.resourceRequest(), Remaining: 8, LengthMS: 10_000, DeadlineMS: ctrl.now.WallMS + dueInMS}}
+		g := &taskGroup{
+			job: j,
+			Group: planner.Group{
+				Request:    j.resourceRequest(),
+				Remaining:  8,
+				LengthMS:   10_000,
+				DeadlineMS: ctrl.now.WallMS + dueInMS,
+			},
+		}
 		if offering, ok := ctrl.cheapestOffering(g, false, map[offering]offering{}); ok != expected {
 			t.Errorf("with %d ms left: %v, %v", dueInMS, offering, ok)
 		}
@@ -403,15 +498,29 @@
 func TestMachinesFollowRegistryAndLiveRecords(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.storeAccess.SetState(0, 0, 0)
-	ctrl.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 4})
-	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-1", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-1", "i-2"}}), Rev: 5})
+	ctrl.applyChange(
+		KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 4},
+	)
+	ctrl.applyChange(
+		KeyValue{
+			Key:   registryPrefix + "1-1",
+			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-1", "i-2"}}),
+			Rev:   5,
+		},
+	)
 	if len(ctrl.machines) != 2 || !ctrl.machines["i-1"].Up || ctrl.machines["i-2"].Up {
 		t.Fatalf("machines %v", ctrl.machines)
 	}
 	if ctrl.machines["i-1"].IsAccountedFor() || !ctrl.machines["i-2"].IsAccountedFor() {
 		t.Error("only a machine that is up may run what an earlier claim started")
 	}
-	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-1", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-2"}}), Rev: 6})
+	ctrl.applyChange(
+		KeyValue{
+			Key:   registryPrefix + "1-1",
+			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-2"}}),
+			Rev:   6,
+		},
+	)
 	if len(ctrl.machines) != 1 || ctrl.machines["i-2"] == nil {
 		t.Errorf("machines %v", ctrl.machines)
 	}
@@ -440,13 +549,34 @@
 
 // Each member takes its part of a peer's room only, and uses it up.
 func TestPeerCapacityIsSharedAmongMembers(t *testing.T) {
-	ctrl := New(Params{MemberID: "m0", PeerIDs: []string{"m1", "m2", "m3"}, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}, 1, Now{1000, 1000})
+	ctrl := New(
+		Params{
+			MemberID:      "m0",
+			PeerIDs:       []string{"m1", "m2", "m3"},
+			HeartbeatS:    1,
+			LeaseS:        10,
+			CancelWithinS: 30,
+			MaxValueBytes: 8192,
+			MaxTxnOps:     16,
+		},
+		1,
+		Now{1000, 1000},
+	)
 	ctrl.storeAccess.SetState(0, 0, 0)
-	ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 1, MemoryGB: 32}, Zones: []string{"a"}}})
+	ctrl.setMachineTypes(
+		[]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 1, MemoryGB: 32}, Zones: []string{"a"}}},
+	)
 	ctrl.shardClaims["m1"] = claimRecord{Owner: "m1"}
-	free := availability.Function{Kind: planner.InstanceOffering{Type: "small", Zone: "a"}.Key(), Count: 30, Resources: availability.Resources{CPUs: 1, MemoryGB: 32},
-		Samples: []availability.Sample{{TimeMS: 1000}, {TimeMS: 101_000, AvailableMS: 100_000}}}
-	ctrl.peers["m1"] = &peerState{receivedAtMS: 1000, message: PeerMessage{From: "m1", OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{free}}}}}
+	free := availability.Function{
+		Kind:      planner.InstanceOffering{Type: "small", Zone: "a"}.Key(),
+		Count:     30,
+		Resources: availability.Resources{CPUs: 1, MemoryGB: 32},
+		Samples:   []availability.Sample{{TimeMS: 1000}, {TimeMS: 101_000, AvailableMS: 100_000}},
+	}
+	ctrl.peers["m1"] = &peerState{
+		receivedAtMS: 1000,
+		message:      PeerMessage{From: "m1", OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{free}}}},
+	}
 	j := &Job{Request: availability.Resources{CPUs: 1}, Tasks: 100}
 	offers := ctrl.peerCapacities(j, 10_000, 12_000, 100)
 	if len(offers) != 1 || offers[0].tasks != 10 {
@@ -468,7 +598,17 @@
 		expected string
 	}{{40_000, "job-000002/0"}, {13_000, "job-000001/0"}} {
 		ctrl, s, mc := newControllerWithShard(t)
-		ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, ImageFetchGBps: 1, BootS: 10, Zones: []string{"a"}}})
+		ctrl.setMachineTypes(
+			[]MachineType{
+				{
+					Name:           "small",
+					Resources:      availability.Resources{CPUs: 8, MemoryGB: 32},
+					ImageFetchGBps: 1,
+					BootS:          10,
+					Zones:          []string{"a"},
+				},
+			},
+		)
 		mc.imageCache.RecordUse("here", planner.Image{LastUsedMS: 1, SizeGB: 2}, 0)
 		s.spareCPUs = 8
 		for i, image := range []string{"away", "here"} {
@@ -477,7 +617,19 @@
 			rec.Job.Image, rec.Job.Request = image, availability.Resources{CPUs: 8, DiskGB: 2}
 			ctrl.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(20 + i)})
 			tr := ctrl.jobs[rec.Job.ID].taskRanges[0]
-			s.queue = append(s.queue, &taskGroup{taskRange: tr, job: &tr.job.rec.Job, Group: planner.Group{Request: tr.job.rec.Job.resourceRequest(), LengthMS: 10_000, ObjectiveDeadlineMS: ctrl.now.WallMS + c.slackMS, DeadlineMS: ctrl.now.WallMS + 100_000}})
+			s.queue = append(
+				s.queue,
+				&taskGroup{
+					taskRange: tr,
+					job:       &tr.job.rec.Job,
+					Group: planner.Group{
+						Request:             tr.job.rec.Job.resourceRequest(),
+						LengthMS:            10_000,
+						ObjectiveDeadlineMS: ctrl.now.WallMS + c.slackMS,
+						DeadlineMS:          ctrl.now.WallMS + 100_000,
+					},
+				},
+			)
 		}
 		mc.commands = nil
 		ctrl.startFromQueue(s, mc, &Heartbeat{Incarnation: 1, Seq: 4})
@@ -518,7 +670,11 @@
 		seq := uint64(3)
 		heartbeat := func(tasks ...TaskStatus) []Command {
 			seq++
-			ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks})
+			ctrl.HandleHeartbeat(
+				ctrl.now,
+				seq,
+				Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks},
+			)
 			return ctrl.TakeOutputs().HeartbeatResponses[seq].Commands
 		}
 		put("job-000001", Normal, 1, 4, c.checkpoint, c.overdue, 21)
@@ -532,7 +688,8 @@
 		put("job-000002", High, 2, 2, 0, 60, 22)
 		ctrl.planShard(s)
 		commands = heartbeat(task)
-		if stopped := len(commands) == 1 && commands[0].Kind == CommandStop && commands[0].GraceS >= c.checkpoint; stopped != c.stops || !stopped && len(commands) > 0 {
+		if stopped := len(commands) == 1 && commands[0].Kind == CommandStop && commands[0].GraceS >= c.checkpoint; stopped != c.stops ||
+			!stopped && len(commands) > 0 {
 			t.Errorf("%s: told %+v", c.name, commands)
 			continue
 		}
@@ -575,8 +732,14 @@
 	tr.markDone(0)
 	tr.moving = true
 	ctrl.reconcileTasks(s, mc, &Heartbeat{Machine: "i-1", Incarnation: 1, Seq: 9, Tasks: []TaskStatus{
-		{Task: "job-000001/3", Attempt: 1, State: "exited", Reason: "done"}, {Task: "job-000001/2", Attempt: 2, State: "running"}}})
-	if tr.doneCount != 2 || tr.assignedCount != 0 || len(mc.commands) != 1 || mc.commands[0].Kind != CommandStop || mc.commands[0].Task != "job-000001/2" {
+		{
+			Task:    "job-000001/3",
+			Attempt: 1,
+			State:   "exited",
+			Reason:  "done",
+		}, {Task: "job-000001/2", Attempt: 2, State: "running"}}})
+	if tr.doneCount != 2 || tr.assignedCount != 0 || len(mc.commands) != 1 || mc.commands[0].Kind != CommandStop ||
+		mc.commands[0].Task != "job-000001/2" {
 		t.Fatalf("while moving: %d done, %d busy, told %+v", tr.doneCount, tr.assignedCount, mc.commands)
 	}
 	put(22, Range{Lo: 0, Hi: 2, Shard: "m0"}, Range{Lo: 2, Hi: 4, Shard: "m1", MovedFromPeer: true})
@@ -588,7 +751,8 @@
 	ctrl.TakeOutputs()
 	ctrl.tickShard(s)
 	if ops := ctrl.TakeOutputs().StoreOps; !slices.ContainsFunc(ops, func(op StoreOp) bool {
-		return op.Kind == StoreTxn && slices.ContainsFunc(op.Changes, func(c Change) bool { return c.Key == jobKey("job-000001") })
+		return op.Kind == StoreTxn &&
+			slices.ContainsFunc(op.Changes, func(c Change) bool { return c.Key == jobKey("job-000001") })
 	}) {
 		t.Errorf("its end is not written: %+v", ops)
 	}
@@ -615,10 +779,26 @@
 	}
 	mc.terminatesAt = ctrl.now.MonotonicMS + 20_000
 	ctrl.planShard(s)
-	if len(s.forecastDemand) != 1 || s.forecastDemand[0].Tasks != 2 || s.forecastDemand[0].TaskRuntimeMS != 60_000 || !s.forecastDemand[0].SpotOnly {
+	if len(s.forecastDemand) != 1 || s.forecastDemand[0].Tasks != 2 || s.forecastDemand[0].TaskRuntimeMS != 60_000 ||
+		!s.forecastDemand[0].SpotOnly {
 		t.Fatalf("with a notice of 20 s: %+v", s.forecastDemand)
 	}
-	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-2", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", Spot: true, MachineIDs: []string{"i-2"}, ProvisionedAtMS: ctrl.now.WallMS}), Rev: 30})
+	ctrl.applyChange(
+		KeyValue{
+			Key: registryPrefix + "1-2",
+			Value: mustEncode(
+				registryRecord{
+					Shard:           "m0",
+					Type:            "small",
+					Zone:            "a",
+					Spot:            true,
+					MachineIDs:      []string{"i-2"},
+					ProvisionedAtMS: ctrl.now.WallMS,
+				},
+			),
+			Rev: 30,
+		},
+	)
 	if ctrl.planShard(s); len(s.forecastDemand) != 0 {
 		t.Errorf("with a machine that boots: %+v", s.forecastDemand)
 	}
@@ -629,7 +809,11 @@
 func TestWorkerLeaseIsNotRenewedBeforeShardIsReady(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready = false
-	ctrl.HandleHeartbeat(ctrl.now, 5, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 4, Token: 11})
+	ctrl.HandleHeartbeat(
+		ctrl.now,
+		5,
+		Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 4, Token: 11},
+	)
 	if a := ctrl.TakeOutputs().HeartbeatResponses[5]; a.Accepted || a.RedirectTo != "" {
 		t.Errorf("answered %+v", a)
 	}
@@ -638,7 +822,9 @@
 // A machine that an operator drains starts nothing; taken off the list, it does.
 func TestUndrainedMachineStartsTasksAgain(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13})
+	ctrl.applyChange(
+		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13},
+	)
 	running := TaskStatus{Task: "job-000001/0", Attempt: 7 << 28, State: "running"}
 	seq := uint64(3)
 	heartbeatAndTick := func(drainList ...string) {
@@ -646,7 +832,20 @@
 		ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
 		ctrl.settings.Drain = drainList
 		seq++
-		ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: []TaskStatus{running}})
+		ctrl.HandleHeartbeat(
+			ctrl.now,
+			seq,
+			Heartbeat{
+				Machine:     "i-1",
+				Addr:        "x",
+				Type:        "small",
+				Zone:        "a",
+				Incarnation: 1,
+				Seq:         seq,
+				Token:       11,
+				Tasks:       []TaskStatus{running},
+			},
+		)
 		ctrl.tickShard(s)
 	}
 	heartbeatAndTick("i-1")
@@ -668,10 +867,20 @@
 	for _, silent := range []int{1, 3} {
 		ctrl, s, _ := newControllerWithShard(t)
 		ids := []string{"i-2", "i-3", "i-4"}
-		ctrl.applyChange(KeyValue{Key: registryPrefix + "1-2", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: ids}), Rev: 30})
+		ctrl.applyChange(
+			KeyValue{
+				Key:   registryPrefix + "1-2",
+				Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: ids}),
+				Rev:   30,
+			},
+		)
 		ctrl.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/1", Value: mustEncode(liveMachinesRecord{ids}), Rev: 31})
 		for _, id := range ids[silent:] {
-			ctrl.HandleHeartbeat(ctrl.now, 7, Heartbeat{Machine: id, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 3, Token: 11})
+			ctrl.HandleHeartbeat(
+				ctrl.now,
+				7,
+				Heartbeat{Machine: id, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 3, Token: 11},
+			)
 		}
 		for _, halfLeasePassed := range []bool{false, true} {
 			if halfLeasePassed {
--- a/scheduler/crash_of_all_members_test.go
+++ b/scheduler/crash_of_all_members_test.go
@@ -42,7 +42,10 @@
 // hasWriteWithPrefix tells whether a member writes a key with a prefix.
 func hasWriteWithPrefix(outputs *scheduler.Outputs, prefix string) bool {
 	return slices.ContainsFunc(outputs.StoreOps, func(op scheduler.StoreOp) bool {
-		return slices.ContainsFunc(op.Changes, func(c scheduler.Change) bool { return strings.HasPrefix(c.Key, prefix) && c.Value != nil })
+		return slices.ContainsFunc(
+			op.Changes,
+			func(c scheduler.Change) bool { return strings.HasPrefix(c.Key, prefix) && c.Value != nil },
+		)
 	})
 }
 
@@ -74,7 +77,11 @@
 }
 
 // crashAllScenario ends all members where one does something, and asks that it happened so often.
-func crashAllScenario(n int, description string, trigger func(*scheduler.Outputs) bool) func(*testSimulation) outcomeCheck {
+func crashAllScenario(
+	n int,
+	description string,
+	trigger func(*scheduler.Outputs) bool,
+) func(*testSimulation) outcomeCheck {
 	return func(sim *testSimulation) outcomeCheck {
 		crashes := 0
 		sim.crashAllWhen(&crashes, func(_ *emulator.Member, outputs *scheduler.Outputs) bool { return trigger(outputs) })
@@ -143,9 +150,21 @@
 		return requireAtLeast(1, "a move was cut short", &crashes)
 	},
 	// Members lend where a home has room to spare, not on each seed.
-	"a team's part is handed over": crashAllScenario(1, "a hand-over was cut short", func(outputs *scheduler.Outputs) bool { return hasWriteWithPrefix(outputs, "l/t/") }),
-	"a machine is rented":          crashAllScenario(1, "a rental was cut short", func(outputs *scheduler.Outputs) bool { return hasCloudOp(outputs, scheduler.CloudProvision) }),
-	"a machine is returned":        crashAllScenario(1, "a return was cut short", func(outputs *scheduler.Outputs) bool { return hasCloudOp(outputs, scheduler.CloudRelease) }),
+	"a team's part is handed over": crashAllScenario(
+		1,
+		"a hand-over was cut short",
+		func(outputs *scheduler.Outputs) bool { return hasWriteWithPrefix(outputs, "l/t/") },
+	),
+	"a machine is rented": crashAllScenario(
+		1,
+		"a rental was cut short",
+		func(outputs *scheduler.Outputs) bool { return hasCloudOp(outputs, scheduler.CloudProvision) },
+	),
+	"a machine is returned": crashAllScenario(
+		1,
+		"a return was cut short",
+		func(outputs *scheduler.Outputs) bool { return hasCloudOp(outputs, scheduler.CloudRelease) },
+	),
 	"in the middle of a gang's start": func(sim *testSimulation) outcomeCheck {
 		crashes, started := 0, false
 		sim.crashAllWhen(&crashes, func(_ *emulator.Member, outputs *scheduler.Outputs) bool {
@@ -155,8 +174,21 @@
 		})
 		for i := range 8 {
 			sim.After(int64(15_000+i*10_000), func() {
-				sim.Submit(emulator.NewJob(scheduler.Job{ID: "job-7" + strings.Repeat("0", 4) + string(rune('0'+i)), Class: "batch", Team: "t1", Kind: scheduler.Gang, Priority: scheduler.High,
-					Tasks: 5, Request: availability.Resources{CPUs: 8, MemoryGB: 16}, Spot: true, EstimateS: 5}))
+				sim.Submit(
+					emulator.NewJob(
+						scheduler.Job{
+							ID:        "job-7" + strings.Repeat("0", 4) + string(rune('0'+i)),
+							Class:     "batch",
+							Team:      "t1",
+							Kind:      scheduler.Gang,
+							Priority:  scheduler.High,
+							Tasks:     5,
+							Request:   availability.Resources{CPUs: 8, MemoryGB: 16},
+							Spot:      true,
+							EstimateS: 5,
+						},
+					),
+				)
 			})
 		}
 		return func(t *testing.T, sim *testSimulation) {
@@ -208,16 +240,32 @@
 	"tasks that begin once": func(sim *testSimulation) outcomeCheck {
 		for i := range 12 {
 			sim.After(int64(10_000+i*8000), func() {
-				sim.Submit(emulator.NewJob(scheduler.Job{ID: "job-80000" + string(rune('a'+i)), Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal,
-					Tasks: 6, Request: availability.Resources{CPUs: 4, MemoryGB: 8}, Spot: true, EstimateS: 5, AtMostOnce: true}))
+				sim.Submit(
+					emulator.NewJob(
+						scheduler.Job{
+							ID:         "job-80000" + string(rune('a'+i)),
+							Class:      "batch",
+							Team:       "t1",
+							Kind:       scheduler.Array,
+							Priority:   scheduler.Normal,
+							Tasks:      6,
+							Request:    availability.Resources{CPUs: 4, MemoryGB: 8},
+							Spot:       true,
+							EstimateS:  5,
+							AtMostOnce: true,
+						},
+					),
+				)
 			})
 		}
 		sim.crashAllAt(24_000, 50_000, 90_000)
 		return nil
 	},
 	"replicas of a service": func(sim *testSimulation) outcomeCheck {
-		j := emulator.NewJob(scheduler.Job{ID: "job-900000", Class: "batch", Team: "t1", Kind: scheduler.Service, Priority: scheduler.Production,
-			Tasks: 10, Request: availability.Resources{CPUs: 4, MemoryGB: 8}})
+		j := emulator.NewJob(
+			scheduler.Job{ID: "job-900000", Class: "batch", Team: "t1", Kind: scheduler.Service, Priority: scheduler.Production,
+				Tasks: 10, Request: availability.Resources{CPUs: 4, MemoryGB: 8}},
+		)
 		// A lease that outlasts the members' absence and one lost report.
 		sim.MessageLoss, sim.Params.LeaseS = 0, 8
 		sim.After(1000, func() { sim.Submit(j) })
@@ -286,7 +334,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				sim := newTestSimulationWith(simScale{members: 3, capacityPerOffering: 12, maxTasks: 40, teamCPUs: 300}, emulator.Options{Seed: 500 + seed, GangWaitMS: 6000, FetchSpread: 0.3, SpeedSpread: 0.1})
+				sim := newTestSimulationWith(
+					simScale{members: 3, capacityPerOffering: 12, maxTasks: 40, teamCPUs: 300},
+					emulator.Options{Seed: 500 + seed, GangWaitMS: 6000, FetchSpread: 0.3, SpeedSpread: 0.1},
+				)
 				sim.noRandomFaults = true
 				sim.TraceEnabled = *traceSeed == int(seed)
 				checkOutcome := scenario(sim)
--- a/scheduler/failing_job_pause_test.go
+++ b/scheduler/failing_job_pause_test.go
@@ -10,13 +10,19 @@
 func TestFailingJobPausesForTwoLeasesAtMost(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	ctrl.params.HeartbeatS = ctrl.params.LeaseS / 5
-	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 40, Shard: "m0"})), Rev: 13})
+	ctrl.applyChange(
+		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 40, Shard: "m0"})), Rev: 13},
+	)
 	tr := s.taskRanges[0]
 	longestPauseMS := int64(0)
 	for n := range 20 {
 		failedMachine := *mc
 		failedMachine.id = fmt.Sprintf("i-%d", n)
-		ctrl.recordTaskError(&failedMachine, tr, &attempt{key: attemptKey{task: TaskName("job-000001", n)}, job: &tr.job.rec.Job, taskRange: tr})
+		ctrl.recordTaskError(
+			&failedMachine,
+			tr,
+			&attempt{key: attemptKey{task: TaskName("job-000001", n)}, job: &tr.job.rec.Job, taskRange: tr},
+		)
 		longestPauseMS = max(longestPauseMS, tr.retryAt-ctrl.now.MonotonicMS)
 	}
 	if longestPauseMS == 0 || longestPauseMS > secondsToMS(2*ctrl.params.LeaseS) {
--- a/scheduler/failure_limits.go
+++ b/scheduler/failure_limits.go
@@ -73,9 +73,20 @@
 // failJob ends a job that is given up: to its user it is cancelled.
 func (c *Controller) failJob(s *shard, tr *taskRange) {
 	id := tr.job.rec.Job.ID
-	final := terminalRecord{State: Cancelled, Tasks: tr.job.rec.Job.Tasks, FailureReason: tr.job.failureReason, WorkflowRun: tr.job.rec.Job.WorkflowRun}
-	c.writeJob(s, tr, []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}, []Precondition{{terminalKey(id), 0}}, func() {
-		c.cacheTerminalState(id, final)
-		c.log(Info, "job given up", "job", id, "why", final.FailureReason)
-	})
+	final := terminalRecord{
+		State:         Cancelled,
+		Tasks:         tr.job.rec.Job.Tasks,
+		FailureReason: tr.job.failureReason,
+		WorkflowRun:   tr.job.rec.Job.WorkflowRun,
+	}
+	c.writeJob(
+		s,
+		tr,
+		[]Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}},
+		[]Precondition{{terminalKey(id), 0}},
+		func() {
+			c.cacheTerminalState(id, final)
+			c.log(Info, "job given up", "job", id, "why", final.FailureReason)
+		},
+	)
 }
--- a/scheduler/fault_pairs_test.go
+++ b/scheduler/fault_pairs_test.go
@@ -35,8 +35,13 @@
 			for offset, second := range faults[i:] {
 				for seed := range max(1, *seedCount/24) {
 					id := 100_000 + 10_000*i + 100*(i+offset) + seed // for -sim
-					sim := newTestSimulationWith(simScale{members: 3, capacityPerOffering: 3, maxTasks: 8, teamCPUs: 64}, emulator.Options{
-						Seed: uint64(id), TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(15_000) }})
+					sim := newTestSimulationWith(
+						simScale{members: 3, capacityPerOffering: 3, maxTasks: 8, teamCPUs: 64},
+						emulator.Options{
+							Seed: uint64(
+								id,
+							), TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(15_000) }},
+					)
 					sim.noRandomFaults, sim.TraceEnabled = true, *traceSeed == id
 					for range 2 + sim.Rand.IntN(2) {
 						sim.After(9000+sim.Rand.Int64N(30_000), func() { inject(sim, first) })
--- a/scheduler/fleet_scaling.go
+++ b/scheduler/fleet_scaling.go
@@ -113,26 +113,29 @@
 	nonce := c.rng.Uint64()
 	f.nonce = nonce
 	rec := claimRecord{c.params.MemberID, nonce}
-	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{leaderKey, c.keyRevisions[leaderKey]}},
-		Changes: []Change{{Key: leaderKey, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}}}, func(r StoreResult) {
-		f.claimPending = false
-		f.nextClaimAt = c.now.MonotonicMS + 500 + c.rng.Int64N(500)
-		if r.Outcome == OK {
-			c.applyChange(KeyValue{Key: leaderKey, Value: mustEncode(rec), Rev: r.Rev})
-			f.leading, f.leaderRev = true, r.Rev
-			f.nextListAt = c.now.MonotonicMS
-			clear(f.provisioning)
-			c.rolloutState.ledger, c.rolloutState.provisioning = nil, false
-			// What an earlier lead of ours left is the cloud list's to tell.
-			f.pendingAdditions, f.unknownMachines, f.registryWriting = nil, nil, false
-			clear(f.unrecordedMachines)
-			clear(f.pendingRemovals)
-			clear(f.pendingReleases)
-			c.log(Info, "leading the fleet", "revision", r.Rev)
-		} else {
-			c.rereadKey(leaderKey, func(StoreResult) {})
-		}
-	})
+	c.sendStore(
+		StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{leaderKey, c.keyRevisions[leaderKey]}},
+			Changes: []Change{{Key: leaderKey, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}}},
+		func(r StoreResult) {
+			f.claimPending = false
+			f.nextClaimAt = c.now.MonotonicMS + 500 + c.rng.Int64N(500)
+			if r.Outcome == OK {
+				c.applyChange(KeyValue{Key: leaderKey, Value: mustEncode(rec), Rev: r.Rev})
+				f.leading, f.leaderRev = true, r.Rev
+				f.nextListAt = c.now.MonotonicMS
+				clear(f.provisioning)
+				c.rolloutState.ledger, c.rolloutState.provisioning = nil, false
+				// What an earlier lead of ours left is the cloud list's to tell.
+				f.pendingAdditions, f.unknownMachines, f.registryWriting = nil, nil, false
+				clear(f.unrecordedMachines)
+				clear(f.pendingRemovals)
+				clear(f.pendingReleases)
+				c.log(Info, "leading the fleet", "revision", r.Rev)
+			} else {
+				c.rereadKey(leaderKey, func(StoreResult) {})
+			}
+		},
+	)
 }
 
 func (c *Controller) applyCatalog(r CloudResult) {
@@ -157,7 +160,12 @@
 	// Stored once, without its moving prices, for members that start while
 	// the cloud is away.
 	if c.keyRevisions[catalogKey] == 0 && f.leading && c.hasAuthority() {
-		c.sendTxn(UrgencyBackground, []Precondition{{catalogKey, 0}}, []Change{{Key: catalogKey, Value: mustEncode(catalogRecord{types})}}, func(StoreResult) {})
+		c.sendTxn(
+			UrgencyBackground,
+			[]Precondition{{catalogKey, 0}},
+			[]Change{{Key: catalogKey, Value: mustEncode(catalogRecord{types})}},
+			func(StoreResult) {},
+		)
 	}
 }
 
@@ -219,8 +227,16 @@
 			// Nobody expected it. It gets an owner, who uses or returns
 			// it; a rental of ours whose rosters are being written is
 			// given the time to be written.
-			if secondsToMS(instance.AgeS) > lag+5000 && !f.unrecordedMachines[instance.ID] && instance.State != "failed" && c.machineTypes[instance.Type] != nil {
-				c.addMachinesToRegistry([]string{instance.ID}, offering{instance.Type, instance.Zone, instance.Spot}, c.assignToLeastLoaded(loads, instance.Type), "", c.now.WallMS-secondsToMS(instance.AgeS), func() {})
+			if secondsToMS(instance.AgeS) > lag+5000 && !f.unrecordedMachines[instance.ID] && instance.State != "failed" &&
+				c.machineTypes[instance.Type] != nil {
+				c.addMachinesToRegistry(
+					[]string{instance.ID},
+					offering{instance.Type, instance.Zone, instance.Spot},
+					c.assignToLeastLoaded(loads, instance.Type),
+					"",
+					c.now.WallMS-secondsToMS(instance.AgeS),
+					func() {},
+				)
 			}
 			if instance.State == "failed" && !f.unrecordedMachines[instance.ID] {
 				c.markForRelease(instance.ID, "failed")
@@ -272,7 +288,8 @@
 	c.forEachFreshMessage(func(from string, msg *PeerMessage) {
 		for i := range msg.OwnedShards {
 			peerShard := &msg.OwnedShards[i]
-			if f.provisioning[peerShard.Shard] > 0 || msg.WallMS < f.demandValidAfter[peerShard.Shard] || len(peerShard.Demands) == 0 {
+			if f.provisioning[peerShard.Shard] > 0 || msg.WallMS < f.demandValidAfter[peerShard.Shard] ||
+				len(peerShard.Demands) == 0 {
 				continue
 			}
 			if c.ownedShards[peerShard.Shard] == nil && c.shardClaims[peerShard.Shard].Owner != from {
@@ -315,10 +332,26 @@
 		if j.rec.Job.Kind == Gang {
 			mode = planner.NewSlotsAnyTime // side by side: none may wait for another
 		}
-		g := &taskGroup{job: &j.rec.Job, Group: planner.Group{Request: j.rec.Job.resourceRequest(), Remaining: demand.Tasks, LengthMS: demand.TaskRuntimeMS, DeadlineMS: demand.DeadlineMS}}
+		g := &taskGroup{
+			job: &j.rec.Job,
+			Group: planner.Group{
+				Request:    j.rec.Job.resourceRequest(),
+				Remaining:  demand.Tasks,
+				LengthMS:   demand.TaskRuntimeMS,
+				DeadlineMS: demand.DeadlineMS,
+			},
+		}
 		for _, candidate := range candidates {
-			if g.Remaining > 0 && c.isOfferingAllowed(g.job, candidate.offering.machineType, candidate.offering.zone, candidate.offering.spot) {
-				n, _, _ := planner.AdmitToMachine(candidate.machine, &g.Group, c.imageFetchMS(g.job, candidate.offering.machineType), c.fillDeadline(g, candidate.machine), g.Remaining, mode)
+			if g.Remaining > 0 &&
+				c.isOfferingAllowed(g.job, candidate.offering.machineType, candidate.offering.zone, candidate.offering.spot) {
+				n, _, _ := planner.AdmitToMachine(
+					candidate.machine,
+					&g.Group,
+					c.imageFetchMS(g.job, candidate.offering.machineType),
+					c.fillDeadline(g, candidate.machine),
+					g.Remaining,
+					mode,
+				)
 				g.Remaining -= n
 			}
 		}
@@ -328,8 +361,22 @@
 				break
 			}
 			t := c.machineTypes[o.machineType]
-			candidate := &candidateMachine{offering: o, machine: &planner.Machine{Offering: planner.InstanceOffering{Type: o.machineType, Zone: o.zone, Spot: o.spot}, ReadyAtMS: wall + secondsToMS(t.BootS), Free: t.Resources}}
-			n, _, _ := planner.AdmitToMachine(candidate.machine, &g.Group, c.imageFetchMS(g.job, o.machineType), c.fillDeadline(g, candidate.machine), g.Remaining, mode)
+			candidate := &candidateMachine{
+				offering: o,
+				machine: &planner.Machine{
+					Offering:  planner.InstanceOffering{Type: o.machineType, Zone: o.zone, Spot: o.spot},
+					ReadyAtMS: wall + secondsToMS(t.BootS),
+					Free:      t.Resources,
+				},
+			}
+			n, _, _ := planner.AdmitToMachine(
+				candidate.machine,
+				&g.Group,
+				c.imageFetchMS(g.job, o.machineType),
+				c.fillDeadline(g, candidate.machine),
+				g.Remaining,
+				mode,
+			)
 			if n == 0 {
 				break
 			}
@@ -347,7 +394,15 @@
 // fillDeadline is the deadline that a rented machine is filled for: the group's own,
 // or, where it comes too late for that, one task in each of its queues.
 func (c *Controller) fillDeadline(g *taskGroup, viewMachine *planner.Machine) int64 {
-	return max(g.DeadlineMS, viewMachine.ReadyAtMS+c.imageFetchMS(g.job, viewMachine.Offering.Type)+int64(float64(g.LengthMS)*planner.RuntimePadding))
+	return max(
+		g.DeadlineMS,
+		viewMachine.ReadyAtMS+c.imageFetchMS(
+			g.job,
+			viewMachine.Offering.Type,
+		)+int64(
+			float64(g.LengthMS)*planner.RuntimePadding,
+		),
+	)
 }
 
 // onDemandMinFill is how full the waiting tasks of a job must make an ordinary
@@ -396,7 +451,8 @@
 					price = t.SpotPrice
 				}
 				cost := price / float64(tasks)
-				if !spot && g.job.Spot && float64(g.Remaining) < float64(t.Resources.MaxCopies(withoutDisk(g.job.Request), 1000))*onDemandMinFill {
+				if !spot && g.job.Spot &&
+					float64(g.Remaining) < float64(t.Resources.MaxCopies(withoutDisk(g.job.Request), 1000))*onDemandMinFill {
 					continue
 				}
 				if c.isTypeScarce(g.job, t) {
@@ -459,38 +515,56 @@
 	}
 	var send func(retries int)
 	send = func(retries int) {
-		c.sendCloud(CloudOp{Kind: CloudProvision, IdempotencyKey: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: n}, func(r CloudResult) {
-			switch r.Outcome {
-			case OK:
-				if len(r.Machines) < n {
+		c.sendCloud(
+			CloudOp{Kind: CloudProvision, IdempotencyKey: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: n},
+			func(r CloudResult) {
+				switch r.Outcome {
+				case OK:
+					if len(r.Machines) < n {
+						markUnavailable()
+					}
+					c.Counters.Provisioned += uint64(len(r.Machines))
+					c.log(
+						Info,
+						"machines rented",
+						"type",
+						o.machineType,
+						"zone",
+						o.zone,
+						"spot",
+						o.spot,
+						"asked",
+						n,
+						"got",
+						len(r.Machines),
+						"machines",
+						r.Machines,
+					)
+					ids := r.Machines
+					for s, k := range sortedByKey(shards) {
+						// What is missing is missing for all in proportion.
+						k = min(len(ids), (k*len(r.Machines)+n-1)/n)
+						c.addMachinesToRegistry(ids[:k], o, s, plan, requestedAt, func() { endShard(s) })
+						ids = ids[k:]
+					}
+				case NotFound:
+					c.log(Debug, "no capacity", "type", o.machineType, "zone", o.zone, "spot", o.spot)
 					markUnavailable()
+					endAll()
+				case Unknown:
+					// The same name gets the same answer, and rents nothing
+					// twice.
+					if retries > 0 {
+						send(retries - 1)
+						return
+					}
+					endAll()
+				default:
+					f.nextProvisionAt = c.now.MonotonicMS + 2000
+					endAll()
 				}
-				c.Counters.Provisioned += uint64(len(r.Machines))
-				c.log(Info, "machines rented", "type", o.machineType, "zone", o.zone, "spot", o.spot, "asked", n, "got", len(r.Machines), "machines", r.Machines)
-				ids := r.Machines
-				for s, k := range sortedByKey(shards) {
-					// What is missing is missing for all in proportion.
-					k = min(len(ids), (k*len(r.Machines)+n-1)/n)
-					c.addMachinesToRegistry(ids[:k], o, s, plan, requestedAt, func() { endShard(s) })
-					ids = ids[k:]
-				}
-			case NotFound:
-				c.log(Debug, "no capacity", "type", o.machineType, "zone", o.zone, "spot", o.spot)
-				markUnavailable()
-				endAll()
-			case Unknown:
-				// The same name gets the same answer, and rents nothing
-				// twice.
-				if retries > 0 {
-					send(retries - 1)
-					return
-				}
-				endAll()
-			default:
-				f.nextProvisionAt = c.now.MonotonicMS + 2000
-				endAll()
-			}
-		})
+			},
+		)
 	}
 	send(3)
 }
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -51,7 +51,12 @@
 
 func TestStoreKeysKeepTheirForm(t *testing.T) {
 	m := &Controller{params: Params{MaxValueBytes: 1024}}
-	small := &taskRange{job: &job{rec: jobRecord{Job: Job{ID: "job-7"}}}, shardName: "m0", bounds: Range{Lo: 3, Hi: 5}, done: newBitset(2)}
+	small := &taskRange{
+		job:       &job{rec: jobRecord{Job: Job{ID: "job-7"}}},
+		shardName: "m0",
+		bounds:    Range{Lo: 3, Hi: 5},
+		done:      newBitset(2),
+	}
 	large := &taskRange{job: small.job, shardName: "m0", bounds: Range{Lo: 3, Hi: 1003}, done: newBitset(1000)}
 	for _, k := range []struct{ got, want string }{
 		{livePrefix, "l/"},
--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -50,7 +50,10 @@
 		byTeam := map[string][]quota.Job{}
 		for id, o := range c.jobs {
 			if team := o.rec.Job.Team; guaranteeOf(c.params.Teams[team]) != (quota.Amounts{}) {
-				byTeam[team] = append(byTeam[team], quota.Job{ID: id, AcceptedMS: o.rec.AcceptedAtMS, Size: totalRequest(&o.rec.Job)})
+				byTeam[team] = append(
+					byTeam[team],
+					quota.Job{ID: id, AcceptedMS: o.rec.AcceptedAtMS, Size: totalRequest(&o.rec.Job)},
+				)
 			}
 		}
 		*status = guaranteeStatus{true, map[string]bool{}, map[string]quota.Amounts{}}
@@ -113,7 +116,8 @@
 	usage := map[string]quota.Amounts{}
 	for team := range c.params.Teams {
 		teamUsage, waiting, _ := c.usageMonitor.PeerUsage(team, c.now.MonotonicMS, since)
-		if teamUsage = teamUsage.Add(localUsage[team]); teamUsage != (quota.Amounts{}) || waiting.Add(localWaiting[team]) != (quota.Amounts{}) {
+		if teamUsage = teamUsage.Add(localUsage[team]); teamUsage != (quota.Amounts{}) ||
+			waiting.Add(localWaiting[team]) != (quota.Amounts{}) {
 			usage[team] = teamUsage
 		}
 	}
@@ -172,10 +176,13 @@
 // isReclaimable tells whether an attempt may be stopped for another team's guarantee. What
 // ends by itself as soon is not; nor what was stopped for that team before.
 func (c *Controller) isReclaimable(a *attempt, team string) bool {
-	if a.exited || a.checkpointing || a.stopRequested || a.evicted || a.job.Kind != Array || a.job.AtMostOnce || a.job.Team == team {
+	if a.exited || a.checkpointing || a.stopRequested || a.evicted || a.job.Kind != Array || a.job.AtMostOnce ||
+		a.job.Team == team {
 		return false
 	}
-	return a.expectedEnd(c.now.WallMS)-c.now.WallMS > c.stopDelay(a.job) && a.taskRange.reclaimedFor[a.taskIndex] != team && !c.isWithinGuarantee(a.job)
+	return a.expectedEnd(c.now.WallMS)-c.now.WallMS > c.stopDelay(a.job) &&
+		a.taskRange.reclaimedFor[a.taskIndex] != team &&
+		!c.isWithinGuarantee(a.job)
 }
 
 // stopDelay is how long a stop takes until its room can be used. It goes straight to the
@@ -199,7 +206,12 @@
 
 // preemptionBatches lists what could be stopped on a machine for a group, a copy of its request
 // after the other, and how many find room there by themselves before a stop would help.
-func (c *Controller) preemptionBatches(mc *machine, viewMachine *planner.Machine, g *taskGroup, limit int) (out []preemptionBatch, freedByThemselves int) {
+func (c *Controller) preemptionBatches(
+	mc *machine,
+	viewMachine *planner.Machine,
+	g *taskGroup,
+	limit int,
+) (out []preemptionBatch, freedByThemselves int) {
 	req := withoutDisk(g.job.Request)
 	var reclaimable []*attempt
 	free := viewMachine.Free
@@ -224,8 +236,12 @@
 		return nil, freedByThemselves
 	}
 	slices.SortFunc(reclaimable, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), cmp.Compare(c.lostWork(a)/a.job.Request.CPUs, c.lostWork(b)/b.job.Request.CPUs),
-			cmp.Compare(a.key.task, b.key.task), cmp.Compare(a.key.attempt, b.key.attempt))
+		return cmp.Or(
+			cmp.Compare(a.job.Priority, b.job.Priority),
+			cmp.Compare(c.lostWork(a)/a.job.Request.CPUs, c.lostWork(b)/b.job.Request.CPUs),
+			cmp.Compare(a.key.task, b.key.task),
+			cmp.Compare(a.key.attempt, b.key.attempt),
+		)
 	})
 	fetch := c.fetchTime(g.job, mc, c.machineTypes[mc.rec.Type])
 	b := preemptionBatch{machine: mc, viewMachine: viewMachine, fetchMS: fetch}
@@ -247,7 +263,9 @@
 // group that are within its team's and found no room. No more work is lost by a stop
 // than the task that it makes room for has.
 func (c *Controller) reclaimForGuarantee(s *shard, g *taskGroup, missing int) {
-	if !c.params.Quota || !g.WithinGuarantee || g.MissedObjectives || g.job.Kind == Gang || g.job.requiresOneShard() || len(s.reconciler.Unreported()) > 0 || s.reconciler.Pacer.IsActive(c.now.MonotonicMS) {
+	if !c.params.Quota || !g.WithinGuarantee || g.MissedObjectives || g.job.Kind == Gang || g.job.requiresOneShard() ||
+		len(s.reconciler.Unreported()) > 0 ||
+		s.reconciler.Pacer.IsActive(c.now.MonotonicMS) {
 		return
 	}
 	if missing -= s.reservedTasks[g.taskRange]; missing <= 0 || !c.hasReclaimableUsage(s, g.job.Team) {
@@ -259,7 +277,8 @@
 			return
 		}
 		mc := s.viewMachines[i]
-		if !viewMachine.Ready || !mc.IsReconciled() || !c.placementCatalog.IsAllowed(&g.Request, viewMachine.Offering) || g.taskRange.errorsByMachine[mc.id] > 0 {
+		if !viewMachine.Ready || !mc.IsReconciled() || !c.placementCatalog.IsAllowed(&g.Request, viewMachine.Offering) ||
+			g.taskRange.errorsByMachine[mc.id] > 0 {
 			continue
 		}
 		machineBatches, freedByThemselves := c.preemptionBatches(mc, viewMachine, g, missing)
@@ -267,7 +286,11 @@
 		batches = append(batches, machineBatches...)
 	}
 	slices.SortStableFunc(batches, func(a, b preemptionBatch) int {
-		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.fetchMS, b.fetchMS), cmp.Compare(a.lostWork, b.lostWork))
+		return cmp.Or(
+			cmp.Compare(a.priority, b.priority),
+			cmp.Compare(a.fetchMS, b.fetchMS),
+			cmp.Compare(a.lostWork, b.lostWork),
+		)
 	})
 	maxLostWork := float64(g.LengthMS) * g.job.Request.CPUs
 	if g.job.Kind == Service {
@@ -295,7 +318,8 @@
 		s.reclaimableTeams = map[string]bool{}
 		usageByTeam, _ := c.localUsageByTeam()
 		for team, usage := range usageByTeam {
-			if excess := c.usageMonitor.PreemptibleExcess(team, usage, guaranteeOf(c.params.Teams[team]), c.now.MonotonicMS-c.maxMessageAgeMS()); excess.CPUs > 0 || excess.GPUs > 0 {
+			if excess := c.usageMonitor.PreemptibleExcess(team, usage, guaranteeOf(c.params.Teams[team]), c.now.MonotonicMS-c.maxMessageAgeMS()); excess.CPUs > 0 ||
+				excess.GPUs > 0 {
 				s.reclaimableTeams[team] = true
 			}
 		}
@@ -311,7 +335,9 @@
 	}
 	since := c.now.MonotonicMS - c.maxMessageAgeMS()
 	for team, request := range requests {
-		if excess := c.usageMonitor.PreemptibleExcess(team, c.localUsage(team), guaranteeOf(c.params.Teams[team]), since); !excess.Contains(request) {
+		if excess := c.usageMonitor.PreemptibleExcess(team, c.localUsage(team), guaranteeOf(c.params.Teams[team]), since); !excess.Contains(
+			request,
+		) {
 			return false
 		}
 	}
@@ -333,7 +359,18 @@
 		s.reclaimedUsage[a.job.Team] = s.reclaimedUsage[a.job.Team].Add(amountsOf(a.job.Request))
 		longestStop = max(longestStop, c.stopDelay(a.job))
 		c.Counters.ReclaimedTasks++
-		c.log(Debug, "task stopped for a guarantee", "task", a.key.task, "machine", batch.machine.id, "team", a.job.Team, "for", g.job.ID)
+		c.log(
+			Debug,
+			"task stopped for a guarantee",
+			"task",
+			a.key.task,
+			"machine",
+			batch.machine.id,
+			"team",
+			a.job.Team,
+			"for",
+			g.job.ID,
+		)
 	}
 	if batch.machine.reservation == nil {
 		batch.machine.reservation = &reservation{taskRange: g.taskRange}
@@ -342,7 +379,11 @@
 	s.reservedTasks[g.taskRange]++
 	batch.machine.reservation.stopsSent = false
 	batch.machine.reservation.expiresAt = c.now.MonotonicMS + longestStop + 2*c.maxHeartbeatIntervalMS()
-	batch.viewMachine.Free = batch.viewMachine.Free.Add(reservedBefore).Sub(c.reservedResources(batch.machine)) // what else it takes, the plan may not give away
+	batch.viewMachine.Free = batch.viewMachine.Free.Add(
+		reservedBefore,
+	).Sub(
+		c.reservedResources(batch.machine),
+	) // what else it takes, the plan may not give away
 	s.clusterView.MarkFreeChanged(batch.viewMachine)
 }
 
@@ -353,7 +394,9 @@
 	if reservation == nil {
 		return availability.Resources{}
 	}
-	if c.now.MonotonicMS > reservation.expiresAt || reservation.taskRange.claim != mc.claim || !c.isCurrent(reservation.taskRange) || reservation.taskRange.pending() == 0 {
+	if c.now.MonotonicMS > reservation.expiresAt || reservation.taskRange.claim != mc.claim ||
+		!c.isCurrent(reservation.taskRange) ||
+		reservation.taskRange.pending() == 0 {
 		mc.reservation = nil
 		return availability.Resources{}
 	}
@@ -376,14 +419,26 @@
 func (c *Controller) sendReclaimStops(s *shard) {
 	for _, mc := range s.machines {
 		reservation := mc.reservation
-		if reservation == nil || reservation.stopsSent || mc.directCommandPending || mc.directCommandRefused || !mc.IsReconciled() || mc.addr == "" || c.now.MonotonicMS-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
+		if reservation == nil || reservation.stopsSent || mc.directCommandPending || mc.directCommandRefused ||
+			!mc.IsReconciled() ||
+			mc.addr == "" ||
+			c.now.MonotonicMS-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
 			continue
 		}
 		reservation.stopsSent = true
 		mc.commands = mc.commands[:0]
 		for _, a := range mc.byKey {
 			if a.reclaimed && !a.exited && !a.checkpointing {
-				c.queueCommand(s, mc, Command{Kind: CommandStop, Task: a.key.task, Attempt: a.key.attempt, GraceS: a.job.CheckpointDurationS + c.params.HeartbeatS})
+				c.queueCommand(
+					s,
+					mc,
+					Command{
+						Kind:    CommandStop,
+						Task:    a.key.task,
+						Attempt: a.key.attempt,
+						GraceS:  a.job.CheckpointDurationS + c.params.HeartbeatS,
+					},
+				)
 			}
 		}
 		if len(mc.commands) > 0 {
@@ -401,17 +456,28 @@
 
 // startReserved starts what a machine's room was pledged to, as soon as it is there.
 func (c *Controller) startReserved(s *shard, mc *machine, hb *Heartbeat) {
-	if c.reservedResources(mc); mc.reservation == nil || !c.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() || !c.hasAuthority() {
+	if c.reservedResources(mc); mc.reservation == nil || !c.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() ||
+		!c.hasAuthority() {
 		return
 	}
 	reservation := mc.reservation
 	j := &reservation.taskRange.job.rec.Job
 	for reservation.count > 0 && !reservation.taskRange.moving && c.now.MonotonicMS >= reservation.taskRange.retryAt {
 		i := reservation.taskRange.nextTask()
-		if i < 0 || !c.freeResources(mc).Contains(j.Request) || !c.mayStart(s, reservation.taskRange, mc) || !c.hasAttemptIDs(s) || !s.reconciler.Pacer.TryStart(c.now.MonotonicMS, true) {
+		if i < 0 || !c.freeResources(mc).Contains(j.Request) || !c.mayStart(s, reservation.taskRange, mc) ||
+			!c.hasAttemptIDs(s) ||
+			!s.reconciler.Pacer.TryStart(c.now.MonotonicMS, true) {
 			return
 		}
-		c.startTask(s, mc, reservation.taskRange, i, c.expectedRuntime(j), c.fetchTime(j, mc, c.machineTypes[mc.rec.Type]), hb)
+		c.startTask(
+			s,
+			mc,
+			reservation.taskRange,
+			i,
+			c.expectedRuntime(j),
+			c.fetchTime(j, mc, c.machineTypes[mc.rec.Type]),
+			hb,
+		)
 	}
 }
 
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -48,7 +48,11 @@
 		seq := uint64(3)
 		heartbeat := func(tasks ...TaskStatus) []Command {
 			seq++
-			ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks})
+			ctrl.HandleHeartbeat(
+				ctrl.now,
+				seq,
+				Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks},
+			)
 			return ctrl.TakeOutputs().HeartbeatResponses[seq].Commands
 		}
 		advance := func(ms int64) {
@@ -75,7 +79,8 @@
 		for _, directCommand := range ctrl.TakeOutputs().DirectCommands {
 			sent = append(sent, directCommand.Commands...)
 		}
-		if stopped := len(sent) == 1 && sent[0].Kind == CommandStop && sent[0].Task == "job-000001/0" && sent[0].GraceS >= s.taskRanges[0].job.rec.Job.CheckpointDurationS; stopped != c.stopped || !stopped && len(sent) > 0 {
+		if stopped := len(sent) == 1 && sent[0].Kind == CommandStop && sent[0].Task == "job-000001/0" && sent[0].GraceS >= s.taskRanges[0].job.rec.Job.CheckpointDurationS; stopped != c.stopped ||
+			!stopped && len(sent) > 0 {
 			t.Errorf("%s: told %+v", c.name, sent)
 			continue
 		}
@@ -115,7 +120,11 @@
 	}
 	rec.Ranges = []Range{{Lo: 0, Hi: 2, Shard: "m1", MovedFromPeer: true}}
 	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: 22})
-	ctrl.HandleHeartbeat(ctrl.now, 9, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 9, Token: 11})
+	ctrl.HandleHeartbeat(
+		ctrl.now,
+		9,
+		Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 9, Token: 11},
+	)
 	if commands := ctrl.TakeOutputs().HeartbeatResponses[9].Commands; len(commands) > 0 || mc.reservation != nil {
 		t.Errorf("told %+v, pledged %+v", commands, mc.reservation)
 	}
--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -42,10 +42,24 @@
 }
 
 // submitUnguaranteedJob submits a job of the team without a guarantee at a time.
-func (sim *testSimulation) submitUnguaranteedJob(at int64, id, class string, tasks int, cpus float64, p scheduler.Priority) {
+func (sim *testSimulation) submitUnguaranteedJob(
+	at int64,
+	id, class string,
+	tasks int,
+	cpus float64,
+	p scheduler.Priority,
+) {
 	sim.After(at, func() {
-		sim.Submit(emulator.NewJob(scheduler.Job{ID: id, Class: class, Team: unguaranteedTeam, Kind: scheduler.Array, Priority: p, Tasks: tasks,
-			Request: availability.Resources{CPUs: cpus, MemoryGB: cpus, DiskGB: 0.5}, Image: "img-" + class, Spot: true, EstimateS: 5}))
+		sim.Submit(
+			emulator.NewJob(
+				scheduler.Job{ID: id, Class: class, Team: unguaranteedTeam, Kind: scheduler.Array, Priority: p, Tasks: tasks,
+					Request: availability.Resources{
+						CPUs:     cpus,
+						MemoryGB: cpus,
+						DiskGB:   0.5,
+					}, Image: "img-" + class, Spot: true, EstimateS: 5},
+			),
+		)
 	})
 }
 
@@ -55,7 +69,8 @@
 		if len(sim.JobIDs) == 0 {
 			return
 		}
-		if j := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]]; j.Accepted && !j.CancelRequested && !j.ObservedState.IsTerminal() {
+		if j := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]]; j.Accepted && !j.CancelRequested &&
+			!j.ObservedState.IsTerminal() {
 			counts["cancellations"]++
 			sim.CancelJob(j)
 		}
@@ -67,7 +82,15 @@
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
 			sim.repeatAtRandom(40_000, faultWindowMS, func() {
-				sim.Partitions = append(sim.Partitions, emulator.Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + 15_000 + sim.Rand.Int64N(20_000), DropsMessages: sim.Rand.IntN(2) == 0})
+				sim.Partitions = append(
+					sim.Partitions,
+					emulator.Partition{
+						A:             sim.randomMember().Name,
+						B:             "w",
+						Until:         sim.Now + 15_000 + sim.Rand.Int64N(20_000),
+						DropsMessages: sim.Rand.IntN(2) == 0,
+					},
+				)
 			})
 			sim.cancelPeriodically(9000, counts)
 		},
@@ -77,7 +100,15 @@
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
 			sim.repeatAtRandom(40_000, faultWindowMS, func() {
-				sim.Partitions = append(sim.Partitions, emulator.Partition{A: sim.randomMember().Name, B: "store", Until: sim.Now + 15_000 + sim.Rand.Int64N(20_000), DropsMessages: sim.Rand.IntN(2) == 0})
+				sim.Partitions = append(
+					sim.Partitions,
+					emulator.Partition{
+						A:             sim.randomMember().Name,
+						B:             "store",
+						Until:         sim.Now + 15_000 + sim.Rand.Int64N(20_000),
+						DropsMessages: sim.Rand.IntN(2) == 0,
+					},
+				)
 			})
 			sim.cancelPeriodically(9000, counts)
 		},
@@ -86,7 +117,11 @@
 	"a member refused by the state service alone": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
-			sim.repeatAtRandom(40_000, faultWindowMS, func() { sim.StartOutage(sim.randomMember().Name, 15_000+sim.Rand.Int64N(20_000)) })
+			sim.repeatAtRandom(
+				40_000,
+				faultWindowMS,
+				func() { sim.StartOutage(sim.randomMember().Name, 15_000+sim.Rand.Int64N(20_000)) },
+			)
 			sim.cancelPeriodically(9000, counts)
 		},
 		minCounts: map[string]int{"shard lost": 5, "shard handed back": 3, "relayed": 20, "cancellations": 20},
@@ -110,12 +145,16 @@
 							return
 						}
 						j, requestedAt := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]], sim.Now
-						sim.SendRequestTo(m, scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-							if ok {
-								counts["answers around a wake"]++
-								sim.ReceiveResponse(j, requestedAt, resp)
-							}
-						})
+						sim.SendRequestTo(
+							m,
+							scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
+							func(resp scheduler.UserResponse, ok bool) {
+								if ok {
+									counts["answers around a wake"]++
+									sim.ReceiveResponse(j, requestedAt, resp)
+								}
+							},
+						)
 					})
 				}
 			})
@@ -128,7 +167,14 @@
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
 			sim.repeatAtRandom(60_000, faultWindowMS, func() {
-				sim.Partitions = append(sim.Partitions, emulator.Partition{A: sim.randomMember().Name, Until: sim.Now + 60_000 + sim.Rand.Int64N(30_000), DropsMessages: sim.Rand.IntN(2) == 0})
+				sim.Partitions = append(
+					sim.Partitions,
+					emulator.Partition{
+						A:             sim.randomMember().Name,
+						Until:         sim.Now + 60_000 + sim.Rand.Int64N(30_000),
+						DropsMessages: sim.Rand.IntN(2) == 0,
+					},
+				)
 			})
 			sim.cancelPeriodically(9000, counts)
 		},
@@ -177,7 +223,10 @@
 				case 1:
 					sim.StartOutage(m.Name, 4000+sim.Rand.Int64N(16_000))
 				case 2:
-					sim.Partitions = append(sim.Partitions, emulator.Partition{A: m.Name, B: "store", Until: sim.Now + 4000 + sim.Rand.Int64N(16_000)})
+					sim.Partitions = append(
+						sim.Partitions,
+						emulator.Partition{A: m.Name, B: "store", Until: sim.Now + 4000 + sim.Rand.Int64N(16_000)},
+					)
 				default:
 					m.Crash(300 + sim.Rand.Int64N(12_000))
 				}
@@ -198,12 +247,23 @@
 			}
 			sim.submitUnguaranteedJob(40_000, "job-pass", batchPassClass, 1200, 0.5, scheduler.Low)
 			for n := range 250 {
-				sim.submitUnguaranteedJob(50_000+sim.Rand.Int64N(15_000), fmt.Sprintf("job-small-%03d", n), singleTaskClass, 1, 1, scheduler.Normal)
+				sim.submitUnguaranteedJob(
+					50_000+sim.Rand.Int64N(15_000),
+					fmt.Sprintf("job-small-%03d", n),
+					singleTaskClass,
+					1,
+					1,
+					scheduler.Normal,
+				)
 			}
 			sim.repeatAtRandom(45_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
 			sim.OnTaskDone = func(t *standin.Task) { counts["tasks of "+t.Job.Class]++ }
 		},
-		minCounts: map[string]int{"tasks of " + idleTimeClass: 600, "tasks of " + batchPassClass: 7200, "tasks of " + singleTaskClass: 1500},
+		minCounts: map[string]int{
+			"tasks of " + idleTimeClass:   600,
+			"tasks of " + batchPassClass:  7200,
+			"tasks of " + singleTaskClass: 1500,
+		},
 	},
 	// They fail everywhere until their users cancel them.
 	"jobs submitted with a mistake": {
@@ -222,7 +282,8 @@
 			})
 			sim.repeatAtRandom(1000, 3*faultWindowMS, func() {
 				for _, id := range sim.JobIDs {
-					if j := sim.Jobs[id]; sim.IsMisconfigured(j) && j.Accepted && !j.CancelRequested && sim.Now-j.AcceptedAt > 20_000+sim.Rand.Int64N(60_000) {
+					if j := sim.Jobs[id]; sim.IsMisconfigured(j) && j.Accepted && !j.CancelRequested &&
+						sim.Now-j.AcceptedAt > 20_000+sim.Rand.Int64N(60_000) {
 						counts["mistaken jobs cancelled"]++
 						sim.CancelJob(j)
 					}
@@ -258,8 +319,19 @@
 		})
 		for n := range 8 {
 			sim.After(20_000+int64(n)*15_000, func() {
-				j := emulator.NewJob(scheduler.Job{ID: fmt.Sprintf("job-mistaken-%d", n), Class: "mistaken", Team: "t1", Kind: scheduler.Array, Priority: scheduler.High,
-					Tasks: 12, Request: availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1}, Image: "img-0", EstimateS: 5})
+				j := emulator.NewJob(
+					scheduler.Job{
+						ID:        fmt.Sprintf("job-mistaken-%d", n),
+						Class:     "mistaken",
+						Team:      "t1",
+						Kind:      scheduler.Array,
+						Priority:  scheduler.High,
+						Tasks:     12,
+						Request:   availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1},
+						Image:     "img-0",
+						EstimateS: 5,
+					},
+				)
 				sim.Submit(j)
 				sim.After(12_000, func() { sim.CancelJob(j) })
 			})
@@ -285,7 +357,10 @@
 		sim.noRandomFaults = true
 		const cutAt, cutMS = 60_000, 14_000
 		sim.After(cutAt, func() {
-			sim.Partitions = append(sim.Partitions, emulator.Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + cutMS, DropsMessages: true})
+			sim.Partitions = append(
+				sim.Partitions,
+				emulator.Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + cutMS, DropsMessages: true},
+			)
 		})
 		const hangAt = 110_000
 		hangInjected := false
@@ -314,7 +389,13 @@
 		sim.checkServed(t)
 	}
 	if silent < *seedCount/2 || drained*10 > silent || drainedAlone == 0 {
-		t.Errorf("of %d silent machines %d are drained, %d come back; %d drained that are silent alone", silent, drained, returned, drainedAlone)
+		t.Errorf(
+			"of %d silent machines %d are drained, %d come back; %d drained that are silent alone",
+			silent,
+			drained,
+			returned,
+			drainedAlone,
+		)
 	}
 	t.Logf("%d silent, %d drained, %d back, %d alone", silent, drained, returned, drainedAlone)
 }
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -36,7 +36,10 @@
 				c.continueAfter(result.Outcome, func() { proceed(write.onSent(result.Outcome)) })
 			})
 		default:
-			c.rereadKey(key, func(result StoreResult) { c.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) }) })
+			c.rereadKey(
+				key,
+				func(result StoreResult) { c.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) }) },
+			)
 		}
 	}
 	write.send(func(result StoreResult) {
@@ -54,7 +57,10 @@
 		resume()
 		return
 	}
-	c.delayedSteps = append(c.delayedSteps, delayedStep{c.now.MonotonicMS + access.RequestTimeout.Milliseconds()/retryPauseDivisor, resume})
+	c.delayedSteps = append(
+		c.delayedSteps,
+		delayedStep{c.now.MonotonicMS + access.RequestTimeout.Milliseconds()/retryPauseDivisor, resume},
+	)
 }
 
 // delayedStep is something that goes on at a time.
