--- a/scheduler/indoubt_writes_test.go
+++ b/scheduler/indoubt_writes_test.go
@@ -82,7 +82,10 @@
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 64}}
 	ctrl.initTeamLedgers()
 	ledger := ctrl.quotaLedgers["ops"]
-	rec := quota.Record{Allocations: map[string]quota.Amounts{"m0": {CPUs: 32}, "m1": {CPUs: 32}}, Requests: map[string]quota.Request{"m1": {Amounts: quota.Amounts{CPUs: 32}}}}
+	rec := quota.Record{
+		Allocations: map[string]quota.Amounts{"m0": {CPUs: 32}, "m1": {CPUs: 32}},
+		Requests:    map[string]quota.Request{"m1": {Amounts: quota.Amounts{CPUs: 32}}},
+	}
 	key := teamKey("ops")
 	ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: 21})
 	ctrl.proposeAllocations(s)
@@ -120,7 +123,15 @@
 	ctrl, _, _ := newControllerWithShard(t)
 	key := statusPrefix + "m1"
 	applyStatusRecord := func(wall int64, id string, rev uint64) {
-		ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(statusRecord{WallMS: wall, Shards: []statusRecordShard{{Shard: "m1", MachinesToRelease: []string{id}}}}), Rev: rev})
+		ctrl.applyChange(
+			KeyValue{
+				Key: key,
+				Value: mustEncode(
+					statusRecord{WallMS: wall, Shards: []statusRecordShard{{Shard: "m1", MachinesToRelease: []string{id}}}},
+				),
+				Rev: rev,
+			},
+		)
 	}
 	ctrl.now.WallMS = 50_000
 	applyStatusRecord(49_000, "i-new", 40)
@@ -153,7 +164,11 @@
 		ctrl.claimShard("m0")
 		op := findTxn(t, ctrl, key)
 		ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Unknown})
-		ctrl.HandleStoreResult(ctrl.now, ctrl.TakeOutputs().StoreOps[0].ID, StoreResult{Rev: 30, KVs: []KeyValue{{Key: key, Value: c.storedClaim(op.Changes[0].Value), Rev: c.rev}}})
+		ctrl.HandleStoreResult(
+			ctrl.now,
+			ctrl.TakeOutputs().StoreOps[0].ID,
+			StoreResult{Rev: 30, KVs: []KeyValue{{Key: key, Value: c.storedClaim(op.Changes[0].Value), Rev: c.rev}}},
+		)
 		if s := ctrl.ownedShards["m0"]; (s != nil) != c.isOwn || c.isOwn && s.token != c.rev {
 			t.Errorf("%s: taken as %+v", c.name, s)
 		}
@@ -193,7 +208,11 @@
 	if len(ctrl.ownedShards) > 0 {
 		t.Error("the claims outlive the hold")
 	}
-	ctrl.HandleHeartbeat(ctrl.now, 7, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 9, Token: s.token})
+	ctrl.HandleHeartbeat(
+		ctrl.now,
+		7,
+		Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 9, Token: s.token},
+	)
 	if resp := ctrl.TakeOutputs().HeartbeatResponses[7]; resp.Accepted {
 		t.Error("a worker is answered for a claim that is over")
 	}
@@ -203,16 +222,25 @@
 // follows would run the task again.
 func TestResultIsClearedOnlyOnceStored(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13})
+	ctrl.applyChange(
+		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13},
+	)
 	tr := ctrl.jobs["job-000001"].taskRanges[0]
 	ctrl.startTask(s, mc, tr, 0, 1000, 0, &Heartbeat{Incarnation: 1, Seq: 3})
 	var key attemptKey
 	for key = range mc.attempts {
 	}
 	isCleared := func(seq uint64) bool {
-		ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11,
-			Tasks: []TaskStatus{{Task: key.task, Attempt: key.attempt, State: "exited", Reason: "done"}}})
-		return slices.ContainsFunc(ctrl.TakeOutputs().HeartbeatResponses[seq].Commands, func(cmd Command) bool { return cmd.Kind == CommandForget })
+		ctrl.HandleHeartbeat(
+			ctrl.now,
+			seq,
+			Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11,
+				Tasks: []TaskStatus{{Task: key.task, Attempt: key.attempt, State: "exited", Reason: "done"}}},
+		)
+		return slices.ContainsFunc(
+			ctrl.TakeOutputs().HeartbeatResponses[seq].Commands,
+			func(cmd Command) bool { return cmd.Kind == CommandForget },
+		)
 	}
 	if isCleared(4) || tr.doneCount != 1 {
 		t.Fatal("a result is cleared that is not stored")
@@ -227,10 +255,16 @@
 // until one is seen.
 func TestInboundPartitionedMachineGetsOneStartAtATime(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 8, Shard: "m0"})), Rev: 13})
+	ctrl.applyChange(
+		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 8, Shard: "m0"})), Rev: 13},
+	)
 	ctrl.planShard(s)
 	heartbeat := func(seq uint64, tasks ...TaskStatus) []Command {
-		ctrl.HandleHeartbeat(ctrl.now, seq, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks})
+		ctrl.HandleHeartbeat(
+			ctrl.now,
+			seq,
+			Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks},
+		)
 		resp := ctrl.TakeOutputs().HeartbeatResponses[seq]
 		ctrl.planShard(s)
 		return resp.Commands
@@ -245,7 +279,8 @@
 		}
 	}
 	acknowledgedStart := heartbeat(8)[0]
-	if n := len(heartbeat(9, TaskStatus{Task: acknowledgedStart.Task, Attempt: acknowledgedStart.Attempt, State: "running"})); n < 4 || mc.startUndelivered {
+	if n := len(heartbeat(9, TaskStatus{Task: acknowledgedStart.Task, Attempt: acknowledgedStart.Attempt, State: "running"})); n < 4 ||
+		mc.startUndelivered {
 		t.Errorf("%d starts when it hears again", n)
 	}
 }
--- a/scheduler/inputs_outputs.go
+++ b/scheduler/inputs_outputs.go
@@ -306,10 +306,10 @@
 
 // CapacityDemand is work that a shard's machines cannot end in time.
 type CapacityDemand struct {
-	Job           string `json:"Job" msgpack:"job"`
-	Tasks         int    `json:"Count" msgpack:"n"`
+	Job           string `json:"Job"      msgpack:"job"`
+	Tasks         int    `json:"Count"    msgpack:"n"`
 	DeadlineMS    int64  `json:"Deadline" msgpack:"dl"`   // time of day, ms
-	TaskRuntimeMS int64  `json:"Length" msgpack:"len"`    // of a task, without its image
+	TaskRuntimeMS int64  `json:"Length"   msgpack:"len"`  // of a task, without its image
 	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // ordinary machines serve it, at a higher price
 }
 
--- a/scheduler/job_requests.go
+++ b/scheduler/job_requests.go
@@ -26,7 +26,13 @@
 }
 
 func (f terminalRecord) response(id string) UserResponse {
-	response := UserResponse{Status: 200, ID: id, State: f.State, FailureReason: f.FailureReason, WorkflowRun: f.WorkflowRun}
+	response := UserResponse{
+		Status:        200,
+		ID:            id,
+		State:         f.State,
+		FailureReason: f.FailureReason,
+		WorkflowRun:   f.WorkflowRun,
+	}
 	if f.State == Done {
 		response.Done = f.Tasks
 	}
@@ -136,7 +142,8 @@
 	if j.Kind != Array {
 		concurrentTasks = float64(j.Tasks)
 	}
-	if t.MaxCPUs > 0 && concurrentTasks*j.Request.CPUs > t.MaxCPUs || t.MaxGPUs > 0 && concurrentTasks*j.Request.GPUs > t.MaxGPUs {
+	if t.MaxCPUs > 0 && concurrentTasks*j.Request.CPUs > t.MaxCPUs ||
+		t.MaxGPUs > 0 && concurrentTasks*j.Request.GPUs > t.MaxGPUs {
 		return "needs more than the team's limit", true
 	}
 	if len(c.machineTypes) == 0 {
@@ -178,7 +185,15 @@
 		rejectUnlessKnown(unavailableResponse(request.ID, "machine types not known yet"))
 		return
 	}
-	if len(mustEncode(jobRecord{Job: *request.Job, AcceptedAtMS: c.now.WallMS, Ranges: []Range{{0, request.Job.Tasks, c.params.MemberID, false}}})) > c.params.MaxValueBytes {
+	if len(
+		mustEncode(
+			jobRecord{
+				Job:          *request.Job,
+				AcceptedAtMS: c.now.WallMS,
+				Ranges:       []Range{{0, request.Job.Tasks, c.params.MemberID, false}},
+			},
+		),
+	) > c.params.MaxValueBytes {
 		// No value of the store holds it, however often it is sent.
 		rejectUnlessKnown(UserResponse{Status: 400, ID: request.ID, Error: "the job's names are too long"})
 		return
--- a/scheduler/large_fleet_benchmark_test.go
+++ b/scheduler/large_fleet_benchmark_test.go
@@ -36,7 +36,17 @@
 	cfg.HeartbeatS, cfg.LeaseS, cfg.CancelWithinS, cfg.MaxValueBytes, cfg.StoreChangeRate, cfg.CloudListLagS = 6, 32, 62, 16384, 50, 10
 	sim.After(1, func() {
 		for _, zone := range []string{"a", "b"} {
-			sim.Cloud.Apply(sim.Now, scheduler.CloudOp{Kind: scheduler.CloudProvision, IdempotencyKey: "all-" + zone, Type: "small", Zone: zone, Spot: true, Count: machines / 2})
+			sim.Cloud.Apply(
+				sim.Now,
+				scheduler.CloudOp{
+					Kind:           scheduler.CloudProvision,
+					IdempotencyKey: "all-" + zone,
+					Type:           "small",
+					Zone:           zone,
+					Spot:           true,
+					Count:          machines / 2,
+				},
+			)
 		}
 	})
 	// Enough for half of the machines, in jobs that no shard holds alone.
@@ -45,8 +55,23 @@
 	var acceptDelays []int64
 	for n := range jobs {
 		sim.After(submitFrom+int64(n)*100, func() {
-			j := emulator.NewJob(scheduler.Job{ID: fmt.Sprintf("job-%06d", n), Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal,
-				Tasks: max(1, machines*2/jobs), Request: availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1}, Image: "img-1", Spot: true, EstimateS: 25})
+			j := emulator.NewJob(
+				scheduler.Job{
+					ID:       fmt.Sprintf("job-%06d", n),
+					Class:    "batch",
+					Team:     "t1",
+					Kind:     scheduler.Array,
+					Priority: scheduler.Normal,
+					Tasks: max(
+						1,
+						machines*2/jobs,
+					),
+					Request:   availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1},
+					Image:     "img-1",
+					Spot:      true,
+					EstimateS: 25,
+				},
+			)
 			sim.Submit(j)
 		})
 	}
@@ -63,7 +88,13 @@
 	var startDelays []int64
 	done, tasks, requests := 0, 0, 0
 	for _, j := range sim.Jobs {
-		acceptDelays, startDelays = append(acceptDelays, j.AcceptedAt-j.SubmittedAt), append(startDelays, j.FirstStartAt-j.SubmittedAt)
+		acceptDelays, startDelays = append(
+			acceptDelays,
+			j.AcceptedAt-j.SubmittedAt,
+		), append(
+			startDelays,
+			j.FirstStartAt-j.SubmittedAt,
+		)
 		if j.DoneAt > 0 {
 			done++
 		}
--- a/scheduler/lost_store_responses_test.go
+++ b/scheduler/lost_store_responses_test.go
@@ -11,7 +11,12 @@
 // runWithLostResponses plays a day of one-task jobs, three to four a second, on which a share of
 // the transactions get no answer, and returns how long each user waited until the job
 // was accepted. With atOnce they are carried out as they come, and else seconds later.
-func runWithLostResponses(t *testing.T, seed uint64, share float64, executeImmediately bool) (sim *testSimulation, waits []int64) {
+func runWithLostResponses(
+	t *testing.T,
+	seed uint64,
+	share float64,
+	executeImmediately bool,
+) (sim *testSimulation, waits []int64) {
 	t.Helper()
 	sim = newTestSimulation(seed, emulator.InjectedFault{}, smallScale)
 	sim.MessageLoss, sim.noRandomFaults = 0, true
--- a/scheduler/machine_heartbeats.go
+++ b/scheduler/machine_heartbeats.go
@@ -144,9 +144,19 @@
 		c.releaseResources(mc, a)
 	}
 	mc.imageCache.Remove()
-	*mc = machine{id: mc.id, rec: mc.rec, registryKey: mc.registryKey, Machine: &reconcile.Machine{ID: mc.id, Up: mc.Up}, idleSince: c.now.MonotonicMS}
+	*mc = machine{
+		id:          mc.id,
+		rec:         mc.rec,
+		registryKey: mc.registryKey,
+		Machine:     &reconcile.Machine{ID: mc.id, Up: mc.Up},
+		idleSince:   c.now.MonotonicMS,
+	}
 	if s := c.ownedShards[mc.rec.Shard]; s != nil {
-		mc.claim, mc.Machine, mc.imageCache = s, s.reconciler.AddMachine(mc.id, mc.Up, c.now.MonotonicMS), s.clusterView.NewImageCache()
+		mc.claim, mc.Machine, mc.imageCache = s, s.reconciler.AddMachine(
+			mc.id,
+			mc.Up,
+			c.now.MonotonicMS,
+		), s.clusterView.NewImageCache()
 	}
 }
 
@@ -252,7 +262,10 @@
 // isSchedulable tells whether starts may go to the machine. While a note says what it
 // holds, nothing else may: whoever claims its shard next goes by the note.
 func (c *Controller) isSchedulable(mc *machine) bool {
-	if mc.releasing || mc.cordoned || mc.State() == reconcile.LeaseExpired || mc.IsInboundPartitioned() || mc.terminatesAt != 0 || c.now.MonotonicMS < mc.fullUntil || c.machineTypes[mc.rec.Type] == nil {
+	if mc.releasing || mc.cordoned || mc.State() == reconcile.LeaseExpired || mc.IsInboundPartitioned() ||
+		mc.terminatesAt != 0 ||
+		c.now.MonotonicMS < mc.fullUntil ||
+		c.machineTypes[mc.rec.Type] == nil {
 		return false
 	}
 	if mc.claim == nil {
@@ -267,7 +280,11 @@
 // cannot be reached, and they come back one after the other when it can: they are kept for
 // as long as idle ones, since others would take a boot time to replace them.
 func (c *Controller) isSilentTooLong(s *shard, mc *machine, t *MachineType) bool {
-	now, leaseEnd, gracePeriod := c.now.MonotonicMS, s.reconciler.LeaseExpiresAt(mc.Machine), secondsToMS(c.params.LeaseS)/2
+	now, leaseEnd, gracePeriod := c.now.MonotonicMS, s.reconciler.LeaseExpiresAt(
+		mc.Machine,
+	), secondsToMS(
+		c.params.LeaseS,
+	)/2
 	if now > max(leaseEnd, s.mostSilentAt)+gracePeriod {
 		return true
 	}
@@ -307,7 +324,9 @@
 		c.log(Info, "machine silent past its lease", "machine", mc.id, "tasks", lostTasks)
 		s.dirty = true
 	}
-	if mc.terminatesAt != 0 && now > mc.terminatesAt-c.maxHeartbeatIntervalMS() && now > mc.LastHeartbeatAt+c.maxHeartbeatIntervalMS() || mc.terminatesAt != 0 && now > mc.terminatesAt {
+	if mc.terminatesAt != 0 && now > mc.terminatesAt-c.maxHeartbeatIntervalMS() &&
+		now > mc.LastHeartbeatAt+c.maxHeartbeatIntervalMS() ||
+		mc.terminatesAt != 0 && now > mc.terminatesAt {
 		// The notice ran out. Returning the machine makes its end certain,
 		// and its tasks need not wait for the lease.
 		c.drain(s, mc, "spot notice ended")
@@ -338,7 +357,12 @@
 		// same money would be.
 		maxIdle = int64(float64(maxIdle) * t.SpotPrice / max(t.Price, t.SpotPrice))
 	}
-	if !mc.releasing && mc.IsReconciled() && !s.reconciler.Pacer.IsActive(now) && len(mc.plannedStarts) == 0 && now-mc.idleSince > maxIdle && c.now.WallMS-mc.rec.ProvisionedAtMS > 60_000 && !c.servesDemand(s, mc) && !c.isRolloutReplacement(mc) && c.mayReleaseIdle(s) {
+	if !mc.releasing && mc.IsReconciled() && !s.reconciler.Pacer.IsActive(now) && len(mc.plannedStarts) == 0 &&
+		now-mc.idleSince > maxIdle &&
+		c.now.WallMS-mc.rec.ProvisionedAtMS > 60_000 &&
+		!c.servesDemand(s, mc) &&
+		!c.isRolloutReplacement(mc) &&
+		c.mayReleaseIdle(s) {
 		c.drain(s, mc, "idle")
 	}
 }
@@ -370,7 +394,8 @@
 // that only another type takes must not keep it.
 func (c *Controller) servesDemand(s *shard, mc *machine) bool {
 	for _, demand := range s.demand {
-		if j := c.jobs[demand.Job]; j != nil && !(demand.SpotOnly && !mc.rec.Spot) && c.isOfferingAllowed(&j.rec.Job, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) {
+		if j := c.jobs[demand.Job]; j != nil && !(demand.SpotOnly && !mc.rec.Spot) &&
+			c.isOfferingAllowed(&j.rec.Job, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) {
 			return true
 		}
 	}
@@ -457,7 +482,10 @@
 	c.startReserved(s, mc, &hb)
 	c.dispatchPlannedStarts(s, mc, &hb)
 	c.startFromQueue(s, mc, &hb)
-	c.respondWorker(replyID, HeartbeatResponse{Accepted: true, Token: s.token, Commands: append([]Command(nil), mc.commands...)})
+	c.respondWorker(
+		replyID,
+		HeartbeatResponse{Accepted: true, Token: s.token, Commands: append([]Command(nil), mc.commands...)},
+	)
 }
 
 // reconcileMachine brings what we know of a machine up to a report, unless that says
@@ -599,8 +627,18 @@
 // adoptAttempt goes on with a task that an earlier claim started. Its number tells when.
 func (c *Controller) adoptAttempt(s *shard, mc *machine, status TaskStatus, tr *taskRange, i int) *attempt {
 	j := &tr.job.rec.Job
-	a := &attempt{key: attemptKey{status.Task, status.Attempt}, job: j, taskRange: tr, claim: s, taskIndex: i, shardName: s.name, adopted: true,
-		incarnation: mc.Incarnation, placedAt: reconcile.AttemptStartedAt(status.Attempt, c.now.WallMS), expectedRuntimeMS: c.expectedRuntime(j)}
+	a := &attempt{
+		key:               attemptKey{status.Task, status.Attempt},
+		job:               j,
+		taskRange:         tr,
+		claim:             s,
+		taskIndex:         i,
+		shardName:         s.name,
+		adopted:           true,
+		incarnation:       mc.Incarnation,
+		placedAt:          reconcile.AttemptStartedAt(status.Attempt, c.now.WallMS),
+		expectedRuntimeMS: c.expectedRuntime(j),
+	}
 	if status.State == "fetching" {
 		a.expectedFetchMS = c.imageFetchMS(j, mc.rec.Type)
 	}
@@ -628,7 +666,11 @@
 	tr := a.taskRange
 	current := c.isCurrent(tr)
 	if a.job.Image != "" && status.State != "fetching" {
-		mc.imageCache.RecordUse(a.job.Image, planner.Image{LastUsedMS: c.now.WallMS, SizeGB: a.job.Request.DiskGB}, resourcesOf(c.machineTypes[mc.rec.Type]).DiskGB)
+		mc.imageCache.RecordUse(
+			a.job.Image,
+			planner.Image{LastUsedMS: c.now.WallMS, SizeGB: a.job.Request.DiskGB},
+			resourcesOf(c.machineTypes[mc.rec.Type]).DiskGB,
+		)
 	}
 	switch status.State {
 	case "running", "waiting":
@@ -652,12 +694,30 @@
 			return
 		}
 		if a.stopRequested && (status.State == "running" || status.State == "fetching") {
-			c.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: a.job.CheckpointDurationS + c.params.HeartbeatS})
+			c.queueCommand(
+				s,
+				mc,
+				Command{
+					Kind:    CommandStop,
+					Task:    status.Task,
+					Attempt: status.Attempt,
+					GraceS:  a.job.CheckpointDurationS + c.params.HeartbeatS,
+				},
+			)
 			return
 		}
 		if (status.State == "running" || status.State == "fetching" || status.State == "waiting") && c.mayEvict(s, mc, a) {
 			a.evicted = true
-			c.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: a.job.CheckpointDurationS + c.params.HeartbeatS})
+			c.queueCommand(
+				s,
+				mc,
+				Command{
+					Kind:    CommandStop,
+					Task:    status.Task,
+					Attempt: status.Attempt,
+					GraceS:  a.job.CheckpointDurationS + c.params.HeartbeatS,
+				},
+			)
 			return
 		}
 		c.checkpointBeforeTermination(mc, a, status)
@@ -716,7 +776,15 @@
 	if remaining > checkpointTime+2*c.maxHeartbeatIntervalMS() || a.expectedEnd(c.now.WallMS)-c.now.WallMS < remaining {
 		return
 	}
-	mc.commands = append(mc.commands, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: a.job.CheckpointDurationS + c.params.HeartbeatS})
+	mc.commands = append(
+		mc.commands,
+		Command{
+			Kind:    CommandStop,
+			Task:    status.Task,
+			Attempt: status.Attempt,
+			GraceS:  a.job.CheckpointDurationS + c.params.HeartbeatS,
+		},
+	)
 }
 
 // maxErrorBackoffLeases is the longest pause of a job after an error, in leases. All its tasks
@@ -854,7 +922,8 @@
 // sendUrgentStarts sends urgent starts straight to their workers.
 func (c *Controller) sendUrgentStarts(s *shard) {
 	for _, mc := range s.machines {
-		if len(mc.plannedStarts) == 0 || mc.directCommandPending || mc.directCommandRefused || !mc.IsReconciled() || mc.addr == "" {
+		if len(mc.plannedStarts) == 0 || mc.directCommandPending || mc.directCommandRefused || !mc.IsReconciled() ||
+			mc.addr == "" {
 			continue
 		}
 		if now := c.now.MonotonicMS; now-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
@@ -888,7 +957,8 @@
 func (c *Controller) probeUnreportedMachines(s *shard) {
 	for _, unreported := range s.reconciler.Unreported() {
 		mc := c.machines[unreported.ID]
-		if mc == nil || mc.Machine != unreported || mc.directCommandPending || mc.addr == "" || !s.reconciler.TryStartTaskQuery(unreported, c.now.MonotonicMS) {
+		if mc == nil || mc.Machine != unreported || mc.directCommandPending || mc.addr == "" ||
+			!s.reconciler.TryStartTaskQuery(unreported, c.now.MonotonicMS) {
 			continue
 		}
 		mc.commands = mc.commands[:0]
@@ -914,7 +984,12 @@
 			if hb != nil && !mc.IsAccountedFor() && c.hasAuthority() {
 				// Nothing of ours is under way to it yet.
 				hb.Machine = mc.id
-				c.reconcileMachine(s, mc, hb, s.reconciler.ReceiveQueryResponse(mc.Machine, c.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token))
+				c.reconcileMachine(
+					s,
+					mc,
+					hb,
+					s.reconciler.ReceiveQueryResponse(mc.Machine, c.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token),
+				)
 			} else if hb != nil && hb.Incarnation == mc.Incarnation && hb.Seq > mc.Seq {
 				// Not a report that renews a lease, and attempts that it
 				// lacks may be in a report's answer still under way.
@@ -947,8 +1022,11 @@
 			c.raiseToken(s)
 		}
 	}
-	c.outputs.DirectCommands = append(c.outputs.DirectCommands, DirectCommand{ID: id, Addr: mc.addr, Machine: mc.id, Token: s.token, Incarnation: incarnation,
-		Commands: append([]Command(nil), mc.commands...)})
+	c.outputs.DirectCommands = append(
+		c.outputs.DirectCommands,
+		DirectCommand{ID: id, Addr: mc.addr, Machine: mc.id, Token: s.token, Incarnation: incarnation,
+			Commands: append([]Command(nil), mc.commands...)},
+	)
 }
 
 // HandleDirectCommandResult takes a worker's answer to commands that were sent straight to it.
@@ -1002,8 +1080,19 @@
 	} else {
 		attemptID = s.attemptIDs.Next(c.now.WallMS)
 	}
-	a := &attempt{key: attemptKey{taskName(j.ID, tr.bounds.Lo+i), attemptID}, job: j, taskRange: tr, claim: s, taskIndex: i, shardName: s.name,
-		incarnation: hb.Incarnation, afterHeartbeatSeq: hb.Seq, placedAt: c.now.WallMS, expectedRuntimeMS: runtimeMS, expectedFetchMS: fetchMS}
+	a := &attempt{
+		key:               attemptKey{taskName(j.ID, tr.bounds.Lo+i), attemptID},
+		job:               j,
+		taskRange:         tr,
+		claim:             s,
+		taskIndex:         i,
+		shardName:         s.name,
+		incarnation:       hb.Incarnation,
+		afterHeartbeatSeq: hb.Seq,
+		placedAt:          c.now.WallMS,
+		expectedRuntimeMS: runtimeMS,
+		expectedFetchMS:   fetchMS,
+	}
 	c.allocateResources(mc, a)
 	if reservation := mc.reservation; reservation != nil && reservation.taskRange == tr {
 		if reservation.count--; reservation.count == 0 {
@@ -1036,7 +1125,8 @@
 	for free.CPUs > 0 {
 		var first, withImage *taskGroup
 		for _, g := range s.queue {
-			if g.job.Kind == Gang || g.taskRange.pending() <= 0 || !free.Contains(withoutDisk(g.job.Request)) || !c.mayStartUnplanned(s, mc, t, g) {
+			if g.job.Kind == Gang || g.taskRange.pending() <= 0 || !free.Contains(withoutDisk(g.job.Request)) ||
+				!c.mayStartUnplanned(s, mc, t, g) {
 				continue
 			}
 			if first == nil {
@@ -1090,10 +1180,12 @@
 	if g.IsFirstTask && g.taskRange.hasStarted() {
 		return false // the rest has its own place in the queue
 	}
-	if !c.isCurrent(g.taskRange) || g.taskRange.moving || c.now.MonotonicMS < g.taskRange.retryAt || g.taskRange.errorsByMachine[mc.id] > 0 {
+	if !c.isCurrent(g.taskRange) || g.taskRange.moving || c.now.MonotonicMS < g.taskRange.retryAt ||
+		g.taskRange.errorsByMachine[mc.id] > 0 {
 		return false
 	}
-	if g.ObjectiveDeadlineMS >= g.DeadlineMS && s.spareCPUs-s.reserveCPUs < j.Request.CPUs || c.isTypeScarce(j, t) || j.Spot && !mc.rec.Spot && !g.SpotInsufficient && !c.placementCatalog.IsRequired(t.Name) {
+	if g.ObjectiveDeadlineMS >= g.DeadlineMS && s.spareCPUs-s.reserveCPUs < j.Request.CPUs || c.isTypeScarce(j, t) ||
+		j.Spot && !mc.rec.Spot && !g.SpotInsufficient && !c.placementCatalog.IsRequired(t.Name) {
 		return false
 	}
 	return c.mayStart(s, g.taskRange, mc)
@@ -1102,7 +1194,10 @@
 // mayStart checks, at the last moment, what the rules ask of a start.
 func (c *Controller) mayStart(s *shard, tr *taskRange, mc *machine) bool {
 	j := &tr.job.rec.Job
-	if !c.isOfferingAllowed(j, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) || mc.hasUnconfirmedStart() || c.isBlockedByUnreported(s, tr) || c.hasProbeRunning(tr) || !c.canBegin(tr) {
+	if !c.isOfferingAllowed(j, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) || mc.hasUnconfirmedStart() ||
+		c.isBlockedByUnreported(s, tr) ||
+		c.hasProbeRunning(tr) ||
+		!c.canBegin(tr) {
 		return false
 	}
 	return c.isZoneAllowed(tr, mc.rec.Zone) && c.isWithinTeamLimit(s, j)
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -135,17 +135,28 @@
 	// The next ones share a write.
 	s.nextLiveListWriteAt = c.now.MonotonicMS + max(300, secondsToMS(c.params.HeartbeatS)/8)
 	value := mustEncode(liveMachinesRecord{slices.Clone(machineIDs)})
-	c.sendTxn(UrgencyUser, []Precondition{{claimKey(s.name), s.token}, {key, c.keyRevisions[key]}}, []Change{{Key: key, Value: value}}, func(result StoreResult) {
-		s.liveListWriting = false
-		if result.Outcome == Unknown || result.Outcome == Conflict {
-			s.liveListWriting = true
-			c.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
-		}
-	})
+	c.sendTxn(
+		UrgencyUser,
+		[]Precondition{{claimKey(s.name), s.token}, {key, c.keyRevisions[key]}},
+		[]Change{{Key: key, Value: value}},
+		func(result StoreResult) {
+			s.liveListWriting = false
+			if result.Outcome == Unknown || result.Outcome == Conflict {
+				s.liveListWriting = true
+				c.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
+			}
+		},
+	)
 }
 
 // addMachinesToRegistry gives machines an owner, as soon as the store has them.
-func (c *Controller) addMachinesToRegistry(ids []string, offering offering, shard, replacementPlan string, provisionedAtMS int64, onWritten func()) {
+func (c *Controller) addMachinesToRegistry(
+	ids []string,
+	offering offering,
+	shard, replacementPlan string,
+	provisionedAtMS int64,
+	onWritten func(),
+) {
 	fleet := &c.fleet
 	var newIDs []string
 	for _, id := range ids {
@@ -164,8 +175,22 @@
 		if chunk[len(chunk)-1] == newIDs[len(newIDs)-1] {
 			onChunkWritten = onWritten
 		}
-		fleet.pendingAdditions = append(fleet.pendingAdditions, &registryAddition{key: fmt.Sprintf("%s%d-%d", registryPrefix, fleet.leaderRev, fleet.lastRegistryPageNumber), onWritten: onChunkWritten,
-			rec: registryRecord{Shard: shard, Type: offering.machineType, Zone: offering.zone, Spot: offering.spot, ProvisionedAtMS: provisionedAtMS, ReplacementPlan: replacementPlan, MachineIDs: slices.Clone(chunk)}})
+		fleet.pendingAdditions = append(
+			fleet.pendingAdditions,
+			&registryAddition{
+				key:       fmt.Sprintf("%s%d-%d", registryPrefix, fleet.leaderRev, fleet.lastRegistryPageNumber),
+				onWritten: onChunkWritten,
+				rec: registryRecord{
+					Shard:           shard,
+					Type:            offering.machineType,
+					Zone:            offering.zone,
+					Spot:            offering.spot,
+					ProvisionedAtMS: provisionedAtMS,
+					ReplacementPlan: replacementPlan,
+					MachineIDs:      slices.Clone(chunk),
+				},
+			},
+		)
 	}
 	c.writeRegistry()
 }
@@ -174,7 +199,8 @@
 // transaction at a time.
 func (c *Controller) writeRegistry() {
 	fleet := &c.fleet
-	if fleet.registryWriting || !c.canActAsLeader() || len(fleet.pendingAdditions)+len(fleet.pendingRemovals) == 0 || c.now.MonotonicMS < fleet.nextRegistryWriteAt {
+	if fleet.registryWriting || !c.canActAsLeader() || len(fleet.pendingAdditions)+len(fleet.pendingRemovals) == 0 ||
+		c.now.MonotonicMS < fleet.nextRegistryWriteAt {
 		return
 	}
 	preconditions := []Precondition{{leaderKey, fleet.leaderRev}}
@@ -197,7 +223,10 @@
 		}
 		r := c.registryPages[key]
 		rec := r.rec
-		rec.MachineIDs = slices.DeleteFunc(slices.Clone(rec.MachineIDs), func(id string) bool { return fleet.pendingRemovals[id] })
+		rec.MachineIDs = slices.DeleteFunc(
+			slices.Clone(rec.MachineIDs),
+			func(id string) bool { return fleet.pendingRemovals[id] },
+		)
 		preconditions = append(preconditions, Precondition{key, r.rev})
 		if len(rec.MachineIDs) == 0 {
 			changes = append(changes, Change{Key: key})
@@ -339,7 +368,10 @@
 		c.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
-	c.parkedHeartbeats[heartbeat.Machine] = append(c.parkedHeartbeats[heartbeat.Machine], parkedHeartbeat{replyID, heartbeat, c.now.MonotonicMS})
+	c.parkedHeartbeats[heartbeat.Machine] = append(
+		c.parkedHeartbeats[heartbeat.Machine],
+		parkedHeartbeat{replyID, heartbeat, c.now.MonotonicMS},
+	)
 	if !fleet.unrecordedMachines[heartbeat.Machine] {
 		fleet.unrecordedMachines[heartbeat.Machine] = true
 		fleet.unknownMachines = append(fleet.unknownMachines, heartbeat)
@@ -363,7 +395,10 @@
 	var targets []assignment
 	for _, heartbeat := range fleet.unknownMachines {
 		delete(fleet.unrecordedMachines, heartbeat.Machine)
-		target := assignment{offering{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}, c.assignToLeastLoaded(loads, heartbeat.Type)}
+		target := assignment{
+			offering{heartbeat.Type, heartbeat.Zone, heartbeat.Spot},
+			c.assignToLeastLoaded(loads, heartbeat.Type),
+		}
 		if len(machineIDs[target]) == 0 {
 			targets = append(targets, target)
 		}
@@ -410,7 +445,9 @@
 func (c *Controller) assignToLeastLoaded(loads map[string]*shardLoad, machineType string) string {
 	leastLoaded := ""
 	for shardName, load := range sortedByKey(loads) {
-		if leastLoaded == "" || load.cpus < loads[leastLoaded].cpus || load.cpus == loads[leastLoaded].cpus && load.machinesByType[machineType] < loads[leastLoaded].machinesByType[machineType] {
+		if leastLoaded == "" || load.cpus < loads[leastLoaded].cpus ||
+			load.cpus == loads[leastLoaded].cpus &&
+				load.machinesByType[machineType] < loads[leastLoaded].machinesByType[machineType] {
 			leastLoaded = shardName
 		}
 	}
--- a/scheduler/overlapping_faults_test.go
+++ b/scheduler/overlapping_faults_test.go
@@ -76,28 +76,53 @@
 		},
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.DelayWrites(0.35, faultWindowMS)
-			sim.repeatAtRandom(3000, faultWindowMS, func() { sim.StartOutage(sim.randomMember().Name, 300+sim.Rand.Int64N(2500)) })
+			sim.repeatAtRandom(
+				3000,
+				faultWindowMS,
+				func() { sim.StartOutage(sim.randomMember().Name, 300+sim.Rand.Int64N(2500)) },
+			)
 			sim.repeatAtRandom(25_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
 			sim.repeatAtRandom(40_000, faultWindowMS, func() { sim.StartOutage("all", 1000+sim.Rand.Int64N(4000)) })
 		},
-		minCounts: map[string]int{"late l/j/": 20, "late f/": 5, "late p/": 20, "late l/s/": 1, "late l/m/": 2, "late l/u/": 1},
+		minCounts: map[string]int{
+			"late l/j/": 20,
+			"late f/":   5,
+			"late p/":   20,
+			"late l/s/": 1,
+			"late l/m/": 2,
+			"late l/u/": 1,
+		},
 	},
 	// The writer ends with its write under way, and is back within moments: its next life
 	// has begun when the write of the last one is carried out.
 	"writers that end": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) { j.OneZone, j.Spread, j.Zone = false, false, "" },
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
-			writeCounts, nextFaultAt := map[string]int{"l/s/": 0, "moves, ends": 0, "l/m/": 0, "l/u/": 0, "l/t/": 0, "p/": 0}, int64(12_000)
+			writeCounts, nextFaultAt := map[string]int{
+				"l/s/":        0,
+				"moves, ends": 0,
+				"l/m/":        0,
+				"l/u/":        0,
+				"l/t/":        0,
+				"p/":          0,
+			}, int64(
+				12_000,
+			)
 			sim.DelaysWrite = func(m *emulator.Member, op scheduler.StoreOp) bool {
 				kind := emulator.KeyKind(op.Changes[0].Key)
-				if kind == "l/j/" && op.Changes[0].Value != nil && slices.ContainsFunc(op.Preconditions, func(precondition scheduler.Precondition) bool { return strings.HasPrefix(precondition.Key, "l/s/") }) {
+				if kind == "l/j/" && op.Changes[0].Value != nil &&
+					slices.ContainsFunc(
+						op.Preconditions,
+						func(precondition scheduler.Precondition) bool { return strings.HasPrefix(precondition.Key, "l/s/") },
+					) {
 					kind = "moves, ends"
 				}
 				n, counted := writeCounts[kind]
 				if kind == "moves, ends" {
 					n /= 3
 				}
-				if sim.Now < nextFaultAt || sim.Now > faultWindowMS || !counted || n > slices.Min(slices.Collect(maps.Values(writeCounts))) {
+				if sim.Now < nextFaultAt || sim.Now > faultWindowMS || !counted ||
+					n > slices.Min(slices.Collect(maps.Values(writeCounts))) {
 					return false
 				}
 				writeCounts[kind]++
@@ -106,7 +131,11 @@
 				sim.After(sim.Rand.Int64N(400), func() { m.Crash(150 + sim.Rand.Int64N(1500)) })
 				return true
 			}
-			sim.repeatAtRandom(40_000, faultWindowMS, func() { sim.randomMember().Crash(15_000 + sim.Rand.Int64N(8000)) }) // adopted, and handed back
+			sim.repeatAtRandom(
+				40_000,
+				faultWindowMS,
+				func() { sim.randomMember().Crash(15_000 + sim.Rand.Int64N(8000)) },
+			) // adopted, and handed back
 		},
 		minCounts: map[string]int{"l/s/": 6, "moves, ends": 12, "l/m/": 4, "l/u/": 4, "l/t/": 2, "p/": 4},
 	},
@@ -125,7 +154,8 @@
 						event = "shard adopted"
 					}
 					counts[event]++
-					if event != "shard adopted" && event != "shard handed back" && event != "shard ready" && event != "leading the fleet" {
+					if event != "shard adopted" && event != "shard handed back" && event != "shard ready" &&
+						event != "leading the fleet" {
 						continue
 					}
 					// A hand-back is rare: each is met.
@@ -149,7 +179,12 @@
 			})
 			sim.repeatAtRandom(2000, faultWindowMS, func() { sim.randomMember().ClockOffsetMS = sim.Rand.Int64N(200) - 100 })
 		},
-		minCounts: map[string]int{"ends at shard adopted": 6, "ends at shard handed back": 1, "ends at shard ready": 6, "ends at leading the fleet": 3},
+		minCounts: map[string]int{
+			"ends at shard adopted":     6,
+			"ends at shard handed back": 1,
+			"ends at shard ready":       6,
+			"ends at leading the fleet": 3,
+		},
 	},
 	// An adopter hands a shard back, nobody answers the removal of its claim, which is carried
 	// out late, and the state service refuses it from then on; its workers still report to it.
@@ -190,7 +225,10 @@
 				durationMS := 5000 + sim.Rand.Int64N(55_000)
 				sim.SampleLiveWorkers(0.5, func(worker *emulator.Worker) {
 					if sim.Rand.IntN(4) == 0 {
-						sim.Partitions = append(sim.Partitions, emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + durationMS})
+						sim.Partitions = append(
+							sim.Partitions,
+							emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + durationMS},
+						)
 					} else {
 						sim.PartitionInbound(worker, durationMS)
 					}
@@ -224,7 +262,12 @@
 				}
 			}
 		},
-		minCounts: map[string]int{"machine in a new session": 20, "machine silent past its lease": 4, "cancellations": 20, "shard claimed": 20},
+		minCounts: map[string]int{
+			"machine in a new session":      20,
+			"machine silent past its lease": 4,
+			"cancellations":                 20,
+			"shard claimed":                 20,
+		},
 	},
 	// Jobs of two or three tasks that end far apart, across a change of leader.
 	"few tasks that end far apart": {
@@ -283,33 +326,46 @@
 				}
 				j := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]]
 				requestedAt := sim.Now
-				if peer := sim.randomMember(); sim.Rand.IntN(8) == 0 && peer != partitioned && peer.Core != nil && j.Accepted && !j.CancelRequested {
+				if peer := sim.randomMember(); sim.Rand.IntN(8) == 0 && peer != partitioned && peer.Core != nil && j.Accepted &&
+					!j.CancelRequested {
 					j.CancelRequested = true
 					counts["cancelled through others"]++
-					sim.SendRequestTo(peer, scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-						if ok {
-							sim.ReceiveResponse(j, requestedAt, resp)
-						}
-						if j.CancelConfirmedAt == 0 {
-							sim.CancelJob(j)
-						}
-					})
+					sim.SendRequestTo(
+						peer,
+						scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID},
+						func(resp scheduler.UserResponse, ok bool) {
+							if ok {
+								sim.ReceiveResponse(j, requestedAt, resp)
+							}
+							if j.CancelConfirmedAt == 0 {
+								sim.CancelJob(j)
+							}
+						},
+					)
 					return
 				}
-				sim.SendRequestTo(partitioned, scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-					if !ok {
-						return
-					}
-					if resp.Status == 503 {
-						counts["503 of the one that is cut"]++
-					} else if j.ObservedState.IsTerminal() {
-						counts["final states from the one that is cut"]++
-					}
-					sim.ReceiveResponse(j, requestedAt, resp)
-				})
+				sim.SendRequestTo(
+					partitioned,
+					scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
+					func(resp scheduler.UserResponse, ok bool) {
+						if !ok {
+							return
+						}
+						if resp.Status == 503 {
+							counts["503 of the one that is cut"]++
+						} else if j.ObservedState.IsTerminal() {
+							counts["final states from the one that is cut"]++
+						}
+						sim.ReceiveResponse(j, requestedAt, resp)
+					},
+				)
 			})
 		},
-		minCounts: map[string]int{"cancelled through others": 20, "503 of the one that is cut": 100, "final states from the one that is cut": 20},
+		minCounts: map[string]int{
+			"cancelled through others":              20,
+			"503 of the one that is cut":            100,
+			"final states from the one that is cut": 20,
+		},
 	},
 	"commands held up": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
@@ -336,7 +392,12 @@
 				counts["direct commands"] += len(outputs.DirectCommands)
 			}
 		},
-		minCounts: map[string]int{"token raised": 20, "direct commands": 200, "machine silent past its lease": 10, "machine in a new session": 10},
+		minCounts: map[string]int{
+			"token raised":                  20,
+			"direct commands":               200,
+			"machine silent past its lease": 10,
+			"machine in a new session":      10,
+		},
 	},
 	"old reports": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
@@ -345,11 +406,18 @@
 			sim.repeatAtRandom(45_000, faultWindowMS, sim.CrashAll)
 			sim.repeatAtRandom(4000, faultWindowMS, func() {
 				sim.SampleLiveWorkers(0.2, func(worker *emulator.Worker) {
-					sim.Partitions = append(sim.Partitions, emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)})
+					sim.Partitions = append(
+						sim.Partitions,
+						emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)},
+					)
 				})
 			})
 		},
-		minCounts: map[string]int{"copies all": 2000, "copies of an earlier session": 50, "copies after an end of the member": 200},
+		minCounts: map[string]int{
+			"copies all":                        2000,
+			"copies of an earlier session":      50,
+			"copies after an end of the member": 200,
+		},
 	},
 	"slow answers, refusals, users who cancel and ask": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
@@ -368,11 +436,14 @@
 				case 0: // a retry, maybe after its end
 					if j.Accepted {
 						counts["retries"]++
-						sim.SendRequest(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &j.Spec}, func(resp scheduler.UserResponse, ok bool) {
-							if ok {
-								sim.ReceiveResponse(j, requestedAt, resp)
-							}
-						})
+						sim.SendRequest(
+							scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &j.Spec},
+							func(resp scheduler.UserResponse, ok bool) {
+								if ok {
+									sim.ReceiveResponse(j, requestedAt, resp)
+								}
+							},
+						)
 					}
 				case 1:
 					if j.Accepted && !j.CancelRequested && sim.Rand.IntN(4) == 0 {
@@ -380,12 +451,15 @@
 						sim.CancelJob(j)
 					}
 				default:
-					sim.SendRequest(scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-						if ok {
-							counts["answers"]++
-							sim.ReceiveResponse(j, requestedAt, resp)
-						}
-					})
+					sim.SendRequest(
+						scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
+						func(resp scheduler.UserResponse, ok bool) {
+							if ok {
+								counts["answers"]++
+								sim.ReceiveResponse(j, requestedAt, resp)
+							}
+						},
+					)
 				}
 			})
 		},
@@ -397,12 +471,22 @@
 	scenarios := maps.Clone(overlappingFaults)
 	maps.Copy(scenarios, overlappingRequestFaults)
 	maps.Copy(scenarios, overlappingMachineFaults)
-	runFaultScenarios(t, scenarios, 6500, func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(20_000) })
+	runFaultScenarios(
+		t,
+		scenarios,
+		6500,
+		func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(20_000) },
+	)
 }
 
 // runFaultScenarios plays days of each kind, whose seeds begin at first and whose tasks run for
 // so long.
-func runFaultScenarios(t *testing.T, scenarios map[string]faultScenario, firstSeed uint64, runMS func(*emulator.Simulation, *emulator.Job, string) int64) {
+func runFaultScenarios(
+	t *testing.T,
+	scenarios map[string]faultScenario,
+	firstSeed uint64,
+	runMS func(*emulator.Simulation, *emulator.Job, string) int64,
+) {
 	for name, scenario := range scenarios {
 		t.Run(strings.ReplaceAll(name, ", ", " "), func(t *testing.T) {
 			t.Parallel()
@@ -475,7 +559,8 @@
 					continue
 				}
 				required, listed := requiredPreconditions[kind]
-				if kind == "l/j/" && !creates[change.Key] && !(change.Value == nil && !preconditions["l/s/"] && preconditions["f/"]) {
+				if kind == "l/j/" && !creates[change.Key] &&
+					!(change.Value == nil && !preconditions["l/s/"] && preconditions["f/"]) {
 					required = []string{"l/s/"} // an end or a move; what is left is accepted or cancelled by its user
 				}
 				if kind == "l/j/" && creates[change.Key] {
--- a/scheduler/overlapping_machine_faults_test.go
+++ b/scheduler/overlapping_machine_faults_test.go
@@ -71,7 +71,13 @@
 				return crashSoon(m, kind)
 			}
 		},
-		minCounts: map[string]int{"starts on new machines": 200, "ends: a start on a new machine": 3, "ends: l/m/": 4, "ends: l/u/": 4, "shard claimed": 40},
+		minCounts: map[string]int{
+			"starts on new machines":         200,
+			"ends: a start on a new machine": 3,
+			"ends: l/m/":                     4,
+			"ends: l/u/":                     4,
+			"shard claimed":                  40,
+		},
 	},
 	// An old report reaches every controller just as a new leader begins, up to a spell of
 	// the old one's later: many are of an earlier session, since machines are cut off for
@@ -83,7 +89,10 @@
 			sim.repeatAtRandom(45_000, faultWindowMS, sim.CrashAll)
 			sim.repeatAtRandom(5000, faultWindowMS, func() {
 				sim.SampleLiveWorkers(0.2, func(worker *emulator.Worker) {
-					sim.Partitions = append(sim.Partitions, emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)})
+					sim.Partitions = append(
+						sim.Partitions,
+						emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)},
+					)
 				})
 			})
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.interruptMachines(0.2, "") })
@@ -99,7 +108,10 @@
 			sim.repeatAtRandom(45_000, faultWindowMS, sim.CrashAll)
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.interruptMachines(0.2, "") })
 		},
-		minCounts: map[string]int{"copies after a new holder acted": 600, "copies of an earlier session after a new holder acted": 10},
+		minCounts: map[string]int{
+			"copies after a new holder acted":                       600,
+			"copies of an earlier session after a new holder acted": 10,
+		},
 	},
 	// One-task jobs come four a second for two minutes, a quarter of them cancelled. The
 	// state service takes what it does on a small site.
@@ -173,7 +185,10 @@
 						case 1:
 							sim.PauseMember(m, durationMS())
 						default:
-							sim.Partitions = append(sim.Partitions, emulator.Partition{A: m.Name, Until: sim.Now + durationMS(), DropsMessages: sim.Rand.IntN(2) == 0})
+							sim.Partitions = append(
+								sim.Partitions,
+								emulator.Partition{A: m.Name, Until: sim.Now + durationMS(), DropsMessages: sim.Rand.IntN(2) == 0},
+							)
 						}
 					}
 				})
@@ -211,7 +226,12 @@
 				}
 			}
 		},
-		minCounts: map[string]int{"zones cut": 12, "cancelled through others": 40, "machine in a new session": 12, "shard claimed": 30},
+		minCounts: map[string]int{
+			"zones cut":                12,
+			"cancelled through others": 40,
+			"machine in a new session": 12,
+			"shard claimed":            30,
+		},
 	},
 	// Leaders change ten times in two minutes, also inside an outage: whoever holds most
 	// tasks ends, returns within a second or when it has been adopted.
@@ -308,7 +328,11 @@
 				}
 			})
 		},
-		minCounts: map[string]int{"task stopped for a higher priority": 10, "waiting at the end of the day": 6, "start": 2000},
+		minCounts: map[string]int{
+			"task stopped for a higher priority": 10,
+			"waiting at the end of the day":      6,
+			"start":                              2000,
+		},
 	},
 	// Workers can't open connections to any controller, for longer than a lease too, while
 	// direct commands still reach them.
@@ -318,7 +342,10 @@
 		},
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.repeatAtRandom(5000, faultWindowMS, func() {
-				sim.SampleLiveWorkers(0.4, func(worker *emulator.Worker) { sim.PartitionOutbound(worker, 1000+sim.Rand.Int64N(12_000)) })
+				sim.SampleLiveWorkers(
+					0.4,
+					func(worker *emulator.Worker) { sim.PartitionOutbound(worker, 1000+sim.Rand.Int64N(12_000)) },
+				)
 			})
 			sim.repeatAtRandom(30_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
 			sim.repeatAtRandom(9000, faultWindowMS, func() { sim.CancelRunningJobs(1, 0) })
@@ -327,13 +354,18 @@
 					counts[l.Message]++
 				}
 				for _, directCommand := range outputs.DirectCommands {
-					if worker := sim.Workers[directCommand.Machine]; worker != nil && len(directCommand.Commands) > 0 && worker.IsOutboundPartitioned(sim.Simulation) {
+					if worker := sim.Workers[directCommand.Machine]; worker != nil && len(directCommand.Commands) > 0 &&
+						worker.IsOutboundPartitioned(sim.Simulation) {
 						counts["commands to mute machines"]++
 					}
 				}
 			}
 		},
-		minCounts: map[string]int{"commands to mute machines": 15, "machine in a new session": 40, "machine silent past its lease": 40},
+		minCounts: map[string]int{
+			"commands to mute machines":     15,
+			"machine in a new session":      40,
+			"machine silent past its lease": 40,
+		},
 	},
 	// A command of a leader that has since ended or been deposed arrives after the new
 	// leader's.
@@ -428,16 +460,20 @@
 	j.CancelRequested = true
 	counts["cancelled through others"]++
 	requestedAt := sim.Now
-	sim.SendRequestTo(m, scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-		if ok {
-			sim.ReceiveResponse(j, requestedAt, resp)
-		}
-		if ok && resp.Status == 200 && resp.State == scheduler.Cancelled {
-			j.CancelConfirmedAt = sim.Now
-		} else if !ok || resp.Status != 200 {
-			sim.CancelJob(j)
-		}
-	})
+	sim.SendRequestTo(
+		m,
+		scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID},
+		func(resp scheduler.UserResponse, ok bool) {
+			if ok {
+				sim.ReceiveResponse(j, requestedAt, resp)
+			}
+			if ok && resp.Status == 200 && resp.State == scheduler.Cancelled {
+				j.CancelConfirmedAt = sim.Now
+			} else if !ok || resp.Status != 200 {
+				sim.CancelJob(j)
+			}
+		},
+	)
 }
 
 // queryRandomJob asks about a job.
@@ -446,16 +482,19 @@
 		return
 	}
 	j, requestedAt := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]], sim.Now
-	sim.SendRequest(scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-		switch {
-		case !ok:
-		case resp.Status == 503:
-			counts["refusals"]++
-		default:
-			counts["answers"]++
-			sim.ReceiveResponse(j, requestedAt, resp)
-		}
-	})
+	sim.SendRequest(
+		scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
+		func(resp scheduler.UserResponse, ok bool) {
+			switch {
+			case !ok:
+			case resp.Status == 503:
+				counts["refusals"]++
+			default:
+				counts["answers"]++
+				sim.ReceiveResponse(j, requestedAt, resp)
+			}
+		},
+	)
 }
 
 func (sim *testSimulation) randomBetween(from, to int64) int64 {
--- a/scheduler/overlapping_request_faults_test.go
+++ b/scheduler/overlapping_request_faults_test.go
@@ -54,7 +54,10 @@
 	rangesBefore := classifier.rangeCounts[change.Key]
 	classifier.rangeCounts[change.Key] = len(rec.Ranges)
 	preconditionWithPrefix := func(prefix string) *scheduler.Precondition {
-		i := slices.IndexFunc(op.Preconditions, func(precondition scheduler.Precondition) bool { return strings.HasPrefix(precondition.Key, prefix) })
+		i := slices.IndexFunc(
+			op.Preconditions,
+			func(precondition scheduler.Precondition) bool { return strings.HasPrefix(precondition.Key, prefix) },
+		)
 		if i < 0 {
 			return nil
 		}
@@ -198,8 +201,19 @@
 	const quiescentMS = 60_000
 	for _, team := range []string{"t0", "t1"} {
 		sim.After(faultWindowMS+quiescentMS, func() {
-			j := emulator.NewJob(scheduler.Job{ID: "job-limit-" + team, Class: "whole limit", Team: team, Kind: scheduler.Array, Priority: scheduler.Normal,
-				Tasks: 1, Request: availability.Resources{CPUs: cpus, MemoryGB: 8, DiskGB: 1}, Image: "img-0", EstimateS: 5})
+			j := emulator.NewJob(
+				scheduler.Job{
+					ID:        "job-limit-" + team,
+					Class:     "whole limit",
+					Team:      team,
+					Kind:      scheduler.Array,
+					Priority:  scheduler.Normal,
+					Tasks:     1,
+					Request:   availability.Resources{CPUs: cpus, MemoryGB: 8, DiskGB: 1},
+					Image:     "img-0",
+					EstimateS: 5,
+				},
+			)
 			sim.Submit(j)
 			counts["tasks of a whole limit"]++
 		})
@@ -247,20 +261,39 @@
 					for _, j := range sim.jobsWrittenBy(op) { // the same job at another member: both are about to accept it
 						counts["second acceptances"]++
 						resubmitted, requestedAt := j.Spec, sim.Now
-						sim.SendRequestTo(sim.randomMember(), scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &resubmitted}, func(resp scheduler.UserResponse, ok bool) {
-							if ok {
-								sim.ReceiveResponse(j, requestedAt, resp)
-							}
-						})
+						sim.SendRequestTo(
+							sim.randomMember(),
+							scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &resubmitted},
+							func(resp scheduler.UserResponse, ok bool) {
+								if ok {
+									sim.ReceiveResponse(j, requestedAt, resp)
+								}
+							},
+						)
 					}
 				}
 			}
 			sim.repeatAtRandom(15_000, faultWindowMS, func() { sim.SlowStore(1500, 6000) })
-			sim.repeatAtRandom(12_000, faultWindowMS, func() { sim.StartOutage(sim.randomMember().Name, 1000+sim.Rand.Int64N(5000)) })
+			sim.repeatAtRandom(
+				12_000,
+				faultWindowMS,
+				func() { sim.StartOutage(sim.randomMember().Name, 1000+sim.Rand.Int64N(5000)) },
+			)
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(18_000)) })
-			sim.repeatAtRandom(25_000, faultWindowMS, func() { sim.Lags[sim.randomMember().Name] = emulator.Lag{Until: sim.Now + 5000, MaxDelayMS: 1500} })
+			sim.repeatAtRandom(
+				25_000,
+				faultWindowMS,
+				func() { sim.Lags[sim.randomMember().Name] = emulator.Lag{Until: sim.Now + 5000, MaxDelayMS: 1500} },
+			)
+		},
+		minCounts: map[string]int{
+			"asked when accepted":  200,
+			"asked when done":      100,
+			"asked when cancelled": 60,
+			"second acceptances":   100,
+			"answers":              3000,
+			"relayed":              100,
 		},
-		minCounts: map[string]int{"asked when accepted": 200, "asked when done": 100, "asked when cancelled": 60, "second acceptances": 100, "answers": 3000, "relayed": 100},
 	},
 	// A transaction is carried out at once and only its answer is lost, while users ask at
 	// all members; some of its writers end, and the mirrors of others are behind, so that
@@ -309,10 +342,27 @@
 				}
 				return true
 			}
-			sim.repeatAtRandom(40_000, faultWindowMS, func() { sim.randomMember().Crash(15_000 + sim.Rand.Int64N(8000)) }) // adopted, and handed back
+			sim.repeatAtRandom(
+				40_000,
+				faultWindowMS,
+				func() { sim.randomMember().Crash(15_000 + sim.Rand.Int64N(8000)) },
+			) // adopted, and handed back
+		},
+		minCounts: map[string]int{
+			"mirror of the writer behind": 20,
+			"lost answer: accept":         60,
+			"lost answer: cancel":         20,
+			"lost answer: end of a job":   60,
+			"lost answer: end of a range": 4,
+			"lost answer: move":           4,
+			"lost answer: p/":             20,
+			"lost answer: memory":         10,
+			"lost answer: l/s/":           6,
+			"lost answer: hand-back":      1,
+			"lost answer: l/m/":           10,
+			"lost answer: l/u/":           10,
+			"lost answer: l/t/":           10,
 		},
-		minCounts: map[string]int{"mirror of the writer behind": 20, "lost answer: accept": 60, "lost answer: cancel": 20, "lost answer: end of a job": 60, "lost answer: end of a range": 4, "lost answer: move": 4,
-			"lost answer: p/": 20, "lost answer: memory": 10, "lost answer: l/s/": 6, "lost answer: hand-back": 1, "lost answer: l/m/": 10, "lost answer: l/u/": 10, "lost answer: l/t/": 10},
 	},
 	// Every team is at its limit while jobs are cancelled whose machines are cut off or
 	// hang, and the leader changes.
@@ -328,7 +378,10 @@
 					counts["at a limit"]++
 				}
 				unreachableMS := 2000 + sim.Rand.Int64N(22_000)
-				counts["cancelled"] += sim.cancelRunningJobs(1+sim.Rand.IntN(3), func(worker *emulator.Worker) { sim.makeUnreachable(worker, unreachableMS) })
+				counts["cancelled"] += sim.cancelRunningJobs(
+					1+sim.Rand.IntN(3),
+					func(worker *emulator.Worker) { sim.makeUnreachable(worker, unreachableMS) },
+				)
 				downMS := 200 + sim.Rand.Int64N(2500)
 				if sim.Rand.IntN(3) == 0 {
 					downMS = 14_000 + sim.Rand.Int64N(6000)
@@ -336,7 +389,14 @@
 				sim.After(sim.Rand.Int64N(3000), func() { sim.randomMember().Crash(downMS) })
 			})
 		},
-		minCounts: map[string]int{"at a limit": 10, "cancelled": 60, "shard claimed": 40, "machine silent past its lease": 20, "machine in a new session": 20, "tasks of a whole limit": 12},
+		minCounts: map[string]int{
+			"at a limit":                    10,
+			"cancelled":                     60,
+			"shard claimed":                 40,
+			"machine silent past its lease": 20,
+			"machine in a new session":      20,
+			"tasks of a whole limit":        12,
+		},
 	},
 	// A team is at its limit when the leader changes, some of its machines can't be asked,
 	// and a cancellation falls into the time until the new leader has heard them all.
@@ -359,13 +419,19 @@
 					if atLimit() {
 						counts["claimed at a limit"]++
 					}
-					sim.SampleLiveWorkers(0.3, func(worker *emulator.Worker) { sim.makeUnreachable(worker, 1000+sim.Rand.Int64N(15_000)) })
+					sim.SampleLiveWorkers(
+						0.3,
+						func(worker *emulator.Worker) { sim.makeUnreachable(worker, 1000+sim.Rand.Int64N(15_000)) },
+					)
 					sim.SampleLiveWorkers(0.3, func(worker *emulator.Worker) {
 						sim.DelayWorkerCommands(worker, 1000+sim.Rand.Int64N(9000), sim.Rand.IntN(2) == 0)
 					})
 					for at := int64(0); at < 5000; at += 300 { // what they are told first is lost to some
 						sim.After(at, func() {
-							sim.SampleLiveWorkers(0.1, func(worker *emulator.Worker) { sim.PartitionInbound(worker, 300+sim.Rand.Int64N(3000)) })
+							sim.SampleLiveWorkers(
+								0.1,
+								func(worker *emulator.Worker) { sim.PartitionInbound(worker, 300+sim.Rand.Int64N(3000)) },
+							)
 						})
 					}
 					for range 3 {
@@ -431,7 +497,12 @@
 			sim.repeatAtRandom(14_000, faultWindowMS, func() { sim.randomMember().Crash(14_000 + sim.Rand.Int64N(5000)) })
 			sim.repeatAtRandom(25_000, faultWindowMS, func() { sim.randomMember().Crash(200 + sim.Rand.Int64N(2500)) })
 		},
-		minCounts: map[string]int{"cancelled at shard claimed": 10, "cancelled at shard adopted": 10, "cancelled at shard handed back": 5, "cancelled at a move": 10},
+		minCounts: map[string]int{
+			"cancelled at shard claimed":     10,
+			"cancelled at shard adopted":     10,
+			"cancelled at shard handed back": 5,
+			"cancelled at a move":            10,
+		},
 	},
 	// A cancellation, a question or a repeated submission meets the end of a job's last
 	// task, with no other trouble.
--- a/scheduler/peer_messages.go
+++ b/scheduler/peer_messages.go
@@ -13,12 +13,23 @@
 		return
 	}
 	c.nextPeerMessageAtMS = c.now.MonotonicMS + secondsToMS(c.settings.SummaryS)
-	msg := PeerMessage{From: c.params.MemberID, WallMS: c.now.WallMS, ServesUsers: c.canServeUsers(), RolloutCounts: c.rolloutCounts, TeamUsage: c.usageSnapshot()}
+	msg := PeerMessage{
+		From:          c.params.MemberID,
+		WallMS:        c.now.WallMS,
+		ServesUsers:   c.canServeUsers(),
+		RolloutCounts: c.rolloutCounts,
+		TeamUsage:     c.usageSnapshot(),
+	}
 	if c.hasAuthority() {
 		for _, s := range sortedByKey(c.ownedShards) {
 			if s.ready && !s.releasing {
 				c.moveUnplaceableTasks(s)
-				peerShard := PeerShard{Shard: s.name, Summary: c.availabilitySummary(s), TaskCounts: c.taskCounts(s), DisruptionDemands: s.disruption.demands}
+				peerShard := PeerShard{
+					Shard:             s.name,
+					Summary:           c.availabilitySummary(s),
+					TaskCounts:        c.taskCounts(s),
+					DisruptionDemands: s.disruption.demands,
+				}
 				peerShard.Demands = append(append(peerShard.Demands, s.demand...), s.forecastDemand...)
 				for _, mc := range s.machines {
 					if mc.releasing {
@@ -103,7 +114,13 @@
 // peerTaskCapacity is how many tasks of a job a peer's shard says that it can end by
 // deadline, the least leftover first being the peer's own business. What is
 // taken is used up until the peer speaks again.
-func (c *Controller) peerTaskCapacity(peerShard *PeerShard, j *Job, runtimeMS, deadline int64, limit int, reserve bool) int {
+func (c *Controller) peerTaskCapacity(
+	peerShard *PeerShard,
+	j *Job,
+	runtimeMS, deadline int64,
+	limit int,
+	reserve bool,
+) int {
 	tasks := 0
 	resourceRequest := j.resourceRequest()
 	resources := resourceRequest.WithoutImage()
@@ -122,7 +139,17 @@
 		taskRuntimeMS := runtimeMS + c.placementCatalog.FetchMS(&resourceRequest, offering.Type)
 		fitting := function.TaskCapacity(resources, deadline, taskRuntimeMS, limit-tasks)
 		if reserve && fitting > 0 {
-			tasksPerQueue := max(1, function.TaskCapacity(resources, deadline, taskRuntimeMS, int(min(function.Count, 1<<20))*j.Tasks)/int(function.Count))
+			tasksPerQueue := max(
+				1,
+				function.TaskCapacity(
+					resources,
+					deadline,
+					taskRuntimeMS,
+					int(min(function.Count, 1<<20))*j.Tasks,
+				)/int(
+					function.Count,
+				),
+			)
 			function.Count -= int64((fitting + tasksPerQueue - 1) / tasksPerQueue)
 		}
 		tasks += fitting
@@ -279,7 +306,9 @@
 	movable := func(tr *taskRange) bool {
 		j := tr.job
 		return c.jobs[j.rec.Job.ID] == j && !j.recordWritePending && !j.rec.Job.requiresOneShard() && len(j.rec.Ranges) < c.maxJobRanges() &&
-			!(j.rec.Job.AtMostOnce && j.rec.MayHaveBegun) && !tr.bounds.MovedFromPeer && !tr.moving && !tr.writing && c.fitsTeamAllocation(s, j.rec.Job.Team)
+			!(j.rec.Job.AtMostOnce && j.rec.MayHaveBegun) && !tr.bounds.MovedFromPeer && !tr.moving &&
+			!tr.writing &&
+			c.fitsTeamAllocation(s, j.rec.Job.Team)
 	}
 	for _, group := range s.queue {
 		// What waits in a queue here may start at once there, but for what others are
@@ -369,12 +398,17 @@
 	c.sendUntilSettled(key, inDoubtWrite{
 		isClaimValid: func() bool { return c.jobs[id] == j && c.ownedShards[s.name] == s },
 		send: func(onResult func(StoreResult)) {
-			c.sendTxn(UrgencyUser, []Precondition{{claimKey(s.name), s.token}, {key, jobRevision}}, changes, func(result StoreResult) {
-				if result.Outcome == OK {
-					c.Counters.MovedTasks++
-				}
-				onResult(result)
-			})
+			c.sendTxn(
+				UrgencyUser,
+				[]Precondition{{claimKey(s.name), s.token}, {key, jobRevision}},
+				changes,
+				func(result StoreResult) {
+					if result.Outcome == OK {
+						c.Counters.MovedTasks++
+					}
+					onResult(result)
+				},
+			)
 		},
 		onSent: write.CompleteAttempt,
 		onRead: func(result StoreResult) indoubt.NextStep {
@@ -417,5 +451,24 @@
 	for _, group := range c.waitingTaskGroups(s) {
 		waiting += float64(group.Remaining) * group.job.Request.CPUs
 	}
-	c.log(Debug, "load", "shard", s.name, "spot", spot, "ordinary", onDemand, "booting", booting, "running", running, "fetching", fetching, "waiting", waiting, "needs", len(s.demand))
+	c.log(
+		Debug,
+		"load",
+		"shard",
+		s.name,
+		"spot",
+		spot,
+		"ordinary",
+		onDemand,
+		"booting",
+		booting,
+		"running",
+		running,
+		"fetching",
+		fetching,
+		"waiting",
+		waiting,
+		"needs",
+		len(s.demand),
+	)
 }
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -120,7 +120,11 @@
 		} else if !mc.IsReconciled() {
 			upAt = wall + secondsToMS(c.params.LeaseS)/2
 		}
-		viewMachine := b.AddMachine(mc.id, planner.InstanceOffering{Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot}, mc.imageCache)
+		viewMachine := b.AddMachine(
+			mc.id,
+			planner.InstanceOffering{Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot},
+			mc.imageCache,
+		)
 		viewMachine.ReadyAtMS, viewMachine.Ready = upAt, mc.IsReconciled()
 		s.viewMachines = append(s.viewMachines, mc)
 		for _, a := range mc.byKey {
@@ -140,7 +144,11 @@
 			s.reservedTasks[reservation.taskRange] += reservation.count
 		}
 		slices.SortFunc(viewMachine.Slots, func(a, b planner.Slot) int {
-			return cmp.Or(cmp.Compare(a.Queue.EarliestStart, b.Queue.EarliestStart), cmp.Compare(a.Resources.CPUs, b.Resources.CPUs), cmp.Compare(a.Resources.MemoryGB, b.Resources.MemoryGB))
+			return cmp.Or(
+				cmp.Compare(a.Queue.EarliestStart, b.Queue.EarliestStart),
+				cmp.Compare(a.Resources.CPUs, b.Resources.CPUs),
+				cmp.Compare(a.Resources.MemoryGB, b.Resources.MemoryGB),
+			)
 		})
 	}
 	b.FinishAdding()
@@ -156,8 +164,27 @@
 // newTaskGroup makes a group of tasks of a work.
 func (c *Controller) newTaskGroup(tr *taskRange, pending int) *taskGroup {
 	j := &tr.job.rec.Job
-	g := &taskGroup{taskRange: tr, job: j, Group: planner.Group{Request: j.resourceRequest(), Priority: int(j.Priority), Remaining: pending, JobTasks: j.Tasks, LengthMS: c.expectedRuntime(j), AcceptedMS: tr.job.rec.AcceptedAtMS,
-		HasBegun: tr.hasStarted(), PreviouslyAdmitted: tr.admitted, Name: j.ID, RangeStart: tr.bounds.Lo, IsGang: j.Kind == Gang, SingleZone: j.OneZone, SpreadZones: j.Spread, RunningByZone: tr.attemptsByZone, FailuresByMachine: tr.errorsByMachine}}
+	g := &taskGroup{
+		taskRange: tr,
+		job:       j,
+		Group: planner.Group{
+			Request:            j.resourceRequest(),
+			Priority:           int(j.Priority),
+			Remaining:          pending,
+			JobTasks:           j.Tasks,
+			LengthMS:           c.expectedRuntime(j),
+			AcceptedMS:         tr.job.rec.AcceptedAtMS,
+			HasBegun:           tr.hasStarted(),
+			PreviouslyAdmitted: tr.admitted,
+			Name:               j.ID,
+			RangeStart:         tr.bounds.Lo,
+			IsGang:             j.Kind == Gang,
+			SingleZone:         j.OneZone,
+			SpreadZones:        j.Spread,
+			RunningByZone:      tr.attemptsByZone,
+			FailuresByMachine:  tr.errorsByMachine,
+		},
+	}
 	g.ObjectiveDeadlineMS, g.DeadlineMS, g.MissedObjectives = c.taskDeadlines(j, g.AcceptedMS, g.LengthMS)
 	return g
 }
@@ -246,7 +273,10 @@
 	c.updateReserve(s)
 	s.queue = c.waitingTaskGroups(s)
 	view.Examined += len(s.queue)
-	view.PacedStartsLeft = s.reconciler.Pacer.Available(c.now.MonotonicMS, c.now.MonotonicMS+max(c.maxHeartbeatIntervalMS(), int64(2*c.planInterval(s))))
+	view.PacedStartsLeft = s.reconciler.Pacer.Available(
+		c.now.MonotonicMS,
+		c.now.MonotonicMS+max(c.maxHeartbeatIntervalMS(), int64(2*c.planInterval(s))),
+	)
 	// What a plan starts uses its team's limit up for what comes behind, and what it
 	// asks machines for, for what asks behind. Each group saw all that was free of
 	// the limit, and machines were rented for all of them: in the second after an
@@ -271,7 +301,14 @@
 			c.recordPlaceableDemand(s, g)
 			g.Remaining = limit + c.preemptibleTaskCount(s, g, g.Remaining-limit)
 		}
-		g.ProvisionLimit = c.tasksWithinTeamLimit(s, g.job, started[g.job.Team].Add(requested[g.job.Team])) + max(0, g.Remaining-limit)
+		g.ProvisionLimit = c.tasksWithinTeamLimit(
+			s,
+			g.job,
+			started[g.job.Team].Add(requested[g.job.Team]),
+		) + max(
+			0,
+			g.Remaining-limit,
+		)
 		if g.Remaining > 0 {
 			startedTasks := c.placeGroup(s, g)
 			if startedTasks > limit {
@@ -328,7 +365,8 @@
 			if remaining == 0 {
 				break
 			}
-			if !c.placementCatalog.IsAllowed(&request, viewMachine.Offering) || c.placementCatalog.ShouldAvoid(&request, viewMachine.Offering.Type) {
+			if !c.placementCatalog.IsAllowed(&request, viewMachine.Offering) ||
+				c.placementCatalog.ShouldAvoid(&request, viewMachine.Offering.Type) {
 				continue
 			}
 			n := free[i].MaxCopies(req, remaining)
@@ -340,7 +378,10 @@
 		if remaining > 0 {
 			runtimeMS := c.expectedRuntime(j)
 			_, deadline, _ := c.taskDeadlines(j, tr.job.rec.AcceptedAtMS, runtimeMS)
-			s.forecastDemand = append(s.forecastDemand, CapacityDemand{Job: j.ID, Tasks: remaining, DeadlineMS: deadline, TaskRuntimeMS: runtimeMS, SpotOnly: j.Spot})
+			s.forecastDemand = append(
+				s.forecastDemand,
+				CapacityDemand{Job: j.ID, Tasks: remaining, DeadlineMS: deadline, TaskRuntimeMS: runtimeMS, SpotOnly: j.Spot},
+			)
 		}
 	}
 }
@@ -396,20 +437,46 @@
 	}
 	placement := s.clusterView.Place(&g.Group, c.settings.LateShare)
 	if placement.StartsGang {
-		g.taskRange.gangStartedAt, g.taskRange.gangAttempt, g.taskRange.gangStartsSent = c.now.MonotonicMS, s.attemptIDs.Next(c.now.WallMS), newBitset(g.taskRange.size())
+		g.taskRange.gangStartedAt, g.taskRange.gangAttempt, g.taskRange.gangStartsSent = c.now.MonotonicMS, s.attemptIDs.Next(
+			c.now.WallMS,
+		), newBitset(
+			g.taskRange.size(),
+		)
 	}
 	g.taskRange.admitted = placement.Admitted
 	for _, start := range placement.Starts {
 		mc := s.viewMachines[start.MachineIndex]
-		mc.plannedStarts = append(mc.plannedStarts, plannedStart{taskRange: g.taskRange, count: start.Count, runtimeMS: g.LengthMS, fetchMS: start.FetchMS, hasStartObjective: g.HasObjective})
+		mc.plannedStarts = append(
+			mc.plannedStarts,
+			plannedStart{
+				taskRange:         g.taskRange,
+				count:             start.Count,
+				runtimeMS:         g.LengthMS,
+				fetchMS:           start.FetchMS,
+				hasStartObjective: g.HasObjective,
+			},
+		)
 	}
 	for _, n := range placement.Demands {
-		s.demand = append(s.demand, CapacityDemand{Job: g.job.ID, Tasks: n.Count, DeadlineMS: n.DeadlineMS, TaskRuntimeMS: g.LengthMS, SpotOnly: n.SpotOnly})
+		s.demand = append(
+			s.demand,
+			CapacityDemand{
+				Job:           g.job.ID,
+				Tasks:         n.Count,
+				DeadlineMS:    n.DeadlineMS,
+				TaskRuntimeMS: g.LengthMS,
+				SpotOnly:      n.SpotOnly,
+			},
+		)
 	}
 	return placement.StartedTasks
 }
 
 // availabilitySummary is a shard's availability as its peers see it.
 func (c *Controller) availabilitySummary(s *shard) availability.Summary {
-	return s.clusterView.Summary(c.now.WallMS+noDeadlineSpanLeases*secondsToMS(c.params.LeaseS), c.settings.Functions, c.settings.Samples)
+	return s.clusterView.Summary(
+		c.now.WallMS+noDeadlineSpanLeases*secondsToMS(c.params.LeaseS),
+		c.settings.Functions,
+		c.settings.Samples,
+	)
 }
--- a/scheduler/query_batches.go
+++ b/scheduler/query_batches.go
@@ -53,12 +53,15 @@
 
 // syncMirror brings the mirror up to everything that was written before now.
 func (c *Controller) syncMirror(onResult func(Outcome)) {
-	c.sendStore(StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: c.mirrorRevision}, func(result StoreResult) {
-		if result.Outcome == OK && c.storeAccess.IsSynced() {
-			c.applyWatchResult(result)
-		}
-		onResult(result.Outcome)
-	})
+	c.sendStore(
+		StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: c.mirrorRevision},
+		func(result StoreResult) {
+			if result.Outcome == OK && c.storeAccess.IsSynced() {
+				c.applyWatchResult(result)
+			}
+			onResult(result.Outcome)
+		},
+	)
 }
 
 // completeBatch answers questions that came before a read that ended so.
@@ -98,7 +101,11 @@
 func (c *Controller) readJobsOneByOne(batch []*pendingRequest) {
 	for _, pending := range batch {
 		if !pending.completed {
-			c.readJob(pending.request.ID, UrgencyRead, func(response UserResponse, _ *KeyValue) { c.completeRequest(pending.replyID, response) })
+			c.readJob(
+				pending.request.ID,
+				UrgencyRead,
+				func(response UserResponse, _ *KeyValue) { c.completeRequest(pending.replyID, response) },
+			)
 		}
 	}
 }
--- a/scheduler/query_flood_test.go
+++ b/scheduler/query_flood_test.go
@@ -22,15 +22,19 @@
 			}
 			*queries++
 			sentAt := sim.Now
-			sim.SendRequestTo(m, scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-				if !ok {
-					return
-				}
-				sim.ReceiveResponse(j, sentAt, resp)
-				if resp.Status == 200 && sim.Now-sentAt <= 2000 {
-					*timelyAnswers++
-				}
-			})
+			sim.SendRequestTo(
+				m,
+				scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
+				func(resp scheduler.UserResponse, ok bool) {
+					if !ok {
+						return
+					}
+					sim.ReceiveResponse(j, sentAt, resp)
+					if resp.Status == 200 && sim.Now-sentAt <= 2000 {
+						*timelyAnswers++
+					}
+				},
+			)
 		})
 	}
 	return queries, timelyAnswers
@@ -43,9 +47,12 @@
 func TestQueryFloodIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(max(1, *seedCount/12)) {
-		sim := newTestSimulationWith(smallScale, emulator.Options{Seed: 7000 + seed, TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
-			return 5000 + sim.Rand.Int64N(30_000)
-		}})
+		sim := newTestSimulationWith(
+			smallScale,
+			emulator.Options{Seed: 7000 + seed, TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
+				return 5000 + sim.Rand.Int64N(30_000)
+			}},
+		)
 		sim.noRandomFaults, sim.StoreRPS, sim.StoreWriteRPS = true, 90, 40
 		queries, timelyAnswers := sim.floodWithQueries(sim.Members[0], 8, 150_000)
 		sim.ReadConcurrently(120_000)
--- a/scheduler/quota_faults_test.go
+++ b/scheduler/quota_faults_test.go
@@ -39,112 +39,201 @@
 // quotaScenarios: the rules, quota among them, are checked on the machines at each start, and
 // all jobs end.
 var quotaScenarios = map[string]quotaScenario{
-	"twelve teams that all ask for everything": {members: 3, teams: equalTeams(12, scheduler.Team{CPUs: 16, MaxCPUs: 48}), jobs: 70, adjustJob: func(_ *testSimulation, j *scheduler.Job, _ int) { j.Tasks = 20 }},
-	"three hundred teams":                      {members: 3, teams: equalTeams(300, scheduler.Team{MaxCPUs: 8}), jobs: 300, adjustJob: func(_ *testSimulation, j *scheduler.Job, _ int) { j.Tasks, j.Request.CPUs = 1+j.Tasks%3, 4 }, inject: func(sim *testSimulation) outcomeCheck { sim.crashAllAt(40_000); return nil }},
-	"many small tasks beside one huge": {members: 3, teams: map[string]scheduler.Team{"t0": {CPUs: 20, MaxCPUs: 40}, "t1": {CPUs: 64, MaxCPUs: 64}}, jobs: 50, adjustJob: func(_ *testSimulation, j *scheduler.Job, n int) {
-		if j.Team == "t1" {
-			j.Tasks, j.Request.CPUs = 1, 64
-		}
-	}},
-	"a limit that members do not divide": {members: 5, teams: equalTeams(3, scheduler.Team{CPUs: 30, MaxCPUs: 100}), jobs: 60, adjustJob: func(_ *testSimulation, j *scheduler.Job, _ int) { j.Request.CPUs = 7 }, inject: func(sim *testSimulation) outcomeCheck { sim.partitionFromStore(1, 30_000, 20_000); return nil }},
-	"accelerators and processors short in turn": {members: 3, teams: equalTeams(2, scheduler.Team{CPUs: 40, MaxCPUs: 80, GPUs: 2, MaxGPUs: 5}), jobs: 60, adjustJob: func(_ *testSimulation, j *scheduler.Job, n int) {
-		if n%4 < 2 {
-			j.Request.GPUs, j.Request.CPUs = 1, 2
-		}
-	}, inject: func(sim *testSimulation) outcomeCheck { sim.crashAllAt(50_000); return nil }},
-	"the home away, cut off, slow, rolling": {members: 3, teams: equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}), jobs: 80, inject: func(sim *testSimulation) outcomeCheck {
-		sim.After(15_000, func() { sim.Members[0].Crash(25_000) })
-		sim.After(45_000, func() {
-			sim.Partitions = append(sim.Partitions, emulator.Partition{A: sim.Members[1].Name, B: "", Until: sim.Now + 30_000})
-		})
-		sim.After(80_000, func() { sim.Lags["m2"] = emulator.Lag{Until: sim.Now + 20_000, MaxDelayMS: 3000} })
-		for i, m := range sim.Members {
-			sim.After(105_000+int64(i)*4000, func() { m.Crash(3000) })
-		}
-		return nil
-	}},
-	"a member with an old ledger after a cut": {members: 3, teams: equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}), jobs: 80, inject: func(sim *testSimulation) outcomeCheck {
-		for i, at := range []int64{20_000, 50_000, 80_000} {
-			sim.partitionFromStore(i, at, 18_000)
-		}
-		return nil
-	}},
-	"settings that differ during a roll": {members: 3, teams: equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}), jobs: 80, inject: func(sim *testSimulation) outcomeCheck {
-		// The platform's file is lower from the second start on; the larger holds until
-		// all have the smaller one.
-		for i, m := range sim.Members {
-			sim.After(40_000+int64(i)*8000, func() {
-				sim.startsWithLowerLimits[m.Name] = true
-				m.Crash(3000)
+	"twelve teams that all ask for everything": {
+		members:   3,
+		teams:     equalTeams(12, scheduler.Team{CPUs: 16, MaxCPUs: 48}),
+		jobs:      70,
+		adjustJob: func(_ *testSimulation, j *scheduler.Job, _ int) { j.Tasks = 20 },
+	},
+	"three hundred teams": {
+		members:   3,
+		teams:     equalTeams(300, scheduler.Team{MaxCPUs: 8}),
+		jobs:      300,
+		adjustJob: func(_ *testSimulation, j *scheduler.Job, _ int) { j.Tasks, j.Request.CPUs = 1+j.Tasks%3, 4 },
+		inject:    func(sim *testSimulation) outcomeCheck { sim.crashAllAt(40_000); return nil },
+	},
+	"many small tasks beside one huge": {
+		members: 3,
+		teams:   map[string]scheduler.Team{"t0": {CPUs: 20, MaxCPUs: 40}, "t1": {CPUs: 64, MaxCPUs: 64}},
+		jobs:    50,
+		adjustJob: func(_ *testSimulation, j *scheduler.Job, n int) {
+			if j.Team == "t1" {
+				j.Tasks, j.Request.CPUs = 1, 64
+			}
+		},
+	},
+	"a limit that members do not divide": {
+		members:   5,
+		teams:     equalTeams(3, scheduler.Team{CPUs: 30, MaxCPUs: 100}),
+		jobs:      60,
+		adjustJob: func(_ *testSimulation, j *scheduler.Job, _ int) { j.Request.CPUs = 7 },
+		inject:    func(sim *testSimulation) outcomeCheck { sim.partitionFromStore(1, 30_000, 20_000); return nil },
+	},
+	"accelerators and processors short in turn": {
+		members: 3,
+		teams:   equalTeams(2, scheduler.Team{CPUs: 40, MaxCPUs: 80, GPUs: 2, MaxGPUs: 5}),
+		jobs:    60,
+		adjustJob: func(_ *testSimulation, j *scheduler.Job, n int) {
+			if n%4 < 2 {
+				j.Request.GPUs, j.Request.CPUs = 1, 2
+			}
+		},
+		inject: func(sim *testSimulation) outcomeCheck { sim.crashAllAt(50_000); return nil },
+	},
+	"the home away, cut off, slow, rolling": {
+		members: 3,
+		teams:   equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}),
+		jobs:    80,
+		inject: func(sim *testSimulation) outcomeCheck {
+			sim.After(15_000, func() { sim.Members[0].Crash(25_000) })
+			sim.After(45_000, func() {
+				sim.Partitions = append(sim.Partitions, emulator.Partition{A: sim.Members[1].Name, B: "", Until: sim.Now + 30_000})
 			})
-		}
-		return nil
-	}},
-	"an end of all with every part lent out": {members: 5, teams: equalTeams(5, scheduler.Team{CPUs: 40, MaxCPUs: 120}), jobs: 100, inject: func(sim *testSimulation) outcomeCheck {
-		sim.crashAllAt(30_000, 60_000)
-		return nil
-	}},
-	"a guarantee above what the fleet holds": {members: 3, teams: equalTeams(3, scheduler.Team{CPUs: 2000, MaxCPUs: 4000}), jobs: 60},
-	"spot waves": {members: 3, teams: equalTeams(3, scheduler.Team{CPUs: 60, MaxCPUs: 120}), jobs: 80, inject: func(sim *testSimulation) outcomeCheck {
-		for _, at := range []int64{25_000, 55_000, 85_000} {
-			sim.After(at, func() {
-				for _, worker := range sim.PickLiveWorkers(8) {
-					if worker.Instance.Spot {
-						sim.Cloud.Reclaim(worker.Instance.ID)
+			sim.After(80_000, func() { sim.Lags["m2"] = emulator.Lag{Until: sim.Now + 20_000, MaxDelayMS: 3000} })
+			for i, m := range sim.Members {
+				sim.After(105_000+int64(i)*4000, func() { m.Crash(3000) })
+			}
+			return nil
+		},
+	},
+	"a member with an old ledger after a cut": {
+		members: 3,
+		teams:   equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}),
+		jobs:    80,
+		inject: func(sim *testSimulation) outcomeCheck {
+			for i, at := range []int64{20_000, 50_000, 80_000} {
+				sim.partitionFromStore(i, at, 18_000)
+			}
+			return nil
+		},
+	},
+	"settings that differ during a roll": {
+		members: 3,
+		teams:   equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}),
+		jobs:    80,
+		inject: func(sim *testSimulation) outcomeCheck {
+			// The platform's file is lower from the second start on; the larger holds until
+			// all have the smaller one.
+			for i, m := range sim.Members {
+				sim.After(40_000+int64(i)*8000, func() {
+					sim.startsWithLowerLimits[m.Name] = true
+					m.Crash(3000)
+				})
+			}
+			return nil
+		},
+	},
+	"an end of all with every part lent out": {
+		members: 5,
+		teams:   equalTeams(5, scheduler.Team{CPUs: 40, MaxCPUs: 120}),
+		jobs:    100,
+		inject: func(sim *testSimulation) outcomeCheck {
+			sim.crashAllAt(30_000, 60_000)
+			return nil
+		},
+	},
+	"a guarantee above what the fleet holds": {
+		members: 3,
+		teams:   equalTeams(3, scheduler.Team{CPUs: 2000, MaxCPUs: 4000}),
+		jobs:    60,
+	},
+	"spot waves": {
+		members: 3,
+		teams:   equalTeams(3, scheduler.Team{CPUs: 60, MaxCPUs: 120}),
+		jobs:    80,
+		inject: func(sim *testSimulation) outcomeCheck {
+			for _, at := range []int64{25_000, 55_000, 85_000} {
+				sim.After(at, func() {
+					for _, worker := range sim.PickLiveWorkers(8) {
+						if worker.Instance.Spot {
+							sim.Cloud.Reclaim(worker.Instance.ID)
+						}
 					}
-				}
-			})
-		}
-		return nil
-	}},
+				})
+			}
+			return nil
+		},
+	},
 	// A part's giver ends while its write is under way; the network holds the write until
 	// its shard has been adopted.
-	"a transfer that is applied late": {members: 3, teams: equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}), jobs: 80, inject: func(sim *testSimulation) outcomeCheck {
-		crashes, delayedMember := 0, ""
-		sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
-			if sim.Now > 15_000 && delayedMember == "" && crashes < 4 && hasWriteWithPrefix(outputs, "l/t/") {
-				crashes++
-				delayedMember = m.Name
-				sim.After(1, func() { m.Crash(30_000) })
-				sim.After(25_000, func() { delayedMember = "" })
+	"a transfer that is applied late": {
+		members: 3,
+		teams:   equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}),
+		jobs:    80,
+		inject: func(sim *testSimulation) outcomeCheck {
+			crashes, delayedMember := 0, ""
+			sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
+				if sim.Now > 15_000 && delayedMember == "" && crashes < 4 && hasWriteWithPrefix(outputs, "l/t/") {
+					crashes++
+					delayedMember = m.Name
+					sim.After(1, func() { m.Crash(30_000) })
+					sim.After(25_000, func() { delayedMember = "" })
+				}
 			}
-		}
-		sim.ExtraDelay = func(from, to string) int64 {
-			if from == delayedMember && to == "store" {
-				return 14_000 + sim.Rand.Int64N(8000)
+			sim.ExtraDelay = func(from, to string) int64 {
+				if from == delayedMember && to == "store" {
+					return 14_000 + sim.Rand.Int64N(8000)
+				}
+				return 0
 			}
-			return 0
-		}
-		return requireAtLeast(2, "a member ended while it wrote a team's record", &crashes)
-	}},
-	"shards that move while wants are open": {members: 3, teams: equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}), jobs: 80, inject: func(sim *testSimulation) outcomeCheck {
-		crashes, nextCrashAt := 0, int64(15_000)
-		sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
-			if sim.Now > nextCrashAt && crashes < 4 && slices.ContainsFunc(outputs.StoreOps, func(op scheduler.StoreOp) bool {
-				return slices.ContainsFunc(op.Changes, func(c scheduler.Change) bool {
-					return strings.HasPrefix(c.Key, "l/t/") && strings.Contains(string(c.Value), `"wants":{"`)
-				})
-			}) {
-				crashes++
-				nextCrashAt = sim.Now + 20_000
-				sim.After(300, func() { m.Crash(25_000) })
+			return requireAtLeast(2, "a member ended while it wrote a team's record", &crashes)
+		},
+	},
+	"shards that move while wants are open": {
+		members: 3,
+		teams:   equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}),
+		jobs:    80,
+		inject: func(sim *testSimulation) outcomeCheck {
+			crashes, nextCrashAt := 0, int64(15_000)
+			sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
+				if sim.Now > nextCrashAt && crashes < 4 && slices.ContainsFunc(outputs.StoreOps, func(op scheduler.StoreOp) bool {
+					return slices.ContainsFunc(op.Changes, func(c scheduler.Change) bool {
+						return strings.HasPrefix(c.Key, "l/t/") && strings.Contains(string(c.Value), `"wants":{"`)
+					})
+				}) {
+					crashes++
+					nextCrashAt = sim.Now + 20_000
+					sim.After(300, func() { m.Crash(25_000) })
+				}
 			}
-		}
-		return requireAtLeast(2, "a member that had asked for a part ended", &crashes)
-	}},
+			return requireAtLeast(2, "a member that had asked for a part ended", &crashes)
+		},
+	},
 }
 
 func TestTeamLimitsSurviveFailures(t *testing.T) {
-	types := append(slices.Clone(simTypes), scheduler.MachineType{Name: "accelerated", Resources: availability.Resources{CPUs: 16, GPUs: 4, MemoryGB: 64, DiskGB: 30}, ImageFetchGBps: 1, Price: 4, SpotPrice: 1, BootS: 10, Zones: []string{"a", "b"}})
+	types := append(
+		slices.Clone(simTypes),
+		scheduler.MachineType{
+			Name:           "accelerated",
+			Resources:      availability.Resources{CPUs: 16, GPUs: 4, MemoryGB: 64, DiskGB: 30},
+			ImageFetchGBps: 1,
+			Price:          4,
+			SpotPrice:      1,
+			BootS:          10,
+			Zones:          []string{"a", "b"},
+		},
+	)
 	for name, scenario := range quotaScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				sim := &testSimulation{size: simScale{members: scenario.members, capacityPerOffering: 6, maxTasks: 16}, noRandomFaults: true, startsWithLowerLimits: map[string]bool{}}
+				sim := &testSimulation{
+					size:                  simScale{members: scenario.members, capacityPerOffering: 6, maxTasks: 16},
+					noRandomFaults:        true,
+					startsWithLowerLimits: map[string]bool{},
+				}
 				cfg := newParams(96)
 				cfg.Teams = scenario.teams
-				options := emulator.Options{Seed: 4000 + seed, Members: scenario.members, Types: types, CapacityPerOffering: 6, Params: cfg, MessageLoss: 0.002,
-					TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 2000 + sim.Rand.Int64N(15_000) }}
+				options := emulator.Options{
+					Seed:                4000 + seed,
+					Members:             scenario.members,
+					Types:               types,
+					CapacityPerOffering: 6,
+					Params:              cfg,
+					MessageLoss:         0.002,
+					TaskRunMS:           func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 2000 + sim.Rand.Int64N(15_000) },
+				}
 				options.InjectedFault.Params = func(cfg *scheduler.Params) {
 					if sim.startsWithLowerLimits[cfg.MemberID] {
 						cfg.Teams = map[string]scheduler.Team{}
@@ -207,7 +296,10 @@
 // their guarantees. With a planted fault members think that one of the former has none.
 func runGuaranteeScenario(seed uint64, stops *int, withFault bool) *testSimulation {
 	taskEnds := map[string][]int64{}
-	sim := &testSimulation{size: simScale{members: 3, capacityPerOffering: 4, maxTasks: 12, teamCPUs: 0}, noRandomFaults: true}
+	sim := &testSimulation{
+		size:           simScale{members: 3, capacityPerOffering: 4, maxTasks: 12, teamCPUs: 0},
+		noRandomFaults: true,
+	}
 	cfg := newParams(96)
 	cfg.Teams = map[string]scheduler.Team{"t0": {CPUs: 60}, "t1": {CPUs: 100}, "t2": {CPUs: 100}, "t3": {}}
 	forgetGuarantee := func(cfg *scheduler.Params) {
@@ -215,13 +307,23 @@
 			cfg.Teams = map[string]scheduler.Team{"t0": {}, "t1": {CPUs: 100}, "t2": {CPUs: 100}, "t3": {}}
 		}
 	}
-	sim.Simulation = emulator.New(emulator.Options{InjectedFault: emulator.InjectedFault{Params: forgetGuarantee}, Seed: seed, Members: 3, Types: simTypes, CapacityPerOffering: 4, Params: cfg, MessageLoss: 0.002,
-		TaskRunMS: func(sim *emulator.Simulation, j *emulator.Job, _ string) int64 {
-			if j.Spec.Team == "t0" || j.Spec.Team == "t3" {
-				return 20_000 + sim.Rand.Int64N(60_000)
-			}
-			return 3000 + sim.Rand.Int64N(9000)
-		}})
+	sim.Simulation = emulator.New(
+		emulator.Options{
+			InjectedFault:       emulator.InjectedFault{Params: forgetGuarantee},
+			Seed:                seed,
+			Members:             3,
+			Types:               simTypes,
+			CapacityPerOffering: 4,
+			Params:              cfg,
+			MessageLoss:         0.002,
+			TaskRunMS: func(sim *emulator.Simulation, j *emulator.Job, _ string) int64 {
+				if j.Spec.Team == "t0" || j.Spec.Team == "t3" {
+					return 20_000 + sim.Rand.Int64N(60_000)
+				}
+				return 3000 + sim.Rand.Int64N(9000)
+			},
+		},
+	)
 	stoppedTasks, startedAt := map[string]bool{}, map[string]int64{}
 	sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
 		reclaimedFrom := map[string]bool{}
@@ -257,7 +359,8 @@
 				}
 			}
 			for task, at := range startedAt { // on their way
-				if sim.Jobs[task[:strings.IndexByte(task, '/')]].Spec.Team == team && sim.Now-at < 5000 && !counted[task] && !stoppedTasks[task] {
+				if sim.Jobs[task[:strings.IndexByte(task, '/')]].Spec.Team == team && sim.Now-at < 5000 && !counted[task] &&
+					!stoppedTasks[task] {
 					usedCPUs += 4
 				}
 			}
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -73,28 +73,28 @@
 
 // Job is what a user submitted.
 type Job struct {
-	ID                  string                 `json:"id" msgpack:"ID"`
-	Class               string                 `json:"class,omitempty" msgpack:"Class"`
-	Team                string                 `json:"team" msgpack:"Team"`
-	Kind                JobKind                `json:"kind" msgpack:"Kind"`
-	Priority            Priority               `json:"prio" msgpack:"Priority"`
-	Tasks               int                    `json:"tasks" msgpack:"Tasks"`
-	Request             availability.Resources `json:"req" msgpack:"Request"`
-	Image               string                 `json:"image,omitempty" msgpack:"Image"`
-	Types               []string               `json:"types,omitempty" msgpack:"Types"`
-	Zone                string                 `json:"zone,omitempty" msgpack:"Zone"`
+	ID                  string                 `json:"id"                 msgpack:"ID"`
+	Class               string                 `json:"class,omitempty"    msgpack:"Class"`
+	Team                string                 `json:"team"               msgpack:"Team"`
+	Kind                JobKind                `json:"kind"               msgpack:"Kind"`
+	Priority            Priority               `json:"prio"               msgpack:"Priority"`
+	Tasks               int                    `json:"tasks"              msgpack:"Tasks"`
+	Request             availability.Resources `json:"req"                msgpack:"Request"`
+	Image               string                 `json:"image,omitempty"    msgpack:"Image"`
+	Types               []string               `json:"types,omitempty"    msgpack:"Types"`
+	Zone                string                 `json:"zone,omitempty"     msgpack:"Zone"`
 	OneZone             bool                   `json:"one_zone,omitempty" msgpack:"OneZone"`
-	Spread              bool                   `json:"spread,omitempty" msgpack:"Spread"`
-	Spot                bool                   `json:"spot,omitempty" msgpack:"Spot"`
-	EstimateS           float64                `json:"est,omitempty" msgpack:"EstimateS"`
-	CheckpointIntervalS float64                `json:"ckpt,omitempty" msgpack:"CheckpointS"`
-	CheckpointDurationS float64                `json:"save,omitempty" msgpack:"SaveS"`
-	DeadlineS           float64                `json:"dl,omitempty" msgpack:"DeadlineS"` // 0: none
+	Spread              bool                   `json:"spread,omitempty"   msgpack:"Spread"`
+	Spot                bool                   `json:"spot,omitempty"     msgpack:"Spot"`
+	EstimateS           float64                `json:"est,omitempty"      msgpack:"EstimateS"`
+	CheckpointIntervalS float64                `json:"ckpt,omitempty"     msgpack:"CheckpointS"`
+	CheckpointDurationS float64                `json:"save,omitempty"     msgpack:"SaveS"`
+	DeadlineS           float64                `json:"dl,omitempty"       msgpack:"DeadlineS"` // 0: none
 
 	// What subsystems beside the core set; users' jobs have none of it.
-	WorkflowRun   string `json:"run,omitempty" msgpack:"Run"`              // the workflow run that the job is a step of
+	WorkflowRun   string `json:"run,omitempty"        msgpack:"Run"`       // the workflow run that the job is a step of
 	MaxTaskErrors int    `json:"max_errors,omitempty" msgpack:"MaxErrors"` // the job fails when one of its tasks did so often; 0: never
-	AtMostOnce    bool   `json:"once,omitempty" msgpack:"Once"`            // a task that may have begun is not started again: the job fails
+	AtMostOnce    bool   `json:"once,omitempty"       msgpack:"Once"`      // a task that may have begun is not started again: the job fails
 }
 
 // requiresOneShard tells whether the job's tasks constrain each other's places or starts,
@@ -141,13 +141,13 @@
 
 // MachineType is a type of machine that the cloud rents.
 type MachineType struct {
-	Name           string                 `json:"name" msgpack:"n"`
-	Resources      availability.Resources `json:"room" msgpack:"r"`
-	ImageFetchGBps float64                `json:"fetch" msgpack:"f"`
-	Price          float64                `json:"price" msgpack:"p"`
+	Name           string                 `json:"name"       msgpack:"n"`
+	Resources      availability.Resources `json:"room"       msgpack:"r"`
+	ImageFetchGBps float64                `json:"fetch"      msgpack:"f"`
+	Price          float64                `json:"price"      msgpack:"p"`
 	SpotPrice      float64                `json:"spot_price" msgpack:"s"`
-	BootS          float64                `json:"boot" msgpack:"b"`
-	Zones          []string               `json:"zones" msgpack:"z"`
+	BootS          float64                `json:"boot"       msgpack:"b"`
+	Zones          []string               `json:"zones"      msgpack:"z"`
 }
 
 // catalogRecord keeps the machine types, so that members that start while the
--- a/scheduler/recovery_benchmark_test.go
+++ b/scheduler/recovery_benchmark_test.go
@@ -41,10 +41,13 @@
 	tb.Helper()
 	// Tasks end all the time, at very different lengths, and more wait. Each
 	// job fills a fiftieth of the fleet.
-	sim := newTestSimulationWith(simScale{members: 3, capacityPerOffering: machines * 3 / 4}, emulator.Options{Seed: 5, // of each zone and kind
-		TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
-			return 30_000 + sim.Rand.Int64N(90_000)
-		}})
+	sim := newTestSimulationWith(
+		simScale{members: 3, capacityPerOffering: machines * 3 / 4},
+		emulator.Options{Seed: 5, // of each zone and kind
+			TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
+				return 30_000 + sim.Rand.Int64N(90_000)
+			}},
+	)
 	sim.ChecksDisabled, sim.noRandomFaults, sim.MessageLoss, sim.StoreRPS, sim.StoreWriteRPS, sim.Store.PageSize = true, true, 0, 600, 80, 500
 	sim.Params.Debug = false
 	sim.Params.Teams = map[string]scheduler.Team{"t0": {}, "t1": {}}
@@ -53,8 +56,10 @@
 	for n := range 75 {
 		sim.After(int64(1000+300*n), func() {
 			id := fmt.Sprintf("job-%06d", n)
-			j := emulator.NewJob(scheduler.Job{ID: id, Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal,
-				Tasks: tasks, Request: availability.Resources{CPUs: 4, MemoryGB: 8}, Types: []string{"small"}, Spot: true, EstimateS: 60})
+			j := emulator.NewJob(
+				scheduler.Job{ID: id, Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal,
+					Tasks: tasks, Request: availability.Resources{CPUs: 4, MemoryGB: 8}, Types: []string{"small"}, Spot: true, EstimateS: 60},
+			)
 			sim.Submit(j)
 		})
 	}
@@ -99,14 +104,19 @@
 		probe = func() {
 			n++
 			id := fmt.Sprintf("job-8%05d", n)
-			j := emulator.NewJob(scheduler.Job{ID: id, Class: "quick", Team: "t0", Kind: scheduler.Array, Priority: scheduler.High,
-				Tasks: 1, Request: availability.Resources{CPUs: 1, MemoryGB: 1}, Spot: true, EstimateS: 5, DeadlineS: 60})
+			j := emulator.NewJob(
+				scheduler.Job{ID: id, Class: "quick", Team: "t0", Kind: scheduler.Array, Priority: scheduler.High,
+					Tasks: 1, Request: availability.Resources{CPUs: 1, MemoryGB: 1}, Spot: true, EstimateS: 5, DeadlineS: 60},
+			)
 			sim.Jobs[id] = j
-			sim.SendRequest(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Job: &j.Spec}, func(resp scheduler.UserResponse, ok bool) {
-				if ok && resp.Status == 201 && result.firstAcceptanceMS == 0 {
-					result.firstAcceptanceMS = sim.Now - restartAt
-				}
-			})
+			sim.SendRequest(
+				scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Job: &j.Spec},
+				func(resp scheduler.UserResponse, ok bool) {
+					if ok && resp.Status == 201 && result.firstAcceptanceMS == 0 {
+						result.firstAcceptanceMS = sim.Now - restartAt
+					}
+				},
+			)
 			if result.firstAcceptanceMS == 0 {
 				sim.After(50, probe)
 			}
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -52,7 +52,8 @@
 		return
 	}
 	for class, runtime := range rec.Runtimes {
-		if known := c.runtimeCorrections[class]; (known == nil || known.samples < runtime.Samples) && runtime.Ratio > 0 && runtime.Ratio <= 5 {
+		if known := c.runtimeCorrections[class]; (known == nil || known.samples < runtime.Samples) && runtime.Ratio > 0 &&
+			runtime.Ratio <= 5 {
 			c.runtimeCorrections[class] = &runtimeCorrection{ratio: runtime.Ratio, samples: runtime.Samples}
 		}
 	}
@@ -80,7 +81,9 @@
 // machines holds until another record is certain to have taken its place.
 func (c *Controller) writeRecoveryRecord(s *shard) {
 	recovery, now := &s.memory, c.now.MonotonicMS
-	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt || !s.reconciler.Ledger.HasUnstoredChanges() && (!c.params.Recovery || now < recovery.nextRuntimeWriteAtMS || !c.hasRuntimeUpdates(s)) {
+	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt ||
+		!s.reconciler.Ledger.HasUnstoredChanges() &&
+			(!c.params.Recovery || now < recovery.nextRuntimeWriteAtMS || !c.hasRuntimeUpdates(s)) {
 		return
 	}
 	rec := recoveryRecord{Runtimes: map[string]runtimeRecord{}, Unreachable: s.reconciler.Ledger.BuildRecord()}
@@ -120,7 +123,8 @@
 	var unreachable []*machine
 	for _, mc := range s.machines {
 		if mc.Up && mc.everReconciled && now-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
-			if entry, recorded := s.reconciler.Ledger.Entry(mc.id); !recorded || mc.State() == reconcile.LeaseExpired && len(entry.Ranges) > 0 {
+			if entry, recorded := s.reconciler.Ledger.Entry(mc.id); !recorded ||
+				mc.State() == reconcile.LeaseExpired && len(entry.Ranges) > 0 {
 				unreachable = append(unreachable, mc)
 			}
 		}
@@ -136,7 +140,9 @@
 		for _, attempt := range mc.byKey {
 			if !attempt.exited {
 				entry.Ranges = append(entry.Ranges, attempt.taskRange.name())
-				entry.UsageByTeam[attempt.job.Team] = entry.UsageByTeam[attempt.job.Team].Add(reconcile.ResourceUsage{CPUs: attempt.job.Request.CPUs, GPUs: attempt.job.Request.GPUs})
+				entry.UsageByTeam[attempt.job.Team] = entry.UsageByTeam[attempt.job.Team].Add(
+					reconcile.ResourceUsage{CPUs: attempt.job.Request.CPUs, GPUs: attempt.job.Request.GPUs},
+				)
 			}
 		}
 		s.reconciler.Ledger.Put(mc.id, entry, c.params.MaxValueBytes/unreachableValueDivisor)
@@ -199,6 +205,20 @@
 	for _, place := range []reconcile.TaskState{reconcile.Unassigned, reconcile.Assigned, reconcile.Transferring} {
 		counted += s.reconciler.VerdictCounts[place][reconcile.Succeeded]
 	}
-	c.log(Info, "shard squared", "shard", s.name, "ms", c.now.MonotonicMS-s.reconciler.ClaimedAt(), "machines", len(s.machines),
-		"adopted", adopted, "results", counted, "stopped", stopped)
+	c.log(
+		Info,
+		"shard squared",
+		"shard",
+		s.name,
+		"ms",
+		c.now.MonotonicMS-s.reconciler.ClaimedAt(),
+		"machines",
+		len(s.machines),
+		"adopted",
+		adopted,
+		"results",
+		counted,
+		"stopped",
+		stopped,
+	)
 }
--- a/scheduler/relay_test.go
+++ b/scheduler/relay_test.go
@@ -12,7 +12,11 @@
 // runWithoutStoreAtOneMember plays a small day on which one member alone loses the state service, and
 // returns how long its users waited for an answer, and how many got none that
 // helps.
-func runWithoutStoreAtOneMember(t *testing.T, relays int, loseStore func(sim *testSimulation)) (longestWaitMS int64, refused, requests int) {
+func runWithoutStoreAtOneMember(
+	t *testing.T,
+	relays int,
+	loseStore func(sim *testSimulation),
+) (longestWaitMS int64, refused, requests int) {
 	t.Helper()
 	sim := newTestSimulation(77, emulator.InjectedFault{}, smallScale)
 	sim.MessageLoss, sim.noRandomFaults = 0, true
@@ -22,19 +26,33 @@
 	for i := range 60 {
 		sim.After(15_100+int64(i)*150, func() {
 			id := fmt.Sprintf("job-5%05d", i)
-			j := emulator.NewJob(scheduler.Job{ID: id, Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal, Tasks: 1, EstimateS: 1, Spot: true})
+			j := emulator.NewJob(
+				scheduler.Job{
+					ID:        id,
+					Class:     "batch",
+					Team:      "t1",
+					Kind:      scheduler.Array,
+					Priority:  scheduler.Normal,
+					Tasks:     1,
+					EstimateS: 1,
+					Spot:      true,
+				},
+			)
 			j.Spec.Request.CPUs = 1
 			sim.Jobs[id] = j
 			sim.JobIDs = append(sim.JobIDs, id)
 			sentAt := sim.Now
 			requests++
-			m0.SendRequestDirect(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Job: &j.Spec}, func(resp scheduler.UserResponse) {
-				longestWaitMS = max(longestWaitMS, sim.Now-sentAt)
-				if resp.Status == 503 {
-					refused++
-				}
-				sim.ReceiveResponse(j, sentAt, resp)
-			})
+			m0.SendRequestDirect(
+				scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Job: &j.Spec},
+				func(resp scheduler.UserResponse) {
+					longestWaitMS = max(longestWaitMS, sim.Now-sentAt)
+					if resp.Status == 503 {
+						refused++
+					}
+					sim.ReceiveResponse(j, sentAt, resp)
+				},
+			)
 			sim.Poll(j)
 		})
 	}
@@ -92,11 +110,25 @@
 		})
 		sim.After(14_000, func() {
 			other := sim.Members[(leader+1)%len(sim.Members)]
-			j = emulator.NewJob(scheduler.Job{ID: "job-600000", Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal, Tasks: 4, EstimateS: 5, Spot: true})
+			j = emulator.NewJob(
+				scheduler.Job{
+					ID:        "job-600000",
+					Class:     "batch",
+					Team:      "t1",
+					Kind:      scheduler.Array,
+					Priority:  scheduler.Normal,
+					Tasks:     4,
+					EstimateS: 5,
+					Spot:      true,
+				},
+			)
 			j.Spec.Request.CPUs = 4
 			sim.Jobs[j.Spec.ID] = j
 			sim.JobIDs = append(sim.JobIDs, j.Spec.ID)
-			other.SendRequestDirect(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &j.Spec}, func(scheduler.UserResponse) {})
+			other.SendRequestDirect(
+				scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &j.Spec},
+				func(scheduler.UserResponse) {},
+			)
 		})
 		var measure func()
 		measure = func() {
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -59,7 +59,16 @@
 func (c *Controller) maxOpenCharges() int { return max(16, c.params.MaxValueBytes/2/80) }
 
 func (c *Controller) rolloutMachine(mc *machine) rollout.Machine {
-	return rollout.Machine{ID: mc.id, Type: mc.rec.Type, Zone: mc.rec.Zone, Shard: mc.rec.Shard, Spot: mc.rec.Spot, Up: mc.Up, ProvisionedAt: mc.rec.ProvisionedAtMS, ProvisionedForPlan: mc.rec.ReplacementPlan}
+	return rollout.Machine{
+		ID:                 mc.id,
+		Type:               mc.rec.Type,
+		Zone:               mc.rec.Zone,
+		Shard:              mc.rec.Shard,
+		Spot:               mc.rec.Spot,
+		Up:                 mc.Up,
+		ProvisionedAt:      mc.rec.ProvisionedAtMS,
+		ProvisionedForPlan: mc.rec.ReplacementPlan,
+	}
 }
 
 // applyRolloutRecord takes a record of a plan or of what a shard stopped.
@@ -251,19 +260,24 @@
 func (c *Controller) writeRolloutRecord(rec *rollout.Record, preconditions []Precondition, onResult func(StoreResult)) {
 	r := &c.rolloutState
 	r.writing = true
-	c.sendTxn(UrgencyUser, append(preconditions, Precondition{rolloutKey, c.keyRevisions[rolloutKey]}), []Change{{Key: rolloutKey, Value: mustEncode(rec)}}, func(res StoreResult) {
-		if res.Outcome != Unknown && res.Outcome != Conflict {
-			r.writing = false
-			onResult(res)
-			return
-		}
-		// Tokens that the record would have issued count as issued, in the ledger
-		// of this leader and, if it was written, in the record.
-		c.rereadKey(rolloutKey, func(StoreResult) {
-			r.writing = false
-			onResult(res)
-		})
-	})
+	c.sendTxn(
+		UrgencyUser,
+		append(preconditions, Precondition{rolloutKey, c.keyRevisions[rolloutKey]}),
+		[]Change{{Key: rolloutKey, Value: mustEncode(rec)}},
+		func(res StoreResult) {
+			if res.Outcome != Unknown && res.Outcome != Conflict {
+				r.writing = false
+				onResult(res)
+				return
+			}
+			// Tokens that the record would have issued count as issued, in the ledger
+			// of this leader and, if it was written, in the record.
+			c.rereadKey(rolloutKey, func(StoreResult) {
+				r.writing = false
+				onResult(res)
+			})
+		},
+	)
 }
 
 // tickShardDisruption is a shard's part in each tick: what was stopped and runs again is
@@ -451,7 +465,9 @@
 		return false
 	}
 	// A gang goes down whole, wherever its tasks are.
-	return a.evicted || c.rolloutState.rec != nil && c.rolloutState.rec.State == rollout.Running && (mc.cordoned && c.isDrainedByRollout(mc) || a.job.Kind == Gang)
+	return a.evicted ||
+		c.rolloutState.rec != nil && c.rolloutState.rec.State == rollout.Running &&
+			(mc.cordoned && c.isDrainedByRollout(mc) || a.job.Kind == Gang)
 }
 
 // writeDisruptionAccount stores a shard's account when it changed.
@@ -547,7 +563,10 @@
 		}
 		preview.Kinds[planner.InstanceOffering{Type: target.Type, Zone: target.Zone, Spot: target.Spot}.Key()]++
 		zones[target.Zone]++
-		highestPrice = max(highestPrice, c.hourlyPrice(rollout.InstanceOffering{Type: target.Type, Zone: target.Zone, Spot: target.Spot}))
+		highestPrice = max(
+			highestPrice,
+			c.hourlyPrice(rollout.InstanceOffering{Type: target.Type, Zone: target.Zone, Spot: target.Spot}),
+		)
 		for _, a := range mc.byKey {
 			if !a.exited && a.running {
 				preview.Tasks[a.job.Team]++
@@ -594,9 +613,18 @@
 	})
 }
 
-func (c *Controller) changeRollout(now Now, replyID uint64, change func() (rec *rollout.Record, reason string, status int)) {
+func (c *Controller) changeRollout(
+	now Now,
+	replyID uint64,
+	change func() (rec *rollout.Record, reason string, status int),
+) {
 	c.now = now
-	c.pendingRequests[replyID] = &pendingRequest{replyID: replyID, receivedAtMS: now.MonotonicMS, pendingLocally: true, relayed: true} // this member's to answer
+	c.pendingRequests[replyID] = &pendingRequest{
+		replyID:        replyID,
+		receivedAtMS:   now.MonotonicMS,
+		pendingLocally: true,
+		relayed:        true,
+	} // this member's to answer
 	if !c.params.Rollout {
 		c.completeRequest(replyID, UserResponse{Status: 404, Error: "rollouts are switched off (features: [rollout])"})
 		return
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -17,7 +17,13 @@
 func countStops(sim *testSimulation, budget int) *emulator.StopCounter {
 	return sim.CountStops(func(task *standin.Task, down int) {
 		if down > budget {
-			sim.Violations["disruption"] = fmt.Sprintf("at %d ms: %d tasks of %s are down, %s last", sim.Now, down, task.Job.Team, task.Name)
+			sim.Violations["disruption"] = fmt.Sprintf(
+				"at %d ms: %d tasks of %s are down, %s last",
+				sim.Now,
+				down,
+				task.Job.Team,
+				task.Name,
+			)
 		}
 	})
 }
@@ -46,7 +52,9 @@
 		sim.SendOperatorRequest(func(m *scheduler.Controller, now scheduler.Now, replyID uint64) {
 			m.ChangeSettings(now, replyID, settings)
 		}, func(scheduler.UserResponse) {
-			sim.sendOperatorCommand(func(m *scheduler.Controller, now scheduler.Now, replyID uint64) { m.ApplyRollout(now, replyID, plan) })
+			sim.sendOperatorCommand(
+				func(m *scheduler.Controller, now scheduler.Now, replyID uint64) { m.ApplyRollout(now, replyID, plan) },
+			)
 		})
 	})
 }
@@ -64,14 +72,26 @@
 }
 
 func newRolloutSimulation(seed uint64) *testSimulation {
-	sim := newTestSimulationWith(simScale{members: 3, capacityPerOffering: 10, maxTasks: 30}, emulator.Options{Seed: seed, GangWaitMS: 6000,
-		TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 2000 + sim.Rand.Int64N(30_000) }})
+	sim := newTestSimulationWith(
+		simScale{members: 3, capacityPerOffering: 10, maxTasks: 30},
+		emulator.Options{Seed: seed, GangWaitMS: 6000,
+			TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 2000 + sim.Rand.Int64N(30_000) }},
+	)
 	sim.Params.Teams = map[string]scheduler.Team{"t0": {}, "t1": {}}
 	sim.Params.Rollout = true
 	return sim
 }
 
-var replaceAll = rollout.Plan{ID: "p1", All: true, Mode: rollout.Replace, Surge: 4, FirstStepMachines: 2, StepShare: 0.3, StepPauseS: 2, DeadlineS: 8}
+var replaceAll = rollout.Plan{
+	ID:                "p1",
+	All:               true,
+	Mode:              rollout.Replace,
+	Surge:             4,
+	FirstStepMachines: 2,
+	StepShare:         0.3,
+	StepPauseS:        2,
+	DeadlineS:         8,
+}
 
 // Whatever fails while all machines are replaced, no team has more tasks stopped at
 // once than its budget, by the machines' count, and the rules hold.
@@ -208,8 +228,12 @@
 			sim.TraceEnabled = *traceSeed == 0
 			stops := countStops(sim, c.budget.MaxTasks)
 			sim.After(500, func() {
-				sim.Submit(emulator.NewJob(scheduler.Job{ID: "job-800000", Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal,
-					Tasks: 60, Request: availability.Resources{CPUs: 4, MemoryGB: 8}, Spot: true, EstimateS: 15}))
+				sim.Submit(
+					emulator.NewJob(
+						scheduler.Job{ID: "job-800000", Class: "batch", Team: "t1", Kind: scheduler.Array, Priority: scheduler.Normal,
+							Tasks: 60, Request: availability.Resources{CPUs: 4, MemoryGB: 8}, Spot: true, EstimateS: 15},
+					),
+				)
 			})
 			sim.applyPlanAt(25_000, c.budget, c.plan)
 			if c.inject != nil {
@@ -387,7 +411,8 @@
 				if checkOutcome != nil {
 					checkOutcome(t, sim)
 				}
-				if status := sim.rolloutStatus(); status == nil || status.State != rollout.Done && status.Reason == "" && status.Emptying == 0 && status.Booting == 0 {
+				if status := sim.rolloutStatus(); status == nil ||
+					status.State != rollout.Done && status.Reason == "" && status.Emptying == 0 && status.Booting == 0 {
 					t.Errorf("the plan stands still and does not say why: %+v", status)
 				}
 			}
--- a/scheduler/scale_benchmark_test.go
+++ b/scheduler/scale_benchmark_test.go
@@ -15,13 +15,40 @@
 // twenty that wait.
 func newControllerWithFleet(tb testing.TB, machines, jobs int) (*Controller, *shard) {
 	tb.Helper()
-	ctrl := New(Params{MemberID: "m0", PeerIDs: []string{"m1"}, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16,
-		Objectives: map[string][]Objective{"quick": {{Kind: "wait", WithinS: 3}}, "batch": {{Kind: "finished", WithinS: 300}}}}, 1, Now{1, 1})
+	ctrl := New(
+		Params{
+			MemberID:      "m0",
+			PeerIDs:       []string{"m1"},
+			HeartbeatS:    1,
+			LeaseS:        10,
+			CancelWithinS: 30,
+			MaxValueBytes: 8192,
+			MaxTxnOps:     16,
+			Objectives: map[string][]Objective{
+				"quick": {{Kind: "wait", WithinS: 3}},
+				"batch": {{Kind: "finished", WithinS: 300}},
+			},
+		},
+		1,
+		Now{1, 1},
+	)
 	ctrl.mirrorRevision, ctrl.now = 10, Now{100_000, 100_000}
 	ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
 	ctrl.setMachineTypes([]MachineType{
-		{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 64, DiskGB: 30}, ImageFetchGBps: 1, BootS: 10, Zones: []string{"a", "b"}},
-		{Name: "large", Resources: availability.Resources{CPUs: 32, MemoryGB: 128, DiskGB: 50}, ImageFetchGBps: 1, BootS: 10, Zones: []string{"a"}},
+		{
+			Name:           "small",
+			Resources:      availability.Resources{CPUs: 8, MemoryGB: 64, DiskGB: 30},
+			ImageFetchGBps: 1,
+			BootS:          10,
+			Zones:          []string{"a", "b"},
+		},
+		{
+			Name:           "large",
+			Resources:      availability.Resources{CPUs: 32, MemoryGB: 128, DiskGB: 50},
+			ImageFetchGBps: 1,
+			BootS:          10,
+			Zones:          []string{"a"},
+		},
 	})
 	s := ctrl.newShard("m0", 7, 5)
 	s.ready = true
@@ -33,8 +60,17 @@
 		ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(v), Rev: rev})
 	}
 	for i := range jobs {
-		j := Job{ID: fmt.Sprintf("job-%06d", i), Class: "batch", Kind: Array, Priority: Normal, Tasks: 40, Spot: true, EstimateS: 20 + 60*rng.Float64(),
-			Request: availability.Resources{CPUs: 4, MemoryGB: 14, DiskGB: 2}, Image: fmt.Sprintf("img-%d", i%10)}
+		j := Job{
+			ID:        fmt.Sprintf("job-%06d", i),
+			Class:     "batch",
+			Kind:      Array,
+			Priority:  Normal,
+			Tasks:     40,
+			Spot:      true,
+			EstimateS: 20 + 60*rng.Float64(),
+			Request:   availability.Resources{CPUs: 4, MemoryGB: 14, DiskGB: 2},
+			Image:     fmt.Sprintf("img-%d", i%10),
+		}
 		if i%3 == 0 {
 			j.Class, j.Priority, j.DeadlineS = "quick", High, 60+60*rng.Float64()
 		}
@@ -46,7 +82,10 @@
 			typeName = "large"
 		}
 		id := fmt.Sprintf("i-%06d", i)
-		put(registryPrefix+id, registryRecord{Shard: "m0", Type: typeName, Zone: "a", Spot: i%2 == 0, MachineIDs: []string{id}})
+		put(
+			registryPrefix+id,
+			registryRecord{Shard: "m0", Type: typeName, Zone: "a", Spot: i%2 == 0, MachineIDs: []string{id}},
+		)
 		put(liveMachinesPrefix+"m0/"+id, liveMachinesRecord{[]string{id}})
 		mc := ctrl.machines[id]
 		s.reconciler.ReceiveHeartbeat(mc.Machine, ctrl.now.MonotonicMS, 1, 1, s.claimRev)
@@ -176,7 +215,16 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				seq++
-				hb := Heartbeat{Machine: mc.id, Addr: "x", Type: mc.rec.Type, Zone: "a", Spot: mc.rec.Spot, Incarnation: 1, Seq: seq, Token: s.token}
+				hb := Heartbeat{
+					Machine:     mc.id,
+					Addr:        "x",
+					Type:        mc.rec.Type,
+					Zone:        "a",
+					Spot:        mc.rec.Spot,
+					Incarnation: 1,
+					Seq:         seq,
+					Token:       s.token,
+				}
 				for key := range mc.attempts {
 					hb.Tasks = append(hb.Tasks, TaskStatus{Task: key.task, Attempt: key.attempt, State: "running"})
 				}
@@ -269,7 +317,20 @@
 				replans := ctrl.Counters.Replans
 				b.StartTimer()
 				for i, mc := range s.machines {
-					ctrl.HandleHeartbeat(ctrl.now, uint64(i), Heartbeat{Machine: mc.id, Addr: "x", Type: mc.rec.Type, Zone: "a", Spot: mc.rec.Spot, Incarnation: 2, Seq: 1, Token: s.token})
+					ctrl.HandleHeartbeat(
+						ctrl.now,
+						uint64(i),
+						Heartbeat{
+							Machine:     mc.id,
+							Addr:        "x",
+							Type:        mc.rec.Type,
+							Zone:        "a",
+							Spot:        mc.rec.Spot,
+							Incarnation: 2,
+							Seq:         1,
+							Token:       s.token,
+						},
+					)
 				}
 				ctrl.now.MonotonicMS += 1000
 				ctrl.tickShard(s)
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -79,8 +79,33 @@
 }
 
 func (c *Controller) newShard(name string, nonce, rev uint64) *shard {
-	s := &shard{name: name, nonce: nonce, claimRev: rev, token: rev, dirty: true, clusterView: planner.NewClusterView(c.placementCatalog),
-		reconciler: reconcile.NewClaim(reconcile.Settings{MaxHeartbeatIntervalMS: c.maxHeartbeatIntervalMS(), LeaseMS: secondsToMS(c.params.LeaseS), MaxClockDrift: maxClockDriftMS, LeaseSlackMS: leaseSlack}, rev, c.now.MonotonicMS), usage: map[string]availability.Resources{}, liveAttempts: map[string][]*attempt{}, remainingWork: map[string]float64{}, debts: map[string]preemptionDebt{}, firstTaskReservations: map[string]*Job{}, reclaimedUsage: map[string]quota.Amounts{}, reservedTasks: map[*taskRange]int{}, placeableDemand: map[string]quota.Amounts{}, progressRecords: map[string]*recordWriteState{}}
+	s := &shard{
+		name:        name,
+		nonce:       nonce,
+		claimRev:    rev,
+		token:       rev,
+		dirty:       true,
+		clusterView: planner.NewClusterView(c.placementCatalog),
+		reconciler: reconcile.NewClaim(
+			reconcile.Settings{
+				MaxHeartbeatIntervalMS: c.maxHeartbeatIntervalMS(),
+				LeaseMS:                secondsToMS(c.params.LeaseS),
+				MaxClockDrift:          maxClockDriftMS,
+				LeaseSlackMS:           leaseSlack,
+			},
+			rev,
+			c.now.MonotonicMS,
+		),
+		usage:                 map[string]availability.Resources{},
+		liveAttempts:          map[string][]*attempt{},
+		remainingWork:         map[string]float64{},
+		debts:                 map[string]preemptionDebt{},
+		firstTaskReservations: map[string]*Job{},
+		reclaimedUsage:        map[string]quota.Amounts{},
+		reservedTasks:         map[*taskRange]int{},
+		placeableDemand:       map[string]quota.Amounts{},
+		progressRecords:       map[string]*recordWriteState{},
+	}
 	s.attemptIDs.Rebase(rev, c.now.WallMS)
 	return s
 }
@@ -379,8 +404,17 @@
 			// claim: a shard handed back and a range moved here from it
 			// left a range that nobody ran.
 			n := r.Hi - r.Lo
-			tr = &taskRange{job: j, bounds: r, shardName: r.Shard, claim: s, done: newBitset(n), assigned: newBitset(n), storedDone: newBitset(n),
-				recovered: recovered, attemptsByZone: map[string]int{}}
+			tr = &taskRange{
+				job:            j,
+				bounds:         r,
+				shardName:      r.Shard,
+				claim:          s,
+				done:           newBitset(n),
+				assigned:       newBitset(n),
+				storedDone:     newBitset(n),
+				recovered:      recovered,
+				attemptsByZone: map[string]int{},
+			}
 			j.taskRanges[r.Lo] = tr
 			pos, _ := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare)
 			s.taskRanges = slices.Insert(s.taskRanges, pos, tr)
@@ -407,7 +441,8 @@
 	if tr.doneCount == 0 {
 		c.discountMachineFailures(tr)
 	}
-	if record := s.progressRecords[tr.progressKey]; record != nil && record.rev != 0 && strings.HasSuffix(tr.progressKey, tr.name()) {
+	if record := s.progressRecords[tr.progressKey]; record != nil && record.rev != 0 &&
+		strings.HasSuffix(tr.progressKey, tr.name()) {
 		record.dirty = true // a page of its own goes with it
 	}
 	if pos, ok := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare); ok && s.taskRanges[pos] == tr {
@@ -612,30 +647,42 @@
 // writeShardRecord writes a value of a shard's own, or removes it (nil), under its claim and the
 // value's revision, and not again before a while. stored says whether the store is known to have it; if
 // it may, the revision is read before anything is written again.
-func (c *Controller) writeShardRecord(s *shard, key string, state *recordWriteState, value any, interval int64, onResult func(ok bool)) {
+func (c *Controller) writeShardRecord(
+	s *shard,
+	key string,
+	state *recordWriteState,
+	value any,
+	interval int64,
+	onResult func(ok bool),
+) {
 	state.writing, state.nextWriteAt = true, c.now.MonotonicMS+interval
 	change := Change{Key: key}
 	if value != nil {
 		change.Value = mustEncode(value)
 	}
-	c.sendTxn(UrgencyBackground, []Precondition{{claimKey(s.name), s.token}, {key, state.rev}}, []Change{change}, func(r StoreResult) {
-		state.writing = false
-		if r.Outcome == OK {
-			state.rev = r.Rev
-		}
-		onResult(r.Outcome == OK)
-		if r.Outcome == Unknown || r.Outcome == Conflict {
-			state.writing = true
-			c.rereadKey(key, func(r StoreResult) {
-				state.writing = false
-				if r.Outcome == OK && len(r.KVs) == 1 {
-					state.rev = r.KVs[0].Rev
-				} else if r.Outcome == NotFound {
-					state.rev = 0
-				}
-			})
-		}
-	})
+	c.sendTxn(
+		UrgencyBackground,
+		[]Precondition{{claimKey(s.name), s.token}, {key, state.rev}},
+		[]Change{change},
+		func(r StoreResult) {
+			state.writing = false
+			if r.Outcome == OK {
+				state.rev = r.Rev
+			}
+			onResult(r.Outcome == OK)
+			if r.Outcome == Unknown || r.Outcome == Conflict {
+				state.writing = true
+				c.rereadKey(key, func(r StoreResult) {
+					state.writing = false
+					if r.Outcome == OK && len(r.KVs) == 1 {
+						state.rev = r.KVs[0].Rev
+					} else if r.Outcome == NotFound {
+						state.rev = 0
+					}
+				})
+			}
+		},
+	)
 }
 
 // writeProgress writes the pages of a shard that have news.
@@ -726,7 +773,13 @@
 }
 
 // writeJob changes a job's record under its shard's claim.
-func (c *Controller) writeJob(s *shard, tr *taskRange, changes []Change, preconditions []Precondition, onSuccess func()) {
+func (c *Controller) writeJob(
+	s *shard,
+	tr *taskRange,
+	changes []Change,
+	preconditions []Precondition,
+	onSuccess func(),
+) {
 	j := tr.job
 	tr.writing, j.recordWritePending, tr.nextWriteAt = true, true, c.now.MonotonicMS
 	c.sendTxn(UrgencyUser, append(c.claimPreconditions(s, j), preconditions...), changes, func(r StoreResult) {
--- a/scheduler/shared_reads_test.go
+++ b/scheduler/shared_reads_test.go
@@ -40,21 +40,38 @@
 	ctrl.now.MonotonicMS = ctrl.queryBatcher.nextBatchAtMS
 	ctrl.sendQueryBatch()
 	outputs := ctrl.TakeOutputs()
-	if len(outputs.StoreOps) != 1 || outputs.StoreOps[0].Kind != StoreWatch || outputs.StoreOps[0].DurationMS != 0 || outputs.StoreOps[0].Rev != ctrl.mirrorRevision || len(outputs.UserResponses) > 0 {
+	if len(outputs.StoreOps) != 1 || outputs.StoreOps[0].Kind != StoreWatch || outputs.StoreOps[0].DurationMS != 0 ||
+		outputs.StoreOps[0].Rev != ctrl.mirrorRevision ||
+		len(outputs.UserResponses) > 0 {
 		t.Fatalf("asks %+v, answers %d", outputs.StoreOps, len(outputs.UserResponses))
 	}
 	// One that comes while the read is under way is not answered by it.
 	ctrl.HandleUserRequest(ctrl.now, 200, UserRequest{Kind: QueryJob, ID: "job-000000"})
 	// Meanwhile a peer has told somebody that job 3 is cancelled.
-	ctrl.HandleStoreResult(ctrl.now, outputs.StoreOps[0].ID, StoreResult{Outcome: OK, Rev: 90, KVs: []KeyValue{{Key: jobKey("job-000003"), Rev: 88}}})
+	ctrl.HandleStoreResult(
+		ctrl.now,
+		outputs.StoreOps[0].ID,
+		StoreResult{Outcome: OK, Rev: 90, KVs: []KeyValue{{Key: jobKey("job-000003"), Rev: 88}}},
+	)
 	outputs = ctrl.TakeOutputs()
-	if len(outputs.UserResponses) != jobs-1 || outputs.UserResponses[103].Status != 0 || outputs.UserResponses[200].Status != 0 {
+	if len(outputs.UserResponses) != jobs-1 || outputs.UserResponses[103].Status != 0 ||
+		outputs.UserResponses[200].Status != 0 {
 		t.Fatalf("%d answers: %+v", len(outputs.UserResponses), outputs.UserResponses)
 	}
-	if len(outputs.StoreOps) != 1 || outputs.StoreOps[0].Kind != StoreGet || outputs.StoreOps[0].Key != terminalKey("job-000003") {
+	if len(outputs.StoreOps) != 1 || outputs.StoreOps[0].Kind != StoreGet ||
+		outputs.StoreOps[0].Key != terminalKey("job-000003") {
 		t.Fatalf("asks %+v for the job that is over", outputs.StoreOps)
 	}
-	ctrl.HandleStoreResult(ctrl.now, outputs.StoreOps[0].ID, StoreResult{Outcome: OK, KVs: []KeyValue{{Key: terminalKey("job-000003"), Value: mustEncode(terminalRecord{State: Cancelled, Tasks: 1}), Rev: 88}}})
+	ctrl.HandleStoreResult(
+		ctrl.now,
+		outputs.StoreOps[0].ID,
+		StoreResult{
+			Outcome: OK,
+			KVs: []KeyValue{
+				{Key: terminalKey("job-000003"), Value: mustEncode(terminalRecord{State: Cancelled, Tasks: 1}), Rev: 88},
+			},
+		},
+	)
 	if resp := ctrl.TakeOutputs().UserResponses[103]; resp.State != Cancelled {
 		t.Errorf("the cancelled job is answered %+v", resp)
 	}
--- a/scheduler/simulation_checks_test.go
+++ b/scheduler/simulation_checks_test.go
@@ -13,7 +13,10 @@
 // Each check of the simulation has a planted fault that it finds.
 
 // runWithTamperedResponses is a day without troubles on which users ask often and send odd requests.
-func runWithTamperedResponses(seed uint64, tamper func(scheduler.UserRequest, *scheduler.UserResponse)) *testSimulation {
+func runWithTamperedResponses(
+	seed uint64,
+	tamper func(scheduler.UserRequest, *scheduler.UserResponse),
+) *testSimulation {
 	sim := newTestSimulation(seed, emulator.InjectedFault{ResponseToRequest: tamper}, smallScale)
 	sim.noRandomFaults = true
 	sim.adjustJob = func(j *scheduler.Job, n int) { j.AtMostOnce, j.MaxTaskErrors = false, 0 }
@@ -117,7 +120,11 @@
 		}
 	}
 	// A user's own job that fits no machine.
-	sim := newTestSimulation(13, emulator.InjectedFault{SubmittedJob: func(j *scheduler.Job) { j.Request.CPUs = 1 }}, smallScale)
+	sim := newTestSimulation(
+		13,
+		emulator.InjectedFault{SubmittedJob: func(j *scheduler.Job) { j.Request.CPUs = 1 }},
+		smallScale,
+	)
 	sim.noRandomFaults = true
 	sim.adjustJob = func(j *scheduler.Job, n int) {
 		if n == 3 {
@@ -137,9 +144,16 @@
 func TestCancelledTasksOnHungMachinesAreDetected(t *testing.T) {
 	t.Parallel()
 	onHungMachine := map[string]bool{} // tasks that were on machines that hang
-	options := emulator.Options{Seed: 21, TaskRunMS: longTaskRunMS, InjectedFault: emulator.InjectedFault{WorkerResponse: func(resp *scheduler.HeartbeatResponse) {
-		resp.Commands = slices.DeleteFunc(resp.Commands, func(cmd scheduler.Command) bool { return cmd.Kind == scheduler.CommandStop && onHungMachine[cmd.Task] })
-	}}}
+	options := emulator.Options{
+		Seed:      21,
+		TaskRunMS: longTaskRunMS,
+		InjectedFault: emulator.InjectedFault{WorkerResponse: func(resp *scheduler.HeartbeatResponse) {
+			resp.Commands = slices.DeleteFunc(
+				resp.Commands,
+				func(cmd scheduler.Command) bool { return cmd.Kind == scheduler.CommandStop && onHungMachine[cmd.Task] },
+			)
+		}},
+	}
 	sim := newTestSimulationWith(smallScale, options)
 	sim.noRandomFaults = true
 	sim.After(40_000, func() { sim.CancelRunningJobs(3, 4000) })
@@ -164,17 +178,23 @@
 		var sim *testSimulation
 		stopped := map[string]scheduler.Command{}
 		stoppedAt := map[string]int64{}
-		options := emulator.Options{Seed: 22, TaskRunMS: func(*emulator.Simulation, *emulator.Job, string) int64 { return 15_000 }}
+		options := emulator.Options{
+			Seed:      22,
+			TaskRunMS: func(*emulator.Simulation, *emulator.Job, string) int64 { return 15_000 },
+		}
 		// A task that was stopped is started once more, under another number.
 		options.InjectedFault.WorkerResponse = func(resp *scheduler.HeartbeatResponse) {
 			for _, cmd := range resp.Commands {
-				if j := sim.Jobs[cmd.Task[:strings.IndexByte(cmd.Task, '/')]]; cmd.Kind == scheduler.CommandStop && j.CancelConfirmedAt > 0 && stoppedAt[cmd.Task] == 0 {
+				if j := sim.Jobs[cmd.Task[:strings.IndexByte(cmd.Task, '/')]]; cmd.Kind == scheduler.CommandStop &&
+					j.CancelConfirmedAt > 0 &&
+					stoppedAt[cmd.Task] == 0 {
 					cmd.Kind, cmd.Attempt = scheduler.CommandStart, cmd.Attempt+1
 					stopped[cmd.Task], stoppedAt[cmd.Task] = cmd, sim.Now
 				}
 			}
 			for task, cmd := range stopped {
-				if sinceStop := sim.Now - stoppedAt[task]; resp.Accepted && (pastBound && float64(sinceStop) > sim.Params.CancelWithinS*1000+1000 || !pastBound && sinceStop > 1000) {
+				if sinceStop := sim.Now - stoppedAt[task]; resp.Accepted &&
+					(pastBound && float64(sinceStop) > sim.Params.CancelWithinS*1000+1000 || !pastBound && sinceStop > 1000) {
 					delete(stopped, task)
 					resp.Commands = append(resp.Commands, cmd)
 				}
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -22,8 +22,24 @@
 var traceSeed = flag.Int("sim", -1, "print what happened with this seed of the simulation")
 
 var simTypes = []scheduler.MachineType{
-	{Name: "small", Resources: availability.Resources{CPUs: 16, MemoryGB: 64, DiskGB: 30}, ImageFetchGBps: 1, Price: 0.8, SpotPrice: 0.2, BootS: 8, Zones: []string{"a", "b"}},
-	{Name: "large", Resources: availability.Resources{CPUs: 64, MemoryGB: 256, DiskGB: 50}, ImageFetchGBps: 1, Price: 3, SpotPrice: 0.9, BootS: 12, Zones: []string{"a"}},
+	{
+		Name:           "small",
+		Resources:      availability.Resources{CPUs: 16, MemoryGB: 64, DiskGB: 30},
+		ImageFetchGBps: 1,
+		Price:          0.8,
+		SpotPrice:      0.2,
+		BootS:          8,
+		Zones:          []string{"a", "b"},
+	},
+	{
+		Name:           "large",
+		Resources:      availability.Resources{CPUs: 64, MemoryGB: 256, DiskGB: 50},
+		ImageFetchGBps: 1,
+		Price:          3,
+		SpotPrice:      0.9,
+		BootS:          12,
+		Zones:          []string{"a"},
+	},
 }
 
 var smallScale = simScale{members: 3, capacityPerOffering: 4, maxTasks: 12, teamCPUs: 96}
@@ -51,8 +67,11 @@
 func newParams(teamCPUs float64) scheduler.Params {
 	return scheduler.Params{
 		Teams: map[string]scheduler.Team{"t0": {MaxCPUs: teamCPUs, CPUs: teamCPUs / 3}, "t1": {}}, GuaranteeWithinS: 10,
-		Objectives: map[string][]scheduler.Objective{"quick": {{Kind: "deadline", DeadlineFactor: 1}, {Kind: "wait", WithinS: 3}}, "batch": {{Kind: "finished", WithinS: 120}}},
-		Debug:      true, MaxPendingRelays: 16, StoreChangeRate: 20, Recovery: true, Quota: true, HeartbeatS: 0.8, LeaseS: 6, CancelWithinS: 20, MaxValueBytes: 8192, MaxTxnOps: 16, CloudListLagS: 2,
+		Objectives: map[string][]scheduler.Objective{
+			"quick": {{Kind: "deadline", DeadlineFactor: 1}, {Kind: "wait", WithinS: 3}},
+			"batch": {{Kind: "finished", WithinS: 120}},
+		},
+		Debug: true, MaxPendingRelays: 16, StoreChangeRate: 20, Recovery: true, Quota: true, HeartbeatS: 0.8, LeaseS: 6, CancelWithinS: 20, MaxValueBytes: 8192, MaxTxnOps: 16, CloudListLagS: 2,
 	}
 }
 
@@ -62,7 +81,9 @@
 
 // newTestSimulationWith is newTestSimulation with more to choose.
 func newTestSimulationWith(size simScale, options emulator.Options) *testSimulation {
-	options.Members, options.Types, options.CapacityPerOffering, options.Params, options.MessageLoss = size.members, simTypes, size.capacityPerOffering, newParams(size.teamCPUs), 0.002
+	options.Members, options.Types, options.CapacityPerOffering, options.Params, options.MessageLoss = size.members, simTypes, size.capacityPerOffering, newParams(
+		size.teamCPUs,
+	), 0.002
 	return &testSimulation{Simulation: emulator.New(options), size: size}
 }
 
@@ -80,8 +101,22 @@
 
 func (sim *testSimulation) submitNthJob(n int) {
 	id := fmt.Sprintf("job-%06d", n)
-	j := emulator.NewJob(scheduler.Job{ID: id, Class: "batch", Team: fmt.Sprintf("t%d", n%2), Kind: scheduler.Array, Priority: scheduler.Normal,
-		Tasks: 1 + sim.Rand.IntN(sim.size.maxTasks), Request: availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1}, Image: fmt.Sprintf("img-%d", n%3), Spot: sim.Rand.IntN(4) > 0, EstimateS: 5})
+	j := emulator.NewJob(
+		scheduler.Job{
+			ID:       id,
+			Class:    "batch",
+			Team:     fmt.Sprintf("t%d", n%2),
+			Kind:     scheduler.Array,
+			Priority: scheduler.Normal,
+			Tasks: 1 + sim.Rand.IntN(
+				sim.size.maxTasks,
+			),
+			Request:   availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1},
+			Image:     fmt.Sprintf("img-%d", n%3),
+			Spot:      sim.Rand.IntN(4) > 0,
+			EstimateS: 5,
+		},
+	)
 	switch sim.Rand.IntN(10) {
 	case 8:
 		j.Spec.AtMostOnce = true
@@ -116,7 +151,12 @@
 	var priorityStops, failedAfterErrors, failedOnce atomic.Int64
 	t.Cleanup(func() {
 		if *traceSeed < 0 && (priorityStops.Load() == 0 || failedAfterErrors.Load() == 0 || failedOnce.Load() == 0) {
-			t.Errorf("%d tasks were stopped for a higher priority, %d jobs given up after errors, %d because they begin once", priorityStops.Load(), failedAfterErrors.Load(), failedOnce.Load())
+			t.Errorf(
+				"%d tasks were stopped for a higher priority, %d jobs given up after errors, %d because they begin once",
+				priorityStops.Load(),
+				failedAfterErrors.Load(),
+				failedOnce.Load(),
+			)
 		}
 	})
 	for seed := range uint64(*seedCount) {
@@ -144,7 +184,11 @@
 	for seed := range uint64(scaleSeedCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			sim := newTestSimulation(1003+seed, emulator.InjectedFault{}, simScale{members: 5, capacityPerOffering: 50, maxTasks: 150, teamCPUs: 600})
+			sim := newTestSimulation(
+				1003+seed,
+				emulator.InjectedFault{},
+				simScale{members: 5, capacityPerOffering: 50, maxTasks: 150, teamCPUs: 600},
+			)
 			sim.runScenario(60_000, 600_000, 70)
 			sim.checkInvariants(t)
 			sim.checkServed(t)
@@ -170,7 +214,14 @@
 	}
 	for _, id := range sim.JobIDs {
 		if j := sim.Jobs[id]; !j.ObservedState.IsTerminal() {
-			t.Errorf("%s is not over: accepted %v, %d of %d done, cancel %v", id, j.Accepted, len(j.DoneTasks), j.Spec.Tasks, j.CancelRequested)
+			t.Errorf(
+				"%s is not over: accepted %v, %d of %d done, cancel %v",
+				id,
+				j.Accepted,
+				len(j.DoneTasks),
+				j.Spec.Tasks,
+				j.CancelRequested,
+			)
 		}
 	}
 }
@@ -251,7 +302,11 @@
 // are checked over all tasks twice a second.
 func TestInvariantsSurviveCrashesOfTwentyMembers(t *testing.T) {
 	t.Parallel()
-	sim := newTestSimulation(2000, emulator.InjectedFault{}, simScale{members: 20, capacityPerOffering: 300, maxTasks: 400, teamCPUs: 20_000})
+	sim := newTestSimulation(
+		2000,
+		emulator.InjectedFault{},
+		simScale{members: 20, capacityPerOffering: 300, maxTasks: 400, teamCPUs: 20_000},
+	)
 	sim.noRandomFaults, sim.SweepIntervalMS = true, 500
 	sim.adjustJob = func(j *scheduler.Job, n int) {
 		j.Tasks += 100
@@ -265,7 +320,12 @@
 	sim.checkInvariants(t)
 	t.Logf("%d machines were rented", len(sim.WorkerIDs))
 	if len(sim.WorkerIDs) < 1000 || sim.SummaryMessages == 0 || sim.SummaryMessages > sim.PeerMessages*2/3 {
-		t.Errorf("%d machines were rented, %d messages of %d had summaries", len(sim.WorkerIDs), sim.SummaryMessages, sim.PeerMessages)
+		t.Errorf(
+			"%d machines were rented, %d messages of %d had summaries",
+			len(sim.WorkerIDs),
+			sim.SummaryMessages,
+			sim.PeerMessages,
+		)
 	}
 }
 
--- a/scheduler/status_records.go
+++ b/scheduler/status_records.go
@@ -27,7 +27,10 @@
 
 // publishStatusRecord writes a note of what a message says if the lead cannot be heard.
 func (c *Controller) publishStatusRecord(msg *PeerMessage) {
-	if c.params.MaxPendingRelays == 0 || c.leader == "" || c.leader == c.params.MemberID || c.writingStatusRecord || c.now.MonotonicMS < c.nextStatusRecordAtMS || !c.hasAuthority() || c.isFresh(c.peers[c.leader]) {
+	if c.params.MaxPendingRelays == 0 || c.leader == "" || c.leader == c.params.MemberID || c.writingStatusRecord ||
+		c.now.MonotonicMS < c.nextStatusRecordAtMS ||
+		!c.hasAuthority() ||
+		c.isFresh(c.peers[c.leader]) {
 		return
 	}
 	rec := statusRecord{WallMS: msg.WallMS}
@@ -54,11 +57,20 @@
 	if entries == 0 && !c.lastStatusRecordNonEmpty {
 		return
 	}
-	c.writingStatusRecord, c.lastStatusRecordNonEmpty, c.nextStatusRecordAtMS = true, entries > 0, c.now.MonotonicMS+statusRecordSummaries*secondsToMS(c.settings.SummaryS)
+	c.writingStatusRecord, c.lastStatusRecordNonEmpty, c.nextStatusRecordAtMS = true, entries > 0, c.now.MonotonicMS+statusRecordSummaries*secondsToMS(
+		c.settings.SummaryS,
+	)
 	key := statusPrefix + c.params.MemberID
 	// Under the hold alone: the newest replaces what there is, and one that
 	// the network held back says its age.
-	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyBackground, Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}}}, func(StoreResult) { c.writingStatusRecord = false })
+	c.sendStore(
+		StoreOp{
+			Kind:    StoreTxn,
+			Urgency: UrgencyBackground,
+			Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}},
+		},
+		func(StoreResult) { c.writingStatusRecord = false },
+	)
 }
 
 // applyStatusRecord takes a peer's note from the mirror.
@@ -80,7 +92,10 @@
 	}
 	msg := PeerMessage{From: from, WallMS: rec.WallMS}
 	for _, s := range rec.Shards {
-		msg.OwnedShards = append(msg.OwnedShards, PeerShard{Shard: s.Shard, Demands: s.Demands, MachinesToRelease: s.MachinesToRelease})
+		msg.OwnedShards = append(
+			msg.OwnedShards,
+			PeerShard{Shard: s.Shard, Demands: s.Demands, MachinesToRelease: s.MachinesToRelease},
+		)
 	}
 	c.statusRecords[from] = &peerState{receivedAtMS: c.now.MonotonicMS, sentWallMS: rec.WallMS, message: msg}
 	return nil
--- a/scheduler/store_outage_cancellation_test.go
+++ b/scheduler/store_outage_cancellation_test.go
@@ -36,14 +36,24 @@
 // randomOutageTimes draws the timings: cancellations come before, during and after the refusal began.
 func randomOutageTimes(sim *testSimulation) outageTimes {
 	outageAfterMS := sim.Rand.Int64N(13_000)
-	return outageTimes{outageAfterMS: outageAfterMS, outageMS: 8000 + sim.Rand.Int64N(60_000), cancelFromMS: -1200, cancelUntilMS: outageAfterMS + 200}
+	return outageTimes{
+		outageAfterMS: outageAfterMS,
+		outageMS:      8000 + sim.Rand.Int64N(60_000),
+		cancelFromMS:  -1200,
+		cancelUntilMS: outageAfterMS + 200,
+	}
 }
 
 // outageOneSecondAfterRefusal has jobs cancelled at the very moment of the refusal, and the state service
 // out a second later, for longer than cancel_s.
 func outageOneSecondAfterRefusal(sim *testSimulation) outageTimes {
 	cancelMS := int64(sim.Params.CancelWithinS * 1000)
-	return outageTimes{outageAfterMS: 950 + sim.Rand.Int64N(100), outageMS: cancelMS + 1000 + sim.Rand.Int64N(2*cancelMS), cancelFromMS: -50, cancelUntilMS: 50}
+	return outageTimes{
+		outageAfterMS: 950 + sim.Rand.Int64N(100),
+		outageMS:      cancelMS + 1000 + sim.Rand.Int64N(2*cancelMS),
+		cancelFromMS:  -50,
+		cancelUntilMS: 50,
+	}
 }
 
 // runOutageAfterRefusal plays one. authority is by how many seconds the members are told a longer
@@ -52,10 +62,17 @@
 	run := outageRun{}
 	cfg := newParams(10_000)
 	cfg.Teams = map[string]scheduler.Team{"t0": {}}
-	options := emulator.Options{Seed: seed, Members: 3, Types: simTypes, CapacityPerOffering: 6, Params: cfg, MessageLoss: 0.002,
+	options := emulator.Options{
+		Seed:                seed,
+		Members:             3,
+		Types:               simTypes,
+		CapacityPerOffering: 6,
+		Params:              cfg,
+		MessageLoss:         0.002,
 		TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
 			return 70_000 + sim.Rand.Int64N(60_000)
-		}}
+		},
+	}
 	var sim *testSimulation
 	options.InjectedFault.Params = func(cfg *scheduler.Params) { cfg.CancelWithinS += extraCancelS }
 	var leader *emulator.Member
@@ -68,8 +85,28 @@
 	run.sim = sim
 	for n := range 14 {
 		sim.After(500+sim.Rand.Int64N(8000), func() {
-			sim.Submit(emulator.NewJob(scheduler.Job{ID: fmt.Sprintf("job-%06d", n), Class: "batch", Team: "t0", Kind: scheduler.Array, Priority: scheduler.Normal, Tasks: 1 + sim.Rand.IntN(10),
-				Request: availability.Resources{CPUs: 4, MemoryGB: 8, DiskGB: 1}, Image: "img-0", Spot: true, EstimateS: 90, CheckpointIntervalS: float64(2 * (n % 2)), CheckpointDurationS: 1}))
+			sim.Submit(
+				emulator.NewJob(
+					scheduler.Job{
+						ID:       fmt.Sprintf("job-%06d", n),
+						Class:    "batch",
+						Team:     "t0",
+						Kind:     scheduler.Array,
+						Priority: scheduler.Normal,
+						Tasks:    1 + sim.Rand.IntN(10),
+						Request: availability.Resources{
+							CPUs:     4,
+							MemoryGB: 8,
+							DiskGB:   1,
+						},
+						Image:               "img-0",
+						Spot:                true,
+						EstimateS:           90,
+						CheckpointIntervalS: float64(2 * (n % 2)),
+						CheckpointDurationS: 1,
+					},
+				),
+			)
 		})
 	}
 	const refusedAtMS = 40_000
@@ -86,7 +123,10 @@
 	sim.After(refusedAtMS, func() { sim.StartOutage(leader.Name, outage.outageAfterMS+outage.outageMS) })
 	sim.After(refusedAtMS+outage.outageAfterMS, func() { sim.StartOutage("all", outage.outageMS) })
 	for n := range 14 { // users cancel through a peer
-		sim.After(refusedAtMS+outage.cancelFromMS+sim.Rand.Int64N(outage.cancelUntilMS-outage.cancelFromMS), func() { run.cancelThroughPeer(leader, fmt.Sprintf("job-%06d", n)) })
+		sim.After(
+			refusedAtMS+outage.cancelFromMS+sim.Rand.Int64N(outage.cancelUntilMS-outage.cancelFromMS),
+			func() { run.cancelThroughPeer(leader, fmt.Sprintf("job-%06d", n)) },
+		)
 	}
 	injectMore := func(fault func(*emulator.Member)) {
 		sim.After(refusedAtMS+sim.Rand.Int64N(outage.outageAfterMS+15_000), func() { fault(leader) })
@@ -103,7 +143,10 @@
 		})
 	case 4:
 		injectMore(func(*emulator.Member) {
-			sim.SampleLiveWorkers(0.5, func(worker *emulator.Worker) { sim.PartitionInbound(worker, 3000+sim.Rand.Int64N(4000)) })
+			sim.SampleLiveWorkers(
+				0.5,
+				func(worker *emulator.Worker) { sim.PartitionInbound(worker, 3000+sim.Rand.Int64N(4000)) },
+			)
 		})
 	case 5:
 		injectMore(func(*emulator.Member) {
@@ -115,10 +158,16 @@
 			sim.Lags[member.Name] = emulator.Lag{Until: sim.Now + 20_000, MaxDelayMS: 3000}
 		})
 	case 6:
-		sim.After(refusedAtMS-3000, func() { sim.SlowStore(1500, 30_000); sim.ReplayHeartbeats(0.5, 60_000); sim.DelayWrites(0.3, 30_000) })
+		sim.After(
+			refusedAtMS-3000,
+			func() { sim.SlowStore(1500, 30_000); sim.ReplayHeartbeats(0.5, 60_000); sim.DelayWrites(0.3, 30_000) },
+		)
 	case 7:
 		injectMore(func(*emulator.Member) {
-			sim.SampleLiveWorkers(0.33, func(worker *emulator.Worker) { worker.HangUntil = sim.Now + 1000 + sim.Rand.Int64N(8000) })
+			sim.SampleLiveWorkers(
+				0.33,
+				func(worker *emulator.Worker) { worker.HangUntil = sim.Now + 1000 + sim.Rand.Int64N(8000) },
+			)
 		})
 	}
 	sim.Run(refusedAtMS+100_000, func() bool { return false })
@@ -189,8 +238,13 @@
 		longestRunMS = max(longestRunMS, run.longestRunMS)
 		totalRunMS += run.totalRunMS
 	}
-	t.Logf("%d jobs cancelled in the gap, %d answers that the leader gave meanwhile; tasks of a cancelled job were there for %d ms at most, %d ms on average",
-		cancelledDuringRefusal, renewedAfterCancel, longestRunMS, totalRunMS/int64(max(1, cancelledDuringRefusal)))
+	t.Logf(
+		"%d jobs cancelled in the gap, %d answers that the leader gave meanwhile; tasks of a cancelled job were there for %d ms at most, %d ms on average",
+		cancelledDuringRefusal,
+		renewedAfterCancel,
+		longestRunMS,
+		totalRunMS/int64(max(1, cancelledDuringRefusal)),
+	)
 	if cancelledDuringRefusal < *seedCount || renewedAfterCancel < 10**seedCount {
 		t.Errorf("the meeting came about too seldom")
 	}
--- a/scheduler/submission_random_test.go
+++ b/scheduler/submission_random_test.go
@@ -35,7 +35,10 @@
 	if value != nil {
 		store.liveRevision, store.lastLiveStep = store.revision, store.step
 	}
-	store.pendingWatchEvents = append(store.pendingWatchEvents, KeyValue{Key: jobKey(store.id), Value: value, Rev: store.revision})
+	store.pendingWatchEvents = append(
+		store.pendingWatchEvents,
+		KeyValue{Key: jobKey(store.id), Value: value, Rev: store.revision},
+	)
 }
 
 func (store *singleJobStore) execute(op StoreOp) StoreResult {
@@ -71,7 +74,11 @@
 	rapid.Check(outer, func(t *rapid.T) {
 		ctrl := newTestController(outer)
 		ctrl.storeAccess.SetState(1, 1, 1)
-		ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}}})
+		ctrl.setMachineTypes(
+			[]MachineType{
+				{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}},
+			},
+		)
 		ctrl.params.Teams, ctrl.params.StoreChangeRate = map[string]Team{"ops": {}}, 1000
 		ctrl.submissionQueue = newSubmissionQueue(ctrl)
 		store := &singleJobStore{id: "job-000001", revision: ctrl.mirrorRevision}
@@ -91,8 +98,17 @@
 					t.Fatalf("%d is answered twice", replyID)
 				}
 				answered[replyID] = true
-				if wasLive := store.live != nil || store.lastLiveStep >= requestedAtStep[replyID]; (resp.Status == 200 || resp.Status == 201) && resp.State != Cancelled && !wasLive {
-					t.Fatalf("%d is answered %+v, asked at %d, live until %d, now %d", replyID, resp, requestedAtStep[replyID], store.lastLiveStep, store.step)
+				if wasLive := store.live != nil || store.lastLiveStep >= requestedAtStep[replyID]; (resp.Status == 200 || resp.Status == 201) &&
+					resp.State != Cancelled &&
+					!wasLive {
+					t.Fatalf(
+						"%d is answered %+v, asked at %d, live until %d, now %d",
+						replyID,
+						resp,
+						requestedAtStep[replyID],
+						store.lastLiveStep,
+						store.step,
+					)
 				}
 				if resp.State == Cancelled && store.final == nil {
 					t.Fatalf("%d is told of a cancellation that did not happen", replyID)
--- a/scheduler/submission_test.go
+++ b/scheduler/submission_test.go
@@ -22,7 +22,19 @@
 
 func newSubmission(n int, team string, p Priority) UserRequest {
 	id := fmt.Sprintf("job-%06d", n)
-	return UserRequest{Kind: SubmitJob, ID: id, Job: &Job{ID: id, Team: team, Kind: Array, Priority: p, Tasks: 1, EstimateS: 10, Request: availability.Resources{CPUs: 1, MemoryGB: 1}}}
+	return UserRequest{
+		Kind: SubmitJob,
+		ID:   id,
+		Job: &Job{
+			ID:        id,
+			Team:      team,
+			Kind:      Array,
+			Priority:  p,
+			Tasks:     1,
+			EstimateS: 10,
+			Request:   availability.Resources{CPUs: 1, MemoryGB: 1},
+		},
+	}
 }
 
 // Submissions that come while writes are under way share the next one. A known
@@ -41,7 +53,11 @@
 	if outputs.UserResponses[0].Status != 201 || len(outputs.StoreOps) != 1 || len(outputs.StoreOps[0].Changes) != 8 {
 		t.Fatalf("then %+v, %+v", outputs.UserResponses, outputs.StoreOps)
 	}
-	ctrl.HandleStoreResult(ctrl.now, outputs.StoreOps[0].ID, StoreResult{Outcome: Conflict, FailedKeys: []string{terminalKey("job-000007")}})
+	ctrl.HandleStoreResult(
+		ctrl.now,
+		outputs.StoreOps[0].ID,
+		StoreResult{Outcome: Conflict, FailedKeys: []string{terminalKey("job-000007")}},
+	)
 	outputs = ctrl.TakeOutputs()
 	var reads, writes []StoreOp
 	for _, op := range outputs.StoreOps {
@@ -80,10 +96,15 @@
 	}
 	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Rev: 101})
 	outputs := ctrl.TakeOutputs()
-	if outputs.UserResponses[first].Status != 201 || len(outputs.UserResponses) != 1 || len(outputs.StoreOps) != 1 || outputs.StoreOps[0].Key != jobKey("job-000009") {
+	if outputs.UserResponses[first].Status != 201 || len(outputs.UserResponses) != 1 || len(outputs.StoreOps) != 1 ||
+		outputs.StoreOps[0].Key != jobKey("job-000009") {
 		t.Fatalf("then %+v, %+v", outputs.UserResponses, outputs.StoreOps)
 	}
-	ctrl.HandleStoreResult(ctrl.now, outputs.StoreOps[0].ID, StoreResult{KVs: []KeyValue{{Key: write.Changes[0].Key, Value: write.Changes[0].Value, Rev: 101}}})
+	ctrl.HandleStoreResult(
+		ctrl.now,
+		outputs.StoreOps[0].ID,
+		StoreResult{KVs: []KeyValue{{Key: write.Changes[0].Key, Value: write.Changes[0].Value, Rev: 101}}},
+	)
 	if resp := ctrl.TakeOutputs().UserResponses[duplicate]; resp.Status != 200 || resp.State != Pending {
 		t.Errorf("the second gets %+v", resp)
 	}
@@ -146,12 +167,25 @@
 		ctrl, s, _ := newControllerWithShard(t)
 		ctrl.params.Teams = map[string]Team{"ops": {}}
 		ctrl.shardClaims["m1"] = claimRecord{Owner: "m1"}
-		free := availability.Function{Kind: planner.InstanceOffering{Type: "small", Zone: "a"}.Key(), Count: 10, Resources: availability.Resources{CPUs: 8, MemoryGB: 32},
-			Samples: []availability.Sample{{TimeMS: 1000}, {TimeMS: 901_000, AvailableMS: 900_000}}}
-		ctrl.peers["m1"] = &peerState{receivedAtMS: 1000, message: PeerMessage{From: "m1", OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{free}}}}}
+		free := availability.Function{
+			Kind:      planner.InstanceOffering{Type: "small", Zone: "a"}.Key(),
+			Count:     10,
+			Resources: availability.Resources{CPUs: 8, MemoryGB: 32},
+			Samples:   []availability.Sample{{TimeMS: 1000}, {TimeMS: 901_000, AvailableMS: 900_000}},
+		}
+		ctrl.peers["m1"] = &peerState{
+			receivedAtMS: 1000,
+			message:      PeerMessage{From: "m1", OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{free}}}},
+		}
 		j := newSubmission(1, "ops", Normal).Job
 		j.AtMostOnce, j.Tasks = true, 4
-		ctrl.applyChange(KeyValue{Key: jobKey(j.ID), Value: mustEncode(jobRecord{Job: *j, MayHaveBegun: mayHaveStarted, Ranges: []Range{{0, 4, "m0", false}}}), Rev: 20})
+		ctrl.applyChange(
+			KeyValue{
+				Key:   jobKey(j.ID),
+				Value: mustEncode(jobRecord{Job: *j, MayHaveBegun: mayHaveStarted, Ranges: []Range{{0, 4, "m0", false}}}),
+				Rev:   20,
+			},
+		)
 		s.demand = []CapacityDemand{{Job: j.ID, Tasks: 4, DeadlineMS: 800_000, TaskRuntimeMS: 10_000}}
 		ctrl.TakeOutputs()
 		ctrl.moveUnplaceableTasks(s)
--- a/scheduler/submissions.go
+++ b/scheduler/submissions.go
@@ -23,8 +23,18 @@
 )
 
 func newSubmissionQueue(m *Controller) *admission.Queue[pendingSubmission] {
-	return admission.NewQueue[pendingSubmission](admission.Limits{ChangesPerSecond: m.params.StoreChangeRate, MaxChanges: m.params.MaxTxnOps, MaxPreconditions: 4 * m.params.MaxTxnOps, MaxBytes: maxTxnBytes, MaxInFlight: maxSubmissionTxnsInFlight,
-		MaxWaitMS: access.RequestTimeout.Milliseconds() / queueWaitDivisor, MaxRetryAfterS: maxSubmissionRetryAfterS, Priorities: int(Production) + 1})
+	return admission.NewQueue[pendingSubmission](
+		admission.Limits{
+			ChangesPerSecond: m.params.StoreChangeRate,
+			MaxChanges:       m.params.MaxTxnOps,
+			MaxPreconditions: 4 * m.params.MaxTxnOps,
+			MaxBytes:         maxTxnBytes,
+			MaxInFlight:      maxSubmissionTxnsInFlight,
+			MaxWaitMS:        access.RequestTimeout.Milliseconds() / queueWaitDivisor,
+			MaxRetryAfterS:   maxSubmissionRetryAfterS,
+			Priorities:       int(Production) + 1,
+		},
+	)
 }
 
 // maxTxnBytes bounds a transaction: the state service takes 64 KiB, and names and
@@ -39,8 +49,14 @@
 		c.writeSubmission(submission)
 		return
 	}
-	queued := admission.Request[pendingSubmission]{Team: request.Job.Team, Priority: int(Production - request.Job.Priority), Changes: 1, Preconditions: 2 + len(request.Preconditions), Value: submission,
-		Bytes: c.maxSubmissionBytes(request.Job)}
+	queued := admission.Request[pendingSubmission]{
+		Team:          request.Job.Team,
+		Priority:      int(Production - request.Job.Priority),
+		Changes:       1,
+		Preconditions: 2 + len(request.Preconditions),
+		Value:         submission,
+		Bytes:         c.maxSubmissionBytes(request.Job),
+	}
 	for _, rejected := range c.submissionQueue.Enqueue(c.now.MonotonicMS, queued, c.rng.Float64()) {
 		c.shedSubmission(rejected.Request.Value, rejected.RetryAfterS)
 	}
@@ -49,7 +65,15 @@
 
 func (c *Controller) shedSubmission(submission pendingSubmission, retryAfterS int) {
 	c.Counters.ShedSubmissions++
-	c.completeRequest(submission.replyID, UserResponse{Status: 503, ID: submission.request.ID, Error: "more submissions than the state service takes", RetryAfterS: retryAfterS})
+	c.completeRequest(
+		submission.replyID,
+		UserResponse{
+			Status:      503,
+			ID:          submission.request.ID,
+			Error:       "more submissions than the state service takes",
+			RetryAfterS: retryAfterS,
+		},
+	)
 }
 
 // maxSubmissionBytes is how many bytes a submission takes in a transaction at most:
@@ -84,14 +108,23 @@
 	if pending := c.pendingRequests[submission.replyID]; pending != nil {
 		pending.writeSent = true
 	}
-	rec := jobRecord{Job: *submission.request.Job, AcceptedAtMS: c.now.WallMS, Ranges: c.assignRanges(submission.request.Job)}
+	rec := jobRecord{
+		Job:          *submission.request.Job,
+		AcceptedAtMS: c.now.WallMS,
+		Ranges:       c.assignRanges(submission.request.Job),
+	}
 	value := mustEncode(rec)
 	if len(value) > c.params.MaxValueBytes {
 		// Too many peers have a little room.
 		rec.Ranges = []Range{{0, submission.request.Job.Tasks, c.homeShard(submission.request.Job), false}}
 		value = mustEncode(rec)
 	}
-	return Change{Key: jobKey(id), Value: value}, append([]Precondition{{jobKey(id), 0}, {terminalKey(id), 0}}, submission.request.Preconditions...)
+	return Change{
+			Key:   jobKey(id),
+			Value: value,
+		}, append(
+			[]Precondition{{jobKey(id), 0}, {terminalKey(id), 0}},
+			submission.request.Preconditions...)
 }
 
 // writeSubmissions writes several submissions in one transaction. Of those of the same job only
@@ -145,7 +178,11 @@
 
 // completeBatchedSubmission answers a submission whose transaction has ended: of a job's second one it
 // only tells that the job is known.
-func (c *Controller) completeBatchedSubmission(submission pendingSubmission, result StoreResult, writtenRequests map[string]uint64) {
+func (c *Controller) completeBatchedSubmission(
+	submission pendingSubmission,
+	result StoreResult,
+	writtenRequests map[string]uint64,
+) {
 	if result.Outcome == OK && writtenRequests[submission.request.Job.ID] != submission.replyID {
 		result.Outcome = Conflict
 	}
@@ -155,13 +192,21 @@
 func (c *Controller) hasFailedPrecondition(submission pendingSubmission, failedKeys []string) bool {
 	id := submission.request.Job.ID
 	return slices.Contains(failedKeys, jobKey(id)) || slices.Contains(failedKeys, terminalKey(id)) ||
-		slices.ContainsFunc(submission.request.Preconditions, func(condition Precondition) bool { return slices.Contains(failedKeys, condition.Key) })
+		slices.ContainsFunc(
+			submission.request.Preconditions,
+			func(condition Precondition) bool { return slices.Contains(failedKeys, condition.Key) },
+		)
 }
 
 // writeSubmission writes a submission by itself.
 func (c *Controller) writeSubmission(submission pendingSubmission) {
 	change, preconditions := c.buildSubmissionWrite(submission)
-	c.sendTxn(UrgencyUser, preconditions, []Change{change}, func(result StoreResult) { c.completeSubmission(submission, result) })
+	c.sendTxn(
+		UrgencyUser,
+		preconditions,
+		[]Change{change},
+		func(result StoreResult) { c.completeSubmission(submission, result) },
+	)
 }
 
 // completeSubmission answers a submission whose write has ended.
--- a/scheduler/summaries_and_bounds_test.go
+++ b/scheduler/summaries_and_bounds_test.go
@@ -36,7 +36,13 @@
 		t.Error("a few peers take turns")
 	}
 	room := availability.Resources{CPUs: 8, MemoryGB: 32}
-	msg := PeerMessage{From: "m01", WallMS: 1, OwnedShards: []PeerShard{{Shard: "m01", Summary: availability.Summary{{Kind: "s|a|small", Count: 3, Resources: room}}}}}
+	msg := PeerMessage{
+		From:   "m01",
+		WallMS: 1,
+		OwnedShards: []PeerShard{
+			{Shard: "m01", Summary: availability.Summary{{Kind: "s|a|small", Count: 3, Resources: room}}},
+		},
+	}
 	ctrl.HandlePeerMessage(Now{1000, 1000}, msg)
 	ctrl.peers["m01"].message.OwnedShards[0].Summary[0].Count = 2 // one was taken
 	withoutSummaries := msg.WithoutSummaries()
@@ -46,7 +52,10 @@
 	withoutSummaries.WallMS, withoutSummaries.OwnedShards[0].Demands = 2, []CapacityDemand{{Job: "job-1"}}
 	withoutSummaries.OwnedShards = append(withoutSummaries.OwnedShards, PeerShard{Shard: "adopted"})
 	ctrl.HandlePeerMessage(Now{2000, 2000}, *withoutSummaries)
-	if got := ctrl.peers["m01"].message.OwnedShards; len(got) != 2 || len(got[0].Summary) != 1 || got[0].Summary[0].Count != 2 || len(got[0].Demands) != 1 || got[1].Summary != nil {
+	if got := ctrl.peers["m01"].message.OwnedShards; len(got) != 2 || len(got[0].Summary) != 1 ||
+		got[0].Summary[0].Count != 2 ||
+		len(got[0].Demands) != 1 ||
+		got[1].Summary != nil {
 		t.Errorf("after a brief message: %+v", got)
 	}
 }
@@ -66,8 +75,18 @@
 		return n
 	}
 	sendSummary := func(at Now, wall int64) {
-		ctrl.HandlePeerMessage(at, PeerMessage{From: "m1", WallMS: wall, OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{{Kind: "s|a|small", Count: 30,
-			Resources: availability.Resources{CPUs: 8, MemoryGB: 64}, Samples: []availability.Sample{{TimeMS: wall}, {TimeMS: wall + 90_000, AvailableMS: 90_000}}}}}}})
+		ctrl.HandlePeerMessage(
+			at,
+			PeerMessage{
+				From:   "m1",
+				WallMS: wall,
+				OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{{Kind: "s|a|small", Count: 30,
+					Resources: availability.Resources{
+						CPUs:     8,
+						MemoryGB: 64,
+					}, Samples: []availability.Sample{{TimeMS: wall}, {TimeMS: wall + 90_000, AvailableMS: 90_000}}}}}},
+			},
+		)
 	}
 	sendSummary(now, now.WallMS)
 	if countOffered() == 0 {
@@ -79,7 +98,14 @@
 	}
 	// Heard now, but with figures of two minutes ago: constant behind its last sample.
 	sendSummary(ctrl.now, now.WallMS)
-	if sr := &ctrl.peers["m1"].message.OwnedShards[0]; ctrl.peerTaskCapacity(sr, j, 100_000, ctrl.now.WallMS+60_000, 40, false) != 0 {
+	if sr := &ctrl.peers["m1"].message.OwnedShards[0]; ctrl.peerTaskCapacity(
+		sr,
+		j,
+		100_000,
+		ctrl.now.WallMS+60_000,
+		40,
+		false,
+	) != 0 {
 		t.Error("more than its last sample is promised")
 	}
 }
@@ -95,8 +121,24 @@
 	}
 	const machines, jobs = 10_000, 1000
 	for b.Loop() {
-		ctrl := New(Params{MemberID: "m0", PeerIDs: []string{"m1"}, HeartbeatS: 1, LeaseS: 10, CancelWithinS: 30, MaxValueBytes: 8192, MaxTxnOps: 16}, 1, Now{1000, 1000})
-		ctrl.setMachineTypes([]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 64, MemoryGB: 256}, BootS: 10, Zones: []string{"a"}}})
+		ctrl := New(
+			Params{
+				MemberID:      "m0",
+				PeerIDs:       []string{"m1"},
+				HeartbeatS:    1,
+				LeaseS:        10,
+				CancelWithinS: 30,
+				MaxValueBytes: 8192,
+				MaxTxnOps:     16,
+			},
+			1,
+			Now{1000, 1000},
+		)
+		ctrl.setMachineTypes(
+			[]MachineType{
+				{Name: "small", Resources: availability.Resources{CPUs: 64, MemoryGB: 256}, BootS: 10, Zones: []string{"a"}},
+			},
+		)
 		s := ctrl.newShard("m0", 7, 5)
 		s.ready, ctrl.ownedShards["m0"] = true, s
 		rev := uint64(20)
@@ -123,8 +165,18 @@
 			})
 		}
 		measureGrowth("job", jobs, func(i int) {
-			put(jobKey(fmt.Sprintf("job-%06d", i)), jobRecord{Job: Job{ID: fmt.Sprintf("job-%06d", i), Class: "batch", Team: "ops", Kind: Array, Tasks: 40, EstimateS: 60,
-				Request: availability.Resources{CPUs: 4, MemoryGB: 14}, Image: "img-1"}, AcceptedAtMS: 1000, Ranges: []Range{{Lo: 0, Hi: 40, Shard: "m0"}}})
+			put(
+				jobKey(fmt.Sprintf("job-%06d", i)),
+				jobRecord{
+					Job: Job{ID: fmt.Sprintf("job-%06d", i), Class: "batch", Team: "ops", Kind: Array, Tasks: 40, EstimateS: 60,
+						Request: availability.Resources{
+							CPUs:     4,
+							MemoryGB: 14,
+						}, Image: "img-1"},
+					AcceptedAtMS: 1000,
+					Ranges:       []Range{{Lo: 0, Hi: 40, Shard: "m0"}},
+				},
+			)
 		})
 		measureGrowth("task", 3*machines, func(i int) {
 			tr := s.taskRanges[i%jobs]
@@ -175,7 +227,15 @@
 			}
 			bound := 4*c.machines + len(s.queue)*(c.machines/block+1)*filters*4 + 64*placed + 8*slots
 			if s.planSteps > bound || placed == 0 {
-				t.Errorf("%d steps for %d machines, %d groups, %d queues and %d places in them: more than %d", s.planSteps, c.machines, len(s.queue), slots, placed, bound)
+				t.Errorf(
+					"%d steps for %d machines, %d groups, %d queues and %d places in them: more than %d",
+					s.planSteps,
+					c.machines,
+					len(s.queue),
+					slots,
+					placed,
+					bound,
+				)
 			}
 			if sum := ctrl.availabilitySummary(s); len(sum) > ctrl.settings.Functions {
 				t.Errorf("a summary of %d functions", len(sum))
--- a/scheduler/takeover_state_test.go
+++ b/scheduler/takeover_state_test.go
@@ -11,8 +11,16 @@
 
 // addSilentMachine adds a machine that is listed as up and has not spoken.
 func addSilentMachine(ctrl *Controller, spot bool) *machine {
-	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-2", Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", Spot: spot, MachineIDs: []string{"i-2"}}), Rev: 30})
-	ctrl.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/1", Value: mustEncode(liveMachinesRecord{[]string{"i-2"}}), Rev: 31})
+	ctrl.applyChange(
+		KeyValue{
+			Key:   registryPrefix + "1-2",
+			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", Spot: spot, MachineIDs: []string{"i-2"}}),
+			Rev:   30,
+		},
+	)
+	ctrl.applyChange(
+		KeyValue{Key: liveMachinesPrefix + "m0/1", Value: mustEncode(liveMachinesRecord{[]string{"i-2"}}), Rev: 31},
+	)
 	return ctrl.machines["i-2"]
 }
 
@@ -39,7 +47,11 @@
 		t.Error("work that spot machines may not have waits for one, or work that it may have does not")
 	}
 	for _, ranges := range [][]string{{"job-000009/0"}, {spotRange.name()}} {
-		s.reconciler.Ledger.Restore(map[string]reconcile.UnreachableMachine{"i-2": {Ranges: ranges, UsageByTeam: map[string]reconcile.ResourceUsage{"ops": {CPUs: 2}}}})
+		s.reconciler.Ledger.Restore(
+			map[string]reconcile.UnreachableMachine{
+				"i-2": {Ranges: ranges, UsageByTeam: map[string]reconcile.ResourceUsage{"ops": {CPUs: 2}}},
+			},
+		)
 		spotRange.recovered = true
 		if blocked, expected := ctrl.isBlockedByUnreported(s, spotRange), ranges[0] == spotRange.name(); blocked != expected {
 			t.Errorf("with a note that names %v, it waits: %v", ranges, blocked)
@@ -49,8 +61,15 @@
 		t.Errorf("with a note of 2 processors, %v of 12 are left", free.CPUs)
 	}
 	// A stray's machine weighs what it has beside tasks that are known.
-	ctrl.HandleHeartbeat(ctrl.now, 5, Heartbeat{Machine: "i-2", Addr: "y", Type: "small", Zone: "a", Spot: true, Incarnation: 1, Seq: 1, Token: 11,
-		Tasks: []TaskStatus{{Task: "job-000077/0", Attempt: 3, State: "running"}, {Task: spotRange.name(), Attempt: 4, State: "running"}}})
+	ctrl.HandleHeartbeat(
+		ctrl.now,
+		5,
+		Heartbeat{Machine: "i-2", Addr: "y", Type: "small", Zone: "a", Spot: true, Incarnation: 1, Seq: 1, Token: 11,
+			Tasks: []TaskStatus{
+				{Task: "job-000077/0", Attempt: 3, State: "running"},
+				{Task: spotRange.name(), Attempt: 4, State: "running"},
+			}},
+	)
 	if free, _ := ctrl.teamHeadroom(s, "ops"); free.CPUs != 12-1-7 {
 		t.Errorf("with one task known and one stray on 8 processors, %v of 12 are left", free.CPUs)
 	}
@@ -77,13 +96,25 @@
 	ctrl.params.Recovery = true
 	for i := range 3 { // so that one is few
 		id := fmt.Sprintf("i-%d", 5+i)
-		ctrl.applyChange(KeyValue{Key: registryPrefix + id, Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{id}}), Rev: uint64(20 + i)})
+		ctrl.applyChange(
+			KeyValue{
+				Key:   registryPrefix + id,
+				Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{id}}),
+				Rev:   uint64(20 + i),
+			},
+		)
 	}
-	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 40})
+	ctrl.applyChange(
+		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 40},
+	)
 	seq := uint64(3)
 	heartbeat := func(tasks ...TaskStatus) HeartbeatResponse {
 		seq++
-		ctrl.HandleHeartbeat(ctrl.now, 9, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks})
+		ctrl.HandleHeartbeat(
+			ctrl.now,
+			9,
+			Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks},
+		)
 		return ctrl.outputs.HeartbeatResponses[9]
 	}
 	running := TaskStatus{Task: "job-000001/0", Attempt: 9 << 28, State: "running"}
@@ -102,7 +133,8 @@
 	}
 	advance(ctrl.maxHeartbeatIntervalMS())
 	op, rec, wrote := takeMemoryWrite(ctrl)
-	if !wrote || len(rec.Unreachable["i-1"].Ranges) != 1 || rec.Unreachable["i-1"].UsageByTeam[""].CPUs != 1 || ctrl.isSchedulable(mc) {
+	if !wrote || len(rec.Unreachable["i-1"].Ranges) != 1 || rec.Unreachable["i-1"].UsageByTeam[""].CPUs != 1 ||
+		ctrl.isSchedulable(mc) {
 		t.Fatalf("written: %v %+v, usable %v", wrote, rec, ctrl.isSchedulable(mc))
 	}
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Rev: 50})
@@ -117,7 +149,11 @@
 	// An answer that did not come proves nothing.
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Unknown})
 	read := ctrl.TakeOutputs().StoreOps[0]
-	ctrl.HandleStoreResult(ctrl.now, read.ID, StoreResult{Rev: 51, KVs: []KeyValue{{Key: read.Key, Value: op.Changes[0].Value, Rev: 51}}})
+	ctrl.HandleStoreResult(
+		ctrl.now,
+		read.ID,
+		StoreResult{Rev: 51, KVs: []KeyValue{{Key: read.Key, Value: op.Changes[0].Value, Rev: 51}}},
+	)
 	if ctrl.isSchedulable(mc) {
 		t.Fatal("used after a write whose outcome is not certain")
 	}
@@ -156,15 +192,20 @@
 		t.Errorf("an estimate of 10 s is taken for %d ms", estimateMS)
 	}
 	heartbeat := func(seq uint64, state string) {
-		successor.HandleHeartbeat(successor.now, 9, Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11,
-			Tasks: []TaskStatus{{Task: "job-000001/0", Attempt: attemptNumber, State: state, Reason: "done"}}})
+		successor.HandleHeartbeat(
+			successor.now,
+			9,
+			Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11,
+				Tasks: []TaskStatus{{Task: "job-000001/0", Attempt: attemptNumber, State: state, Reason: "done"}}},
+		)
 	}
 	heartbeat(10, "running")
 	attempt := successorShard.machines[0].attempts[attemptKey{"job-000001/0", attemptNumber}]
 	if attempt == nil || successor.now.WallMS-attempt.placedAt < 19_000 || successor.now.WallMS-attempt.placedAt > 21_000 {
 		t.Fatalf("a task that was started 20 s ago: %+v", attempt)
 	}
-	if remainingMS := attempt.expectedEnd(successor.now.WallMS) - successor.now.WallMS; remainingMS > 6500 || remainingMS < 3500 {
+	if remainingMS := attempt.expectedEnd(successor.now.WallMS) - successor.now.WallMS; remainingMS > 6500 ||
+		remainingMS < 3500 {
 		t.Errorf("it is expected to go on for %d ms", remainingMS)
 	}
 	successor.now.WallMS += 1000
@@ -211,7 +252,21 @@
 			if round == 0 {
 				token = 5
 			}
-			ctrl.HandleHeartbeat(ctrl.now, uint64(i), Heartbeat{Machine: mc.id, Addr: "x", Type: mc.rec.Type, Zone: "a", Spot: mc.rec.Spot, Incarnation: 1, Seq: 100 + round, Token: token, Tasks: tasks[mc.id]})
+			ctrl.HandleHeartbeat(
+				ctrl.now,
+				uint64(i),
+				Heartbeat{
+					Machine:     mc.id,
+					Addr:        "x",
+					Type:        mc.rec.Type,
+					Zone:        "a",
+					Spot:        mc.rec.Spot,
+					Incarnation: 1,
+					Seq:         100 + round,
+					Token:       token,
+					Tasks:       tasks[mc.id],
+				},
+			)
 			outputs := ctrl.TakeOutputs()
 			if !outputs.HeartbeatResponses[uint64(i)].Accepted {
 				t.Fatalf("report %d of round %d is not answered", i, round)
--- a/scheduler/team_limits.go
+++ b/scheduler/team_limits.go
@@ -114,7 +114,11 @@
 		return availability.Resources{}, false
 	}
 	usage, unreported := s.usage[team], c.maxUnreportedUsage(s, team)
-	headroom := availability.Resources{CPUs: allocation.CPUs - usage.CPUs - unreported.CPUs, GPUs: allocation.GPUs - usage.GPUs - unreported.GPUs, MemoryGB: 1e12}
+	headroom := availability.Resources{
+		CPUs:     allocation.CPUs - usage.CPUs - unreported.CPUs,
+		GPUs:     allocation.GPUs - usage.GPUs - unreported.GPUs,
+		MemoryGB: 1e12,
+	}
 	if t.MaxCPUs <= 0 {
 		headroom.CPUs = 1e12
 	}
@@ -146,7 +150,10 @@
 	for name := range c.quotaLedgers {
 		unreported := c.maxUnreportedUsage(s, name)
 		usage := s.usage[name]
-		out[name] = quota.Demand{Used: quota.Amounts{CPUs: usage.CPUs + unreported.CPUs, GPUs: usage.GPUs + unreported.GPUs}, UsageUncertain: unreported != (reconcile.ResourceUsage{})}
+		out[name] = quota.Demand{
+			Used:           quota.Amounts{CPUs: usage.CPUs + unreported.CPUs, GPUs: usage.GPUs + unreported.GPUs},
+			UsageUncertain: unreported != (reconcile.ResourceUsage{}),
+		}
 	}
 	for _, tr := range s.taskRanges {
 		j := &tr.job.rec.Job
@@ -207,10 +214,28 @@
 	c.sendUntilSettled(key, inDoubtWrite{
 		isClaimValid: func() bool { return c.ownedShards[s.name] == s },
 		send: func(onResult func(StoreResult)) {
-			c.sendTxn(UrgencyUser, []Precondition{{claimKey(s.name), s.token}, {key, write.Revision}}, []Change{{Key: key, Value: mustEncode(write.Record)}}, func(r StoreResult) {
-				c.log(Debug, "team record written", "team", team, "shard", s.name, "outcome", r.Outcome, "parts", write.Record.Allocations, "wants", write.Record.Requests)
-				onResult(r)
-			})
+			c.sendTxn(
+				UrgencyUser,
+				[]Precondition{{claimKey(s.name), s.token}, {key, write.Revision}},
+				[]Change{{Key: key, Value: mustEncode(write.Record)}},
+				func(r StoreResult) {
+					c.log(
+						Debug,
+						"team record written",
+						"team",
+						team,
+						"shard",
+						s.name,
+						"outcome",
+						r.Outcome,
+						"parts",
+						write.Record.Allocations,
+						"wants",
+						write.Record.Requests,
+					)
+					onResult(r)
+				},
+			)
 		},
 		onSent: ledger.RecordOutcome,
 		onRead: func(r StoreResult) indoubt.NextStep {
--- a/scheduler/team_preemption.go
+++ b/scheduler/team_preemption.go
@@ -25,7 +25,8 @@
 
 // isPreemptibleBy tells whether an attempt may be stopped for work of a priority.
 func (a *attempt) isPreemptibleBy(p Priority) bool {
-	return !a.exited && !a.checkpointing && a.job.Priority < p && a.job.Kind == Array && (!a.running || a.job.CheckpointIntervalS > 0)
+	return !a.exited && !a.checkpointing && a.job.Priority < p && a.job.Kind == Array &&
+		(!a.running || a.job.CheckpointIntervalS > 0)
 }
 
 // preemptibleRanges are a team's works that may wait while a group uses the team's
@@ -67,7 +68,11 @@
 
 // preemptibleResources is what a team's tasks that may be stopped for a group have of its
 // limit, and what was stopped for its like already and has not been taken yet.
-func (c *Controller) preemptibleResources(s *shard, g *taskGroup, ranges map[*taskRange]int64) (preemptible, pendingRelease availability.Resources) {
+func (c *Controller) preemptibleResources(
+	s *shard,
+	g *taskGroup,
+	ranges map[*taskRange]int64,
+) (preemptible, pendingRelease availability.Resources) {
 	for _, a := range s.liveAttempts[g.job.Team] {
 		if !a.machine.IsReconciled() {
 			continue
@@ -92,7 +97,11 @@
 	}
 	// No more than its guarantee is taken for a priority: beyond it, in a burst
 	// that no limit holds, work of lower priority would never end.
-	guaranteeLeft := availability.Resources{CPUs: c.params.Teams[g.job.Team].CPUs, GPUs: c.params.Teams[g.job.Team].GPUs, MemoryGB: 1e12}
+	guaranteeLeft := availability.Resources{
+		CPUs:     c.params.Teams[g.job.Team].CPUs,
+		GPUs:     c.params.Teams[g.job.Team].GPUs,
+		MemoryGB: 1e12,
+	}
 	for _, a := range s.liveAttempts[g.job.Team] {
 		if a.job.Priority >= g.job.Priority {
 			guaranteeLeft = guaranteeLeft.Sub(withoutMemory(a.job.Request))
@@ -128,7 +137,8 @@
 	var victims []victim
 	for _, a := range s.liveAttempts[g.job.Team] {
 		slack, ok := ranges[a.taskRange]
-		if !ok || !a.machine.IsReconciled() || a.machine.terminatesAt != 0 || a.stopRequested || !a.isPreemptibleBy(g.job.Priority) {
+		if !ok || !a.machine.IsReconciled() || a.machine.terminatesAt != 0 || a.stopRequested ||
+			!a.isPreemptibleBy(g.job.Priority) {
 			continue
 		}
 		remaining := a.expectedEnd(c.now.WallMS) - c.now.WallMS
@@ -138,7 +148,11 @@
 		victims = append(victims, victim{a.machine, a, slack})
 	}
 	slices.SortFunc(victims, func(x, y victim) int {
-		return cmp.Or(cmp.Compare(y.slack, x.slack), cmp.Compare(x.a.key.task, y.a.key.task), cmp.Compare(x.a.key.attempt, y.a.key.attempt))
+		return cmp.Or(
+			cmp.Compare(y.slack, x.slack),
+			cmp.Compare(x.a.key.task, y.a.key.task),
+			cmp.Compare(x.a.key.attempt, y.a.key.attempt),
+		)
 	})
 	var freed availability.Resources
 	for _, v := range victims {
--- a/scheduler/user_request_relay.go
+++ b/scheduler/user_request_relay.go
@@ -161,7 +161,10 @@
 // only when a request's whole time is up. Both may carry a request out: each
 // submission and cancellation is one conditional write, whoever sends it.
 func (c *Controller) expediteSlowRequests() {
-	c.requestsByArrival = slices.DeleteFunc(c.requestsByArrival, func(pending *pendingRequest) bool { return pending.completed })
+	c.requestsByArrival = slices.DeleteFunc(
+		c.requestsByArrival,
+		func(pending *pendingRequest) bool { return pending.completed },
+	)
 	for _, pending := range c.requestsByArrival {
 		if c.now.MonotonicMS-pending.receivedAtMS <= c.storeAccess.OverdueAfterMS() || c.expediteBudget < 1 {
 			break
--- a/schedules/decisions.go
+++ b/schedules/decisions.go
@@ -66,7 +66,8 @@
 // before is over. It is false while that is asked or waited for.
 func (h *Host) isPrecedingRunOver(e *entry) bool {
 	preceding := e.progress.Last
-	if preceding == "" || e.current.Spec.Busy == "allow" || e.current.Spec.Busy == "forbid" && e.precedingRun != "" || e.precedingRun == preceding {
+	if preceding == "" || e.current.Spec.Busy == "allow" || e.current.Spec.Busy == "forbid" && e.precedingRun != "" ||
+		e.precedingRun == preceding {
 		return true
 	}
 	e.busy = true
@@ -97,7 +98,10 @@
 	if replace {
 		kind = scheduler.CancelJob
 	}
-	h.SendCore(scheduler.UserRequest{Kind: kind, ID: preceding}, func(a scheduler.UserResponse) { onState(a.Status, a.State.IsTerminal()) })
+	h.SendCore(
+		scheduler.UserRequest{Kind: kind, ID: preceding},
+		func(a scheduler.UserResponse) { onState(a.Status, a.State.IsTerminal()) },
+	)
 	return false
 }
 
@@ -123,31 +127,43 @@
 		if page != nil {
 			changes = append(changes, scheduler.Change{Key: historyKey(s.name, e.name, p.Pages-1), Value: page})
 		}
-		preconditions = append(preconditions, scheduler.Precondition{Key: definitionKey(s.name, e.name), Revision: e.definitionRev}, scheduler.Precondition{Key: progressKey(s.name, e.name), Revision: e.progressRev})
+		preconditions = append(
+			preconditions,
+			scheduler.Precondition{Key: definitionKey(s.name, e.name), Revision: e.definitionRev},
+			scheduler.Precondition{Key: progressKey(s.name, e.name), Revision: e.progressRev},
+		)
 		changes = append(changes, scheduler.Change{Key: progressKey(s.name, e.name), Value: value})
 	}
-	h.SendStore(scheduler.StoreOp{Kind: scheduler.StoreTxn, Urgency: scheduler.UrgencyBackground, Preconditions: preconditions, Changes: changes}, func(r scheduler.StoreResult) {
-		if h.shards[s.name] != s {
-			return
-		}
-		for i, e := range batch {
-			if s.entries[e.name] != e {
-				continue
+	h.SendStore(
+		scheduler.StoreOp{
+			Kind:          scheduler.StoreTxn,
+			Urgency:       scheduler.UrgencyBackground,
+			Preconditions: preconditions,
+			Changes:       changes,
+		},
+		func(r scheduler.StoreResult) {
+			if h.shards[s.name] != s {
+				return
 			}
-			if r.Outcome != scheduler.OK {
-				// Changed by an operator, decided by somebody else, or not
-				// known: the store's word goes.
-				h.reloadEntry(s, e.name)
-				continue
+			for i, e := range batch {
+				if s.entries[e.name] != e {
+					continue
+				}
+				if r.Outcome != scheduler.OK {
+					// Changed by an operator, decided by somebody else, or not
+					// known: the store's word goes.
+					h.reloadEntry(s, e.name)
+					continue
+				}
+				e.busy, e.precedingRun = false, ""
+				h.countDecisions(e.progress, next[i])
+				e.progress, e.progressRev = next[i], r.Rev
+				clear(e.submitted)
+				h.enqueueNext(e)
+				h.submitPending(e)
 			}
-			e.busy, e.precedingRun = false, ""
-			h.countDecisions(e.progress, next[i])
-			e.progress, e.progressRev = next[i], r.Rev
-			clear(e.submitted)
-			h.enqueueNext(e)
-			h.submitPending(e)
-		}
-	})
+		},
+	)
 }
 
 func (h *Host) countDecisions(before, after progressRecord) {
@@ -183,7 +199,10 @@
 		page = previousLog
 		progress.Log, progress.Pages = nil, progress.Pages+1
 	}
-	progress.Pending = slices.DeleteFunc(slices.Clone(progress.Pending), func(decision Decision) bool { return entry.submitted[decision.Job] })
+	progress.Pending = slices.DeleteFunc(
+		slices.Clone(progress.Pending),
+		func(decision Decision) bool { return entry.submitted[decision.Job] },
+	)
 	progress.Log = slices.Clone(progress.Log)
 	due := h.dueMoments(entry)
 	size := len(extension.Encode(progress))
@@ -191,7 +210,13 @@
 		if i > 0 && size > h.params.ValueBytes/2 {
 			break
 		}
-		decision := Decision{AtMS: moment.at, Run: true, Reason: moment.reason, Version: moment.version.Version, DecidedMS: h.Now.WallMS}
+		decision := Decision{
+			AtMS:      moment.at,
+			Run:       true,
+			Reason:    moment.reason,
+			Version:   moment.version.Version,
+			DecidedMS: h.Now.WallMS,
+		}
 		newest := i == len(due)-1 && len(due) < maxMomentsPerDecision
 		decision.applyPolicies(entry, moment, newest, i > 0 && progress.Last != entry.progress.Last)
 		if decision.Run {
--- a/schedules/host_test.go
+++ b/schedules/host_test.go
@@ -17,19 +17,53 @@
 const calendarText = "[[calendar]]\nname = \"c\"\n[[calendar.holidays]]\nname = \"h\"\ndates = [\"2027-03-15\", \"04-13\", \"12-31\"]\n"
 
 func scheduleText(name, rest string) string {
-	return fmt.Sprintf("[[schedule]]\nname = %q\nfrom = \"2026-01-01\"\n%s\n[schedule.job]\nteam = \"ops\"\ncpus = 1.0\n", name, rest)
+	return fmt.Sprintf(
+		"[[schedule]]\nname = %q\nfrom = \"2026-01-01\"\n%s\n[schedule.job]\nteam = \"ops\"\ncpus = 1.0\n",
+		name,
+		rest,
+	)
 }
 
 // simulateYear plays a year, or a quarter with sabotage, and returns what is broken.
 func simulateYear(t testing.TB, seed uint64, faults bool, injectFault func(*simulation)) []string {
 	w := newSimulation(t, seed, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), faults)
 	specs := []*Spec{
-		w.apply(calendarText + scheduleText("all", "zone = \"America/Los_Angeles\"\nrule = \"FREQ=DAILY\"\nat = [\"02:30\", \"17:00\"]\ncalendar = \"c\"\nshift = \"next\"\nmissed = \"all\"\nlate_s = 1e9")),
-		w.apply(scheduleText("latest", "zone = \"Asia/Kathmandu\"\nrule = \"FREQ=DAILY\"\nat = [\"00:00\", \"06:00\", \"12:00\", \"18:00\"]")),
-		w.apply(scheduleText("skip", "zone = \"Australia/Lord_Howe\"\nrule = \"FREQ=WEEKLY;BYDAY=SU\"\nat = [\"02:15\"]\noverlap = \"both\"\nmissed = \"skip\"")),
-		w.apply(scheduleText("forbid", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"forbid\"\nmissed = \"all\"")),
-		w.apply(scheduleText("queue", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"queue\"\nmissed = \"all\"\nlate_s = 1e9")),
-		w.apply(scheduleText("replace", "zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"replace\"\nmissed = \"all\"")),
+		w.apply(
+			calendarText + scheduleText(
+				"all",
+				"zone = \"America/Los_Angeles\"\nrule = \"FREQ=DAILY\"\nat = [\"02:30\", \"17:00\"]\ncalendar = \"c\"\nshift = \"next\"\nmissed = \"all\"\nlate_s = 1e9",
+			),
+		),
+		w.apply(
+			scheduleText(
+				"latest",
+				"zone = \"Asia/Kathmandu\"\nrule = \"FREQ=DAILY\"\nat = [\"00:00\", \"06:00\", \"12:00\", \"18:00\"]",
+			),
+		),
+		w.apply(
+			scheduleText(
+				"skip",
+				"zone = \"Australia/Lord_Howe\"\nrule = \"FREQ=WEEKLY;BYDAY=SU\"\nat = [\"02:15\"]\noverlap = \"both\"\nmissed = \"skip\"",
+			),
+		),
+		w.apply(
+			scheduleText(
+				"forbid",
+				"zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"forbid\"\nmissed = \"all\"",
+			),
+		),
+		w.apply(
+			scheduleText(
+				"queue",
+				"zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"queue\"\nmissed = \"all\"\nlate_s = 1e9",
+			),
+		),
+		w.apply(
+			scheduleText(
+				"replace",
+				"zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"replace\"\nmissed = \"all\"",
+			),
+		),
 	}
 	since := map[string]int64{}
 	for _, s := range specs {
@@ -91,10 +125,16 @@
 
 // The check sees a run that is there twice and one that is missing.
 func TestSimulationDetectsDuplicateAndMissingRuns(t *testing.T) {
-	if b := simulateYear(t, 1, true, func(w *simulation) { w.duplicateSubmissions = true }); !slices.ContainsFunc(b, func(s string) bool { return strings.Contains(s, "times") }) {
+	if b := simulateYear(t, 1, true, func(w *simulation) { w.duplicateSubmissions = true }); !slices.ContainsFunc(
+		b,
+		func(s string) bool { return strings.Contains(s, "times") },
+	) {
 		t.Errorf("runs that are there twice go unseen: %v", b)
 	}
-	if b := simulateYear(t, 1, true, func(w *simulation) { w.dropSubmissions = true }); !slices.ContainsFunc(b, func(s string) bool { return strings.Contains(s, "missing") }) {
+	if b := simulateYear(t, 1, true, func(w *simulation) { w.dropSubmissions = true }); !slices.ContainsFunc(
+		b,
+		func(s string) bool { return strings.Contains(s, "missing") },
+	) {
 		t.Errorf("missing runs go unseen: %v", b)
 	}
 }
@@ -115,7 +155,8 @@
 	pass("2027-01-02T12:00:00Z")
 	v2 := []byte(daily("18:00"))
 	effective := time.Date(2027, 1, 4, 0, 0, 0, 0, time.UTC).UnixMilli()
-	if a := w.request(Request{Kind: Apply, Name: "v", Body: v2, EffectiveMS: effective}); a.State != "applied" || a.Version != 2 {
+	if a := w.request(Request{Kind: Apply, Name: "v", Body: v2, EffectiveMS: effective}); a.State != "applied" ||
+		a.Version != 2 {
 		t.Fatalf("a new version gets %+v", a)
 	}
 	if a := w.request(Request{Kind: Apply, Name: "v", Body: v2}); a.State != "unchanged" {
@@ -152,7 +193,10 @@
 // schedules that use it, and nothing that was decided.
 func TestCalendarChangeJustBeforeDueMomentApplies(t *testing.T) {
 	w := newSimulation(t, 1, time.Date(2027, 3, 9, 0, 0, 0, 0, time.UTC), false)
-	text := calendarText + scheduleText("s", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]\ncalendar = \"c\"\nshift = \"skip\"")
+	text := calendarText + scheduleText(
+		"s",
+		"zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]\ncalendar = \"c\"\nshift = \"skip\"",
+	)
 	w.apply(text)
 	w.apply(scheduleText("other", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]"))
 	pass := func(until time.Time) {
@@ -162,7 +206,9 @@
 	}
 	pass(time.Date(2027, 3, 11, 5, 59, 50, 0, time.UTC))
 	changed := strings.Replace(calendarText, "2027-03-15", "2027-03-11", 1)
-	if a := w.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "applied" || len(a.Schedules) != 1 || a.Schedules[0].Version != 2 {
+	if a := w.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "applied" ||
+		len(a.Schedules) != 1 ||
+		a.Schedules[0].Version != 2 {
 		t.Fatalf("a changed calendar gets %+v", a)
 	}
 	if w.now >= time.Date(2027, 3, 11, 6, 0, 0, 0, time.UTC).UnixMilli() {
@@ -171,7 +217,8 @@
 	if a := w.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "unchanged" {
 		t.Errorf("the same calendar again gets %+v", a)
 	}
-	if a := w.request(Request{Kind: ShowCalendar, Name: "c"}); a.Status != 200 || a.Calendar.Holidays[0].Dates[0] != "2027-03-11" {
+	if a := w.request(Request{Kind: ShowCalendar, Name: "c"}); a.Status != 200 ||
+		a.Calendar.Holidays[0].Dates[0] != "2027-03-11" {
 		t.Errorf("the calendar is shown as %+v", a)
 	}
 	if a := w.request(Request{Kind: ApplyCalendar, Name: "d", Body: []byte(strings.Replace(calendarText, `"c"`, `"d"`, 1))}); a.Status != 404 {
@@ -290,7 +337,8 @@
 		{strings.Replace(good, "UTC", "Mars", 1), "is no time zone"},
 	} {
 		_, err := ParseFile([]byte(c.text))
-		if c.expectedErr == "" && err != nil || c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
+		if c.expectedErr == "" && err != nil ||
+			c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
 			t.Errorf("%v, not %q", err, c.expectedErr)
 		}
 	}
--- a/schedules/queries.go
+++ b/schedules/queries.go
@@ -30,24 +30,27 @@
 
 // list reads a page of all schedules, by shard and name.
 func (h *Host) list(reply uint64, from string) {
-	h.SendStore(scheduler.StoreOp{Kind: scheduler.StoreList, Urgency: scheduler.UrgencyRead, Key: definitionPrefix, StartAfter: from}, func(r scheduler.StoreResult) {
-		if r.Outcome != scheduler.OK {
-			h.Respond(reply, unavailable(""))
-			return
-		}
-		a := Response{Status: 200, Schedules: []Summary{}}
-		for _, it := range r.KVs {
-			var d definitionRecord
-			if json.Unmarshal(it.Value, &d) == nil {
-				a.Schedules = append(a.Schedules, d.summary())
+	h.SendStore(
+		scheduler.StoreOp{Kind: scheduler.StoreList, Urgency: scheduler.UrgencyRead, Key: definitionPrefix, StartAfter: from},
+		func(r scheduler.StoreResult) {
+			if r.Outcome != scheduler.OK {
+				h.Respond(reply, unavailable(""))
+				return
 			}
-			a.More = it.Key
-		}
-		if !r.More {
-			a.More = ""
-		}
-		h.Respond(reply, a)
-	})
+			a := Response{Status: 200, Schedules: []Summary{}}
+			for _, it := range r.KVs {
+				var d definitionRecord
+				if json.Unmarshal(it.Value, &d) == nil {
+					a.Schedules = append(a.Schedules, d.summary())
+				}
+				a.More = it.Key
+			}
+			if !r.More {
+				a.More = ""
+			}
+			h.Respond(reply, a)
+		},
+	)
 }
 
 // showDecisions reads a schedule, or a page of what it decided: the oldest pages first,
--- a/schedules/requests.go
+++ b/schedules/requests.go
@@ -132,7 +132,10 @@
 		}
 	}
 	if _, ok := h.params.Teams[v.Spec.Job.Team]; !ok {
-		h.Respond(reply, Response{Status: 422, Name: v.Spec.Name, Error: fmt.Sprintf("job.team: unknown team %q", v.Spec.Job.Team)})
+		h.Respond(
+			reply,
+			Response{Status: 422, Name: v.Spec.Name, Error: fmt.Sprintf("job.team: unknown team %q", v.Spec.Job.Team)},
+		)
 		return
 	}
 	h.updateDefinition(reply, v.Spec.Name, 3, func(d *definitionRecord) (string, error) {
@@ -158,7 +161,11 @@
 
 func (d *definitionRecord) checkSize(limit int) error {
 	if n := len(extension.Encode(d)); n > limit {
-		return fmt.Errorf("the schedule, its calendar and the version before take %d bytes, more than the state service's %d", n, limit)
+		return fmt.Errorf(
+			"the schedule, its calendar and the version before take %d bytes, more than the state service's %d",
+			n,
+			limit,
+		)
 	}
 	return nil
 }
@@ -169,7 +176,12 @@
 }
 
 // updateDefinitionThen changes a definition, and goes on with what became of it.
-func (h *Host) updateDefinitionThen(name string, attempts int, f func(*definitionRecord) (string, error), onResponse func(Response)) {
+func (h *Host) updateDefinitionThen(
+	name string,
+	attempts int,
+	f func(*definitionRecord) (string, error),
+	onResponse func(Response),
+) {
 	shard := extension.ShardOf(h.params.Members, name)
 	h.Get(scheduler.UrgencyUser, definitionKey(shard, name), func(def scheduler.KeyValue, ok bool) {
 		if !ok {
@@ -218,15 +230,24 @@
 
 // definitionTxn is the write of a definition and its shard's mark. A definition whose
 // version is below 0 is removed.
-func definitionTxn(shard, name string, d definitionRecord, defRev uint64, m changeIndexRecord, markRev uint64) scheduler.StoreOp {
+func definitionTxn(
+	shard, name string,
+	d definitionRecord,
+	defRev uint64,
+	m changeIndexRecord,
+	markRev uint64,
+) scheduler.StoreOp {
 	change := scheduler.Change{Key: definitionKey(shard, name), Value: extension.Encode(d)}
 	if d.Version < 0 {
 		change.Value = nil
 	}
 	return scheduler.StoreOp{
 		Kind: scheduler.StoreTxn, Urgency: scheduler.UrgencyUser,
-		Preconditions: []scheduler.Precondition{{Key: definitionKey(shard, name), Revision: defRev}, {Key: changeIndexKey(shard), Revision: markRev}},
-		Changes:       []scheduler.Change{change, {Key: changeIndexKey(shard), Value: extension.Encode(m)}},
+		Preconditions: []scheduler.Precondition{
+			{Key: definitionKey(shard, name), Revision: defRev},
+			{Key: changeIndexKey(shard), Revision: markRev},
+		},
+		Changes: []scheduler.Change{change, {Key: changeIndexKey(shard), Value: extension.Encode(m)}},
 	}
 }
 
@@ -269,7 +290,8 @@
 				return
 			}
 			h.updateDefinitionThen(found[k].Spec.Name, 3, func(d *definitionRecord) (string, error) {
-				if d.Calendar == nil || d.Calendar.Name != cal.Name || string(extension.Encode(d.Calendar)) == string(extension.Encode(cal)) {
+				if d.Calendar == nil || d.Calendar.Name != cal.Name ||
+					string(extension.Encode(d.Calendar)) == string(extension.Encode(cal)) {
 					return "unchanged", nil
 				}
 				return "applied", d.replace(version{Spec: d.Spec, Calendar: cal}, since, h.params.ValueBytes)
--- a/schedules/simulation_test.go
+++ b/schedules/simulation_test.go
@@ -52,8 +52,20 @@
 const valueBytes = 4 << 10
 
 func newSimulation(t testing.TB, seed uint64, at time.Time, faults bool) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: at.UnixMilli(), store: standin.NewState(), members: []string{"m-0", "m-1", "m-2"}, hosts: map[string]*Host{},
-		views: map[string]scheduler.ExtensionView{}, claims: map[string]uint64{}, jobs: map[string]*fakeJob{}, responses: map[uint64]Response{}, nextID: 1, faults: faults}
+	w := &simulation{
+		t:         t,
+		rng:       rand.New(rand.NewPCG(seed, 5)),
+		now:       at.UnixMilli(),
+		store:     standin.NewState(),
+		members:   []string{"m-0", "m-1", "m-2"},
+		hosts:     map[string]*Host{},
+		views:     map[string]scheduler.ExtensionView{},
+		claims:    map[string]uint64{},
+		jobs:      map[string]*fakeJob{},
+		responses: map[uint64]Response{},
+		nextID:    1,
+		faults:    faults,
+	}
 	for _, m := range w.members {
 		w.startHost(m)
 		w.claim(m, m)
@@ -62,13 +74,25 @@
 }
 
 func (w *simulation) startHost(m string) {
-	w.hosts[m] = NewHost(Params{Members: w.members, Teams: map[string]scheduler.Team{"ops": {}}, ValueBytes: valueBytes, TxnOps: 16, ClockErrorMS: clockErrorMS, Rate: 1000})
+	w.hosts[m] = NewHost(
+		Params{
+			Members:      w.members,
+			Teams:        map[string]scheduler.Team{"ops": {}},
+			ValueBytes:   valueBytes,
+			TxnOps:       16,
+			ClockErrorMS: clockErrorMS,
+			Rate:         1000,
+		},
+	)
 	w.views[m] = scheduler.ExtensionView{}
 }
 
 func (w *simulation) claim(shard, member string) {
 	b, _ := json.Marshal(member)
-	r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: scheduler.ClaimKey(shard), Value: b}}})
+	r, _ := w.store.Apply(
+		w.now,
+		scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: scheduler.ClaimKey(shard), Value: b}}},
+	)
 	w.claims[shard] = r.Rev
 }
 
@@ -119,7 +143,14 @@
 		if w.dropSubmissions && w.rng.IntN(50) == 0 {
 			return scheduler.UserResponse{Status: 201, ID: r.ID}
 		}
-		res, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Preconditions: r.Preconditions, Changes: []scheduler.Change{{Key: "jobs/" + r.ID, Value: json.RawMessage("1")}}})
+		res, _ := w.store.Apply(
+			w.now,
+			scheduler.StoreOp{
+				Kind:          scheduler.StoreTxn,
+				Preconditions: r.Preconditions,
+				Changes:       []scheduler.Change{{Key: "jobs/" + r.ID, Value: json.RawMessage("1")}},
+			},
+		)
 		if res.Outcome != scheduler.OK {
 			return scheduler.UserResponse{Status: 409, ID: r.ID}
 		}
@@ -281,9 +312,15 @@
 		case d.Run && j == nil:
 			out = append(out, fmt.Sprintf("%s: the run of %s is missing", s.Name, time.UnixMilli(d.AtMS).UTC()))
 		case d.Run && j.submissions != 1:
-			out = append(out, fmt.Sprintf("%s: the run of %s is there %d times", s.Name, time.UnixMilli(d.AtMS).UTC(), j.submissions))
+			out = append(
+				out,
+				fmt.Sprintf("%s: the run of %s is there %d times", s.Name, time.UnixMilli(d.AtMS).UTC(), j.submissions),
+			)
 		case d.Run && j.created < d.AtMS:
-			out = append(out, fmt.Sprintf("%s: the run of %s came %d ms early", s.Name, time.UnixMilli(d.AtMS).UTC(), d.AtMS-j.created))
+			out = append(
+				out,
+				fmt.Sprintf("%s: the run of %s came %d ms early", s.Name, time.UnixMilli(d.AtMS).UTC(), d.AtMS-j.created),
+			)
 		case !d.Run && d.Reason == "":
 			out = append(out, fmt.Sprintf("%s: %s is not run for no reason", s.Name, time.UnixMilli(d.AtMS).UTC()))
 		}
@@ -323,7 +360,10 @@
 		slices.SortFunc(scheduledRuns, func(a, b *fakeJob) int { return cmp.Compare(a.created, b.created) })
 		for i := 1; i < len(scheduledRuns); i++ {
 			if scheduledRuns[i].created < scheduledRuns[i-1].endsAt {
-				out = append(out, fmt.Sprintf("%s: %s begins while %s runs", s.Name, scheduledRuns[i].name, scheduledRuns[i-1].name))
+				out = append(
+					out,
+					fmt.Sprintf("%s: %s begins while %s runs", s.Name, scheduledRuns[i].name, scheduledRuns[i-1].name),
+				)
 			}
 		}
 	}
@@ -340,7 +380,10 @@
 		w.t.Fatal(err)
 	}
 	put := func(key string, v any) {
-		w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: key, Value: extension.Encode(v)}}})
+		w.store.Apply(
+			w.now,
+			scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: key, Value: extension.Encode(v)}}},
+		)
 	}
 	for i := range n {
 		d := definitionRecord{Version: 1, SinceMS: w.now, Spec: *f.Schedules[0]}
--- a/schedules/spec.go
+++ b/schedules/spec.go
@@ -30,18 +30,18 @@
 
 // Job is what a schedule runs: an array job.
 type Job struct {
-	Team      string  `toml:"team" json:"team"`
-	Class     string  `toml:"class" json:"class"`
-	Priority  string  `toml:"priority" json:"priority"` // low, standard, high, production
-	Tasks     int     `toml:"tasks" json:"tasks"`
-	CPUs      float64 `toml:"cpus" json:"cpus"`
-	GPUs      float64 `toml:"gpus" json:"gpus"`
-	MemoryGB  float64 `toml:"memory_gb" json:"memory_gb"`
-	Image     string  `toml:"image" json:"image"`
-	ImageGB   float64 `toml:"image_gb" json:"image_gb"`
+	Team      string  `toml:"team"       json:"team"`
+	Class     string  `toml:"class"      json:"class"`
+	Priority  string  `toml:"priority"   json:"priority"` // low, standard, high, production
+	Tasks     int     `toml:"tasks"      json:"tasks"`
+	CPUs      float64 `toml:"cpus"       json:"cpus"`
+	GPUs      float64 `toml:"gpus"       json:"gpus"`
+	MemoryGB  float64 `toml:"memory_gb"  json:"memory_gb"`
+	Image     string  `toml:"image"      json:"image"`
+	ImageGB   float64 `toml:"image_gb"   json:"image_gb"`
 	EstimateS float64 `toml:"estimate_s" json:"estimate_s"`
 	DeadlineS float64 `toml:"deadline_s" json:"deadline_s"` // from the run's submission; 0: none
-	Spot      bool    `toml:"spot" json:"spot"`
+	Spot      bool    `toml:"spot"       json:"spot"`
 }
 
 // Spec is a schedule with what it runs and its policies.
@@ -49,13 +49,13 @@
 	recurrence.Schedule
 	// Missed says what becomes of moments that passed while nobody could
 	// decide: run all, only the latest, or none of them.
-	Missed string `toml:"missed" json:"missed"` // all, latest, skip
+	Missed string `toml:"missed"   json:"missed"` // all, latest, skip
 	// LateS is how late a run may be submitted at most, in seconds; what is
 	// later is skipped, and told. 0: an hour.
-	LateS float64 `toml:"late_s" json:"late_s"`
+	LateS float64 `toml:"late_s"   json:"late_s"`
 	// Overlap of runs: what happens while the run before is not over.
-	Busy string `toml:"busy" json:"busy"` // allow, forbid, queue, replace
-	Job  Job    `toml:"job" json:"job"`
+	Busy string `toml:"busy"     json:"busy"` // allow, forbid, queue, replace
+	Job  Job    `toml:"job"      json:"job"`
 	// Workflow is run instead of a job; Job then only names team, class and
 	// priority of steps that name none.
 	Workflow *Workflow `toml:"workflow" json:"workflow,omitempty"`
@@ -65,9 +65,9 @@
 type Workflow struct {
 	// File is the document, seen from the schedules' file; whoever applies it
 	// packs it into Document.
-	File     string         `toml:"file,omitempty" json:"file,omitempty"`
+	File     string         `toml:"file,omitempty"     json:"file,omitempty"`
 	Document string         `toml:"document,omitempty" json:"document,omitempty"` // as JSON
-	Inputs   map[string]any `toml:"inputs,omitempty" json:"inputs,omitempty"`
+	Inputs   map[string]any `toml:"inputs,omitempty"   json:"inputs,omitempty"`
 }
 
 // File is calendars and schedules as operators write them, in TOML.
@@ -78,7 +78,12 @@
 
 var (
 	namePattern      = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
-	prioritiesByName = map[string]scheduler.Priority{"low": scheduler.Low, "standard": scheduler.Normal, "high": scheduler.High, "production": scheduler.Production}
+	prioritiesByName = map[string]scheduler.Priority{
+		"low":        scheduler.Low,
+		"standard":   scheduler.Normal,
+		"high":       scheduler.High,
+		"production": scheduler.Production,
+	}
 )
 
 // ParseFile reads and checks a file. The error names line and field where the
@@ -145,9 +150,25 @@
 // buildJob is the run of a moment.
 func (s *Spec) buildJob(id, run string) *scheduler.Job {
 	j := s.Job
-	return &scheduler.Job{ID: id, WorkflowRun: run, Class: j.Class, Team: j.Team, Kind: scheduler.Array, Priority: prioritiesByName[j.Priority], Tasks: j.Tasks,
-		Request: availability.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, DiskGB: j.ImageGB}, Image: j.Image, Spot: j.Spot,
-		EstimateS: j.EstimateS, DeadlineS: j.DeadlineS}
+	return &scheduler.Job{
+		ID:          id,
+		WorkflowRun: run,
+		Class:       j.Class,
+		Team:        j.Team,
+		Kind:        scheduler.Array,
+		Priority:    prioritiesByName[j.Priority],
+		Tasks:       j.Tasks,
+		Request: availability.Resources{
+			CPUs:     j.CPUs,
+			GPUs:     j.GPUs,
+			MemoryGB: j.MemoryGB,
+			DiskGB:   j.ImageGB,
+		},
+		Image:     j.Image,
+		Spot:      j.Spot,
+		EstimateS: j.EstimateS,
+		DeadlineS: j.DeadlineS,
+	}
 }
 
 // runName names the run of a moment; its job's id follows from it.
--- a/schedules/submissions.go
+++ b/schedules/submissions.go
@@ -32,10 +32,21 @@
 		})
 		return
 	}
-	preconditions := []scheduler.Precondition{{Key: scheduler.ClaimKey(e.shard.name), Revision: e.shard.token}, {Key: definitionKey(e.shard.name, e.name), Revision: e.definitionRev}}
-	h.SendCore(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: d.Job, Job: v.Spec.buildJob(d.Job, run), Preconditions: preconditions}, func(a scheduler.UserResponse) {
-		h.onSubmitted(e, d, a.Status, a.Status == 201 || a.Status == 200 && a.WorkflowRun == run, a.Error)
-	})
+	preconditions := []scheduler.Precondition{
+		{Key: scheduler.ClaimKey(e.shard.name), Revision: e.shard.token},
+		{Key: definitionKey(e.shard.name, e.name), Revision: e.definitionRev},
+	}
+	h.SendCore(
+		scheduler.UserRequest{
+			Kind:          scheduler.SubmitJob,
+			ID:            d.Job,
+			Job:           v.Spec.buildJob(d.Job, run),
+			Preconditions: preconditions,
+		},
+		func(a scheduler.UserResponse) {
+			h.onSubmitted(e, d, a.Status, a.Status == 201 || a.Status == 200 && a.WorkflowRun == run, a.Error)
+		},
+	)
 }
 
 // onSubmitted takes the answer to a run's submission.
@@ -47,7 +58,17 @@
 	case ok:
 		e.submitted[d.Job] = true
 		if status == 201 {
-			h.Log("run submitted", "schedule", e.name, "at", time.UnixMilli(d.AtMS).UTC().Format(time.RFC3339), "job", d.Job, "why", d.Reason)
+			h.Log(
+				"run submitted",
+				"schedule",
+				e.name,
+				"at",
+				time.UnixMilli(d.AtMS).UTC().Format(time.RFC3339),
+				"job",
+				d.Job,
+				"why",
+				d.Reason,
+			)
 		}
 	case status == 200 || status == 400 || status == 422:
 		e.submitted[d.Job] = true
--- a/strict/strict.go
+++ b/strict/strict.go
@@ -22,7 +22,10 @@
 		var problems []string
 		for i := range unknownFields.Errors {
 			row, col := unknownFields.Errors[i].Position()
-			problems = append(problems, fmt.Sprintf("line %d column %d: %s is no field", row, col, strings.Join(unknownFields.Errors[i].Key(), ".")))
+			problems = append(
+				problems,
+				fmt.Sprintf("line %d column %d: %s is no field", row, col, strings.Join(unknownFields.Errors[i].Key(), ".")),
+			)
 		}
 		return errors.New(strings.Join(problems, "; "))
 	case errors.As(err, &decodeErr):
--- a/workflow/calls.go
+++ b/workflow/calls.go
@@ -98,25 +98,31 @@
 	// Under the run's record and the shard's claim: a submission that the
 	// network delivers late finds that the run was given up, or is driven by
 	// somebody else, and is void.
-	preconditions := []scheduler.Precondition{{Key: liveKey(d.id), Revision: d.revision}, {Key: scheduler.ClaimKey(d.record.Shard), Revision: token}}
-	h.SendCore(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: c.job, Job: job, Preconditions: preconditions}, func(response scheduler.UserResponse) {
-		if !h.isCurrent(d, c) {
-			return
-		}
-		switch {
-		case response.Status == 201:
-			h.Counters.JobsSubmitted++
-			c.phase = running
-		case response.Status == 200 && response.WorkflowRun != d.id:
-			h.failCall(d, c, fmt.Errorf("the job id %s is taken", c.job))
-		case response.Status == 200:
-			h.applyJobState(d, c, response)
-		case response.Status == 400 || response.Status == 422:
-			h.failCall(d, c, errors.New(response.Error))
-		default:
-			h.retryLater(c, pending, response.RetryAfterS)
-		}
-	})
+	preconditions := []scheduler.Precondition{
+		{Key: liveKey(d.id), Revision: d.revision},
+		{Key: scheduler.ClaimKey(d.record.Shard), Revision: token},
+	}
+	h.SendCore(
+		scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: c.job, Job: job, Preconditions: preconditions},
+		func(response scheduler.UserResponse) {
+			if !h.isCurrent(d, c) {
+				return
+			}
+			switch {
+			case response.Status == 201:
+				h.Counters.JobsSubmitted++
+				c.phase = running
+			case response.Status == 200 && response.WorkflowRun != d.id:
+				h.failCall(d, c, fmt.Errorf("the job id %s is taken", c.job))
+			case response.Status == 200:
+				h.applyJobState(d, c, response)
+			case response.Status == 400 || response.Status == 422:
+				h.failCall(d, c, errors.New(response.Error))
+			default:
+				h.retryLater(c, pending, response.RetryAfterS)
+			}
+		},
+	)
 }
 
 // query asks how a call's job ended.
@@ -215,7 +221,13 @@
 	defaultEstimateS = 60
 )
 
-var prioritiesByName = map[string]scheduler.Priority{"": scheduler.Normal, "low": scheduler.Low, "standard": scheduler.Normal, "high": scheduler.High, "production": scheduler.Production}
+var prioritiesByName = map[string]scheduler.Priority{
+	"":           scheduler.Normal,
+	"low":        scheduler.Low,
+	"standard":   scheduler.Normal,
+	"high":       scheduler.High,
+	"production": scheduler.Production,
+}
 
 // buildJob is the job that a call becomes.
 func (h *Host) buildJob(d *activeRun, c *callState) (*scheduler.Job, error) {
@@ -224,8 +236,21 @@
 		hint = &cwl.JobHint{}
 	}
 	hint = hint.Under(d.submission.Job)
-	j := &scheduler.Job{ID: c.job, WorkflowRun: d.id, Class: hint.Class, Team: hint.Team, Kind: scheduler.Array, Priority: prioritiesByName[hint.Priority],
-		Tasks: len(c.Inputs), Image: c.Tool.Req.Image, DeadlineS: hint.DeadlineS, EstimateS: hint.EstimateS, MaxTaskErrors: defaultRetries + 1}
+	j := &scheduler.Job{
+		ID:          c.job,
+		WorkflowRun: d.id,
+		Class:       hint.Class,
+		Team:        hint.Team,
+		Kind:        scheduler.Array,
+		Priority:    prioritiesByName[hint.Priority],
+		Tasks: len(
+			c.Inputs,
+		),
+		Image:         c.Tool.Req.Image,
+		DeadlineS:     hint.DeadlineS,
+		EstimateS:     hint.EstimateS,
+		MaxTaskErrors: defaultRetries + 1,
+	}
 	if hint.Retries != nil {
 		j.MaxTaskErrors = *hint.Retries + 1
 	}
@@ -236,7 +261,8 @@
 	}
 	if j.EstimateS == 0 {
 		j.EstimateS = defaultEstimateS
-		if limit, err := cwl.Number(c.Tool.Req.TimeLimit, cwl.Scope{Inputs: c.Inputs[0]}, c.Tool.Req); err == nil && limit > 0 {
+		if limit, err := cwl.Number(c.Tool.Req.TimeLimit, cwl.Scope{Inputs: c.Inputs[0]}, c.Tool.Req); err == nil &&
+			limit > 0 {
 			j.EstimateS = limit
 		}
 	}
--- a/workflow/evaluation.go
+++ b/workflow/evaluation.go
@@ -106,7 +106,10 @@
 	}
 	for _, o := range p.Outputs {
 		s.Out = append(s.Out, o.ID)
-		w.Outputs = append(w.Outputs, cwl.Output{Pos: o.Pos, ID: o.ID, Type: o.Type, Link: cwl.Link{Source: []string{id + "/" + o.ID}}})
+		w.Outputs = append(
+			w.Outputs,
+			cwl.Output{Pos: o.Pos, ID: o.ID, Type: o.Type, Link: cwl.Link{Source: []string{id + "/" + o.ID}}},
+		)
 	}
 	return w
 }
@@ -317,7 +320,15 @@
 		st.values[slot] = out
 		st.missingValues--
 	case cwl.Flow:
-		return &frame{process: s.Run, path: path, inputs: inputs, steps: map[string]*stepState{}, remainingSteps: len(s.Run.Steps), parent: st, slot: slot}, nil
+		return &frame{
+			process:        s.Run,
+			path:           path,
+			inputs:         inputs,
+			steps:          map[string]*stepState{},
+			remainingSteps: len(s.Run.Steps),
+			parent:         st,
+			slot:           slot,
+		}, nil
 	}
 	return nil, nil
 }
