--- a/workflow/evaluation_test.go
+++ b/workflow/evaluation_test.go
@@ -20,10 +20,32 @@
 
 type object = map[string]any
 
-var addTool = object{"class": "CommandLineTool", "id": "add", "baseCommand": "add", "inputs": object{"x": "int", "y": "int"}, "outputs": object{"z": "int"}}
-var sumTool = object{"class": "CommandLineTool", "id": "sum", "baseCommand": "sum", "inputs": object{"xs": "int[]"}, "outputs": object{"z": "int"}}
-var threeTool = object{"class": "ExpressionTool", "id": "three", "requirements": []any{object{"class": "InlineJavascriptRequirement"}},
-	"inputs": object{"x": "int"}, "outputs": object{"zs": "int[]"}, "expression": "$({zs: [inputs.x, inputs.x + 1, inputs.x % 5]})"}
+var addTool = object{
+	"class":       "CommandLineTool",
+	"id":          "add",
+	"baseCommand": "add",
+	"inputs":      object{"x": "int", "y": "int"},
+	"outputs":     object{"z": "int"},
+}
+
+var sumTool = object{
+	"class":       "CommandLineTool",
+	"id":          "sum",
+	"baseCommand": "sum",
+	"inputs":      object{"xs": "int[]"},
+	"outputs":     object{"z": "int"},
+}
+
+var threeTool = object{
+	"class":        "ExpressionTool",
+	"id":           "three",
+	"requirements": []any{object{"class": "InlineJavascriptRequirement"}},
+	"inputs": object{
+		"x": "int",
+	},
+	"outputs":    object{"zs": "int[]"},
+	"expression": "$({zs: [inputs.x, inputs.x + 1, inputs.x % 5]})",
+}
 
 func (p *workflowGenerator) generate(steps int) object {
 	ints, lists, maybes := []string{"a", "b"}, []string{"l"}, []string{}
@@ -47,24 +69,48 @@
 			step["scatterMethod"] = "flat_crossproduct"
 			lists = append(lists, id+"/z")
 		case k == 4:
-			step["run"], step["when"], step["in"] = addTool, "$(inputs.x % 2 == 0)", object{"x": pick(ints), "y": object{"source": pick(ints), "valueFrom": "$(self + 2)"}}
+			step["run"], step["when"], step["in"] = addTool, "$(inputs.x % 2 == 0)", object{
+				"x": pick(ints),
+				"y": object{"source": pick(ints), "valueFrom": "$(self + 2)"},
+			}
 			maybes = append(maybes, id+"/z")
 		case k == 5 && len(maybes) > 0:
-			step["run"], step["in"] = addTool, object{"x": object{"source": []any{pick(maybes), pick(ints)}, "pickValue": "first_non_null"}, "y": pick(ints)}
+			step["run"], step["in"] = addTool, object{
+				"x": object{"source": []any{pick(maybes), pick(ints)}, "pickValue": "first_non_null"},
+				"y": pick(ints),
+			}
 			ints = append(ints, id+"/z")
 		case k == 6 && p.depth < 2:
 			p.depth++
-			step["run"], step["in"], step["out"] = p.generate(1+p.rng.IntN(4)), object{"a": pick(ints), "b": pick(ints), "l": pick(lists)}, []any{"r"}
+			step["run"], step["in"], step["out"] = p.generate(
+				1+p.rng.IntN(4),
+			), object{
+				"a": pick(ints),
+				"b": pick(ints),
+				"l": pick(lists),
+			}, []any{
+				"r",
+			}
 			p.depth--
 			ints = append(ints, id+"/r")
 		case k == 7 && p.depth < 1:
 			p.depth++
-			step["run"], step["in"], step["out"] = p.generate(1+p.rng.IntN(3)), object{"a": pick(lists), "b": pick(ints), "l": pick(lists)}, []any{"r"}
+			step["run"], step["in"], step["out"] = p.generate(
+				1+p.rng.IntN(3),
+			), object{
+				"a": pick(lists),
+				"b": pick(ints),
+				"l": pick(lists),
+			}, []any{
+				"r",
+			}
 			step["scatter"] = "a"
 			p.depth--
 			lists = append(lists, id+"/r")
 		case k == 8:
-			step["run"], step["in"] = sumTool, object{"xs": object{"source": []any{pick(lists), pick(lists)}, "linkMerge": "merge_flattened"}}
+			step["run"], step["in"] = sumTool, object{
+				"xs": object{"source": []any{pick(lists), pick(lists)}, "linkMerge": "merge_flattened"},
+			}
 			ints = append(ints, id+"/z")
 		default:
 			step["run"], step["in"] = addTool, object{"x": pick(ints), "y": pick(ints)}
@@ -75,7 +121,10 @@
 	p.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return object{"class": "Workflow", "requirements": []any{object{"class": "InlineJavascriptRequirement"}},
 		"inputs": object{"a": "int", "b": "int", "l": "int[]"}, "steps": list,
-		"outputs": object{"r": object{"type": "int", "outputSource": ints[len(ints)-1]}, "rs": object{"type": "int[]", "outputSource": lists[len(lists)-1]}}}
+		"outputs": object{
+			"r":  object{"type": "int", "outputSource": ints[len(ints)-1]},
+			"rs": object{"type": "int[]", "outputSource": lists[len(lists)-1]},
+		}}
 }
 
 func loadDocument(t testing.TB, doc object) (*cwl.Process, []byte) {
--- a/workflow/golden_test.go
+++ b/workflow/golden_test.go
@@ -20,7 +20,11 @@
 func TestStoredRecordsKeepTheirForm(t *testing.T) {
 	record[liveRecord](t, "live.json")
 	record[finalRecord](t, "final.json")
-	golden.Compare(t, "empty.jsonl", append(append(append(extension.Encode(liveRecord{}), '\n'), extension.Encode(finalRecord{})...), '\n'))
+	golden.Compare(
+		t,
+		"empty.jsonl",
+		append(append(append(extension.Encode(liveRecord{}), '\n'), extension.Encode(finalRecord{})...), '\n'),
+	)
 }
 
 func TestAnswersKeepTheirForm(t *testing.T) {
--- a/workflow/host_benchmark_test.go
+++ b/workflow/host_benchmark_test.go
@@ -14,13 +14,23 @@
 		steps[id] = object{"run": sumTool, "in": object{"xs": object{"source": []any{last, "b"}}}, "out": []any{"z"}}
 		last = id + "/z"
 	}
-	return object{"class": "Workflow", "inputs": object{"a": "int", "b": "int"}, "steps": steps, "outputs": object{"r": object{"type": "int", "outputSource": last}}}
+	return object{
+		"class":   "Workflow",
+		"inputs":  object{"a": "int", "b": "int"},
+		"steps":   steps,
+		"outputs": object{"r": object{"type": "int", "outputSource": last}},
+	}
 }
 
 func scatterWorkflow() object {
-	return object{"class": "Workflow", "inputs": object{"l": "int[]", "b": "int"}, "outputs": object{"r": object{"type": "int", "outputSource": "sum/z"}}, "steps": object{
-		"each": object{"run": addTool, "scatter": "x", "in": object{"x": "l", "y": "b"}, "out": []any{"z"}},
-		"sum":  object{"run": sumTool, "in": object{"xs": "each/z"}, "out": []any{"z"}}}}
+	return object{
+		"class":   "Workflow",
+		"inputs":  object{"l": "int[]", "b": "int"},
+		"outputs": object{"r": object{"type": "int", "outputSource": "sum/z"}},
+		"steps": object{
+			"each": object{"run": addTool, "scatter": "x", "in": object{"x": "l", "y": "b"}, "out": []any{"z"}},
+			"sum":  object{"run": sumTool, "in": object{"xs": "each/z"}, "out": []any{"z"}}},
+	}
 }
 
 // runToEnd plays a world without faults until its runs are over; the time that its
@@ -144,7 +154,14 @@
 			w.claim(m, "m-0")
 		}
 		for i := range runs {
-			w.hosts["m-0"].HandleRequest(w.clock(), uint64(i+1), Request{Kind: Submit, Body: submission(fmt.Sprintf("run-%d", i), doc, map[string]any{"a": int64(1), "b": int64(1)})})
+			w.hosts["m-0"].HandleRequest(
+				w.clock(),
+				uint64(i+1),
+				Request{
+					Kind: Submit,
+					Body: submission(fmt.Sprintf("run-%d", i), doc, map[string]any{"a": int64(1), "b": int64(1)}),
+				},
+			)
 			w.dispatchAll("m-0")
 		}
 		begin := func() (ticks, requests int, host time.Duration) {
--- a/workflow/host_test.go
+++ b/workflow/host_test.go
@@ -48,8 +48,20 @@
 }
 
 func newSimulation(t testing.TB, seed uint64, faults bool) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 3)), store: standin.NewState(), members: []string{"m-0", "m-1", "m-2"}, hosts: map[string]*Host{},
-		views: map[string]scheduler.ExtensionView{}, jobs: map[string]*fakeJob{}, descriptions: map[string][]byte{}, responses: map[uint64]Response{}, claims: map[string]uint64{}, faults: faults, nextID: 1}
+	w := &simulation{
+		t:            t,
+		rng:          rand.New(rand.NewPCG(seed, 3)),
+		store:        standin.NewState(),
+		members:      []string{"m-0", "m-1", "m-2"},
+		hosts:        map[string]*Host{},
+		views:        map[string]scheduler.ExtensionView{},
+		jobs:         map[string]*fakeJob{},
+		descriptions: map[string][]byte{},
+		responses:    map[uint64]Response{},
+		claims:       map[string]uint64{},
+		faults:       faults,
+		nextID:       1,
+	}
 	for _, m := range w.members {
 		w.startHost(m)
 		w.claim(m, m)
@@ -62,12 +74,27 @@
 }
 
 func (w *simulation) startHost(m string) {
-	w.hosts[m] = NewHost(Params{Members: w.members, Teams: map[string]scheduler.Team{"ops": {}}, ValueBytes: 1024, TxnOps: 16, HeartbeatS: 1, Limits: cwl.DefaultLimits})
+	w.hosts[m] = NewHost(
+		Params{
+			Members:    w.members,
+			Teams:      map[string]scheduler.Team{"ops": {}},
+			ValueBytes: 1024,
+			TxnOps:     16,
+			HeartbeatS: 1,
+			Limits:     cwl.DefaultLimits,
+		},
+	)
 	w.views[m] = scheduler.ExtensionView{}
 }
 
-func (w *simulation) applyTxn(preconditions []scheduler.Precondition, changes ...scheduler.Change) scheduler.StoreResult {
-	r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Preconditions: preconditions, Changes: changes})
+func (w *simulation) applyTxn(
+	preconditions []scheduler.Precondition,
+	changes ...scheduler.Change,
+) scheduler.StoreResult {
+	r, _ := w.store.Apply(
+		w.now,
+		scheduler.StoreOp{Kind: scheduler.StoreTxn, Preconditions: preconditions, Changes: changes},
+	)
 	return r
 }
 
@@ -319,7 +346,9 @@
 }
 
 func submission(id string, doc []byte, in map[string]any) []byte {
-	return extension.Encode(map[string]any{"id": id, "document": json.RawMessage(doc), "inputs": in, "job": map[string]any{"team": "ops"}})
+	return extension.Encode(
+		map[string]any{"id": id, "document": json.RawMessage(doc), "inputs": in, "job": map[string]any{"team": "ops"}},
+	)
 }
 
 // simulateRuns runs some workflows in a world and checks how they end.
@@ -337,7 +366,8 @@
 		id := fmt.Sprintf("run-%d-%d", seed, i)
 		outs, err := evaluateDirectly(p, in)
 		expectations[id] = &expected{outs: outs, err: err}
-		if a := w.request(w.members[w.rng.IntN(3)], Request{Kind: Submit, Body: submission(id, doc, in)}); a.Status != 201 && a.Status != 200 {
+		if a := w.request(w.members[w.rng.IntN(3)], Request{Kind: Submit, Body: submission(id, doc, in)}); a.Status != 201 &&
+			a.Status != 200 {
 			t.Fatalf("seed %d: a submission gets %d %s", seed, a.Status, a.Error)
 		}
 		// The same at another member.
@@ -439,7 +469,9 @@
 	for seed := uint64(0); seed < 60 && len(r.errs) == 0; seed++ {
 		simulateRuns(r, seed, true, true)
 	}
-	if len(r.errs) == 0 || !strings.Contains(strings.Join(r.errs, " "), "starts after its run is over") && !strings.Contains(strings.Join(r.errs, " "), "outlives") {
+	if len(r.errs) == 0 ||
+		!strings.Contains(strings.Join(r.errs, " "), "starts after its run is over") &&
+			!strings.Contains(strings.Join(r.errs, " "), "outlives") {
 		t.Errorf("submissions without guards go unseen: %v", r.errs)
 	}
 }
@@ -456,7 +488,11 @@
 	}
 	ops := `, "job": {"team": "ops"}`
 	packed := func(b []byte) string {
-		return string(extension.Encode(Submission{ID: "r", Packed: Pack(b), Inputs: map[string]any{"n": 1}, Job: &cwl.JobHint{Team: "ops"}}))
+		return string(
+			extension.Encode(
+				Submission{ID: "r", Packed: Pack(b), Inputs: map[string]any{"n": 1}, Job: &cwl.JobHint{Team: "ops"}},
+			),
+		)
 	}
 	random := make([]byte, 80_000)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -500,7 +536,10 @@
 func TestRunUsesReservedJobIDs(t *testing.T) {
 	_, doc := loadDocument(t, chainWorkflow(3))
 	w := newSimulation(t, 1, false)
-	s := strings.TrimSuffix(string(submission("r", doc, map[string]any{"a": int64(1), "b": int64(1)})), "}") + `, "jobs": {"first": 700, "count": 3}}`
+	s := strings.TrimSuffix(
+		string(submission("r", doc, map[string]any{"a": int64(1), "b": int64(1)})),
+		"}",
+	) + `, "jobs": {"first": 700, "count": 3}}`
 	if a := w.request("m-0", Request{Kind: Submit, Body: []byte(s)}); a.Status != 201 {
 		t.Fatal(a)
 	}
--- a/workflow/record_writes.go
+++ b/workflow/record_writes.go
@@ -40,7 +40,11 @@
 	}
 	value := extension.Encode(final)
 	if len(value) > h.params.ValueBytes {
-		h.failRun(d, Failing, fmt.Sprintf("the outputs take %d bytes, more than the state service's %d", len(value), h.params.ValueBytes))
+		h.failRun(
+			d,
+			Failing,
+			fmt.Sprintf("the outputs take %d bytes, more than the state service's %d", len(value), h.params.ValueBytes),
+		)
 		return
 	}
 	// Pages of what is over go first where all do not fit one transaction:
@@ -78,20 +82,37 @@
 // writeRun changes what the store has of a run, under its record and the claim. A
 // write of unknown outcome is settled by the next view: a record that changed
 // has another revision, and one that is gone ends the run here.
-func (h *Host) writeRun(d *activeRun, changes []scheduler.Change, preconditions []scheduler.Precondition, onWritten func(rev uint64)) {
+func (h *Host) writeRun(
+	d *activeRun,
+	changes []scheduler.Change,
+	preconditions []scheduler.Precondition,
+	onWritten func(rev uint64),
+) {
 	d.busy = true
-	preconditions = append(preconditions, scheduler.Precondition{Key: liveKey(d.id), Revision: d.revision}, scheduler.Precondition{Key: scheduler.ClaimKey(d.record.Shard), Revision: h.view.ClaimTokens[d.record.Shard]})
-	h.SendStore(scheduler.StoreOp{Kind: scheduler.StoreTxn, Urgency: scheduler.UrgencyUser, Preconditions: preconditions, Changes: changes}, func(r scheduler.StoreResult) {
-		d.busy = false
-		if h.runs[d.id] != d {
-			return
-		}
-		if r.Outcome == scheduler.OK {
-			onWritten(r.Rev)
-			return
-		}
-		d.retryAt = h.Now.MonotonicMS + 300
-	})
+	preconditions = append(
+		preconditions,
+		scheduler.Precondition{Key: liveKey(d.id), Revision: d.revision},
+		scheduler.Precondition{Key: scheduler.ClaimKey(d.record.Shard), Revision: h.view.ClaimTokens[d.record.Shard]},
+	)
+	h.SendStore(
+		scheduler.StoreOp{
+			Kind:          scheduler.StoreTxn,
+			Urgency:       scheduler.UrgencyUser,
+			Preconditions: preconditions,
+			Changes:       changes,
+		},
+		func(r scheduler.StoreResult) {
+			d.busy = false
+			if h.runs[d.id] != d {
+				return
+			}
+			if r.Outcome == scheduler.OK {
+				onWritten(r.Rev)
+				return
+			}
+			d.retryAt = h.Now.MonotonicMS + 300
+		},
+	)
 }
 
 // doneWriteHeartbeats is how often what is over is noted, in reports of the workers: it
@@ -100,7 +121,9 @@
 
 // writeDonePaths writes the paths of calls that are over.
 func (h *Host) writeDonePaths(d *activeRun) {
-	if d.busy || d.writing || d.storedCount == len(d.donePaths) || h.Now.MonotonicMS < d.nextDoneWriteAt || h.runs[d.id] != d || d.isEnding() {
+	if d.busy || d.writing || d.storedCount == len(d.donePaths) || h.Now.MonotonicMS < d.nextDoneWriteAt ||
+		h.runs[d.id] != d ||
+		d.isEnding() {
 		return
 	}
 	n, from, upTo := d.nextDonePage(h.params.ValueBytes)
--- a/workflow/records.go
+++ b/workflow/records.go
@@ -95,7 +95,11 @@
 
 var (
 	compressor, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
-	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(cwl.DefaultLimits.Bytes)))
+	decompressor, _ = zstd.NewReader(
+		nil,
+		zstd.WithDecoderConcurrency(1),
+		zstd.WithDecoderMaxMemory(uint64(cwl.DefaultLimits.Bytes)),
+	)
 )
 
 // Pack compresses a document for a submission.
@@ -225,7 +229,10 @@
 			numbers[stepPath] = len(numbers)
 		case cwl.Flow:
 			if len(s.Scatter) > 0 {
-				return fmt.Errorf("step %s scatters a workflow: its jobs cannot be counted beforehand, so none can be reserved", stepPath)
+				return fmt.Errorf(
+					"step %s scatters a workflow: its jobs cannot be counted beforehand, so none can be reserved",
+					stepPath,
+				)
 			}
 			if err := numberTools(s.Run, stepPath, numbers); err != nil {
 				return err
--- a/workflow/requests.go
+++ b/workflow/requests.go
@@ -169,7 +169,11 @@
 	}
 	values, err := encodePages(&s, h.params.ValueBytes)
 	if err == nil && len(values)+1 > h.params.TxnOps {
-		err = fmt.Errorf("document and inputs take %d values of the state service, more than %d", len(values), h.params.TxnOps-1)
+		err = fmt.Errorf(
+			"document and inputs take %d values of the state service, more than %d",
+			len(values),
+			h.params.TxnOps-1,
+		)
 	}
 	if err != nil {
 		rejectUnlessKnown(Response{Status: 400, ID: s.ID, Error: err.Error()})
@@ -180,7 +184,13 @@
 	for i, v := range values {
 		changes = append(changes, scheduler.Change{Key: pageKey(s.ID, "d", i), Value: v})
 	}
-	h.SendStore(scheduler.StoreOp{Kind: scheduler.StoreTxn, Urgency: scheduler.UrgencyUser, Preconditions: []scheduler.Precondition{{Key: liveKey(s.ID)}, {Key: finalKey(s.ID)}}, Changes: changes},
+	h.SendStore(
+		scheduler.StoreOp{
+			Kind:          scheduler.StoreTxn,
+			Urgency:       scheduler.UrgencyUser,
+			Preconditions: []scheduler.Precondition{{Key: liveKey(s.ID)}, {Key: finalKey(s.ID)}},
+			Changes:       changes,
+		},
 		func(r scheduler.StoreResult) {
 			switch r.Outcome {
 			case scheduler.OK:
@@ -196,7 +206,8 @@
 			default:
 				h.Respond(replyID, unavailable(s.ID, "state service unavailable"))
 			}
-		})
+		},
+	)
 }
 
 // validate reads a submission's document and inputs as a run of it would.
@@ -223,7 +234,11 @@
 		}
 		hint = hint.Under(s.Job)
 		if _, ok := h.params.Teams[hint.Team]; !ok {
-			status, err = 422, fmt.Errorf("%s: unknown team %q: a step's hint or the submission's job names one", p.Pos, hint.Team)
+			status, err = 422, fmt.Errorf(
+				"%s: unknown team %q: a step's hint or the submission's job names one",
+				p.Pos,
+				hint.Team,
+			)
 		}
 	})
 	if err != nil {
@@ -235,7 +250,12 @@
 			return 400, err
 		}
 		if s.Jobs.First < 1 || s.Jobs.Count < len(numbers) {
-			return 400, fmt.Errorf("jobs: the run has %d jobs, %d ids from %d on are reserved", len(numbers), s.Jobs.Count, s.Jobs.First)
+			return 400, fmt.Errorf(
+				"jobs: the run has %d jobs, %d ids from %d on are reserved",
+				len(numbers),
+				s.Jobs.Count,
+				s.Jobs.First,
+			)
 		}
 		rec.FirstJobID = s.Jobs.First
 	}
@@ -256,17 +276,24 @@
 			return
 		}
 		rec.State = Cancelling
-		h.SendStore(scheduler.StoreOp{Kind: scheduler.StoreTxn, Urgency: scheduler.UrgencyUser, Preconditions: []scheduler.Precondition{{Key: liveKey(id), Revision: it.Rev}, {Key: finalKey(id)}},
-			Changes: []scheduler.Change{{Key: liveKey(id), Value: extension.Encode(rec)}}}, func(r scheduler.StoreResult) {
-			switch {
-			case r.Outcome == scheduler.OK:
-				h.Log("run cancelled", "run", id)
-				h.Respond(replyID, Response{Status: 200, ID: id, State: Cancelling})
-			case (r.Outcome == scheduler.Conflict || r.Outcome == scheduler.Unknown) && attempts > 0:
-				h.abortRun(replyID, id, attempts-1)
-			default:
-				h.Respond(replyID, unavailable(id, "state service unavailable"))
-			}
-		})
+		h.SendStore(
+			scheduler.StoreOp{
+				Kind:          scheduler.StoreTxn,
+				Urgency:       scheduler.UrgencyUser,
+				Preconditions: []scheduler.Precondition{{Key: liveKey(id), Revision: it.Rev}, {Key: finalKey(id)}},
+				Changes:       []scheduler.Change{{Key: liveKey(id), Value: extension.Encode(rec)}},
+			},
+			func(r scheduler.StoreResult) {
+				switch {
+				case r.Outcome == scheduler.OK:
+					h.Log("run cancelled", "run", id)
+					h.Respond(replyID, Response{Status: 200, ID: id, State: Cancelling})
+				case (r.Outcome == scheduler.Conflict || r.Outcome == scheduler.Unknown) && attempts > 0:
+					h.abortRun(replyID, id, attempts-1)
+				default:
+					h.Respond(replyID, unavailable(id, "state service unavailable"))
+				}
+			},
+		)
 	})
 }
