--- a/client/client.go
+++ b/client/client.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/grebedock/grebedock/availability"
-	"github.com/grebedock/grebedock/internal/rest"
+	"github.com/grebedock/grebedock/internal/httpclient"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/scheduler"
 )
@@ -105,7 +105,7 @@
 )
 
 // Client talks to members. Its methods may be called from any goroutine.
-type Client struct{ failover *rest.FailoverClient }
+type Client struct{ failover *httpclient.FailoverClient }
 
 // New returns a client of members at these addresses, host:port of their front
 // address each. The first is tried first.
@@ -118,7 +118,7 @@
 			return nil, fmt.Errorf("member %q: %w", m, err)
 		}
 	}
-	return &Client{rest.NewFailoverClient(members)}, nil
+	return &Client{httpclient.NewFailoverClient(members)}, nil
 }
 
 // NewID is an id that nobody has used.
--- a/cmd/grebedock/lab.go
+++ b/cmd/grebedock/lab.go
@@ -15,8 +15,8 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
+	"github.com/grebedock/grebedock/internal/httpclient"
 	"github.com/grebedock/grebedock/internal/lab"
-	"github.com/grebedock/grebedock/internal/rest"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/scheduler"
 )
@@ -65,7 +65,7 @@
 }
 
 func isReady(front string) bool {
-	status, _ := rest.NewClient(front, 1).Do(wire.Request{Method: "GET", Path: "/up"}, time.Second)
+	status, _ := httpclient.NewClient(front, 1).Do(wire.Request{Method: "GET", Path: "/up"}, time.Second)
 	return status == 200
 }
 
--- a/cmd/grebedock/lab_load.go
+++ b/cmd/grebedock/lab_load.go
@@ -20,7 +20,7 @@
 
 	"github.com/grebedock/grebedock/client"
 	"github.com/grebedock/grebedock/internal/history"
-	"github.com/grebedock/grebedock/internal/rest"
+	"github.com/grebedock/grebedock/internal/httpclient"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/scheduler"
 )
@@ -143,7 +143,7 @@
 	for _, k := range loadKinds {
 		r.Kinds[k] = &kindResult{hist: hdrhistogram.New(1, maxLatency, latencyDigits), MS: map[string]float64{}}
 	}
-	hosts := rest.NewMultiHostClient(loadConns)
+	hosts := httpclient.NewMultiHostClient(loadConns)
 	startedAt := time.Now()
 	var wait sync.WaitGroup
 	scheduledAt := startedAt
@@ -186,7 +186,7 @@
 }
 
 func (r *loadResult) sendRequest(
-	hosts *rest.MultiHostClient,
+	hosts *httpclient.MultiHostClient,
 	addr string,
 	o loadOptions,
 	kind scheduler.UserRequestKind,
--- a/cmd/grebedock/program_test.go
+++ b/cmd/grebedock/program_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"github.com/grebedock/grebedock/availability"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/scheduler"
 	"github.com/grebedock/grebedock/schedules"
@@ -84,7 +84,7 @@
 func TestProgramServesUsersAndOperators(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	front, mesh := []string{freeAddr(t), freeAddr(t)}, []string{freeAddr(t), freeAddr(t)}
-	platform, err := standin.NewPlatform(
+	platform, err := platformfake.NewPlatform(
 		[]scheduler.MachineType{
 			{
 				Name:           "small",
--- a/cmd/grebedock/settings.go
+++ b/cmd/grebedock/settings.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/grebedock/grebedock/internal/rest"
+	"github.com/grebedock/grebedock/internal/httpclient"
 	"github.com/grebedock/grebedock/internal/wire"
 )
 
@@ -18,7 +18,7 @@
 // adminRequest asks a member's administration API, which says in JSON what is
 // wrong.
 func adminRequest(addr string, r wire.Request) ([]byte, error) {
-	status, body := rest.NewClient(addr, 1).Do(r, adminTimeout)
+	status, body := httpclient.NewClient(addr, 1).Do(r, adminTimeout)
 	if status == 0 {
 		return nil, fmt.Errorf("no answer from %s", addr)
 	}
--- a/cmd/grebedock/stalling_clients_test.go
+++ b/cmd/grebedock/stalling_clients_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"github.com/grebedock/grebedock/availability"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -27,7 +27,7 @@
 // startMember starts one real member against stand-ins and returns its addresses.
 func startMember(t testing.TB, sockets int, featuresText string) (front, mesh string) {
 	front, mesh = freeAddr(t), freeAddr(t)
-	platform, err := standin.NewPlatform(
+	platform, err := platformfake.NewPlatform(
 		[]scheduler.MachineType{
 			{
 				Name:           "small",
--- a/cmd/grebedock/workflow.go
+++ b/cmd/grebedock/workflow.go
@@ -19,7 +19,7 @@
 	"go.yaml.in/yaml/v3"
 
 	"github.com/grebedock/grebedock/cwl"
-	"github.com/grebedock/grebedock/internal/rest"
+	"github.com/grebedock/grebedock/internal/httpclient"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/workflow"
 )
@@ -178,7 +178,7 @@
 const workflowRequestTimeout = 5 * time.Second
 
 func (m *workflowClient) request(ctx context.Context, r wire.Request) (int, workflow.Response, error) {
-	res, from, _, ok, err := rest.NewFailoverClient(m.addrs).DoUntilFinal(ctx, r, workflowRequestTimeout)
+	res, from, _, ok, err := httpclient.NewFailoverClient(m.addrs).DoUntilFinal(ctx, r, workflowRequestTimeout)
 	var a workflow.Response
 	if err != nil {
 		return 0, a, err
--- a/emulator/checks.go
+++ b/emulator/checks.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"github.com/grebedock/grebedock/internal/history"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -40,7 +40,7 @@
 
 // checkStart looks at a start as it happens: a task may start and end between two looks at
 // what the machines have.
-func (sim *Simulation) checkStart(worker *Worker, t *standin.Task) {
+func (sim *Simulation) checkStart(worker *Worker, t *platformfake.Task) {
 	j := sim.Jobs[t.Job.ID]
 	if j.CancelConfirmedAt == 0 {
 		return
--- a/emulator/experiment.go
+++ b/emulator/experiment.go
@@ -14,7 +14,7 @@
 	"github.com/grebedock/grebedock/availability"
 	"github.com/grebedock/grebedock/disruption"
 	"github.com/grebedock/grebedock/internal/history"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/rollout"
 	"github.com/grebedock/grebedock/scheduler"
 	"github.com/grebedock/grebedock/strict"
@@ -413,7 +413,7 @@
 	for _, id := range sim.WorkerIDs {
 		if worker := sim.Workers[id]; worker.Up && !worker.Gone {
 			point.Machines++
-			worker.Agent.ForEachOnMachine(func(t *standin.Task) {
+			worker.Agent.ForEachOnMachine(func(t *platformfake.Task) {
 				point.RunningTasks++
 				point.CPUs += t.Job.Request.CPUs
 			})
@@ -469,7 +469,7 @@
 
 // applyRollout has a plan applied, and tells how it stands.
 func (sim *Simulation) applyRollout(plan Rollout, result *RolloutResult) {
-	counter := sim.CountStops(func(*standin.Task, int) {})
+	counter := sim.CountStops(func(*platformfake.Task, int) {})
 	result.MaxDown = counter.MaxDown
 	var appliedAt int64
 	var sample func()
--- a/emulator/operator_requests.go
+++ b/emulator/operator_requests.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -65,9 +65,9 @@
 
 // CountStops counts from now on; over is told of each stop, with how many tasks of its
 // team are down.
-func (sim *Simulation) CountStops(onStop func(t *standin.Task, down int)) *StopCounter {
+func (sim *Simulation) CountStops(onStop func(t *platformfake.Task, down int)) *StopCounter {
 	counter := &StopCounter{sim: sim, MaxDown: map[string]int{}, startCounts: map[string]int{}}
-	sim.OnTaskStop = func(worker *Worker, t *standin.Task) {
+	sim.OnTaskStop = func(worker *Worker, t *platformfake.Task) {
 		j := sim.Jobs[t.Job.ID]
 		if worker.Agent.NoticeS != nil || j.DoneTasks[t.Name] {
 			return // the cloud's will, or nothing is lost
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -16,7 +16,7 @@
 	"strings"
 
 	"github.com/grebedock/grebedock/internal/history"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -77,8 +77,8 @@
 
 // Worker is a rented machine.
 type Worker struct {
-	Agent          *standin.Worker // nil until it is up
-	Instance       *standin.Instance
+	Agent          *platformfake.Worker // nil until it is up
+	Instance       *platformfake.Instance
 	Up, Gone       bool
 	ReleasedAt     int64
 	HangUntil      int64
@@ -192,8 +192,8 @@
 type Simulation struct {
 	Rand           *rand.Rand
 	Now            int64 // ms since the beginning
-	Store          *standin.State
-	Cloud          *standin.Cloud
+	Store          *platformfake.State
+	Cloud          *platformfake.Cloud
 	Members        []*Member
 	Workers        map[string]*Worker
 	WorkerIDs      []string // of all machines that ever were, in order
@@ -240,9 +240,9 @@
 	Observer  func(*Member, *scheduler.Outputs)
 	// OnTaskStop is told of each task that a worker was told to stop though its job goes
 	// on: with some grace. Without any, "stopped_well" is the rule.
-	OnTaskStop func(*Worker, *standin.Task)
+	OnTaskStop func(*Worker, *platformfake.Task)
 	// OnTaskDone is told of each task that is done.
-	OnTaskDone func(*standin.Task)
+	OnTaskDone func(*platformfake.Task)
 
 	// LateWriteCounts counts changes that were carried out late, by their keys' prefix, Copies
 	// reports that arrived once more.
@@ -305,8 +305,8 @@
 	}
 	sim := &Simulation{
 		Rand:                 rand.New(rand.NewPCG(options.Seed, 1)),
-		Store:                standin.NewState(),
-		Cloud:                standin.NewCloud(options.Types, options.CapacityPerOffering),
+		Store:                platformfake.NewState(),
+		Cloud:                platformfake.NewCloud(options.Types, options.CapacityPerOffering),
 		Workers:              map[string]*Worker{},
 		Jobs:                 map[string]*Job{},
 		Lags:                 map[string]Lag{},
@@ -325,8 +325,8 @@
 		Params:               options.Params,
 		options:              options,
 	}
-	sim.Cloud.OnProvisioned = func(instance *standin.Instance) { sim.provisioned(instance) }
-	sim.Cloud.OnReleased = func(instance *standin.Instance) {
+	sim.Cloud.OnProvisioned = func(instance *platformfake.Instance) { sim.provisioned(instance) }
+	sim.Cloud.OnReleased = func(instance *platformfake.Instance) {
 		if worker := sim.Workers[instance.ID]; worker != nil {
 			worker.Gone, worker.ReleasedAt = true, sim.Now
 		}
@@ -394,7 +394,7 @@
 			continue
 		}
 		running, isRunningAttempt := 0, false
-		sim.EachTask(func(_ *Worker, t *standin.Task) {
+		sim.EachTask(func(_ *Worker, t *platformfake.Task) {
 			if t.Name == command.Task {
 				running++
 				isRunningAttempt = t.Attempt == command.Attempt
@@ -705,7 +705,7 @@
 // Clock is the machine's own steady clock.
 func (worker *Worker) Clock(sim *Simulation) int64 { return int64(float64(sim.Now) * worker.clockRate) }
 
-func (sim *Simulation) provisioned(instance *standin.Instance) {
+func (sim *Simulation) provisioned(instance *platformfake.Instance) {
 	worker := &Worker{
 		Instance:      instance,
 		taskStartedAt: map[string]int64{},
@@ -750,7 +750,7 @@
 		}
 		worker.Up = true
 		instance.State = "running"
-		worker.Agent = &standin.Worker{
+		worker.Agent = &platformfake.Worker{
 			Machine:   instance.CloudMachine,
 			Resources: machineType.Resources,
 			LeaseMS:   int64(sim.Params.LeaseS * 1000),
@@ -768,14 +768,14 @@
 				return ms * int64(1000*speedRatio) / 1000
 			},
 			GangTimeoutMS: sim.options.GangWaitMS,
-			OnStarted:     func(_ *standin.Worker, machineType *standin.Task) { sim.onStart(worker, machineType) },
-			OnStopping: func(_ *standin.Worker, machineType *standin.Task) {
+			OnStarted:     func(_ *platformfake.Worker, machineType *platformfake.Task) { sim.onStart(worker, machineType) },
+			OnStopping: func(_ *platformfake.Worker, machineType *platformfake.Task) {
 				sim.discountEarlyStop(worker, machineType)
 				if sim.OnTaskStop != nil {
 					sim.OnTaskStop(worker, machineType)
 				}
 			},
-			OnDone: func(_ *standin.Worker, machineType *standin.Task) {
+			OnDone: func(_ *platformfake.Worker, machineType *platformfake.Task) {
 				if sim.OnTaskDone != nil {
 					sim.OnTaskDone(machineType)
 				}
@@ -790,7 +790,7 @@
 					sim.onJobDone(j)
 				}
 			},
-			Execute: func(machineType *standin.Task) standin.Execution {
+			Execute: func(machineType *platformfake.Task) platformfake.Execution {
 				if sim.IsFaulty != nil && sim.IsFaulty(worker) ||
 					sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[machineType.Job.ID]) {
 					return &erringExecution{sim, sim.Now + 1000, false}
@@ -814,10 +814,10 @@
 }
 
 // isGangComplete tells whether all tasks of a gang's try have their images.
-func (sim *Simulation) isGangComplete(t *standin.Task) bool {
+func (sim *Simulation) isGangComplete(t *platformfake.Task) bool {
 	attempt := fmt.Sprintf("%s %d", t.Job.ID, t.Attempt)
 	placed := len(sim.Jobs[t.Job.ID].DoneTasks) // those of an earlier try
-	sim.EachTask(func(_ *Worker, other *standin.Task) {
+	sim.EachTask(func(_ *Worker, other *platformfake.Task) {
 		if other.Job.ID == t.Job.ID && other.Attempt == t.Attempt {
 			placed++
 		}
@@ -957,17 +957,17 @@
 }
 
 // EachTask visits every task on every machine that exists.
-func (sim *Simulation) EachTask(visit func(worker *Worker, t *standin.Task)) {
+func (sim *Simulation) EachTask(visit func(worker *Worker, t *platformfake.Task)) {
 	for _, id := range sim.WorkerIDs {
 		worker := sim.Workers[id]
 		if worker.Gone || !worker.Up || worker.Agent.IsLeaseExpired(worker.Clock(sim)) {
 			continue
 		}
-		worker.Agent.ForEachOnMachine(func(t *standin.Task) { visit(worker, t) })
+		worker.Agent.ForEachOnMachine(func(t *platformfake.Task) { visit(worker, t) })
 	}
 }
 
-func (sim *Simulation) onStart(worker *Worker, t *standin.Task) {
+func (sim *Simulation) onStart(worker *Worker, t *platformfake.Task) {
 	j := sim.Jobs[t.Job.ID]
 	job := &j.Spec
 	if j.FirstStartAt == 0 {
@@ -990,7 +990,7 @@
 		return
 	}
 	cpus, gpus, zones, total := 0.0, 0.0, map[string]int{}, 0
-	sim.EachTask(func(other *Worker, task *standin.Task) {
+	sim.EachTask(func(other *Worker, task *platformfake.Task) {
 		if task.Job.Team == job.Team {
 			cpus += task.Job.Request.CPUs
 			gpus += task.Job.Request.GPUs
@@ -1014,7 +1014,7 @@
 }
 
 // checkPlacement checks where a task runs; zones are those of its job's tasks.
-func (sim *Simulation) checkPlacement(worker *Worker, t *standin.Task, zones map[string]int) {
+func (sim *Simulation) checkPlacement(worker *Worker, t *platformfake.Task, zones map[string]int) {
 	job := &sim.Jobs[t.Job.ID].Spec
 	if worker.Instance.Spot && !job.Spot || job.Zone != "" && job.Zone != worker.Instance.Zone ||
 		len(job.Types) > 0 && !slices.Contains(job.Types, worker.Instance.Type) ||
@@ -1027,7 +1027,7 @@
 // sweep checks the rules on places and limits over all tasks.
 func (sim *Simulation) sweep() {
 	cpus, gpus, zones, workers := map[string]float64{}, map[string]float64{}, map[string]map[string]int{}, map[string]*Worker{}
-	sim.EachTask(func(worker *Worker, t *standin.Task) {
+	sim.EachTask(func(worker *Worker, t *platformfake.Task) {
 		if other := workers[t.Name]; other != nil {
 			sim.recordViolation("ran_twice", "%s on %s while on %s", t.Name, worker.Instance.ID, other.Instance.ID)
 		}
@@ -1042,7 +1042,7 @@
 	for _, team := range slices.Sorted(maps.Keys(cpus)) { // the first that fails is told
 		sim.checkLimits(team, cpus[team], gpus[team])
 	}
-	sim.EachTask(func(worker *Worker, t *standin.Task) { sim.checkPlacement(worker, t, zones[t.Job.ID]) })
+	sim.EachTask(func(worker *Worker, t *platformfake.Task) { sim.checkPlacement(worker, t, zones[t.Job.ID]) })
 	sim.After(sim.SweepIntervalMS, sim.sweep)
 }
 
@@ -1050,7 +1050,7 @@
 	if sim.ChecksDisabled {
 		return
 	}
-	sim.EachTask(func(worker *Worker, t *standin.Task) {
+	sim.EachTask(func(worker *Worker, t *platformfake.Task) {
 		j := sim.Jobs[t.Job.ID]
 		if j.CancelConfirmedAt > 0 && sim.Now-j.CancelConfirmedAt > int64(sim.Params.CancelWithinS*1000) {
 			sim.recordViolation(
--- a/emulator/starvation.go
+++ b/emulator/starvation.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"github.com/grebedock/grebedock/availability"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -72,12 +72,12 @@
 	return r
 }
 
-func (usage *workerUsage) addTask(t *standin.Task) {
+func (usage *workerUsage) addTask(t *platformfake.Task) {
 	usage.free = usage.free.Sub(withoutImage(t.Job.Request))
 	usage.images[t.Job.Image] = t.Job.Request.DiskGB
 }
 
-func (usage *clusterUsage) addTask(worker *Worker, t *standin.Task) {
+func (usage *clusterUsage) addTask(worker *Worker, t *platformfake.Task) {
 	placement := usage.jobs[t.Job.ID]
 	if placement == nil {
 		placement = &jobPlacement{tasks: map[string]bool{}, zones: map[string]int{}}
--- a/emulator/starvation_test.go
+++ b/emulator/starvation_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"github.com/grebedock/grebedock/availability"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -16,7 +16,7 @@
 	}
 	worker := &Worker{
 		machineType: machineType,
-		Instance: &standin.Instance{
+		Instance: &platformfake.Instance{
 			CloudMachine: scheduler.CloudMachine{ID: "i-" + zone, Type: machineType.Name, Zone: zone, Spot: spot},
 		},
 	}
--- a/emulator/team_results.go
+++ b/emulator/team_results.go
@@ -1,7 +1,7 @@
 package emulator
 
 import (
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -34,7 +34,7 @@
 }
 
 // discountEarlyStop takes back a start that was stopped by command too soon to count.
-func (sim *Simulation) discountEarlyStop(worker *Worker, t *standin.Task) {
+func (sim *Simulation) discountEarlyStop(worker *Worker, t *platformfake.Task) {
 	j := sim.Jobs[t.Job.ID]
 	if at, ok := j.countedStartAt[t.Name]; ok && sim.Now-at < minCountedRunMS && worker.Agent.NoticeS == nil &&
 		!j.CancelRequested {
@@ -86,7 +86,7 @@
 func (sim *Simulation) sampleLimits() {
 	cpus, waitingCPUs := map[string]float64{}, map[string]float64{}
 	placedTasks := map[string]bool{}
-	sim.EachTask(func(_ *Worker, t *standin.Task) {
+	sim.EachTask(func(_ *Worker, t *platformfake.Task) {
 		cpus[t.Job.Team] += t.Job.Request.CPUs
 		placedTasks[t.Name] = true
 	})
--- a/emulator/user_requests.go
+++ b/emulator/user_requests.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -20,7 +20,7 @@
 // of a second. With hangMS, up to eight of their machines hang that long from then on.
 func (sim *Simulation) CancelRunningJobs(count int, hangMS int64) {
 	workers := map[string][]*Worker{}
-	sim.EachTask(func(worker *Worker, t *standin.Task) { workers[t.Job.ID] = append(workers[t.Job.ID], worker) })
+	sim.EachTask(func(worker *Worker, t *platformfake.Task) { workers[t.Job.ID] = append(workers[t.Job.ID], worker) })
 	var running []*Job
 	for _, id := range sim.JobIDs {
 		if j := sim.Jobs[id]; len(workers[id]) > 0 && j.Accepted && !j.CancelRequested && !j.ObservedState.IsTerminal() {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"github.com/grebedock/grebedock/internal/config"
-	"github.com/grebedock/grebedock/internal/rest"
+	"github.com/grebedock/grebedock/internal/httpclient"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
 // Client is a client of the cloud.
 type Client struct {
-	client   *rest.Client
-	budget   *rest.Budget
+	client   *httpclient.Client
+	budget   *httpclient.Budget
 	onResult func(uint64, scheduler.CloudResult)
 }
 
@@ -23,8 +23,8 @@
 	// Nearly all requests are the fleet lead's; the others ask for the machine
 	// types once, and a new lead may follow an old one at once.
 	return &Client{
-		client:   rest.NewClient(settings.External.Cloud, 8),
-		budget:   rest.NewBudget(ctx, settings.Cluster.Cloud.RPS*leaderRateShare, 0, 0),
+		client:   httpclient.NewClient(settings.External.Cloud, 8),
+		budget:   httpclient.NewBudget(ctx, settings.Cluster.Cloud.RPS*leaderRateShare, 0, 0),
 		onResult: onResult,
 	}
 }
--- a/internal/guard/connection_table.go
+++ b/internal/connlimit/connection_table.go
@@ -1,4 +1,4 @@
-// Package guard bounds what connections may take of a member: how many there
+// Package connlimit bounds what connections may take of a member: how many there
 // are, how long a request may take to arrive and an answer to be taken, and how
 // many bytes of half-read bodies are held.
 //
@@ -17,7 +17,7 @@
 // whose request arrives within milliseconds is served through any number of
 // them. It does not tell a stalling client from one with a broken network, and
 // it does not defend against requests that arrive quickly.
-package guard
+package connlimit
 
 import (
 	"container/list"
--- a/internal/guard/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -1,4 +1,4 @@
-package guard
+package connlimit
 
 import (
 	"fmt"
--- a/internal/rest/budget.go
+++ b/internal/httpclient/budget.go
@@ -1,6 +1,6 @@
-// Package rest makes HTTP requests to the services that a controller uses,
+// Package httpclient makes HTTP requests to the services that a controller uses,
 // within a rate budget and most urgent first.
-package rest
+package httpclient
 
 import (
 	"context"
--- a/internal/rest/failover.go
+++ b/internal/httpclient/failover.go
@@ -1,4 +1,4 @@
-package rest
+package httpclient
 
 import (
 	"context"
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -18,7 +18,7 @@
 	"github.com/grebedock/grebedock/internal/config"
 	"github.com/grebedock/grebedock/internal/features"
 	"github.com/grebedock/grebedock/internal/node"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/internal/toolrun"
 	"github.com/grebedock/grebedock/scheduler"
 )
@@ -43,7 +43,7 @@
 type Lab struct {
 	UserAddrs, PeerAddrs []string
 	DataDir              string
-	Platform             *standin.Platform
+	Platform             *platformfake.Platform
 
 	settings    []*config.File
 	enabled     features.Set
@@ -127,16 +127,16 @@
 		},
 	}
 	var err error
-	l.Platform, err = standin.StartPlatform(
-		standin.Options{Types: types, Lease: leaseS * time.Second, Members: l.UserAddrs, Capacity: o.MachinesPerType,
+	l.Platform, err = platformfake.StartPlatform(
+		platformfake.Options{Types: types, Lease: leaseS * time.Second, Members: l.UserAddrs, Capacity: o.MachinesPerType,
 			RunTimeMS: func(j *scheduler.Job) int64 { return int64(j.EstimateS * 1000 / o.SpeedFactor) },
-			Execute: func(t *standin.Task) standin.Execution {
+			Execute: func(t *platformfake.Task) platformfake.Execution {
 				if !dir.HasDescription(t.Job.ID) {
 					return nil
 				}
 				return dir.Start(t.Job.ID, t.Index())
 			},
-			OnTaskStarted: func(_ string, t *standin.Task, cpus float64) {
+			OnTaskStarted: func(_ string, t *platformfake.Task, cpus float64) {
 				if o.OnTaskStarted != nil {
 					o.OnTaskStarted(t.Name, t.Job, cpus)
 				}
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -13,9 +13,9 @@
 
 	"github.com/grebedock/grebedock/access"
 	"github.com/grebedock/grebedock/internal/config"
-	"github.com/grebedock/grebedock/internal/front"
-	"github.com/grebedock/grebedock/internal/guard"
-	"github.com/grebedock/grebedock/internal/rest"
+	"github.com/grebedock/grebedock/internal/connlimit"
+	"github.com/grebedock/grebedock/internal/httpclient"
+	"github.com/grebedock/grebedock/internal/userapi"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/scheduler"
 )
@@ -36,8 +36,8 @@
 // ConnectionClasses are the kinds of requests on the mesh address: each peer sends its
 // messages on one connection and what it relays on a few, and the rest is
 // operators'.
-func ConnectionClasses() []guard.Class {
-	return []guard.Class{
+func ConnectionClasses() []connlimit.Class {
+	return []connlimit.Class{
 		{Name: "peers", Prefix: "POST /peer ", ReservedShare: 1.0 / 4},
 		{Name: "relays", Prefix: "POST /relay ", ReservedShare: 1.0 / 2},
 		{Name: "operators", ReservedShare: 1.0 / 4},
@@ -47,7 +47,7 @@
 // NewPeerServer returns the server of the mesh address. Guarded, its listener must be
 // a guard's.
 func NewPeerServer(core Core, maxSockets int, limited bool) *fiber.App {
-	app := front.NewServer(maxSockets, maxMessageBytes, limited)
+	app := userapi.NewServer(maxSockets, maxMessageBytes, limited)
 	serveAdmin(app, core)
 	app.Post("/peer", func(c *fiber.Ctx) error {
 		msg, err := decode(c.Body())
@@ -96,8 +96,8 @@
 }
 
 type peer struct {
-	messageClient    *rest.Client
-	relayClient      *rest.Client
+	messageClient    *httpclient.Client
+	relayClient      *httpclient.Client
 	sending          bool
 	nextBody         []byte
 	nextHasSummaries bool // next has summaries
@@ -112,8 +112,8 @@
 	p := &Peers{peers: map[string]*peer{}}
 	for _, o := range others {
 		p.peers[o.Member] = &peer{
-			messageClient: rest.NewClient(o.Addr, 2),
-			relayClient:   rest.NewClient(o.Addr, max(1, maxRelays/len(others))),
+			messageClient: httpclient.NewClient(o.Addr, 2),
+			relayClient:   httpclient.NewClient(o.Addr, max(1, maxRelays/len(others))),
 		}
 	}
 	return p
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,12 +16,12 @@
 
 	"github.com/grebedock/grebedock/internal/cloud"
 	"github.com/grebedock/grebedock/internal/config"
+	"github.com/grebedock/grebedock/internal/connlimit"
 	"github.com/grebedock/grebedock/internal/features"
-	"github.com/grebedock/grebedock/internal/front"
-	"github.com/grebedock/grebedock/internal/guard"
+	"github.com/grebedock/grebedock/internal/httpclient"
 	"github.com/grebedock/grebedock/internal/mesh"
-	"github.com/grebedock/grebedock/internal/rest"
-	"github.com/grebedock/grebedock/internal/store"
+	"github.com/grebedock/grebedock/internal/statestore"
+	"github.com/grebedock/grebedock/internal/userapi"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/rollout"
 	"github.com/grebedock/grebedock/scheduler"
@@ -41,14 +41,14 @@
 	stopped            <-chan struct{}
 	usable             atomic.Bool
 	health             *health
-	connectionLimiters []*guard.Limiter
+	connectionLimiters []*connlimit.Limiter
 	workflows          *workflowRunner // nil: switched off
 	schedules          *scheduleRunner // nil: switched off
 
-	store        *store.Client
+	store        *statestore.Client
 	cloud        *cloud.Client
 	peers        *mesh.Peers
-	workerClient *rest.MultiHostClient
+	workerClient *httpclient.MultiHostClient
 
 	// Owned by the loop.
 	lastReplyID       uint64
@@ -128,7 +128,7 @@
 // createClients makes the clients of all that the member asks.
 func (n *Node) createClients(ctx context.Context, maxRelays int) {
 	settings := n.settings
-	n.store = store.New(ctx, settings, func(id uint64, r scheduler.StoreResult) {
+	n.store = statestore.New(ctx, settings, func(id uint64, r scheduler.StoreResult) {
 		switch {
 		case id&workflowRequestFlag != 0:
 			n.workflows.storeDone(id, r)
@@ -143,7 +143,7 @@
 		n.enqueueResponse(func(now scheduler.Now) { n.core.HandleCloudResult(now, id, r) })
 	})
 	n.peers = mesh.NewPeers(settings.Peers, maxRelays)
-	n.workerClient = rest.NewMultiHostClient(2)
+	n.workerClient = httpclient.NewMultiHostClient(2)
 }
 
 // serve listens and runs the loops until ctx ends or a listener fails.
@@ -162,12 +162,12 @@
 	var userConns, peerConns net.Listener = userListener, peerListener
 	sockets, limited := settings.Cluster.Limits.MaxSockets, enabled.Connections.Enabled
 	if limited {
-		userConns = n.limitConnections(ctx, "front", userConns, userSocketShare, front.ConnectionClasses())
+		userConns = n.limitConnections(ctx, "front", userConns, userSocketShare, userapi.ConnectionClasses())
 		peerConns = n.limitConnections(ctx, "mesh", peerConns, peerSocketShare, mesh.ConnectionClasses())
 	}
-	userServer := front.NewUserServer(n, sockets, limited)
+	userServer := userapi.NewUserServer(n, sockets, limited)
 	if n.workflows != nil {
-		front.ServeWorkflows(userServer, n.workflows)
+		userapi.ServeWorkflows(userServer, n.workflows)
 	}
 	peerServer := mesh.NewPeerServer(n, sockets, limited)
 	if n.schedules != nil {
@@ -229,15 +229,15 @@
 	name string,
 	ln net.Listener,
 	share float64,
-	classes []guard.Class,
+	classes []connlimit.Class,
 ) net.Listener {
 	limits := n.settings.Cluster.Limits
 	leases := func(factor float64) time.Duration {
 		return time.Duration(factor * n.settings.Cluster.Workers.LeaseS * float64(time.Second))
 	}
-	limiter := guard.NewLimiter(
+	limiter := connlimit.NewLimiter(
 		name,
-		guard.Limits{Slots: max(8, int(share*float64(limits.MaxSockets))), BodyBytes: int(limits.HeapBytes() * bodyHeapShare),
+		connlimit.Limits{Slots: max(8, int(share*float64(limits.MaxSockets))), BodyBytes: int(limits.HeapBytes() * bodyHeapShare),
 			Header: leases(
 				headerTimeoutLeases,
 			), Body: leases(bodyTimeoutLeases), Response: leases(responseTimeoutLeases), Idle: leases(idleTimeoutLeases)},
--- a/internal/standin/state_service.go
+++ b/internal/platformfake/state_service.go
@@ -1,8 +1,8 @@
-// Package standin holds the project's own stand-ins for the systems that a
+// Package platformfake holds the project's own stand-ins for the systems that a
 // controller meets: the state service, the cloud and the workers, written from
 // their published protocol. They serve tests, in simulated time and over
 // loopback.
-package standin
+package platformfake
 
 import (
 	"encoding/json"
--- a/internal/standin/worker.go
+++ b/internal/platformfake/worker.go
@@ -1,4 +1,4 @@
-package standin
+package platformfake
 
 import (
 	"cmp"
--- a/internal/store/client.go
+++ b/internal/statestore/client.go
@@ -1,5 +1,5 @@
-// Package store carries the core's requests to the state service.
-package store
+// Package statestore carries the core's requests to the state service.
+package statestore
 
 import (
 	"context"
@@ -7,15 +7,15 @@
 
 	"github.com/grebedock/grebedock/access"
 	"github.com/grebedock/grebedock/internal/config"
-	"github.com/grebedock/grebedock/internal/rest"
+	"github.com/grebedock/grebedock/internal/httpclient"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
 // Client is a client of the state service.
 type Client struct {
-	requestClient, watchClient *rest.Client
-	budget                     *rest.Budget
+	requestClient, watchClient *httpclient.Client
+	budget                     *httpclient.Budget
 	onResult                   func(uint64, scheduler.StoreResult)
 }
 
@@ -24,9 +24,9 @@
 	controllers := float64(len(settings.Peers) + 1)
 	limits := settings.Cluster.State
 	return &Client{
-		requestClient: rest.NewClient(settings.External.State, max(4, settings.Cluster.Limits.MaxSockets/10)),
-		watchClient:   rest.NewClient(settings.External.State, 2),
-		budget:        rest.NewBudget(ctx, limits.RPS/controllers, limits.WriteRPS/controllers, limits.TxnOps),
+		requestClient: httpclient.NewClient(settings.External.State, max(4, settings.Cluster.Limits.MaxSockets/10)),
+		watchClient:   httpclient.NewClient(settings.External.State, 2),
+		budget:        httpclient.NewBudget(ctx, limits.RPS/controllers, limits.WriteRPS/controllers, limits.TxnOps),
 		onResult:      onResult,
 	}
 }
--- a/internal/front/server.go
+++ b/internal/userapi/server.go
@@ -1,5 +1,5 @@
-// Package front serves users, workers and health checks.
-package front
+// Package userapi serves users, workers and health checks.
+package userapi
 
 import (
 	"strconv"
@@ -7,7 +7,7 @@
 
 	"github.com/gofiber/fiber/v2"
 
-	"github.com/grebedock/grebedock/internal/guard"
+	"github.com/grebedock/grebedock/internal/connlimit"
 	"github.com/grebedock/grebedock/internal/wire"
 	"github.com/grebedock/grebedock/scheduler"
 )
@@ -15,8 +15,8 @@
 // ConnectionClasses are the kinds of requests on the front address. Health checks are
 // one connection at a time; workers may all come to one member when it adopts
 // the others' shards, and then are most of what it has.
-func ConnectionClasses() []guard.Class {
-	return []guard.Class{
+func ConnectionClasses() []connlimit.Class {
+	return []connlimit.Class{
 		{Name: "health", Prefix: "GET /up ", ReservedShare: 1.0 / 16},
 		{Name: "workers", Prefix: "POST /v1/report ", ReservedShare: 3.0 / 4},
 		{Name: "users", ReservedShare: 3.0 / 16},
@@ -93,7 +93,7 @@
 		},
 	})
 	if limited {
-		app.Use(guard.LimitBodies(maxBody))
+		app.Use(connlimit.LimitBodies(maxBody))
 	}
 	return app
 }
--- a/internal/front/workflows.go
+++ b/internal/userapi/workflows.go
@@ -1,4 +1,4 @@
-package front
+package userapi
 
 import (
 	"encoding/json"
--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/grebedock/grebedock/availability"
 	"github.com/grebedock/grebedock/emulator"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -257,7 +257,7 @@
 				)
 			}
 			sim.repeatAtRandom(45_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
-			sim.OnTaskDone = func(t *standin.Task) { counts["tasks of "+t.Job.Class]++ }
+			sim.OnTaskDone = func(t *platformfake.Task) { counts["tasks of "+t.Job.Class]++ }
 		},
 		minCounts: map[string]int{
 			"tasks of " + idleTimeClass:   600,
--- a/scheduler/overlapping_faults_test.go
+++ b/scheduler/overlapping_faults_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/grebedock/grebedock/disruption"
 	"github.com/grebedock/grebedock/emulator"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -286,7 +286,7 @@
 			sim.DelayWrites(0.1, faultWindowMS)
 			sim.ReplayHeartbeats(0.4, faultWindowMS)
 			nextFaultAt := int64(12_000)
-			sim.OnTaskDone = func(task *standin.Task) {
+			sim.OnTaskDone = func(task *platformfake.Task) {
 				j := sim.Jobs[task.Job.ID]
 				if sim.Now < nextFaultAt || sim.Now > faultWindowMS || len(j.DoneTasks) == 0 || len(j.DoneTasks) >= j.Spec.Tasks {
 					return
--- a/scheduler/overlapping_machine_faults_test.go
+++ b/scheduler/overlapping_machine_faults_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"github.com/grebedock/grebedock/emulator"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -283,7 +283,7 @@
 				}
 			})
 			sim.repeatAtRandom(25_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(16_000)) })
-			sim.OnTaskDone = func(task *standin.Task) {
+			sim.OnTaskDone = func(task *platformfake.Task) {
 				if task.Job.OneZone {
 					counts["ended in one zone"]++
 				}
@@ -438,7 +438,7 @@
 // busiestMember is the member to which most machines with tasks report, of those that run.
 func (sim *testSimulation) busiestMember() *emulator.Member {
 	tasks := map[string]int{}
-	sim.EachTask(func(worker *emulator.Worker, _ *standin.Task) { tasks[worker.MemberName(sim.Simulation)]++ })
+	sim.EachTask(func(worker *emulator.Worker, _ *platformfake.Task) { tasks[worker.MemberName(sim.Simulation)]++ })
 	busiest := sim.randomMember()
 	for _, m := range sim.Members {
 		if m.Core != nil && (busiest.Core == nil || tasks[m.Name] > tasks[busiest.Name]) {
--- a/scheduler/overlapping_request_faults_test.go
+++ b/scheduler/overlapping_request_faults_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/grebedock/grebedock/availability"
 	"github.com/grebedock/grebedock/emulator"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -140,7 +140,7 @@
 // workersByRunningJob tells on which machines tasks of each job are that its user goes on with.
 func (sim *testSimulation) workersByRunningJob() map[string][]*emulator.Worker {
 	workers := map[string][]*emulator.Worker{}
-	sim.EachTask(func(worker *emulator.Worker, t *standin.Task) {
+	sim.EachTask(func(worker *emulator.Worker, t *platformfake.Task) {
 		if j := sim.Jobs[t.Job.ID]; j.Accepted && !j.CancelRequested && !j.ObservedState.IsTerminal() {
 			workers[t.Job.ID] = append(workers[t.Job.ID], worker)
 		}
@@ -190,7 +190,7 @@
 	const usualTaskCPUs = 4
 	return func() bool {
 		usedCPUs := map[string]float64{}
-		sim.EachTask(func(_ *emulator.Worker, t *standin.Task) { usedCPUs[t.Job.Team] += t.Job.Request.CPUs })
+		sim.EachTask(func(_ *emulator.Worker, t *platformfake.Task) { usedCPUs[t.Job.Team] += t.Job.Request.CPUs })
 		return usedCPUs["t0"] > cpus-usualTaskCPUs || usedCPUs["t1"] > cpus-usualTaskCPUs
 	}
 }
--- a/scheduler/quota_faults_test.go
+++ b/scheduler/quota_faults_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/grebedock/grebedock/availability"
 	"github.com/grebedock/grebedock/emulator"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -369,7 +369,7 @@
 			}
 		}
 	}
-	sim.OnTaskDone = func(t *standin.Task) { taskEnds[t.Job.Team] = append(taskEnds[t.Job.Team], sim.Now) }
+	sim.OnTaskDone = func(t *platformfake.Task) { taskEnds[t.Job.Team] = append(taskEnds[t.Job.Team], sim.Now) }
 	sim.adjustJob = func(j *scheduler.Job, n int) {
 		j.Team = fmt.Sprintf("t%d", n%4)
 		j.OneZone, j.Spread, j.Zone, j.MaxTaskErrors, j.AtMostOnce, j.Request.CPUs = false, false, "", 0, false, 4
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -8,14 +8,14 @@
 	"github.com/grebedock/grebedock/availability"
 	"github.com/grebedock/grebedock/disruption"
 	"github.com/grebedock/grebedock/emulator"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/rollout"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
 // countStops breaks a rule when more tasks of a team are down than its budget says.
 func countStops(sim *testSimulation, budget int) *emulator.StopCounter {
-	return sim.CountStops(func(task *standin.Task, down int) {
+	return sim.CountStops(func(task *platformfake.Task, down int) {
 		if down > budget {
 			sim.Violations["disruption"] = fmt.Sprintf(
 				"at %d ms: %d tasks of %s are down, %s last",
@@ -185,7 +185,7 @@
 			var countReplicas func()
 			countReplicas = func() {
 				n := 0
-				sim.EachTask(func(_ *emulator.Worker, t *standin.Task) {
+				sim.EachTask(func(_ *emulator.Worker, t *platformfake.Task) {
 					if t.Job.ID == j.Spec.ID && t.State == "running" {
 						n++
 					}
--- a/scheduler/simulation_checks_test.go
+++ b/scheduler/simulation_checks_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"github.com/grebedock/grebedock/emulator"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -158,7 +158,7 @@
 	sim.noRandomFaults = true
 	sim.After(40_000, func() { sim.CancelRunningJobs(3, 4000) })
 	sim.After(40_010, func() {
-		sim.EachTask(func(worker *emulator.Worker, t *standin.Task) {
+		sim.EachTask(func(worker *emulator.Worker, t *platformfake.Task) {
 			if worker.HangUntil > sim.Now {
 				onHungMachine[t.Name] = true
 			}
--- a/scheduler/store_outage_cancellation_test.go
+++ b/scheduler/store_outage_cancellation_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/grebedock/grebedock/availability"
 	"github.com/grebedock/grebedock/emulator"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -112,7 +112,7 @@
 	const refusedAtMS = 40_000
 	sim.After(refusedAtMS-1500, func() {
 		running := map[string]int{}
-		sim.EachTask(func(worker *emulator.Worker, _ *standin.Task) { running[worker.MemberName(sim.Simulation)]++ })
+		sim.EachTask(func(worker *emulator.Worker, _ *platformfake.Task) { running[worker.MemberName(sim.Simulation)]++ })
 		for _, m := range sim.Members {
 			if leader == nil || running[m.Name] > running[leader.Name] {
 				leader = m
@@ -190,7 +190,7 @@
 			return
 		}
 		runningTasks := 0
-		sim.EachTask(func(_ *emulator.Worker, t *standin.Task) {
+		sim.EachTask(func(_ *emulator.Worker, t *platformfake.Task) {
 			if t.Job.ID == id {
 				runningTasks++
 			}
@@ -205,7 +205,7 @@
 // measureRemainingTasks measures how long tasks of a cancelled job were on machines.
 func (run *outageRun) measureRemainingTasks(j *emulator.Job) {
 	isRunning := false
-	run.sim.EachTask(func(_ *emulator.Worker, t *standin.Task) { isRunning = isRunning || t.Job == &j.Spec })
+	run.sim.EachTask(func(_ *emulator.Worker, t *platformfake.Task) { isRunning = isRunning || t.Job == &j.Spec })
 	if isRunning {
 		run.longestRunMS = max(run.longestRunMS, run.sim.Now-j.CancelConfirmedAt)
 		run.totalRunMS += 100
--- a/schedules/simulation_test.go
+++ b/schedules/simulation_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/grebedock/grebedock/extension"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -22,7 +22,7 @@
 	t                    testing.TB
 	rng                  *rand.Rand
 	now                  int64 // true time of day, ms
-	store                *standin.State
+	store                *platformfake.State
 	members              []string
 	hosts                map[string]*Host
 	views                map[string]scheduler.ExtensionView
@@ -56,7 +56,7 @@
 		t:         t,
 		rng:       rand.New(rand.NewPCG(seed, 5)),
 		now:       at.UnixMilli(),
-		store:     standin.NewState(),
+		store:     platformfake.NewState(),
 		members:   []string{"m-0", "m-1", "m-2"},
 		hosts:     map[string]*Host{},
 		views:     map[string]scheduler.ExtensionView{},
--- a/workflow/host_test.go
+++ b/workflow/host_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/grebedock/grebedock/cwl"
 	"github.com/grebedock/grebedock/extension"
-	"github.com/grebedock/grebedock/internal/standin"
+	"github.com/grebedock/grebedock/internal/platformfake"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -21,7 +21,7 @@
 	t                   testing.TB
 	rng                 *rand.Rand
 	now                 int64
-	store               *standin.State
+	store               *platformfake.State
 	members             []string
 	hosts               map[string]*Host
 	views               map[string]scheduler.ExtensionView // as each last saw it
@@ -51,7 +51,7 @@
 	w := &simulation{
 		t:            t,
 		rng:          rand.New(rand.NewPCG(seed, 3)),
-		store:        standin.NewState(),
+		store:        platformfake.NewState(),
 		members:      []string{"m-0", "m-1", "m-2"},
 		hosts:        map[string]*Host{},
 		views:        map[string]scheduler.ExtensionView{},
