--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -160,7 +160,6 @@
 	ownedShards      map[string]*shard
 	claimRetryAtMS   map[string]int64 // shard: when to try again
 	ownerlessSinceMS map[string]int64 // shard: since when nobody holds it
-	shardRequests    map[string]int64 // shard: when its own member last asked for it
 
 	extensionRecords map[string]KeyValue // what subsystems beside the core keep in the mirror
 
@@ -187,12 +186,15 @@
 	nextPeerMessageAtMS int64
 	summaryTurn         int // of peers that get summaries
 	runtimeCorrections  map[string]*runtimeCorrection
-	fleet               fleetState
-	rolloutState        rolloutState
+	fleet               autoscaler
+	rolloutState        rolloutController
 	rolloutCounts       rollout.HealthCounts // what the gates of rollouts count, here
 	homeShards          map[string]string    // team with a limit: the shard that its jobs go to
 	Counters            Counters
 	hadAuthority        bool
+	observeChange       func(KeyValue) // takes what a completed request shows of a key
+	invalidatePlans     func()         // plans rest on something that changed
+	recordHandlers      []recordHandler
 	lastStoreLink       access.LinkState
 }
 
@@ -250,7 +252,7 @@
 		registryPages: map[string]*registryPage{}, liveMachines: map[string][]string{},
 		shardClaims: map[string]claimRecord{}, machineTypes: map[string]*MachineType{}, placementCatalog: planner.NewCatalog(),
 		settings: DefaultSettings(), ownedShards: map[string]*shard{}, claimRetryAtMS: map[string]int64{}, ownerlessSinceMS: map[string]int64{},
-		shardRequests: map[string]int64{}, statusRecords: map[string]*peerState{}, pendingRequests: map[uint64]*pendingRequest{}, pendingRelays: map[uint64]pendingRelay{}, expediteBudget: expediteBurst, terminalStates: map[string]terminalRecord{}, parkedHeartbeats: map[string][]parkedHeartbeat{},
+		statusRecords: map[string]*peerState{}, pendingRequests: map[uint64]*pendingRequest{}, pendingRelays: map[uint64]pendingRelay{}, expediteBudget: expediteBurst, terminalStates: map[string]terminalRecord{}, parkedHeartbeats: map[string][]parkedHeartbeat{},
 		extensionRecords: map[string]KeyValue{}, peers: map[string]*peerState{}, runtimeCorrections: map[string]*runtimeCorrection{},
 	}
 	m.storeAccess = access.NewLeaseKeeper(
@@ -261,10 +263,12 @@
 			RequestTimeoutMS: access.RequestTimeout.Milliseconds(),
 		},
 	)
-	m.submissionQueue = newSubmissionQueue(m)
+	m.submissionQueue = newSubmissionQueue(&params)
 	m.initTeamLedgers()
 	m.usageMonitor = quota.NewUsageMonitor(params.MemberID, now.WallMS)
 	m.fleet.init()
+	m.observeChange, m.invalidatePlans = m.applyChange, m.markAllShardsDirty
+	m.recordHandlers = m.newRecordHandlers()
 	m.rolloutState.disruptionRecords = map[string]disruption.Record{}
 	return m
 }
@@ -501,110 +505,154 @@
 	} else {
 		c.keyRevisions[kv.Key] = kv.Rev
 	}
-	logUnreadable := func(err error) {
-		c.log(Warn, "record unreadable", "key", kv.Key, "error", err)
-	}
-	switch {
-	case strings.HasPrefix(kv.Key, jobPrefix):
-		id := kv.Key[len(jobPrefix):]
-		if removed {
-			c.deleteJob(id)
-			return
-		}
-		var rec jobRecord
-		if err := json.Unmarshal(kv.Value, &rec); err != nil {
-			logUnreadable(err)
-			return
-		}
-		c.upsertJob(id, rec, kv.Rev)
-	case strings.HasPrefix(kv.Key, registryPrefix), strings.HasPrefix(kv.Key, liveMachinesPrefix):
-		if err := c.applyMachineRecord(kv); err != nil {
-			logUnreadable(err)
-		}
-	case strings.HasPrefix(kv.Key, claimPrefix):
-		id := kv.Key[len(claimPrefix):]
-		var rec claimRecord
-		if !removed {
-			if err := json.Unmarshal(kv.Value, &rec); err != nil {
-				logUnreadable(err)
-				return
-			}
-			c.shardClaims[id] = rec
-		} else {
-			delete(c.shardClaims, id)
-		}
-		// Another claim of a shard that we held: it is no longer ours. The
-		// same claim with a higher revision is one that we raised.
-		if s := c.ownedShards[id]; s != nil && !removed && rec.Nonce == s.nonce {
-			s.token = max(s.token, kv.Rev)
-			s.attemptIDs.Rebase(s.token, c.now.WallMS)
-		} else if s != nil && kv.Rev > s.token {
-			c.log(Warn, "shard lost", "shard", id)
-			c.dropShard(s)
-		}
-	case strings.HasPrefix(kv.Key, teamPrefix):
-		id := kv.Key[len(teamPrefix):]
-		ledger := c.quotaLedgers[id]
-		if ledger == nil {
-			return // it had a limit once
-		}
-		if removed {
-			ledger.Observe(nil, 0)
-		} else {
-			var rec quota.Record
-			if err := json.Unmarshal(kv.Value, &rec); err != nil {
-				logUnreadable(err)
-				return
-			}
-			ledger.Observe(&rec, kv.Rev)
-		}
-		c.markAllShardsDirty()
-	case strings.HasPrefix(kv.Key, statusPrefix):
-		if err := c.applyStatusRecord(kv); err != nil {
-			logUnreadable(err)
-		}
-	case kv.Key == rolloutKey, strings.HasPrefix(kv.Key, disruptionPrefix):
-		if err := c.applyRolloutRecord(kv); err != nil {
-			logUnreadable(err)
+	for _, handler := range c.recordHandlers {
+		if !handler.handles(kv.Key) {
+			continue
 		}
-	case strings.HasPrefix(kv.Key, extensionPrefix):
-		if removed {
-			delete(c.extensionRecords, kv.Key)
-		} else {
-			c.extensionRecords[kv.Key] = kv
+		if err := handler.apply(kv); err != nil {
+			c.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 		}
-	case kv.Key == leaderKey:
-		var rec claimRecord
-		if !removed {
-			if err := json.Unmarshal(kv.Value, &rec); err != nil {
-				logUnreadable(err)
-				return
-			}
-		}
-		if rec.Nonce != c.fleet.nonce {
-			c.fleet.leading = false
+		return
+	}
+}
+
+// recordHandler applies changes of one kind of record to the owner of its state.
+type recordHandler struct {
+	prefix string
+	exact  bool                 // the prefix is the whole key
+	apply  func(KeyValue) error // a change without a value is a removal
+}
+
+func (h *recordHandler) handles(key string) bool {
+	if h.exact {
+		return key == h.prefix
+	}
+	return strings.HasPrefix(key, h.prefix)
+}
+
+// newRecordHandlers is the table of all records that the cache holds.
+func (c *Controller) newRecordHandlers() []recordHandler {
+	return []recordHandler{
+		{prefix: jobPrefix, apply: c.applyJobRecord},
+		{prefix: registryPrefix, apply: c.applyMachineRecord},
+		{prefix: liveMachinesPrefix, apply: c.applyMachineRecord},
+		{prefix: claimPrefix, apply: c.applyClaimRecord},
+		{prefix: teamPrefix, apply: c.applyTeamRecord},
+		{prefix: statusPrefix, apply: c.applyStatusRecord},
+		{prefix: rolloutKey, exact: true, apply: c.applyRolloutRecord},
+		{prefix: disruptionPrefix, apply: c.applyRolloutRecord},
+		{prefix: extensionPrefix, apply: c.applyExtensionRecord},
+		{prefix: leaderKey, exact: true, apply: c.applyLeaderRecord},
+		{prefix: catalogKey, exact: true, apply: c.applyCatalogRecord},
+		{prefix: settingsKey, exact: true, apply: c.applySettingsRecord},
+	}
+}
+
+func (c *Controller) applyJobRecord(kv KeyValue) error {
+	id := kv.Key[len(jobPrefix):]
+	if kv.Value == nil {
+		c.deleteJob(id)
+		return nil
+	}
+	var rec jobRecord
+	if err := json.Unmarshal(kv.Value, &rec); err != nil {
+		return err
+	}
+	c.upsertJob(id, rec, kv.Rev)
+	return nil
+}
+
+func (c *Controller) applyClaimRecord(kv KeyValue) error {
+	id := kv.Key[len(claimPrefix):]
+	removed := kv.Value == nil
+	var rec claimRecord
+	if removed {
+		delete(c.shardClaims, id)
+	} else {
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
+			return err
 		}
-		c.leader = rec.Owner
-	case kv.Key == catalogKey:
-		var rec catalogRecord
-		if removed {
-			return
+		c.shardClaims[id] = rec
+	}
+	s := c.ownedShards[id]
+	switch {
+	case s == nil:
+	case !removed && rec.Nonce == s.nonce:
+		// Our own claim, whose token we raised.
+		s.token = max(s.token, kv.Rev)
+		s.attemptIDs.Rebase(s.token, c.now.WallMS)
+	case kv.Rev > s.token:
+		// Another member's claim, or none: the shard is no longer ours.
+		c.log(Warn, "shard lost", "shard", id)
+		c.dropShard(s)
+	}
+	return nil
+}
+
+func (c *Controller) applyTeamRecord(kv KeyValue) error {
+	ledger := c.quotaLedgers[kv.Key[len(teamPrefix):]]
+	if ledger == nil {
+		return nil // the team had a limit once
+	}
+	if kv.Value == nil {
+		ledger.Observe(nil, 0)
+	} else {
+		var rec quota.Record
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
+			return err
 		}
+		ledger.Observe(&rec, kv.Rev)
+	}
+	c.invalidatePlans()
+	return nil
+}
+
+func (c *Controller) applyExtensionRecord(kv KeyValue) error {
+	if kv.Value == nil {
+		delete(c.extensionRecords, kv.Key)
+	} else {
+		c.extensionRecords[kv.Key] = kv
+	}
+	return nil
+}
+
+func (c *Controller) applyLeaderRecord(kv KeyValue) error {
+	var rec claimRecord
+	if kv.Value != nil {
 		if err := json.Unmarshal(kv.Value, &rec); err != nil {
-			logUnreadable(err)
-			return
+			return err
 		}
-		c.setMachineTypes(rec.Types)
-	case kv.Key == settingsKey:
-		s := DefaultSettings()
-		if !removed {
-			if err := json.Unmarshal(kv.Value, &s); err != nil || s.Validate() != "" {
-				return
-			}
+	}
+	if rec.Nonce != c.fleet.nonce {
+		c.fleet.leading = false
+	}
+	c.leader = rec.Owner
+	return nil
+}
+
+func (c *Controller) applyCatalogRecord(kv KeyValue) error {
+	if kv.Value == nil {
+		return nil
+	}
+	var rec catalogRecord
+	if err := json.Unmarshal(kv.Value, &rec); err != nil {
+		return err
+	}
+	c.setMachineTypes(rec.Types)
+	return nil
+}
+
+// applySettingsRecord keeps the settings that hold where a record is not valid.
+func (c *Controller) applySettingsRecord(kv KeyValue) error {
+	settings := DefaultSettings()
+	if kv.Value != nil {
+		if err := json.Unmarshal(kv.Value, &settings); err != nil || settings.Validate() != "" {
+			return nil
 		}
-		c.settings = s
-		c.markAllShardsDirty()
 	}
+	c.settings = settings
+	c.invalidatePlans()
+	return nil
 }
 
 func (c *Controller) setMachineTypes(machineTypes []MachineType) {
@@ -620,7 +668,7 @@
 			},
 		)
 	}
-	c.markAllShardsDirty()
+	c.invalidatePlans()
 }
 
 func (c *Controller) markAllShardsDirty() {
@@ -642,7 +690,7 @@
 		func(result StoreResult) {
 			if result.Outcome == OK {
 				for _, change := range changes {
-					c.applyChange(KeyValue{Key: change.Key, Value: change.Value, Rev: result.Rev})
+					c.observeChange(KeyValue{Key: change.Key, Value: change.Value, Rev: result.Rev})
 				}
 			}
 			onResult(result)
@@ -655,10 +703,10 @@
 func (c *Controller) rereadKey(key string, onResult func(StoreResult)) {
 	c.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyUser, Key: key}, func(result StoreResult) {
 		if result.Outcome == OK && len(result.KVs) == 1 {
-			c.applyChange(result.KVs[0])
+			c.observeChange(result.KVs[0])
 		}
 		if result.Outcome == NotFound {
-			c.applyChange(KeyValue{Key: key, Rev: result.Rev})
+			c.observeChange(KeyValue{Key: key, Rev: result.Rev})
 		}
 		onResult(result)
 	})
--- a/scheduler/fleet_scaling.go
+++ b/scheduler/fleet_scaling.go
@@ -11,9 +11,9 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// fleetState is what the member that leads the fleet keeps: it alone rents and
+// autoscaler is what the member that leads the fleet keeps: it alone rents and
 // returns machines. The lead is a record that hangs on the member's hold.
-type fleetState struct {
+type autoscaler struct {
 	leading           bool
 	nonce             uint64
 	leaderRev         uint64
@@ -62,7 +62,7 @@
 	return cmp.Or(strings.Compare(o.machineType, other.machineType), strings.Compare(o.zone, other.zone), bySpot)
 }
 
-func (f *fleetState) init() {
+func (f *autoscaler) init() {
 	f.provisioning, f.demandValidAfter = map[string]int{}, map[string]int64{}
 	f.unavailableUntil, f.releasedAt = map[offering]int64{}, map[string]int64{}
 	f.pendingReleases, f.pendingRemovals, f.unrecordedMachines = map[string]bool{}, map[string]bool{}, map[string]bool{}
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -22,8 +22,8 @@
 	disruptionPrefix = "l/d/"
 )
 
-// rolloutState is what a member knows and, while it leads, decides of the plan.
-type rolloutState struct {
+// rolloutController is what a member knows and, while it leads, decides of the plan.
+type rolloutController struct {
 	rec               *rollout.Record
 	disruptionRecords map[string]disruption.Record // by shard, as the store has them
 	ledger            *disruption.Ledger           // while it leads
--- a/scheduler/submission_random_test.go
+++ b/scheduler/submission_random_test.go
@@ -80,7 +80,7 @@
 			},
 		)
 		ctrl.params.Teams, ctrl.params.StoreChangeRate = map[string]Team{"ops": {}}, 1000
-		ctrl.submissionQueue = newSubmissionQueue(ctrl)
+		ctrl.submissionQueue = newSubmissionQueue(&ctrl.params)
 		store := &singleJobStore{id: "job-000001", revision: ctrl.mirrorRevision}
 		requestedAtStep, answered := map[uint64]int{}, map[uint64]bool{}
 		var openOps []StoreOp               // not ended for the member
--- a/scheduler/submission_test.go
+++ b/scheduler/submission_test.go
@@ -15,7 +15,7 @@
 	ctrl.params.StoreChangeRate = acceptRate
 	ctrl.params.Teams = map[string]Team{"ops": {}, "few": {}}
 	ctrl.submissionQueue.Drain()
-	ctrl.submissionQueue = newSubmissionQueue(ctrl)
+	ctrl.submissionQueue = newSubmissionQueue(&ctrl.params)
 	ctrl.TakeOutputs()
 	return ctrl
 }
--- a/scheduler/submissions.go
+++ b/scheduler/submissions.go
@@ -22,12 +22,12 @@
 	maxSubmissionTxnsInFlight = 4
 )
 
-func newSubmissionQueue(m *Controller) *admission.Queue[pendingSubmission] {
+func newSubmissionQueue(params *Params) *admission.Queue[pendingSubmission] {
 	return admission.NewQueue[pendingSubmission](
 		admission.Limits{
-			ChangesPerSecond: m.params.StoreChangeRate,
-			MaxChanges:       m.params.MaxTxnOps,
-			MaxPreconditions: 4 * m.params.MaxTxnOps,
+			ChangesPerSecond: params.StoreChangeRate,
+			MaxChanges:       params.MaxTxnOps,
+			MaxPreconditions: 4 * params.MaxTxnOps,
 			MaxBytes:         maxTxnBytes,
 			MaxInFlight:      maxSubmissionTxnsInFlight,
 			MaxWaitMS:        access.RequestTimeout.Milliseconds() / queueWaitDivisor,
