--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -85,17 +85,17 @@
 	c.now = now
 	status := Status{
 		Member:    c.params.MemberID,
-		Authority: c.hasAuthority(),
-		Leading:   c.fleet.leading,
-		Leader:    c.leader,
-		Revision:  c.mirrorRevision,
-		StoreLink: c.storeAccess.Link(now.MonotonicMS).String(),
-		Jobs:      len(c.jobs),
+		Authority: c.store.hasAuthority(),
+		Leading:   c.scaler.leading,
+		Leader:    c.cache.leader,
+		Revision:  c.cache.mirrorRevision,
+		StoreLink: c.store.storeAccess.Link(now.MonotonicMS).String(),
+		Jobs:      len(c.cache.jobs),
 		Counters:  c.Counters,
 	}
 	for _, shardName := range c.memberIDs() {
-		shardStatus := ShardStatus{Shard: shardName, Owner: c.shardClaims[shardName].Owner}
-		if s := c.ownedShards[shardName]; s != nil {
+		shardStatus := ShardStatus{Shard: shardName, Owner: c.cache.shardClaims[shardName].Owner}
+		if s := c.shards.ownedShards[shardName]; s != nil {
 			shardStatus.Owned, shardStatus.Ready, shardStatus.Token, shardStatus.Demands, shardStatus.PlanIntervalS = true, s.ready, s.token, len(
 				s.demand,
 			), c.planInterval(
@@ -106,28 +106,28 @@
 			), s.reconciler.Ledger.Len(), s.reconciler.Pacer.IsActive(
 				now.MonotonicMS,
 			)
-			for _, g := range c.waitingTaskGroups(s) {
+			for _, g := range c.placer.waitingTaskGroups(s) {
 				shardStatus.QueuedTasks += g.Remaining
 			}
 		}
 		status.Shards = append(status.Shards, shardStatus)
 	}
-	usageByTeam, waitingByTeam := c.localUsageByTeam()
+	usageByTeam, waitingByTeam := c.quotas.localUsageByTeam()
 	for name, team := range sortedByKey(c.params.Teams) {
-		status.Teams = append(status.Teams, c.teamStatus(name, team, usageByTeam[name], waitingByTeam[name]))
+		status.Teams = append(status.Teams, c.quotas.teamStatus(name, team, usageByTeam[name], waitingByTeam[name]))
 	}
-	for id, mc := range c.machines {
+	for id, mc := range c.registry.machines {
 		status.Machines = append(
 			status.Machines,
 			MachineStatus{ID: id, Shard: mc.rec.Shard, Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot,
-				Up: mc.Up, Releasing: mc.releasing, Cordoned: mc.cordoned || slices.Contains(c.settings.Drain, id), Unreachable: mc.State() == reconcile.LeaseExpired, Tasks: mc.liveAttemptCount},
+				Up: mc.Up, Releasing: mc.releasing, Cordoned: mc.cordoned || slices.Contains(c.cache.settings.Drain, id), Unreachable: mc.State() == reconcile.LeaseExpired, Tasks: mc.liveAttemptCount},
 		)
 	}
 	slices.SortFunc(status.Machines, func(a, b MachineStatus) int { return strings.Compare(a.ID, b.ID) })
 	return status
 }
 
-func (c *Controller) teamStatus(name string, team Team, usage, waiting quota.Amounts) TeamStatus {
+func (qm *quotaManager) teamStatus(name string, team Team, usage, waiting quota.Amounts) TeamStatus {
 	status := TeamStatus{
 		Team:        name,
 		CPUs:        team.CPUs,
@@ -138,10 +138,10 @@
 		Limit:       quota.Amounts{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs},
 	}
 	var ageMS int64
-	status.TotalUsage, status.TotalWaiting, ageMS = c.usageMonitor.PeerUsage(
+	status.TotalUsage, status.TotalWaiting, ageMS = qm.usageMonitor.PeerUsage(
 		name,
-		c.now.MonotonicMS,
-		c.now.MonotonicMS-c.maxMessageAgeMS(),
+		qm.now.MonotonicMS,
+		qm.now.MonotonicMS-qm.cache.maxMessageAgeMS(),
 	)
 	status.TotalUsage, status.TotalWaiting, status.OldestUsageAgeS = status.TotalUsage.Add(
 		usage,
@@ -150,8 +150,8 @@
 	), float64(
 		ageMS,
 	)/1000
-	for _, j := range sortedByKey(c.jobs) { // the same sum every time
-		if j.rec.Job.Team == name && c.isWithinGuarantee(&j.rec.Job) {
+	for _, j := range sortedByKey(qm.cache.jobs) { // the same sum every time
+		if j.rec.Job.Team == name && qm.isWithinGuarantee(&j.rec.Job) {
 			status.GuaranteedDemand = status.GuaranteedDemand.Add(totalRequest(&j.rec.Job))
 		}
 	}
@@ -164,7 +164,7 @@
 	).Max(
 		quota.Amounts{},
 	)
-	if ledger := c.quotaLedgers[name]; ledger != nil {
+	if ledger := qm.quotaLedgers[name]; ledger != nil {
 		status.Allocations = ledger.Allocations()
 		if rec := ledger.Record(); rec != nil {
 			status.Requests = maps.Clone(rec.Requests)
@@ -175,7 +175,7 @@
 
 // Settings returns the operators' settings that are in force.
 func (c *Controller) Settings() Settings {
-	s := c.settings
+	s := c.cache.settings
 	s.Drain, s.Disruption = slices.Clone(s.Drain), maps.Clone(s.Disruption)
 	return s
 }
@@ -184,36 +184,36 @@
 // reply names the answer among the users'.
 func (c *Controller) ChangeSettings(now Now, replyID uint64, s Settings) {
 	c.now = now
-	c.pendingRequests[replyID] = &pendingRequest{
+	c.requests.pendingRequests[replyID] = &pendingRequest{
 		replyID:        replyID,
 		receivedAtMS:   now.MonotonicMS,
 		pendingLocally: true,
 		relayed:        true,
 	} // this member's to answer
 	if reason := s.Validate(); reason != "" {
-		c.completeRequest(replyID, UserResponse{Status: 400, Error: reason})
+		c.requests.completeRequest(replyID, UserResponse{Status: 400, Error: reason})
 		return
 	}
-	if !c.storeAccess.IsSynced() {
-		c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+	if !c.store.storeAccess.IsSynced() {
+		c.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		return
 	}
-	c.sendTxn(
+	c.store.sendTxn(
 		UrgencyUser,
-		[]Precondition{{settingsKey, c.keyRevisions[settingsKey]}},
+		[]Precondition{{settingsKey, c.cache.keyRevisions[settingsKey]}},
 		[]Change{{Key: settingsKey, Value: mustEncode(s)}},
 		func(result StoreResult) {
 			switch result.Outcome {
 			case OK:
 				c.log(Info, "settings changed")
-				c.completeRequest(replyID, UserResponse{Status: 200})
+				c.requests.completeRequest(replyID, UserResponse{Status: 200})
 			case Conflict:
-				c.completeRequest(
+				c.requests.completeRequest(
 					replyID,
 					UserResponse{Status: 409, Error: "changed by somebody else meanwhile; read and try again"},
 				)
 			default:
-				c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+				c.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 			}
 		},
 	)
--- a/scheduler/aging.go
+++ b/scheduler/aging.go
@@ -10,14 +10,14 @@
 // more, goes before its equals.
 
 // applyAging puts the first tasks of large jobs that waited too long to begin before their equals.
-func (c *Controller) applyAging(groups []*taskGroup) []*taskGroup {
-	if !c.params.Aging {
+func (pp *placementPlanner) applyAging(groups []*taskGroup) []*taskGroup {
+	if !pp.params.Aging {
 		return groups
 	}
-	within := secondsToMS(c.settings.BeginWithinS)
+	within := secondsToMS(pp.cache.settings.BeginWithinS)
 	aged := false
 	for _, g := range groups {
-		if !g.IsAged(c.now.WallMS, within) || !c.isLargeJob(g.job) {
+		if !g.IsAged(pp.now.WallMS, within) || !pp.isLargeJob(g.job) {
 			continue
 		}
 		aged = true
@@ -39,23 +39,23 @@
 
 // isLargeJob tells whether a job has at least the mean volume of its class's live jobs, in all
 // shards. The means are counted once between two summaries: they need no more exactness.
-func (c *Controller) isLargeJob(j *Job) bool {
-	if c.meanJobVolumes.takenAt == 0 || c.now.MonotonicMS-c.meanJobVolumes.takenAt > secondsToMS(c.settings.SummaryS) {
-		c.meanJobVolumes = meanJobVolumes{takenAt: c.now.MonotonicMS, byClass: c.meanVolumes()}
+func (pp *placementPlanner) isLargeJob(j *Job) bool {
+	if pp.meanJobVolumes.takenAt == 0 || pp.now.MonotonicMS-pp.meanJobVolumes.takenAt > secondsToMS(pp.cache.settings.SummaryS) {
+		pp.meanJobVolumes = meanJobVolumes{takenAt: pp.now.MonotonicMS, byClass: pp.meanVolumes()}
 	}
-	return c.jobVolume(j) >= c.meanJobVolumes.byClass[j.Class]
+	return pp.jobVolume(j) >= pp.meanJobVolumes.byClass[j.Class]
 }
 
 // jobVolume is what all tasks of a job take together: processors, times milliseconds.
-func (c *Controller) jobVolume(j *Job) float64 {
-	return float64(j.Tasks) * j.Request.CPUs * float64(c.expectedRuntime(j))
+func (pp *placementPlanner) jobVolume(j *Job) float64 {
+	return float64(j.Tasks) * j.Request.CPUs * float64(pp.estimates.expectedRuntime(j))
 }
 
-func (c *Controller) meanVolumes() map[string]float64 {
+func (pp *placementPlanner) meanVolumes() map[string]float64 {
 	means, jobs := map[string]float64{}, map[string]float64{}
-	for _, j := range sortedByKey(c.jobs) { // the same sum every time
+	for _, j := range sortedByKey(pp.cache.jobs) { // the same sum every time
 		class := j.rec.Job.Class
-		means[class] += c.jobVolume(&j.rec.Job)
+		means[class] += pp.jobVolume(&j.rec.Job)
 		jobs[class]++
 	}
 	for class, n := range jobs {
@@ -67,11 +67,11 @@
 // reserveLimitForFirstTask keeps room of a team's limit together for the first task of a job that waited too
 // long to begin, one at a time. Otherwise smaller tasks would take what others give back
 // before it is enough. A machine is asked for too, since what a limit holds up asks for none.
-func (c *Controller) reserveLimitForFirstTask(s *shard, g *taskGroup) {
+func (pp *placementPlanner) reserveLimitForFirstTask(s *shard, g *taskGroup) {
 	if s.firstTaskReservations[g.job.Team] != nil {
 		return
 	}
-	allocation, _, _ := c.teamAllocation(s, g.job.Team)
+	allocation, _, _ := pp.quotas.teamAllocation(s, g.job.Team)
 	if !allocation.Contains(amountsOf(g.job.Request)) {
 		return
 	}
--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -7,17 +7,14 @@
 
 import (
 	"encoding/json"
-	"math/rand/v2"
 	"slices"
 	"strings"
 
 	"github.com/grebedock/grebedock/access"
-	"github.com/grebedock/grebedock/admission"
 	"github.com/grebedock/grebedock/availability"
 	"github.com/grebedock/grebedock/disruption"
 	"github.com/grebedock/grebedock/planner"
 	"github.com/grebedock/grebedock/quota"
-	"github.com/grebedock/grebedock/rollout"
 )
 
 // Team is a team's guarantee and limit; 0 means none.
@@ -123,79 +120,24 @@
 	awaitingBegunRecord bool   // Once: a task waits for the record to say that it may begin
 }
 
-// Controller is the core of one controller.
+// Controller is the core of one member: it routes each input to the owner of the
+// state that it concerns. Every piece of state has one owner; the owners share
+// only the environment.
 type Controller struct {
-	params  Params
-	rng     *rand.Rand
-	now     Now
-	outputs Outputs
-
-	lastRequestID          uint64
-	storeCallbacks         map[uint64]func(StoreResult)
-	cloudCallbacks         map[uint64]func(CloudResult)
-	directCommandCallbacks map[uint64]func(DirectCommandResult)
-	startedAtMS            int64
-
-	storeAccess *access.LeaseKeeper // how the member stands with the state service
-
-	// The mirror of everything live.
-	keyRevisions     map[string]uint64 // revision of every mirrored key
-	tombstones       map[string]uint64 // removals that the watch has not passed yet
-	jobs             map[string]*job
-	machines         map[string]*machine
-	registryPages    map[string]*registryPage // by key
-	liveMachines     map[string][]string      // machines that are up, by the key of their list
-	shardClaims      map[string]claimRecord
-	quotaLedgers     map[string]*quota.Ledger // of teams with a limit
-	usageMonitor     *quota.UsageMonitor
-	guaranteeStatus  guaranteeStatus
-	capacitySnapshot capacitySnapshot
-	meanJobVolumes   meanJobVolumes
-	leader           string
-	machineTypes     map[string]*MachineType
-	placementCatalog *planner.Catalog // the same, as placement sees it
-	settings         Settings
-	mirrorRevision   uint64
-
-	ownedShards      map[string]*shard
-	claimRetryAtMS   map[string]int64 // shard: when to try again
-	ownerlessSinceMS map[string]int64 // shard: since when nobody holds it
-
-	extensionRecords map[string]KeyValue // what subsystems beside the core keep in the mirror
-
-	delayedSteps []delayedStep // of writes in doubt
-
-	statusRecords            map[string]*peerState // of members that the lead may not hear
-	writingStatusRecord      bool
-	lastStatusRecordNonEmpty bool // the last note said something
-	nextStatusRecordAtMS     int64
-
-	submissionQueue   *admission.Queue[pendingSubmission]
-	pendingRequests   map[uint64]*pendingRequest // without an answer, by reply
-	requestsByArrival []*pendingRequest          // the same, in order
-	pendingRelays     map[uint64]pendingRelay
-	relayRoundRobin   uint64
-	expediteBudget    float64 // relays that may go only to hurry
-
-	queryBatcher       queryBatches
-	terminalStates     map[string]terminalRecord
-	terminalStateOrder []string
-	parkedHeartbeats   map[string][]parkedHeartbeat // machine: reports that wait for its registration
-
-	peers               map[string]*peerState
-	nextPeerMessageAtMS int64
-	summaryTurn         int // of peers that get summaries
-	runtimeCorrections  map[string]*runtimeCorrection
-	fleet               autoscaler
-	rolloutState        rolloutController
-	rolloutCounts       rollout.HealthCounts // what the gates of rollouts count, here
-	homeShards          map[string]string    // team with a limit: the shard that its jobs go to
-	Counters            Counters
-	hadAuthority        bool
-	observeChange       func(KeyValue) // takes what a completed request shows of a key
-	invalidatePlans     func()         // plans rest on something that changed
-	recordHandlers      []recordHandler
-	lastStoreLink       access.LinkState
+	*environment
+
+	store     *storeClient
+	cache     *stateCache
+	registry  *machineRegistry
+	scaler    *autoscaler
+	rollouts  *rolloutController
+	shards    *shardManager
+	agents    *agentManager
+	placer    *placementPlanner
+	quotas    *quotaManager
+	estimates *runtimeEstimator
+	requests  *requestHandler
+	peers     *peerTable
 }
 
 // Counters counts what operators watch.
@@ -243,34 +185,43 @@
 }
 
 // New makes the core of a member. The seed only spreads retries and names
-// claims; nothing that others rely on hangs on it.
+// claims; nothing that others rely on depends on it.
 func New(params Params, seed uint64, now Now) *Controller {
-	m := &Controller{
-		params: params, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), now: now, startedAtMS: now.MonotonicMS,
-		storeCallbacks: map[uint64]func(StoreResult){}, cloudCallbacks: map[uint64]func(CloudResult){}, directCommandCallbacks: map[uint64]func(DirectCommandResult){},
-		keyRevisions: map[string]uint64{}, tombstones: map[string]uint64{}, jobs: map[string]*job{}, machines: map[string]*machine{},
-		registryPages: map[string]*registryPage{}, liveMachines: map[string][]string{},
-		shardClaims: map[string]claimRecord{}, machineTypes: map[string]*MachineType{}, placementCatalog: planner.NewCatalog(),
-		settings: DefaultSettings(), ownedShards: map[string]*shard{}, claimRetryAtMS: map[string]int64{}, ownerlessSinceMS: map[string]int64{},
-		statusRecords: map[string]*peerState{}, pendingRequests: map[uint64]*pendingRequest{}, pendingRelays: map[uint64]pendingRelay{}, expediteBudget: expediteBurst, terminalStates: map[string]terminalRecord{}, parkedHeartbeats: map[string][]parkedHeartbeat{},
-		extensionRecords: map[string]KeyValue{}, peers: map[string]*peerState{}, runtimeCorrections: map[string]*runtimeCorrection{},
-	}
-	m.storeAccess = access.NewLeaseKeeper(
-		access.Settings{
-			LeaseTTLMS:       m.leaseTTLMS(),
-			MaxClockDrift:    maxClockDriftMS,
-			AuthoritySlackMS: 50,
-			RequestTimeoutMS: access.RequestTimeout.Milliseconds(),
-		},
-	)
-	m.submissionQueue = newSubmissionQueue(&params)
-	m.initTeamLedgers()
-	m.usageMonitor = quota.NewUsageMonitor(params.MemberID, now.WallMS)
-	m.fleet.init()
-	m.observeChange, m.invalidatePlans = m.applyChange, m.markAllShardsDirty
-	m.recordHandlers = m.newRecordHandlers()
-	m.rolloutState.disruptionRecords = map[string]disruption.Record{}
-	return m
+	env := newEnvironment(params, seed, now)
+	c := &Controller{
+		environment: env,
+		store:       newStoreClient(env),
+		cache:       newStateCache(env),
+		registry:    newMachineRegistry(env),
+		scaler:      newAutoscaler(env),
+		rollouts:    newRolloutController(env),
+		shards:      newShardManager(env),
+		agents:      newAgentManager(env),
+		placer:      newPlacementPlanner(env),
+		quotas:      newQuotaManager(env),
+		estimates:   newRuntimeEstimator(env),
+		requests:    newRequestHandler(env),
+		peers:       newPeerTable(env),
+	}
+	c.wire()
+	return c
+}
+
+// wire tells each owner of state which others it uses.
+func (c *Controller) wire() {
+	c.store.observeChange = c.cache.applyChange
+	c.cache.invalidatePlans = c.shards.markAllShardsDirty
+	c.cache.recordHandlers = c.newRecordHandlers()
+	c.cache.store = c.store
+	c.registry.agents, c.registry.cache, c.registry.shards, c.registry.store = c.agents, c.cache, c.shards, c.store
+	c.scaler.cache, c.scaler.peers, c.scaler.registry, c.scaler.rollouts, c.scaler.shards, c.scaler.store = c.cache, c.peers, c.registry, c.rollouts, c.shards, c.store
+	c.rollouts.cache, c.rollouts.peers, c.rollouts.registry, c.rollouts.requests, c.rollouts.scaler, c.rollouts.shards, c.rollouts.store = c.cache, c.peers, c.registry, c.requests, c.scaler, c.shards, c.store
+	c.shards.agents, c.shards.cache, c.shards.placer, c.shards.quotas, c.shards.registry, c.shards.requests, c.shards.rollouts, c.shards.store = c.agents, c.cache, c.placer, c.quotas, c.registry, c.requests, c.rollouts, c.store
+	c.agents.cache, c.agents.estimates, c.agents.placer, c.agents.quotas, c.agents.registry, c.agents.rollouts, c.agents.scaler, c.agents.shards, c.agents.store = c.cache, c.estimates, c.placer, c.quotas, c.registry, c.rollouts, c.scaler, c.shards, c.store
+	c.placer.agents, c.placer.cache, c.placer.estimates, c.placer.quotas = c.agents, c.cache, c.estimates, c.quotas
+	c.quotas.agents, c.quotas.cache, c.quotas.estimates, c.quotas.peers, c.quotas.placer, c.quotas.registry, c.quotas.shards, c.quotas.store = c.agents, c.cache, c.estimates, c.peers, c.placer, c.registry, c.shards, c.store
+	c.requests.cache, c.requests.peers, c.requests.quotas, c.requests.shards, c.requests.store = c.cache, c.peers, c.quotas, c.shards, c.store
+	c.peers.cache, c.peers.placer, c.peers.quotas, c.peers.requests, c.peers.shards, c.peers.store = c.cache, c.placer, c.quotas, c.requests, c.shards, c.store
 }
 
 // TakeOutputs returns what the inputs since the last call want done.
@@ -280,186 +231,186 @@
 	return outputs
 }
 
-func (c *Controller) log(level LogLevel, text string, args ...any) {
-	if level == Debug && !c.params.Debug {
+func (env *environment) log(level LogLevel, text string, args ...any) {
+	if level == Debug && !env.params.Debug {
 		return
 	}
-	c.outputs.Logs = append(c.outputs.Logs, LogLine{level, text, args})
+	env.outputs.Logs = append(env.outputs.Logs, LogLine{level, text, args})
 }
 
-func (c *Controller) sendStore(op StoreOp, onResult func(StoreResult)) {
-	c.lastRequestID++
-	op.ID = c.lastRequestID
+func (sc *storeClient) sendStore(op StoreOp, onResult func(StoreResult)) {
+	sc.lastRequestID++
+	op.ID = sc.lastRequestID
 	switch {
 	case op.Kind == StoreWatch && op.DurationMS > 0: // waits by its nature
-		c.storeCallbacks[op.ID] = onResult
+		sc.storeCallbacks[op.ID] = onResult
 	case op.Urgency == UrgencyBackground:
 		// Put off for as long as the rate is short: its time is not the state
 		// service's.
-		c.storeCallbacks[op.ID] = func(r StoreResult) {
-			c.storeAccess.ObserveOutcome(c.now.MonotonicMS, r.Outcome)
+		sc.storeCallbacks[op.ID] = func(r StoreResult) {
+			sc.storeAccess.ObserveOutcome(sc.now.MonotonicMS, r.Outcome)
 			onResult(r)
 		}
 	default:
-		ticket := c.storeAccess.BeginRequest(c.now.MonotonicMS)
-		c.storeCallbacks[op.ID] = func(r StoreResult) {
-			c.storeAccess.CompleteRequest(c.now.MonotonicMS, ticket, r.QueuedMS, r.Outcome)
+		ticket := sc.storeAccess.BeginRequest(sc.now.MonotonicMS)
+		sc.storeCallbacks[op.ID] = func(r StoreResult) {
+			sc.storeAccess.CompleteRequest(sc.now.MonotonicMS, ticket, r.QueuedMS, r.Outcome)
 			onResult(r)
 		}
 	}
-	c.outputs.StoreOps = append(c.outputs.StoreOps, op)
+	sc.outputs.StoreOps = append(sc.outputs.StoreOps, op)
 }
 
 // HandleStoreResult takes the answer of the state service to a request.
 func (c *Controller) HandleStoreResult(now Now, id uint64, result StoreResult) {
 	c.now = now
-	if onResult := c.storeCallbacks[id]; onResult != nil {
-		delete(c.storeCallbacks, id)
+	if onResult := c.store.storeCallbacks[id]; onResult != nil {
+		delete(c.store.storeCallbacks, id)
 		onResult(result)
 	}
 }
 
-func (c *Controller) sendCloud(op CloudOp, onResult func(CloudResult)) {
-	c.lastRequestID++
-	op.ID = c.lastRequestID
-	c.cloudCallbacks[op.ID] = onResult
-	c.outputs.CloudOps = append(c.outputs.CloudOps, op)
+func (as *autoscaler) sendCloud(op CloudOp, onResult func(CloudResult)) {
+	as.lastRequestID++
+	op.ID = as.lastRequestID
+	as.cloudCallbacks[op.ID] = onResult
+	as.outputs.CloudOps = append(as.outputs.CloudOps, op)
 }
 
 // HandleCloudResult takes the cloud's answer to a request.
 func (c *Controller) HandleCloudResult(now Now, id uint64, result CloudResult) {
 	c.now = now
-	if onResult := c.cloudCallbacks[id]; onResult != nil {
-		delete(c.cloudCallbacks, id)
+	if onResult := c.scaler.cloudCallbacks[id]; onResult != nil {
+		delete(c.scaler.cloudCallbacks, id)
 		onResult(result)
 	}
 }
 
 // leaseTTLMS is how long this member's holds last (access.Life).
-func (c *Controller) leaseTTLMS() int64 {
-	ttlMS := access.LeaseTTLMS(secondsToMS(c.params.CancelWithinS), secondsToMS(c.params.LeaseS))
-	if c.params.LeaseTTLRatio > 0 {
-		ttlMS = int64(float64(ttlMS) * min(1, c.params.LeaseTTLRatio))
+func (sc *storeClient) leaseTTLMS() int64 {
+	ttlMS := access.LeaseTTLMS(secondsToMS(sc.params.CancelWithinS), secondsToMS(sc.params.LeaseS))
+	if sc.params.LeaseTTLRatio > 0 {
+		ttlMS = int64(float64(ttlMS) * min(1, sc.params.LeaseTTLRatio))
 	}
 	return ttlMS
 }
 
 // leaseRenewalIntervalMS is how often holds are extended and watches renewed.
-func (c *Controller) leaseRenewalIntervalMS() int64 { return c.storeAccess.RenewIntervalMS() }
+func (sc *storeClient) leaseRenewalIntervalMS() int64 { return sc.storeAccess.RenewIntervalMS() }
 
 // hasAuthority tells whether this member may act for its shards. Past it, no
 // starts, no decisions, and no answer that would renew a worker's lease.
-func (c *Controller) hasAuthority() bool { return c.storeAccess.HasAuthority(c.now.MonotonicMS) }
+func (sc *storeClient) hasAuthority() bool { return sc.storeAccess.HasAuthority(sc.now.MonotonicMS) }
 
 // Tick lets time pass. The caller does so every tenth of a second.
 func (c *Controller) Tick(now Now) {
 	c.now = now
 	c.tickStoreAccess()
-	c.runDueSteps()
-	if authority := c.hasAuthority(); authority != c.hadAuthority {
-		c.hadAuthority = authority
+	c.store.runDueSteps()
+	if authority := c.store.hasAuthority(); authority != c.store.hadAuthority {
+		c.store.hadAuthority = authority
 		c.log(Info, "authority", "held", authority)
 	}
-	c.tickShards()
-	c.sendPeerMessage()
-	c.tickFleet()
-	c.writeQueuedSubmissions()
-	c.sendQueryBatch()
-	c.confirmMirroredSubmissions()
-	c.expediteSlowRequests()
+	c.shards.tickShards()
+	c.peers.sendPeerMessage()
+	c.scaler.tickFleet()
+	c.requests.writeQueuedSubmissions()
+	c.requests.sendQueryBatch()
+	c.requests.confirmMirroredSubmissions()
+	c.requests.expediteSlowRequests()
 }
 
 // tickStoreAccess asks what the member's standing needs: its hold, and the mirror of
 // everything live, by one list and then watches. A watch that comes back proves
 // that everything up to its sending was seen.
 func (c *Controller) tickStoreAccess() {
-	actions := c.storeAccess.Tick(c.now.MonotonicMS)
-	if link := c.storeAccess.Link(c.now.MonotonicMS); link != c.lastStoreLink {
-		c.lastStoreLink = link
+	actions := c.store.storeAccess.Tick(c.now.MonotonicMS)
+	if link := c.store.storeAccess.Link(c.now.MonotonicMS); link != c.store.lastStoreLink {
+		c.store.lastStoreLink = link
 		c.log(Info, "state service", "link", link)
 	}
 	if actions.GrantLease {
-		c.sendStore(
-			StoreOp{Kind: StoreGrantLease, DurationMS: c.leaseTTLMS()},
-			func(r StoreResult) { c.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, r.LeaseID) },
+		c.store.sendStore(
+			StoreOp{Kind: StoreGrantLease, DurationMS: c.store.leaseTTLMS()},
+			func(r StoreResult) { c.store.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, r.LeaseID) },
 		)
 	}
 	if actions.RenewLease != 0 {
-		c.sendStore(StoreOp{Kind: StoreRenewLease, LeaseID: actions.RenewLease}, func(r StoreResult) {
-			if !c.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, 0) {
+		c.store.sendStore(StoreOp{Kind: StoreRenewLease, LeaseID: actions.RenewLease}, func(r StoreResult) {
+			if !c.store.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, 0) {
 				return
 			}
 			// The hold ended: every claim that hung on it is gone.
-			c.log(Warn, "hold lost", "shards", len(c.ownedShards))
-			for _, s := range sortedByKey(c.ownedShards) {
-				c.dropShard(s)
+			c.log(Warn, "hold lost", "shards", len(c.shards.ownedShards))
+			for _, s := range sortedByKey(c.shards.ownedShards) {
+				c.shards.dropShard(s)
 			}
 		})
 	}
 	if actions.ListMirror {
-		c.listAll(livePrefix, func(kvs []KeyValue, rev uint64, outcome Outcome) {
+		c.store.listAll(livePrefix, func(kvs []KeyValue, rev uint64, outcome Outcome) {
 			if outcome == OK {
-				c.applySnapshot(kvs, rev)
+				c.cache.applySnapshot(kvs, rev)
 			}
-			c.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, actions.ReadID, outcome, c.rng.Float64())
+			c.store.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, actions.ReadID, outcome, c.rng.Float64())
 		})
 	}
 	if actions.WatchMirror {
-		c.sendStore(
-			StoreOp{Kind: StoreWatch, Key: livePrefix, Rev: c.mirrorRevision, DurationMS: c.leaseRenewalIntervalMS()},
+		c.store.sendStore(
+			StoreOp{Kind: StoreWatch, Key: livePrefix, Rev: c.cache.mirrorRevision, DurationMS: c.store.leaseRenewalIntervalMS()},
 			func(r StoreResult) {
-				if !c.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, actions.ReadID, r.Outcome, c.rng.Float64()) ||
+				if !c.store.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, actions.ReadID, r.Outcome, c.rng.Float64()) ||
 					r.Outcome != OK {
 					return
 				}
-				c.applyWatchResult(r)
+				c.cache.applyWatchResult(r)
 			},
 		)
 	}
 }
 
 // applyWatchResult takes all changes since a revision that the mirror had.
-func (c *Controller) applyWatchResult(result StoreResult) {
+func (cache *stateCache) applyWatchResult(result StoreResult) {
 	for _, kv := range result.KVs {
-		c.applyChange(kv)
+		cache.applyChange(kv)
 	}
-	c.mirrorRevision = max(c.mirrorRevision, result.Rev)
-	for key, removedAt := range c.tombstones {
-		if removedAt <= c.mirrorRevision {
-			delete(c.tombstones, key)
+	cache.mirrorRevision = max(cache.mirrorRevision, result.Rev)
+	for key, removedAt := range cache.tombstones {
+		if removedAt <= cache.mirrorRevision {
+			delete(cache.tombstones, key)
 		}
 	}
 }
 
 // applySnapshot takes a list of everything live.
-func (c *Controller) applySnapshot(kvs []KeyValue, revision uint64) {
+func (cache *stateCache) applySnapshot(kvs []KeyValue, revision uint64) {
 	found := make(map[string]bool, len(kvs))
 	for _, kv := range kvs {
 		found[kv.Key] = true
-		c.applyChange(kv)
+		cache.applyChange(kv)
 	}
 	var gone []string
-	for key, keyRevision := range c.keyRevisions {
+	for key, keyRevision := range cache.keyRevisions {
 		if !found[key] && keyRevision <= revision {
 			gone = append(gone, key)
 		}
 	}
 	slices.Sort(gone)
 	for _, key := range gone {
-		c.applyChange(KeyValue{Key: key, Rev: revision})
+		cache.applyChange(KeyValue{Key: key, Rev: revision})
 	}
-	c.mirrorRevision = revision
-	c.log(Info, "mirror read", "keys", len(kvs), "revision", revision)
+	cache.mirrorRevision = revision
+	cache.log(Info, "mirror read", "keys", len(kvs), "revision", revision)
 }
 
 // listAll reads all keys with a prefix. rev is the revision of the first page:
 // watching from there on misses nothing.
-func (c *Controller) listAll(prefix string, onResult func(kvs []KeyValue, revision uint64, outcome Outcome)) {
+func (sc *storeClient) listAll(prefix string, onResult func(kvs []KeyValue, revision uint64, outcome Outcome)) {
 	var collected []KeyValue
 	var revision uint64
 	var readPage func(startAfter string)
 	readPage = func(startAfter string) {
-		c.sendStore(StoreOp{Kind: StoreList, Key: prefix, StartAfter: startAfter}, func(r StoreResult) {
+		sc.sendStore(StoreOp{Kind: StoreList, Key: prefix, StartAfter: startAfter}, func(r StoreResult) {
 			if r.Outcome != OK {
 				onResult(nil, 0, r.Outcome)
 				return
@@ -479,38 +430,38 @@
 }
 
 // applyChange brings the mirror up to a change, unless it has a newer one already.
-func (c *Controller) applyChange(kv KeyValue) {
+func (cache *stateCache) applyChange(kv KeyValue) {
 	if !strings.HasPrefix(kv.Key, livePrefix) {
 		return
 	}
-	if kv.Rev <= c.keyRevisions[kv.Key] || kv.Rev <= c.tombstones[kv.Key] {
+	if kv.Rev <= cache.keyRevisions[kv.Key] || kv.Rev <= cache.tombstones[kv.Key] {
 		return
 	}
 	// The mirror has everything up to m.rev. A read that was under way while its
 	// key was removed says less: applied, it made a cancelled job start again.
-	if _, known := c.keyRevisions[kv.Key]; !known && c.storeAccess.IsSynced() && kv.Rev <= c.mirrorRevision {
+	if _, known := cache.keyRevisions[kv.Key]; !known && cache.store.storeAccess.IsSynced() && kv.Rev <= cache.mirrorRevision {
 		return
 	}
 	removed := kv.Value == nil
 	if removed {
 		// A watch that lags behind our own removal must not bring the key
 		// back: a job that is over would start again.
-		if kv.Rev > c.mirrorRevision {
-			c.tombstones[kv.Key] = kv.Rev
+		if kv.Rev > cache.mirrorRevision {
+			cache.tombstones[kv.Key] = kv.Rev
 		}
-		if _, ok := c.keyRevisions[kv.Key]; !ok {
+		if _, ok := cache.keyRevisions[kv.Key]; !ok {
 			return
 		}
-		delete(c.keyRevisions, kv.Key)
+		delete(cache.keyRevisions, kv.Key)
 	} else {
-		c.keyRevisions[kv.Key] = kv.Rev
+		cache.keyRevisions[kv.Key] = kv.Rev
 	}
-	for _, handler := range c.recordHandlers {
+	for _, handler := range cache.recordHandlers {
 		if !handler.handles(kv.Key) {
 			continue
 		}
 		if err := handler.apply(kv); err != nil {
-			c.log(Warn, "record unreadable", "key", kv.Key, "error", err)
+			cache.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 		}
 		return
 	}
@@ -533,64 +484,64 @@
 // newRecordHandlers is the table of all records that the cache holds.
 func (c *Controller) newRecordHandlers() []recordHandler {
 	return []recordHandler{
-		{prefix: jobPrefix, apply: c.applyJobRecord},
-		{prefix: registryPrefix, apply: c.applyMachineRecord},
-		{prefix: liveMachinesPrefix, apply: c.applyMachineRecord},
-		{prefix: claimPrefix, apply: c.applyClaimRecord},
-		{prefix: teamPrefix, apply: c.applyTeamRecord},
-		{prefix: statusPrefix, apply: c.applyStatusRecord},
-		{prefix: rolloutKey, exact: true, apply: c.applyRolloutRecord},
-		{prefix: disruptionPrefix, apply: c.applyRolloutRecord},
-		{prefix: extensionPrefix, apply: c.applyExtensionRecord},
-		{prefix: leaderKey, exact: true, apply: c.applyLeaderRecord},
-		{prefix: catalogKey, exact: true, apply: c.applyCatalogRecord},
-		{prefix: settingsKey, exact: true, apply: c.applySettingsRecord},
-	}
-}
-
-func (c *Controller) applyJobRecord(kv KeyValue) error {
+		{prefix: jobPrefix, apply: c.shards.applyJobRecord},
+		{prefix: registryPrefix, apply: c.registry.applyMachineRecord},
+		{prefix: liveMachinesPrefix, apply: c.registry.applyMachineRecord},
+		{prefix: claimPrefix, apply: c.shards.applyClaimRecord},
+		{prefix: teamPrefix, apply: c.quotas.applyTeamRecord},
+		{prefix: statusPrefix, apply: c.peers.applyStatusRecord},
+		{prefix: rolloutKey, exact: true, apply: c.rollouts.applyRolloutRecord},
+		{prefix: disruptionPrefix, apply: c.rollouts.applyRolloutRecord},
+		{prefix: extensionPrefix, apply: c.cache.applyExtensionRecord},
+		{prefix: leaderKey, exact: true, apply: c.scaler.applyLeaderRecord},
+		{prefix: catalogKey, exact: true, apply: c.cache.applyCatalogRecord},
+		{prefix: settingsKey, exact: true, apply: c.cache.applySettingsRecord},
+	}
+}
+
+func (sm *shardManager) applyJobRecord(kv KeyValue) error {
 	id := kv.Key[len(jobPrefix):]
 	if kv.Value == nil {
-		c.deleteJob(id)
+		sm.deleteJob(id)
 		return nil
 	}
 	var rec jobRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
 		return err
 	}
-	c.upsertJob(id, rec, kv.Rev)
+	sm.upsertJob(id, rec, kv.Rev)
 	return nil
 }
 
-func (c *Controller) applyClaimRecord(kv KeyValue) error {
+func (sm *shardManager) applyClaimRecord(kv KeyValue) error {
 	id := kv.Key[len(claimPrefix):]
 	removed := kv.Value == nil
 	var rec claimRecord
 	if removed {
-		delete(c.shardClaims, id)
+		delete(sm.cache.shardClaims, id)
 	} else {
 		if err := json.Unmarshal(kv.Value, &rec); err != nil {
 			return err
 		}
-		c.shardClaims[id] = rec
+		sm.cache.shardClaims[id] = rec
 	}
-	s := c.ownedShards[id]
+	s := sm.ownedShards[id]
 	switch {
 	case s == nil:
 	case !removed && rec.Nonce == s.nonce:
 		// Our own claim, whose token we raised.
 		s.token = max(s.token, kv.Rev)
-		s.attemptIDs.Rebase(s.token, c.now.WallMS)
+		s.attemptIDs.Rebase(s.token, sm.now.WallMS)
 	case kv.Rev > s.token:
 		// Another member's claim, or none: the shard is no longer ours.
-		c.log(Warn, "shard lost", "shard", id)
-		c.dropShard(s)
+		sm.log(Warn, "shard lost", "shard", id)
+		sm.dropShard(s)
 	}
 	return nil
 }
 
-func (c *Controller) applyTeamRecord(kv KeyValue) error {
-	ledger := c.quotaLedgers[kv.Key[len(teamPrefix):]]
+func (qm *quotaManager) applyTeamRecord(kv KeyValue) error {
+	ledger := qm.quotaLedgers[kv.Key[len(teamPrefix):]]
 	if ledger == nil {
 		return nil // the team had a limit once
 	}
@@ -603,34 +554,34 @@
 		}
 		ledger.Observe(&rec, kv.Rev)
 	}
-	c.invalidatePlans()
+	qm.cache.invalidatePlans()
 	return nil
 }
 
-func (c *Controller) applyExtensionRecord(kv KeyValue) error {
+func (cache *stateCache) applyExtensionRecord(kv KeyValue) error {
 	if kv.Value == nil {
-		delete(c.extensionRecords, kv.Key)
+		delete(cache.extensionRecords, kv.Key)
 	} else {
-		c.extensionRecords[kv.Key] = kv
+		cache.extensionRecords[kv.Key] = kv
 	}
 	return nil
 }
 
-func (c *Controller) applyLeaderRecord(kv KeyValue) error {
+func (as *autoscaler) applyLeaderRecord(kv KeyValue) error {
 	var rec claimRecord
 	if kv.Value != nil {
 		if err := json.Unmarshal(kv.Value, &rec); err != nil {
 			return err
 		}
 	}
-	if rec.Nonce != c.fleet.nonce {
-		c.fleet.leading = false
+	if rec.Nonce != as.nonce {
+		as.leading = false
 	}
-	c.leader = rec.Owner
+	as.cache.leader = rec.Owner
 	return nil
 }
 
-func (c *Controller) applyCatalogRecord(kv KeyValue) error {
+func (cache *stateCache) applyCatalogRecord(kv KeyValue) error {
 	if kv.Value == nil {
 		return nil
 	}
@@ -638,27 +589,27 @@
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
 		return err
 	}
-	c.setMachineTypes(rec.Types)
+	cache.setMachineTypes(rec.Types)
 	return nil
 }
 
 // applySettingsRecord keeps the settings that hold where a record is not valid.
-func (c *Controller) applySettingsRecord(kv KeyValue) error {
+func (cache *stateCache) applySettingsRecord(kv KeyValue) error {
 	settings := DefaultSettings()
 	if kv.Value != nil {
 		if err := json.Unmarshal(kv.Value, &settings); err != nil || settings.Validate() != "" {
 			return nil
 		}
 	}
-	c.settings = settings
-	c.invalidatePlans()
+	cache.settings = settings
+	cache.invalidatePlans()
 	return nil
 }
 
-func (c *Controller) setMachineTypes(machineTypes []MachineType) {
+func (cache *stateCache) setMachineTypes(machineTypes []MachineType) {
 	for _, t := range machineTypes {
-		c.machineTypes[t.Name] = &t
-		c.placementCatalog.SetTypes(
+		cache.machineTypes[t.Name] = &t
+		cache.placementCatalog.SetTypes(
 			planner.MachineType{
 				Name:      t.Name,
 				Resources: t.Resources,
@@ -668,29 +619,29 @@
 			},
 		)
 	}
-	c.invalidatePlans()
+	cache.invalidatePlans()
 }
 
-func (c *Controller) markAllShardsDirty() {
-	for _, s := range c.ownedShards {
+func (sm *shardManager) markAllShardsDirty() {
+	for _, s := range sm.ownedShards {
 		s.dirty = true
 	}
 }
 
 // sendTxn sends a transaction. When it is known to have worked, the mirror has its
 // changes before done is called.
-func (c *Controller) sendTxn(
+func (sc *storeClient) sendTxn(
 	urgency Urgency,
 	preconditions []Precondition,
 	changes []Change,
 	onResult func(StoreResult),
 ) {
-	c.sendStore(
+	sc.sendStore(
 		StoreOp{Kind: StoreTxn, Urgency: urgency, Preconditions: preconditions, Changes: changes},
 		func(result StoreResult) {
 			if result.Outcome == OK {
 				for _, change := range changes {
-					c.observeChange(KeyValue{Key: change.Key, Value: change.Value, Rev: result.Rev})
+					sc.observeChange(KeyValue{Key: change.Key, Value: change.Value, Rev: result.Rev})
 				}
 			}
 			onResult(result)
@@ -700,21 +651,21 @@
 
 // rereadKey settles a write whose outcome is not known: the store's word on the
 // keys, before anything rests on them.
-func (c *Controller) rereadKey(key string, onResult func(StoreResult)) {
-	c.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyUser, Key: key}, func(result StoreResult) {
+func (sc *storeClient) rereadKey(key string, onResult func(StoreResult)) {
+	sc.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyUser, Key: key}, func(result StoreResult) {
 		if result.Outcome == OK && len(result.KVs) == 1 {
-			c.observeChange(result.KVs[0])
+			sc.observeChange(result.KVs[0])
 		}
 		if result.Outcome == NotFound {
-			c.observeChange(KeyValue{Key: key, Rev: result.Rev})
+			sc.observeChange(KeyValue{Key: key, Rev: result.Rev})
 		}
 		onResult(result)
 	})
 }
 
 // memberIDs lists all members in order.
-func (c *Controller) memberIDs() []string {
-	return c.params.MemberIDs()
+func (env *environment) memberIDs() []string {
+	return env.params.MemberIDs()
 }
 
 func resourcesOf(t *MachineType) availability.Resources {
@@ -729,11 +680,11 @@
 // service is away from all, answering 503 at once is as good as any member can
 // do, and one that left would be kept out for a while after the outage.
 func (c *Controller) IsReadyForUsers() bool {
-	if c.hasAuthority() && len(c.machineTypes) > 0 {
+	if c.store.hasAuthority() && len(c.cache.machineTypes) > 0 {
 		return true
 	}
-	for memberID, peer := range c.peers {
-		if memberID != c.params.MemberID && c.isFresh(peer) && len(peer.message.OwnedShards) > 0 {
+	for memberID, peer := range c.peers.peers {
+		if memberID != c.params.MemberID && c.peers.isFresh(peer) && len(peer.message.OwnedShards) > 0 {
 			return false
 		}
 	}
--- a/scheduler/controller_test.go
+++ b/scheduler/controller_test.go
@@ -44,21 +44,21 @@
 // watch has told of the cancellation: the job stays gone.
 func TestLateReadDoesNotRestoreCancelledJob(t *testing.T) {
 	ctrl := newTestController(t)
-	ctrl.storeAccess.SetState(0, 0, 0)
+	ctrl.store.storeAccess.SetState(0, 0, 0)
 	put := KeyValue{
 		Key:   jobKey("job-000001"),
 		Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})),
 		Rev:   5,
 	}
-	ctrl.applyChange(put)
-	if ctrl.jobs["job-000001"] == nil {
+	ctrl.cache.applyChange(put)
+	if ctrl.cache.jobs["job-000001"] == nil {
 		t.Fatal("the job is not in the mirror")
 	}
-	ctrl.applyChange(KeyValue{Key: put.Key, Rev: 9})
-	ctrl.mirrorRevision = 12
-	clear(ctrl.tombstones) // the watch has passed the removal
-	ctrl.applyChange(put)
-	if ctrl.jobs["job-000001"] != nil {
+	ctrl.cache.applyChange(KeyValue{Key: put.Key, Rev: 9})
+	ctrl.cache.mirrorRevision = 12
+	clear(ctrl.cache.tombstones) // the watch has passed the removal
+	ctrl.cache.applyChange(put)
+	if ctrl.cache.jobs["job-000001"] != nil {
 		t.Error("a late read brought a cancelled job back")
 	}
 }
@@ -66,17 +66,17 @@
 // A watch that lags behind our own removal tells of the job's creation last.
 func TestLaggingWatchDoesNotRestoreRemovedJob(t *testing.T) {
 	ctrl := newTestController(t)
-	ctrl.storeAccess.SetState(0, 0, 0)
-	ctrl.mirrorRevision = 3
+	ctrl.store.storeAccess.SetState(0, 0, 0)
+	ctrl.cache.mirrorRevision = 3
 	put := KeyValue{
 		Key:   jobKey("job-000001"),
 		Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})),
 		Rev:   5,
 	}
-	ctrl.applyChange(put)
-	ctrl.applyChange(KeyValue{Key: put.Key, Rev: 9})
-	ctrl.applyChange(put)
-	if ctrl.jobs["job-000001"] != nil {
+	ctrl.cache.applyChange(put)
+	ctrl.cache.applyChange(KeyValue{Key: put.Key, Rev: 9})
+	ctrl.cache.applyChange(put)
+	if ctrl.cache.jobs["job-000001"] != nil {
 		t.Error("a lagging watch brought a job back that we had removed")
 	}
 }
@@ -85,20 +85,20 @@
 // by a move must run that range: works of an ended claim are no use.
 func TestRangeOfEndedClaimIsReplaced(t *testing.T) {
 	ctrl := newTestController(t)
-	ctrl.storeAccess.SetState(0, 0, 0)
-	ownShard, adoptedShard := ctrl.newShard("m0", 0, 1), ctrl.newShard("m1", 0, 2)
-	ctrl.ownedShards["m0"], ctrl.ownedShards["m1"] = ownShard, adoptedShard
+	ctrl.store.storeAccess.SetState(0, 0, 0)
+	ownShard, adoptedShard := ctrl.shards.newShard("m0", 0, 1), ctrl.shards.newShard("m1", 0, 2)
+	ctrl.shards.ownedShards["m0"], ctrl.shards.ownedShards["m1"] = ownShard, adoptedShard
 	key := jobKey("job-000001")
-	ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m1"})), Rev: 5})
-	ctrl.dropShard(adoptedShard)
-	ctrl.applyChange(
+	ctrl.cache.applyChange(KeyValue{Key: key, Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m1"})), Rev: 5})
+	ctrl.shards.dropShard(adoptedShard)
+	ctrl.cache.applyChange(
 		KeyValue{
 			Key:   key,
 			Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0", MovedFromPeer: true})),
 			Rev:   6,
 		},
 	)
-	tr := ctrl.jobs["job-000001"].taskRanges[0]
+	tr := ctrl.cache.jobs["job-000001"].taskRanges[0]
 	if tr == nil || tr.claim != ownShard || tr.shardName != "m0" {
 		t.Errorf("the range is run as %+v", tr)
 	}
@@ -112,19 +112,19 @@
 		leaseRenewedAt, watchedAt, at int64
 		expected                      bool
 	}{
-		{1000, 1000, 1000 + ctrl.leaseTTLMS()/2, true},
-		{1000, 1000, 1000 + ctrl.leaseTTLMS(), false},
-		{1000 + ctrl.leaseTTLMS(), 1000, 1000 + ctrl.leaseTTLMS(), false}, // the watch is stuck
-		{1000, 1000 + ctrl.leaseTTLMS(), 1000 + ctrl.leaseTTLMS(), false}, // the hold is not extended
-		{1000 + ctrl.leaseTTLMS(), 1000 + ctrl.leaseTTLMS(), 1000 + ctrl.leaseTTLMS(), true},
+		{1000, 1000, 1000 + ctrl.store.leaseTTLMS()/2, true},
+		{1000, 1000, 1000 + ctrl.store.leaseTTLMS(), false},
+		{1000 + ctrl.store.leaseTTLMS(), 1000, 1000 + ctrl.store.leaseTTLMS(), false}, // the watch is stuck
+		{1000, 1000 + ctrl.store.leaseTTLMS(), 1000 + ctrl.store.leaseTTLMS(), false}, // the hold is not extended
+		{1000 + ctrl.store.leaseTTLMS(), 1000 + ctrl.store.leaseTTLMS(), 1000 + ctrl.store.leaseTTLMS(), true},
 	} {
 		ctrl.now.MonotonicMS = c.at
-		ctrl.storeAccess.SetState(1, c.leaseRenewedAt, c.watchedAt)
-		if ctrl.hasAuthority() != c.expected {
+		ctrl.store.storeAccess.SetState(1, c.leaseRenewedAt, c.watchedAt)
+		if ctrl.store.hasAuthority() != c.expected {
 			t.Errorf("hold at %d, watch at %d, now %d: %v", c.leaseRenewedAt, c.watchedAt, c.at, !c.expected)
 		}
 	}
-	if lifetime := ctrl.leaseTTLMS() + secondsToMS(ctrl.params.LeaseS); lifetime >= secondsToMS(
+	if lifetime := ctrl.store.leaseTTLMS() + secondsToMS(ctrl.params.LeaseS); lifetime >= secondsToMS(
 		ctrl.params.CancelWithinS,
 	) {
 		t.Errorf("a cut-off owner's tasks live for %d ms", lifetime)
@@ -136,32 +136,32 @@
 func TestInDoubtTeamWriteIsResolvedFromStore(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 64}}
-	ctrl.initTeamLedgers()
-	ctrl.storeAccess.SetState(1, 1, 1)
-	ctrl.mirrorRevision = 20
-	s := ctrl.newShard("m0", 0, 1)
-	ctrl.ownedShards["m0"] = s
-	ctrl.applyChange(
+	ctrl.quotas.initTeamLedgers()
+	ctrl.store.storeAccess.SetState(1, 1, 1)
+	ctrl.cache.mirrorRevision = 20
+	s := ctrl.shards.newShard("m0", 0, 1)
+	ctrl.shards.ownedShards["m0"] = s
+	ctrl.cache.applyChange(
 		KeyValue{
 			Key:   teamKey("ops"),
 			Value: json.RawMessage(`{"parts":{"m0":{"cpus":32},"m1":{"cpus":32}},"wants":{"m1":{"cpus":32}}}`),
 			Rev:   21,
 		},
 	)
-	ctrl.proposeAllocations(s)
-	if allocation := ctrl.quotaLedgers["ops"].Allocation("m0"); allocation.CPUs != 0 {
+	ctrl.quotas.proposeAllocations(s)
+	if allocation := ctrl.quotas.quotaLedgers["ops"].Allocation("m0"); allocation.CPUs != 0 {
 		t.Fatalf("counts on %v while the write is under way", allocation)
 	}
 	write := ctrl.TakeOutputs().StoreOps[0]
 	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Outcome: Unknown})
 	read := ctrl.TakeOutputs().StoreOps[0]
-	ctrl.mirrorRevision = 30 // the watch has passed by then
+	ctrl.cache.mirrorRevision = 30 // the watch has passed by then
 	ctrl.HandleStoreResult(
 		ctrl.now,
 		read.ID,
 		StoreResult{Rev: 30, KVs: []KeyValue{{Key: teamKey("ops"), Value: write.Changes[0].Value, Rev: 25}}},
 	)
-	if allocation := ctrl.quotaLedgers["ops"].Allocations(); allocation["m0"].CPUs != 0 || allocation["m1"].CPUs != 64 {
+	if allocation := ctrl.quotas.quotaLedgers["ops"].Allocations(); allocation["m0"].CPUs != 0 || allocation["m1"].CPUs != 64 {
 		t.Errorf("counts on %v after the write had worked", allocation)
 	}
 }
@@ -173,11 +173,11 @@
 	if !ctrl.IsReadyForUsers() {
 		t.Error("steps aside while no member is known to be better off")
 	}
-	ctrl.peers["m1"] = &peerState{receivedAtMS: 9_500, message: PeerMessage{From: "m1"}}
+	ctrl.peers.peers["m1"] = &peerState{receivedAtMS: 9_500, message: PeerMessage{From: "m1"}}
 	if !ctrl.IsReadyForUsers() {
 		t.Error("steps aside for a member without authority")
 	}
-	ctrl.peers["m1"].message.OwnedShards = []PeerShard{{Shard: "m1"}}
+	ctrl.peers.peers["m1"].message.OwnedShards = []PeerShard{{Shard: "m1"}}
 	if ctrl.IsReadyForUsers() {
 		t.Error("stays in while a peer can take requests")
 	}
@@ -187,26 +187,26 @@
 func newControllerWithShard(t *testing.T) (*Controller, *shard, *machine) {
 	t.Helper()
 	ctrl := newTestController(t)
-	ctrl.mirrorRevision = 10
+	ctrl.cache.mirrorRevision = 10
 	ctrl.now = Now{1000, 1000}
-	ctrl.storeAccess.SetState(1, 1000, 1000)
-	ctrl.setMachineTypes(
+	ctrl.store.storeAccess.SetState(1, 1000, 1000)
+	ctrl.cache.setMachineTypes(
 		[]MachineType{
 			{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}},
 		},
 	)
-	s := ctrl.newShard("m0", 7, 11)
+	s := ctrl.shards.newShard("m0", 7, 11)
 	s.ready = true
-	ctrl.ownedShards["m0"] = s
-	ctrl.applyChange(KeyValue{Key: claimKey("m0"), Value: mustEncode(claimRecord{"m0", 7}), Rev: 11})
-	ctrl.applyChange(
+	ctrl.shards.ownedShards["m0"] = s
+	ctrl.cache.applyChange(KeyValue{Key: claimKey("m0"), Value: mustEncode(claimRecord{"m0", 7}), Rev: 11})
+	ctrl.cache.applyChange(
 		KeyValue{
 			Key:   registryPrefix + "1-1",
 			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{"i-1"}}),
 			Rev:   12,
 		},
 	)
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 12},
 	)
 	ctrl.HandleHeartbeat(
@@ -217,7 +217,7 @@
 	if resp := ctrl.TakeOutputs().HeartbeatResponses[1]; !resp.Accepted {
 		t.Fatal("a report of our machine is not taken")
 	}
-	return ctrl, s, ctrl.machines["i-1"]
+	return ctrl, s, ctrl.registry.machines["i-1"]
 }
 
 // The answer to a direct command overtakes a report; answering that report
@@ -242,12 +242,12 @@
 // out, which is asked for until it works.
 func TestUnacknowledgedStartIsFencedByHigherToken(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})), Rev: 13},
 	)
-	ctrl.jobs["job-000001"].rec.Job.EstimateS = 1
-	ctrl.planShard(s)
-	ctrl.sendUrgentStarts(s)
+	ctrl.cache.jobs["job-000001"].rec.Job.EstimateS = 1
+	ctrl.placer.planShard(s)
+	ctrl.agents.sendUrgentStarts(s)
 	outputs := ctrl.TakeOutputs()
 	if len(outputs.DirectCommands) != 1 {
 		t.Fatalf("%d direct commands, not one", len(outputs.DirectCommands))
@@ -260,7 +260,7 @@
 	ctrl.HandleStoreResult(ctrl.now, tokenRaise[0].ID, StoreResult{Outcome: Refused})
 	ctrl.now.MonotonicMS += 1000
 	ctrl.TakeOutputs()
-	ctrl.tickShard(s)
+	ctrl.shards.tickShard(s)
 	tokenRaise = ctrl.TakeOutputs().StoreOps
 	if len(tokenRaise) == 0 {
 		t.Fatal("a refused raise is not tried again")
@@ -295,7 +295,7 @@
 func TestLargestJobFitsStoreValueLimit(t *testing.T) {
 	ctrl := newTestController(t)
 	j := &Job{ID: "job-000001", Kind: Array, Tasks: 100_000}
-	rec := jobRecord{Job: *j, Ranges: ctrl.assignRanges(j)}
+	rec := jobRecord{Job: *j, Ranges: ctrl.peers.assignRanges(j)}
 	covered := 0
 	for _, r := range rec.Ranges {
 		if r.Lo != covered || r.Hi <= r.Lo {
@@ -323,10 +323,10 @@
 	}{{9, 0}, {8, 8}} {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: c.tasks, Shard: "m0"})
 		rec.Job.Kind, rec.Job.EstimateS = Gang, 1
-		ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Rev: ctrl.keyRevisions[jobKey("job-000001")] + 1})
-		clear(ctrl.tombstones)
-		ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: uint64(100 + c.tasks*c.expected)})
-		ctrl.planShard(s)
+		ctrl.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Rev: ctrl.cache.keyRevisions[jobKey("job-000001")] + 1})
+		clear(ctrl.cache.tombstones)
+		ctrl.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: uint64(100 + c.tasks*c.expected)})
+		ctrl.placer.planShard(s)
 		n := 0
 		for _, planned := range mc.plannedStarts {
 			n += planned.count
@@ -342,24 +342,24 @@
 		attemptNumbers := map[uint64]int{}
 		for try := range 2 {
 			mc.commands = nil
-			ctrl.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: uint64(4 + try)})
+			ctrl.agents.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: uint64(4 + try)})
 			for _, cmd := range mc.commands {
 				attemptNumbers[cmd.Attempt]++
 			}
 			for _, att := range mc.attempts {
-				ctrl.removeAttempt(mc, att)
+				ctrl.agents.removeAttempt(mc, att)
 				break
 			}
-			mc.plannedStarts = []plannedStart{{taskRange: ctrl.jobs["job-000001"].taskRanges[0], count: 1}}
+			mc.plannedStarts = []plannedStart{{taskRange: ctrl.cache.jobs["job-000001"].taskRanges[0], count: 1}}
 			mc.commands = nil
-			if ctrl.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 9}); len(mc.commands) > 0 {
+			if ctrl.agents.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 9}); len(mc.commands) > 0 {
 				t.Errorf("a task of a try that failed is told %+v", mc.commands)
 			}
 			for _, att := range mc.attempts {
-				ctrl.removeAttempt(mc, att)
+				ctrl.agents.removeAttempt(mc, att)
 			}
 			mc.fullUntil = 0
-			ctrl.planShard(s)
+			ctrl.placer.planShard(s)
 		}
 		if len(attemptNumbers) != 2 || slices.Max(slices.Collect(maps.Values(attemptNumbers))) != 8 {
 			t.Errorf("attempts of a gang in two tries: %v", attemptNumbers)
@@ -386,7 +386,7 @@
 		t.Errorf("a question to a silent store gets %+v", resp)
 	}
 	ctrl.outputs = Outputs{}
-	ctrl.sendStore(StoreOp{Kind: StoreGet, Key: "x"}, func(StoreResult) {})
+	ctrl.store.sendStore(StoreOp{Kind: StoreGet, Key: "x"}, func(StoreResult) {})
 	ctrl.HandleStoreResult(ctrl.now, ctrl.TakeOutputs().StoreOps[0].ID, StoreResult{Outcome: NotFound})
 	if _, ok := query(3); ok {
 		t.Error("users are refused after the store has answered")
@@ -394,7 +394,7 @@
 }
 
 func allocationsOf(ctrl *Controller, team string) map[string]quota.Amounts {
-	if ledger := ctrl.quotaLedgers[team]; ledger != nil {
+	if ledger := ctrl.quotas.quotaLedgers[team]; ledger != nil {
 		return ledger.Allocations()
 	}
 	return nil
@@ -418,7 +418,7 @@
 		}
 		cfg.PeerIDs = slices.DeleteFunc(cfg.PeerIDs, func(n string) bool { return n == memberID })
 		ctrl := New(cfg, 1, Now{1, 1})
-		homes[memberID] = ctrl.homeShards
+		homes[memberID] = ctrl.quotas.homeShards
 		for name, limit := range teams {
 			sum := 0.0
 			for _, allocation := range allocationsOf(ctrl, name) {
@@ -429,9 +429,9 @@
 			}
 		}
 		for _, team := range []string{"a", "b"} {
-			for _, r := range ctrl.assignRanges(&Job{ID: "job-000001", Kind: Array, Team: team, Tasks: 5}) {
-				if r.Shard != ctrl.homeShards[team] {
-					t.Errorf("tasks of %s go to %s from %s, not to its home %s", team, r.Shard, memberID, ctrl.homeShards[team])
+			for _, r := range ctrl.peers.assignRanges(&Job{ID: "job-000001", Kind: Array, Team: team, Tasks: 5}) {
+				if r.Shard != ctrl.quotas.homeShards[team] {
+					t.Errorf("tasks of %s go to %s from %s, not to its home %s", team, r.Shard, memberID, ctrl.quotas.homeShards[team])
 				}
 			}
 		}
@@ -446,15 +446,15 @@
 func TestTeamLimitAdmitsJobsThatMeetTheirDeadlines(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 4}}
-	ctrl.initTeamLedgers()
+	ctrl.quotas.initTeamLedgers()
 	put := func(id string, tasks int, deadline float64, rev uint64) {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: tasks, Shard: "m0"})
 		rec.Job.ID, rec.Job.Team, rec.Job.EstimateS, rec.Job.DeadlineS, rec.AcceptedAtMS = id, "ops", 10, deadline, ctrl.now.WallMS
-		ctrl.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
+		ctrl.cache.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
 	}
 	put("job-000001", 40, 50, 21) // 100 s of the whole limit
 	put("job-000002", 8, 60, 22)  // 20 s
-	gs := ctrl.waitingTaskGroups(s)
+	gs := ctrl.placer.waitingTaskGroups(s)
 	if len(gs) != 2 || gs[0].job.ID != "job-000002" || !gs[1].MissedObjectives {
 		t.Errorf("%s goes first, the other is lost: %v", gs[0].job.ID, gs[1].MissedObjectives)
 	}
@@ -463,7 +463,7 @@
 // Ordinary machines are not rented for an aim that they come too late for.
 func TestOnDemandMachineIsNotProvisionedTooLate(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
-	ctrl.setMachineTypes(
+	ctrl.cache.setMachineTypes(
 		[]MachineType{
 			{
 				Name:      "small",
@@ -475,7 +475,7 @@
 			},
 		},
 	)
-	ctrl.fleet.unavailableUntil[offering{"small", "a", true}] = ctrl.now.MonotonicMS + 100_000
+	ctrl.scaler.unavailableUntil[offering{"small", "a", true}] = ctrl.now.MonotonicMS + 100_000
 	for dueInMS, expected := range map[int64]bool{15_000: false, 25_000: true} {
 		j := &Job{Spot: true, Request: availability.Resources{CPUs: 1}}
 		g := &taskGroup{
@@ -487,7 +487,7 @@
 				DeadlineMS: ctrl.now.WallMS + dueInMS,
 			},
 		}
-		if offering, ok := ctrl.cheapestOffering(g, false, map[offering]offering{}); ok != expected {
+		if offering, ok := ctrl.scaler.cheapestOffering(g, false, map[offering]offering{}); ok != expected {
 			t.Errorf("with %d ms left: %v, %v", dueInMS, offering, ok)
 		}
 	}
@@ -497,36 +497,36 @@
 // machine that is listed as up before its roster is known counts as up.
 func TestMachinesFollowRegistryAndLiveRecords(t *testing.T) {
 	ctrl := newTestController(t)
-	ctrl.storeAccess.SetState(0, 0, 0)
-	ctrl.applyChange(
+	ctrl.store.storeAccess.SetState(0, 0, 0)
+	ctrl.cache.applyChange(
 		KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 4},
 	)
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{
 			Key:   registryPrefix + "1-1",
 			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-1", "i-2"}}),
 			Rev:   5,
 		},
 	)
-	if len(ctrl.machines) != 2 || !ctrl.machines["i-1"].Up || ctrl.machines["i-2"].Up {
-		t.Fatalf("machines %v", ctrl.machines)
+	if len(ctrl.registry.machines) != 2 || !ctrl.registry.machines["i-1"].Up || ctrl.registry.machines["i-2"].Up {
+		t.Fatalf("machines %v", ctrl.registry.machines)
 	}
-	if ctrl.machines["i-1"].IsAccountedFor() || !ctrl.machines["i-2"].IsAccountedFor() {
+	if ctrl.registry.machines["i-1"].IsAccountedFor() || !ctrl.registry.machines["i-2"].IsAccountedFor() {
 		t.Error("only a machine that is up may run what an earlier claim started")
 	}
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{
 			Key:   registryPrefix + "1-1",
 			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-2"}}),
 			Rev:   6,
 		},
 	)
-	if len(ctrl.machines) != 1 || ctrl.machines["i-2"] == nil {
-		t.Errorf("machines %v", ctrl.machines)
+	if len(ctrl.registry.machines) != 1 || ctrl.registry.machines["i-2"] == nil {
+		t.Errorf("machines %v", ctrl.registry.machines)
 	}
-	ctrl.applyChange(KeyValue{Key: registryPrefix + "1-1", Rev: 7})
-	if len(ctrl.machines) != 0 {
-		t.Errorf("machines %v", ctrl.machines)
+	ctrl.cache.applyChange(KeyValue{Key: registryPrefix + "1-1", Rev: 7})
+	if len(ctrl.registry.machines) != 0 {
+		t.Errorf("machines %v", ctrl.registry.machines)
 	}
 }
 
@@ -535,13 +535,13 @@
 func TestShardIsNotReadyBeforeMirrorPassesItsClaim(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready, s.progressRead = false, true
-	ctrl.mirrorRevision = s.claimRev - 1
-	ctrl.tickShard(s)
+	ctrl.cache.mirrorRevision = s.claimRev - 1
+	ctrl.shards.tickShard(s)
 	if s.ready {
 		t.Error("ready before the mirror has passed the claim")
 	}
-	ctrl.mirrorRevision = s.claimRev
-	ctrl.tickShard(s)
+	ctrl.cache.mirrorRevision = s.claimRev
+	ctrl.shards.tickShard(s)
 	if !s.ready {
 		t.Error("not ready though everything is known")
 	}
@@ -562,30 +562,30 @@
 		1,
 		Now{1000, 1000},
 	)
-	ctrl.storeAccess.SetState(0, 0, 0)
-	ctrl.setMachineTypes(
+	ctrl.store.storeAccess.SetState(0, 0, 0)
+	ctrl.cache.setMachineTypes(
 		[]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 1, MemoryGB: 32}, Zones: []string{"a"}}},
 	)
-	ctrl.shardClaims["m1"] = claimRecord{Owner: "m1"}
+	ctrl.cache.shardClaims["m1"] = claimRecord{Owner: "m1"}
 	free := availability.Function{
 		Kind:      planner.InstanceOffering{Type: "small", Zone: "a"}.Key(),
 		Count:     30,
 		Resources: availability.Resources{CPUs: 1, MemoryGB: 32},
 		Samples:   []availability.Sample{{TimeMS: 1000}, {TimeMS: 101_000, AvailableMS: 100_000}},
 	}
-	ctrl.peers["m1"] = &peerState{
+	ctrl.peers.peers["m1"] = &peerState{
 		receivedAtMS: 1000,
 		message:      PeerMessage{From: "m1", OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{free}}}},
 	}
 	j := &Job{Request: availability.Resources{CPUs: 1}, Tasks: 100}
-	offers := ctrl.peerCapacities(j, 10_000, 12_000, 100)
+	offers := ctrl.peers.peerCapacities(j, 10_000, 12_000, 100)
 	if len(offers) != 1 || offers[0].tasks != 10 {
 		t.Fatalf("offers %+v", offers)
 	}
-	if n := ctrl.peerTaskCapacity(offers[0].peerShard, j, 10_000, 12_000, 10, true); n != 10 {
+	if n := ctrl.peers.peerTaskCapacity(offers[0].peerShard, j, 10_000, 12_000, 10, true); n != 10 {
 		t.Errorf("%d tasks taken", n)
 	}
-	if n := ctrl.peerTaskCapacity(offers[0].peerShard, j, 10_000, 12_000, 100, false); n != 20 {
+	if n := ctrl.peers.peerTaskCapacity(offers[0].peerShard, j, 10_000, 12_000, 100, false); n != 20 {
 		t.Errorf("%d left", n)
 	}
 }
@@ -598,7 +598,7 @@
 		expected string
 	}{{40_000, "job-000002/0"}, {13_000, "job-000001/0"}} {
 		ctrl, s, mc := newControllerWithShard(t)
-		ctrl.setMachineTypes(
+		ctrl.cache.setMachineTypes(
 			[]MachineType{
 				{
 					Name:           "small",
@@ -615,8 +615,8 @@
 			rec := newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})
 			rec.Job.ID = []string{"job-000001", "job-000002"}[i]
 			rec.Job.Image, rec.Job.Request = image, availability.Resources{CPUs: 8, DiskGB: 2}
-			ctrl.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(20 + i)})
-			tr := ctrl.jobs[rec.Job.ID].taskRanges[0]
+			ctrl.cache.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(20 + i)})
+			tr := ctrl.cache.jobs[rec.Job.ID].taskRanges[0]
 			s.queue = append(
 				s.queue,
 				&taskGroup{
@@ -632,7 +632,7 @@
 			)
 		}
 		mc.commands = nil
-		ctrl.startFromQueue(s, mc, &Heartbeat{Incarnation: 1, Seq: 4})
+		ctrl.agents.startFromQueue(s, mc, &Heartbeat{Incarnation: 1, Seq: 4})
 		if len(mc.commands) != 1 || mc.commands[0].Task != c.expected {
 			t.Errorf("with %d ms to the aim: %+v, not %s", c.slackMS, mc.commands, c.expected)
 		}
@@ -659,13 +659,13 @@
 		ctrl, s, mc := newControllerWithShard(t)
 		ctrl.params.Teams = map[string]Team{"ops": {CPUs: c.guarantee, MaxCPUs: 4}}
 		ctrl.params.GuaranteeWithinS = 10
-		ctrl.initTeamLedgers()
+		ctrl.quotas.initTeamLedgers()
 		put := func(id string, p Priority, tasks int, cpus, checkpoint, deadline float64, rev uint64) {
 			rec := newTestJobRecord(Range{Lo: 0, Hi: tasks, Shard: "m0"})
 			j := &rec.Job
 			j.ID, j.Team, j.Priority, j.EstimateS, j.DeadlineS, rec.AcceptedAtMS = id, "ops", p, 20, deadline, ctrl.now.WallMS
 			j.Request.CPUs, j.CheckpointIntervalS, j.CheckpointDurationS = cpus, checkpoint, checkpoint
-			ctrl.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
+			ctrl.cache.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
 		}
 		seq := uint64(3)
 		heartbeat := func(tasks ...TaskStatus) []Command {
@@ -678,7 +678,7 @@
 			return ctrl.TakeOutputs().HeartbeatResponses[seq].Commands
 		}
 		put("job-000001", Normal, 1, 4, c.checkpoint, c.overdue, 21)
-		ctrl.planShard(s)
+		ctrl.placer.planShard(s)
 		commands := heartbeat()
 		if len(commands) != 1 {
 			t.Fatalf("%s: the first job is told %+v", c.name, commands)
@@ -686,7 +686,7 @@
 		task := TaskStatus{Task: commands[0].Task, Attempt: commands[0].Attempt, State: c.state}
 		heartbeat(task)
 		put("job-000002", High, 2, 2, 0, 60, 22)
-		ctrl.planShard(s)
+		ctrl.placer.planShard(s)
 		commands = heartbeat(task)
 		if stopped := len(commands) == 1 && commands[0].Kind == CommandStop && commands[0].GraceS >= c.checkpoint; stopped != c.stops ||
 			!stopped && len(commands) > 0 {
@@ -700,9 +700,9 @@
 			t.Errorf("%s: a task that was told to stop no longer counts: %g in use", c.name, usedCPUs)
 		}
 		ctrl.now = Now{ctrl.now.MonotonicMS + 2000, ctrl.now.WallMS + 2000}
-		ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+		ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
 		task.State, task.Reason, task.Checkpointed = "exited", "stopped", c.checkpoint > 0
-		ctrl.planShard(s)
+		ctrl.placer.planShard(s)
 		var started []string
 		for _, cmd := range heartbeat(task) {
 			if cmd.Kind == CommandStart {
@@ -725,13 +725,13 @@
 	put := func(rev uint64, ranges ...Range) {
 		rec := newTestJobRecord(ranges...)
 		rec.Job.Tasks = 4
-		ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: rev})
+		ctrl.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: rev})
 	}
 	put(21, Range{Lo: 0, Hi: 4, Shard: "m0"})
-	tr := ctrl.jobs["job-000001"].taskRanges[0]
+	tr := ctrl.cache.jobs["job-000001"].taskRanges[0]
 	tr.markDone(0)
 	tr.moving = true
-	ctrl.reconcileTasks(s, mc, &Heartbeat{Machine: "i-1", Incarnation: 1, Seq: 9, Tasks: []TaskStatus{
+	ctrl.agents.reconcileTasks(s, mc, &Heartbeat{Machine: "i-1", Incarnation: 1, Seq: 9, Tasks: []TaskStatus{
 		{
 			Task:    "job-000001/3",
 			Attempt: 1,
@@ -749,7 +749,7 @@
 	}
 	tr.markDone(1)
 	ctrl.TakeOutputs()
-	ctrl.tickShard(s)
+	ctrl.shards.tickShard(s)
 	if ops := ctrl.TakeOutputs().StoreOps; !slices.ContainsFunc(ops, func(op StoreOp) bool {
 		return op.Kind == StoreTxn &&
 			slices.ContainsFunc(op.Changes, func(c Change) bool { return c.Key == jobKey("job-000001") })
@@ -766,24 +766,24 @@
 		rec := newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})
 		rec.Job.ID, rec.Job.EstimateS, rec.Job.Spot = fmt.Sprintf("job-%06d", i+1), length, true
 		rec.Job.Request.CPUs = 2
-		ctrl.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(21 + i)})
+		ctrl.cache.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(21 + i)})
 	}
-	ctrl.planShard(s)
-	ctrl.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 3})
+	ctrl.placer.planShard(s)
+	ctrl.agents.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 3})
 	if mc.liveAttemptCount != 4 {
 		t.Fatalf("%d tasks run", mc.liveAttemptCount)
 	}
-	ctrl.planShard(s)
+	ctrl.placer.planShard(s)
 	if len(s.forecastDemand) != 0 {
 		t.Fatalf("without a notice: %+v", s.forecastDemand)
 	}
 	mc.terminatesAt = ctrl.now.MonotonicMS + 20_000
-	ctrl.planShard(s)
+	ctrl.placer.planShard(s)
 	if len(s.forecastDemand) != 1 || s.forecastDemand[0].Tasks != 2 || s.forecastDemand[0].TaskRuntimeMS != 60_000 ||
 		!s.forecastDemand[0].SpotOnly {
 		t.Fatalf("with a notice of 20 s: %+v", s.forecastDemand)
 	}
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{
 			Key: registryPrefix + "1-2",
 			Value: mustEncode(
@@ -799,7 +799,7 @@
 			Rev: 30,
 		},
 	)
-	if ctrl.planShard(s); len(s.forecastDemand) != 0 {
+	if ctrl.placer.planShard(s); len(s.forecastDemand) != 0 {
 		t.Errorf("with a machine that boots: %+v", s.forecastDemand)
 	}
 }
@@ -822,15 +822,15 @@
 // A machine that an operator drains starts nothing; taken off the list, it does.
 func TestUndrainedMachineStartsTasksAgain(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13},
 	)
 	running := TaskStatus{Task: "job-000001/0", Attempt: 7 << 28, State: "running"}
 	seq := uint64(3)
 	heartbeatAndTick := func(drainList ...string) {
 		ctrl.now.MonotonicMS += 1000
-		ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
-		ctrl.settings.Drain = drainList
+		ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+		ctrl.cache.settings.Drain = drainList
 		seq++
 		ctrl.HandleHeartbeat(
 			ctrl.now,
@@ -846,7 +846,7 @@
 				Tasks:       []TaskStatus{running},
 			},
 		)
-		ctrl.tickShard(s)
+		ctrl.shards.tickShard(s)
 	}
 	heartbeatAndTick("i-1")
 	startsBefore := ctrl.Counters.Starts // the first report came before the list
@@ -867,14 +867,14 @@
 	for _, silent := range []int{1, 3} {
 		ctrl, s, _ := newControllerWithShard(t)
 		ids := []string{"i-2", "i-3", "i-4"}
-		ctrl.applyChange(
+		ctrl.cache.applyChange(
 			KeyValue{
 				Key:   registryPrefix + "1-2",
 				Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: ids}),
 				Rev:   30,
 			},
 		)
-		ctrl.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/1", Value: mustEncode(liveMachinesRecord{ids}), Rev: 31})
+		ctrl.cache.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/1", Value: mustEncode(liveMachinesRecord{ids}), Rev: 31})
 		for _, id := range ids[silent:] {
 			ctrl.HandleHeartbeat(
 				ctrl.now,
@@ -886,7 +886,7 @@
 			if halfLeasePassed {
 				ctrl.now.MonotonicMS += secondsToMS(ctrl.params.LeaseS)/2 + 1
 			}
-			ctrl.tickReconcile(s)
+			ctrl.agents.tickReconcile(s)
 			released := 0
 			for _, mc := range s.machines {
 				if mc.releasing {
--- a/scheduler/extension_records.go
+++ b/scheduler/extension_records.go
@@ -25,22 +25,22 @@
 // ExtensionView tells how the member stands. Until it has a mirror all of it is empty.
 func (c *Controller) ExtensionView(now Now, prefix string, jobs []string) ExtensionView {
 	c.now = now
-	view := ExtensionView{HasAuthority: c.hasAuthority(), ClaimTokens: map[string]uint64{}}
-	if !c.storeAccess.IsSynced() {
+	view := ExtensionView{HasAuthority: c.store.hasAuthority(), ClaimTokens: map[string]uint64{}}
+	if !c.store.storeAccess.IsSynced() {
 		return view
 	}
-	for name, s := range c.ownedShards {
+	for name, s := range c.shards.ownedShards {
 		if s.ready && !s.releasing {
 			view.ClaimTokens[name] = s.token
 		}
 	}
-	for key, kv := range sortedByKey(c.extensionRecords) {
+	for key, kv := range sortedByKey(c.cache.extensionRecords) {
 		if strings.HasPrefix(key, prefix) {
 			view.KVs = append(view.KVs, kv)
 		}
 	}
 	for _, id := range jobs {
-		if c.jobs[id] == nil {
+		if c.cache.jobs[id] == nil {
 			view.EndedJobs = append(view.EndedJobs, id)
 		}
 	}
--- a/scheduler/failing_job_pause_test.go
+++ b/scheduler/failing_job_pause_test.go
@@ -10,7 +10,7 @@
 func TestFailingJobPausesForTwoLeasesAtMost(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	ctrl.params.HeartbeatS = ctrl.params.LeaseS / 5
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 40, Shard: "m0"})), Rev: 13},
 	)
 	tr := s.taskRanges[0]
@@ -18,7 +18,7 @@
 	for n := range 20 {
 		failedMachine := *mc
 		failedMachine.id = fmt.Sprintf("i-%d", n)
-		ctrl.recordTaskError(
+		ctrl.agents.recordTaskError(
 			&failedMachine,
 			tr,
 			&attempt{key: attemptKey{task: TaskName("job-000001", n)}, job: &tr.job.rec.Job, taskRange: tr},
--- a/scheduler/fleet_scaling.go
+++ b/scheduler/fleet_scaling.go
@@ -14,6 +14,16 @@
 // autoscaler is what the member that leads the fleet keeps: it alone rents and
 // returns machines. The lead is a record that hangs on the member's hold.
 type autoscaler struct {
+	*environment
+	cache    *stateCache
+	peers    *peerTable
+	registry *machineRegistry
+	rollouts *rolloutController
+	shards   *shardManager
+	store    *storeClient
+
+	cloudCallbacks map[uint64]func(CloudResult) // by request
+
 	leading           bool
 	nonce             uint64
 	leaderRev         uint64
@@ -62,89 +72,97 @@
 	return cmp.Or(strings.Compare(o.machineType, other.machineType), strings.Compare(o.zone, other.zone), bySpot)
 }
 
-func (f *autoscaler) init() {
-	f.provisioning, f.demandValidAfter = map[string]int{}, map[string]int64{}
-	f.unavailableUntil, f.releasedAt = map[offering]int64{}, map[string]int64{}
-	f.pendingReleases, f.pendingRemovals, f.unrecordedMachines = map[string]bool{}, map[string]bool{}, map[string]bool{}
+func newAutoscaler(env *environment) *autoscaler {
+	return &autoscaler{
+		environment:        env,
+		cloudCallbacks:     map[uint64]func(CloudResult){},
+		provisioning:       map[string]int{},
+		demandValidAfter:   map[string]int64{},
+		unavailableUntil:   map[offering]int64{},
+		releasedAt:         map[string]int64{},
+		pendingReleases:    map[string]bool{},
+		pendingRemovals:    map[string]bool{},
+		unrecordedMachines: map[string]bool{},
+	}
 }
 
-func (c *Controller) tickFleet() {
-	f := &c.fleet
-	now := c.now.MonotonicMS
-	if len(c.machineTypes) == 0 || f.leading {
+func (as *autoscaler) tickFleet() {
+	f := as
+	now := as.now.MonotonicMS
+	if len(as.cache.machineTypes) == 0 || f.leading {
 		if now >= f.nextCatalogAt {
 			f.nextCatalogAt = now + 5000
-			c.sendCloud(CloudOp{Kind: CloudCatalog}, c.applyCatalog)
+			as.sendCloud(CloudOp{Kind: CloudCatalog}, as.applyCatalog)
 		}
 	}
-	if !c.hasAuthority() {
+	if !as.store.hasAuthority() {
 		return
 	}
-	if c.leader == "" || c.leader == c.params.MemberID && !f.leading {
-		c.claimLeadership()
+	if as.cache.leader == "" || as.cache.leader == as.params.MemberID && !f.leading {
+		as.claimLeadership()
 		return
 	}
-	if !c.canActAsLeader() {
+	if !as.canActAsLeader() {
 		return
 	}
-	c.assignFoundMachines()
-	c.writeRegistry()
+	as.assignFoundMachines()
+	as.writeRegistry()
 	if now >= f.nextListAt && !f.listPending {
 		f.listPending = true
-		c.listCloudMachines("", nil, now)
+		as.listCloudMachines("", nil, now)
 	}
 	if now >= f.nextReleaseAt && !f.releasePending {
-		c.releaseMachines()
+		as.releaseMachines()
 	}
 	if now >= f.nextProvisionAt {
 		f.nextProvisionAt = now + 500
-		c.scaleOutForDemand()
+		as.scaleOutForDemand()
 	}
-	c.tickRollout()
+	as.rollouts.tickRollout()
 }
 
-func (c *Controller) claimLeadership() {
-	f := &c.fleet
-	now := c.now.MonotonicMS
+func (as *autoscaler) claimLeadership() {
+	f := as
+	now := as.now.MonotonicMS
 	if f.claimPending || now < f.nextClaimAt {
 		return
 	}
 	f.claimPending = true
-	nonce := c.rng.Uint64()
+	nonce := as.rng.Uint64()
 	f.nonce = nonce
-	rec := claimRecord{c.params.MemberID, nonce}
-	c.sendStore(
-		StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{leaderKey, c.keyRevisions[leaderKey]}},
-			Changes: []Change{{Key: leaderKey, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}}},
+	rec := claimRecord{as.params.MemberID, nonce}
+	as.store.sendStore(
+		StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{leaderKey, as.cache.keyRevisions[leaderKey]}},
+			Changes: []Change{{Key: leaderKey, Value: mustEncode(rec), LeaseID: as.store.storeAccess.LeaseID()}}},
 		func(r StoreResult) {
 			f.claimPending = false
-			f.nextClaimAt = c.now.MonotonicMS + 500 + c.rng.Int64N(500)
+			f.nextClaimAt = as.now.MonotonicMS + 500 + as.rng.Int64N(500)
 			if r.Outcome == OK {
-				c.applyChange(KeyValue{Key: leaderKey, Value: mustEncode(rec), Rev: r.Rev})
+				as.cache.applyChange(KeyValue{Key: leaderKey, Value: mustEncode(rec), Rev: r.Rev})
 				f.leading, f.leaderRev = true, r.Rev
-				f.nextListAt = c.now.MonotonicMS
+				f.nextListAt = as.now.MonotonicMS
 				clear(f.provisioning)
-				c.rolloutState.ledger, c.rolloutState.provisioning = nil, false
+				as.rollouts.ledger, as.rollouts.provisioning = nil, false
 				// What an earlier lead of ours left is the cloud list's to tell.
 				f.pendingAdditions, f.unknownMachines, f.registryWriting = nil, nil, false
 				clear(f.unrecordedMachines)
 				clear(f.pendingRemovals)
 				clear(f.pendingReleases)
-				c.log(Info, "leading the fleet", "revision", r.Rev)
+				as.log(Info, "leading the fleet", "revision", r.Rev)
 			} else {
-				c.rereadKey(leaderKey, func(StoreResult) {})
+				as.store.rereadKey(leaderKey, func(StoreResult) {})
 			}
 		},
 	)
 }
 
-func (c *Controller) applyCatalog(r CloudResult) {
-	f := &c.fleet
+func (as *autoscaler) applyCatalog(r CloudResult) {
+	f := as
 	if r.Outcome != OK || len(r.Types) == 0 {
-		f.nextCatalogAt = c.now.MonotonicMS + 2000
+		f.nextCatalogAt = as.now.MonotonicMS + 2000
 		return
 	}
-	f.nextCatalogAt = c.now.MonotonicMS + 60_000
+	f.nextCatalogAt = as.now.MonotonicMS + 60_000
 	types := slices.Clone(r.Types)
 	slices.SortFunc(types, func(a, b MachineType) int {
 		if a.Name < b.Name {
@@ -152,15 +170,15 @@
 		}
 		return 1
 	})
-	first := len(c.machineTypes) == 0
-	c.setMachineTypes(types)
+	first := len(as.cache.machineTypes) == 0
+	as.cache.setMachineTypes(types)
 	if first {
-		c.log(Info, "machine types known", "types", len(types))
+		as.log(Info, "machine types known", "types", len(types))
 	}
 	// Stored once, without its moving prices, for members that start while
 	// the cloud is away.
-	if c.keyRevisions[catalogKey] == 0 && f.leading && c.hasAuthority() {
-		c.sendTxn(
+	if as.cache.keyRevisions[catalogKey] == 0 && f.leading && as.store.hasAuthority() {
+		as.store.sendTxn(
 			UrgencyBackground,
 			[]Precondition{{catalogKey, 0}},
 			[]Change{{Key: catalogKey, Value: mustEncode(catalogRecord{types})}},
@@ -170,23 +188,23 @@
 }
 
 // listCloudMachines reads the cloud's list and compares it with the records.
-func (c *Controller) listCloudMachines(from string, all []CloudMachine, sentAt int64) {
-	f := &c.fleet
-	c.sendCloud(CloudOp{Kind: CloudList, StartAfter: from}, func(r CloudResult) {
+func (as *autoscaler) listCloudMachines(from string, all []CloudMachine, sentAt int64) {
+	f := as
+	as.sendCloud(CloudOp{Kind: CloudList, StartAfter: from}, func(r CloudResult) {
 		if r.Outcome != OK {
 			f.listPending = false
-			f.nextListAt = c.now.MonotonicMS + 2000
+			f.nextListAt = as.now.MonotonicMS + 2000
 			return
 		}
 		all = append(all, r.List...)
 		if r.More && len(r.List) > 0 {
-			c.listCloudMachines(r.List[len(r.List)-1].ID, all, sentAt)
+			as.listCloudMachines(r.List[len(r.List)-1].ID, all, sentAt)
 			return
 		}
 		f.listPending = false
-		f.nextListAt = c.now.MonotonicMS + max(secondsToMS(c.params.CloudListLagS)/listsPerListLag, 1000)
-		if f.leading && c.hasAuthority() {
-			c.reconcileCloudList(all, sentAt)
+		f.nextListAt = as.now.MonotonicMS + max(secondsToMS(as.params.CloudListLagS)/listsPerListLag, 1000)
+		if f.leading && as.store.hasAuthority() {
+			as.reconcileCloudList(all, sentAt)
 		}
 	})
 }
@@ -205,20 +223,20 @@
 // reconcileCloudList holds the cloud's list against the records. The list was asked for at
 // sent and is no evidence of anything later: an answer that came late made
 // machines seem gone that had been rented and were up since.
-func (c *Controller) reconcileCloudList(list []CloudMachine, sentAt int64) {
-	f := &c.fleet
-	sentWall := c.now.WallMS - (c.now.MonotonicMS - sentAt)
-	lag := secondsToMS(c.params.CloudListLagS) * 2
+func (as *autoscaler) reconcileCloudList(list []CloudMachine, sentAt int64) {
+	f := as
+	sentWall := as.now.WallMS - (as.now.MonotonicMS - sentAt)
+	lag := secondsToMS(as.params.CloudListLagS) * 2
 	f.listed = make(map[string]bool, len(list))
-	loads := c.shardLoads()
+	loads := as.shardLoads()
 	for _, instance := range list {
 		f.listed[instance.ID] = true
-		mc := c.machines[instance.ID]
+		mc := as.registry.machines[instance.ID]
 		if releasedAt, ok := f.releasedAt[instance.ID]; ok {
 			// The list lags: what we returned still appears. Taking it
 			// for a machine that nobody expected gave it a record and an
 			// owner again, for nothing to come up.
-			if c.now.MonotonicMS-releasedAt > releasedRetentionLags*lag {
+			if as.now.MonotonicMS-releasedAt > releasedRetentionLags*lag {
 				delete(f.releasedAt, instance.ID)
 			}
 			continue
@@ -228,47 +246,47 @@
 			// it; a rental of ours whose rosters are being written is
 			// given the time to be written.
 			if secondsToMS(instance.AgeS) > lag+5000 && !f.unrecordedMachines[instance.ID] && instance.State != "failed" &&
-				c.machineTypes[instance.Type] != nil {
-				c.addMachinesToRegistry(
+				as.cache.machineTypes[instance.Type] != nil {
+				as.addMachinesToRegistry(
 					[]string{instance.ID},
 					offering{instance.Type, instance.Zone, instance.Spot},
-					c.assignToLeastLoaded(loads, instance.Type),
+					as.assignToLeastLoaded(loads, instance.Type),
 					"",
-					c.now.WallMS-secondsToMS(instance.AgeS),
+					as.now.WallMS-secondsToMS(instance.AgeS),
 					func() {},
 				)
 			}
 			if instance.State == "failed" && !f.unrecordedMachines[instance.ID] {
-				c.markForRelease(instance.ID, "failed")
+				as.markForRelease(instance.ID, "failed")
 			}
 			continue
 		}
 		if instance.State == "failed" {
-			c.markForRelease(instance.ID, "failed")
+			as.markForRelease(instance.ID, "failed")
 		}
 	}
 	for id, releasedAt := range f.releasedAt {
-		if c.now.MonotonicMS-releasedAt > releasedRetentionLags*lag && !f.listed[id] {
+		if as.now.MonotonicMS-releasedAt > releasedRetentionLags*lag && !f.listed[id] {
 			delete(f.releasedAt, id)
 		}
 	}
-	for id, mc := range sortedByKey(c.machines) {
-		t := c.machineTypes[mc.rec.Type]
+	for id, mc := range sortedByKey(as.registry.machines) {
+		t := as.cache.machineTypes[mc.rec.Type]
 		switch {
-		case mc.Up && !f.listed[id] && sentWall-mc.rec.ProvisionedAtMS > lag+5000 && !c.hasHeartbeatSince(mc, sentAt):
+		case mc.Up && !f.listed[id] && sentWall-mc.rec.ProvisionedAtMS > lag+5000 && !as.hasHeartbeatSince(mc, sentAt):
 			// Listed machines stay listed until they are gone, so this one
 			// is: its tasks need not wait for its lease, nor a new claim
 			// for a report that never comes. Returning it makes it certain.
-			c.markForRelease(id, "no longer listed")
-		case !mc.Up && t != nil && c.now.WallMS-mc.rec.ProvisionedAtMS > secondsToMS(t.BootS)*bootGracePeriods+lag:
-			c.markForRelease(id, "does not come up")
+			as.markForRelease(id, "no longer listed")
+		case !mc.Up && t != nil && as.now.WallMS-mc.rec.ProvisionedAtMS > secondsToMS(t.BootS)*bootGracePeriods+lag:
+			as.markForRelease(id, "does not come up")
 		}
 	}
 }
 
 // hasHeartbeatSince tells whether a machine of ours reported after a time.
-func (c *Controller) hasHeartbeatSince(mc *machine, since int64) bool {
-	return mc.claim != nil && c.ownedShards[mc.rec.Shard] == mc.claim && mc.IsReconciled() && mc.LastHeartbeatAt > since
+func (as *autoscaler) hasHeartbeatSince(mc *machine, since int64) bool {
+	return mc.claim != nil && as.shards.ownedShards[mc.rec.Shard] == mc.claim && mc.IsReconciled() && mc.LastHeartbeatAt > since
 }
 
 // candidateMachine is a machine that might be rented, while needs are fitted into it.
@@ -281,21 +299,21 @@
 // added until the needs fit, each time of the kind that costs least for the
 // tasks it takes. One call asks for all machines of a kind and zone, whichever
 // shards they are for, and the largest are asked for first: calls are few.
-func (c *Controller) scaleOutForDemand() {
-	f := &c.fleet
+func (as *autoscaler) scaleOutForDemand() {
+	f := as
 	requests := map[offering]map[string]int{}
 	total := map[offering]int{}
-	c.forEachFreshMessage(func(from string, msg *PeerMessage) {
+	as.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
 		for i := range msg.OwnedShards {
 			peerShard := &msg.OwnedShards[i]
 			if f.provisioning[peerShard.Shard] > 0 || msg.WallMS < f.demandValidAfter[peerShard.Shard] ||
 				len(peerShard.Demands) == 0 {
 				continue
 			}
-			if c.ownedShards[peerShard.Shard] == nil && c.shardClaims[peerShard.Shard].Owner != from {
+			if as.shards.ownedShards[peerShard.Shard] == nil && as.cache.shardClaims[peerShard.Shard].Owner != from {
 				continue
 			}
-			for o, n := range c.planScaleOut(peerShard) {
+			for o, n := range as.planScaleOut(peerShard) {
 				if requests[o] == nil {
 					requests[o] = map[string]int{}
 				}
@@ -310,7 +328,7 @@
 	}
 	slices.SortFunc(order, func(a, b offering) int { return cmp.Or(cmp.Compare(total[b], total[a]), a.compare(b)) })
 	for _, o := range order {
-		c.provision(o, requests[o], "", func() {})
+		as.provision(o, requests[o], "", func() {})
 	}
 }
 
@@ -319,12 +337,12 @@
 const maxScaleOutPerShard = 50
 
 // planScaleOut is what machines a shard's needs ask for.
-func (c *Controller) planScaleOut(peerShard *PeerShard) map[offering]int {
+func (as *autoscaler) planScaleOut(peerShard *PeerShard) map[offering]int {
 	var candidates []*candidateMachine
-	wall := c.now.WallMS
+	wall := as.now.WallMS
 	zones := map[offering]offering{} // the zone that this round takes for a kind
 	for _, demand := range peerShard.Demands {
-		j := c.jobs[demand.Job]
+		j := as.cache.jobs[demand.Job]
 		if j == nil {
 			continue
 		}
@@ -343,12 +361,12 @@
 		}
 		for _, candidate := range candidates {
 			if g.Remaining > 0 &&
-				c.isOfferingAllowed(g.job, candidate.offering.machineType, candidate.offering.zone, candidate.offering.spot) {
+				as.cache.isOfferingAllowed(g.job, candidate.offering.machineType, candidate.offering.zone, candidate.offering.spot) {
 				n, _, _ := planner.AdmitToMachine(
 					candidate.machine,
 					&g.Group,
-					c.imageFetchMS(g.job, candidate.offering.machineType),
-					c.fillDeadline(g, candidate.machine),
+					as.cache.imageFetchMS(g.job, candidate.offering.machineType),
+					as.cache.fillDeadline(g, candidate.machine),
 					g.Remaining,
 					mode,
 				)
@@ -356,11 +374,11 @@
 			}
 		}
 		for g.Remaining > 0 && len(candidates) < maxScaleOutPerShard {
-			o, ok := c.cheapestOffering(g, demand.SpotOnly, zones)
+			o, ok := as.cheapestOffering(g, demand.SpotOnly, zones)
 			if !ok {
 				break
 			}
-			t := c.machineTypes[o.machineType]
+			t := as.cache.machineTypes[o.machineType]
 			candidate := &candidateMachine{
 				offering: o,
 				machine: &planner.Machine{
@@ -372,8 +390,8 @@
 			n, _, _ := planner.AdmitToMachine(
 				candidate.machine,
 				&g.Group,
-				c.imageFetchMS(g.job, o.machineType),
-				c.fillDeadline(g, candidate.machine),
+				as.cache.imageFetchMS(g.job, o.machineType),
+				as.cache.fillDeadline(g, candidate.machine),
 				g.Remaining,
 				mode,
 			)
@@ -393,10 +411,10 @@
 
 // fillDeadline is the deadline that a rented machine is filled for: the group's own,
 // or, where it comes too late for that, one task in each of its queues.
-func (c *Controller) fillDeadline(g *taskGroup, viewMachine *planner.Machine) int64 {
+func (cache *stateCache) fillDeadline(g *taskGroup, viewMachine *planner.Machine) int64 {
 	return max(
 		g.DeadlineMS,
-		viewMachine.ReadyAtMS+c.imageFetchMS(
+		viewMachine.ReadyAtMS+cache.imageFetchMS(
 			g.job,
 			viewMachine.Offering.Type,
 		)+int64(
@@ -415,21 +433,21 @@
 // cheapestOffering picks the kind of machine that costs least for the tasks of the
 // group that it takes, among those the cloud did not refuse of late. Ordinary
 // machines are dearer, so they come up where no spot machine is to be had.
-func (c *Controller) cheapestOffering(g *taskGroup, spotOnly bool, zones map[offering]offering) (offering, bool) {
+func (as *autoscaler) cheapestOffering(g *taskGroup, spotOnly bool, zones map[offering]offering) (offering, bool) {
 	var best []offering
 	bestCost := math.Inf(1)
-	names := make([]string, 0, len(c.machineTypes))
-	for n := range c.machineTypes {
+	names := make([]string, 0, len(as.cache.machineTypes))
+	for n := range as.cache.machineTypes {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		t := c.machineTypes[n]
-		if !c.fitsType(g.job, t) {
+		t := as.cache.machineTypes[n]
+		if !as.cache.fitsType(g.job, t) {
 			continue
 		}
 		copies := t.Resources.MaxCopies(withoutDisk(g.job.Request), g.Remaining)
-		readyAt := c.now.WallMS + secondsToMS(t.BootS) + c.imageFetchMS(g.job, n)
+		readyAt := as.now.WallMS + secondsToMS(t.BootS) + as.cache.imageFetchMS(g.job, n)
 		waves := max(1, int((g.DeadlineMS-readyAt)/max(int64(float64(g.LengthMS)*planner.RuntimePadding), 1)))
 		tasks := min(copies*waves, g.Remaining)
 		if tasks < 1 {
@@ -438,7 +456,7 @@
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				o := offering{n, z, spot}
-				if spotOnly && !spot || !c.isOfferingAllowed(g.job, n, z, spot) || c.now.MonotonicMS < c.fleet.unavailableUntil[o] {
+				if spotOnly && !spot || !as.cache.isOfferingAllowed(g.job, n, z, spot) || as.now.MonotonicMS < as.unavailableUntil[o] {
 					continue
 				}
 				if !spot && g.job.Spot && readyAt+g.LengthMS > g.DeadlineMS {
@@ -455,7 +473,7 @@
 					float64(g.Remaining) < float64(t.Resources.MaxCopies(withoutDisk(g.job.Request), 1000))*onDemandMinFill {
 					continue
 				}
-				if c.isTypeScarce(g.job, t) {
+				if as.cache.isTypeScarce(g.job, t) {
 					cost *= scarceTypeCostFactor
 				}
 				if cost < bestCost*0.999 {
@@ -472,7 +490,7 @@
 	}
 	// Zones that cost the same take turns, a round for each, so that a call
 	// asks for many.
-	o := best[c.rng.IntN(len(best))]
+	o := best[as.rng.IntN(len(best))]
 	kind := offering{machineType: o.machineType, spot: o.spot}
 	if z, ok := zones[kind]; ok && slices.Contains(best, z) {
 		return z, true
@@ -484,8 +502,8 @@
 // provision asks for machines under a name that no one ever uses again: it holds
 // the revision of the lead's claim. What comes is split among the shards as they
 // asked. plan names a rollout that they are for; over is called when the request is.
-func (c *Controller) provision(o offering, shards map[string]int, plan string, onEnd func()) {
-	f := &c.fleet
+func (as *autoscaler) provision(o offering, shards map[string]int, plan string, onEnd func()) {
+	f := as
 	n := 0
 	for s, k := range sortedByKey(shards) {
 		k = min(k, maxInstancesPerRequest-n)
@@ -495,11 +513,11 @@
 	}
 	f.provisionRequests++
 	name := fmt.Sprintf("r-%d-%d", f.leaderRev, f.provisionRequests)
-	requestedAt, rev, shardsLeft := c.now.WallMS, f.leaderRev, len(shards)
+	requestedAt, rev, shardsLeft := as.now.WallMS, f.leaderRev, len(shards)
 	endShard := func(s string) {
 		if f.leaderRev == rev {
 			f.provisioning[s]--
-			f.demandValidAfter[s] = c.now.WallMS + 300
+			f.demandValidAfter[s] = as.now.WallMS + 300
 			if shardsLeft--; shardsLeft == 0 {
 				onEnd()
 			}
@@ -511,11 +529,11 @@
 		}
 	}
 	markUnavailable := func() {
-		f.unavailableUntil[o] = c.now.MonotonicMS + max(secondsToMS(c.machineTypes[o.machineType].BootS), 5000)
+		f.unavailableUntil[o] = as.now.MonotonicMS + max(secondsToMS(as.cache.machineTypes[o.machineType].BootS), 5000)
 	}
 	var send func(retries int)
 	send = func(retries int) {
-		c.sendCloud(
+		as.sendCloud(
 			CloudOp{Kind: CloudProvision, IdempotencyKey: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: n},
 			func(r CloudResult) {
 				switch r.Outcome {
@@ -523,8 +541,8 @@
 					if len(r.Machines) < n {
 						markUnavailable()
 					}
-					c.Counters.Provisioned += uint64(len(r.Machines))
-					c.log(
+					as.Counters.Provisioned += uint64(len(r.Machines))
+					as.log(
 						Info,
 						"machines rented",
 						"type",
@@ -544,11 +562,11 @@
 					for s, k := range sortedByKey(shards) {
 						// What is missing is missing for all in proportion.
 						k = min(len(ids), (k*len(r.Machines)+n-1)/n)
-						c.addMachinesToRegistry(ids[:k], o, s, plan, requestedAt, func() { endShard(s) })
+						as.addMachinesToRegistry(ids[:k], o, s, plan, requestedAt, func() { endShard(s) })
 						ids = ids[k:]
 					}
 				case NotFound:
-					c.log(Debug, "no capacity", "type", o.machineType, "zone", o.zone, "spot", o.spot)
+					as.log(Debug, "no capacity", "type", o.machineType, "zone", o.zone, "spot", o.spot)
 					markUnavailable()
 					endAll()
 				case Unknown:
@@ -560,7 +578,7 @@
 					}
 					endAll()
 				default:
-					f.nextProvisionAt = c.now.MonotonicMS + 2000
+					f.nextProvisionAt = as.now.MonotonicMS + 2000
 					endAll()
 				}
 			},
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestStoreKeysKeepTheirForm(t *testing.T) {
-	m := &Controller{params: Params{MaxValueBytes: 1024}}
+	shards := newShardManager(&environment{params: Params{MaxValueBytes: 1024}})
 	small := &taskRange{
 		job:       &job{rec: jobRecord{Job: Job{ID: "job-7"}}},
 		shardName: "m0",
@@ -76,8 +76,8 @@
 		{ExtensionPrefix, "l/x/"},
 		{progressPrefix, "p/"},
 		{recoveryKey("m0"), "p/m0/memory"},
-		{m.progressKey(small), "p/m0/2"},
-		{m.progressKey(large), "p/m0/job-7/3"},
+		{shards.progressKey(small), "p/m0/2"},
+		{shards.progressKey(large), "p/m0/job-7/3"},
 		{terminalKey("job-7"), "f/job-7"},
 		{TaskName("job-7", 3), "job-7/3"},
 	} {
--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -40,16 +40,16 @@
 
 // isWithinGuarantee tells whether a job is within its team's guarantee, as the mirror has
 // the jobs; one that is not accepted yet would be the team's newest.
-func (c *Controller) isWithinGuarantee(j *Job) bool {
-	guarantee := guaranteeOf(c.params.Teams[j.Team])
+func (qm *quotaManager) isWithinGuarantee(j *Job) bool {
+	guarantee := guaranteeOf(qm.params.Teams[j.Team])
 	if guarantee == (quota.Amounts{}) {
 		return false
 	}
-	status := &c.guaranteeStatus
+	status := &qm.guaranteeStatus
 	if !status.valid {
 		byTeam := map[string][]quota.Job{}
-		for id, o := range c.jobs {
-			if team := o.rec.Job.Team; guaranteeOf(c.params.Teams[team]) != (quota.Amounts{}) {
+		for id, o := range qm.cache.jobs {
+			if team := o.rec.Job.Team; guaranteeOf(qm.params.Teams[team]) != (quota.Amounts{}) {
 				byTeam[team] = append(
 					byTeam[team],
 					quota.Job{ID: id, AcceptedMS: o.rec.AcceptedAtMS, Size: totalRequest(&o.rec.Job)},
@@ -59,7 +59,7 @@
 		*status = guaranteeStatus{true, map[string]bool{}, map[string]quota.Amounts{}}
 		for team, jobs := range byTeam {
 			slices.SortFunc(jobs, quota.Job.Compare) // the same sum every time
-			for id := range quota.JobsWithinGuarantee(guaranteeOf(c.params.Teams[team]), jobs) {
+			for id := range quota.JobsWithinGuarantee(guaranteeOf(qm.params.Teams[team]), jobs) {
 				status.guaranteedJobs[id] = true
 			}
 			for _, o := range jobs {
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	if c.jobs[j.ID] != nil {
+	if qm.cache.jobs[j.ID] != nil {
 		return status.guaranteedJobs[j.ID]
 	}
 	return guarantee.Contains(status.requestsByTeam[j.Team].Add(totalRequest(j)))
@@ -80,19 +80,19 @@
 
 // localUsage is what a team uses in this member's shards. What is told to stop for a
 // guarantee is not used any more.
-func (c *Controller) localUsage(team string) (usage quota.Amounts) {
-	for _, s := range sortedByKey(c.ownedShards) {
+func (qm *quotaManager) localUsage(team string) (usage quota.Amounts) {
+	for _, s := range sortedByKey(qm.shards.ownedShards) {
 		usage = usage.Add(amountsOf(s.usage[team])).Sub(s.reclaimedUsage[team])
 	}
 	return usage.Max(quota.Amounts{})
 }
 
 // localUsageByTeam is what teams use and wait for in this member's shards.
-func (c *Controller) localUsageByTeam() (usage, waiting map[string]quota.Amounts) {
+func (qm *quotaManager) localUsageByTeam() (usage, waiting map[string]quota.Amounts) {
 	usage, waiting = map[string]quota.Amounts{}, map[string]quota.Amounts{}
-	for _, s := range sortedByKey(c.ownedShards) {
+	for _, s := range sortedByKey(qm.shards.ownedShards) {
 		for team := range s.usage {
-			if teamUsage := c.localUsage(team); teamUsage != (quota.Amounts{}) {
+			if teamUsage := qm.localUsage(team); teamUsage != (quota.Amounts{}) {
 				usage[team] = teamUsage
 			}
 		}
@@ -110,12 +110,12 @@
 // over all members, and by what goes before in this shard. So what is free beyond the
 // guarantees goes to who has least, not to who asks first or most. It says whether any
 // two differ.
-func (c *Controller) assignUsageTiers(groups []*taskGroup) bool {
-	localUsage, localWaiting := c.localUsageByTeam()
-	since := c.now.MonotonicMS - c.maxMessageAgeMS()
+func (qm *quotaManager) assignUsageTiers(groups []*taskGroup) bool {
+	localUsage, localWaiting := qm.localUsageByTeam()
+	since := qm.now.MonotonicMS - qm.cache.maxMessageAgeMS()
 	usage := map[string]quota.Amounts{}
-	for team := range c.params.Teams {
-		teamUsage, waiting, _ := c.usageMonitor.PeerUsage(team, c.now.MonotonicMS, since)
+	for team := range qm.params.Teams {
+		teamUsage, waiting, _ := qm.usageMonitor.PeerUsage(team, qm.now.MonotonicMS, since)
 		if teamUsage = teamUsage.Add(localUsage[team]); teamUsage != (quota.Amounts{}) ||
 			waiting.Add(localWaiting[team]) != (quota.Amounts{}) {
 			usage[team] = teamUsage
@@ -124,12 +124,12 @@
 	if len(usage) < 2 {
 		return false
 	}
-	capacity := c.liveCapacity()
+	capacity := qm.liveCapacity()
 	differ := false
 	for _, g := range groups {
 		team := g.job.Team
 		if !g.WithinGuarantee {
-			g.QuotaTier = quota.Tier(usage[team], guaranteeOf(c.params.Teams[team]), capacity, len(usage))
+			g.QuotaTier = quota.Tier(usage[team], guaranteeOf(qm.params.Teams[team]), capacity, len(usage))
 		}
 		usage[team] = usage[team].Add(amountsOf(g.job.Request).Scale(float64(g.Remaining)))
 		differ = differ || g.QuotaTier != groups[0].QuotaTier
@@ -145,22 +145,22 @@
 
 // liveCapacity is what all machines that are up have, of all members. Counted for each plan, the whole fleet
 // was looked at several times a second; shares of it need no more than a second's exactness.
-func (c *Controller) liveCapacity() quota.Amounts {
-	if c.capacitySnapshot.takenAt == 0 || c.now.MonotonicMS-c.capacitySnapshot.takenAt > secondsToMS(c.settings.SummaryS) {
-		c.capacitySnapshot = capacitySnapshot{takenAt: c.now.MonotonicMS}
+func (qm *quotaManager) liveCapacity() quota.Amounts {
+	if qm.capacitySnapshot.takenAt == 0 || qm.now.MonotonicMS-qm.capacitySnapshot.takenAt > secondsToMS(qm.cache.settings.SummaryS) {
+		qm.capacitySnapshot = capacitySnapshot{takenAt: qm.now.MonotonicMS}
 		ups := map[string]int{}
-		for _, mc := range c.machines {
+		for _, mc := range qm.registry.machines {
 			if mc.Up {
 				ups[mc.rec.Type]++
 			}
 		}
 		for name, n := range sortedByKey(ups) { // the same sum every time
-			if t := c.machineTypes[name]; t != nil {
-				c.capacitySnapshot.total = c.capacitySnapshot.total.Add(amountsOf(t.Resources).Scale(float64(n)))
+			if t := qm.cache.machineTypes[name]; t != nil {
+				qm.capacitySnapshot.total = qm.capacitySnapshot.total.Add(amountsOf(t.Resources).Scale(float64(n)))
 			}
 		}
 	}
-	return c.capacitySnapshot.total
+	return qm.capacitySnapshot.total
 }
 
 // preemptionBatch is tasks on one machine whose stop gives room for one more of a group.
@@ -175,38 +175,38 @@
 
 // isReclaimable tells whether an attempt may be stopped for another team's guarantee. What
 // ends by itself as soon is not; nor what was stopped for that team before.
-func (c *Controller) isReclaimable(a *attempt, team string) bool {
+func (qm *quotaManager) isReclaimable(a *attempt, team string) bool {
 	if a.exited || a.checkpointing || a.stopRequested || a.evicted || a.job.Kind != Array || a.job.AtMostOnce ||
 		a.job.Team == team {
 		return false
 	}
-	return a.expectedEnd(c.now.WallMS)-c.now.WallMS > c.stopDelay(a.job) &&
+	return a.expectedEnd(qm.now.WallMS)-qm.now.WallMS > qm.stopDelay(a.job) &&
 		a.taskRange.reclaimedFor[a.taskIndex] != team &&
-		!c.isWithinGuarantee(a.job)
+		!qm.isWithinGuarantee(a.job)
 }
 
 // stopDelay is how long a stop takes until its room can be used. It goes straight to the
 // worker, which tells of its end soon after: counted as for two reports, so many tasks
 // were about to end by themselves that nothing was stopped for half of the time that a
 // guarantee promises.
-func (c *Controller) stopDelay(j *Job) int64 {
-	return c.maxHeartbeatIntervalMS()/2 + secondsToMS(j.CheckpointDurationS)
+func (env *environment) stopDelay(j *Job) int64 {
+	return env.maxHeartbeatIntervalMS()/2 + secondsToMS(j.CheckpointDurationS)
 }
 
 // lostWork is the work that a stop costs.
-func (c *Controller) lostWork(a *attempt) float64 {
+func (qm *quotaManager) lostWork(a *attempt) float64 {
 	switch {
 	case !a.running:
 		return 0
 	case a.job.CheckpointIntervalS > 0:
 		return float64(secondsToMS(a.job.CheckpointDurationS)) * a.job.Request.CPUs
 	}
-	return float64(c.now.WallMS-a.runningSince) * a.job.Request.CPUs
+	return float64(qm.now.WallMS-a.runningSince) * a.job.Request.CPUs
 }
 
 // preemptionBatches lists what could be stopped on a machine for a group, a copy of its request
 // after the other, and how many find room there by themselves before a stop would help.
-func (c *Controller) preemptionBatches(
+func (qm *quotaManager) preemptionBatches(
 	mc *machine,
 	viewMachine *planner.Machine,
 	g *taskGroup,
@@ -219,10 +219,10 @@
 	for _, a := range mc.byKey {
 		switch {
 		case a.exited || a.stopRequested || a.evicted:
-		case a.expectedEnd(c.now.WallMS)-c.now.WallMS <= c.stopDelay(a.job):
+		case a.expectedEnd(qm.now.WallMS)-qm.now.WallMS <= qm.stopDelay(a.job):
 			free = free.Add(withoutDisk(a.job.Request))
 			someEnding = true
-		case c.isReclaimable(a, g.job.Team):
+		case qm.isReclaimable(a, g.job.Team):
 			reclaimable = append(reclaimable, a)
 		}
 	}
@@ -238,18 +238,18 @@
 	slices.SortFunc(reclaimable, func(a, b *attempt) int {
 		return cmp.Or(
 			cmp.Compare(a.job.Priority, b.job.Priority),
-			cmp.Compare(c.lostWork(a)/a.job.Request.CPUs, c.lostWork(b)/b.job.Request.CPUs),
+			cmp.Compare(qm.lostWork(a)/a.job.Request.CPUs, qm.lostWork(b)/b.job.Request.CPUs),
 			cmp.Compare(a.key.task, b.key.task),
 			cmp.Compare(a.key.attempt, b.key.attempt),
 		)
 	})
-	fetch := c.fetchTime(g.job, mc, c.machineTypes[mc.rec.Type])
+	fetch := qm.agents.fetchTime(g.job, mc, qm.cache.machineTypes[mc.rec.Type])
 	b := preemptionBatch{machine: mc, viewMachine: viewMachine, fetchMS: fetch}
 	for _, a := range reclaimable {
 		free = free.Add(withoutDisk(a.job.Request))
 		b.victims = append(b.victims, a)
 		b.priority = max(b.priority, a.job.Priority)
-		b.lostWork += c.lostWork(a)
+		b.lostWork += qm.lostWork(a)
 		for free.Contains(req) && len(out) < limit {
 			free = free.Sub(req)
 			out = append(out, b)
@@ -262,13 +262,13 @@
 // reclaimForGuarantee stops tasks that other teams run beyond their guarantees for tasks of a
 // group that are within its team's and found no room. No more work is lost by a stop
 // than the task that it makes room for has.
-func (c *Controller) reclaimForGuarantee(s *shard, g *taskGroup, missing int) {
-	if !c.params.Quota || !g.WithinGuarantee || g.MissedObjectives || g.job.Kind == Gang || g.job.requiresOneShard() ||
+func (qm *quotaManager) reclaimForGuarantee(s *shard, g *taskGroup, missing int) {
+	if !qm.params.Quota || !g.WithinGuarantee || g.MissedObjectives || g.job.Kind == Gang || g.job.requiresOneShard() ||
 		len(s.reconciler.Unreported()) > 0 ||
-		s.reconciler.Pacer.IsActive(c.now.MonotonicMS) {
+		s.reconciler.Pacer.IsActive(qm.now.MonotonicMS) {
 		return
 	}
-	if missing -= s.reservedTasks[g.taskRange]; missing <= 0 || !c.hasReclaimableUsage(s, g.job.Team) {
+	if missing -= s.reservedTasks[g.taskRange]; missing <= 0 || !qm.hasReclaimableUsage(s, g.job.Team) {
 		return
 	}
 	var batches []preemptionBatch
@@ -277,11 +277,11 @@
 			return
 		}
 		mc := s.viewMachines[i]
-		if !viewMachine.Ready || !mc.IsReconciled() || !c.placementCatalog.IsAllowed(&g.Request, viewMachine.Offering) ||
+		if !viewMachine.Ready || !mc.IsReconciled() || !qm.cache.placementCatalog.IsAllowed(&g.Request, viewMachine.Offering) ||
 			g.taskRange.errorsByMachine[mc.id] > 0 {
 			continue
 		}
-		machineBatches, freedByThemselves := c.preemptionBatches(mc, viewMachine, g, missing)
+		machineBatches, freedByThemselves := qm.preemptionBatches(mc, viewMachine, g, missing)
 		missing -= freedByThemselves
 		batches = append(batches, machineBatches...)
 	}
@@ -302,23 +302,23 @@
 			return
 		}
 		// The second bundle of a machine counts on the first.
-		if skipped[b.machine] || b.lostWork > maxLostWork || !c.takeFromExcess(b.victims) {
+		if skipped[b.machine] || b.lostWork > maxLostWork || !qm.takeFromExcess(b.victims) {
 			skipped[b.machine] = true
 			continue
 		}
-		c.reclaim(s, g, b)
+		qm.reclaim(s, g, b)
 		missing--
 	}
 }
 
 // hasReclaimableUsage tells whether any team but one may have something to cede here: looked up once a
 // plan, so that a fleet on which nobody has costs nothing more.
-func (c *Controller) hasReclaimableUsage(s *shard, exceptTeam string) bool {
+func (qm *quotaManager) hasReclaimableUsage(s *shard, exceptTeam string) bool {
 	if s.reclaimableTeams == nil {
 		s.reclaimableTeams = map[string]bool{}
-		usageByTeam, _ := c.localUsageByTeam()
+		usageByTeam, _ := qm.localUsageByTeam()
 		for team, usage := range usageByTeam {
-			if excess := c.usageMonitor.PreemptibleExcess(team, usage, guaranteeOf(c.params.Teams[team]), c.now.MonotonicMS-c.maxMessageAgeMS()); excess.CPUs > 0 ||
+			if excess := qm.usageMonitor.PreemptibleExcess(team, usage, guaranteeOf(qm.params.Teams[team]), qm.now.MonotonicMS-qm.cache.maxMessageAgeMS()); excess.CPUs > 0 ||
 				excess.GPUs > 0 {
 				s.reclaimableTeams[team] = true
 			}
@@ -328,27 +328,27 @@
 }
 
 // takeFromExcess takes what is to be stopped off what may be, if all of it may.
-func (c *Controller) takeFromExcess(victims []*attempt) bool {
+func (qm *quotaManager) takeFromExcess(victims []*attempt) bool {
 	requests := map[string]quota.Amounts{}
 	for _, a := range victims {
 		requests[a.job.Team] = requests[a.job.Team].Add(amountsOf(a.job.Request))
 	}
-	since := c.now.MonotonicMS - c.maxMessageAgeMS()
+	since := qm.now.MonotonicMS - qm.cache.maxMessageAgeMS()
 	for team, request := range requests {
-		if excess := c.usageMonitor.PreemptibleExcess(team, c.localUsage(team), guaranteeOf(c.params.Teams[team]), since); !excess.Contains(
+		if excess := qm.usageMonitor.PreemptibleExcess(team, qm.localUsage(team), guaranteeOf(qm.params.Teams[team]), since); !excess.Contains(
 			request,
 		) {
 			return false
 		}
 	}
 	for team, request := range requests {
-		c.usageMonitor.TryPreempt(team, c.localUsage(team), guaranteeOf(c.params.Teams[team]), since, request)
+		qm.usageMonitor.TryPreempt(team, qm.localUsage(team), guaranteeOf(qm.params.Teams[team]), since, request)
 	}
 	return true
 }
 
-func (c *Controller) reclaim(s *shard, g *taskGroup, batch preemptionBatch) {
-	reservedBefore := c.reservedResources(batch.machine)
+func (qm *quotaManager) reclaim(s *shard, g *taskGroup, batch preemptionBatch) {
+	reservedBefore := qm.reservedResources(batch.machine)
 	longestStop := int64(0)
 	for _, a := range batch.victims {
 		a.stopRequested, a.reclaimed = true, true
@@ -357,9 +357,9 @@
 		}
 		a.taskRange.reclaimedFor[a.taskIndex] = g.job.Team
 		s.reclaimedUsage[a.job.Team] = s.reclaimedUsage[a.job.Team].Add(amountsOf(a.job.Request))
-		longestStop = max(longestStop, c.stopDelay(a.job))
-		c.Counters.ReclaimedTasks++
-		c.log(
+		longestStop = max(longestStop, qm.stopDelay(a.job))
+		qm.Counters.ReclaimedTasks++
+		qm.log(
 			Debug,
 			"task stopped for a guarantee",
 			"task",
@@ -378,24 +378,24 @@
 	batch.machine.reservation.count++
 	s.reservedTasks[g.taskRange]++
 	batch.machine.reservation.stopsSent = false
-	batch.machine.reservation.expiresAt = c.now.MonotonicMS + longestStop + 2*c.maxHeartbeatIntervalMS()
+	batch.machine.reservation.expiresAt = qm.now.MonotonicMS + longestStop + 2*qm.maxHeartbeatIntervalMS()
 	batch.viewMachine.Free = batch.viewMachine.Free.Add(
 		reservedBefore,
 	).Sub(
-		c.reservedResources(batch.machine),
+		qm.reservedResources(batch.machine),
 	) // what else it takes, the plan may not give away
 	s.clusterView.MarkFreeChanged(batch.viewMachine)
 }
 
 // reservedResources is the room of a machine that is kept for its pledge: what is pledged, less
 // what the tasks have that are told to stop for it.
-func (c *Controller) reservedResources(mc *machine) availability.Resources {
+func (qm *quotaManager) reservedResources(mc *machine) availability.Resources {
 	reservation := mc.reservation
 	if reservation == nil {
 		return availability.Resources{}
 	}
-	if c.now.MonotonicMS > reservation.expiresAt || reservation.taskRange.claim != mc.claim ||
-		!c.isCurrent(reservation.taskRange) ||
+	if qm.now.MonotonicMS > reservation.expiresAt || reservation.taskRange.claim != mc.claim ||
+		!qm.cache.isCurrent(reservation.taskRange) ||
 		reservation.taskRange.pending() == 0 {
 		mc.reservation = nil
 		return availability.Resources{}
@@ -416,76 +416,76 @@
 // sendReclaimStops sends the stops for pledges straight to their workers: a report later, half
 // of the time that a guarantee promises would be over. One that fails goes with the
 // next report's answer.
-func (c *Controller) sendReclaimStops(s *shard) {
+func (qm *quotaManager) sendReclaimStops(s *shard) {
 	for _, mc := range s.machines {
 		reservation := mc.reservation
 		if reservation == nil || reservation.stopsSent || mc.directCommandPending || mc.directCommandRefused ||
 			!mc.IsReconciled() ||
 			mc.addr == "" ||
-			c.now.MonotonicMS-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
+			qm.now.MonotonicMS-mc.LastHeartbeatAt > qm.maxHeartbeatIntervalMS() {
 			continue
 		}
 		reservation.stopsSent = true
 		mc.commands = mc.commands[:0]
 		for _, a := range mc.byKey {
 			if a.reclaimed && !a.exited && !a.checkpointing {
-				c.queueCommand(
+				qm.agents.queueCommand(
 					s,
 					mc,
 					Command{
 						Kind:    CommandStop,
 						Task:    a.key.task,
 						Attempt: a.key.attempt,
-						GraceS:  a.job.CheckpointDurationS + c.params.HeartbeatS,
+						GraceS:  a.job.CheckpointDurationS + qm.params.HeartbeatS,
 					},
 				)
 			}
 		}
 		if len(mc.commands) > 0 {
 			slices.SortFunc(mc.commands, func(a, b Command) int { return cmp.Compare(a.Task, b.Task) })
-			c.sendDirectCommand(s, mc, mc.Incarnation, nil)
+			qm.agents.sendDirectCommand(s, mc, mc.Incarnation, nil)
 		}
 	}
 }
 
 // isCurrent tells whether a work is still a live job's range of ours. One that went to a
 // peer is not: started from a pledge all the same, its tasks ran twice.
-func (c *Controller) isCurrent(tr *taskRange) bool {
-	return c.jobs[tr.job.rec.Job.ID] == tr.job && tr.job.taskRanges[tr.bounds.Lo] == tr
+func (cache *stateCache) isCurrent(tr *taskRange) bool {
+	return cache.jobs[tr.job.rec.Job.ID] == tr.job && tr.job.taskRanges[tr.bounds.Lo] == tr
 }
 
 // startReserved starts what a machine's room was pledged to, as soon as it is there.
-func (c *Controller) startReserved(s *shard, mc *machine, hb *Heartbeat) {
-	if c.reservedResources(mc); mc.reservation == nil || !c.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() ||
-		!c.hasAuthority() {
+func (qm *quotaManager) startReserved(s *shard, mc *machine, hb *Heartbeat) {
+	if qm.reservedResources(mc); mc.reservation == nil || !qm.agents.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() ||
+		!qm.store.hasAuthority() {
 		return
 	}
 	reservation := mc.reservation
 	j := &reservation.taskRange.job.rec.Job
-	for reservation.count > 0 && !reservation.taskRange.moving && c.now.MonotonicMS >= reservation.taskRange.retryAt {
+	for reservation.count > 0 && !reservation.taskRange.moving && qm.now.MonotonicMS >= reservation.taskRange.retryAt {
 		i := reservation.taskRange.nextTask()
-		if i < 0 || !c.freeResources(mc).Contains(j.Request) || !c.mayStart(s, reservation.taskRange, mc) ||
-			!c.hasAttemptIDs(s) ||
-			!s.reconciler.Pacer.TryStart(c.now.MonotonicMS, true) {
+		if i < 0 || !qm.agents.freeResources(mc).Contains(j.Request) || !qm.agents.mayStart(s, reservation.taskRange, mc) ||
+			!qm.agents.hasAttemptIDs(s) ||
+			!s.reconciler.Pacer.TryStart(qm.now.MonotonicMS, true) {
 			return
 		}
-		c.startTask(
+		qm.agents.startTask(
 			s,
 			mc,
 			reservation.taskRange,
 			i,
-			c.expectedRuntime(j),
-			c.fetchTime(j, mc, c.machineTypes[mc.rec.Type]),
+			qm.estimates.expectedRuntime(j),
+			qm.agents.fetchTime(j, mc, qm.cache.machineTypes[mc.rec.Type]),
 			hb,
 		)
 	}
 }
 
 // usageSnapshot gives peers the figures of this member's shards, if it sees all of them.
-func (c *Controller) usageSnapshot() quota.UsageSnapshot {
-	if !c.hasAuthority() {
+func (qm *quotaManager) usageSnapshot() quota.UsageSnapshot {
+	if !qm.store.hasAuthority() {
 		return quota.UsageSnapshot{}
 	}
-	usage, waiting := c.localUsageByTeam()
-	return c.usageMonitor.Snapshot(c.now.WallMS, usage, waiting)
+	usage, waiting := qm.localUsageByTeam()
+	return qm.usageMonitor.Snapshot(qm.now.WallMS, usage, waiting)
 }
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -35,7 +35,7 @@
 		ctrl, s, mc := newControllerWithShard(t)
 		ctrl.params.Quota, ctrl.params.GuaranteeWithinS = true, 10
 		ctrl.params.Teams = map[string]Team{"ops": {CPUs: c.guarantee}, "other": {CPUs: c.victimGuarantee}, "third": {}}
-		ctrl.initTeamLedgers()
+		ctrl.quotas.initTeamLedgers()
 		put := func(id, team string, change func(*Job), rev uint64) {
 			rec := newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})
 			j := &rec.Job
@@ -43,7 +43,7 @@
 			j.Request.CPUs = 8
 			change(j)
 			rec.MayHaveBegun = j.AtMostOnce
-			ctrl.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
+			ctrl.cache.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
 		}
 		seq := uint64(3)
 		heartbeat := func(tasks ...TaskStatus) []Command {
@@ -57,10 +57,10 @@
 		}
 		advance := func(ms int64) {
 			ctrl.now = Now{ctrl.now.MonotonicMS + ms, ctrl.now.WallMS + ms}
-			ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+			ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
 		}
 		put("job-000001", "other", func(j *Job) { j.EstimateS = 600; c.configureVictim(j) }, 21)
-		ctrl.planShard(s)
+		ctrl.placer.planShard(s)
 		commands := heartbeat()
 		if len(commands) != 1 {
 			t.Fatalf("%s: the first job is told %+v", c.name, commands)
@@ -73,8 +73,8 @@
 		advance(c.ranMS)
 		heartbeat(task)
 		put("job-000002", "ops", func(*Job) {}, 22)
-		ctrl.planShard(s)
-		ctrl.sendReclaimStops(s)
+		ctrl.placer.planShard(s)
+		ctrl.quotas.sendReclaimStops(s)
 		var sent []Command
 		for _, directCommand := range ctrl.TakeOutputs().DirectCommands {
 			sent = append(sent, directCommand.Commands...)
@@ -110,16 +110,16 @@
 	ctrl, s, mc := newControllerWithShard(t)
 	ctrl.params.Quota = true
 	ctrl.params.Teams = map[string]Team{"ops": {CPUs: 8}}
-	ctrl.initTeamLedgers()
+	ctrl.quotas.initTeamLedgers()
 	rec := newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})
 	rec.Job.Team = "ops"
-	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: 21})
+	ctrl.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: 21})
 	mc.reservation = &reservation{taskRange: s.taskRanges[0], count: 2, expiresAt: ctrl.now.MonotonicMS + 60_000}
-	if r := ctrl.reservedResources(mc); r.CPUs != 2 {
+	if r := ctrl.quotas.reservedResources(mc); r.CPUs != 2 {
 		t.Fatalf("%v is held of a pledge of 2", r)
 	}
 	rec.Ranges = []Range{{Lo: 0, Hi: 2, Shard: "m1", MovedFromPeer: true}}
-	ctrl.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: 22})
+	ctrl.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: 22})
 	ctrl.HandleHeartbeat(
 		ctrl.now,
 		9,
@@ -136,18 +136,18 @@
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Quota = true
 	ctrl.params.Teams = map[string]Team{"flood": {}, "modest": {}}
-	ctrl.initTeamLedgers()
+	ctrl.quotas.initTeamLedgers()
 	put := func(id, team string, tasks int, deadline float64, rev uint64) {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: tasks, Shard: "m0"})
 		rec.Job.ID, rec.Job.Team, rec.Job.EstimateS, rec.Job.DeadlineS, rec.AcceptedAtMS = id, team, 5, deadline, ctrl.now.WallMS
-		ctrl.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
+		ctrl.cache.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
 	}
 	put("job-000001", "flood", 3, 100, 21)
 	put("job-000002", "flood", 3, 110, 22)
 	put("job-000003", "flood", 3, 120, 23)
 	put("job-000004", "modest", 2, 400, 24)
 	var order []string
-	for _, g := range ctrl.waitingTaskGroups(s) {
+	for _, g := range ctrl.placer.waitingTaskGroups(s) {
 		order = append(order, g.job.ID)
 	}
 	// Of 8 processors a level is 2: the flood's second job starts at 3, its third at 6.
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -23,7 +23,7 @@
 const retryPauseDivisor = 6
 
 // sendUntilSettled sends a write and goes on with it until it is settled.
-func (c *Controller) sendUntilSettled(key string, write inDoubtWrite) {
+func (sc *storeClient) sendUntilSettled(key string, write inDoubtWrite) {
 	var proceed func(indoubt.NextStep)
 	proceed = func(action indoubt.NextStep) {
 		switch {
@@ -33,33 +33,33 @@
 			write.onClaimLost()
 		case action == indoubt.Resend:
 			write.send(func(result StoreResult) {
-				c.continueAfter(result.Outcome, func() { proceed(write.onSent(result.Outcome)) })
+				sc.continueAfter(result.Outcome, func() { proceed(write.onSent(result.Outcome)) })
 			})
 		default:
-			c.rereadKey(
+			sc.rereadKey(
 				key,
-				func(result StoreResult) { c.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) }) },
+				func(result StoreResult) { sc.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) }) },
 			)
 		}
 	}
 	write.send(func(result StoreResult) {
 		if result.Outcome == Unknown {
-			c.Counters.InDoubtWrites++
-			c.log(Info, "write in doubt", "key", key)
+			sc.Counters.InDoubtWrites++
+			sc.log(Info, "write in doubt", "key", key)
 		}
 		proceed(write.onSent(result.Outcome))
 	})
 }
 
 // continueAfter goes on at once after an answer, and else in a while.
-func (c *Controller) continueAfter(outcome Outcome, resume func()) {
+func (sc *storeClient) continueAfter(outcome Outcome, resume func()) {
 	if outcome.ProcessedByService() {
 		resume()
 		return
 	}
-	c.delayedSteps = append(
-		c.delayedSteps,
-		delayedStep{c.now.MonotonicMS + access.RequestTimeout.Milliseconds()/retryPauseDivisor, resume},
+	sc.delayedSteps = append(
+		sc.delayedSteps,
+		delayedStep{sc.now.MonotonicMS + access.RequestTimeout.Milliseconds()/retryPauseDivisor, resume},
 	)
 }
 
@@ -70,14 +70,14 @@
 }
 
 // runDueSteps goes on with what paused long enough.
-func (c *Controller) runDueSteps() {
-	steps := c.delayedSteps
-	c.delayedSteps = nil
+func (sc *storeClient) runDueSteps() {
+	steps := sc.delayedSteps
+	sc.delayedSteps = nil
 	for _, step := range steps {
-		if c.now.MonotonicMS >= step.dueAtMS {
+		if sc.now.MonotonicMS >= step.dueAtMS {
 			step.resume()
 		} else {
-			c.delayedSteps = append(c.delayedSteps, step)
+			sc.delayedSteps = append(sc.delayedSteps, step)
 		}
 	}
 }
--- a/scheduler/indoubt_writes_test.go
+++ b/scheduler/indoubt_writes_test.go
@@ -29,12 +29,12 @@
 		ctrl, s, _ := newControllerWithShard(t)
 		key := jobKey("job-000001")
 		put := KeyValue{Key: key, Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 4, Shard: "m0"})), Rev: 21}
-		ctrl.applyChange(put)
-		j := ctrl.jobs["job-000001"]
+		ctrl.cache.applyChange(put)
+		j := ctrl.cache.jobs["job-000001"]
 		tr := j.taskRanges[0]
 		rec := j.rec
 		rec.Ranges = []Range{{0, 2, "m0", false}, {2, 4, "m1", true}}
-		ctrl.writeMove(s, tr, j, rec, j.rev)
+		ctrl.peers.writeMove(s, tr, j, rec, j.rev)
 		// next is the next request of its key; it pauses while nobody answers.
 		next := func(kind StoreOpKind) uint64 {
 			for range 20 {
@@ -44,7 +44,7 @@
 					}
 				}
 				ctrl.now.MonotonicMS += 100
-				ctrl.runDueSteps()
+				ctrl.store.runDueSteps()
 			}
 			t.Fatalf("outcome %v: no request of kind %v", retryOutcome, kind)
 			return 0
@@ -80,15 +80,15 @@
 func TestRefusedRetryDoesNotResolveInDoubtTeamWrite(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 64}}
-	ctrl.initTeamLedgers()
-	ledger := ctrl.quotaLedgers["ops"]
+	ctrl.quotas.initTeamLedgers()
+	ledger := ctrl.quotas.quotaLedgers["ops"]
 	rec := quota.Record{
 		Allocations: map[string]quota.Amounts{"m0": {CPUs: 32}, "m1": {CPUs: 32}},
 		Requests:    map[string]quota.Request{"m1": {Amounts: quota.Amounts{CPUs: 32}}},
 	}
 	key := teamKey("ops")
-	ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: 21})
-	ctrl.proposeAllocations(s)
+	ctrl.cache.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: 21})
+	ctrl.quotas.proposeAllocations(s)
 	op := findTxn(t, ctrl, key)
 	if op == nil || ledger.Allocation("m0").CPUs != 0 {
 		t.Fatalf("counts on %v while the write %+v is under way", ledger.Allocation("m0"), op)
@@ -96,7 +96,7 @@
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Unknown})
 	for range 40 {
 		ctrl.now.MonotonicMS += 100
-		ctrl.runDueSteps()
+		ctrl.store.runDueSteps()
 		for _, op := range ctrl.TakeOutputs().StoreOps {
 			ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Refused})
 		}
@@ -104,15 +104,15 @@
 			t.Fatalf("counts on %v while the first try may be carried out", ledger.Allocation("m0"))
 		}
 	}
-	ctrl.dropShard(s)
+	ctrl.shards.dropShard(s)
 	for range 10 {
 		ctrl.now.MonotonicMS += 100
-		ctrl.runDueSteps()
+		ctrl.store.runDueSteps()
 		for _, op := range ctrl.TakeOutputs().StoreOps {
 			ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Refused})
 		}
 	}
-	if len(ctrl.delayedSteps) != 0 {
+	if len(ctrl.store.delayedSteps) != 0 {
 		t.Error("a write of a shard that went is still tried")
 	}
 }
@@ -123,7 +123,7 @@
 	ctrl, _, _ := newControllerWithShard(t)
 	key := statusPrefix + "m1"
 	applyStatusRecord := func(wall int64, id string, rev uint64) {
-		ctrl.applyChange(
+		ctrl.cache.applyChange(
 			KeyValue{
 				Key: key,
 				Value: mustEncode(
@@ -136,11 +136,11 @@
 	ctrl.now.WallMS = 50_000
 	applyStatusRecord(49_000, "i-new", 40)
 	applyStatusRecord(48_000, "i-old", 41)
-	if record := ctrl.statusRecords["m1"]; record == nil || record.message.OwnedShards[0].MachinesToRelease[0] != "i-new" {
+	if record := ctrl.peers.statusRecords["m1"]; record == nil || record.message.OwnedShards[0].MachinesToRelease[0] != "i-new" {
 		t.Errorf("the note is %+v", record)
 	}
-	applyStatusRecord(50_000-ctrl.maxMessageAgeMS()-1, "i-older", 42)
-	if record := ctrl.statusRecords["m1"]; record.message.OwnedShards[0].MachinesToRelease[0] != "i-new" {
+	applyStatusRecord(50_000-ctrl.cache.maxMessageAgeMS()-1, "i-older", 42)
+	if record := ctrl.peers.statusRecords["m1"]; record.message.OwnedShards[0].MachinesToRelease[0] != "i-new" {
 		t.Errorf("the note is %+v", record)
 	}
 }
@@ -149,8 +149,8 @@
 // earlier life's, carried out late, hangs on that life's hold, which is about to end.
 func TestInDoubtClaimIsIdentifiedByItsNonce(t *testing.T) {
 	ctrl := newTestController(t)
-	ctrl.storeAccess.SetState(9, 1, 1)
-	ctrl.mirrorRevision = 20
+	ctrl.store.storeAccess.SetState(9, 1, 1)
+	ctrl.cache.mirrorRevision = 20
 	key := claimKey("m0")
 	for _, c := range []struct {
 		name        string
@@ -161,7 +161,7 @@
 		{"an earlier life's", 25, func(json.RawMessage) json.RawMessage { return mustEncode(claimRecord{"m0", 4711}) }, false},
 		{"our own", 28, func(sent json.RawMessage) json.RawMessage { return sent }, true},
 	} {
-		ctrl.claimShard("m0")
+		ctrl.shards.claimShard("m0")
 		op := findTxn(t, ctrl, key)
 		ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Unknown})
 		ctrl.HandleStoreResult(
@@ -169,7 +169,7 @@
 			ctrl.TakeOutputs().StoreOps[0].ID,
 			StoreResult{Rev: 30, KVs: []KeyValue{{Key: key, Value: c.storedClaim(op.Changes[0].Value), Rev: c.rev}}},
 		)
-		if s := ctrl.ownedShards["m0"]; (s != nil) != c.isOwn || c.isOwn && s.token != c.rev {
+		if s := ctrl.shards.ownedShards["m0"]; (s != nil) != c.isOwn || c.isOwn && s.token != c.rev {
 			t.Errorf("%s: taken as %+v", c.name, s)
 		}
 	}
@@ -178,13 +178,13 @@
 // A claim whose hold ended before its answer came is not ours, whatever the answer says.
 func TestClaimUnderExpiredLeaseIsDiscarded(t *testing.T) {
 	ctrl := newTestController(t)
-	ctrl.storeAccess.SetState(9, 1, 1)
-	ctrl.mirrorRevision = 20
-	ctrl.claimShard("m0")
+	ctrl.store.storeAccess.SetState(9, 1, 1)
+	ctrl.cache.mirrorRevision = 20
+	ctrl.shards.claimShard("m0")
 	op := findTxn(t, ctrl, claimKey("m0"))
-	ctrl.storeAccess.SetState(10, 2, 2) // the hold ended meanwhile, and there is another one
+	ctrl.store.storeAccess.SetState(10, 2, 2) // the hold ended meanwhile, and there is another one
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Rev: 25})
-	if ctrl.ownedShards["m0"] != nil {
+	if ctrl.shards.ownedShards["m0"] != nil {
 		t.Error("a claim under a hold that ended is kept")
 	}
 }
@@ -193,7 +193,7 @@
 // hold gives no authority over them.
 func TestLostLeaseDropsItsClaims(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
-	ctrl.now.MonotonicMS += ctrl.leaseTTLMS() / 2
+	ctrl.now.MonotonicMS += ctrl.store.leaseTTLMS() / 2
 	var renewalID uint64
 	for range 40 {
 		ctrl.Tick(ctrl.now)
@@ -205,7 +205,7 @@
 		ctrl.now.MonotonicMS += 100
 	}
 	ctrl.HandleStoreResult(ctrl.now, renewalID, StoreResult{Outcome: NotFound})
-	if len(ctrl.ownedShards) > 0 {
+	if len(ctrl.shards.ownedShards) > 0 {
 		t.Error("the claims outlive the hold")
 	}
 	ctrl.HandleHeartbeat(
@@ -222,11 +222,11 @@
 // follows would run the task again.
 func TestResultIsClearedOnlyOnceStored(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13},
 	)
-	tr := ctrl.jobs["job-000001"].taskRanges[0]
-	ctrl.startTask(s, mc, tr, 0, 1000, 0, &Heartbeat{Incarnation: 1, Seq: 3})
+	tr := ctrl.cache.jobs["job-000001"].taskRanges[0]
+	ctrl.agents.startTask(s, mc, tr, 0, 1000, 0, &Heartbeat{Incarnation: 1, Seq: 3})
 	var key attemptKey
 	for key = range mc.attempts {
 	}
@@ -255,10 +255,10 @@
 // until one is seen.
 func TestInboundPartitionedMachineGetsOneStartAtATime(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 8, Shard: "m0"})), Rev: 13},
 	)
-	ctrl.planShard(s)
+	ctrl.placer.planShard(s)
 	heartbeat := func(seq uint64, tasks ...TaskStatus) []Command {
 		ctrl.HandleHeartbeat(
 			ctrl.now,
@@ -266,7 +266,7 @@
 			Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks},
 		)
 		resp := ctrl.TakeOutputs().HeartbeatResponses[seq]
-		ctrl.planShard(s)
+		ctrl.placer.planShard(s)
 		return resp.Commands
 	}
 	if n := len(heartbeat(4)); n < 4 {
@@ -291,7 +291,7 @@
 	ctrl, _, _ := newControllerWithShard(t)
 	const id = "job-000009"
 	record := KeyValue{Key: jobKey(id), Value: []byte(`{"job":7}`), Rev: 40}
-	ctrl.applyChange(record)
+	ctrl.cache.applyChange(record)
 	request := func(replyID uint64, kind UserRequestKind) (UserResponse, bool) {
 		ctrl.HandleUserRequest(ctrl.now, replyID, UserRequest{Kind: kind, ID: id, Malformed: "no body"})
 		for range 3 {
@@ -328,13 +328,13 @@
 func TestShardIsNotReadyBeforeItsProgressIsRead(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready, s.progressRead, s.requestPending = false, false, true
-	ctrl.mirrorRevision = s.claimRev + 1
-	ctrl.tickShard(s)
+	ctrl.cache.mirrorRevision = s.claimRev + 1
+	ctrl.shards.tickShard(s)
 	if s.ready {
 		t.Error("ready before its progress is read")
 	}
 	s.progressRead = true
-	if ctrl.tickShard(s); !s.ready {
+	if ctrl.shards.tickShard(s); !s.ready {
 		t.Error("not ready")
 	}
 }
--- a/scheduler/job_requests.go
+++ b/scheduler/job_requests.go
@@ -3,21 +3,56 @@
 import (
 	"encoding/json"
 	"slices"
+
+	"github.com/grebedock/grebedock/admission"
 )
 
+// requestHandler owns users' requests that have no answer yet: submissions in
+// their queue, queries in their batches, cancellations, and requests relayed to
+// peers.
+type requestHandler struct {
+	*environment
+	cache  *stateCache
+	peers  *peerTable
+	quotas *quotaManager
+	shards *shardManager
+	store  *storeClient
+
+	submissionQueue    *admission.Queue[pendingSubmission]
+	pendingRequests    map[uint64]*pendingRequest // by reply ID
+	requestsByArrival  []*pendingRequest          // the same, oldest first
+	pendingRelays      map[uint64]pendingRelay    // by request ID
+	relayRoundRobin    uint64
+	expediteBudget     float64 // relays that may go only to expedite a response
+	queryBatcher       queryBatches
+	terminalStates     map[string]terminalRecord // by job
+	terminalStateOrder []string                  // the same, oldest first
+}
+
+func newRequestHandler(env *environment) *requestHandler {
+	return &requestHandler{
+		environment:     env,
+		submissionQueue: newSubmissionQueue(&env.params),
+		pendingRequests: map[uint64]*pendingRequest{},
+		pendingRelays:   map[uint64]pendingRelay{},
+		expediteBudget:  expediteBurst,
+		terminalStates:  map[string]terminalRecord{},
+	}
+}
+
 // maxCachedTerminalStates bounds the cache of final states; the store keeps them all.
 const maxCachedTerminalStates = 2048
 
 // cacheTerminalState keeps a final state, which never changes, for later questions.
-func (c *Controller) cacheTerminalState(id string, final terminalRecord) {
-	if _, ok := c.terminalStates[id]; ok {
+func (rh *requestHandler) cacheTerminalState(id string, final terminalRecord) {
+	if _, ok := rh.terminalStates[id]; ok {
 		return
 	}
-	c.terminalStates[id] = final
-	c.terminalStateOrder = append(c.terminalStateOrder, id)
-	if len(c.terminalStateOrder) > maxCachedTerminalStates {
-		delete(c.terminalStates, c.terminalStateOrder[0])
-		c.terminalStateOrder = slices.Delete(c.terminalStateOrder, 0, 1)
+	rh.terminalStates[id] = final
+	rh.terminalStateOrder = append(rh.terminalStateOrder, id)
+	if len(rh.terminalStateOrder) > maxCachedTerminalStates {
+		delete(rh.terminalStates, rh.terminalStateOrder[0])
+		rh.terminalStateOrder = slices.Delete(rh.terminalStateOrder, 0, 1)
 	}
 }
 
@@ -42,8 +77,8 @@
 // readJob asks the store for a job: the live record first, then the final one,
 // in the order in which a job moves, so that one is found whenever it exists.
 // The mirror may lag, so it answers nothing here.
-func (c *Controller) readJob(id string, urgency Urgency, onResult func(UserResponse, *KeyValue)) {
-	c.sendStore(StoreOp{Kind: StoreGet, Urgency: urgency, Key: jobKey(id)}, func(result StoreResult) {
+func (rh *requestHandler) readJob(id string, urgency Urgency, onResult func(UserResponse, *KeyValue)) {
+	rh.store.sendStore(StoreOp{Kind: StoreGet, Urgency: urgency, Key: jobKey(id)}, func(result StoreResult) {
 		switch {
 		case result.Outcome == OK && len(result.KVs) == 1:
 			var rec jobRecord
@@ -53,10 +88,10 @@
 				onResult(UserResponse{Status: 200, ID: id, State: Pending}, &result.KVs[0])
 				return
 			}
-			c.applyChange(result.KVs[0])
-			onResult(c.liveJobResponse(id, &rec), &result.KVs[0])
+			rh.cache.applyChange(result.KVs[0])
+			onResult(rh.liveJobResponse(id, &rec), &result.KVs[0])
 		case result.Outcome == NotFound:
-			c.readTerminalState(id, urgency, func(response UserResponse) { onResult(response, nil) })
+			rh.readTerminalState(id, urgency, func(response UserResponse) { onResult(response, nil) })
 		default:
 			onResult(unavailableResponse(id, "state service unavailable"), nil)
 		}
@@ -64,12 +99,12 @@
 }
 
 // readTerminalState asks the store for the end of a job that is not live.
-func (c *Controller) readTerminalState(id string, urgency Urgency, onResult func(UserResponse)) {
-	if final, ok := c.terminalStates[id]; ok {
+func (rh *requestHandler) readTerminalState(id string, urgency Urgency, onResult func(UserResponse)) {
+	if final, ok := rh.terminalStates[id]; ok {
 		onResult(final.response(id))
 		return
 	}
-	c.sendStore(StoreOp{Kind: StoreGet, Urgency: urgency, Key: terminalKey(id)}, func(result StoreResult) {
+	rh.store.sendStore(StoreOp{Kind: StoreGet, Urgency: urgency, Key: terminalKey(id)}, func(result StoreResult) {
 		switch {
 		case result.Outcome == OK && len(result.KVs) == 1:
 			var final terminalRecord
@@ -77,7 +112,7 @@
 				onResult(unavailableResponse(id, "record unreadable"))
 				return
 			}
-			c.cacheTerminalState(id, final)
+			rh.cacheTerminalState(id, final)
 			onResult(final.response(id))
 		case result.Outcome == NotFound:
 			onResult(UserResponse{Status: 404, ID: id, Error: "no such job"})
@@ -88,22 +123,22 @@
 }
 
 // liveJobResponse gives the state of a live job with what members last knew of it.
-func (c *Controller) liveJobResponse(id string, rec *jobRecord) UserResponse {
+func (rh *requestHandler) liveJobResponse(id string, rec *jobRecord) UserResponse {
 	response := UserResponse{Status: 200, ID: id, State: Pending, WorkflowRun: rec.Job.WorkflowRun}
 	unfinished := 0
 	for _, bounds := range rec.Ranges {
 		unfinished += bounds.Hi - bounds.Lo
 	}
 	response.Done = rec.Job.Tasks - unfinished
-	if j := c.jobs[id]; j != nil {
+	if j := rh.cache.jobs[id]; j != nil {
 		for _, tr := range j.taskRanges {
 			response.Running += tr.runningCount
 			response.Done += tr.doneCount
 		}
 	}
-	for _, peer := range c.peers {
+	for _, peer := range rh.peers.peers {
 		for _, peerShard := range peer.message.OwnedShards {
-			if c.ownedShards[peerShard.Shard] == nil {
+			if rh.shards.ownedShards[peerShard.Shard] == nil {
 				counts := peerShard.TaskCounts[id]
 				response.Running += counts.Running
 				response.Done += counts.Done
@@ -118,7 +153,7 @@
 }
 
 // taskCounts is how far each live job is in a shard.
-func (c *Controller) taskCounts(s *shard) map[string]TaskCounts {
+func (sm *shardManager) taskCounts(s *shard) map[string]TaskCounts {
 	byJob := map[string]TaskCounts{}
 	for _, tr := range s.taskRanges {
 		if tr.runningCount > 0 || tr.doneCount > 0 {
@@ -133,8 +168,8 @@
 
 // unrunnableReason says why a job can never run, or nothing. known is false while
 // that cannot be decided.
-func (c *Controller) unrunnableReason(j *Job) (reason string, decided bool) {
-	t, ok := c.params.Teams[j.Team]
+func (rh *requestHandler) unrunnableReason(j *Job) (reason string, decided bool) {
+	t, ok := rh.params.Teams[j.Team]
 	if !ok {
 		return "unknown team", true
 	}
@@ -146,37 +181,37 @@
 		t.MaxGPUs > 0 && concurrentTasks*j.Request.GPUs > t.MaxGPUs {
 		return "needs more than the team's limit", true
 	}
-	if len(c.machineTypes) == 0 {
+	if len(rh.cache.machineTypes) == 0 {
 		return "", false
 	}
-	for _, t := range c.machineTypes {
-		if c.fitsType(j, t) {
+	for _, t := range rh.cache.machineTypes {
+		if rh.cache.fitsType(j, t) {
 			return "", true
 		}
 	}
 	return "a task fits no allowed machine type", true
 }
 
-func (c *Controller) handleSubmit(replyID uint64, request UserRequest) {
+func (rh *requestHandler) handleSubmit(replyID uint64, request UserRequest) {
 	rejectUnlessKnown := func(response UserResponse) {
 		if request.ID == "" {
-			c.completeRequest(replyID, response)
+			rh.completeRequest(replyID, response)
 			return
 		}
 		// A repeated submission of a known job is welcome whatever its
 		// body says now.
-		c.readJob(request.ID, UrgencyUser, func(known UserResponse, _ *KeyValue) {
+		rh.readJob(request.ID, UrgencyUser, func(known UserResponse, _ *KeyValue) {
 			if known.Status == 404 {
 				known = response
 			}
-			c.completeRequest(replyID, known)
+			rh.completeRequest(replyID, known)
 		})
 	}
 	if request.Job == nil {
 		rejectUnlessKnown(UserResponse{Status: 400, ID: request.ID, Error: request.Malformed})
 		return
 	}
-	reason, known := c.unrunnableReason(request.Job)
+	reason, known := rh.unrunnableReason(request.Job)
 	if reason != "" {
 		rejectUnlessKnown(UserResponse{Status: 422, ID: request.ID, Error: reason})
 		return
@@ -189,51 +224,51 @@
 		mustEncode(
 			jobRecord{
 				Job:          *request.Job,
-				AcceptedAtMS: c.now.WallMS,
-				Ranges:       []Range{{0, request.Job.Tasks, c.params.MemberID, false}},
+				AcceptedAtMS: rh.now.WallMS,
+				Ranges:       []Range{{0, request.Job.Tasks, rh.params.MemberID, false}},
 			},
 		),
-	) > c.params.MaxValueBytes {
+	) > rh.params.MaxValueBytes {
 		// No value of the store holds it, however often it is sent.
 		rejectUnlessKnown(UserResponse{Status: 400, ID: request.ID, Error: "the job's names are too long"})
 		return
 	}
-	if c.jobs[request.ID] == nil {
-		c.enqueueSubmission(replyID, request)
+	if rh.cache.jobs[request.ID] == nil {
+		rh.enqueueSubmission(replyID, request)
 		return
 	}
 	// Known already: a write would only fail.
-	c.readJob(request.ID, UrgencyUser, func(response UserResponse, _ *KeyValue) {
+	rh.readJob(request.ID, UrgencyUser, func(response UserResponse, _ *KeyValue) {
 		if response.Status == 404 {
-			c.enqueueSubmission(replyID, request)
+			rh.enqueueSubmission(replyID, request)
 			return
 		}
-		c.completeRequest(replyID, response)
+		rh.completeRequest(replyID, response)
 	})
 }
 
-func (c *Controller) handleCancel(replyID uint64, id string, retries int) {
-	c.readJob(id, UrgencyUser, func(response UserResponse, kv *KeyValue) {
+func (rh *requestHandler) handleCancel(replyID uint64, id string, retries int) {
+	rh.readJob(id, UrgencyUser, func(response UserResponse, kv *KeyValue) {
 		if kv == nil {
-			c.completeRequest(replyID, response)
+			rh.completeRequest(replyID, response)
 			return
 		}
 		var rec jobRecord
 		if err := json.Unmarshal(kv.Value, &rec); err != nil {
-			c.log(Warn, "record unreadable", "key", kv.Key, "error", err)
+			rh.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 		}
 		final := terminalRecord{State: Cancelled, Tasks: rec.Job.Tasks, WorkflowRun: rec.Job.WorkflowRun}
 		changes := []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}
-		c.sendTxn(UrgencyUser, []Precondition{{jobKey(id), kv.Rev}, {terminalKey(id), 0}}, changes, func(result StoreResult) {
+		rh.store.sendTxn(UrgencyUser, []Precondition{{jobKey(id), kv.Rev}, {terminalKey(id), 0}}, changes, func(result StoreResult) {
 			switch {
 			case result.Outcome == OK:
-				c.cacheTerminalState(id, final)
-				c.log(Info, "job cancelled", "job", id)
-				c.completeRequest(replyID, final.response(id))
+				rh.cacheTerminalState(id, final)
+				rh.log(Info, "job cancelled", "job", id)
+				rh.completeRequest(replyID, final.response(id))
 			case (result.Outcome == Conflict || result.Outcome == Unknown) && retries > 0:
-				c.handleCancel(replyID, id, retries-1)
+				rh.handleCancel(replyID, id, retries-1)
 			default:
-				c.completeRequest(replyID, unavailableResponse(id, "state service unavailable"))
+				rh.completeRequest(replyID, unavailableResponse(id, "state service unavailable"))
 			}
 		})
 	})
--- a/scheduler/machine_heartbeats.go
+++ b/scheduler/machine_heartbeats.go
@@ -11,6 +11,32 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
+// agentManager owns the exchange with the workers of the owned shards: heartbeats
+// in, commands out, and what follows from them for attempts and machines.
+type agentManager struct {
+	*environment
+	cache     *stateCache
+	estimates *runtimeEstimator
+	placer    *placementPlanner
+	quotas    *quotaManager
+	registry  *machineRegistry
+	rollouts  *rolloutController
+	scaler    *autoscaler
+	shards    *shardManager
+	store     *storeClient
+
+	directCommandCallbacks map[uint64]func(DirectCommandResult) // by request
+	parkedHeartbeats       map[string][]parkedHeartbeat         // by machine: until it is registered
+}
+
+func newAgentManager(env *environment) *agentManager {
+	return &agentManager{
+		environment:            env,
+		directCommandCallbacks: map[uint64]func(DirectCommandResult){},
+		parkedHeartbeats:       map[string][]parkedHeartbeat{},
+	}
+}
+
 // attemptKey names one attempt at a task.
 type attemptKey struct {
 	task    string
@@ -114,34 +140,34 @@
 }
 
 // upsertMachine takes in a machine that a roster names.
-func (c *Controller) upsertMachine(id, key string, rec *registryRecord) {
-	mc := c.machines[id]
+func (mr *machineRegistry) upsertMachine(id, key string, rec *registryRecord) {
+	mc := mr.machines[id]
 	if mc == nil {
 		mc = &machine{id: id, rec: rec, registryKey: key, Machine: &reconcile.Machine{ID: id}}
-		for listKey, liveIDs := range c.liveMachines {
+		for listKey, liveIDs := range mr.liveMachines {
 			if strings.HasPrefix(listKey, liveMachinesPrefix+rec.Shard+"/") && slices.Contains(liveIDs, id) {
 				mc.Up = true
 			}
 		}
-		c.machines[id] = mc
-		c.resetMachine(mc)
-		if s := c.ownedShards[rec.Shard]; s != nil {
+		mr.machines[id] = mc
+		mr.resetMachine(mc)
+		if s := mr.shards.ownedShards[rec.Shard]; s != nil {
 			pos, _ := slices.BinarySearchFunc(s.machines, id, (*machine).compare)
 			s.machines = slices.Insert(s.machines, pos, mc)
 			s.dirty = true
 		}
 	}
 	mc.rec, mc.registryKey = rec, key
-	c.processParkedHeartbeats(id)
+	mr.agents.processParkedHeartbeats(id)
 }
 
 func (mc *machine) compare(id string) int { return strings.Compare(mc.id, id) }
 
 // resetMachine forgets what an earlier claim knew of a machine. Silence counts
 // from here: whoever answered it before did so before this claim.
-func (c *Controller) resetMachine(mc *machine) {
+func (mr *machineRegistry) resetMachine(mc *machine) {
 	for _, a := range mc.byKey {
-		c.releaseResources(mc, a)
+		mr.agents.releaseResources(mc, a)
 	}
 	mc.imageCache.Remove()
 	*mc = machine{
@@ -149,34 +175,34 @@
 		rec:         mc.rec,
 		registryKey: mc.registryKey,
 		Machine:     &reconcile.Machine{ID: mc.id, Up: mc.Up},
-		idleSince:   c.now.MonotonicMS,
+		idleSince:   mr.now.MonotonicMS,
 	}
-	if s := c.ownedShards[mc.rec.Shard]; s != nil {
+	if s := mr.shards.ownedShards[mc.rec.Shard]; s != nil {
 		mc.claim, mc.Machine, mc.imageCache = s, s.reconciler.AddMachine(
 			mc.id,
 			mc.Up,
-			c.now.MonotonicMS,
+			mr.now.MonotonicMS,
 		), s.clusterView.NewImageCache()
 	}
 }
 
 // deleteMachine handles the removal of a machine from its roster, which follows only
 // the cloud's word that the machine is gone with everything on it.
-func (c *Controller) deleteMachine(id string) {
-	mc := c.machines[id]
+func (mr *machineRegistry) deleteMachine(id string) {
+	mc := mr.machines[id]
 	if mc == nil {
 		return
 	}
-	delete(c.machines, id)
+	delete(mr.machines, id)
 	mc.imageCache.Remove()
 	for _, a := range slices.Backward(mc.byKey) {
-		c.removeAttempt(mc, a)
+		mr.agents.removeAttempt(mc, a)
 	}
-	if s := c.ownedShards[mc.rec.Shard]; s != nil {
+	if s := mr.shards.ownedShards[mc.rec.Shard]; s != nil {
 		s.dirty = true
 		if mc.claim == s {
 			s.reconciler.RemoveMachine(mc.Machine)
-			c.resetOrphanedTasks(s, mc)
+			mr.agents.resetOrphanedTasks(s, mc)
 		}
 		if pos, ok := slices.BinarySearchFunc(s.machines, id, (*machine).compare); ok {
 			s.machines = slices.Delete(s.machines, pos, pos+1)
@@ -185,29 +211,29 @@
 }
 
 // removeAttempt frees what an attempt held, once there is evidence that it is over.
-func (c *Controller) removeAttempt(mc *machine, a *attempt) {
+func (am *agentManager) removeAttempt(mc *machine, a *attempt) {
 	delete(mc.attempts, a.key)
 	// A loop that goes backward over byKey may call this for the attempt it is at.
 	if at, ok := slices.BinarySearchFunc(mc.byKey, a.key, (*attempt).compare); ok {
 		mc.byKey = slices.Delete(mc.byKey, at, at+1)
 	}
 	if !a.exited && !a.neverStarted {
-		c.failJobOnTaskLoss(a)
+		am.shards.failJobOnTaskLoss(a)
 		if a.running && !a.evicted {
-			c.rolloutCounts.Losses++
+			am.rolloutCounts.Losses++
 		}
 		if account := a.claim.disruption.account; account != nil && !a.evicted {
 			account.RecordLoss(a.key.task, a.job.Team)
 		}
 	}
-	c.releaseResources(mc, a)
+	am.releaseResources(mc, a)
 }
 
 // allocateResources counts an attempt: for its machine, its team, its job's zones.
-func (c *Controller) allocateResources(mc *machine, a *attempt) {
+func (am *agentManager) allocateResources(mc *machine, a *attempt) {
 	s, team := a.claim, a.job.Team
 	s.usage[team] = s.usage[team].Add(a.job.Request)
-	a.liveIndex, a.machine, a.hasStartObjective = len(s.liveAttempts[team]), mc, c.hasStartObjective(a.job)
+	a.liveIndex, a.machine, a.hasStartObjective = len(s.liveAttempts[team]), mc, am.hasStartObjective(a.job)
 	s.liveAttempts[team] = append(s.liveAttempts[team], a)
 	a.taskRange.assign(a.taskIndex)
 	a.taskRange.attemptsByZone[mc.rec.Zone]++
@@ -227,7 +253,7 @@
 
 // releaseResources takes back what begin counted, once. The attempt may stay on its machine
 // until its result is stored.
-func (c *Controller) releaseResources(mc *machine, a *attempt) {
+func (am *agentManager) releaseResources(mc *machine, a *attempt) {
 	if a.exited {
 		return
 	}
@@ -248,24 +274,24 @@
 		reclaimedUsage := a.claim.reclaimedUsage
 		reclaimedUsage[a.job.Team] = reclaimedUsage[a.job.Team].Sub(amountsOf(a.job.Request)).Max(quota.Amounts{})
 	} else if a.stopRequested {
-		c.recordDebt(a.claim, a)
+		am.placer.recordDebt(a.claim, a)
 	}
 	a.claim.spareCPUs += a.job.Request.CPUs
 	mc.liveAttemptCount--
 	mc.usage = mc.usage.Sub(a.job.Request)
 	if mc.liveAttemptCount == 0 {
 		mc.usage = availability.Resources{}
-		mc.idleSince = c.now.MonotonicMS
+		mc.idleSince = am.now.MonotonicMS
 	}
 }
 
 // isSchedulable tells whether starts may go to the machine. While a note says what it
 // holds, nothing else may: whoever claims its shard next goes by the note.
-func (c *Controller) isSchedulable(mc *machine) bool {
+func (am *agentManager) isSchedulable(mc *machine) bool {
 	if mc.releasing || mc.cordoned || mc.State() == reconcile.LeaseExpired || mc.IsInboundPartitioned() ||
 		mc.terminatesAt != 0 ||
-		c.now.MonotonicMS < mc.fullUntil ||
-		c.machineTypes[mc.rec.Type] == nil {
+		am.now.MonotonicMS < mc.fullUntil ||
+		am.cache.machineTypes[mc.rec.Type] == nil {
 		return false
 	}
 	if mc.claim == nil {
@@ -279,18 +305,18 @@
 // silent alone is at fault itself. Where most of a shard are, it is rather this member that
 // cannot be reached, and they come back one after the other when it can: they are kept for
 // as long as idle ones, since others would take a boot time to replace them.
-func (c *Controller) isSilentTooLong(s *shard, mc *machine, t *MachineType) bool {
-	now, leaseEnd, gracePeriod := c.now.MonotonicMS, s.reconciler.LeaseExpiresAt(
+func (am *agentManager) isSilentTooLong(s *shard, mc *machine, t *MachineType) bool {
+	now, leaseEnd, gracePeriod := am.now.MonotonicMS, s.reconciler.LeaseExpiresAt(
 		mc.Machine,
 	), secondsToMS(
-		c.params.LeaseS,
+		am.params.LeaseS,
 	)/2
 	if now > max(leaseEnd, s.mostSilentAt)+gracePeriod {
 		return true
 	}
 	retention := gracePeriod
 	if t != nil {
-		retention = max(retention, secondsToMS(t.BootS*c.settings.IdleBoots))
+		retention = max(retention, secondsToMS(t.BootS*am.cache.settings.IdleBoots))
 	}
 	return now > leaseEnd+retention
 }
@@ -312,46 +338,46 @@
 }
 
 // tickMachine takes note of silence and idleness.
-func (c *Controller) tickMachine(s *shard, mc *machine) {
-	now := c.now.MonotonicMS
-	t := c.machineTypes[mc.rec.Type]
+func (am *agentManager) tickMachine(s *shard, mc *machine) {
+	now := am.now.MonotonicMS
+	t := am.cache.machineTypes[mc.rec.Type]
 	if s.reconciler.ExpireLease(mc.Machine, now) {
 		lostTasks := mc.liveAttemptCount
 		for _, a := range slices.Backward(mc.byKey) {
-			c.removeAttempt(mc, a)
+			am.removeAttempt(mc, a)
 		}
-		c.Counters.LostTasks += uint64(lostTasks)
-		c.log(Info, "machine silent past its lease", "machine", mc.id, "tasks", lostTasks)
+		am.Counters.LostTasks += uint64(lostTasks)
+		am.log(Info, "machine silent past its lease", "machine", mc.id, "tasks", lostTasks)
 		s.dirty = true
 	}
-	if mc.terminatesAt != 0 && now > mc.terminatesAt-c.maxHeartbeatIntervalMS() &&
-		now > mc.LastHeartbeatAt+c.maxHeartbeatIntervalMS() ||
+	if mc.terminatesAt != 0 && now > mc.terminatesAt-am.maxHeartbeatIntervalMS() &&
+		now > mc.LastHeartbeatAt+am.maxHeartbeatIntervalMS() ||
 		mc.terminatesAt != 0 && now > mc.terminatesAt {
 		// The notice ran out. Returning the machine makes its end certain,
 		// and its tasks need not wait for the lease.
-		c.drain(s, mc, "spot notice ended")
+		am.drain(s, mc, "spot notice ended")
 	}
 	if mc.terminatesAt != 0 && mc.IsReconciled() && mc.liveAttemptCount == 0 {
-		c.drain(s, mc, "empty, on spot notice")
+		am.drain(s, mc, "empty, on spot notice")
 	}
-	if mc.State() == reconcile.LeaseExpired && c.isSilentTooLong(s, mc, t) {
-		c.drain(s, mc, "silent")
+	if mc.State() == reconcile.LeaseExpired && am.isSilentTooLong(s, mc, t) {
+		am.drain(s, mc, "silent")
 	}
 	// Asked again each time: taken off the list, the machine takes work again.
-	if listed := slices.Contains(c.settings.Drain, mc.id) || c.isDrainedByRollout(mc); listed != mc.cordoned {
+	if listed := slices.Contains(am.cache.settings.Drain, mc.id) || am.rollouts.isDrainedByRollout(mc); listed != mc.cordoned {
 		mc.cordoned, s.dirty = listed, true
-		c.log(Info, "machine set aside", "machine", mc.id, "on", listed, "tasks", mc.liveAttemptCount)
+		am.log(Info, "machine set aside", "machine", mc.id, "on", listed, "tasks", mc.liveAttemptCount)
 	}
 	if mc.cordoned && mc.liveAttemptCount == 0 {
-		c.drain(s, mc, "drained by an operator")
+		am.drain(s, mc, "drained by an operator")
 	}
 	if t == nil || !mc.Up || mc.liveAttemptCount > 0 {
 		return
 	}
 	if mc.IsReconciled() && len(mc.failedJobs) >= 2 {
-		c.drain(s, mc, "tasks of several jobs failed")
+		am.drain(s, mc, "tasks of several jobs failed")
 	}
-	maxIdle := secondsToMS(t.BootS * c.settings.IdleBoots)
+	maxIdle := secondsToMS(t.BootS * am.cache.settings.IdleBoots)
 	if !mc.rec.Spot {
 		// Ordinary machines are kept as long as a spot machine for the
 		// same money would be.
@@ -359,11 +385,11 @@
 	}
 	if !mc.releasing && mc.IsReconciled() && !s.reconciler.Pacer.IsActive(now) && len(mc.plannedStarts) == 0 &&
 		now-mc.idleSince > maxIdle &&
-		c.now.WallMS-mc.rec.ProvisionedAtMS > 60_000 &&
-		!c.servesDemand(s, mc) &&
-		!c.isRolloutReplacement(mc) &&
-		c.mayReleaseIdle(s) {
-		c.drain(s, mc, "idle")
+		am.now.WallMS-mc.rec.ProvisionedAtMS > 60_000 &&
+		!am.servesDemand(s, mc) &&
+		!am.rollouts.isRolloutReplacement(mc) &&
+		am.mayReleaseIdle(s) {
+		am.drain(s, mc, "idle")
 	}
 }
 
@@ -371,9 +397,9 @@
 // since when they are idle nobody knows, and counted from the claim for all, they were
 // returned in the same second. Given a random time more each, they cost more (price
 // 2.82 to 3.00 on days of five ends).
-func (c *Controller) mayReleaseIdle(s *shard) bool {
-	now := c.now.MonotonicMS
-	if now-s.reconciler.ClaimedAt() > 10*secondsToMS(c.params.LeaseS) {
+func (am *agentManager) mayReleaseIdle(s *shard) bool {
+	now := am.now.MonotonicMS
+	if now-s.reconciler.ClaimedAt() > 10*secondsToMS(am.params.LeaseS) {
 		return true
 	}
 	if now < s.nextReleaseAt {
@@ -385,17 +411,17 @@
 
 // isRolloutReplacement tells whether a machine was rented for a plan that goes on: it is idle
 // until those that it replaces are emptied.
-func (c *Controller) isRolloutReplacement(mc *machine) bool {
-	record := c.rolloutState.rec
-	return record != nil && c.params.Rollout && !record.State.IsTerminal() && mc.rec.ReplacementPlan == record.Plan.ID
+func (rc *rolloutController) isRolloutReplacement(mc *machine) bool {
+	record := rc.rec
+	return record != nil && rc.params.Rollout && !record.State.IsTerminal() && mc.rec.ReplacementPlan == record.Plan.ID
 }
 
 // servesDemand tells whether waiting work of the shard could run on a machine. Work
 // that only another type takes must not keep it.
-func (c *Controller) servesDemand(s *shard, mc *machine) bool {
+func (am *agentManager) servesDemand(s *shard, mc *machine) bool {
 	for _, demand := range s.demand {
-		if j := c.jobs[demand.Job]; j != nil && !(demand.SpotOnly && !mc.rec.Spot) &&
-			c.isOfferingAllowed(&j.rec.Job, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) {
+		if j := am.cache.jobs[demand.Job]; j != nil && !(demand.SpotOnly && !mc.rec.Spot) &&
+			am.cache.isOfferingAllowed(&j.rec.Job, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) {
 			return true
 		}
 	}
@@ -403,86 +429,86 @@
 }
 
 // maxHeartbeatIntervalMS is the longest time between two reports of a machine that is well.
-func (c *Controller) maxHeartbeatIntervalMS() int64 {
-	return secondsToMS(c.params.HeartbeatS*1.25) + 500
+func (env *environment) maxHeartbeatIntervalMS() int64 {
+	return secondsToMS(env.params.HeartbeatS*1.25) + 500
 }
 
 // drain gives a machine up: nothing starts there any more, and every message to
 // the lead asks for its return until the rosters have it no longer. A claim that
 // follows this one may not know and use the machine again; what it starts there
 // is over when the machine is returned, like on any machine that is lost.
-func (c *Controller) drain(s *shard, mc *machine, reason string) {
-	if mc.releasing || !c.hasAuthority() {
+func (am *agentManager) drain(s *shard, mc *machine, reason string) {
+	if mc.releasing || !am.store.hasAuthority() {
 		return
 	}
 	mc.releasing = true
-	c.log(Info, "machine draining", "machine", mc.id, "type", mc.rec.Type, "why", reason)
+	am.log(Info, "machine draining", "machine", mc.id, "type", mc.rec.Type, "why", reason)
 }
 
 // HandleHeartbeat takes a worker's report; reply names it in the outputs' answers.
 func (c *Controller) HandleHeartbeat(now Now, replyID uint64, hb Heartbeat) {
 	c.now = now
-	c.processHeartbeat(replyID, hb)
+	c.agents.processHeartbeat(replyID, hb)
 }
 
-func (c *Controller) respondWorker(replyID uint64, response HeartbeatResponse) {
-	if c.outputs.HeartbeatResponses == nil {
-		c.outputs.HeartbeatResponses = map[uint64]HeartbeatResponse{}
+func (am *agentManager) respondWorker(replyID uint64, response HeartbeatResponse) {
+	if am.outputs.HeartbeatResponses == nil {
+		am.outputs.HeartbeatResponses = map[uint64]HeartbeatResponse{}
 	}
-	c.outputs.HeartbeatResponses[replyID] = response
+	am.outputs.HeartbeatResponses[replyID] = response
 }
 
-func (c *Controller) processHeartbeat(replyID uint64, hb Heartbeat) {
-	if !c.storeAccess.IsSynced() {
-		c.respondWorker(replyID, HeartbeatResponse{})
+func (am *agentManager) processHeartbeat(replyID uint64, hb Heartbeat) {
+	if !am.store.storeAccess.IsSynced() {
+		am.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
-	mc := c.machines[hb.Machine]
+	mc := am.registry.machines[hb.Machine]
 	if mc == nil {
-		c.registerUnknownMachine(replyID, hb)
+		am.registerUnknownMachine(replyID, hb)
 		return
 	}
-	s := c.ownedShards[mc.rec.Shard]
+	s := am.shards.ownedShards[mc.rec.Shard]
 	if s == nil {
 		// Whoever holds the shard; without a holder the worker tries the
 		// next member.
 		response := HeartbeatResponse{}
-		if owner := c.shardClaims[mc.rec.Shard].Owner; owner != c.params.MemberID {
+		if owner := am.cache.shardClaims[mc.rec.Shard].Owner; owner != am.params.MemberID {
 			response.RedirectTo = owner
 		}
-		c.respondWorker(replyID, response)
+		am.respondWorker(replyID, response)
 		return
 	}
-	if !c.hasAuthority() || s.releasing || hb.Token > s.token || !s.ready {
+	if !am.store.hasAuthority() || s.releasing || hb.Token > s.token || !s.ready {
 		// Not ready: its progress is not read, and it could stop nothing. An answer
 		// would renew the lease all the same, and when an outage came between, a
 		// cancelled task lived on with it past its time.
-		c.respondWorker(replyID, HeartbeatResponse{})
+		am.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
 	if mc.claim != s {
-		c.resetMachine(mc)
+		am.registry.resetMachine(mc)
 	}
 	mc.addr = hb.Addr
 	wasSettled := mc.IsAccountedFor()
-	verdict := s.reconciler.ReceiveHeartbeat(mc.Machine, c.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token)
+	verdict := s.reconciler.ReceiveHeartbeat(mc.Machine, am.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token)
 	if verdict == reconcile.NotifyToken && mc.IsAccountedFor() && !wasSettled {
-		c.log(Info, "machine does not hear its holder", "machine", mc.id)
+		am.log(Info, "machine does not hear its holder", "machine", mc.id)
 		s.dirty = true
 	}
 	if verdict == reconcile.Stale {
-		c.Counters.StaleHeartbeats++
-		c.respondWorker(replyID, HeartbeatResponse{})
+		am.Counters.StaleHeartbeats++
+		am.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
-	if !c.reconcileMachine(s, mc, &hb, verdict) {
-		c.respondWorker(replyID, HeartbeatResponse{Accepted: true, Token: s.token})
+	if !am.reconcileMachine(s, mc, &hb, verdict) {
+		am.respondWorker(replyID, HeartbeatResponse{Accepted: true, Token: s.token})
 		return
 	}
-	c.startReserved(s, mc, &hb)
-	c.dispatchPlannedStarts(s, mc, &hb)
-	c.startFromQueue(s, mc, &hb)
-	c.respondWorker(
+	am.quotas.startReserved(s, mc, &hb)
+	am.dispatchPlannedStarts(s, mc, &hb)
+	am.startFromQueue(s, mc, &hb)
+	am.respondWorker(
 		replyID,
 		HeartbeatResponse{Accepted: true, Token: s.token, Commands: append([]Command(nil), mc.commands...)},
 	)
@@ -490,15 +516,15 @@
 
 // reconcileMachine brings what we know of a machine up to a report, unless that says
 // nothing yet, and gathers what is to be stopped and cleared.
-func (c *Controller) reconcileMachine(s *shard, mc *machine, hb *Heartbeat, verdict reconcile.Disposition) bool {
+func (am *agentManager) reconcileMachine(s *shard, mc *machine, hb *Heartbeat, verdict reconcile.Disposition) bool {
 	if verdict < reconcile.Accept {
 		return false
 	}
 	if verdict == reconcile.AcceptNewIncarnation {
 		// Its lease ended: every task of the earlier session was killed.
-		c.log(Info, "machine in a new session", "machine", hb.Machine, "tasks", mc.liveAttemptCount)
+		am.log(Info, "machine in a new session", "machine", hb.Machine, "tasks", mc.liveAttemptCount)
 		for _, a := range slices.Backward(mc.byKey) {
-			c.removeAttempt(mc, a)
+			am.removeAttempt(mc, a)
 		}
 	}
 	if !mc.everReconciled {
@@ -508,34 +534,34 @@
 	mc.directCommandRefused = false
 	mc.commands = mc.commands[:0]
 	if hb.TerminationNoticeS != nil {
-		terminatesAt := c.now.MonotonicMS + secondsToMS(*hb.TerminationNoticeS)
+		terminatesAt := am.now.MonotonicMS + secondsToMS(*hb.TerminationNoticeS)
 		if mc.terminatesAt == 0 {
-			c.log(Info, "spot notice", "machine", hb.Machine, "seconds", *hb.TerminationNoticeS, "tasks", mc.liveAttemptCount)
+			am.log(Info, "spot notice", "machine", hb.Machine, "seconds", *hb.TerminationNoticeS, "tasks", mc.liveAttemptCount)
 			s.dirty = true
 		}
 		mc.terminatesAt = max(terminatesAt, 1)
 	} else {
 		mc.terminatesAt = 0
 	}
-	c.reconcileTasks(s, mc, hb)
+	am.reconcileTasks(s, mc, hb)
 	if !mc.Up && !mc.releasing && !slices.Contains(s.newlyLive, mc.id) {
 		s.newlyLive = append(s.newlyLive, mc.id)
-		c.writeLiveMachines(s)
+		am.registry.writeLiveMachines(s)
 	}
 	return true
 }
 
 // reconcileTasks brings what we know of a machine's attempts up to its report, and
 // gathers stops and clears.
-func (c *Controller) reconcileTasks(s *shard, mc *machine, hb *Heartbeat) {
+func (am *agentManager) reconcileTasks(s *shard, mc *machine, hb *Heartbeat) {
 	reported := make(map[attemptKey]bool, len(hb.Tasks))
-	c.resetOrphanedTasks(s, mc)
+	am.resetOrphanedTasks(s, mc)
 	for _, status := range hb.Tasks {
 		key := attemptKey{status.Task, status.Attempt}
 		reported[key] = true
 		a := mc.attempts[key]
 		if a == nil {
-			if a = c.handleUnknownAttempt(s, mc, status); a == nil {
+			if a = am.handleUnknownAttempt(s, mc, status); a == nil {
 				continue
 			}
 		}
@@ -543,7 +569,7 @@
 			mc.startUndelivered = false
 		}
 		a.observed = true
-		c.applyTaskStatus(s, mc, a, status, hb)
+		am.applyTaskStatus(s, mc, a, status, hb)
 	}
 	for _, a := range slices.Backward(mc.byKey) {
 		// A start rides in a report's answer, which the worker has carried
@@ -559,16 +585,16 @@
 			a.neverStarted = !a.observed && a.incarnation == hb.Incarnation
 			if a.neverStarted {
 				mc.startUndelivered = true
-				c.Counters.UndeliveredStarts++
-				c.log(Debug, "start not heard", "task", a.key.task, "machine", mc.id)
+				am.Counters.UndeliveredStarts++
+				am.log(Debug, "start not heard", "task", a.key.task, "machine", mc.id)
 			}
-			c.removeAttempt(mc, a)
+			am.removeAttempt(mc, a)
 		}
 	}
 }
 
 // resetOrphanedTasks counts a machine's strays from none again.
-func (c *Controller) resetOrphanedTasks(s *shard, mc *machine) {
+func (am *agentManager) resetOrphanedTasks(s *shard, mc *machine) {
 	if mc.orphanedTasks > 0 {
 		mc.orphanedTasks = 0
 		s.machinesWithOrphans--
@@ -576,8 +602,8 @@
 }
 
 // recordedTaskState tells where the state has a task.
-func (c *Controller) recordedTaskState(s *shard, task string) (tr *taskRange, i int, state reconcile.TaskState) {
-	tr, i = c.taskRangeOf(task)
+func (am *agentManager) recordedTaskState(s *shard, task string) (tr *taskRange, i int, state reconcile.TaskState) {
+	tr, i = am.shards.taskRangeOf(task)
 	switch {
 	case tr == nil:
 		return nil, 0, reconcile.Obsolete
@@ -597,8 +623,8 @@
 
 // handleUnknownAttempt takes a task that this claim did not start, by the verdicts of
 // package reconcile. It returns an attempt if the task goes on as ours.
-func (c *Controller) handleUnknownAttempt(s *shard, mc *machine, status TaskStatus) *attempt {
-	tr, i, recorded := c.recordedTaskState(s, status.Task)
+func (am *agentManager) handleUnknownAttempt(s *shard, mc *machine, status TaskStatus) *attempt {
+	tr, i, recorded := am.recordedTaskState(s, status.Task)
 	observed := reconcile.Terminated
 	if status.State != "exited" {
 		observed = reconcile.Active
@@ -607,25 +633,25 @@
 	}
 	switch s.reconciler.DecideVerdict(recorded, observed) {
 	case reconcile.Adopt:
-		c.Counters.AdoptedTasks++
-		return c.adoptAttempt(s, mc, status, tr, i)
+		am.Counters.AdoptedTasks++
+		return am.adoptAttempt(s, mc, status, tr, i)
 	case reconcile.Stop:
-		c.Counters.OrphanedTasks++
+		am.Counters.OrphanedTasks++
 		if mc.orphanedTasks++; mc.orphanedTasks == 1 {
 			s.machinesWithOrphans++
 		}
-		c.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
+		am.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
 	case reconcile.RecordCompletion:
 		tr.markDone(i)
 		tr.dirty = true
 	case reconcile.Clear:
-		c.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
+		am.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
 	}
 	return nil
 }
 
 // adoptAttempt goes on with a task that an earlier claim started. Its number tells when.
-func (c *Controller) adoptAttempt(s *shard, mc *machine, status TaskStatus, tr *taskRange, i int) *attempt {
+func (am *agentManager) adoptAttempt(s *shard, mc *machine, status TaskStatus, tr *taskRange, i int) *attempt {
 	j := &tr.job.rec.Job
 	a := &attempt{
 		key:               attemptKey{status.Task, status.Attempt},
@@ -636,50 +662,50 @@
 		shardName:         s.name,
 		adopted:           true,
 		incarnation:       mc.Incarnation,
-		placedAt:          reconcile.AttemptStartedAt(status.Attempt, c.now.WallMS),
-		expectedRuntimeMS: c.expectedRuntime(j),
+		placedAt:          reconcile.AttemptStartedAt(status.Attempt, am.now.WallMS),
+		expectedRuntimeMS: am.estimates.expectedRuntime(j),
 	}
 	if status.State == "fetching" {
-		a.expectedFetchMS = c.imageFetchMS(j, mc.rec.Type)
+		a.expectedFetchMS = am.cache.imageFetchMS(j, mc.rec.Type)
 	}
-	c.allocateResources(mc, a)
+	am.allocateResources(mc, a)
 	s.dirty = true
 	return a
 }
 
 // queueCommand gathers what a machine is told. After a claim a clear waits until the
 // line lets it go: the task stays in the machine's reports.
-func (c *Controller) queueCommand(s *shard, mc *machine, command Command) {
+func (am *agentManager) queueCommand(s *shard, mc *machine, command Command) {
 	switch command.Kind {
 	case CommandForget:
-		if !s.reconciler.Pacer.TryClear(c.now.MonotonicMS) {
+		if !s.reconciler.Pacer.TryClear(am.now.MonotonicMS) {
 			return
 		}
 	case CommandStop:
-		s.reconciler.Pacer.Reserve(c.now.MonotonicMS, 1)
+		s.reconciler.Pacer.Reserve(am.now.MonotonicMS, 1)
 	}
 	mc.commands = append(mc.commands, command)
 }
 
 // applyTaskStatus takes what a report says of an attempt.
-func (c *Controller) applyTaskStatus(s *shard, mc *machine, a *attempt, status TaskStatus, hb *Heartbeat) {
+func (am *agentManager) applyTaskStatus(s *shard, mc *machine, a *attempt, status TaskStatus, hb *Heartbeat) {
 	tr := a.taskRange
-	current := c.isCurrent(tr)
+	current := am.cache.isCurrent(tr)
 	if a.job.Image != "" && status.State != "fetching" {
 		mc.imageCache.RecordUse(
 			a.job.Image,
-			planner.Image{LastUsedMS: c.now.WallMS, SizeGB: a.job.Request.DiskGB},
-			resourcesOf(c.machineTypes[mc.rec.Type]).DiskGB,
+			planner.Image{LastUsedMS: am.now.WallMS, SizeGB: a.job.Request.DiskGB},
+			resourcesOf(am.cache.machineTypes[mc.rec.Type]).DiskGB,
 		)
 	}
 	switch status.State {
 	case "running", "waiting":
 		if !a.running {
-			a.running, a.runningSince = true, c.now.WallMS
+			a.running, a.runningSince = true, am.now.WallMS
 			if a.adopted && a.expectedFetchMS == 0 {
 				// It ran before. Half of a fetch is as near as one can guess:
 				// tasks that came to a machine together share one.
-				a.runningSince = min(c.now.WallMS, a.placedAt+c.imageFetchMS(a.job, mc.rec.Type)/2)
+				a.runningSince = min(am.now.WallMS, a.placedAt+am.cache.imageFetchMS(a.job, mc.rec.Type)/2)
 			} else {
 				a.adopted = false // seen to begin
 			}
@@ -690,41 +716,41 @@
 	}
 	if status.State != "exited" {
 		if !current {
-			c.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
+			am.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
 			return
 		}
 		if a.stopRequested && (status.State == "running" || status.State == "fetching") {
-			c.queueCommand(
+			am.queueCommand(
 				s,
 				mc,
 				Command{
 					Kind:    CommandStop,
 					Task:    status.Task,
 					Attempt: status.Attempt,
-					GraceS:  a.job.CheckpointDurationS + c.params.HeartbeatS,
+					GraceS:  a.job.CheckpointDurationS + am.params.HeartbeatS,
 				},
 			)
 			return
 		}
-		if (status.State == "running" || status.State == "fetching" || status.State == "waiting") && c.mayEvict(s, mc, a) {
+		if (status.State == "running" || status.State == "fetching" || status.State == "waiting") && am.rollouts.mayEvict(s, mc, a) {
 			a.evicted = true
-			c.queueCommand(
+			am.queueCommand(
 				s,
 				mc,
 				Command{
 					Kind:    CommandStop,
 					Task:    status.Task,
 					Attempt: status.Attempt,
-					GraceS:  a.job.CheckpointDurationS + c.params.HeartbeatS,
+					GraceS:  a.job.CheckpointDurationS + am.params.HeartbeatS,
 				},
 			)
 			return
 		}
-		c.checkpointBeforeTermination(mc, a, status)
+		am.checkpointBeforeTermination(mc, a, status)
 		return
 	}
 	if !a.exited {
-		c.releaseResources(mc, a)
+		am.releaseResources(mc, a)
 		switch status.Reason {
 		case "done":
 			tr.markDone(a.taskIndex)
@@ -733,25 +759,25 @@
 			if a.running && !a.adopted {
 				// What an adopted one took is not known well enough: taken
 				// for shorter than it was, it shortened its whole class.
-				c.updateRuntimeEstimate(a.job, c.now.WallMS-a.runningSince+tr.checkpointedMS[a.taskIndex])
+				am.estimates.updateRuntimeEstimate(a.job, am.now.WallMS-a.runningSince+tr.checkpointedMS[a.taskIndex])
 			}
 		case "stopped":
 			if a.running {
-				c.failJobOnTaskLoss(a)
+				am.shards.failJobOnTaskLoss(a)
 			}
 			if status.Checkpointed && a.running {
 				if tr.checkpointedMS == nil {
 					tr.checkpointedMS = map[int]int64{}
 				}
-				tr.checkpointedMS[a.taskIndex] += max(0, c.now.WallMS-a.runningSince-secondsToMS(a.job.CheckpointDurationS))
+				tr.checkpointedMS[a.taskIndex] += max(0, am.now.WallMS-a.runningSince-secondsToMS(a.job.CheckpointDurationS))
 			}
 		case "error":
-			c.recordTaskError(mc, tr, a)
+			am.recordTaskError(mc, tr, a)
 		case "no_room":
 			// The machine has something that we don't count.
-			mc.fullUntil = c.now.MonotonicMS + 2*c.maxHeartbeatIntervalMS()
+			mc.fullUntil = am.now.MonotonicMS + 2*am.maxHeartbeatIntervalMS()
 		case "unknown":
-			tr.retryAt = c.now.MonotonicMS + 2*c.maxHeartbeatIntervalMS()
+			tr.retryAt = am.now.MonotonicMS + 2*am.maxHeartbeatIntervalMS()
 		}
 	}
 	if a.directCommandToken != 0 && a.directCommandToken >= hb.Token {
@@ -761,19 +787,19 @@
 		return
 	}
 	if status.Reason != "done" || !current || tr.storedDone.has(a.taskIndex) {
-		c.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
+		am.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
 	}
 }
 
 // checkpointBeforeTermination stops a task that can save when its machine is about to be
 // taken, so that its progress is not lost.
-func (c *Controller) checkpointBeforeTermination(mc *machine, a *attempt, status TaskStatus) {
+func (am *agentManager) checkpointBeforeTermination(mc *machine, a *attempt, status TaskStatus) {
 	if mc.terminatesAt == 0 || status.State != "running" || a.job.CheckpointIntervalS <= 0 || a.checkpointing {
 		return
 	}
-	remaining := mc.terminatesAt - c.now.MonotonicMS
+	remaining := mc.terminatesAt - am.now.MonotonicMS
 	checkpointTime := secondsToMS(a.job.CheckpointDurationS)
-	if remaining > checkpointTime+2*c.maxHeartbeatIntervalMS() || a.expectedEnd(c.now.WallMS)-c.now.WallMS < remaining {
+	if remaining > checkpointTime+2*am.maxHeartbeatIntervalMS() || a.expectedEnd(am.now.WallMS)-am.now.WallMS < remaining {
 		return
 	}
 	mc.commands = append(
@@ -782,7 +808,7 @@
 			Kind:    CommandStop,
 			Task:    status.Task,
 			Attempt: status.Attempt,
-			GraceS:  a.job.CheckpointDurationS + c.params.HeartbeatS,
+			GraceS:  a.job.CheckpointDurationS + am.params.HeartbeatS,
 		},
 	)
 }
@@ -805,21 +831,21 @@
 // broken job still fails and takes no more room, fetches and machines than that. A probe
 // that goes on for a lease after the pause has shown that it does not. Gangs begin
 // together or not at all.
-func (c *Controller) isLimitedToProbe(tr *taskRange) bool {
-	return tr.isJobBroken() && tr.job.rec.Job.Kind == Array && c.now.MonotonicMS < tr.retryAt+secondsToMS(c.params.LeaseS)
+func (am *agentManager) isLimitedToProbe(tr *taskRange) bool {
+	return tr.isJobBroken() && tr.job.rec.Job.Kind == Array && am.now.MonotonicMS < tr.retryAt+secondsToMS(am.params.LeaseS)
 }
 
 // hasProbeRunning tells whether a work's probe is on a machine.
-func (c *Controller) hasProbeRunning(tr *taskRange) bool {
-	return tr.assignedCount > 0 && c.isLimitedToProbe(tr)
+func (am *agentManager) hasProbeRunning(tr *taskRange) bool {
+	return tr.assignedCount > 0 && am.isLimitedToProbe(tr)
 }
 
 // schedulableTasks is how many of a work's waiting tasks are planned, and asked machines for.
-func (c *Controller) schedulableTasks(tr *taskRange) int {
+func (am *agentManager) schedulableTasks(tr *taskRange) int {
 	switch {
-	case c.hasProbeRunning(tr):
+	case am.hasProbeRunning(tr):
 		return 0
-	case c.isLimitedToProbe(tr):
+	case am.isLimitedToProbe(tr):
 		return min(tr.pending(), 1)
 	}
 	return tr.pending()
@@ -827,9 +853,9 @@
 
 // discountMachineFailures takes a job's errors off the machines that they were counted against: it is
 // broken, or was cancelled before any of its tasks was done, and nobody knows whose they were.
-func (c *Controller) discountMachineFailures(tr *taskRange) {
+func (am *agentManager) discountMachineFailures(tr *taskRange) {
 	for id := range tr.errorsByMachine {
-		if mc := c.machines[id]; mc != nil {
+		if mc := am.registry.machines[id]; mc != nil {
 			delete(mc.failedJobs, tr.job.rec.Job.ID)
 		}
 	}
@@ -838,46 +864,46 @@
 // recordTaskError counts an error against the machine and the job. Mostly the machine
 // is faulty, so the task goes elsewhere; a job that fails on several machines
 // waits longer each time, so that it does not eat the fleet.
-func (c *Controller) recordTaskError(mc *machine, tr *taskRange, a *attempt) {
-	c.Counters.Errors++
-	c.rolloutCounts.Errors++
-	if c.isRolloutReplacement(mc) {
-		c.rolloutCounts.ReplacementErrors++
+func (am *agentManager) recordTaskError(mc *machine, tr *taskRange, a *attempt) {
+	am.Counters.Errors++
+	am.rolloutCounts.Errors++
+	if am.rollouts.isRolloutReplacement(mc) {
+		am.rolloutCounts.ReplacementErrors++
 	}
 	if tr.errorsByMachine == nil {
 		tr.errorsByMachine = map[string]int{}
 	}
 	tr.errorsByMachine[mc.id]++
 	tr.errors++
-	c.countTaskError(tr, a)
+	am.shards.countTaskError(tr, a)
 	switch {
 	case tr.isJobBroken():
-		c.discountMachineFailures(tr)
-	case len(tr.errorsByMachine) < brokenJobMachines && c.isCurrent(tr):
+		am.discountMachineFailures(tr)
+	case len(tr.errorsByMachine) < brokenJobMachines && am.cache.isCurrent(tr):
 		if mc.failedJobs == nil {
 			mc.failedJobs = map[string]bool{}
 		}
 		mc.failedJobs[a.job.ID] = true
 	}
-	backoff := secondsToMS(c.params.HeartbeatS)
+	backoff := secondsToMS(am.params.HeartbeatS)
 	for i := 1; i < min(len(tr.errorsByMachine), 8); i++ {
 		backoff *= 2
 	}
 	if len(tr.errorsByMachine) > 1 {
-		tr.retryAt = c.now.MonotonicMS + min(backoff, secondsToMS(maxErrorBackoffLeases*c.params.LeaseS))
+		tr.retryAt = am.now.MonotonicMS + min(backoff, secondsToMS(maxErrorBackoffLeases*am.params.LeaseS))
 	}
-	c.log(Info, "task failed", "task", a.key.task, "machine", mc.id, "errors", tr.errors)
+	am.log(Info, "task failed", "task", a.key.task, "machine", mc.id, "errors", tr.errors)
 }
 
 // updateRuntimeEstimate corrects the owners' estimates of a class by what its tasks took.
-func (c *Controller) updateRuntimeEstimate(j *Job, runtimeMS int64) {
+func (re *runtimeEstimator) updateRuntimeEstimate(j *Job, runtimeMS int64) {
 	if j.EstimateS <= 0 || runtimeMS <= 0 {
 		return
 	}
-	estimate := c.runtimeCorrections[j.Class]
+	estimate := re.runtimeCorrections[j.Class]
 	if estimate == nil {
 		estimate = &runtimeCorrection{ratio: 1}
-		c.runtimeCorrections[j.Class] = estimate
+		re.runtimeCorrections[j.Class] = estimate
 	}
 	ratio := min(max(float64(runtimeMS)/1000/j.EstimateS, 0.2), 5)
 	estimate.samples++
@@ -885,33 +911,33 @@
 }
 
 // expectedRuntime is how long a task of the job is expected to run.
-func (c *Controller) expectedRuntime(j *Job) int64 {
+func (re *runtimeEstimator) expectedRuntime(j *Job) int64 {
 	seconds := j.EstimateS
-	if estimate := c.runtimeCorrections[j.Class]; estimate != nil {
+	if estimate := re.runtimeCorrections[j.Class]; estimate != nil {
 		seconds *= min(max(estimate.ratio, 0.5), 3)
 	}
 	return max(secondsToMS(seconds), 100)
 }
 
 // fetchTime is how long the job's image takes on a machine, 0 if it is there.
-func (c *Controller) fetchTime(j *Job, mc *machine, t *MachineType) int64 {
+func (am *agentManager) fetchTime(j *Job, mc *machine, t *MachineType) int64 {
 	if t == nil || mc.imageCache.Has(j.Image) {
 		return 0
 	}
-	return c.imageFetchMS(j, t.Name)
+	return am.cache.imageFetchMS(j, t.Name)
 }
 
 // freeResources is what a machine's live attempts leave of it.
-func (c *Controller) freeResources(mc *machine) availability.Resources {
-	return resourcesOf(c.machineTypes[mc.rec.Type]).Sub(mc.usage)
+func (am *agentManager) freeResources(mc *machine) availability.Resources {
+	return resourcesOf(am.cache.machineTypes[mc.rec.Type]).Sub(mc.usage)
 }
 
 // isUrgent tells whether a start should not wait for the machine's next report:
 // half an interval is much against the start aim of its class or against the
 // task's own length.
-func (c *Controller) isUrgent(p plannedStart) bool {
-	meanDelay := secondsToMS(c.params.HeartbeatS) / 2
-	for _, o := range c.params.Objectives[p.taskRange.job.rec.Job.Class] {
+func (env *environment) isUrgent(p plannedStart) bool {
+	meanDelay := secondsToMS(env.params.HeartbeatS) / 2
+	for _, o := range env.params.Objectives[p.taskRange.job.rec.Job.Class] {
 		if o.Kind == "wait" && meanDelay*10 > secondsToMS(o.WithinS) {
 			return true
 		}
@@ -920,16 +946,16 @@
 }
 
 // sendUrgentStarts sends urgent starts straight to their workers.
-func (c *Controller) sendUrgentStarts(s *shard) {
+func (am *agentManager) sendUrgentStarts(s *shard) {
 	for _, mc := range s.machines {
 		if len(mc.plannedStarts) == 0 || mc.directCommandPending || mc.directCommandRefused || !mc.IsReconciled() ||
 			mc.addr == "" {
 			continue
 		}
-		if now := c.now.MonotonicMS; now-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
+		if now := am.now.MonotonicMS; now-mc.LastHeartbeatAt > am.maxHeartbeatIntervalMS() {
 			continue // silent: a start would only be one more thing unknown
 		}
-		if !slices.ContainsFunc(mc.plannedStarts, c.isUrgent) {
+		if !slices.ContainsFunc(mc.plannedStarts, am.isUrgent) {
 			continue
 		}
 		mc.commands = mc.commands[:0]
@@ -937,7 +963,7 @@
 		for k := range mc.attempts {
 			before[k] = true
 		}
-		c.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: mc.Incarnation, Seq: mc.Seq})
+		am.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: mc.Incarnation, Seq: mc.Seq})
 		if len(mc.commands) == 0 {
 			continue
 		}
@@ -948,31 +974,31 @@
 				started = append(started, a)
 			}
 		}
-		c.sendDirectCommand(s, mc, mc.Incarnation, started)
+		am.sendDirectCommand(s, mc, mc.Incarnation, started)
 	}
 }
 
 // probeUnreportedMachines asks workers for their tasks that have our token and no reason to
 // report before their interval is over: their answer squares them as a report does.
-func (c *Controller) probeUnreportedMachines(s *shard) {
+func (am *agentManager) probeUnreportedMachines(s *shard) {
 	for _, unreported := range s.reconciler.Unreported() {
-		mc := c.machines[unreported.ID]
+		mc := am.registry.machines[unreported.ID]
 		if mc == nil || mc.Machine != unreported || mc.directCommandPending || mc.addr == "" ||
-			!s.reconciler.TryStartTaskQuery(unreported, c.now.MonotonicMS) {
+			!s.reconciler.TryStartTaskQuery(unreported, am.now.MonotonicMS) {
 			continue
 		}
 		mc.commands = mc.commands[:0]
-		c.sendDirectCommand(s, mc, mc.NotifiedIncarnation(), nil)
+		am.sendDirectCommand(s, mc, mc.NotifiedIncarnation(), nil)
 	}
 }
 
-func (c *Controller) sendDirectCommand(s *shard, mc *machine, incarnation uint64, started []*attempt) {
-	c.lastRequestID++
-	id, token := c.lastRequestID, s.token
+func (am *agentManager) sendDirectCommand(s *shard, mc *machine, incarnation uint64, started []*attempt) {
+	am.lastRequestID++
+	id, token := am.lastRequestID, s.token
 	mc.directCommandPending = true
-	c.directCommandCallbacks[id] = func(r DirectCommandResult) {
+	am.directCommandCallbacks[id] = func(r DirectCommandResult) {
 		mc.directCommandPending = false
-		if c.machines[mc.id] != mc || c.ownedShards[s.name] != s {
+		if am.registry.machines[mc.id] != mc || am.shards.ownedShards[s.name] != s {
 			return
 		}
 		switch r.Outcome {
@@ -981,14 +1007,14 @@
 				a.directCommandToken = 0
 			}
 			hb := r.Heartbeat
-			if hb != nil && !mc.IsAccountedFor() && c.hasAuthority() {
+			if hb != nil && !mc.IsAccountedFor() && am.store.hasAuthority() {
 				// Nothing of ours is under way to it yet.
 				hb.Machine = mc.id
-				c.reconcileMachine(
+				am.reconcileMachine(
 					s,
 					mc,
 					hb,
-					s.reconciler.ReceiveQueryResponse(mc.Machine, c.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token),
+					s.reconciler.ReceiveQueryResponse(mc.Machine, am.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token),
 				)
 			} else if hb != nil && hb.Incarnation == mc.Incarnation && hb.Seq > mc.Seq {
 				// Not a report that renews a lease, and attempts that it
@@ -998,7 +1024,7 @@
 				for _, status := range hb.Tasks {
 					if a := mc.attempts[attemptKey{status.Task, status.Attempt}]; a != nil {
 						a.observed = true
-						c.applyTaskStatus(s, mc, a, status, hb)
+						am.applyTaskStatus(s, mc, a, status, hb)
 					}
 				}
 			}
@@ -1009,7 +1035,7 @@
 			for _, a := range started {
 				if mc.attempts[a.key] == a {
 					a.neverStarted = true
-					c.removeAttempt(mc, a)
+					am.removeAttempt(mc, a)
 				}
 			}
 		default:
@@ -1019,11 +1045,11 @@
 			// It may yet run, on whatever machine state there is by then.
 			// A higher token makes that impossible.
 			s.voidToken = max(s.voidToken, token)
-			c.raiseToken(s)
+			am.shards.raiseToken(s)
 		}
 	}
-	c.outputs.DirectCommands = append(
-		c.outputs.DirectCommands,
+	am.outputs.DirectCommands = append(
+		am.outputs.DirectCommands,
 		DirectCommand{ID: id, Addr: mc.addr, Machine: mc.id, Token: s.token, Incarnation: incarnation,
 			Commands: append([]Command(nil), mc.commands...)},
 	)
@@ -1032,53 +1058,53 @@
 // HandleDirectCommandResult takes a worker's answer to commands that were sent straight to it.
 func (c *Controller) HandleDirectCommandResult(now Now, id uint64, r DirectCommandResult) {
 	c.now = now
-	if f := c.directCommandCallbacks[id]; f != nil {
-		delete(c.directCommandCallbacks, id)
+	if f := c.agents.directCommandCallbacks[id]; f != nil {
+		delete(c.agents.directCommandCallbacks, id)
 		f(r)
 	}
 }
 
 // dispatchPlannedStarts turns the plan's starts on this machine into commands.
-func (c *Controller) dispatchPlannedStarts(s *shard, mc *machine, hb *Heartbeat) {
-	if !c.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() || !c.hasAuthority() {
+func (am *agentManager) dispatchPlannedStarts(s *shard, mc *machine, hb *Heartbeat) {
+	if !am.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() || !am.store.hasAuthority() {
 		return
 	}
 	plannedStarts := mc.plannedStarts
 	mc.plannedStarts = nil
-	free := c.freeResources(mc)
+	free := am.freeResources(mc)
 	for _, p := range plannedStarts {
 		tr := p.taskRange
 		j := &tr.job.rec.Job
-		if !c.isCurrent(tr) || tr.moving {
+		if !am.cache.isCurrent(tr) || tr.moving {
 			continue
 		}
 		for range p.count {
 			i := tr.nextTask()
-			if i < 0 || !free.Contains(j.Request) || !c.mayStart(s, tr, mc) {
+			if i < 0 || !free.Contains(j.Request) || !am.mayStart(s, tr, mc) {
 				break
 			}
 			if j.Kind == Gang && (tr.gangAttempt == 0 || tr.gangStartsSent.has(i)) {
 				break // this try of it failed; a task has a number once
 			}
-			if !c.hasAttemptIDs(s) || !s.reconciler.Pacer.TryStart(c.now.MonotonicMS, p.hasStartObjective || j.Kind == Gang) {
+			if !am.hasAttemptIDs(s) || !s.reconciler.Pacer.TryStart(am.now.MonotonicMS, p.hasStartObjective || j.Kind == Gang) {
 				break
 			}
 			free = free.Sub(j.Request)
-			c.startTask(s, mc, tr, i, p.runtimeMS, p.fetchMS, hb)
+			am.startTask(s, mc, tr, i, p.runtimeMS, p.fetchMS, hb)
 		}
 	}
 }
 
 // startTask begins an attempt; its command goes with whatever the machine is told
 // next.
-func (c *Controller) startTask(s *shard, mc *machine, tr *taskRange, i int, runtimeMS, fetchMS int64, hb *Heartbeat) {
+func (am *agentManager) startTask(s *shard, mc *machine, tr *taskRange, i int, runtimeMS, fetchMS int64, hb *Heartbeat) {
 	j := &tr.job.rec.Job
 	runtimeMS = max(runtimeMS-tr.checkpointedMS[i], runtimeMS/8)
 	attemptID := tr.gangAttempt
 	if j.Kind == Gang {
 		tr.gangStartsSent.set(i)
 	} else {
-		attemptID = s.attemptIDs.Next(c.now.WallMS)
+		attemptID = s.attemptIDs.Next(am.now.WallMS)
 	}
 	a := &attempt{
 		key:               attemptKey{taskName(j.ID, tr.bounds.Lo+i), attemptID},
@@ -1089,24 +1115,24 @@
 		shardName:         s.name,
 		incarnation:       hb.Incarnation,
 		afterHeartbeatSeq: hb.Seq,
-		placedAt:          c.now.WallMS,
+		placedAt:          am.now.WallMS,
 		expectedRuntimeMS: runtimeMS,
 		expectedFetchMS:   fetchMS,
 	}
-	c.allocateResources(mc, a)
+	am.allocateResources(mc, a)
 	if reservation := mc.reservation; reservation != nil && reservation.taskRange == tr {
 		if reservation.count--; reservation.count == 0 {
 			mc.reservation = nil
 		}
 	}
-	c.repayDebt(s, j)
-	c.Counters.Starts++
-	for _, o := range c.params.Objectives[j.Class] {
-		if o.Kind == "wait" && c.now.WallMS > tr.job.rec.AcceptedAtMS+secondsToMS(o.WithinS) {
-			c.rolloutCounts.LateStarts++
+	am.placer.repayDebt(s, j)
+	am.Counters.Starts++
+	for _, o := range am.params.Objectives[j.Class] {
+		if o.Kind == "wait" && am.now.WallMS > tr.job.rec.AcceptedAtMS+secondsToMS(o.WithinS) {
+			am.rolloutCounts.LateStarts++
 		}
 	}
-	c.log(Debug, "start", "task", a.key.task, "attempt", a.key.attempt, "machine", mc.id)
+	am.log(Debug, "start", "task", a.key.task, "attempt", a.key.attempt, "machine", mc.id)
 	mc.commands = append(mc.commands, Command{Kind: CommandStart, Task: a.key.task, Attempt: a.key.attempt})
 }
 
@@ -1115,18 +1141,18 @@
 // image is there goes before one that would fetch, if the latter can still
 // start behind it in time: l(δ) once more, with the passed-over task behind the
 // insertion point.
-func (c *Controller) startFromQueue(s *shard, mc *machine, hb *Heartbeat) {
-	if len(s.queue) == 0 || !c.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() || !c.hasAuthority() {
+func (am *agentManager) startFromQueue(s *shard, mc *machine, hb *Heartbeat) {
+	if len(s.queue) == 0 || !am.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() || !am.store.hasAuthority() {
 		return
 	}
-	free := c.freeResources(mc).Sub(c.reservedResources(mc))
-	t := c.machineTypes[mc.rec.Type]
+	free := am.freeResources(mc).Sub(am.quotas.reservedResources(mc))
+	t := am.cache.machineTypes[mc.rec.Type]
 	latestStart := int64(1) << 62 // the latest start of what was passed over
 	for free.CPUs > 0 {
 		var first, withImage *taskGroup
 		for _, g := range s.queue {
 			if g.job.Kind == Gang || g.taskRange.pending() <= 0 || !free.Contains(withoutDisk(g.job.Request)) ||
-				!c.mayStartUnplanned(s, mc, t, g) {
+				!am.mayStartUnplanned(s, mc, t, g) {
 				continue
 			}
 			if first == nil {
@@ -1135,15 +1161,15 @@
 			if g.job.Priority != first.job.Priority {
 				break
 			}
-			fetch := c.fetchTime(g.job, mc, t)
-			if fetch == 0 && (g == first || c.now.WallMS+int64(float64(g.LengthMS)*planner.RuntimePadding) <= latestStart) {
+			fetch := am.fetchTime(g.job, mc, t)
+			if fetch == 0 && (g == first || am.now.WallMS+int64(float64(g.LengthMS)*planner.RuntimePadding) <= latestStart) {
 				withImage = g
 				break
 			}
 			// One that can still start as its class asks must not wait past
 			// that, whatever its deadline.
 			endBy := g.DeadlineMS
-			if g.ObjectiveDeadlineMS < endBy && g.ObjectiveDeadlineMS-g.LengthMS-fetch > c.now.WallMS {
+			if g.ObjectiveDeadlineMS < endBy && g.ObjectiveDeadlineMS-g.LengthMS-fetch > am.now.WallMS {
 				endBy = g.ObjectiveDeadlineMS
 			}
 			latestStart = min(latestStart, endBy-g.LengthMS-fetch)
@@ -1155,18 +1181,18 @@
 		if g == nil {
 			return
 		}
-		fetch := c.fetchTime(g.job, mc, t)
-		for free.Contains(withoutDisk(g.job.Request)) && c.mayStartUnplanned(s, mc, t, g) {
+		fetch := am.fetchTime(g.job, mc, t)
+		for free.Contains(withoutDisk(g.job.Request)) && am.mayStartUnplanned(s, mc, t, g) {
 			i := g.taskRange.nextTask()
 			if i < 0 {
 				break
 			}
-			if !c.hasAttemptIDs(s) || !s.reconciler.Pacer.TryStart(c.now.MonotonicMS, g.HasObjective) {
+			if !am.hasAttemptIDs(s) || !s.reconciler.Pacer.TryStart(am.now.MonotonicMS, g.HasObjective) {
 				return
 			}
 			free = free.Sub(g.job.Request)
 			s.spareCPUs -= g.job.Request.CPUs
-			c.startTask(s, mc, g.taskRange, i, g.LengthMS, fetch, hb)
+			am.startTask(s, mc, g.taskRange, i, g.LengthMS, fetch, hb)
 		}
 	}
 }
@@ -1175,32 +1201,32 @@
 // plan. What the plan decides with a view of the whole shard is left to it:
 // types that others cannot do without, the reserve, and ordinary machines for
 // work that spot machines end in time, or they would never be idle and returned.
-func (c *Controller) mayStartUnplanned(s *shard, mc *machine, t *MachineType, g *taskGroup) bool {
+func (am *agentManager) mayStartUnplanned(s *shard, mc *machine, t *MachineType, g *taskGroup) bool {
 	j := &g.taskRange.job.rec.Job
 	if g.IsFirstTask && g.taskRange.hasStarted() {
 		return false // the rest has its own place in the queue
 	}
-	if !c.isCurrent(g.taskRange) || g.taskRange.moving || c.now.MonotonicMS < g.taskRange.retryAt ||
+	if !am.cache.isCurrent(g.taskRange) || g.taskRange.moving || am.now.MonotonicMS < g.taskRange.retryAt ||
 		g.taskRange.errorsByMachine[mc.id] > 0 {
 		return false
 	}
-	if g.ObjectiveDeadlineMS >= g.DeadlineMS && s.spareCPUs-s.reserveCPUs < j.Request.CPUs || c.isTypeScarce(j, t) ||
-		j.Spot && !mc.rec.Spot && !g.SpotInsufficient && !c.placementCatalog.IsRequired(t.Name) {
+	if g.ObjectiveDeadlineMS >= g.DeadlineMS && s.spareCPUs-s.reserveCPUs < j.Request.CPUs || am.cache.isTypeScarce(j, t) ||
+		j.Spot && !mc.rec.Spot && !g.SpotInsufficient && !am.cache.placementCatalog.IsRequired(t.Name) {
 		return false
 	}
-	return c.mayStart(s, g.taskRange, mc)
+	return am.mayStart(s, g.taskRange, mc)
 }
 
 // mayStart checks, at the last moment, what the rules ask of a start.
-func (c *Controller) mayStart(s *shard, tr *taskRange, mc *machine) bool {
+func (am *agentManager) mayStart(s *shard, tr *taskRange, mc *machine) bool {
 	j := &tr.job.rec.Job
-	if !c.isOfferingAllowed(j, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) || mc.hasUnconfirmedStart() ||
-		c.isBlockedByUnreported(s, tr) ||
-		c.hasProbeRunning(tr) ||
-		!c.canBegin(tr) {
+	if !am.cache.isOfferingAllowed(j, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) || mc.hasUnconfirmedStart() ||
+		am.isBlockedByUnreported(s, tr) ||
+		am.hasProbeRunning(tr) ||
+		!am.shards.canBegin(tr) {
 		return false
 	}
-	return c.isZoneAllowed(tr, mc.rec.Zone) && c.isWithinTeamLimit(s, j)
+	return am.isZoneAllowed(tr, mc.rec.Zone) && am.quotas.isWithinTeamLimit(s, j)
 }
 
 // hasUnconfirmedStart tells whether a machine that did not hear of a start is trying another one. Its
@@ -1219,27 +1245,27 @@
 }
 
 // hasAttemptIDs tells whether starts can have numbers of their own.
-func (c *Controller) hasAttemptIDs(s *shard) bool { return !s.attemptIDs.IsExhausted(c.now.WallMS) }
+func (am *agentManager) hasAttemptIDs(s *shard) bool { return !s.attemptIDs.IsExhausted(am.now.WallMS) }
 
 // isBlockedByUnreported tells whether a work's tasks may still run somewhere unseen: on a
 // machine that is unseen, that its job allows, and whose note, if there is one,
 // names it.
-func (c *Controller) isBlockedByUnreported(s *shard, tr *taskRange) bool {
+func (am *agentManager) isBlockedByUnreported(s *shard, tr *taskRange) bool {
 	if !tr.recovered {
 		return false
 	}
 	for _, unreported := range s.reconciler.Unreported() {
-		if mc := c.machines[unreported.ID]; mc == nil || c.mayHaveTasks(s, mc, tr) {
+		if mc := am.registry.machines[unreported.ID]; mc == nil || am.mayHaveTasks(s, mc, tr) {
 			return true
 		}
 	}
 	tr.recovered = false
-	c.failJobOnUnknownProgress(tr)
+	am.shards.failJobOnUnknownProgress(tr)
 	return false
 }
 
 // mayHaveTasks tells whether an unseen machine may have tasks of a work.
-func (c *Controller) mayHaveTasks(s *shard, mc *machine, tr *taskRange) bool {
+func (am *agentManager) mayHaveTasks(s *shard, mc *machine, tr *taskRange) bool {
 	if entry, recorded := s.reconciler.Ledger.Entry(mc.id); recorded {
 		return slices.Contains(entry.Ranges, tr.name())
 	}
@@ -1249,7 +1275,7 @@
 
 // isZoneAllowed checks one-zone and spread jobs against where their other tasks
 // are. Such jobs are held whole by one shard, which sees all of them.
-func (c *Controller) isZoneAllowed(tr *taskRange, zone string) bool {
+func (am *agentManager) isZoneAllowed(tr *taskRange, zone string) bool {
 	j := &tr.job.rec.Job
 	if !j.requiresOneShard() {
 		return true
