--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -8,6 +8,30 @@
 	"strings"
 )
 
+// machineRegistry owns what the member knows of all machines: the pages of the
+// registry that the leader writes, and the lists of live machines that the owners
+// of shards write.
+type machineRegistry struct {
+	*environment
+	agents *agentManager
+	cache  *stateCache
+	shards *shardManager
+	store  *storeClient
+
+	machines      map[string]*machine
+	registryPages map[string]*registryPage // by key
+	liveMachines  map[string][]string      // machine IDs by the key of their list
+}
+
+func newMachineRegistry(env *environment) *machineRegistry {
+	return &machineRegistry{
+		environment:   env,
+		machines:      map[string]*machine{},
+		registryPages: map[string]*registryPage{},
+		liveMachines:  map[string][]string{},
+	}
+}
+
 // Machines are recorded many at a time, since the state service counts the keys
 // that are changed and a fleet of hundreds comes and goes within a minute: one
 // roster for the machines that came together to a shard, written by the member
@@ -47,48 +71,48 @@
 
 // maxChangesPerBackgroundTxn bounds the changes of one transaction that is not urgent, so
 // that it does not use up a member's part of the store's rate at once.
-func (c *Controller) maxChangesPerBackgroundTxn() int { return max(1, c.params.MaxTxnOps/4) }
+func (env *environment) maxChangesPerBackgroundTxn() int { return max(1, env.params.MaxTxnOps/4) }
 
 // maxMachinesPerPage bounds the machines of a roster, by the bytes that a value takes;
 // names take up to some twenty of them.
-func (c *Controller) maxMachinesPerPage() int { return max(1, c.params.MaxValueBytes/2/24) }
+func (env *environment) maxMachinesPerPage() int { return max(1, env.params.MaxValueBytes/2/24) }
 
-func (c *Controller) applyRegistryPage(key string, rec *registryRecord, rev uint64) {
-	previous := c.registryPages[key]
+func (mr *machineRegistry) applyRegistryPage(key string, rec *registryRecord, rev uint64) {
+	previous := mr.registryPages[key]
 	kept := map[string]bool{}
 	if rec != nil {
-		c.registryPages[key] = &registryPage{*rec, rev}
+		mr.registryPages[key] = &registryPage{*rec, rev}
 		for _, id := range rec.MachineIDs {
 			kept[id] = true
-			c.upsertMachine(id, key, rec)
+			mr.upsertMachine(id, key, rec)
 		}
 	} else {
-		delete(c.registryPages, key)
+		delete(mr.registryPages, key)
 	}
 	if previous == nil {
 		return
 	}
 	for _, id := range previous.rec.MachineIDs {
 		if !kept[id] {
-			c.deleteMachine(id)
+			mr.deleteMachine(id)
 		}
 	}
 }
 
 // applyLiveMachines takes a list of machines that are up. What a list no longer names is
 // gone from the rosters too, or stands in another list.
-func (c *Controller) applyLiveMachines(key string, rec *liveMachinesRecord) {
+func (mr *machineRegistry) applyLiveMachines(key string, rec *liveMachinesRecord) {
 	if rec == nil {
-		delete(c.liveMachines, key)
+		delete(mr.liveMachines, key)
 		return
 	}
-	c.liveMachines[key] = rec.MachineIDs
+	mr.liveMachines[key] = rec.MachineIDs
 	for _, id := range rec.MachineIDs {
-		mc := c.machines[id]
+		mc := mr.machines[id]
 		if mc == nil || mc.Up {
 			continue
 		}
-		s := c.ownedShards[mc.rec.Shard]
+		s := mr.shards.ownedShards[mc.rec.Shard]
 		if s == nil || mc.claim != s {
 			mc.Up = true
 		} else {
@@ -102,8 +126,8 @@
 
 // writeLiveMachines lists the machines of a shard that came up since the last time, and
 // drops those that are gone.
-func (c *Controller) writeLiveMachines(s *shard) {
-	if s.liveListWriting || len(s.newlyLive) == 0 || c.now.MonotonicMS < s.nextLiveListWriteAt {
+func (mr *machineRegistry) writeLiveMachines(s *shard) {
+	if s.liveListWriting || len(s.newlyLive) == 0 || mr.now.MonotonicMS < s.nextLiveListWriteAt {
 		return
 	}
 	prefix := liveMachinesPrefix + s.name + "/"
@@ -112,19 +136,19 @@
 	for index := 0; ; index++ {
 		key = fmt.Sprintf("%s%d", prefix, index)
 		machineIDs = machineIDs[:0]
-		for _, id := range c.liveMachines[key] {
-			if c.machines[id] != nil {
+		for _, id := range mr.liveMachines[key] {
+			if mr.machines[id] != nil {
 				machineIDs = append(machineIDs, id)
 			}
 		}
-		if len(machineIDs) < c.maxMachinesPerPage() {
+		if len(machineIDs) < mr.maxMachinesPerPage() {
 			break
 		}
 	}
 	for _, id := range slices.Clone(s.newlyLive) {
-		if mc := c.machines[id]; mc == nil || mc.Up {
+		if mc := mr.machines[id]; mc == nil || mc.Up {
 			s.newlyLive = slices.DeleteFunc(s.newlyLive, func(x string) bool { return x == id })
-		} else if len(machineIDs) < c.maxMachinesPerPage() {
+		} else if len(machineIDs) < mr.maxMachinesPerPage() {
 			machineIDs = append(machineIDs, id)
 		}
 	}
@@ -133,34 +157,34 @@
 	}
 	s.liveListWriting = true
 	// The next ones share a write.
-	s.nextLiveListWriteAt = c.now.MonotonicMS + max(300, secondsToMS(c.params.HeartbeatS)/8)
+	s.nextLiveListWriteAt = mr.now.MonotonicMS + max(300, secondsToMS(mr.params.HeartbeatS)/8)
 	value := mustEncode(liveMachinesRecord{slices.Clone(machineIDs)})
-	c.sendTxn(
+	mr.store.sendTxn(
 		UrgencyUser,
-		[]Precondition{{claimKey(s.name), s.token}, {key, c.keyRevisions[key]}},
+		[]Precondition{{claimKey(s.name), s.token}, {key, mr.cache.keyRevisions[key]}},
 		[]Change{{Key: key, Value: value}},
 		func(result StoreResult) {
 			s.liveListWriting = false
 			if result.Outcome == Unknown || result.Outcome == Conflict {
 				s.liveListWriting = true
-				c.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
+				mr.store.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
 			}
 		},
 	)
 }
 
 // addMachinesToRegistry gives machines an owner, as soon as the store has them.
-func (c *Controller) addMachinesToRegistry(
+func (as *autoscaler) addMachinesToRegistry(
 	ids []string,
 	offering offering,
 	shard, replacementPlan string,
 	provisionedAtMS int64,
 	onWritten func(),
 ) {
-	fleet := &c.fleet
+	fleet := as
 	var newIDs []string
 	for _, id := range ids {
-		if c.machines[id] == nil && !fleet.unrecordedMachines[id] && fleet.releasedAt[id] == 0 {
+		if as.registry.machines[id] == nil && !fleet.unrecordedMachines[id] && fleet.releasedAt[id] == 0 {
 			fleet.unrecordedMachines[id] = true
 			newIDs = append(newIDs, id)
 		}
@@ -169,7 +193,7 @@
 		onWritten()
 		return
 	}
-	for chunk := range slices.Chunk(newIDs, c.maxMachinesPerPage()) {
+	for chunk := range slices.Chunk(newIDs, as.maxMachinesPerPage()) {
 		fleet.lastRegistryPageNumber++
 		onChunkWritten := func() {}
 		if chunk[len(chunk)-1] == newIDs[len(newIDs)-1] {
@@ -192,36 +216,36 @@
 			},
 		)
 	}
-	c.writeRegistry()
+	as.writeRegistry()
 }
 
 // writeRegistry writes what is to be added to and removed from the rosters, one
 // transaction at a time.
-func (c *Controller) writeRegistry() {
-	fleet := &c.fleet
-	if fleet.registryWriting || !c.canActAsLeader() || len(fleet.pendingAdditions)+len(fleet.pendingRemovals) == 0 ||
-		c.now.MonotonicMS < fleet.nextRegistryWriteAt {
+func (as *autoscaler) writeRegistry() {
+	fleet := as
+	if fleet.registryWriting || !as.canActAsLeader() || len(fleet.pendingAdditions)+len(fleet.pendingRemovals) == 0 ||
+		as.now.MonotonicMS < fleet.nextRegistryWriteAt {
 		return
 	}
 	preconditions := []Precondition{{leaderKey, fleet.leaderRev}}
 	var changes []Change
-	for _, addition := range fleet.pendingAdditions[:min(len(fleet.pendingAdditions), c.maxChangesPerBackgroundTxn())] {
+	for _, addition := range fleet.pendingAdditions[:min(len(fleet.pendingAdditions), as.maxChangesPerBackgroundTxn())] {
 		preconditions = append(preconditions, Precondition{addition.key, 0})
 		changes = append(changes, Change{Key: addition.key, Value: mustEncode(addition.rec)})
 	}
 	touchedPages := map[string]bool{}
 	for id := range fleet.pendingRemovals {
-		if mc := c.machines[id]; mc != nil {
+		if mc := as.registry.machines[id]; mc != nil {
 			touchedPages[mc.registryKey] = true
 		} else {
 			delete(fleet.pendingRemovals, id)
 		}
 	}
 	for key := range sortedByKey(touchedPages) {
-		if len(changes) >= c.maxChangesPerBackgroundTxn() {
+		if len(changes) >= as.maxChangesPerBackgroundTxn() {
 			break
 		}
-		r := c.registryPages[key]
+		r := as.registry.registryPages[key]
 		rec := r.rec
 		rec.MachineIDs = slices.DeleteFunc(
 			slices.Clone(rec.MachineIDs),
@@ -239,42 +263,42 @@
 	}
 	fleet.registryWriting = true
 	leaderRevision := fleet.leaderRev
-	c.sendTxn(UrgencyUser, preconditions, changes, func(r StoreResult) {
+	as.store.sendTxn(UrgencyUser, preconditions, changes, func(r StoreResult) {
 		fleet.registryWriting = false
 		if fleet.leaderRev != leaderRevision {
 			return
 		}
 		switch r.Outcome {
 		case OK:
-			c.completeRegistryAdditions()
-			c.writeRegistry()
+			as.completeRegistryAdditions()
+			as.writeRegistry()
 		case Unknown, Conflict:
 			// Each key is read before anything is written again. An addition
 			// that had worked is in the mirror then.
 			fleet.registryWriting = true
 			remaining := len(changes)
 			for _, change := range changes {
-				c.rereadKey(change.Key, func(StoreResult) {
+				as.store.rereadKey(change.Key, func(StoreResult) {
 					if remaining--; remaining == 0 {
 						fleet.registryWriting = false
-						fleet.nextRegistryWriteAt = c.now.MonotonicMS + 300
-						c.completeRegistryAdditions()
+						fleet.nextRegistryWriteAt = as.now.MonotonicMS + 300
+						as.completeRegistryAdditions()
 					}
 				})
 			}
-			c.rereadKey(leaderKey, func(StoreResult) {})
+			as.store.rereadKey(leaderKey, func(StoreResult) {})
 		default:
-			fleet.nextRegistryWriteAt = c.now.MonotonicMS + 500
+			fleet.nextRegistryWriteAt = as.now.MonotonicMS + 500
 		}
 	})
 }
 
 // completeRegistryAdditions drops the additions that the mirror has.
-func (c *Controller) completeRegistryAdditions() {
-	fleet := &c.fleet
+func (as *autoscaler) completeRegistryAdditions() {
+	fleet := as
 	var callbacks []func()
 	fleet.pendingAdditions = slices.DeleteFunc(fleet.pendingAdditions, func(addition *registryAddition) bool {
-		if c.keyRevisions[addition.key] == 0 {
+		if as.cache.keyRevisions[addition.key] == 0 {
 			return false
 		}
 		for _, id := range addition.rec.MachineIDs {
@@ -290,34 +314,34 @@
 
 // canActAsLeader tells whether this member leads the fleet and has seen all that its
 // predecessors wrote: a machine that it took for unknown would get two owners.
-func (c *Controller) canActAsLeader() bool {
-	return c.fleet.leading && c.hasAuthority() && c.mirrorRevision >= c.fleet.leaderRev
+func (as *autoscaler) canActAsLeader() bool {
+	return as.leading && as.store.hasAuthority() && as.cache.mirrorRevision >= as.leaderRev
 }
 
 // markForRelease notes that the lead is to return a machine.
-func (c *Controller) markForRelease(id, reason string) {
-	fleet := &c.fleet
+func (as *autoscaler) markForRelease(id, reason string) {
+	fleet := as
 	if _, ok := fleet.pendingReleases[id]; ok || fleet.releasedAt[id] != 0 {
 		return
 	}
 	fleet.pendingReleases[id] = true
-	c.log(Info, "machine leaves", "machine", id, "why", reason)
+	as.log(Info, "machine leaves", "machine", id, "why", reason)
 }
 
 // releaseMachines returns the machines that their owners gave up, as their
 // messages say, and those that the lead itself found gone or never up. By the
 // time of the answer they are gone with everything on them, which their removal
 // from the rosters tells the owners.
-func (c *Controller) releaseMachines() {
-	fleet := &c.fleet
-	c.forEachFreshMessage(func(from string, msg *PeerMessage) {
+func (as *autoscaler) releaseMachines() {
+	fleet := as
+	as.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
 		for i := range msg.OwnedShards {
 			peerShard := &msg.OwnedShards[i]
-			if c.shardClaims[peerShard.Shard].Owner != from {
+			if as.cache.shardClaims[peerShard.Shard].Owner != from {
 				continue
 			}
 			for _, id := range peerShard.MachinesToRelease {
-				if mc := c.machines[id]; mc != nil && mc.rec.Shard == peerShard.Shard && fleet.releasedAt[id] == 0 {
+				if mc := as.registry.machines[id]; mc != nil && mc.rec.Shard == peerShard.Shard && fleet.releasedAt[id] == 0 {
 					fleet.pendingReleases[id] = true
 				}
 			}
@@ -333,44 +357,44 @@
 	sort.Strings(ids)
 	ids = ids[:min(len(ids), 100)]
 	fleet.releasePending = true
-	c.sendCloud(CloudOp{Kind: CloudRelease, Machines: ids}, func(r CloudResult) {
+	as.sendCloud(CloudOp{Kind: CloudRelease, Machines: ids}, func(r CloudResult) {
 		fleet.releasePending = false
-		fleet.nextReleaseAt = c.now.MonotonicMS + 500
+		fleet.nextReleaseAt = as.now.MonotonicMS + 500
 		if r.Outcome != OK {
-			fleet.nextReleaseAt = c.now.MonotonicMS + 1000
+			fleet.nextReleaseAt = as.now.MonotonicMS + 1000
 			return
 		}
-		c.Counters.Released += uint64(len(ids))
+		as.Counters.Released += uint64(len(ids))
 		for _, id := range ids {
 			delete(fleet.pendingReleases, id)
-			fleet.releasedAt[id] = c.now.MonotonicMS
+			fleet.releasedAt[id] = as.now.MonotonicMS
 			fleet.pendingRemovals[id] = true
 		}
-		c.log(Info, "machines returned", "count", len(ids), "machines", ids)
-		c.writeRegistry()
+		as.log(Info, "machines returned", "count", len(ids), "machines", ids)
+		as.writeRegistry()
 	})
 }
 
 // registerUnknownMachine takes in a machine that no roster names: one that was there before
 // us, or a rental that was executed late. Only the lead writes rosters, so
 // other members send the worker there.
-func (c *Controller) registerUnknownMachine(replyID uint64, heartbeat Heartbeat) {
-	fleet := &c.fleet
+func (am *agentManager) registerUnknownMachine(replyID uint64, heartbeat Heartbeat) {
+	fleet := am.scaler
 	if !fleet.leading {
 		response := HeartbeatResponse{}
-		if c.leader != c.params.MemberID {
-			response.RedirectTo = c.leader
+		if am.cache.leader != am.params.MemberID {
+			response.RedirectTo = am.cache.leader
 		}
-		c.respondWorker(replyID, response)
+		am.respondWorker(replyID, response)
 		return
 	}
-	if !c.canActAsLeader() || c.machineTypes[heartbeat.Type] == nil || fleet.releasedAt[heartbeat.Machine] != 0 {
-		c.respondWorker(replyID, HeartbeatResponse{})
+	if !am.scaler.canActAsLeader() || am.cache.machineTypes[heartbeat.Type] == nil || fleet.releasedAt[heartbeat.Machine] != 0 {
+		am.respondWorker(replyID, HeartbeatResponse{})
 		return
 	}
-	c.parkedHeartbeats[heartbeat.Machine] = append(
-		c.parkedHeartbeats[heartbeat.Machine],
-		parkedHeartbeat{replyID, heartbeat, c.now.MonotonicMS},
+	am.parkedHeartbeats[heartbeat.Machine] = append(
+		am.parkedHeartbeats[heartbeat.Machine],
+		parkedHeartbeat{replyID, heartbeat, am.now.MonotonicMS},
 	)
 	if !fleet.unrecordedMachines[heartbeat.Machine] {
 		fleet.unrecordedMachines[heartbeat.Machine] = true
@@ -380,34 +404,34 @@
 
 // assignFoundMachines gives the machines that were found since the last time to the
 // shards that have least. Those of a kind and a shard share a roster.
-func (c *Controller) assignFoundMachines() {
-	fleet := &c.fleet
-	if len(fleet.unknownMachines) == 0 || c.now.MonotonicMS < fleet.nextFound {
+func (as *autoscaler) assignFoundMachines() {
+	fleet := as
+	if len(fleet.unknownMachines) == 0 || as.now.MonotonicMS < fleet.nextFound {
 		return
 	}
-	fleet.nextFound = c.now.MonotonicMS + 300
+	fleet.nextFound = as.now.MonotonicMS + 300
 	type assignment struct {
 		offering offering
 		shard    string
 	}
-	loads := c.shardLoads()
+	loads := as.shardLoads()
 	machineIDs := map[assignment][]string{}
 	var targets []assignment
 	for _, heartbeat := range fleet.unknownMachines {
 		delete(fleet.unrecordedMachines, heartbeat.Machine)
 		target := assignment{
 			offering{heartbeat.Type, heartbeat.Zone, heartbeat.Spot},
-			c.assignToLeastLoaded(loads, heartbeat.Type),
+			as.assignToLeastLoaded(loads, heartbeat.Type),
 		}
 		if len(machineIDs[target]) == 0 {
 			targets = append(targets, target)
 		}
 		machineIDs[target] = append(machineIDs[target], heartbeat.Machine)
 	}
-	c.log(Info, "machines found", "count", len(fleet.unknownMachines))
+	as.log(Info, "machines found", "count", len(fleet.unknownMachines))
 	fleet.unknownMachines = nil
 	for _, target := range targets {
-		c.addMachinesToRegistry(machineIDs[target], target.offering, target.shard, "", c.now.WallMS, func() {})
+		as.addMachinesToRegistry(machineIDs[target], target.offering, target.shard, "", as.now.WallMS, func() {})
 	}
 }
 
@@ -417,24 +441,24 @@
 	machinesByType map[string]int
 }
 
-func (c *Controller) shardLoads() map[string]*shardLoad {
+func (as *autoscaler) shardLoads() map[string]*shardLoad {
 	loads := map[string]*shardLoad{}
-	for _, shardName := range c.memberIDs() {
-		if _, claimed := c.shardClaims[shardName]; claimed || len(c.shardClaims) == 0 {
+	for _, shardName := range as.memberIDs() {
+		if _, claimed := as.cache.shardClaims[shardName]; claimed || len(as.cache.shardClaims) == 0 {
 			loads[shardName] = &shardLoad{machinesByType: map[string]int{}}
 		}
 	}
 	if len(loads) == 0 {
-		loads[c.params.MemberID] = &shardLoad{machinesByType: map[string]int{}}
+		loads[as.params.MemberID] = &shardLoad{machinesByType: map[string]int{}}
 	}
-	for _, mc := range c.machines {
+	for _, mc := range as.registry.machines {
 		if load := loads[mc.rec.Shard]; load != nil {
 			load.machinesByType[mc.rec.Type]++
 		}
 	}
 	for _, load := range loads {
 		for typ, shardName := range sortedByKey(load.machinesByType) { // the same sum every time
-			load.cpus += float64(shardName) * resourcesOf(c.machineTypes[typ]).CPUs
+			load.cpus += float64(shardName) * resourcesOf(as.cache.machineTypes[typ]).CPUs
 		}
 	}
 	return loads
@@ -442,7 +466,7 @@
 
 // assignToLeastLoaded is the shard with the least processors, then the least machines of a
 // type; it is taken to get one.
-func (c *Controller) assignToLeastLoaded(loads map[string]*shardLoad, machineType string) string {
+func (as *autoscaler) assignToLeastLoaded(loads map[string]*shardLoad, machineType string) string {
 	leastLoaded := ""
 	for shardName, load := range sortedByKey(loads) {
 		if leastLoaded == "" || load.cpus < loads[leastLoaded].cpus ||
@@ -451,43 +475,43 @@
 			leastLoaded = shardName
 		}
 	}
-	loads[leastLoaded].cpus += resourcesOf(c.machineTypes[machineType]).CPUs
+	loads[leastLoaded].cpus += resourcesOf(as.cache.machineTypes[machineType]).CPUs
 	loads[leastLoaded].machinesByType[machineType]++
 	return leastLoaded
 }
 
 // processParkedHeartbeats answers the reports of a machine that has an owner now.
-func (c *Controller) processParkedHeartbeats(id string) {
-	parkedForMachine := c.parkedHeartbeats[id]
-	delete(c.parkedHeartbeats, id)
+func (am *agentManager) processParkedHeartbeats(id string) {
+	parkedForMachine := am.parkedHeartbeats[id]
+	delete(am.parkedHeartbeats, id)
 	for _, parked := range parkedForMachine {
-		c.processHeartbeat(parked.replyID, parked.heartbeat)
+		am.processHeartbeat(parked.replyID, parked.heartbeat)
 	}
 }
 
 // applyMachineRecord brings the mirror of rosters and lists up to a change.
-func (c *Controller) applyMachineRecord(kv KeyValue) error {
+func (mr *machineRegistry) applyMachineRecord(kv KeyValue) error {
 	switch {
 	case strings.HasPrefix(kv.Key, registryPrefix):
 		if kv.Value == nil {
-			c.applyRegistryPage(kv.Key, nil, kv.Rev)
+			mr.applyRegistryPage(kv.Key, nil, kv.Rev)
 			return nil
 		}
 		var rec registryRecord
 		if err := json.Unmarshal(kv.Value, &rec); err != nil {
 			return err
 		}
-		c.applyRegistryPage(kv.Key, &rec, kv.Rev)
+		mr.applyRegistryPage(kv.Key, &rec, kv.Rev)
 	case strings.HasPrefix(kv.Key, liveMachinesPrefix):
 		if kv.Value == nil {
-			c.applyLiveMachines(kv.Key, nil)
+			mr.applyLiveMachines(kv.Key, nil)
 			return nil
 		}
 		var rec liveMachinesRecord
 		if err := json.Unmarshal(kv.Value, &rec); err != nil {
 			return err
 		}
-		c.applyLiveMachines(kv.Key, &rec)
+		mr.applyLiveMachines(kv.Key, &rec)
 	}
 	return nil
 }
--- a/scheduler/peer_messages.go
+++ b/scheduler/peer_messages.go
@@ -8,26 +8,50 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-func (c *Controller) sendPeerMessage() {
-	if !c.storeAccess.IsSynced() || c.now.MonotonicMS < c.nextPeerMessageAtMS {
+// peerTable owns what the members last told each other, by message or by status
+// record, and decides which tasks go to which peer's shards.
+type peerTable struct {
+	*environment
+	cache    *stateCache
+	placer   *placementPlanner
+	quotas   *quotaManager
+	requests *requestHandler
+	shards   *shardManager
+	store    *storeClient
+
+	peers                    map[string]*peerState // by member ID, this one among them
+	statusRecords            map[string]*peerState // of members that the leader may not receive messages from
+	writingStatusRecord      bool
+	lastStatusRecordNonEmpty bool
+	nextStatusRecordAtMS     int64
+	nextPeerMessageAtMS      int64
+	summaryTurn              int // which peers get the summaries next
+}
+
+func newPeerTable(env *environment) *peerTable {
+	return &peerTable{environment: env, peers: map[string]*peerState{}, statusRecords: map[string]*peerState{}}
+}
+
+func (pt *peerTable) sendPeerMessage() {
+	if !pt.store.storeAccess.IsSynced() || pt.now.MonotonicMS < pt.nextPeerMessageAtMS {
 		return
 	}
-	c.nextPeerMessageAtMS = c.now.MonotonicMS + secondsToMS(c.settings.SummaryS)
+	pt.nextPeerMessageAtMS = pt.now.MonotonicMS + secondsToMS(pt.cache.settings.SummaryS)
 	msg := PeerMessage{
-		From:          c.params.MemberID,
-		WallMS:        c.now.WallMS,
-		ServesUsers:   c.canServeUsers(),
-		RolloutCounts: c.rolloutCounts,
-		TeamUsage:     c.usageSnapshot(),
-	}
-	if c.hasAuthority() {
-		for _, s := range sortedByKey(c.ownedShards) {
+		From:          pt.params.MemberID,
+		WallMS:        pt.now.WallMS,
+		ServesUsers:   pt.requests.canServeUsers(),
+		RolloutCounts: pt.rolloutCounts,
+		TeamUsage:     pt.quotas.usageSnapshot(),
+	}
+	if pt.store.hasAuthority() {
+		for _, s := range sortedByKey(pt.shards.ownedShards) {
 			if s.ready && !s.releasing {
-				c.moveUnplaceableTasks(s)
+				pt.moveUnplaceableTasks(s)
 				peerShard := PeerShard{
 					Shard:             s.name,
-					Summary:           c.availabilitySummary(s),
-					TaskCounts:        c.taskCounts(s),
+					Summary:           pt.placer.availabilitySummary(s),
+					TaskCounts:        pt.shards.taskCounts(s),
 					DisruptionDemands: s.disruption.demands,
 				}
 				peerShard.Demands = append(append(peerShard.Demands, s.demand...), s.forecastDemand...)
@@ -37,18 +61,18 @@
 					}
 				}
 				msg.OwnedShards = append(msg.OwnedShards, peerShard)
-				if c.params.Debug {
-					c.logShardLoad(s)
+				if pt.params.Debug {
+					pt.logShardLoad(s)
 				}
 			}
 		}
 	}
-	if owner := c.shardClaims[c.params.MemberID].Owner; owner != c.params.MemberID && c.storeAccess.LeaseID() != 0 {
+	if owner := pt.cache.shardClaims[pt.params.MemberID].Owner; owner != pt.params.MemberID && pt.store.storeAccess.LeaseID() != 0 {
 		msg.ShardRequestedFrom = owner
 	}
-	c.publishStatusRecord(&msg)
-	c.outputs.PeerMessage, c.outputs.SummaryRecipients = &msg, c.summaryRecipients()
-	c.peers[c.params.MemberID] = &peerState{receivedAtMS: c.now.MonotonicMS, sentWallMS: c.now.WallMS, message: msg}
+	pt.publishStatusRecord(&msg)
+	pt.outputs.PeerMessage, pt.outputs.SummaryRecipients = &msg, pt.summaryRecipients()
+	pt.peers[pt.params.MemberID] = &peerState{receivedAtMS: pt.now.MonotonicMS, sentWallMS: pt.now.WallMS, message: msg}
 }
 
 // maxSummaryRecipients is how many peers get a member's summaries with each message, by far its
@@ -57,15 +81,15 @@
 const maxSummaryRecipients = 16
 
 // summaryRecipients is which peers get the summaries this time; nil: all.
-func (c *Controller) summaryRecipients() []string {
-	turns := (len(c.params.PeerIDs) + maxSummaryRecipients - 1) / maxSummaryRecipients
+func (pt *peerTable) summaryRecipients() []string {
+	turns := (len(pt.params.PeerIDs) + maxSummaryRecipients - 1) / maxSummaryRecipients
 	if turns <= 1 {
 		return nil
 	}
-	c.summaryTurn++
+	pt.summaryTurn++
 	var recipients []string
-	for i, memberID := range c.memberIDs() {
-		if memberID != c.params.MemberID && (i+c.summaryTurn)%turns == 0 {
+	for i, memberID := range pt.memberIDs() {
+		if memberID != pt.params.MemberID && (i+pt.summaryTurn)%turns == 0 {
 			recipients = append(recipients, memberID)
 		}
 	}
@@ -89,32 +113,32 @@
 // HandlePeerMessage takes a peer's message.
 func (c *Controller) HandlePeerMessage(now Now, msg PeerMessage) {
 	c.now = now
-	if last := c.peers[msg.From]; last != nil && last.sentWallMS > msg.WallMS {
+	if last := c.peers.peers[msg.From]; last != nil && last.sentWallMS > msg.WallMS {
 		return // overtaken by a newer one
 	}
 	if msg.OmitsSummaries {
-		copyLastSummaries(&msg, c.peers[msg.From])
+		copyLastSummaries(&msg, c.peers.peers[msg.From])
 	}
-	c.peers[msg.From] = &peerState{receivedAtMS: now.MonotonicMS, sentWallMS: msg.WallMS, message: msg}
-	c.usageMonitor.Receive(now.MonotonicMS, msg.From, msg.TeamUsage)
+	c.peers.peers[msg.From] = &peerState{receivedAtMS: now.MonotonicMS, sentWallMS: msg.WallMS, message: msg}
+	c.quotas.usageMonitor.Receive(now.MonotonicMS, msg.From, msg.TeamUsage)
 	if msg.ShardRequestedFrom == c.params.MemberID {
-		if s := c.ownedShards[msg.From]; s != nil && s.name != c.params.MemberID {
-			c.releaseShard(s)
+		if s := c.shards.ownedShards[msg.From]; s != nil && s.name != c.params.MemberID {
+			c.shards.releaseShard(s)
 		}
 	}
 }
 
 // isFresh is how long a peer's summary may guide a decision.
-func (c *Controller) isFresh(peer *peerState) bool {
-	return peer != nil && c.now.MonotonicMS-peer.receivedAtMS < c.maxMessageAgeMS()
+func (pt *peerTable) isFresh(peer *peerState) bool {
+	return peer != nil && pt.now.MonotonicMS-peer.receivedAtMS < pt.cache.maxMessageAgeMS()
 }
 
-func (c *Controller) maxMessageAgeMS() int64 { return 4 * secondsToMS(c.settings.SummaryS) }
+func (cache *stateCache) maxMessageAgeMS() int64 { return 4 * secondsToMS(cache.settings.SummaryS) }
 
 // peerTaskCapacity is how many tasks of a job a peer's shard says that it can end by
 // deadline, the least leftover first being the peer's own business. What is
 // taken is used up until the peer speaks again.
-func (c *Controller) peerTaskCapacity(
+func (pt *peerTable) peerTaskCapacity(
 	peerShard *PeerShard,
 	j *Job,
 	runtimeMS, deadline int64,
@@ -133,10 +157,10 @@
 			continue
 		}
 		offering := planner.ParseInstanceOffering(function.Kind)
-		if !c.placementCatalog.IsAllowed(&resourceRequest, offering) {
+		if !pt.cache.placementCatalog.IsAllowed(&resourceRequest, offering) {
 			continue
 		}
-		taskRuntimeMS := runtimeMS + c.placementCatalog.FetchMS(&resourceRequest, offering.Type)
+		taskRuntimeMS := runtimeMS + pt.cache.placementCatalog.FetchMS(&resourceRequest, offering.Type)
 		fitting := function.TaskCapacity(resources, deadline, taskRuntimeMS, limit-tasks)
 		if reserve && fitting > 0 {
 			tasksPerQueue := max(
@@ -159,12 +183,12 @@
 
 // immediateDeadline is by when a task must end that a peer is asked to start at once: its
 // length and a share more, since summaries are a moment old.
-func (c *Controller) immediateDeadline(j *Job, runtimeMS int64) int64 {
+func (cache *stateCache) immediateDeadline(j *Job, runtimeMS int64) int64 {
 	fetchMS := int64(0)
-	for typeName := range c.machineTypes {
-		fetchMS = max(fetchMS, c.imageFetchMS(j, typeName))
+	for typeName := range cache.machineTypes {
+		fetchMS = max(fetchMS, cache.imageFetchMS(j, typeName))
 	}
-	return c.now.WallMS + fetchMS + runtimeMS + min(runtimeMS/4, secondsToMS(c.params.HeartbeatS))
+	return cache.now.WallMS + fetchMS + runtimeMS + min(runtimeMS/4, secondsToMS(cache.params.HeartbeatS))
 }
 
 // peerCapacity is room that a peer's shard has for a job.
@@ -177,19 +201,19 @@
 // with least first. All members see the same room and none hands back what it
 // got, so each takes its part only: when four took all of it at once, the peer
 // that had been idle was left with the longest queue.
-func (c *Controller) peerCapacities(j *Job, runtimeMS, deadline int64, limit int) []peerCapacity {
+func (pt *peerTable) peerCapacities(j *Job, runtimeMS, deadline int64, limit int) []peerCapacity {
 	var capacities []peerCapacity
-	for memberID, peer := range sortedByKey(c.peers) {
-		if memberID == c.params.MemberID || !c.isFresh(peer) {
+	for memberID, peer := range sortedByKey(pt.peers) {
+		if memberID == pt.params.MemberID || !pt.isFresh(peer) {
 			continue
 		}
 		for i := range peer.message.OwnedShards {
 			peerShard := &peer.message.OwnedShards[i]
-			if c.shardClaims[peerShard.Shard].Owner != memberID {
+			if pt.cache.shardClaims[peerShard.Shard].Owner != memberID {
 				continue
 			}
-			tasks := c.peerTaskCapacity(peerShard, j, runtimeMS, deadline, limit*len(c.params.PeerIDs), false)
-			if tasks = (tasks + len(c.params.PeerIDs) - 1) / len(c.params.PeerIDs); tasks > 0 {
+			tasks := pt.peerTaskCapacity(peerShard, j, runtimeMS, deadline, limit*len(pt.params.PeerIDs), false)
+			if tasks = (tasks + len(pt.params.PeerIDs) - 1) / len(pt.params.PeerIDs); tasks > 0 {
 				capacities = append(capacities, peerCapacity{peerShard, tasks})
 			}
 		}
@@ -198,44 +222,44 @@
 	return capacities
 }
 
-func (c *Controller) imageFetchMS(j *Job, typ string) int64 {
+func (cache *stateCache) imageFetchMS(j *Job, typ string) int64 {
 	request := j.resourceRequest()
-	return c.placementCatalog.FetchMS(&request, typ)
+	return cache.placementCatalog.FetchMS(&request, typ)
 }
 
 // maxRangeTasks bounds the tasks of one range, so that its progress fits half a
 // value: a bitmap in base64 takes a sixth of a byte a task.
-func (c *Controller) maxRangeTasks() int { return max(64, c.params.MaxValueBytes/2*6) }
+func (env *environment) maxRangeTasks() int { return max(64, env.params.MaxValueBytes/2*6) }
 
 // maxJobRanges bounds the ranges of a job's record, a record of some fifty
 // bytes each in a quarter of a value.
-func (c *Controller) maxJobRanges() int { return max(8, c.params.MaxValueBytes/4/50) }
+func (env *environment) maxJobRanges() int { return max(8, env.params.MaxValueBytes/4/50) }
 
 // homeShard is the shard that holds what is left of a new job.
-func (c *Controller) homeShard(j *Job) string {
-	homeShard, limited := c.homeShards[j.Team]
-	if !limited || c.keepsJobFromHome(homeShard, j) {
-		return c.params.MemberID
+func (qm *quotaManager) homeShard(j *Job) string {
+	homeShard, limited := qm.homeShards[j.Team]
+	if !limited || qm.keepsJobFromHome(homeShard, j) {
+		return qm.params.MemberID
 	}
 	return homeShard
 }
 
 // keepsJobFromHome tells whether a job stays here though its team has another home: whoever
 // holds that is not heard, and the part that stands here takes a task.
-func (c *Controller) keepsJobFromHome(homeShard string, j *Job) bool {
-	owner := c.shardClaims[homeShard].Owner
-	s := c.ownedShards[c.params.MemberID]
-	return c.params.Quota && s != nil && owner != c.params.MemberID && (owner == "" || !c.isFresh(c.peers[owner])) &&
-		c.quotaLedgers[j.Team].Allocation(s.name).Contains(amountsOf(j.Request))
+func (qm *quotaManager) keepsJobFromHome(homeShard string, j *Job) bool {
+	owner := qm.cache.shardClaims[homeShard].Owner
+	s := qm.shards.ownedShards[qm.params.MemberID]
+	return qm.params.Quota && s != nil && owner != qm.params.MemberID && (owner == "" || !qm.peers.isFresh(qm.peers.peers[owner])) &&
+		qm.quotaLedgers[j.Team].Allocation(s.name).Contains(amountsOf(j.Request))
 }
 
 // assignRanges decides where the tasks of a new job go: own machines before peers'.
 // Room that is free now goes before a place in a queue, here or there: a task
 // that waits while a peer's machine is idle only risks its deadline. What
 // neither can end in time is held by this member.
-func (c *Controller) assignRanges(j *Job) []Range {
-	ownShard := c.params.MemberID
-	homeShard, limited := c.homeShard(j), c.homeShards[j.Team] != ""
+func (pt *peerTable) assignRanges(j *Job) []Range {
+	ownShard := pt.params.MemberID
+	homeShard, limited := pt.quotas.homeShard(j), pt.quotas.homeShards[j.Team] != ""
 	remaining := j.Tasks
 	type shardShare struct {
 		shard string
@@ -244,15 +268,15 @@
 	var shares []shardShare
 	unassigned := remaining
 	var search *planner.CandidateSearch
-	provisional := &job{rec: jobRecord{Job: *j, AcceptedAtMS: c.now.WallMS}}
+	provisional := &job{rec: jobRecord{Job: *j, AcceptedAtMS: pt.now.WallMS}}
 	provisionalRange := &taskRange{job: provisional, bounds: Range{0, j.Tasks, ownShard, false}, shardName: ownShard}
-	group := c.newTaskGroup(provisionalRange, 0)
+	group := pt.placer.newTaskGroup(provisionalRange, 0)
 	runtimeMS, deadline := group.LengthMS, group.ObjectiveDeadlineMS
-	s := c.ownedShards[ownShard]
-	if s != nil && s.ready && c.hasAuthority() && homeShard == ownShard {
+	s := pt.shards.ownedShards[ownShard]
+	if s != nil && s.ready && pt.store.hasAuthority() && homeShard == ownShard {
 		// The last plan is asked, and keeps what it promises here until the
 		// next one: a burst of submissions must not cost a plan each.
-		group.Remaining = min(remaining, c.tasksWithinTeamLimit(s, j, availability.Resources{}))
+		group.Remaining = min(remaining, pt.quotas.tasksWithinTeamLimit(s, j, availability.Resources{}))
 		search = s.clusterView.StartSearch(&group.Group)
 	}
 	placeHere := func(mode planner.QueueMode) {
@@ -266,8 +290,8 @@
 		if unassigned <= 0 || limited || j.requiresOneShard() {
 			return
 		}
-		for _, capacity := range c.peerCapacities(j, runtimeMS, deadline, unassigned) {
-			if tasks := c.peerTaskCapacity(capacity.peerShard, j, runtimeMS, deadline, min(capacity.tasks, unassigned), true); tasks > 0 {
+		for _, capacity := range pt.peerCapacities(j, runtimeMS, deadline, unassigned) {
+			if tasks := pt.peerTaskCapacity(capacity.peerShard, j, runtimeMS, deadline, min(capacity.tasks, unassigned), true); tasks > 0 {
 				shares = append(shares, shardShare{capacity.peerShard.Shard, tasks})
 				unassigned -= tasks
 			}
@@ -277,7 +301,7 @@
 		}
 	}
 	placeHere(planner.NewSlotsInTime)
-	placeAtPeers(min(deadline, c.immediateDeadline(j, runtimeMS)))
+	placeAtPeers(min(deadline, pt.cache.immediateDeadline(j, runtimeMS)))
 	placeHere(planner.ExistingQueues)
 	placeAtPeers(deadline)
 	for _, share := range shares {
@@ -288,7 +312,7 @@
 	lo := 0
 	for _, share := range shares {
 		for share.tasks > 0 {
-			tasks := min(share.tasks, c.maxRangeTasks())
+			tasks := min(share.tasks, pt.maxRangeTasks())
 			ranges = append(ranges, Range{lo, lo + tasks, share.shard, share.shard != homeShard})
 			lo += tasks
 			share.tasks -= tasks
@@ -302,13 +326,13 @@
 // stays, and so does a job whose tasks begin once and may have begun: after a
 // claim some of them may be lost, which only the range that had them knows.
 // Moved before all machines had spoken, a lost task began again at the peer.
-func (c *Controller) moveUnplaceableTasks(s *shard) {
+func (pt *peerTable) moveUnplaceableTasks(s *shard) {
 	movable := func(tr *taskRange) bool {
 		j := tr.job
-		return c.jobs[j.rec.Job.ID] == j && !j.recordWritePending && !j.rec.Job.requiresOneShard() && len(j.rec.Ranges) < c.maxJobRanges() &&
+		return pt.cache.jobs[j.rec.Job.ID] == j && !j.recordWritePending && !j.rec.Job.requiresOneShard() && len(j.rec.Ranges) < pt.maxJobRanges() &&
 			!(j.rec.Job.AtMostOnce && j.rec.MayHaveBegun) && !tr.bounds.MovedFromPeer && !tr.moving &&
 			!tr.writing &&
-			c.fitsTeamAllocation(s, j.rec.Job.Team)
+			pt.quotas.fitsTeamAllocation(s, j.rec.Job.Team)
 	}
 	for _, group := range s.queue {
 		// What waits in a queue here may start at once there, but for what others are
@@ -317,17 +341,17 @@
 			continue
 		}
 		if waiting := group.Waiting - s.reservedTasks[group.taskRange]; waiting > 0 && movable(group.taskRange) {
-			c.moveTasksToPeer(s, group.taskRange, waiting, group.LengthMS, c.immediateDeadline(group.job, group.LengthMS))
+			pt.moveTasksToPeer(s, group.taskRange, waiting, group.LengthMS, pt.cache.immediateDeadline(group.job, group.LengthMS))
 		}
 	}
 	for _, demand := range s.demand {
-		j := c.jobs[demand.Job]
+		j := pt.cache.jobs[demand.Job]
 		if demand.SpotOnly || j == nil {
 			continue
 		}
 		for _, tr := range sortedByKey(j.taskRanges) {
 			if tr.shardName == s.name && movable(tr) {
-				c.moveTasksToPeer(s, tr, demand.Tasks, demand.TaskRuntimeMS, demand.DeadlineMS)
+				pt.moveTasksToPeer(s, tr, demand.Tasks, demand.TaskRuntimeMS, demand.DeadlineMS)
 				break
 			}
 		}
@@ -345,7 +369,7 @@
 	return account != nil && account.IsReserved(taskName(tr.job.rec.Job.ID, tr.bounds.Lo+index))
 }
 
-func (c *Controller) moveTasksToPeer(s *shard, tr *taskRange, maxTasks int, runtimeMS, deadline int64) {
+func (pt *peerTable) moveTasksToPeer(s *shard, tr *taskRange, maxTasks int, runtimeMS, deadline int64) {
 	movable := 0
 	for index := tr.size() - 1; index >= 0 && movable < maxTasks && !tr.done.has(index) && !tr.assigned.has(index) && !s.isAwaitingRestart(tr, index); index-- {
 		movable++
@@ -355,7 +379,7 @@
 	}
 	j := tr.job
 	var best peerCapacity
-	for _, capacity := range c.peerCapacities(&j.rec.Job, runtimeMS, deadline, movable) {
+	for _, capacity := range pt.peerCapacities(&j.rec.Job, runtimeMS, deadline, movable) {
 		if capacity.tasks > best.tasks {
 			best = capacity
 		}
@@ -363,7 +387,7 @@
 	if best.tasks == 0 || best.tasks < movable/minMoveDivisor {
 		return
 	}
-	tasks := c.peerTaskCapacity(best.peerShard, &j.rec.Job, runtimeMS, deadline, min(best.tasks, movable), true)
+	tasks := pt.peerTaskCapacity(best.peerShard, &j.rec.Job, runtimeMS, deadline, min(best.tasks, movable), true)
 	targetShard := best.peerShard.Shard
 	rec := j.rec
 	rec.Ranges = nil
@@ -377,15 +401,15 @@
 		}
 		rec.Ranges = append(rec.Ranges, Range{bounds.Hi - tasks, bounds.Hi, targetShard, true})
 	}
-	c.log(Debug, "tasks moved", "job", j.rec.Job.ID, "tasks", tasks, "to", targetShard)
-	c.writeMove(s, tr, j, rec, j.rev)
+	pt.log(Debug, "tasks moved", "job", j.rec.Job.ID, "tasks", tasks, "to", targetShard)
+	pt.writeMove(s, tr, j, rec, j.rev)
 }
 
 // writeMove writes the move until its outcome is certain. While it is not, none
 // of the range starts here: the tail may be the peer's already. A further try that
 // was refused, or a conflict that could not be read back, once counted as the end
 // of it; the first try was carried out after that, and the tail ran in both places.
-func (c *Controller) writeMove(s *shard, tr *taskRange, j *job, rec jobRecord, jobRevision uint64) {
+func (pt *peerTable) writeMove(s *shard, tr *taskRange, j *job, rec jobRecord, jobRevision uint64) {
 	id := j.rec.Job.ID
 	key := jobKey(id)
 	tr.moving, j.recordWritePending = true, true
@@ -395,16 +419,16 @@
 		tr.moving, j.recordWritePending = false, false
 		s.dirty = true
 	}
-	c.sendUntilSettled(key, inDoubtWrite{
-		isClaimValid: func() bool { return c.jobs[id] == j && c.ownedShards[s.name] == s },
+	pt.store.sendUntilSettled(key, inDoubtWrite{
+		isClaimValid: func() bool { return pt.cache.jobs[id] == j && pt.shards.ownedShards[s.name] == s },
 		send: func(onResult func(StoreResult)) {
-			c.sendTxn(
+			pt.store.sendTxn(
 				UrgencyUser,
 				[]Precondition{{claimKey(s.name), s.token}, {key, jobRevision}},
 				changes,
 				func(result StoreResult) {
 					if result.Outcome == OK {
-						c.Counters.MovedTasks++
+						pt.Counters.MovedTasks++
 					}
 					onResult(result)
 				},
@@ -424,13 +448,13 @@
 
 // logShardLoad tells, for those who read debug logs, how full a shard's machines
 // are.
-func (c *Controller) logShardLoad(s *shard) {
+func (pt *peerTable) logShardLoad(s *shard) {
 	var spot, onDemand, booting, running, fetching float64
 	for _, mc := range s.machines {
 		if mc.releasing {
 			continue
 		}
-		cpus := resourcesOf(c.machineTypes[mc.rec.Type]).CPUs
+		cpus := resourcesOf(pt.cache.machineTypes[mc.rec.Type]).CPUs
 		switch {
 		case !mc.Up:
 			booting += cpus
@@ -448,10 +472,10 @@
 		}
 	}
 	waiting := 0.0
-	for _, group := range c.waitingTaskGroups(s) {
+	for _, group := range pt.placer.waitingTaskGroups(s) {
 		waiting += float64(group.Remaining) * group.job.Request.CPUs
 	}
-	c.log(
+	pt.log(
 		Debug,
 		"load",
 		"shard",
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -10,6 +10,22 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
+// placementPlanner plans the waiting tasks of a shard on its machines (package
+// planner), and decides which of them are preempted for which.
+type placementPlanner struct {
+	*environment
+	agents    *agentManager
+	cache     *stateCache
+	estimates *runtimeEstimator
+	quotas    *quotaManager
+
+	meanJobVolumes meanJobVolumes
+}
+
+func newPlacementPlanner(env *environment) *placementPlanner {
+	return &placementPlanner{environment: env}
+}
+
 // noDeadlineSpanLeases is the horizon of a job without any aim, in leases: far enough that
 // any job with a deadline goes first.
 const noDeadlineSpanLeases = 100
@@ -18,23 +34,23 @@
 // must end to have started as their class's aims ask; due is the earliest time
 // that still counts for something and can still be met. lost says that none can:
 // due is then the last one, and the job aims late.
-func (c *Controller) taskDeadlines(j *Job, accepted, runtimeMS int64) (startObjectiveEnd, deadline int64, missed bool) {
-	far := accepted + noDeadlineSpanLeases*secondsToMS(c.params.LeaseS)
+func (pp *placementPlanner) taskDeadlines(j *Job, accepted, runtimeMS int64) (startObjectiveEnd, deadline int64, missed bool) {
+	far := accepted + noDeadlineSpanLeases*secondsToMS(pp.params.LeaseS)
 	startBy := far
-	for _, o := range c.params.Objectives[j.Class] {
+	for _, o := range pp.params.Objectives[j.Class] {
 		if o.Kind == "wait" {
 			startBy = min(startBy, accepted+secondsToMS(o.WithinS))
 		}
 	}
-	if t := c.params.Teams[j.Team]; c.params.GuaranteeWithinS > 0 && (t.CPUs > 0 || t.GPUs > 0) {
-		startBy = min(startBy, accepted+secondsToMS(c.params.GuaranteeWithinS))
+	if t := pp.params.Teams[j.Team]; pp.params.GuaranteeWithinS > 0 && (t.CPUs > 0 || t.GPUs > 0) {
+		startBy = min(startBy, accepted+secondsToMS(pp.params.GuaranteeWithinS))
 	}
 	deadline = far
-	if deadlines := c.objectiveDeadlines(j, accepted); len(deadlines) > 0 {
+	if deadlines := pp.objectiveDeadlines(j, accepted); len(deadlines) > 0 {
 		missed = true
 		deadline = deadlines[len(deadlines)-1]
 		for _, t := range deadlines {
-			if c.now.WallMS+runtimeMS <= t {
+			if pp.now.WallMS+runtimeMS <= t {
 				deadline, missed = t, false
 				break
 			}
@@ -44,12 +60,12 @@
 }
 
 // objectiveDeadlines are the times by which it counts that a job is done, in order.
-func (c *Controller) objectiveDeadlines(j *Job, accepted int64) []int64 {
+func (env *environment) objectiveDeadlines(j *Job, accepted int64) []int64 {
 	var deadlines []int64
 	if j.DeadlineS > 0 {
 		deadlines = append(deadlines, accepted+secondsToMS(j.DeadlineS))
 	}
-	for _, o := range c.params.Objectives[j.Class] {
+	for _, o := range env.params.Objectives[j.Class] {
 		switch o.Kind {
 		case "deadline":
 			if j.DeadlineS > 0 && o.DeadlineFactor > 1 {
@@ -69,22 +85,22 @@
 }
 
 // isOfferingAllowed tells whether a job may use a kind of machine at all.
-func (c *Controller) isOfferingAllowed(j *Job, typ, zone string, spot bool) bool {
+func (cache *stateCache) isOfferingAllowed(j *Job, typ, zone string, spot bool) bool {
 	request := j.resourceRequest()
-	return c.placementCatalog.IsAllowed(&request, planner.InstanceOffering{Type: typ, Zone: zone, Spot: spot})
+	return cache.placementCatalog.IsAllowed(&request, planner.InstanceOffering{Type: typ, Zone: zone, Spot: spot})
 }
 
 // fitsType tells whether some machine of a type may take a job.
-func (c *Controller) fitsType(j *Job, t *MachineType) bool {
+func (cache *stateCache) fitsType(j *Job, t *MachineType) bool {
 	request := j.resourceRequest()
-	return c.placementCatalog.FitsType(&request, c.placementCatalog.Type(t.Name))
+	return cache.placementCatalog.FitsType(&request, cache.placementCatalog.Type(t.Name))
 }
 
 // isTypeScarce tells whether a type should be left to others by a job that fits other
 // types too: some live job fits no other.
-func (c *Controller) isTypeScarce(j *Job, t *MachineType) bool {
+func (cache *stateCache) isTypeScarce(j *Job, t *MachineType) bool {
 	request := j.resourceRequest()
-	return c.placementCatalog.ShouldAvoid(&request, t.Name)
+	return cache.placementCatalog.ShouldAvoid(&request, t.Name)
 }
 
 // withoutDisk leaves the image out: a machine that must make room for it does.
@@ -94,8 +110,8 @@
 }
 
 // buildClusterView puts a shard's machines on its board, with a lane for each live attempt.
-func (c *Controller) buildClusterView(s *shard) {
-	wall := c.now.WallMS
+func (pp *placementPlanner) buildClusterView(s *shard) {
+	wall := pp.now.WallMS
 	b := s.clusterView
 	b.Begin(wall)
 	s.viewMachines = s.viewMachines[:0]
@@ -104,12 +120,12 @@
 	clear(s.reservedTasks)
 	for _, mc := range s.machines {
 		mc.plannedStarts = nil
-		if !c.isSchedulable(mc) {
+		if !pp.agents.isSchedulable(mc) {
 			continue
 		}
 		upAt := wall
 		if !mc.Up {
-			boot := secondsToMS(c.machineTypes[mc.rec.Type].BootS)
+			boot := secondsToMS(pp.cache.machineTypes[mc.rec.Type].BootS)
 			upAt = mc.rec.ProvisionedAtMS + boot
 			if overdue := wall - upAt; overdue > 0 {
 				if overdue > boot*2 {
@@ -118,7 +134,7 @@
 				upAt = wall + overdue/2
 			}
 		} else if !mc.IsReconciled() {
-			upAt = wall + secondsToMS(c.params.LeaseS)/2
+			upAt = wall + secondsToMS(pp.params.LeaseS)/2
 		}
 		viewMachine := b.AddMachine(
 			mc.id,
@@ -139,7 +155,7 @@
 				s.objectiveCPUs += a.job.Request.CPUs
 			}
 		}
-		viewMachine.Free = viewMachine.Free.Sub(c.reservedResources(mc))
+		viewMachine.Free = viewMachine.Free.Sub(pp.quotas.reservedResources(mc))
 		if reservation := mc.reservation; reservation != nil {
 			s.reservedTasks[reservation.taskRange] += reservation.count
 		}
@@ -162,7 +178,7 @@
 }
 
 // newTaskGroup makes a group of tasks of a work.
-func (c *Controller) newTaskGroup(tr *taskRange, pending int) *taskGroup {
+func (pp *placementPlanner) newTaskGroup(tr *taskRange, pending int) *taskGroup {
 	j := &tr.job.rec.Job
 	g := &taskGroup{
 		taskRange: tr,
@@ -172,7 +188,7 @@
 			Priority:           int(j.Priority),
 			Remaining:          pending,
 			JobTasks:           j.Tasks,
-			LengthMS:           c.expectedRuntime(j),
+			LengthMS:           pp.estimates.expectedRuntime(j),
 			AcceptedMS:         tr.job.rec.AcceptedAtMS,
 			HasBegun:           tr.hasStarted(),
 			PreviouslyAdmitted: tr.admitted,
@@ -185,7 +201,7 @@
 			FailuresByMachine:  tr.errorsByMachine,
 		},
 	}
-	g.ObjectiveDeadlineMS, g.DeadlineMS, g.MissedObjectives = c.taskDeadlines(j, g.AcceptedMS, g.LengthMS)
+	g.ObjectiveDeadlineMS, g.DeadlineMS, g.MissedObjectives = pp.taskDeadlines(j, g.AcceptedMS, g.LengthMS)
 	return g
 }
 
@@ -195,26 +211,26 @@
 
 // waitingTaskGroups lists a shard's waiting work: higher priority first; within one, what
 // can meet an aim before what can't, what was admitted keeps its place, then earliest deadline, then arrival.
-func (c *Controller) waitingTaskGroups(s *shard) []*taskGroup {
+func (pp *placementPlanner) waitingTaskGroups(s *shard) []*taskGroup {
 	var out []*taskGroup
 	for _, tr := range s.taskRanges {
-		waiting := c.schedulableTasks(tr)
+		waiting := pp.agents.schedulableTasks(tr)
 		if waiting <= 0 {
 			continue
 		}
-		g := c.newTaskGroup(tr, waiting)
-		g.WithinGuarantee = c.params.Quota && c.isWithinGuarantee(g.job)
-		g.HasObjective = g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS-g.LengthMS >= c.now.WallMS
+		g := pp.newTaskGroup(tr, waiting)
+		g.WithinGuarantee = pp.params.Quota && pp.quotas.isWithinGuarantee(g.job)
+		g.HasObjective = g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS-g.LengthMS >= pp.now.WallMS
 		out = append(out, g)
 	}
 	sortTaskGroups(out)
-	if c.admitToTeamLimits(s, out) {
+	if pp.admitToTeamLimits(s, out) {
 		sortTaskGroups(out)
 	}
-	if c.params.Quota && c.assignUsageTiers(out) {
+	if pp.params.Quota && pp.quotas.assignUsageTiers(out) {
 		sortTaskGroups(out)
 	}
-	return c.applyAging(out)
+	return pp.applyAging(out)
 }
 
 // admitToTeamLimits admits groups to their teams' limits as tasks are admitted to
@@ -223,16 +239,16 @@
 // admitted, aims for the next time that counts, or goes last. Without it a team
 // over its limit ran the earliest deadlines, which it had missed already, and
 // nothing in time.
-func (c *Controller) admitToTeamLimits(s *shard, groups []*taskGroup) (changed bool) {
+func (pp *placementPlanner) admitToTeamLimits(s *shard, groups []*taskGroup) (changed bool) {
 	queues := map[string]*availability.Queue{}
 	for _, g := range groups {
-		allocation, t, limited := c.teamAllocation(s, g.job.Team)
+		allocation, t, limited := pp.quotas.teamAllocation(s, g.job.Team)
 		if !limited || t.MaxCPUs <= 0 || allocation.CPUs <= 0 || g.job.Kind != Array || g.MissedObjectives {
 			continue
 		}
 		queue := queues[g.job.Team]
 		if queue == nil {
-			queue = &availability.Queue{EarliestStart: c.now.WallMS + int64(s.remainingWork[g.job.Team]/allocation.CPUs)}
+			queue = &availability.Queue{EarliestStart: pp.now.WallMS + int64(s.remainingWork[g.job.Team]/allocation.CPUs)}
 			queues[g.job.Team] = queue
 		}
 		duration := int64(float64(g.Remaining) * g.job.Request.CPUs / allocation.CPUs * float64(g.LengthMS))
@@ -242,7 +258,7 @@
 			continue
 		}
 		changed, g.MissedObjectives = true, true
-		for _, t := range c.objectiveDeadlines(g.job, g.taskRange.job.rec.AcceptedAtMS) {
+		for _, t := range pp.objectiveDeadlines(g.job, g.taskRange.job.rec.AcceptedAtMS) {
 			if t > g.DeadlineMS && queue.Admit(t-tail, duration, 1) == 1 {
 				g.DeadlineMS, g.MissedObjectives = t, false
 				break
@@ -254,28 +270,28 @@
 
 // planShard admits a shard's waiting work to its machines' queues, tightest aims
 // first, and notes what starts now and what no machine can take in time.
-func (c *Controller) planShard(s *shard) {
-	c.Counters.Replans++
-	s.dirty, s.planExpedited, s.plannedAt = false, false, c.now.MonotonicMS
+func (pp *placementPlanner) planShard(s *shard) {
+	pp.Counters.Replans++
+	s.dirty, s.planExpedited, s.plannedAt = false, false, pp.now.MonotonicMS
 	s.demand = s.demand[:0]
 	if !s.ready {
 		return
 	}
-	c.placementCatalog.SetRequired(func(yield func(planner.ResourceRequest) bool) {
-		for _, j := range c.jobs {
+	pp.cache.placementCatalog.SetRequired(func(yield func(planner.ResourceRequest) bool) {
+		for _, j := range pp.cache.jobs {
 			if !yield(j.rec.Job.resourceRequest()) {
 				return
 			}
 		}
 	})
 	view := s.clusterView
-	c.buildClusterView(s)
-	c.updateReserve(s)
-	s.queue = c.waitingTaskGroups(s)
+	pp.buildClusterView(s)
+	pp.updateReserve(s)
+	s.queue = pp.waitingTaskGroups(s)
 	view.Examined += len(s.queue)
 	view.PacedStartsLeft = s.reconciler.Pacer.Available(
-		c.now.MonotonicMS,
-		c.now.MonotonicMS+max(c.maxHeartbeatIntervalMS(), int64(2*c.planInterval(s))),
+		pp.now.MonotonicMS,
+		pp.now.MonotonicMS+max(pp.maxHeartbeatIntervalMS(), int64(2*pp.planInterval(s))),
 	)
 	// What a plan starts uses its team's limit up for what comes behind, and what it
 	// asks machines for, for what asks behind. Each group saw all that was free of
@@ -289,19 +305,19 @@
 	clear(s.firstTaskReservations)
 	s.reclaimableTeams = nil
 	for _, g := range s.queue {
-		if c.now.MonotonicMS < g.taskRange.retryAt || c.isBlockedByUnreported(s, g.taskRange) || g.taskRange.moving {
+		if pp.now.MonotonicMS < g.taskRange.retryAt || pp.agents.isBlockedByUnreported(s, g.taskRange) || g.taskRange.moving {
 			continue
 		}
-		limit := c.tasksWithinTeamLimit(s, g.job, started[g.job.Team])
+		limit := pp.quotas.tasksWithinTeamLimit(s, g.job, started[g.job.Team])
 		if g.IsFirstTask && limit == 0 {
-			c.reserveLimitForFirstTask(s, g)
+			pp.reserveLimitForFirstTask(s, g)
 		}
 		if limit < g.Remaining {
 			// More cannot run at once; asking for machines would not help.
-			c.recordPlaceableDemand(s, g)
-			g.Remaining = limit + c.preemptibleTaskCount(s, g, g.Remaining-limit)
+			pp.quotas.recordPlaceableDemand(s, g)
+			g.Remaining = limit + pp.preemptibleTaskCount(s, g, g.Remaining-limit)
 		}
-		g.ProvisionLimit = c.tasksWithinTeamLimit(
+		g.ProvisionLimit = pp.quotas.tasksWithinTeamLimit(
 			s,
 			g.job,
 			started[g.job.Team].Add(requested[g.job.Team]),
@@ -310,18 +326,18 @@
 			g.Remaining-limit,
 		)
 		if g.Remaining > 0 {
-			startedTasks := c.placeGroup(s, g)
+			startedTasks := pp.placeGroup(s, g)
 			if startedTasks > limit {
-				c.preempt(s, g, startedTasks-limit)
+				pp.preempt(s, g, startedTasks-limit)
 			}
-			c.reclaimForGuarantee(s, g, min(g.Waiting, limit-startedTasks))
+			pp.quotas.reclaimForGuarantee(s, g, min(g.Waiting, limit-startedTasks))
 			started[g.job.Team] = started[g.job.Team].Add(requestOf(startedTasks, g.job))
 			requested[g.job.Team] = requested[g.job.Team].Add(requestOf(g.ProvisionRequested, g.job))
 		}
 	}
-	c.forecastDemand(s)
+	pp.forecastDemand(s)
 	s.spareCPUs, s.planSteps = view.SpareCPUs, view.Examined
-	if s.reconciler.IsAwaitingHeartbeats(c.now.MonotonicMS) {
+	if s.reconciler.IsAwaitingHeartbeats(pp.now.MonotonicMS) {
 		// Machines that have not spoken yet would serve: nothing is rented for
 		// what they take, nor moved, until they had the time to.
 		s.demand, s.forecastDemand = s.demand[:0], s.forecastDemand[:0]
@@ -331,16 +347,16 @@
 // forecastDemand notes what tasks will need that run on machines with a notice and will
 // not end before it: a new machine takes longer to boot than a notice lasts, and
 // without it is asked for only when they are lost.
-func (c *Controller) forecastDemand(s *shard) {
+func (pp *placementPlanner) forecastDemand(s *shard) {
 	s.forecastDemand = s.forecastDemand[:0]
 	unfinished := map[*taskRange]int{}
 	for _, mc := range s.machines {
 		if mc.terminatesAt == 0 || mc.liveAttemptCount == 0 || mc.State() == reconcile.LeaseExpired {
 			continue
 		}
-		until := c.now.WallMS + mc.terminatesAt - c.now.MonotonicMS
+		until := pp.now.WallMS + mc.terminatesAt - pp.now.MonotonicMS
 		for _, a := range mc.byKey {
-			if !a.exited && a.expectedEnd(c.now.WallMS) > until && c.jobs[a.job.ID] == a.taskRange.job {
+			if !a.exited && a.expectedEnd(pp.now.WallMS) > until && pp.cache.jobs[a.job.ID] == a.taskRange.job {
 				unfinished[a.taskRange]++
 			}
 		}
@@ -365,8 +381,8 @@
 			if remaining == 0 {
 				break
 			}
-			if !c.placementCatalog.IsAllowed(&request, viewMachine.Offering) ||
-				c.placementCatalog.ShouldAvoid(&request, viewMachine.Offering.Type) {
+			if !pp.cache.placementCatalog.IsAllowed(&request, viewMachine.Offering) ||
+				pp.cache.placementCatalog.ShouldAvoid(&request, viewMachine.Offering.Type) {
 				continue
 			}
 			n := free[i].MaxCopies(req, remaining)
@@ -376,8 +392,8 @@
 			}
 		}
 		if remaining > 0 {
-			runtimeMS := c.expectedRuntime(j)
-			_, deadline, _ := c.taskDeadlines(j, tr.job.rec.AcceptedAtMS, runtimeMS)
+			runtimeMS := pp.estimates.expectedRuntime(j)
+			_, deadline, _ := pp.taskDeadlines(j, tr.job.rec.AcceptedAtMS, runtimeMS)
 			s.forecastDemand = append(
 				s.forecastDemand,
 				CapacityDemand{Job: j.ID, Tasks: remaining, DeadlineMS: deadline, TaskRuntimeMS: runtimeMS, SpotOnly: j.Spot},
@@ -398,47 +414,47 @@
 
 // updateReserve brings the reserve of a shard up to date: room on machines that are
 // up for the next jobs of classes with a start aim.
-func (c *Controller) updateReserve(s *shard) {
+func (pp *placementPlanner) updateReserve(s *shard) {
 	jobs, cpus := 0.0, 0.0
 	for _, tr := range s.taskRanges {
-		if j := &tr.job.rec.Job; c.hasStartObjective(j) {
+		if j := &tr.job.rec.Job; pp.hasStartObjective(j) {
 			jobs++
 			cpus += float64(tr.size()) * j.Request.CPUs
 		}
 	}
-	if passed := float64(c.now.MonotonicMS - s.reserveUpdatedAt); passed > 0 {
-		weight := min(1, passed/(reserveAveragingLeases*c.params.LeaseS*1000))
+	if passed := float64(pp.now.MonotonicMS - s.reserveUpdatedAt); passed > 0 {
+		weight := min(1, passed/(reserveAveragingLeases*pp.params.LeaseS*1000))
 		s.meanObjectiveCPUs += (s.objectiveCPUs - s.meanObjectiveCPUs) * weight
 		if jobs > 0 {
 			s.meanObjectiveJobCPUs += (cpus/jobs - s.meanObjectiveJobCPUs) * weight
 		}
-		s.reserveUpdatedAt = c.now.MonotonicMS
+		s.reserveUpdatedAt = pp.now.MonotonicMS
 	}
 	s.reserveCPUs = min(s.meanObjectiveCPUs, math.Sqrt(s.meanObjectiveCPUs*s.meanObjectiveJobCPUs)) * reserveFactor
 	s.clusterView.ReservedCPUs = s.reserveCPUs
 }
 
 // hasStartObjective tells whether a job's class has a start aim of its own.
-func (c *Controller) hasStartObjective(j *Job) bool {
-	return slices.ContainsFunc(c.params.Objectives[j.Class], func(o Objective) bool { return o.Kind == "wait" })
+func (env *environment) hasStartObjective(j *Job) bool {
+	return slices.ContainsFunc(env.params.Objectives[j.Class], func(o Objective) bool { return o.Kind == "wait" })
 }
 
 // placeGroup admits a group to the shard's machines and returns how many of its
 // tasks start now.
-func (c *Controller) placeGroup(s *shard, g *taskGroup) int {
+func (pp *placementPlanner) placeGroup(s *shard, g *taskGroup) int {
 	if g.IsGang {
 		g.GangAttempt, g.IncompleteGang = planner.GangAttemptNew, g.Remaining < g.taskRange.pending()
 		if g.taskRange.assignedCount > 0 {
 			// Its machines are told one after the other, as they report.
-			if g.GangAttempt = planner.GangAttemptWaits; c.now.MonotonicMS-g.taskRange.gangStartedAt < 3*c.maxHeartbeatIntervalMS() {
+			if g.GangAttempt = planner.GangAttemptWaits; pp.now.MonotonicMS-g.taskRange.gangStartedAt < 3*pp.maxHeartbeatIntervalMS() {
 				g.GangAttempt = planner.GangAttemptContinues
 			}
 		}
 	}
-	placement := s.clusterView.Place(&g.Group, c.settings.LateShare)
+	placement := s.clusterView.Place(&g.Group, pp.cache.settings.LateShare)
 	if placement.StartsGang {
-		g.taskRange.gangStartedAt, g.taskRange.gangAttempt, g.taskRange.gangStartsSent = c.now.MonotonicMS, s.attemptIDs.Next(
-			c.now.WallMS,
+		g.taskRange.gangStartedAt, g.taskRange.gangAttempt, g.taskRange.gangStartsSent = pp.now.MonotonicMS, s.attemptIDs.Next(
+			pp.now.WallMS,
 		), newBitset(
 			g.taskRange.size(),
 		)
@@ -473,10 +489,10 @@
 }
 
 // availabilitySummary is a shard's availability as its peers see it.
-func (c *Controller) availabilitySummary(s *shard) availability.Summary {
+func (pp *placementPlanner) availabilitySummary(s *shard) availability.Summary {
 	return s.clusterView.Summary(
-		c.now.WallMS+noDeadlineSpanLeases*secondsToMS(c.params.LeaseS),
-		c.settings.Functions,
-		c.settings.Samples,
+		pp.now.WallMS+noDeadlineSpanLeases*secondsToMS(pp.params.LeaseS),
+		pp.cache.settings.Functions,
+		pp.cache.settings.Samples,
 	)
 }
--- a/scheduler/query_batches.go
+++ b/scheduler/query_batches.go
@@ -24,40 +24,40 @@
 }
 
 // enqueueQuery puts a question in line.
-func (c *Controller) enqueueQuery(pending *pendingRequest) {
-	c.queryBatcher.queued = append(c.queryBatcher.queued, pending)
-	c.sendQueryBatch()
+func (rh *requestHandler) enqueueQuery(pending *pendingRequest) {
+	rh.queryBatcher.queued = append(rh.queryBatcher.queued, pending)
+	rh.sendQueryBatch()
 }
 
 // sendQueryBatch asks what waits, unless the last read was a moment ago.
-func (c *Controller) sendQueryBatch() {
-	batches := &c.queryBatcher
-	if len(batches.queued) == 0 || batches.batchInFlight || c.now.MonotonicMS < batches.nextBatchAtMS {
+func (rh *requestHandler) sendQueryBatch() {
+	batches := &rh.queryBatcher
+	if len(batches.queued) == 0 || batches.batchInFlight || rh.now.MonotonicMS < batches.nextBatchAtMS {
 		return
 	}
 	batch := batches.queued
 	batches.queued = nil
-	batches.nextBatchAtMS = c.now.MonotonicMS + access.RequestTimeout.Milliseconds()/batchIntervalDivisor
-	if len(batch) < minBatchSize || !c.storeAccess.IsSynced() {
-		c.readJobsOneByOne(batch)
+	batches.nextBatchAtMS = rh.now.MonotonicMS + access.RequestTimeout.Milliseconds()/batchIntervalDivisor
+	if len(batch) < minBatchSize || !rh.store.storeAccess.IsSynced() {
+		rh.readJobsOneByOne(batch)
 		return
 	}
 	batches.batchInFlight = true
-	c.Counters.QueryBatches++
-	c.syncMirror(func(outcome Outcome) {
+	rh.Counters.QueryBatches++
+	rh.cache.syncMirror(func(outcome Outcome) {
 		batches.batchInFlight = false
-		c.completeBatch(batch, outcome)
-		c.sendQueryBatch()
+		rh.completeBatch(batch, outcome)
+		rh.sendQueryBatch()
 	})
 }
 
 // syncMirror brings the mirror up to everything that was written before now.
-func (c *Controller) syncMirror(onResult func(Outcome)) {
-	c.sendStore(
-		StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: c.mirrorRevision},
+func (cache *stateCache) syncMirror(onResult func(Outcome)) {
+	cache.store.sendStore(
+		StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: cache.mirrorRevision},
 		func(result StoreResult) {
-			if result.Outcome == OK && c.storeAccess.IsSynced() {
-				c.applyWatchResult(result)
+			if result.Outcome == OK && cache.store.storeAccess.IsSynced() {
+				cache.applyWatchResult(result)
 			}
 			onResult(result.Outcome)
 		},
@@ -65,46 +65,46 @@
 }
 
 // completeBatch answers questions that came before a read that ended so.
-func (c *Controller) completeBatch(batch []*pendingRequest, outcome Outcome) {
+func (rh *requestHandler) completeBatch(batch []*pendingRequest, outcome Outcome) {
 	switch {
-	case outcome == Gone || outcome == OK && !c.storeAccess.IsSynced():
+	case outcome == Gone || outcome == OK && !rh.store.storeAccess.IsSynced():
 		// The mirror is read anew: it says nothing for now.
-		c.readJobsOneByOne(batch)
+		rh.readJobsOneByOne(batch)
 	case outcome != OK:
 		for _, pending := range batch {
-			c.completeRequest(pending.replyID, unavailableResponse(pending.request.ID, "state service unavailable"))
+			rh.completeRequest(pending.replyID, unavailableResponse(pending.request.ID, "state service unavailable"))
 		}
 	default:
 		for _, pending := range batch {
-			c.completeFromMirror(pending)
+			rh.completeFromMirror(pending)
 		}
 	}
 }
 
 // completeFromMirror answers a question by the mirror, which is as new as the question. A
 // job that is not live is over, or was never accepted.
-func (c *Controller) completeFromMirror(pending *pendingRequest) {
+func (rh *requestHandler) completeFromMirror(pending *pendingRequest) {
 	id := pending.request.ID
-	j := c.jobs[id]
+	j := rh.cache.jobs[id]
 	switch {
 	case pending.completed: // by a peer
 	case j != nil:
-		c.completeRequest(pending.replyID, c.liveJobResponse(id, &j.rec))
-	case c.keyRevisions[jobKey(id)] != 0: // its record is unreadable
-		c.readJobsOneByOne([]*pendingRequest{pending})
+		rh.completeRequest(pending.replyID, rh.liveJobResponse(id, &j.rec))
+	case rh.cache.keyRevisions[jobKey(id)] != 0: // its record is unreadable
+		rh.readJobsOneByOne([]*pendingRequest{pending})
 	default:
-		c.readTerminalState(id, UrgencyRead, func(response UserResponse) { c.completeRequest(pending.replyID, response) })
+		rh.readTerminalState(id, UrgencyRead, func(response UserResponse) { rh.completeRequest(pending.replyID, response) })
 	}
 }
 
 // readJobsOneByOne asks the state service about each question's job.
-func (c *Controller) readJobsOneByOne(batch []*pendingRequest) {
+func (rh *requestHandler) readJobsOneByOne(batch []*pendingRequest) {
 	for _, pending := range batch {
 		if !pending.completed {
-			c.readJob(
+			rh.readJob(
 				pending.request.ID,
 				UrgencyRead,
-				func(response UserResponse, _ *KeyValue) { c.completeRequest(pending.replyID, response) },
+				func(response UserResponse, _ *KeyValue) { rh.completeRequest(pending.replyID, response) },
 			)
 		}
 	}
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -44,22 +44,22 @@
 )
 
 // restoreRecoveryRecord takes what an earlier claim wrote down.
-func (c *Controller) restoreRecoveryRecord(s *shard, kv KeyValue) {
+func (am *agentManager) restoreRecoveryRecord(s *shard, kv KeyValue) {
 	s.memory.writeState.rev = kv.Rev
 	var rec recoveryRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
-		c.log(Warn, "record unreadable", "key", kv.Key, "error", err)
+		am.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 		return
 	}
 	for class, runtime := range rec.Runtimes {
-		if known := c.runtimeCorrections[class]; (known == nil || known.samples < runtime.Samples) && runtime.Ratio > 0 &&
+		if known := am.estimates.runtimeCorrections[class]; (known == nil || known.samples < runtime.Samples) && runtime.Ratio > 0 &&
 			runtime.Ratio <= 5 {
-			c.runtimeCorrections[class] = &runtimeCorrection{ratio: runtime.Ratio, samples: runtime.Samples}
+			am.estimates.runtimeCorrections[class] = &runtimeCorrection{ratio: runtime.Ratio, samples: runtime.Samples}
 		}
 	}
 	s.reconciler.Ledger.Restore(rec.Unreachable)
 	for id := range rec.Unreachable {
-		if mc := c.machines[id]; mc == nil || mc.rec.Shard != s.name {
+		if mc := am.registry.machines[id]; mc == nil || mc.rec.Shard != s.name {
 			s.reconciler.Ledger.Remove(id)
 		}
 	}
@@ -67,8 +67,8 @@
 
 // hasRuntimeUpdates tells whether some class's length is off what was written by a
 // twentieth.
-func (c *Controller) hasRuntimeUpdates(s *shard) bool {
-	for class, correction := range c.runtimeCorrections {
+func (re *runtimeEstimator) hasRuntimeUpdates(s *shard) bool {
+	for class, correction := range re.runtimeCorrections {
 		if written, ok := s.memory.writtenRuntimes[class]; !ok || math.Abs(float64(written)-correction.ratio*100) > 5 {
 			return true
 		}
@@ -79,23 +79,23 @@
 // writeRecoveryRecord writes a shard's memory when it has news; with recovery off, when
 // notes that were made while it was on are out of date. What it says of silent
 // machines holds until another record is certain to have taken its place.
-func (c *Controller) writeRecoveryRecord(s *shard) {
-	recovery, now := &s.memory, c.now.MonotonicMS
+func (am *agentManager) writeRecoveryRecord(s *shard) {
+	recovery, now := &s.memory, am.now.MonotonicMS
 	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt ||
 		!s.reconciler.Ledger.HasUnstoredChanges() &&
-			(!c.params.Recovery || now < recovery.nextRuntimeWriteAtMS || !c.hasRuntimeUpdates(s)) {
+			(!am.params.Recovery || now < recovery.nextRuntimeWriteAtMS || !am.estimates.hasRuntimeUpdates(s)) {
 		return
 	}
 	rec := recoveryRecord{Runtimes: map[string]runtimeRecord{}, Unreachable: s.reconciler.Ledger.BuildRecord()}
 	written := map[string]int64{}
-	for class, correction := range sortedByKey(c.runtimeCorrections) {
+	for class, correction := range sortedByKey(am.estimates.runtimeCorrections) {
 		if len(rec.Runtimes) < maxRecoveryClasses && len(class) < 64 {
 			rec.Runtimes[class] = runtimeRecord{math.Round(correction.ratio*1000) / 1000, correction.samples}
 		}
 		written[class] = int64(math.Round(correction.ratio * 100))
 	}
-	recovery.nextRuntimeWriteAtMS = now + secondsToMS(c.params.LeaseS)
-	c.writeShardRecord(s, recoveryKey(s.name), &recovery.writeState, rec, c.progressWriteInterval()/2, func(ok bool) {
+	recovery.nextRuntimeWriteAtMS = now + secondsToMS(am.params.LeaseS)
+	am.shards.writeShardRecord(s, recoveryKey(s.name), &recovery.writeState, rec, am.progressWriteInterval()/2, func(ok bool) {
 		if !ok {
 			s.reconciler.Ledger.MarkStoreFailed()
 			return
@@ -111,18 +111,18 @@
 // claim after ours waits for them with no more than that. It is not done where we
 // may be the silent ones: after standing still, without the store, or when it is
 // more than a few.
-func (c *Controller) recordUnreachableMachines(s *shard) {
-	recovery, now := &s.memory, c.now.MonotonicMS
-	if now-recovery.lastTickMS > c.maxHeartbeatIntervalMS()/4 {
-		recovery.quietUntilMS = now + c.maxHeartbeatIntervalMS()
+func (am *agentManager) recordUnreachableMachines(s *shard) {
+	recovery, now := &s.memory, am.now.MonotonicMS
+	if now-recovery.lastTickMS > am.maxHeartbeatIntervalMS()/4 {
+		recovery.quietUntilMS = now + am.maxHeartbeatIntervalMS()
 	}
 	recovery.lastTickMS = now
-	if !c.params.Recovery || now < recovery.quietUntilMS || c.storeAccess.Link(now) != access.LinkUp {
+	if !am.params.Recovery || now < recovery.quietUntilMS || am.store.storeAccess.Link(now) != access.LinkUp {
 		return
 	}
 	var unreachable []*machine
 	for _, mc := range s.machines {
-		if mc.Up && mc.everReconciled && now-mc.LastHeartbeatAt > c.maxHeartbeatIntervalMS() {
+		if mc.Up && mc.everReconciled && now-mc.LastHeartbeatAt > am.maxHeartbeatIntervalMS() {
 			if entry, recorded := s.reconciler.Ledger.Entry(mc.id); !recorded ||
 				mc.State() == reconcile.LeaseExpired && len(entry.Ranges) > 0 {
 				unreachable = append(unreachable, mc)
@@ -145,26 +145,26 @@
 				)
 			}
 		}
-		s.reconciler.Ledger.Put(mc.id, entry, c.params.MaxValueBytes/unreachableValueDivisor)
+		s.reconciler.Ledger.Put(mc.id, entry, am.params.MaxValueBytes/unreachableValueDivisor)
 	}
 }
 
 // tickReconcile lets the squaring of a shard go on: machines that never speak are
 // given up, those that are slow to are asked, and the line's pace follows what runs.
-func (c *Controller) tickReconcile(s *shard) {
-	now := c.now.MonotonicMS
+func (am *agentManager) tickReconcile(s *shard) {
+	now := am.now.MonotonicMS
 	for _, unreported := range s.reconciler.MachinesToGiveUp(now) {
-		if mc := c.machines[unreported.ID]; mc != nil {
-			c.drain(s, mc, "silent since the claim")
+		if mc := am.registry.machines[unreported.ID]; mc != nil {
+			am.drain(s, mc, "silent since the claim")
 		}
 	}
-	c.probeUnreportedMachines(s)
-	c.recordUnreachableMachines(s)
-	c.writeRecoveryRecord(s)
+	am.probeUnreportedMachines(s)
+	am.recordUnreachableMachines(s)
+	am.writeRecoveryRecord(s)
 	unreportedMachines := len(s.reconciler.Unreported())
 	if unreportedMachines == 0 && !s.reconciled {
 		s.reconciled = true
-		c.logReconciled(s)
+		am.logReconciled(s)
 	}
 	pacer := &s.reconciler.Pacer
 	if !pacer.IsActive(now) {
@@ -185,13 +185,13 @@
 		}
 		pacer.SetRate(completionRate * float64(reconciledMachines+unreportedMachines) / float64(max(reconciledMachines, 1)))
 	}
-	if unreportedMachines == 0 && now-s.reconciler.ClaimedAt() > 2*c.maxHeartbeatIntervalMS() && pacer.IsIdle(now) {
+	if unreportedMachines == 0 && now-s.reconciler.ClaimedAt() > 2*am.maxHeartbeatIntervalMS() && pacer.IsIdle(now) {
 		pacer.Deactivate()
 	}
 }
 
 // logReconciled tells how a claim's squaring went.
-func (c *Controller) logReconciled(s *shard) {
+func (am *agentManager) logReconciled(s *shard) {
 	var adopted, stopped, counted uint64
 	for place := range s.reconciler.VerdictCounts {
 		for _, n := range s.reconciler.VerdictCounts[place][reconcile.Active : reconcile.Active+1] {
@@ -205,13 +205,13 @@
 	for _, place := range []reconcile.TaskState{reconcile.Unassigned, reconcile.Assigned, reconcile.Transferring} {
 		counted += s.reconciler.VerdictCounts[place][reconcile.Succeeded]
 	}
-	c.log(
+	am.log(
 		Info,
 		"shard squared",
 		"shard",
 		s.name,
 		"ms",
-		c.now.MonotonicMS-s.reconciler.ClaimedAt(),
+		am.now.MonotonicMS-s.reconciler.ClaimedAt(),
 		"machines",
 		len(s.machines),
 		"adopted",
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -24,6 +24,15 @@
 
 // rolloutController is what a member knows and, while it leads, decides of the plan.
 type rolloutController struct {
+	*environment
+	cache    *stateCache
+	peers    *peerTable
+	registry *machineRegistry
+	requests *requestHandler
+	scaler   *autoscaler
+	shards   *shardManager
+	store    *storeClient
+
 	rec               *rollout.Record
 	disruptionRecords map[string]disruption.Record // by shard, as the store has them
 	ledger            *disruption.Ledger           // while it leads
@@ -36,6 +45,10 @@
 	machines          []rollout.Machine
 }
 
+func newRolloutController(env *environment) *rolloutController {
+	return &rolloutController{environment: env, disruptionRecords: map[string]disruption.Record{}}
+}
+
 type countsSample struct {
 	at     int64
 	counts rollout.HealthCounts
@@ -56,9 +69,9 @@
 }
 
 // maxOpenCharges bounds the charges of a shard that are open, within half a value.
-func (c *Controller) maxOpenCharges() int { return max(16, c.params.MaxValueBytes/2/80) }
+func (env *environment) maxOpenCharges() int { return max(16, env.params.MaxValueBytes/2/80) }
 
-func (c *Controller) rolloutMachine(mc *machine) rollout.Machine {
+func (rc *rolloutController) rolloutMachine(mc *machine) rollout.Machine {
 	return rollout.Machine{
 		ID:                 mc.id,
 		Type:               mc.rec.Type,
@@ -72,8 +85,8 @@
 }
 
 // applyRolloutRecord takes a record of a plan or of what a shard stopped.
-func (c *Controller) applyRolloutRecord(kv KeyValue) error {
-	r := &c.rolloutState
+func (rc *rolloutController) applyRolloutRecord(kv KeyValue) error {
+	r := rc
 	if kv.Key == rolloutKey {
 		if kv.Value == nil {
 			r.rec = nil
@@ -84,7 +97,7 @@
 			return err
 		}
 		r.rec = rec
-		c.markAllShardsDirty()
+		rc.shards.markAllShardsDirty()
 		return nil
 	}
 	shard := kv.Key[len(disruptionPrefix):]
@@ -99,31 +112,31 @@
 }
 
 // isDrainedByRollout tells whether the plan has a machine emptied now.
-func (c *Controller) isDrainedByRollout(mc *machine) bool {
-	if c.rolloutState.rec == nil || !c.params.Rollout {
+func (rc *rolloutController) isDrainedByRollout(mc *machine) bool {
+	if rc.rec == nil || !rc.params.Rollout {
 		return false
 	}
-	p := c.rolloutMachine(mc)
-	return c.rolloutState.rec.Covers(&p)
+	p := rc.rolloutMachine(mc)
+	return rc.rec.Covers(&p)
 }
 
 // disruptionBudget is a team's, by the operators' settings; "*" stands for teams without one.
-func (c *Controller) disruptionBudget(team string) disruption.Budget {
-	if b, ok := c.settings.Disruption[team]; ok {
+func (rc *rolloutController) disruptionBudget(team string) disruption.Budget {
+	if b, ok := rc.cache.settings.Disruption[team]; ok {
 		return b
 	}
-	return c.settings.Disruption["*"]
+	return rc.cache.settings.Disruption["*"]
 }
 
 // tickRollout leads the plan on: once or twice a second, by one write for all that
 // changed.
-func (c *Controller) tickRollout() {
-	r, now := &c.rolloutState, c.now.MonotonicMS
-	if !c.params.Rollout || now < r.nextTickAt {
+func (rc *rolloutController) tickRollout() {
+	r, now := rc, rc.now.MonotonicMS
+	if !rc.params.Rollout || now < r.nextTickAt {
 		return
 	}
 	r.nextTickAt = now + 500
-	counts := c.clusterCounts()
+	counts := rc.clusterCounts()
 	if n := len(r.countsHistory); n == 0 || now-r.countsHistory[n-1].at >= countsSampleIntervalMS {
 		r.countsHistory = append(r.countsHistory[max(0, n-maxCountsSamples+1):], countsSample{now, counts})
 	}
@@ -134,27 +147,27 @@
 		r.ledger, r.ledgerPlanID = disruption.NewLedger(r.rec.Issued), r.rec.Plan.ID
 	}
 	rec := *r.rec
-	changed, toProvision := rec.Advance(c.now.WallMS, c.rolloutMachines(), counts, c.hourlyPrice)
-	if rec.State == rollout.Running && c.issueDisruptionTokens() {
+	changed, toProvision := rec.Advance(rc.now.WallMS, rc.rolloutMachines(), counts, rc.hourlyPrice)
+	if rec.State == rollout.Running && rc.issueDisruptionTokens() {
 		changed = true
 	}
 	if changed {
 		rec.Issued = r.ledger.Issued()
-		c.writeRolloutRecord(&rec, []Precondition{{leaderKey, c.fleet.leaderRev}}, func(StoreResult) {})
+		rc.writeRolloutRecord(&rec, []Precondition{{leaderKey, rc.scaler.leaderRev}}, func(StoreResult) {})
 	}
 	if len(toProvision) > 0 && !r.provisioning && now >= r.nextProvisionAt {
 		r.nextProvisionAt = now + 1000
-		c.provisionReplacements(rec.Plan.ID, toProvision)
+		rc.provisionReplacements(rec.Plan.ID, toProvision)
 	}
 }
 
 // issueDisruptionTokens hands out tokens for what the shards want to stop.
-func (c *Controller) issueDisruptionTokens() (changed bool) {
-	r := &c.rolloutState
+func (rc *rolloutController) issueDisruptionTokens() (changed bool) {
+	r := rc
 	demands := map[string]map[string]disruption.Demand{} // team, shard
-	c.forEachFreshMessage(func(from string, msg *PeerMessage) {
+	rc.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
 		for i := range msg.OwnedShards {
-			if peerShard := &msg.OwnedShards[i]; c.shardClaims[peerShard.Shard].Owner == from {
+			if peerShard := &msg.OwnedShards[i]; rc.cache.shardClaims[peerShard.Shard].Owner == from {
 				for team, d := range peerShard.DisruptionDemands {
 					if demands[team] == nil {
 						demands[team] = map[string]disruption.Demand{}
@@ -164,7 +177,7 @@
 			}
 		}
 	})
-	rows, maxRows := 0, max(16, c.params.MaxValueBytes/2/40) // a row takes some forty bytes
+	rows, maxRows := 0, max(16, rc.params.MaxValueBytes/2/40) // a row takes some forty bytes
 	recorded := map[string]bool{}
 	for _, teams := range r.ledger.Issued() {
 		rows += len(teams)
@@ -182,7 +195,7 @@
 		for s, a := range r.disruptionRecords {
 			settled[s] = a.Settled[team]
 		}
-		if r.ledger.Issue(c.now.MonotonicMS, team, c.disruptionBudget(team), shardDemands, settled) {
+		if r.ledger.Issue(rc.now.MonotonicMS, team, rc.disruptionBudget(team), shardDemands, settled) {
 			changed = true
 		}
 	}
@@ -191,18 +204,18 @@
 
 // rolloutMachines lists the machines that are recorded, in order. What is asked back is on
 // its way and counts as there until the cloud has said so.
-func (c *Controller) rolloutMachines() []rollout.Machine {
-	r := &c.rolloutState
+func (rc *rolloutController) rolloutMachines() []rollout.Machine {
+	r := rc
 	r.machines = r.machines[:0]
-	for _, mc := range c.machines {
-		r.machines = append(r.machines, c.rolloutMachine(mc))
+	for _, mc := range rc.registry.machines {
+		r.machines = append(r.machines, rc.rolloutMachine(mc))
 	}
 	slices.SortFunc(r.machines, func(a, b rollout.Machine) int { return strings.Compare(a.ID, b.ID) })
 	return r.machines
 }
 
-func (c *Controller) hourlyPrice(k rollout.InstanceOffering) float64 {
-	t := c.machineTypes[k.Type]
+func (rc *rolloutController) hourlyPrice(k rollout.InstanceOffering) float64 {
+	t := rc.cache.machineTypes[k.Type]
 	switch {
 	case t == nil:
 		return 0
@@ -213,29 +226,29 @@
 }
 
 // clusterCounts is what gates count, over all members that are heard.
-func (c *Controller) clusterCounts() (sum rollout.HealthCounts) {
-	c.forEachFreshMessage(func(_ string, msg *PeerMessage) { sum = sum.Add(msg.RolloutCounts) })
+func (rc *rolloutController) clusterCounts() (sum rollout.HealthCounts) {
+	rc.peers.forEachFreshMessage(func(_ string, msg *PeerMessage) { sum = sum.Add(msg.RolloutCounts) })
 	return sum
 }
 
 // baselineRate is what gates count in an ordinary second.
-func (c *Controller) baselineRate() rollout.HealthRates {
-	history := c.rolloutState.countsHistory
+func (rc *rolloutController) baselineRate() rollout.HealthRates {
+	history := rc.countsHistory
 	if len(history) == 0 {
 		return rollout.HealthRates{}
 	}
-	return c.clusterCounts().Since(history[0].counts).RatesOver(c.now.MonotonicMS - history[0].at)
+	return rc.clusterCounts().Since(history[0].counts).RatesOver(rc.now.MonotonicMS - history[0].at)
 }
 
 // provisionReplacements asks for machines that a plan replaces others by, one call for all
 // of a kind and zone.
-func (c *Controller) provisionReplacements(plan string, toProvision map[rollout.InstanceOffering]int) {
-	r := &c.rolloutState
+func (rc *rolloutController) provisionReplacements(plan string, toProvision map[rollout.InstanceOffering]int) {
+	r := rc
 	requests := map[offering]map[string]int{}
 	var order []offering
 	for k, n := range toProvision {
 		o := offering{k.Type, k.Zone, k.Spot}
-		if c.machineTypes[k.Type] == nil || c.now.MonotonicMS < c.fleet.unavailableUntil[o] {
+		if rc.cache.machineTypes[k.Type] == nil || rc.now.MonotonicMS < rc.scaler.unavailableUntil[o] {
 			continue
 		}
 		if requests[o] == nil {
@@ -248,7 +261,7 @@
 	pending := len(order)
 	r.provisioning = pending > 0
 	for _, o := range order {
-		c.provision(o, requests[o], plan, func() {
+		rc.scaler.provision(o, requests[o], plan, func() {
 			if pending--; pending == 0 {
 				r.provisioning = false
 			}
@@ -257,12 +270,12 @@
 }
 
 // writeRolloutRecord changes the plan's record, under a condition beside its revision.
-func (c *Controller) writeRolloutRecord(rec *rollout.Record, preconditions []Precondition, onResult func(StoreResult)) {
-	r := &c.rolloutState
+func (rc *rolloutController) writeRolloutRecord(rec *rollout.Record, preconditions []Precondition, onResult func(StoreResult)) {
+	r := rc
 	r.writing = true
-	c.sendTxn(
+	rc.store.sendTxn(
 		UrgencyUser,
-		append(preconditions, Precondition{rolloutKey, c.keyRevisions[rolloutKey]}),
+		append(preconditions, Precondition{rolloutKey, rc.cache.keyRevisions[rolloutKey]}),
 		[]Change{{Key: rolloutKey, Value: mustEncode(rec)}},
 		func(res StoreResult) {
 			if res.Outcome != Unknown && res.Outcome != Conflict {
@@ -272,7 +285,7 @@
 			}
 			// Tokens that the record would have issued count as issued, in the ledger
 			// of this leader and, if it was written, in the record.
-			c.rereadKey(rolloutKey, func(StoreResult) {
+			rc.store.rereadKey(rolloutKey, func(StoreResult) {
 				r.writing = false
 				onResult(res)
 			})
@@ -282,24 +295,24 @@
 
 // tickShardDisruption is a shard's part in each tick: what was stopped and runs again is
 // settled, what is to be stopped is charged, and the account is written.
-func (c *Controller) tickShardDisruption(s *shard) {
+func (rc *rolloutController) tickShardDisruption(s *shard) {
 	d := &s.disruption
-	if !c.params.Rollout || c.now.MonotonicMS < d.nextTickAt {
+	if !rc.params.Rollout || rc.now.MonotonicMS < d.nextTickAt {
 		return
 	}
-	d.nextTickAt = c.now.MonotonicMS + 250
+	d.nextTickAt = rc.now.MonotonicMS + 250
 	if d.account == nil {
-		d.account = disruption.OpenAccount(c.rolloutState.disruptionRecords[s.name], c.maxOpenCharges())
-		d.record.rev = c.keyRevisions[disruptionPrefix+s.name]
+		d.account = disruption.OpenAccount(rc.disruptionRecords[s.name], rc.maxOpenCharges())
+		d.record.rev = rc.cache.keyRevisions[disruptionPrefix+s.name]
 	}
-	c.settleCharges(s)
-	c.requestEvictions(s)
-	c.writeDisruptionAccount(s)
+	rc.settleCharges(s)
+	rc.requestEvictions(s)
+	rc.writeDisruptionAccount(s)
 }
 
 // settleCharges closes the charges of tasks that run again, are done or are nobody's any
 // more, and of tasks that go on where they are.
-func (c *Controller) settleCharges(s *shard) {
+func (rc *rolloutController) settleCharges(s *shard) {
 	d := &s.disruption
 	if d.account.IsEmpty() {
 		return
@@ -313,7 +326,7 @@
 		}
 	}
 	d.account.EachLost(func(task, _ string) {
-		if tr, i := c.taskRangeOf(task); tr == nil || tr.done.has(i) || live[task] != nil {
+		if tr, i := rc.shards.taskRangeOf(task); tr == nil || tr.done.has(i) || live[task] != nil {
 			d.account.RecordRecovery(task)
 		}
 	})
@@ -321,14 +334,14 @@
 		return // what is not heard may be what runs
 	}
 	d.account.EachReserved(func(task string, t disruption.StoppedTask) {
-		tr, i := c.taskRangeOf(task)
+		tr, i := rc.shards.taskRangeOf(task)
 		a := live[task]
 		switch {
 		case tr == nil, tr.done.has(i):
 			d.account.Release(task)
 		case a != nil && a.key.attempt != t.Attempt:
 			d.account.Release(task)
-		case a != nil && !a.evicted && !c.isDrainedByRollout(a.machine):
+		case a != nil && !a.evicted && !rc.isDrainedByRollout(a.machine):
 			d.account.Release(task) // it was never told to stop, and is not to be
 		}
 	})
@@ -342,8 +355,8 @@
 
 // requestEvictions finds what the plan would have stopped, charges what was issued for, and
 // tells what more it wants. What ends in time is let end.
-func (c *Controller) requestEvictions(s *shard) {
-	d, rec, wall := &s.disruption, c.rolloutState.rec, c.now.WallMS
+func (rc *rolloutController) requestEvictions(s *shard) {
+	d, rec, wall := &s.disruption, rc.rec, rc.now.WallMS
 	d.demands = map[string]disruption.Demand{}
 	if rec == nil || rec.State.IsTerminal() {
 		return
@@ -368,7 +381,7 @@
 	late, deadline := rec.IsPastDeadline(wall), rec.StepDeadline()
 	var candidates []eviction
 	for _, mc := range s.machines {
-		if !mc.cordoned || !mc.IsReconciled() || mc.liveAttemptCount == 0 || !c.isDrainedByRollout(mc) {
+		if !mc.cordoned || !mc.IsReconciled() || mc.liveAttemptCount == 0 || !rc.isDrainedByRollout(mc) {
 			continue
 		}
 		for _, a := range mc.byKey {
@@ -376,7 +389,7 @@
 				continue
 			}
 			expectedEnd := a.expectedEnd(wall)
-			endsByItself := expectedEnd-wall <= 2*c.maxHeartbeatIntervalMS()+secondsToMS(a.job.CheckpointDurationS)
+			endsByItself := expectedEnd-wall <= 2*rc.maxHeartbeatIntervalMS()+secondsToMS(a.job.CheckpointDurationS)
 			e := eviction{attempt: a}
 			switch {
 			case a.job.Kind == Array && endsByItself || deadline > 0 && !late && a.job.Kind == Array && expectedEnd <= deadline && a.running:
@@ -388,7 +401,7 @@
 				if a.job.CheckpointIntervalS > 0 {
 					e.lostWork = min(e.lostWork, a.job.CheckpointDurationS*1000*a.job.Request.CPUs)
 				}
-			case a.job.Kind == Array && a.job.CheckpointIntervalS > 0 && deadline > 0 && !c.fitsOnlyTypeOf(a.job, mc):
+			case a.job.Kind == Array && a.job.CheckpointIntervalS > 0 && deadline > 0 && !rc.fitsOnlyTypeOf(a.job, mc):
 				e.lostWork = a.job.CheckpointDurationS * 1000 * a.job.Request.CPUs
 			default:
 				continue
@@ -401,7 +414,7 @@
 	})
 	for _, e := range candidates {
 		a := e.attempt
-		tasks := c.tasksEvictedTogether(s, a)
+		tasks := rc.tasksEvictedTogether(s, a)
 		if tasks == nil {
 			continue
 		}
@@ -421,28 +434,28 @@
 }
 
 // fitsOnlyTypeOf tells whether no other type of machine takes a job.
-func (c *Controller) fitsOnlyTypeOf(j *Job, mc *machine) bool {
-	for _, t := range c.machineTypes {
-		if t.Name != mc.rec.Type && c.fitsType(j, t) {
+func (rc *rolloutController) fitsOnlyTypeOf(j *Job, mc *machine) bool {
+	for _, t := range rc.cache.machineTypes {
+		if t.Name != mc.rec.Type && rc.cache.fitsType(j, t) {
 			return false
 		}
 	}
-	return c.placementCatalog.IsRequired(mc.rec.Type)
+	return rc.cache.placementCatalog.IsRequired(mc.rec.Type)
 }
 
 // tasksEvictedTogether is what goes down with a task: a gang all of it; nil if a service would fall
 // under what its team's budget keeps.
-func (c *Controller) tasksEvictedTogether(s *shard, a *attempt) map[string]uint64 {
+func (rc *rolloutController) tasksEvictedTogether(s *shard, a *attempt) map[string]uint64 {
 	tasks := map[string]uint64{a.key.task: a.key.attempt}
 	switch a.job.Kind {
 	case Service:
 		down := 0
 		s.disruption.account.EachReserved(func(task string, _ disruption.StoppedTask) {
-			if tr, _ := c.taskRangeOf(task); tr == a.taskRange {
+			if tr, _ := rc.shards.taskRangeOf(task); tr == a.taskRange {
 				down++
 			}
 		})
-		minRunning := int(math.Ceil(c.disruptionBudget(a.job.Team).MinReplicaShare * float64(a.taskRange.size())))
+		minRunning := int(math.Ceil(rc.disruptionBudget(a.job.Team).MinReplicaShare * float64(a.taskRange.size())))
 		if min(a.taskRange.runningCount, a.taskRange.size()-down)-1 < minRunning {
 			return nil
 		}
@@ -459,25 +472,25 @@
 }
 
 // mayEvict tells whether a task's stop may leave: its charge is in the store.
-func (c *Controller) mayEvict(s *shard, mc *machine, a *attempt) bool {
+func (rc *rolloutController) mayEvict(s *shard, mc *machine, a *attempt) bool {
 	d := &s.disruption
-	if !c.params.Rollout || d.account == nil || !d.account.CanStop(a.key.task, a.key.attempt) {
+	if !rc.params.Rollout || d.account == nil || !d.account.CanStop(a.key.task, a.key.attempt) {
 		return false
 	}
 	// A gang goes down whole, wherever its tasks are.
 	return a.evicted ||
-		c.rolloutState.rec != nil && c.rolloutState.rec.State == rollout.Running &&
-			(mc.cordoned && c.isDrainedByRollout(mc) || a.job.Kind == Gang)
+		rc.rec != nil && rc.rec.State == rollout.Running &&
+			(mc.cordoned && rc.isDrainedByRollout(mc) || a.job.Kind == Gang)
 }
 
 // writeDisruptionAccount stores a shard's account when it changed.
-func (c *Controller) writeDisruptionAccount(s *shard) {
+func (rc *rolloutController) writeDisruptionAccount(s *shard) {
 	d := &s.disruption
-	if d.record.writing || !d.account.HasUnstoredChanges() || c.now.MonotonicMS < d.record.nextWriteAt {
+	if d.record.writing || !d.account.HasUnstoredChanges() || rc.now.MonotonicMS < d.record.nextWriteAt {
 		return
 	}
 	rec := d.account.BuildRecord()
-	c.writeShardRecord(s, disruptionPrefix+s.name, &d.record, rec, c.progressWriteInterval()/2, func(ok bool) {
+	rc.shards.writeShardRecord(s, disruptionPrefix+s.name, &d.record, rec, rc.progressWriteInterval()/2, func(ok bool) {
 		if ok {
 			d.account.ConfirmStored(rec)
 		} else {
@@ -497,15 +510,15 @@
 }
 
 // Rollout tells how the plan stands, nil without one.
-func (c *Controller) Rollout(now Now) *RolloutStatus {
-	c.now = now
-	rec := c.rolloutState.rec
+func (rc *rolloutController) status(now Now) *RolloutStatus {
+	rc.now = now
+	rec := rc.rec
 	if rec == nil {
 		return nil
 	}
 	status := &RolloutStatus{Record: rec, Disrupted: map[string]int{}, WaitingForBudget: map[string]int{}}
-	for _, mc := range c.machines {
-		p := c.rolloutMachine(mc)
+	for _, mc := range rc.registry.machines {
+		p := rc.rolloutMachine(mc)
 		switch {
 		case rec.Selects(&p):
 			status.Remaining++
@@ -516,12 +529,12 @@
 			status.Booting++
 		}
 	}
-	for _, a := range c.rolloutState.disruptionRecords {
+	for _, a := range rc.disruptionRecords {
 		for _, t := range a.Reserved {
 			status.Disrupted[t.Team]++
 		}
 	}
-	c.forEachFreshMessage(func(_ string, msg *PeerMessage) {
+	rc.peers.forEachFreshMessage(func(_ string, msg *PeerMessage) {
 		for i := range msg.OwnedShards {
 			for team, d := range msg.OwnedShards[i].DisruptionDemands {
 				if d.Requested > 0 {
@@ -545,10 +558,10 @@
 }
 
 // PreviewRollout tells what a plan would do, and stores nothing.
-func (c *Controller) PreviewRollout(now Now, p rollout.Plan) RolloutPreview {
-	c.now = now
+func (rc *rolloutController) preview(now Now, p rollout.Plan) RolloutPreview {
+	rc.now = now
 	preview := RolloutPreview{Kinds: map[string]int{}, Tasks: map[string]int{}, MaxDisrupted: map[string]int{}}
-	rec, reason := rollout.NewRecord(p, c.now.WallMS, c.rolloutMachines(), rollout.HealthRates{})
+	rec, reason := rollout.NewRecord(p, rc.now.WallMS, rc.rolloutMachines(), rollout.HealthRates{})
 	if reason != "" {
 		preview.InvalidReason = reason
 		return preview
@@ -556,8 +569,8 @@
 	preview.Machines = rec.TotalMachines
 	var highestPrice float64
 	zones := map[string]int{}
-	for _, mc := range c.machines {
-		target := c.rolloutMachine(mc)
+	for _, mc := range rc.registry.machines {
+		target := rc.rolloutMachine(mc)
 		if !rec.Selects(&target) {
 			continue
 		}
@@ -565,7 +578,7 @@
 		zones[target.Zone]++
 		highestPrice = max(
 			highestPrice,
-			c.hourlyPrice(rollout.InstanceOffering{Type: target.Type, Zone: target.Zone, Spot: target.Spot}),
+			rc.hourlyPrice(rollout.InstanceOffering{Type: target.Type, Zone: target.Zone, Spot: target.Spot}),
 		)
 		for _, a := range mc.byKey {
 			if !a.exited && a.running {
@@ -574,7 +587,7 @@
 		}
 	}
 	for team, n := range preview.Tasks {
-		preview.MaxDisrupted[team] = c.disruptionBudget(team).MaxDown(n)
+		preview.MaxDisrupted[team] = rc.disruptionBudget(team).MaxDown(n)
 	}
 	preview.Steps = rec.StepCount(zones)
 	preview.SurgeCostPerHour = highestPrice * float64(min(p.Surge, rec.TotalMachines))
@@ -583,70 +596,88 @@
 
 // ApplyRollout stores a plan, for the member that leads the fleet to carry out;
 // reply names the answer among the users'.
-func (c *Controller) ApplyRollout(now Now, replyID uint64, p rollout.Plan) {
-	c.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
-		if current := c.rolloutState.rec; current != nil && !current.State.IsTerminal() {
+func (rc *rolloutController) submitPlan(now Now, replyID uint64, p rollout.Plan) {
+	rc.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
+		if current := rc.rec; current != nil && !current.State.IsTerminal() {
 			return nil, "plan " + current.Plan.ID + " is " + string(current.State) + ": abort it first", 409
 		} else if current != nil && current.Plan.ID == p.ID {
 			return nil, "id: plan " + p.ID + " has been already", 409
 		}
-		if p.Type != "" && c.machineTypes[p.Type] == nil {
+		if p.Type != "" && rc.cache.machineTypes[p.Type] == nil {
 			return nil, "type: no machine type " + p.Type, 400
 		}
-		rec, reason := rollout.NewRecord(p, c.now.WallMS, c.rolloutMachines(), c.baselineRate())
-		if rec != nil && c.rolloutState.rec != nil {
-			rec.Issued = c.rolloutState.rec.Issued // tokens are the shards', whatever the plan
+		rec, reason := rollout.NewRecord(p, rc.now.WallMS, rc.rolloutMachines(), rc.baselineRate())
+		if rec != nil && rc.rec != nil {
+			rec.Issued = rc.rec.Issued // tokens are the shards', whatever the plan
 		}
 		return rec, reason, 400
 	})
 }
 
 // CommandRollout carries an operator's command to the plan out.
-func (c *Controller) CommandRollout(now Now, replyID uint64, command rollout.Command) {
-	c.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
-		if c.rolloutState.rec == nil {
+func (rc *rolloutController) command(now Now, replyID uint64, command rollout.Command) {
+	rc.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
+		if rc.rec == nil {
 			return nil, "there is no plan", 404
 		}
-		rec := *c.rolloutState.rec
-		reason := rec.ApplyCommand(command, c.now.WallMS, c.clusterCounts())
+		rec := *rc.rec
+		reason := rec.ApplyCommand(command, rc.now.WallMS, rc.clusterCounts())
 		return &rec, reason, 409
 	})
 }
 
-func (c *Controller) changeRollout(
+func (rc *rolloutController) changeRollout(
 	now Now,
 	replyID uint64,
 	change func() (rec *rollout.Record, reason string, status int),
 ) {
-	c.now = now
-	c.pendingRequests[replyID] = &pendingRequest{
+	rc.now = now
+	rc.requests.pendingRequests[replyID] = &pendingRequest{
 		replyID:        replyID,
 		receivedAtMS:   now.MonotonicMS,
 		pendingLocally: true,
 		relayed:        true,
 	} // this member's to answer
-	if !c.params.Rollout {
-		c.completeRequest(replyID, UserResponse{Status: 404, Error: "rollouts are switched off (features: [rollout])"})
+	if !rc.params.Rollout {
+		rc.requests.completeRequest(replyID, UserResponse{Status: 404, Error: "rollouts are switched off (features: [rollout])"})
 		return
 	}
-	if !c.storeAccess.IsSynced() || c.rolloutState.writing {
-		c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+	if !rc.store.storeAccess.IsSynced() || rc.writing {
+		rc.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		return
 	}
 	rec, reason, status := change()
 	if reason != "" {
-		c.completeRequest(replyID, UserResponse{Status: status, Error: reason})
+		rc.requests.completeRequest(replyID, UserResponse{Status: status, Error: reason})
 		return
 	}
-	c.log(Info, "rollout", "plan", rec.Plan.ID, "state", rec.State, "machines", rec.TotalMachines)
-	c.writeRolloutRecord(rec, nil, func(r StoreResult) {
+	rc.log(Info, "rollout", "plan", rec.Plan.ID, "state", rec.State, "machines", rec.TotalMachines)
+	rc.writeRolloutRecord(rec, nil, func(r StoreResult) {
 		switch r.Outcome {
 		case OK:
-			c.completeRequest(replyID, UserResponse{Status: 200})
+			rc.requests.completeRequest(replyID, UserResponse{Status: 200})
 		case Conflict:
-			c.completeRequest(replyID, UserResponse{Status: 409, Error: "the plan moved on meanwhile; try again"})
+			rc.requests.completeRequest(replyID, UserResponse{Status: 409, Error: "the plan moved on meanwhile; try again"})
 		default:
-			c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+			rc.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		}
 	})
 }
+
+// Rollout returns the plan as it stands, nil without one.
+func (c *Controller) Rollout(now Now) *RolloutStatus { return c.rollouts.status(now) }
+
+// PreviewRollout returns what a plan would do, by what is known now.
+func (c *Controller) PreviewRollout(now Now, p rollout.Plan) RolloutPreview { return c.rollouts.preview(now, p) }
+
+// ApplyRollout stores a plan, for the leader to carry out; the response is among
+// the users' under replyID.
+func (c *Controller) ApplyRollout(now Now, replyID uint64, p rollout.Plan) {
+	c.rollouts.submitPlan(now, replyID, p)
+}
+
+// CommandRollout carries out an operator's command to the plan; the response is
+// among the users' under replyID.
+func (c *Controller) CommandRollout(now Now, replyID uint64, command rollout.Command) {
+	c.rollouts.command(now, replyID, command)
+}
--- a/scheduler/scale_benchmark_test.go
+++ b/scheduler/scale_benchmark_test.go
@@ -32,9 +32,9 @@
 		1,
 		Now{1, 1},
 	)
-	ctrl.mirrorRevision, ctrl.now = 10, Now{100_000, 100_000}
-	ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
-	ctrl.setMachineTypes([]MachineType{
+	ctrl.cache.mirrorRevision, ctrl.now = 10, Now{100_000, 100_000}
+	ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+	ctrl.cache.setMachineTypes([]MachineType{
 		{
 			Name:           "small",
 			Resources:      availability.Resources{CPUs: 8, MemoryGB: 64, DiskGB: 30},
@@ -50,14 +50,14 @@
 			Zones:          []string{"a"},
 		},
 	})
-	s := ctrl.newShard("m0", 7, 5)
+	s := ctrl.shards.newShard("m0", 7, 5)
 	s.ready = true
-	ctrl.ownedShards["m0"] = s
+	ctrl.shards.ownedShards["m0"] = s
 	rng := rand.New(rand.NewPCG(1, 2))
 	rev := uint64(20)
 	put := func(key string, v any) {
 		rev++
-		ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(v), Rev: rev})
+		ctrl.cache.applyChange(KeyValue{Key: key, Value: mustEncode(v), Rev: rev})
 	}
 	for i := range jobs {
 		j := Job{
@@ -87,7 +87,7 @@
 			registryRecord{Shard: "m0", Type: typeName, Zone: "a", Spot: i%2 == 0, MachineIDs: []string{id}},
 		)
 		put(liveMachinesPrefix+"m0/"+id, liveMachinesRecord{[]string{id}})
-		mc := ctrl.machines[id]
+		mc := ctrl.registry.machines[id]
 		s.reconciler.ReceiveHeartbeat(mc.Machine, ctrl.now.MonotonicMS, 1, 1, s.claimRev)
 		mc.everReconciled = true
 		for k := range 2 {
@@ -96,7 +96,7 @@
 			}
 			tr := s.taskRanges[(2*i+k)%len(s.taskRanges)]
 			if n := tr.nextTask(); n >= 0 && tr.assignedCount < 20 {
-				ctrl.startTask(s, mc, tr, n, 20_000+rng.Int64N(40_000), 0, &Heartbeat{Incarnation: 1, Seq: 1})
+				ctrl.agents.startTask(s, mc, tr, n, 20_000+rng.Int64N(40_000), 0, &Heartbeat{Incarnation: 1, Seq: 1})
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 			ctrl, s := newControllerWithFleet(b, c.machines, c.jobs)
 			b.ReportAllocs()
 			for b.Loop() {
-				ctrl.planShard(s)
+				ctrl.placer.planShard(s)
 			}
 			b.ReportMetric(float64(s.planSteps), "steps")
 		})
@@ -131,8 +131,8 @@
 	if fleet.ctrl == nil || fleet.steps == 20 {
 		fleet.ctrl, fleet.s = newControllerWithFleet(b, machines, jobs)
 		fleet.rng, fleet.steps = rand.New(rand.NewPCG(3, 4)), 0
-		fleet.ctrl.planShard(fleet.s)
-		fleet.ctrl.availabilitySummary(fleet.s)
+		fleet.ctrl.placer.planShard(fleet.s)
+		fleet.ctrl.placer.availabilitySummary(fleet.s)
 	}
 	fleet.steps++
 	fleet.ctrl.now.WallMS += 1000
@@ -160,12 +160,12 @@
 				fleet.step(b, c.machines, c.jobs)
 				if plan {
 					b.StartTimer()
-					fleet.ctrl.planShard(fleet.s)
+					fleet.ctrl.placer.planShard(fleet.s)
 					continue
 				}
-				fleet.ctrl.planShard(fleet.s)
+				fleet.ctrl.placer.planShard(fleet.s)
 				b.StartTimer()
-				fleet.ctrl.availabilitySummary(fleet.s)
+				fleet.ctrl.placer.availabilitySummary(fleet.s)
 			}
 		})
 	}
@@ -179,17 +179,17 @@
 		for _, limit := range [][2]int{{125, 10}, {60, 10}, {30, 10}, {125, 4}} {
 			b.Run(fmt.Sprintf("%dx%d/%dx%d", c.machines, c.jobs, limit[0], limit[1]), func(b *testing.B) {
 				ctrl, s := newControllerWithFleet(b, c.machines, c.jobs)
-				ctrl.planShard(s)
-				ctrl.settings.Functions, ctrl.settings.Samples = limit[0], limit[1]
+				ctrl.placer.planShard(s)
+				ctrl.cache.settings.Functions, ctrl.cache.settings.Samples = limit[0], limit[1]
 				b.ReportAllocs()
 				for b.Loop() {
-					ctrl.availabilitySummary(s)
+					ctrl.placer.availabilitySummary(s)
 				}
-				b.ReportMetric(float64(len(ctrl.availabilitySummary(s))), "functions")
+				b.ReportMetric(float64(len(ctrl.placer.availabilitySummary(s))), "functions")
 				promised := func(functions, samples int, withinMS int64) float64 {
-					ctrl.settings.Functions, ctrl.settings.Samples = functions, samples
+					ctrl.cache.settings.Functions, ctrl.cache.settings.Samples = functions, samples
 					n := 0
-					for _, f := range ctrl.availabilitySummary(s) {
+					for _, f := range ctrl.placer.availabilitySummary(s) {
 						n += f.TaskCapacity(availability.Resources{CPUs: 4, MemoryGB: 14}, ctrl.now.WallMS+withinMS, 20_000, 1<<30)
 					}
 					return float64(n)
@@ -208,7 +208,7 @@
 	for _, c := range fleetSizes {
 		b.Run(fmt.Sprintf("%dx%d", c.machines, c.jobs), func(b *testing.B) {
 			ctrl, s := newControllerWithFleet(b, c.machines, c.jobs)
-			ctrl.planShard(s)
+			ctrl.placer.planShard(s)
 			mc := s.machines[0]
 			mc.plannedStarts = nil
 			seq := uint64(1)
@@ -239,11 +239,11 @@
 	for _, c := range fleetSizes {
 		b.Run(fmt.Sprintf("%dx%d", c.machines, c.jobs), func(b *testing.B) {
 			ctrl, s := newControllerWithFleet(b, c.machines, c.jobs)
-			ctrl.planShard(s)
+			ctrl.placer.planShard(s)
 			b.ReportAllocs()
 			for b.Loop() {
 				s.plannedAt = ctrl.now.MonotonicMS // without the planner
-				ctrl.tickShard(s)
+				ctrl.shards.tickShard(s)
 				ctrl.TakeOutputs()
 			}
 		})
@@ -256,7 +256,7 @@
 	for _, c := range fleetSizes {
 		b.Run(fmt.Sprintf("%dx%d", c.machines, c.jobs), func(b *testing.B) {
 			ctrl, s := newControllerWithFleet(b, c.machines, c.jobs)
-			ctrl.planShard(s)
+			ctrl.placer.planShard(s)
 			ctrl.params.Teams = map[string]Team{"": {}}
 			rev := uint64(1 << 20)
 			n := 0
@@ -264,7 +264,7 @@
 			for b.Loop() {
 				n++
 				rev++
-				j := ctrl.jobs["job-000000"].rec.Job
+				j := ctrl.cache.jobs["job-000000"].rec.Job
 				j.ID = fmt.Sprintf("job-9%08d", n)
 				ctrl.HandleUserRequest(ctrl.now, uint64(n), UserRequest{Kind: SubmitJob, ID: j.ID, Job: &j})
 				for _, op := range ctrl.TakeOutputs().StoreOps {
@@ -273,7 +273,7 @@
 				if resp := ctrl.TakeOutputs().UserResponses[uint64(n)]; resp.Status != 201 {
 					b.Fatalf("answered %+v", resp)
 				}
-				ctrl.applyChange(KeyValue{Key: jobKey(j.ID), Rev: rev + 1})
+				ctrl.cache.applyChange(KeyValue{Key: jobKey(j.ID), Rev: rev + 1})
 				rev++
 			}
 		})
@@ -284,18 +284,18 @@
 func BenchmarkRecovery(b *testing.B) {
 	ctrl, _ := newControllerWithFleet(b, 0, 500)
 	var items []KeyValue
-	for id, j := range sortedByKey(ctrl.jobs) {
+	for id, j := range sortedByKey(ctrl.cache.jobs) {
 		items = append(items, KeyValue{Key: jobKey(id), Value: mustEncode(j.rec), Rev: j.rev})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		restarted := New(ctrl.params, 1, Now{1, 1})
 		for _, item := range items {
-			restarted.applyChange(item)
+			restarted.cache.applyChange(item)
 		}
-		restarted.ownedShards["m0"] = restarted.newShard("m0", 7, 5)
-		restarted.takeOverShard(restarted.ownedShards["m0"])
-		if len(restarted.ownedShards["m0"].taskRanges) != len(items) {
+		restarted.shards.ownedShards["m0"] = restarted.shards.newShard("m0", 7, 5)
+		restarted.shards.takeOverShard(restarted.shards.ownedShards["m0"])
+		if len(restarted.shards.ownedShards["m0"].taskRanges) != len(items) {
 			b.Fatal("jobs are missing")
 		}
 	}
@@ -312,7 +312,7 @@
 			for b.Loop() {
 				b.StopTimer()
 				ctrl, s := newControllerWithFleet(b, c.machines, c.jobs)
-				ctrl.planShard(s)
+				ctrl.placer.planShard(s)
 				ctrl.TakeOutputs()
 				replans := ctrl.Counters.Replans
 				b.StartTimer()
@@ -333,7 +333,7 @@
 					)
 				}
 				ctrl.now.MonotonicMS += 1000
-				ctrl.tickShard(s)
+				ctrl.shards.tickShard(s)
 				b.StopTimer()
 				if i := slices.IndexFunc(s.machines, func(mc *machine) bool { return mc.Incarnation != 2 }); i >= 0 {
 					b.Fatalf("%s is not in its new session", s.machines[i].id)
@@ -362,26 +362,26 @@
 		for i := range teams {
 			ctrl.params.Teams[fmt.Sprintf("t%d", i)] = Team{CPUs: 80, MaxCPUs: 24_000}
 		}
-		ctrl.initTeamLedgers()
-		for i, id := range slices.Sorted(maps.Keys(ctrl.jobs)) {
-			ctrl.jobs[id].rec.Job.Team = fmt.Sprintf("t%d", i%teams)
+		ctrl.quotas.initTeamLedgers()
+		for i, id := range slices.Sorted(maps.Keys(ctrl.cache.jobs)) {
+			ctrl.cache.jobs[id].rec.Job.Team = fmt.Sprintf("t%d", i%teams)
 		}
-		ctrl.guaranteeStatus.valid = false
+		ctrl.quotas.guaranteeStatus.valid = false
 		b.Run(fmt.Sprintf("plan/%d", teams), func(b *testing.B) {
 			for b.Loop() {
-				ctrl.planShard(s)
+				ctrl.placer.planShard(s)
 			}
 		})
 		b.Run(fmt.Sprintf("draft/%d", teams), func(b *testing.B) {
 			for b.Loop() {
 				s.nextProposalAt = 0
-				ctrl.proposeAllocations(s)
+				ctrl.quotas.proposeAllocations(s)
 				ctrl.TakeOutputs()
 			}
 		})
 		b.Run(fmt.Sprintf("tell/%d", teams), func(b *testing.B) {
 			for b.Loop() {
-				ctrl.usageSnapshot()
+				ctrl.quotas.usageSnapshot()
 			}
 		})
 	}
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -13,6 +13,33 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
+// shardManager owns the shards that this member has claimed: their claims,
+// failover and hand-back, the task ranges in them and their progress records.
+type shardManager struct {
+	*environment
+	agents   *agentManager
+	cache    *stateCache
+	placer   *placementPlanner
+	quotas   *quotaManager
+	registry *machineRegistry
+	requests *requestHandler
+	rollouts *rolloutController
+	store    *storeClient
+
+	ownedShards      map[string]*shard
+	claimRetryAtMS   map[string]int64 // by shard: monotonic time of the next try to claim it
+	ownerlessSinceMS map[string]int64 // by shard: monotonic time since which it has no owner
+}
+
+func newShardManager(env *environment) *shardManager {
+	return &shardManager{
+		environment:      env,
+		ownedShards:      map[string]*shard{},
+		claimRetryAtMS:   map[string]int64{},
+		ownerlessSinceMS: map[string]int64{},
+	}
+}
+
 // shard is a claim that this member holds: the machines and task ranges whose
 // records name it. Every member has one of its own and may adopt others'.
 type shard struct {
@@ -78,23 +105,23 @@
 	forecastDemand                                                  []CapacityDemand // of tasks that their machines will not end
 }
 
-func (c *Controller) newShard(name string, nonce, rev uint64) *shard {
+func (sm *shardManager) newShard(name string, nonce, rev uint64) *shard {
 	s := &shard{
 		name:        name,
 		nonce:       nonce,
 		claimRev:    rev,
 		token:       rev,
 		dirty:       true,
-		clusterView: planner.NewClusterView(c.placementCatalog),
+		clusterView: planner.NewClusterView(sm.cache.placementCatalog),
 		reconciler: reconcile.NewClaim(
 			reconcile.Settings{
-				MaxHeartbeatIntervalMS: c.maxHeartbeatIntervalMS(),
-				LeaseMS:                secondsToMS(c.params.LeaseS),
+				MaxHeartbeatIntervalMS: sm.maxHeartbeatIntervalMS(),
+				LeaseMS:                secondsToMS(sm.params.LeaseS),
 				MaxClockDrift:          maxClockDriftMS,
 				LeaseSlackMS:           leaseSlack,
 			},
 			rev,
-			c.now.MonotonicMS,
+			sm.now.MonotonicMS,
 		),
 		usage:                 map[string]availability.Resources{},
 		liveAttempts:          map[string][]*attempt{},
@@ -106,7 +133,7 @@
 		placeableDemand:       map[string]quota.Amounts{},
 		progressRecords:       map[string]*recordWriteState{},
 	}
-	s.attemptIDs.Rebase(rev, c.now.WallMS)
+	s.attemptIDs.Rebase(rev, sm.now.WallMS)
 	return s
 }
 
@@ -165,79 +192,79 @@
 	return -1
 }
 
-func (c *Controller) tickShards() {
-	if !c.storeAccess.IsSynced() || c.storeAccess.LeaseID() == 0 {
+func (sm *shardManager) tickShards() {
+	if !sm.store.storeAccess.IsSynced() || sm.store.storeAccess.LeaseID() == 0 {
 		return
 	}
-	now := c.now.MonotonicMS
-	for _, name := range c.memberIDs() {
-		rec, claimed := c.shardClaims[name]
+	now := sm.now.MonotonicMS
+	for _, name := range sm.memberIDs() {
+		rec, claimed := sm.cache.shardClaims[name]
 		if !claimed {
-			if _, ok := c.ownerlessSinceMS[name]; !ok {
-				c.ownerlessSinceMS[name] = now
+			if _, ok := sm.ownerlessSinceMS[name]; !ok {
+				sm.ownerlessSinceMS[name] = now
 			}
 		} else {
-			delete(c.ownerlessSinceMS, name)
+			delete(sm.ownerlessSinceMS, name)
 		}
-		if s := c.ownedShards[name]; s != nil {
-			c.tickShard(s)
+		if s := sm.ownedShards[name]; s != nil {
+			sm.tickShard(s)
 			continue
 		}
-		if now < c.claimRetryAtMS[name] || now-c.storeAccess.MirrorReadSentAt() > c.leaseRenewalIntervalMS()*3 {
+		if now < sm.claimRetryAtMS[name] || now-sm.store.storeAccess.MirrorReadSentAt() > sm.store.leaseRenewalIntervalMS()*3 {
 			continue
 		}
-		own := name == c.params.MemberID
+		own := name == sm.params.MemberID
 		switch {
-		case own && (!claimed || rec.Owner == c.params.MemberID):
+		case own && (!claimed || rec.Owner == sm.params.MemberID):
 			// Held under our own name and not by us: by our predecessor,
 			// which is dead.
-		case !claimed && !own && now-c.ownerlessSinceMS[name] > c.adoptionDelay():
+		case !claimed && !own && now-sm.ownerlessSinceMS[name] > sm.adoptionDelay():
 			// Its hold ended, and its member does not come back.
-		case claimed && rec.Owner == c.params.MemberID:
+		case claimed && rec.Owner == sm.params.MemberID:
 			// An adoption of our predecessor's.
 		default:
 			continue
 		}
-		c.claimShard(name)
+		sm.claimShard(name)
 	}
 }
 
 // adoptionDelay is how long a shard must have been without a holder before
 // another member adopts it, a step of a hold at most. Its hold has ended by then; the rest lets its own
 // member, which starts again within seconds, come first.
-func (c *Controller) adoptionDelay() int64 {
-	if c.now.MonotonicMS-c.startedAtMS < c.leaseTTLMS() {
-		return c.leaseTTLMS()
+func (sm *shardManager) adoptionDelay() int64 {
+	if sm.now.MonotonicMS-sm.startedAtMS < sm.store.leaseTTLMS() {
+		return sm.store.leaseTTLMS()
 	}
-	return c.leaseRenewalIntervalMS()/2 + c.rng.Int64N(c.leaseRenewalIntervalMS()/2)
+	return sm.store.leaseRenewalIntervalMS()/2 + sm.rng.Int64N(sm.store.leaseRenewalIntervalMS()/2)
 }
 
-func (c *Controller) claimShard(name string) {
-	nonce := c.rng.Uint64()
+func (sm *shardManager) claimShard(name string) {
+	nonce := sm.rng.Uint64()
 	key := claimKey(name)
-	c.claimRetryAtMS[name] = c.now.MonotonicMS + 10*c.leaseRenewalIntervalMS()
-	leaseID := c.storeAccess.LeaseID()
+	sm.claimRetryAtMS[name] = sm.now.MonotonicMS + 10*sm.store.leaseRenewalIntervalMS()
+	leaseID := sm.store.storeAccess.LeaseID()
 	takeClaim := func(rev uint64) {
-		if c.storeAccess.LeaseID() != leaseID {
-			c.claimRetryAtMS[name] = 0
+		if sm.store.storeAccess.LeaseID() != leaseID {
+			sm.claimRetryAtMS[name] = 0
 			return
 		}
-		delete(c.claimRetryAtMS, name)
-		c.ownedShards[name] = c.newShard(name, nonce, rev)
-		c.Counters.Claims++
-		c.log(Info, "shard claimed", "shard", name, "token", rev)
-		c.takeOverShard(c.ownedShards[name])
+		delete(sm.claimRetryAtMS, name)
+		sm.ownedShards[name] = sm.newShard(name, nonce, rev)
+		sm.Counters.Claims++
+		sm.log(Info, "shard claimed", "shard", name, "token", rev)
+		sm.takeOverShard(sm.ownedShards[name])
 	}
-	retryLater := func() { c.claimRetryAtMS[name] = c.now.MonotonicMS + 300 + c.rng.Int64N(300) }
-	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{key, c.keyRevisions[key]}},
-		Changes: []Change{{Key: key, Value: mustEncode(claimRecord{c.params.MemberID, nonce}), LeaseID: leaseID}}},
+	retryLater := func() { sm.claimRetryAtMS[name] = sm.now.MonotonicMS + 300 + sm.rng.Int64N(300) }
+	sm.store.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{key, sm.cache.keyRevisions[key]}},
+		Changes: []Change{{Key: key, Value: mustEncode(claimRecord{sm.params.MemberID, nonce}), LeaseID: leaseID}}},
 		func(r StoreResult) {
 			switch r.Outcome {
 			case OK:
 				takeClaim(r.Rev)
-				c.applyChange(KeyValue{Key: key, Value: mustEncode(claimRecord{c.params.MemberID, nonce}), Rev: r.Rev})
+				sm.cache.applyChange(KeyValue{Key: key, Value: mustEncode(claimRecord{sm.params.MemberID, nonce}), Rev: r.Rev})
 			case Unknown, Conflict:
-				c.rereadKey(key, func(r StoreResult) {
+				sm.store.rereadKey(key, func(r StoreResult) {
 					retryLater()
 					if r.Outcome != OK || len(r.KVs) != 1 {
 						return
@@ -256,66 +283,66 @@
 // raiseToken gives a shard a higher token. Once a worker has seen it, commands that
 // were sent to it before and never answered can no longer run, however long the
 // network held them.
-func (c *Controller) raiseToken(s *shard) {
-	if s.raisingToken || s.releasing || c.storeAccess.LeaseID() == 0 || c.now.MonotonicMS < s.nextRaiseAt {
+func (sm *shardManager) raiseToken(s *shard) {
+	if s.raisingToken || s.releasing || sm.store.storeAccess.LeaseID() == 0 || sm.now.MonotonicMS < s.nextRaiseAt {
 		return
 	}
-	s.raisingToken, s.nextRaiseAt = true, c.now.MonotonicMS+500
+	s.raisingToken, s.nextRaiseAt = true, sm.now.MonotonicMS+500
 	key := claimKey(s.name)
-	rec := claimRecord{c.params.MemberID, s.nonce}
-	c.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{key, s.token}},
-		Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}}}, func(r StoreResult) {
+	rec := claimRecord{sm.params.MemberID, s.nonce}
+	sm.store.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{key, s.token}},
+		Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: sm.store.storeAccess.LeaseID()}}}, func(r StoreResult) {
 		s.raisingToken = false
 		if r.Outcome == OK {
-			c.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: r.Rev})
-			c.log(Info, "token raised", "shard", s.name, "token", r.Rev)
+			sm.cache.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: r.Rev})
+			sm.log(Info, "token raised", "shard", s.name, "token", r.Rev)
 			return
 		}
-		c.rereadKey(key, func(StoreResult) {})
+		sm.store.rereadKey(key, func(StoreResult) {})
 	})
 }
 
 // dropShard forgets a claim that ended.
-func (c *Controller) dropShard(s *shard) {
-	if c.ownedShards[s.name] != s {
+func (sm *shardManager) dropShard(s *shard) {
+	if sm.ownedShards[s.name] != s {
 		return
 	}
-	delete(c.ownedShards, s.name)
-	for _, j := range sortedByKey(c.jobs) {
-		c.syncTaskRanges(j, false)
+	delete(sm.ownedShards, s.name)
+	for _, j := range sortedByKey(sm.cache.jobs) {
+		sm.syncTaskRanges(j, false)
 	}
 }
 
 // takeOverShard takes over what the mirror says the shard owns. The path is the
 // same for a first start, a restart, an adoption and a hand-back.
-func (c *Controller) takeOverShard(s *shard) {
-	for _, mc := range sortedByKey(c.machines) {
+func (sm *shardManager) takeOverShard(s *shard) {
+	for _, mc := range sortedByKey(sm.registry.machines) {
 		if mc.rec.Shard == s.name {
-			c.resetMachine(mc)
+			sm.registry.resetMachine(mc)
 			s.machines = append(s.machines, mc)
 		}
 	}
-	for _, j := range sortedByKey(c.jobs) {
-		c.syncTaskRanges(j, true)
+	for _, j := range sortedByKey(sm.cache.jobs) {
+		sm.syncTaskRanges(j, true)
 	}
-	c.readProgress(s)
+	sm.readProgress(s)
 }
 
-func (c *Controller) readProgress(s *shard) {
+func (sm *shardManager) readProgress(s *shard) {
 	if s.requestPending {
 		return
 	}
 	s.requestPending = true
-	c.listAll(progressPrefix+s.name+"/", func(kvs []KeyValue, _ uint64, outcome Outcome) {
+	sm.store.listAll(progressPrefix+s.name+"/", func(kvs []KeyValue, _ uint64, outcome Outcome) {
 		s.requestPending = false
-		if outcome != OK || c.ownedShards[s.name] != s {
-			s.plannedAt = c.now.MonotonicMS
+		if outcome != OK || sm.ownedShards[s.name] != s {
+			s.plannedAt = sm.now.MonotonicMS
 			return
 		}
 		done := map[string][]byte{}
 		for _, kv := range kvs {
 			if kv.Key == recoveryKey(s.name) {
-				c.restoreRecoveryRecord(s, kv)
+				sm.agents.restoreRecoveryRecord(s, kv)
 				continue
 			}
 			var rec progressRecord
@@ -377,22 +404,22 @@
 }
 
 // upsertJob follows a live job's record.
-func (c *Controller) upsertJob(id string, rec jobRecord, rev uint64) {
-	j := c.jobs[id]
+func (sm *shardManager) upsertJob(id string, rec jobRecord, rev uint64) {
+	j := sm.cache.jobs[id]
 	if j == nil {
 		j = &job{taskRanges: map[int]*taskRange{}}
-		c.jobs[id] = j
+		sm.cache.jobs[id] = j
 	}
 	j.rec, j.rev = rec, rev
-	c.guaranteeStatus.valid = false
-	c.syncTaskRanges(j, false)
+	sm.quotas.guaranteeStatus.valid = false
+	sm.syncTaskRanges(j, false)
 }
 
 // syncTaskRanges makes a job's works those of its ranges that are ours.
-func (c *Controller) syncTaskRanges(j *job, recovered bool) {
+func (sm *shardManager) syncTaskRanges(j *job, recovered bool) {
 	keep := map[int]bool{}
 	for _, r := range j.rec.Ranges {
-		s := c.ownedShards[r.Shard]
+		s := sm.ownedShards[r.Shard]
 		if s == nil {
 			continue
 		}
@@ -428,18 +455,18 @@
 	}
 	for lo, tr := range j.taskRanges {
 		if !keep[lo] {
-			c.dropTaskRange(tr)
+			sm.dropTaskRange(tr)
 			delete(j.taskRanges, lo)
 		}
 	}
 }
 
 // dropTaskRange takes a work off its claim's list.
-func (c *Controller) dropTaskRange(tr *taskRange) {
+func (sm *shardManager) dropTaskRange(tr *taskRange) {
 	s := tr.claim
 	s.dirty = true
 	if tr.doneCount == 0 {
-		c.discountMachineFailures(tr)
+		sm.agents.discountMachineFailures(tr)
 	}
 	if record := s.progressRecords[tr.progressKey]; record != nil && record.rev != 0 &&
 		strings.HasSuffix(tr.progressKey, tr.name()) {
@@ -460,26 +487,26 @@
 
 // deleteJob handles the end of a job's live record: it is done or cancelled, and
 // whatever still runs of it is stopped when its machine reports.
-func (c *Controller) deleteJob(id string) {
-	j := c.jobs[id]
+func (sm *shardManager) deleteJob(id string) {
+	j := sm.cache.jobs[id]
 	if j == nil {
 		return
 	}
-	delete(c.jobs, id)
-	c.guaranteeStatus.valid = false
+	delete(sm.cache.jobs, id)
+	sm.quotas.guaranteeStatus.valid = false
 	for _, tr := range j.taskRanges {
-		c.dropTaskRange(tr)
+		sm.dropTaskRange(tr)
 	}
 	clear(j.taskRanges)
 }
 
 // taskRangeOf finds the work that a task of ours belongs to.
-func (c *Controller) taskRangeOf(name string) (*taskRange, int) {
+func (sm *shardManager) taskRangeOf(name string) (*taskRange, int) {
 	id, n, ok := parseTaskName(name)
 	if !ok {
 		return nil, 0
 	}
-	j := c.jobs[id]
+	j := sm.cache.jobs[id]
 	if j == nil {
 		return nil, 0
 	}
@@ -493,83 +520,83 @@
 
 // claimPreconditions returns the conditions under which a shard may change a job's record:
 // the claim still stands, and the record is the one that we know.
-func (c *Controller) claimPreconditions(s *shard, j *job) []Precondition {
+func (sm *shardManager) claimPreconditions(s *shard, j *job) []Precondition {
 	return []Precondition{{claimKey(s.name), s.token}, {jobKey(j.rec.Job.ID), j.rev}}
 }
 
 // progressWriteInterval is how long progress may stay unwritten: a result is kept by
 // its machine until it is stored, so only a machine's loss costs it.
-func (c *Controller) progressWriteInterval() int64 {
-	return max(secondsToMS(c.params.HeartbeatS), 1500)
+func (env *environment) progressWriteInterval() int64 {
+	return max(secondsToMS(env.params.HeartbeatS), 1500)
 }
 
 // tickShard writes results and progress, watches for silent machines, and
 // plans when something changed.
-func (c *Controller) tickShard(s *shard) {
-	now := c.now.MonotonicMS
+func (sm *shardManager) tickShard(s *shard) {
+	now := sm.now.MonotonicMS
 	if s.releasing {
 		if !s.requestPending && now-s.plannedAt > 500 {
-			c.removeClaim(s)
+			sm.removeClaim(s)
 		}
 		return
 	}
 	if !s.ready {
 		// The mirror must have passed the claim: a machine that the earlier
 		// claim listed as up last of all may run what would start again.
-		if s.progressRead && c.mirrorRevision >= s.claimRev {
+		if s.progressRead && sm.cache.mirrorRevision >= s.claimRev {
 			s.ready, s.dirty = true, true
-			if c.params.Recovery && len(s.taskRanges) > 0 {
-				s.reconciler.Pacer.Activate(now, len(s.machines), secondsToMS(c.params.HeartbeatS), secondsToMS(c.params.LeaseS))
+			if sm.params.Recovery && len(s.taskRanges) > 0 {
+				s.reconciler.Pacer.Activate(now, len(s.machines), secondsToMS(sm.params.HeartbeatS), secondsToMS(sm.params.LeaseS))
 			}
-			c.log(Info, "shard ready", "shard", s.name, "machines", len(s.machines), "ranges", len(s.taskRanges))
+			sm.log(Info, "shard ready", "shard", s.name, "machines", len(s.machines), "ranges", len(s.taskRanges))
 		} else if !s.progressRead && !s.requestPending && now-s.plannedAt > 500 {
-			c.readProgress(s)
+			sm.readProgress(s)
 		}
 		return
 	}
-	if !c.hasAuthority() {
+	if !sm.store.hasAuthority() {
 		return
 	}
 	if s.token <= s.voidToken {
 		// Tried until it worked: refused once, in an outage, it left a task
 		// waiting for good.
-		c.raiseToken(s)
+		sm.raiseToken(s)
 	}
-	if s.attemptIDs.IsHalfExhausted(c.now.WallMS) {
-		c.raiseToken(s)
+	if s.attemptIDs.IsHalfExhausted(sm.now.WallMS) {
+		sm.raiseToken(s)
 	}
 	for _, tr := range s.taskRanges {
 		if tr.writing || tr.job.recordWritePending || now < tr.nextWriteAt {
 			continue
 		}
 		if tr.job.failureReason != "" {
-			c.failJob(s, tr)
+			sm.failJob(s, tr)
 			continue
 		}
 		if tr.job.awaitingBegunRecord {
-			c.writeBegunRecord(s, tr)
+			sm.writeBegunRecord(s, tr)
 			continue
 		}
 		if tr.doneCount == tr.size() && tr.job.rec.Job.Kind != Service {
-			c.finishTaskRange(s, tr)
+			sm.finishTaskRange(s, tr)
 		}
 	}
-	c.tickReconcile(s)
-	c.tickShardDisruption(s)
-	c.writeProgress(s)
-	c.writeLiveMachines(s)
+	sm.agents.tickReconcile(s)
+	sm.rollouts.tickShardDisruption(s)
+	sm.writeProgress(s)
+	sm.registry.writeLiveMachines(s)
 	if s.mostMachinesSilent() {
-		s.mostSilentAt = c.now.MonotonicMS
+		s.mostSilentAt = sm.now.MonotonicMS
 	}
 	for _, mc := range s.machines {
-		c.tickMachine(s, mc)
+		sm.agents.tickMachine(s, mc)
 	}
-	if c.isPlanDue(s) {
-		c.planShard(s)
-		c.sendReclaimStops(s)
-		c.sendUrgentStarts(s)
+	if sm.placer.isPlanDue(s) {
+		sm.placer.planShard(s)
+		sm.quotas.sendReclaimStops(s)
+		sm.agents.sendUrgentStarts(s)
 	}
-	c.proposeAllocations(s)
+	sm.quotas.proposeAllocations(s)
 }
 
 // planStepCostMS is what a step of the planner is taken to cost, in milliseconds of a
@@ -582,24 +609,24 @@
 // isPlanDue tells whether a shard is to be planned anew: soon when a job arrived,
 // otherwise as often as the last plan's cost allows. Machines that report room
 // in between take the next task of the queue by themselves.
-func (c *Controller) isPlanDue(s *shard) bool {
-	interval := c.planInterval(s)
-	passed := float64(c.now.MonotonicMS - s.plannedAt)
+func (pp *placementPlanner) isPlanDue(s *shard) bool {
+	interval := pp.planInterval(s)
+	passed := float64(pp.now.MonotonicMS - s.plannedAt)
 	switch {
 	case s.planExpedited:
 		return passed >= max(50, interval/2)
 	case s.dirty:
-		return passed >= max(50, min(c.params.HeartbeatS*1000/4, 500), interval)
+		return passed >= max(50, min(pp.params.HeartbeatS*1000/4, 500), interval)
 	}
 	return passed >= max(1000, 2*interval)
 }
 
 // planInterval is how long the last plan's cost asks to wait for the next one, in
 // milliseconds.
-func (c *Controller) planInterval(s *shard) float64 {
+func (env *environment) planInterval(s *shard) float64 {
 	interval := float64(s.planSteps) * planStepCostMS / planningCPUShare
-	if c.params.CPUShare > 0 {
-		interval /= c.params.CPUShare
+	if env.params.CPUShare > 0 {
+		interval /= env.params.CPUShare
 	}
 	return interval
 }
@@ -630,10 +657,10 @@
 
 // progressKey is the value that a range's progress is kept in: one of its own for a
 // large range, which would fill a shared one.
-func (c *Controller) progressKey(tr *taskRange) string {
+func (sm *shardManager) progressKey(tr *taskRange) string {
 	if tr.progressKey == "" {
 		tr.progressKey = progressPrefix + tr.shardName + "/"
-		if name := tr.name(); len(tr.done) > c.params.MaxValueBytes/16 {
+		if name := tr.name(); len(tr.done) > sm.params.MaxValueBytes/16 {
 			tr.progressKey += name
 		} else {
 			h := fnv.New32a()
@@ -647,7 +674,7 @@
 // writeShardRecord writes a value of a shard's own, or removes it (nil), under its claim and the
 // value's revision, and not again before a while. stored says whether the store is known to have it; if
 // it may, the revision is read before anything is written again.
-func (c *Controller) writeShardRecord(
+func (sm *shardManager) writeShardRecord(
 	s *shard,
 	key string,
 	state *recordWriteState,
@@ -655,12 +682,12 @@
 	interval int64,
 	onResult func(ok bool),
 ) {
-	state.writing, state.nextWriteAt = true, c.now.MonotonicMS+interval
+	state.writing, state.nextWriteAt = true, sm.now.MonotonicMS+interval
 	change := Change{Key: key}
 	if value != nil {
 		change.Value = mustEncode(value)
 	}
-	c.sendTxn(
+	sm.store.sendTxn(
 		UrgencyBackground,
 		[]Precondition{{claimKey(s.name), s.token}, {key, state.rev}},
 		[]Change{change},
@@ -672,7 +699,7 @@
 			onResult(r.Outcome == OK)
 			if r.Outcome == Unknown || r.Outcome == Conflict {
 				state.writing = true
-				c.rereadKey(key, func(r StoreResult) {
+				sm.store.rereadKey(key, func(r StoreResult) {
 					state.writing = false
 					if r.Outcome == OK && len(r.KVs) == 1 {
 						state.rev = r.KVs[0].Rev
@@ -686,31 +713,31 @@
 }
 
 // writeProgress writes the pages of a shard that have news.
-func (c *Controller) writeProgress(s *shard) {
-	now := c.now.MonotonicMS
+func (sm *shardManager) writeProgress(s *shard) {
+	now := sm.now.MonotonicMS
 	for _, tr := range s.taskRanges {
 		if tr.dirty {
-			s.progressRecord(c.progressKey(tr)).dirty = true
+			s.progressRecord(sm.progressKey(tr)).dirty = true
 		}
 	}
 	for key, state := range sortedByKey(s.progressRecords) {
 		if state.dirty && !state.writing && now >= state.nextWriteAt {
-			c.writeProgressRecord(s, key, state)
+			sm.writeProgressRecord(s, key, state)
 		}
 	}
 }
 
-func (c *Controller) writeProgressRecord(s *shard, key string, state *recordWriteState) {
+func (sm *shardManager) writeProgressRecord(s *shard, key string, state *recordWriteState) {
 	rec := progressRecord{DoneBitmaps: map[string][]byte{}}
 	snapshots := map[*taskRange]bitset{}
 	size := 0
 	for _, tr := range s.taskRanges {
-		if tr.doneCount == 0 || c.progressKey(tr) != key {
+		if tr.doneCount == 0 || sm.progressKey(tr) != key {
 			continue
 		}
 		// What does not fit waits until other ranges end: their machines
 		// keep the results.
-		if size += len(tr.done)*4/3 + len(tr.name()) + 12; size > c.params.MaxValueBytes-64 {
+		if size += len(tr.done)*4/3 + len(tr.name()) + 12; size > sm.params.MaxValueBytes-64 {
 			break
 		}
 		snapshot := append(bitset(nil), tr.done...)
@@ -722,7 +749,7 @@
 	if len(rec.DoneBitmaps) > 0 {
 		value = rec
 	}
-	c.writeShardRecord(s, key, state, value, c.progressWriteInterval(), func(ok bool) {
+	sm.writeShardRecord(s, key, state, value, sm.progressWriteInterval(), func(ok bool) {
 		if !ok {
 			state.dirty = true
 			for tr := range snapshots {
@@ -741,7 +768,7 @@
 
 // finishTaskRange records that all of a range is done. The last range of a job moves
 // it to its final record in the same transaction.
-func (c *Controller) finishTaskRange(s *shard, tr *taskRange) {
+func (sm *shardManager) finishTaskRange(s *shard, tr *taskRange) {
 	j := tr.job
 	id := j.rec.Job.ID
 	var preconditions []Precondition
@@ -761,19 +788,19 @@
 		rec.Ranges = remaining
 		changes = append(changes, Change{Key: jobKey(id), Value: mustEncode(rec)})
 	}
-	c.writeJob(s, tr, changes, preconditions, func() {
+	sm.writeJob(s, tr, changes, preconditions, func() {
 		if len(remaining) == 0 {
-			c.Counters.Finished++
-			if deadlineS := j.rec.Job.DeadlineS; deadlineS > 0 && c.now.WallMS > j.rec.AcceptedAtMS+secondsToMS(deadlineS) {
-				c.rolloutCounts.MissedDeadlines++
+			sm.Counters.Finished++
+			if deadlineS := j.rec.Job.DeadlineS; deadlineS > 0 && sm.now.WallMS > j.rec.AcceptedAtMS+secondsToMS(deadlineS) {
+				sm.rolloutCounts.MissedDeadlines++
 			}
-			c.cacheTerminalState(id, final)
+			sm.requests.cacheTerminalState(id, final)
 		}
 	})
 }
 
 // writeJob changes a job's record under its shard's claim.
-func (c *Controller) writeJob(
+func (sm *shardManager) writeJob(
 	s *shard,
 	tr *taskRange,
 	changes []Change,
@@ -781,17 +808,17 @@
 	onSuccess func(),
 ) {
 	j := tr.job
-	tr.writing, j.recordWritePending, tr.nextWriteAt = true, true, c.now.MonotonicMS
-	c.sendTxn(UrgencyUser, append(c.claimPreconditions(s, j), preconditions...), changes, func(r StoreResult) {
+	tr.writing, j.recordWritePending, tr.nextWriteAt = true, true, sm.now.MonotonicMS
+	sm.store.sendTxn(UrgencyUser, append(sm.claimPreconditions(s, j), preconditions...), changes, func(r StoreResult) {
 		tr.writing, j.recordWritePending = false, false
 		if r.Outcome == OK {
 			onSuccess()
 			return
 		}
-		tr.nextWriteAt = c.now.MonotonicMS + 200 // not before
+		tr.nextWriteAt = sm.now.MonotonicMS + 200 // not before
 		if r.Outcome == Unknown || r.Outcome == Conflict {
 			tr.writing, j.recordWritePending = true, true
-			c.rereadKey(jobKey(j.rec.Job.ID), func(StoreResult) {
+			sm.store.rereadKey(jobKey(j.rec.Job.ID), func(StoreResult) {
 				tr.writing, j.recordWritePending = false, false
 			})
 		}
@@ -801,24 +828,24 @@
 // releaseShard hands a shard back to its own member: first we stop acting for it,
 // then the claim is removed. There is no way back once the removal was sent: it
 // may be applied late, and the next claim may follow at once.
-func (c *Controller) releaseShard(s *shard) {
+func (sm *shardManager) releaseShard(s *shard) {
 	if s.releasing {
 		return
 	}
 	s.releasing = true
-	c.log(Info, "shard handed back", "shard", s.name)
-	c.removeClaim(s)
+	sm.log(Info, "shard handed back", "shard", s.name)
+	sm.removeClaim(s)
 }
 
-func (c *Controller) removeClaim(s *shard) {
+func (sm *shardManager) removeClaim(s *shard) {
 	key := claimKey(s.name)
 	s.requestPending = true
-	c.sendTxn(UrgencyLease, []Precondition{{key, s.token}}, []Change{{Key: key}}, func(r StoreResult) {
+	sm.store.sendTxn(UrgencyLease, []Precondition{{key, s.token}}, []Change{{Key: key}}, func(r StoreResult) {
 		s.requestPending = false
-		s.plannedAt = c.now.MonotonicMS
+		s.plannedAt = sm.now.MonotonicMS
 		if r.Outcome == OK || r.Outcome == Conflict {
-			c.dropShard(s)
-			c.ownerlessSinceMS[s.name] = c.now.MonotonicMS
+			sm.dropShard(s)
+			sm.ownerlessSinceMS[s.name] = sm.now.MonotonicMS
 		}
 	})
 }
--- a/scheduler/shared_reads_test.go
+++ b/scheduler/shared_reads_test.go
@@ -21,10 +21,10 @@
 	for n := range jobs {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})
 		rec.Job.ID = fmt.Sprintf("job-%06d", n)
-		ctrl.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(20 + n)})
+		ctrl.cache.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(20 + n)})
 	}
-	ctrl.mirrorRevision = 20 + uint64(jobs)
-	ctrl.queryBatcher.nextBatchAtMS = ctrl.now.MonotonicMS + access.RequestTimeout.Milliseconds()/batchIntervalDivisor
+	ctrl.cache.mirrorRevision = 20 + uint64(jobs)
+	ctrl.requests.queryBatcher.nextBatchAtMS = ctrl.now.MonotonicMS + access.RequestTimeout.Milliseconds()/batchIntervalDivisor
 	return ctrl
 }
 
@@ -37,11 +37,11 @@
 	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps) > 0 || len(outputs.UserResponses) > 0 {
 		t.Fatalf("%d requests and %d answers before the pause is over", len(outputs.StoreOps), len(outputs.UserResponses))
 	}
-	ctrl.now.MonotonicMS = ctrl.queryBatcher.nextBatchAtMS
-	ctrl.sendQueryBatch()
+	ctrl.now.MonotonicMS = ctrl.requests.queryBatcher.nextBatchAtMS
+	ctrl.requests.sendQueryBatch()
 	outputs := ctrl.TakeOutputs()
 	if len(outputs.StoreOps) != 1 || outputs.StoreOps[0].Kind != StoreWatch || outputs.StoreOps[0].DurationMS != 0 ||
-		outputs.StoreOps[0].Rev != ctrl.mirrorRevision ||
+		outputs.StoreOps[0].Rev != ctrl.cache.mirrorRevision ||
 		len(outputs.UserResponses) > 0 {
 		t.Fatalf("asks %+v, answers %d", outputs.StoreOps, len(outputs.UserResponses))
 	}
@@ -82,8 +82,8 @@
 	for outcome, reads := range map[Outcome]int{Refused: 0, Throttled: 0, Unknown: 0, Gone: 5} {
 		ctrl := newControllerWithJobs(t, 5)
 		queryAll(ctrl, 5)
-		ctrl.now.MonotonicMS = ctrl.queryBatcher.nextBatchAtMS
-		ctrl.sendQueryBatch()
+		ctrl.now.MonotonicMS = ctrl.requests.queryBatcher.nextBatchAtMS
+		ctrl.requests.sendQueryBatch()
 		ctrl.HandleStoreResult(ctrl.now, ctrl.TakeOutputs().StoreOps[0].ID, StoreResult{Outcome: outcome})
 		outputs := ctrl.TakeOutputs()
 		gets := 0
@@ -107,10 +107,10 @@
 func TestReloadingMirrorAnswersNoQuery(t *testing.T) {
 	ctrl := newControllerWithJobs(t, 5)
 	queryAll(ctrl, 5)
-	ctrl.now.MonotonicMS = ctrl.queryBatcher.nextBatchAtMS
-	ctrl.sendQueryBatch()
+	ctrl.now.MonotonicMS = ctrl.requests.queryBatcher.nextBatchAtMS
+	ctrl.requests.sendQueryBatch()
 	id := ctrl.TakeOutputs().StoreOps[0].ID
-	ctrl.storeAccess.ResyncMirror(ctrl.now.MonotonicMS)
+	ctrl.store.storeAccess.ResyncMirror(ctrl.now.MonotonicMS)
 	ctrl.HandleStoreResult(ctrl.now, id, StoreResult{Outcome: OK, Rev: 90})
 	if outputs := ctrl.TakeOutputs(); len(outputs.UserResponses) > 0 || len(outputs.StoreOps) != 5 {
 		t.Errorf("%d answers, %d reads", len(outputs.UserResponses), len(outputs.StoreOps))
--- a/scheduler/status_records.go
+++ b/scheduler/status_records.go
@@ -26,11 +26,11 @@
 const statusRecordSummaries = 2
 
 // publishStatusRecord writes a note of what a message says if the lead cannot be heard.
-func (c *Controller) publishStatusRecord(msg *PeerMessage) {
-	if c.params.MaxPendingRelays == 0 || c.leader == "" || c.leader == c.params.MemberID || c.writingStatusRecord ||
-		c.now.MonotonicMS < c.nextStatusRecordAtMS ||
-		!c.hasAuthority() ||
-		c.isFresh(c.peers[c.leader]) {
+func (pt *peerTable) publishStatusRecord(msg *PeerMessage) {
+	if pt.params.MaxPendingRelays == 0 || pt.cache.leader == "" || pt.cache.leader == pt.params.MemberID || pt.writingStatusRecord ||
+		pt.now.MonotonicMS < pt.nextStatusRecordAtMS ||
+		!pt.store.hasAuthority() ||
+		pt.isFresh(pt.peers[pt.cache.leader]) {
 		return
 	}
 	rec := statusRecord{WallMS: msg.WallMS}
@@ -40,13 +40,13 @@
 		recordShard := statusRecordShard{Shard: peerShard.Shard}
 		size += len(peerShard.Shard) + 32
 		for _, demand := range peerShard.Demands {
-			if size += len(mustEncode(demand)) + 1; size > c.params.MaxValueBytes {
+			if size += len(mustEncode(demand)) + 1; size > pt.params.MaxValueBytes {
 				break
 			}
 			recordShard.Demands = append(recordShard.Demands, demand)
 		}
 		for _, id := range peerShard.MachinesToRelease {
-			if size += len(id) + 3; size > c.params.MaxValueBytes {
+			if size += len(id) + 3; size > pt.params.MaxValueBytes {
 				break
 			}
 			recordShard.MachinesToRelease = append(recordShard.MachinesToRelease, id)
@@ -54,40 +54,40 @@
 		entries += len(recordShard.Demands) + len(recordShard.MachinesToRelease)
 		rec.Shards = append(rec.Shards, recordShard)
 	}
-	if entries == 0 && !c.lastStatusRecordNonEmpty {
+	if entries == 0 && !pt.lastStatusRecordNonEmpty {
 		return
 	}
-	c.writingStatusRecord, c.lastStatusRecordNonEmpty, c.nextStatusRecordAtMS = true, entries > 0, c.now.MonotonicMS+statusRecordSummaries*secondsToMS(
-		c.settings.SummaryS,
+	pt.writingStatusRecord, pt.lastStatusRecordNonEmpty, pt.nextStatusRecordAtMS = true, entries > 0, pt.now.MonotonicMS+statusRecordSummaries*secondsToMS(
+		pt.cache.settings.SummaryS,
 	)
-	key := statusPrefix + c.params.MemberID
+	key := statusPrefix + pt.params.MemberID
 	// Under the hold alone: the newest replaces what there is, and one that
 	// the network held back says its age.
-	c.sendStore(
+	pt.store.sendStore(
 		StoreOp{
 			Kind:    StoreTxn,
 			Urgency: UrgencyBackground,
-			Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: c.storeAccess.LeaseID()}},
+			Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: pt.store.storeAccess.LeaseID()}},
 		},
-		func(StoreResult) { c.writingStatusRecord = false },
+		func(StoreResult) { pt.writingStatusRecord = false },
 	)
 }
 
 // applyStatusRecord takes a peer's note from the mirror.
-func (c *Controller) applyStatusRecord(kv KeyValue) error {
+func (pt *peerTable) applyStatusRecord(kv KeyValue) error {
 	from := kv.Key[len(statusPrefix):]
 	var rec statusRecord
 	if kv.Value == nil {
-		delete(c.statusRecords, from)
+		delete(pt.statusRecords, from)
 		return nil
 	}
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
 		return err
 	}
-	if c.now.WallMS-rec.WallMS > c.maxMessageAgeMS() {
+	if pt.now.WallMS-rec.WallMS > pt.cache.maxMessageAgeMS() {
 		return nil // read with the mirror, or held back
 	}
-	if last := c.statusRecords[from]; last != nil && last.sentWallMS > rec.WallMS {
+	if last := pt.statusRecords[from]; last != nil && last.sentWallMS > rec.WallMS {
 		return nil // carried out late, after a newer one
 	}
 	msg := PeerMessage{From: from, WallMS: rec.WallMS}
@@ -97,17 +97,17 @@
 			PeerShard{Shard: s.Shard, Demands: s.Demands, MachinesToRelease: s.MachinesToRelease},
 		)
 	}
-	c.statusRecords[from] = &peerState{receivedAtMS: c.now.MonotonicMS, sentWallMS: rec.WallMS, message: msg}
+	pt.statusRecords[from] = &peerState{receivedAtMS: pt.now.MonotonicMS, sentWallMS: rec.WallMS, message: msg}
 	return nil
 }
 
 // forEachFreshMessage visits what the lead knows of each member's wants: by message or, if
 // those do not come, by note.
-func (c *Controller) forEachFreshMessage(visit func(from string, msg *PeerMessage)) {
-	for _, from := range c.memberIDs() {
-		if peer := c.peers[from]; c.isFresh(peer) {
+func (pt *peerTable) forEachFreshMessage(visit func(from string, msg *PeerMessage)) {
+	for _, from := range pt.memberIDs() {
+		if peer := pt.peers[from]; pt.isFresh(peer) {
 			visit(from, &peer.message)
-		} else if peer := c.statusRecords[from]; c.isFresh(peer) {
+		} else if peer := pt.statusRecords[from]; pt.isFresh(peer) {
 			visit(from, &peer.message)
 		}
 	}
--- a/scheduler/submission_random_test.go
+++ b/scheduler/submission_random_test.go
@@ -73,15 +73,15 @@
 	confirmed := uint64(0)
 	rapid.Check(outer, func(t *rapid.T) {
 		ctrl := newTestController(outer)
-		ctrl.storeAccess.SetState(1, 1, 1)
-		ctrl.setMachineTypes(
+		ctrl.store.storeAccess.SetState(1, 1, 1)
+		ctrl.cache.setMachineTypes(
 			[]MachineType{
 				{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}},
 			},
 		)
 		ctrl.params.Teams, ctrl.params.StoreChangeRate = map[string]Team{"ops": {}}, 1000
-		ctrl.submissionQueue = newSubmissionQueue(&ctrl.params)
-		store := &singleJobStore{id: "job-000001", revision: ctrl.mirrorRevision}
+		ctrl.requests.submissionQueue = newSubmissionQueue(&ctrl.params)
+		store := &singleJobStore{id: "job-000001", revision: ctrl.cache.mirrorRevision}
 		requestedAtStep, answered := map[uint64]int{}, map[uint64]bool{}
 		var openOps []StoreOp               // not ended for the member
 		var lateOps []StoreOp               // ended for it, and yet to be carried out
@@ -163,15 +163,15 @@
 				store.cancelByPeer()
 			case 6, 7:
 				if len(store.pendingWatchEvents) > 0 {
-					ctrl.applyChange(store.pendingWatchEvents[0])
-					ctrl.mirrorRevision = max(ctrl.mirrorRevision, store.pendingWatchEvents[0].Rev)
+					ctrl.cache.applyChange(store.pendingWatchEvents[0])
+					ctrl.cache.mirrorRevision = max(ctrl.cache.mirrorRevision, store.pendingWatchEvents[0].Rev)
 					store.pendingWatchEvents = store.pendingWatchEvents[1:]
 				}
 			default:
 				elapsedMS := rapid.Int64Range(1, 800).Draw(t, "ms")
 				ctrl.now.MonotonicMS, ctrl.now.WallMS = ctrl.now.MonotonicMS+elapsedMS, ctrl.now.WallMS+elapsedMS
 			}
-			ctrl.confirmMirroredSubmissions()
+			ctrl.requests.confirmMirroredSubmissions()
 			collect()
 		}
 		for len(openOps) > 0 {
--- a/scheduler/submission_test.go
+++ b/scheduler/submission_test.go
@@ -14,8 +14,8 @@
 	ctrl, _, _ := newControllerWithShard(t)
 	ctrl.params.StoreChangeRate = acceptRate
 	ctrl.params.Teams = map[string]Team{"ops": {}, "few": {}}
-	ctrl.submissionQueue.Drain()
-	ctrl.submissionQueue = newSubmissionQueue(&ctrl.params)
+	ctrl.requests.submissionQueue.Drain()
+	ctrl.requests.submissionQueue = newSubmissionQueue(&ctrl.params)
 	ctrl.TakeOutputs()
 	return ctrl
 }
@@ -166,20 +166,20 @@
 	for _, mayHaveStarted := range []bool{false, true} {
 		ctrl, s, _ := newControllerWithShard(t)
 		ctrl.params.Teams = map[string]Team{"ops": {}}
-		ctrl.shardClaims["m1"] = claimRecord{Owner: "m1"}
+		ctrl.cache.shardClaims["m1"] = claimRecord{Owner: "m1"}
 		free := availability.Function{
 			Kind:      planner.InstanceOffering{Type: "small", Zone: "a"}.Key(),
 			Count:     10,
 			Resources: availability.Resources{CPUs: 8, MemoryGB: 32},
 			Samples:   []availability.Sample{{TimeMS: 1000}, {TimeMS: 901_000, AvailableMS: 900_000}},
 		}
-		ctrl.peers["m1"] = &peerState{
+		ctrl.peers.peers["m1"] = &peerState{
 			receivedAtMS: 1000,
 			message:      PeerMessage{From: "m1", OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{free}}}},
 		}
 		j := newSubmission(1, "ops", Normal).Job
 		j.AtMostOnce, j.Tasks = true, 4
-		ctrl.applyChange(
+		ctrl.cache.applyChange(
 			KeyValue{
 				Key:   jobKey(j.ID),
 				Value: mustEncode(jobRecord{Job: *j, MayHaveBegun: mayHaveStarted, Ranges: []Range{{0, 4, "m0", false}}}),
@@ -188,7 +188,7 @@
 		)
 		s.demand = []CapacityDemand{{Job: j.ID, Tasks: 4, DeadlineMS: 800_000, TaskRuntimeMS: 10_000}}
 		ctrl.TakeOutputs()
-		ctrl.moveUnplaceableTasks(s)
+		ctrl.peers.moveUnplaceableTasks(s)
 		if moved := len(ctrl.TakeOutputs().StoreOps) > 0; moved == mayHaveStarted {
 			t.Errorf("begun %v: moved %v", mayHaveStarted, moved)
 		}
@@ -199,20 +199,20 @@
 // service: taken for an overdue answer, it made peers pass a healthy member over.
 func TestRequestsQueuedForBudgetDoNotMarkStoreUnavailable(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
-	ctrl.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyBackground}, func(StoreResult) {})
-	ctrl.now.MonotonicMS += 3 * ctrl.storeAccess.OverdueAfterMS()
-	if !ctrl.canServeUsers() {
-		t.Errorf("the link is %v while a write waits for its turn", ctrl.storeAccess.Link(ctrl.now.MonotonicMS))
-	}
-	ctrl.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyRead}, func(StoreResult) {})
-	ctrl.now.MonotonicMS += 3 * ctrl.storeAccess.OverdueAfterMS()
-	if ctrl.canServeUsers() {
+	ctrl.store.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyBackground}, func(StoreResult) {})
+	ctrl.now.MonotonicMS += 3 * ctrl.store.storeAccess.OverdueAfterMS()
+	if !ctrl.requests.canServeUsers() {
+		t.Errorf("the link is %v while a write waits for its turn", ctrl.store.storeAccess.Link(ctrl.now.MonotonicMS))
+	}
+	ctrl.store.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyRead}, func(StoreResult) {})
+	ctrl.now.MonotonicMS += 3 * ctrl.store.storeAccess.OverdueAfterMS()
+	if ctrl.requests.canServeUsers() {
 		t.Error("the link is up while an answer is overdue")
 	}
 	for _, op := range ctrl.TakeOutputs().StoreOps {
 		ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: NotFound})
 	}
-	if !ctrl.canServeUsers() {
+	if !ctrl.requests.canServeUsers() {
 		t.Error("the link stays down after an answer")
 	}
 }
@@ -227,8 +227,8 @@
 	if len(ops) != 1 || ops[0].Kind != StoreTxn {
 		t.Fatalf("a submission asks %+v", ops)
 	}
-	ctrl.now.MonotonicMS += ctrl.storeAccess.OverdueAfterMS() / 2
-	ctrl.confirmMirroredSubmissions()
+	ctrl.now.MonotonicMS += ctrl.store.storeAccess.OverdueAfterMS() / 2
+	ctrl.requests.confirmMirroredSubmissions()
 	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps)+len(outputs.UserResponses) > 0 {
 		t.Fatalf("a record that nobody saw is asked for: %+v", outputs)
 	}
@@ -239,9 +239,9 @@
 // user has the answer. Once more is nothing asked when the write's time is up.
 func TestSubmissionWithLostResponseIsConfirmedByItsRecord(t *testing.T) {
 	ctrl, write, record := submitWithoutStoreResponse(t)
-	ctrl.applyChange(record)
-	ctrl.confirmMirroredSubmissions()
-	ctrl.confirmMirroredSubmissions()
+	ctrl.cache.applyChange(record)
+	ctrl.requests.confirmMirroredSubmissions()
+	ctrl.requests.confirmMirroredSubmissions()
 	ops := ctrl.TakeOutputs().StoreOps
 	if len(ops) != 1 || ops[0].Kind != StoreGet || ops[0].Key != record.Key {
 		t.Fatalf("asks %+v", ops)
@@ -251,7 +251,7 @@
 		t.Fatalf("answered %+v", resp)
 	}
 	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Outcome: Unknown})
-	ctrl.confirmMirroredSubmissions()
+	ctrl.requests.confirmMirroredSubmissions()
 	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps)+len(outputs.UserResponses) > 0 {
 		t.Errorf("after the answer %+v", outputs)
 	}
@@ -261,8 +261,8 @@
 func TestFailedConfirmingReadLeavesOutcomeToTheWrite(t *testing.T) {
 	for _, outcome := range []Outcome{Unknown, Refused, Throttled} {
 		ctrl, write, record := submitWithoutStoreResponse(t)
-		ctrl.applyChange(record)
-		ctrl.confirmMirroredSubmissions()
+		ctrl.cache.applyChange(record)
+		ctrl.requests.confirmMirroredSubmissions()
 		ops := ctrl.TakeOutputs().StoreOps
 		if len(ops) != 1 {
 			t.Fatalf("%v: asks %+v", outcome, ops)
@@ -283,14 +283,14 @@
 func TestPollsLeaveExpediteBudgetToSubmissions(t *testing.T) {
 	ctrl := newAcceptingController(t, 1000)
 	ctrl.params.MaxPendingRelays = 100
-	ctrl.peers["m1"] = &peerState{receivedAtMS: ctrl.now.MonotonicMS, message: PeerMessage{From: "m1", ServesUsers: true}}
+	ctrl.peers.peers["m1"] = &peerState{receivedAtMS: ctrl.now.MonotonicMS, message: PeerMessage{From: "m1", ServesUsers: true}}
 	for n := range uint64(40) {
 		ctrl.HandleUserRequest(ctrl.now, 100+n, UserRequest{Kind: QueryJob, ID: "job-000100"})
 	}
 	ctrl.HandleUserRequest(ctrl.now, 1, newSubmission(1, "ops", Normal))
 	ctrl.TakeOutputs()
-	ctrl.now.MonotonicMS += ctrl.storeAccess.OverdueAfterMS() + 1
-	ctrl.expediteSlowRequests()
+	ctrl.now.MonotonicMS += ctrl.store.storeAccess.OverdueAfterMS() + 1
+	ctrl.requests.expediteSlowRequests()
 	relays := ctrl.TakeOutputs().Relays
 	if n := len(relays); n != expediteBurst-expediteReserve+1 || relays[n-1].Request.Kind != SubmitJob {
 		t.Errorf("%d requests go to a peer, the last %+v", n, relays[n-1].Request)
--- a/scheduler/submissions.go
+++ b/scheduler/submissions.go
@@ -43,10 +43,10 @@
 
 // enqueueSubmission puts a submission in line for its write. Without a rate each is written
 // at once by itself.
-func (c *Controller) enqueueSubmission(replyID uint64, request UserRequest) {
+func (rh *requestHandler) enqueueSubmission(replyID uint64, request UserRequest) {
 	submission := pendingSubmission{replyID, request}
-	if c.params.StoreChangeRate == 0 {
-		c.writeSubmission(submission)
+	if rh.params.StoreChangeRate == 0 {
+		rh.writeSubmission(submission)
 		return
 	}
 	queued := admission.Request[pendingSubmission]{
@@ -55,17 +55,17 @@
 		Changes:       1,
 		Preconditions: 2 + len(request.Preconditions),
 		Value:         submission,
-		Bytes:         c.maxSubmissionBytes(request.Job),
+		Bytes:         rh.maxSubmissionBytes(request.Job),
 	}
-	for _, rejected := range c.submissionQueue.Enqueue(c.now.MonotonicMS, queued, c.rng.Float64()) {
-		c.shedSubmission(rejected.Request.Value, rejected.RetryAfterS)
+	for _, rejected := range rh.submissionQueue.Enqueue(rh.now.MonotonicMS, queued, rh.rng.Float64()) {
+		rh.shedSubmission(rejected.Request.Value, rejected.RetryAfterS)
 	}
-	c.writeQueuedSubmissions()
+	rh.writeQueuedSubmissions()
 }
 
-func (c *Controller) shedSubmission(submission pendingSubmission, retryAfterS int) {
-	c.Counters.ShedSubmissions++
-	c.completeRequest(
+func (rh *requestHandler) shedSubmission(submission pendingSubmission, retryAfterS int) {
+	rh.Counters.ShedSubmissions++
+	rh.completeRequest(
 		submission.replyID,
 		UserResponse{
 			Status:      503,
@@ -78,45 +78,45 @@
 
 // maxSubmissionBytes is how many bytes a submission takes in a transaction at most:
 // its ranges are not known yet, one a shard and one more for each full one.
-func (c *Controller) maxSubmissionBytes(j *Job) int {
-	ranges := len(c.memberIDs()) + 1 + j.Tasks/c.maxRangeTasks()
+func (rh *requestHandler) maxSubmissionBytes(j *Job) int {
+	ranges := len(rh.memberIDs()) + 1 + j.Tasks/rh.maxRangeTasks()
 	return len(mustEncode(j)) + 128*(ranges+4)
 }
 
 // writeQueuedSubmissions writes what is next in line.
-func (c *Controller) writeQueuedSubmissions() {
-	if c.params.StoreChangeRate == 0 {
+func (rh *requestHandler) writeQueuedSubmissions() {
+	if rh.params.StoreChangeRate == 0 {
 		return
 	}
-	if c.isStoreUnreachable() {
-		for _, queued := range c.submissionQueue.Drain() {
-			c.completeRequest(queued.Value.replyID, unavailableResponse(queued.Value.request.ID, storeUnreachableMessage))
+	if rh.store.isStoreUnreachable() {
+		for _, queued := range rh.submissionQueue.Drain() {
+			rh.completeRequest(queued.Value.replyID, unavailableResponse(queued.Value.request.ID, storeUnreachableMessage))
 		}
 		return
 	}
 	for {
-		batch := c.submissionQueue.NextBatch()
+		batch := rh.submissionQueue.NextBatch()
 		if len(batch) == 0 {
 			return
 		}
-		c.writeSubmissions(batch)
+		rh.writeSubmissions(batch)
 	}
 }
 
-func (c *Controller) buildSubmissionWrite(submission pendingSubmission) (Change, []Precondition) {
+func (rh *requestHandler) buildSubmissionWrite(submission pendingSubmission) (Change, []Precondition) {
 	id := submission.request.Job.ID
-	if pending := c.pendingRequests[submission.replyID]; pending != nil {
+	if pending := rh.pendingRequests[submission.replyID]; pending != nil {
 		pending.writeSent = true
 	}
 	rec := jobRecord{
 		Job:          *submission.request.Job,
-		AcceptedAtMS: c.now.WallMS,
-		Ranges:       c.assignRanges(submission.request.Job),
+		AcceptedAtMS: rh.now.WallMS,
+		Ranges:       rh.peers.assignRanges(submission.request.Job),
 	}
 	value := mustEncode(rec)
-	if len(value) > c.params.MaxValueBytes {
+	if len(value) > rh.params.MaxValueBytes {
 		// Too many peers have a little room.
-		rec.Ranges = []Range{{0, submission.request.Job.Tasks, c.homeShard(submission.request.Job), false}}
+		rec.Ranges = []Range{{0, submission.request.Job.Tasks, rh.quotas.homeShard(submission.request.Job), false}}
 		value = mustEncode(rec)
 	}
 	return Change{
@@ -129,7 +129,7 @@
 
 // writeSubmissions writes several submissions in one transaction. Of those of the same job only
 // the first is written: both were answered 201 once.
-func (c *Controller) writeSubmissions(batch []admission.Request[pendingSubmission]) {
+func (rh *requestHandler) writeSubmissions(batch []admission.Request[pendingSubmission]) {
 	var changes []Change
 	var preconditions []Precondition
 	writtenRequests := map[string]uint64{} // job: the submission that is written
@@ -139,7 +139,7 @@
 			continue
 		}
 		writtenRequests[id] = queued.Value.replyID
-		change, conditions := c.buildSubmissionWrite(queued.Value)
+		change, conditions := rh.buildSubmissionWrite(queued.Value)
 		changes = append(changes, change)
 		for _, condition := range conditions {
 			if !slices.Contains(preconditions, condition) {
@@ -147,38 +147,38 @@
 			}
 		}
 	}
-	sentAtMS := c.now.MonotonicMS
-	c.sendTxn(UrgencyUser, preconditions, changes, func(result StoreResult) {
-		c.submissionQueue.Complete(batch, c.now.MonotonicMS-sentAtMS, result.Outcome.ProcessedByService())
+	sentAtMS := rh.now.MonotonicMS
+	rh.store.sendTxn(UrgencyUser, preconditions, changes, func(result StoreResult) {
+		rh.submissionQueue.Complete(batch, rh.now.MonotonicMS-sentAtMS, result.Outcome.ProcessedByService())
 		if result.Outcome == Conflict && len(batch) > 1 {
 			// Only those whose own conditions fail are held up by them.
 			var requeued []admission.Request[pendingSubmission]
 			for _, queued := range batch {
-				if c.hasFailedPrecondition(queued.Value, result.FailedKeys) {
-					c.completeSubmission(queued.Value, result)
+				if rh.hasFailedPrecondition(queued.Value, result.FailedKeys) {
+					rh.completeSubmission(queued.Value, result)
 				} else {
 					requeued = append(requeued, queued)
 				}
 			}
 			if len(requeued) == len(batch) {
 				for _, queued := range batch {
-					c.writeSubmission(queued.Value)
+					rh.writeSubmission(queued.Value)
 				}
 				requeued = nil
 			}
-			c.submissionQueue.Requeue(requeued)
+			rh.submissionQueue.Requeue(requeued)
 		} else {
 			for _, queued := range batch {
-				c.completeBatchedSubmission(queued.Value, result, writtenRequests)
+				rh.completeBatchedSubmission(queued.Value, result, writtenRequests)
 			}
 		}
-		c.writeQueuedSubmissions()
+		rh.writeQueuedSubmissions()
 	})
 }
 
 // completeBatchedSubmission answers a submission whose transaction has ended: of a job's second one it
 // only tells that the job is known.
-func (c *Controller) completeBatchedSubmission(
+func (rh *requestHandler) completeBatchedSubmission(
 	submission pendingSubmission,
 	result StoreResult,
 	writtenRequests map[string]uint64,
@@ -186,10 +186,10 @@
 	if result.Outcome == OK && writtenRequests[submission.request.Job.ID] != submission.replyID {
 		result.Outcome = Conflict
 	}
-	c.completeSubmission(submission, result)
+	rh.completeSubmission(submission, result)
 }
 
-func (c *Controller) hasFailedPrecondition(submission pendingSubmission, failedKeys []string) bool {
+func (rh *requestHandler) hasFailedPrecondition(submission pendingSubmission, failedKeys []string) bool {
 	id := submission.request.Job.ID
 	return slices.Contains(failedKeys, jobKey(id)) || slices.Contains(failedKeys, terminalKey(id)) ||
 		slices.ContainsFunc(
@@ -199,40 +199,40 @@
 }
 
 // writeSubmission writes a submission by itself.
-func (c *Controller) writeSubmission(submission pendingSubmission) {
-	change, preconditions := c.buildSubmissionWrite(submission)
-	c.sendTxn(
+func (rh *requestHandler) writeSubmission(submission pendingSubmission) {
+	change, preconditions := rh.buildSubmissionWrite(submission)
+	rh.store.sendTxn(
 		UrgencyUser,
 		preconditions,
 		[]Change{change},
-		func(result StoreResult) { c.completeSubmission(submission, result) },
+		func(result StoreResult) { rh.completeSubmission(submission, result) },
 	)
 }
 
 // completeSubmission answers a submission whose write has ended.
-func (c *Controller) completeSubmission(submission pendingSubmission, result StoreResult) {
+func (rh *requestHandler) completeSubmission(submission pendingSubmission, result StoreResult) {
 	id := submission.request.Job.ID
 	switch result.Outcome {
 	case OK:
-		c.Counters.Accepted++
-		c.completeRequest(submission.replyID, UserResponse{Status: 201, ID: id, State: Pending})
+		rh.Counters.Accepted++
+		rh.completeRequest(submission.replyID, UserResponse{Status: 201, ID: id, State: Pending})
 	case Conflict, Unknown:
-		if c.pendingRequests[submission.replyID] == nil {
+		if rh.pendingRequests[submission.replyID] == nil {
 			return // its record was read meanwhile, or a peer answered
 		}
-		c.readJob(id, UrgencyUser, func(response UserResponse, _ *KeyValue) {
+		rh.readJob(id, UrgencyUser, func(response UserResponse, _ *KeyValue) {
 			switch {
 			case response.Status == 404 && result.Outcome == Conflict && len(submission.request.Preconditions) > 0:
 				response = UserResponse{Status: 409, ID: id, Error: "a condition of the submission does not hold"}
 			case response.Status == 404:
 				response = unavailableResponse(id, "not stored yet")
 			}
-			c.completeRequest(submission.replyID, response)
+			rh.completeRequest(submission.replyID, response)
 		})
 	case Throttled:
-		c.shedSubmission(submission, max(c.submissionQueue.RetryAfterS(), int((result.RetryAfterMS+999)/1000)))
+		rh.shedSubmission(submission, max(rh.submissionQueue.RetryAfterS(), int((result.RetryAfterMS+999)/1000)))
 	default:
-		c.completeRequest(submission.replyID, unavailableResponse(id, "state service unavailable"))
+		rh.completeRequest(submission.replyID, unavailableResponse(id, "state service unavailable"))
 	}
 }
 
@@ -241,19 +241,19 @@
 // have moved on; that it is not in the mirror tells nothing, so a write that may yet be
 // carried out is asked for by nothing but its own end. Each costs one read, in place of
 // the one that follows a write without an answer.
-func (c *Controller) confirmMirroredSubmissions() {
-	for _, pending := range c.requestsByArrival {
-		if c.now.MonotonicMS-pending.receivedAtMS <= c.storeAccess.TypicalLatencyMS() {
+func (rh *requestHandler) confirmMirroredSubmissions() {
+	for _, pending := range rh.requestsByArrival {
+		if rh.now.MonotonicMS-pending.receivedAtMS <= rh.store.storeAccess.TypicalLatencyMS() {
 			break
 		}
-		if pending.completed || pending.readingRecord || !pending.writeSent || c.jobs[pending.request.ID] == nil {
+		if pending.completed || pending.readingRecord || !pending.writeSent || rh.cache.jobs[pending.request.ID] == nil {
 			continue
 		}
 		pending.readingRecord = true
-		c.readJob(pending.request.ID, UrgencyUser, func(response UserResponse, _ *KeyValue) {
-			if response.Status == 200 && c.pendingRequests[pending.replyID] != nil {
-				c.Counters.ConfirmedSubmissions++
-				c.completeRequest(pending.replyID, response)
+		rh.readJob(pending.request.ID, UrgencyUser, func(response UserResponse, _ *KeyValue) {
+			if response.Status == 200 && rh.pendingRequests[pending.replyID] != nil {
+				rh.Counters.ConfirmedSubmissions++
+				rh.completeRequest(pending.replyID, response)
 			}
 		})
 	}
--- a/scheduler/summaries_and_bounds_test.go
+++ b/scheduler/summaries_and_bounds_test.go
@@ -19,7 +19,7 @@
 	turns := (len(cfg.PeerIDs) + maxSummaryRecipients - 1) / maxSummaryRecipients
 	summariesReceived := map[string]int{}
 	for range 3 * turns {
-		peersWithSummaries := ctrl.summaryRecipients()
+		peersWithSummaries := ctrl.peers.summaryRecipients()
 		if len(peersWithSummaries) == 0 || len(peersWithSummaries) > maxSummaryRecipients {
 			t.Fatalf("%d peers get summaries at once", len(peersWithSummaries))
 		}
@@ -32,7 +32,7 @@
 			t.Errorf("%s got %d summaries in three rounds", name, summariesReceived[name])
 		}
 	}
-	if ctrl.params.PeerIDs = cfg.PeerIDs[:maxSummaryRecipients]; ctrl.summaryRecipients() != nil {
+	if ctrl.params.PeerIDs = cfg.PeerIDs[:maxSummaryRecipients]; ctrl.peers.summaryRecipients() != nil {
 		t.Error("a few peers take turns")
 	}
 	room := availability.Resources{CPUs: 8, MemoryGB: 32}
@@ -44,7 +44,7 @@
 		},
 	}
 	ctrl.HandlePeerMessage(Now{1000, 1000}, msg)
-	ctrl.peers["m01"].message.OwnedShards[0].Summary[0].Count = 2 // one was taken
+	ctrl.peers.peers["m01"].message.OwnedShards[0].Summary[0].Count = 2 // one was taken
 	withoutSummaries := msg.WithoutSummaries()
 	if msg.OwnedShards[0].Summary == nil {
 		t.Fatal("the message has lost its summaries")
@@ -52,7 +52,7 @@
 	withoutSummaries.WallMS, withoutSummaries.OwnedShards[0].Demands = 2, []CapacityDemand{{Job: "job-1"}}
 	withoutSummaries.OwnedShards = append(withoutSummaries.OwnedShards, PeerShard{Shard: "adopted"})
 	ctrl.HandlePeerMessage(Now{2000, 2000}, *withoutSummaries)
-	if got := ctrl.peers["m01"].message.OwnedShards; len(got) != 2 || len(got[0].Summary) != 1 ||
+	if got := ctrl.peers.peers["m01"].message.OwnedShards; len(got) != 2 || len(got[0].Summary) != 1 ||
 		got[0].Summary[0].Count != 2 ||
 		len(got[0].Demands) != 1 ||
 		got[1].Summary != nil {
@@ -65,11 +65,11 @@
 func TestStaleSummariesOfferNoCapacity(t *testing.T) {
 	ctrl, _ := newControllerWithFleet(t, 10, 2)
 	now := ctrl.now
-	ctrl.shardClaims["m1"] = claimRecord{Owner: "m1"}
-	j := &ctrl.jobs["job-000001"].rec.Job
+	ctrl.cache.shardClaims["m1"] = claimRecord{Owner: "m1"}
+	j := &ctrl.cache.jobs["job-000001"].rec.Job
 	countOffered := func() int {
 		n := 0
-		for _, o := range ctrl.peerCapacities(j, 20_000, ctrl.now.WallMS+60_000, 40) {
+		for _, o := range ctrl.peers.peerCapacities(j, 20_000, ctrl.now.WallMS+60_000, 40) {
 			n += o.tasks
 		}
 		return n
@@ -98,7 +98,7 @@
 	}
 	// Heard now, but with figures of two minutes ago: constant behind its last sample.
 	sendSummary(ctrl.now, now.WallMS)
-	if sr := &ctrl.peers["m1"].message.OwnedShards[0]; ctrl.peerTaskCapacity(
+	if sr := &ctrl.peers.peers["m1"].message.OwnedShards[0]; ctrl.peers.peerTaskCapacity(
 		sr,
 		j,
 		100_000,
@@ -134,17 +134,17 @@
 			1,
 			Now{1000, 1000},
 		)
-		ctrl.setMachineTypes(
+		ctrl.cache.setMachineTypes(
 			[]MachineType{
 				{Name: "small", Resources: availability.Resources{CPUs: 64, MemoryGB: 256}, BootS: 10, Zones: []string{"a"}},
 			},
 		)
-		s := ctrl.newShard("m0", 7, 5)
-		s.ready, ctrl.ownedShards["m0"] = true, s
+		s := ctrl.shards.newShard("m0", 7, 5)
+		s.ready, ctrl.shards.ownedShards["m0"] = true, s
 		rev := uint64(20)
 		put := func(key string, v any) {
 			rev++
-			ctrl.applyChange(KeyValue{Key: key, Value: mustEncode(v), Rev: rev})
+			ctrl.cache.applyChange(KeyValue{Key: key, Value: mustEncode(v), Rev: rev})
 		}
 		measureGrowth := func(name string, n int, add func(i int)) {
 			before := heapBytes()
@@ -180,7 +180,7 @@
 		})
 		measureGrowth("task", 3*machines, func(i int) {
 			tr := s.taskRanges[i%jobs]
-			ctrl.startTask(s, s.machines[i/3], tr, tr.nextTask(), 20_000, 0, &Heartbeat{Incarnation: 1, Seq: 1})
+			ctrl.agents.startTask(s, s.machines[i/3], tr, tr.nextTask(), 20_000, 0, &Heartbeat{Incarnation: 1, Seq: 1})
 		})
 	}
 }
@@ -196,7 +196,7 @@
 		"a shard of five thousand machines": {5000, 300, func(*Controller, *shard) {}},
 		"a burst of two thousand jobs":      {300, 2000, func(*Controller, *shard) {}},
 		"a job of a hundred thousand tasks": {300, 30, func(ctrl *Controller, s *shard) {
-			ctrl.applyChange(KeyValue{Key: jobKey("job-999999"), Rev: 1 << 30, Value: mustEncode(jobRecord{Job: Job{ID: "job-999999", Class: "batch", Kind: Array, Priority: High, Tasks: 100_000, Spot: true, EstimateS: 30,
+			ctrl.cache.applyChange(KeyValue{Key: jobKey("job-999999"), Rev: 1 << 30, Value: mustEncode(jobRecord{Job: Job{ID: "job-999999", Class: "batch", Kind: Array, Priority: High, Tasks: 100_000, Spot: true, EstimateS: 30,
 				Request: availability.Resources{CPUs: 4, MemoryGB: 14}}, AcceptedAtMS: 90_000, Ranges: []Range{{Lo: 0, Hi: 100_000, Shard: "m0"}}})})
 		}},
 		"every machine in a new session": {1500, 300, func(ctrl *Controller, s *shard) {
@@ -212,9 +212,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctrl, s := newControllerWithFleet(t, c.machines, c.jobs)
-			ctrl.planShard(s)
+			ctrl.placer.planShard(s)
 			c.change(ctrl, s)
-			ctrl.planShard(s)
+			ctrl.placer.planShard(s)
 			// Passes look at blocks; what is placed is looked at machine by machine, and a job
 			// of many tasks once for each queue that takes some.
 			const filters, block = 14, 32
@@ -237,7 +237,7 @@
 					bound,
 				)
 			}
-			if sum := ctrl.availabilitySummary(s); len(sum) > ctrl.settings.Functions {
+			if sum := ctrl.placer.availabilitySummary(s); len(sum) > ctrl.cache.settings.Functions {
 				t.Errorf("a summary of %d functions", len(sum))
 			}
 		})
--- a/scheduler/takeover_state_test.go
+++ b/scheduler/takeover_state_test.go
@@ -11,17 +11,17 @@
 
 // addSilentMachine adds a machine that is listed as up and has not spoken.
 func addSilentMachine(ctrl *Controller, spot bool) *machine {
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{
 			Key:   registryPrefix + "1-2",
 			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", Spot: spot, MachineIDs: []string{"i-2"}}),
 			Rev:   30,
 		},
 	)
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{Key: liveMachinesPrefix + "m0/1", Value: mustEncode(liveMachinesRecord{[]string{"i-2"}}), Rev: 31},
 	)
-	return ctrl.machines["i-2"]
+	return ctrl.registry.machines["i-2"]
 }
 
 // One machine that is not heard holds up what it may have: of a team's limit its
@@ -29,21 +29,21 @@
 func TestSilentMachineBlocksOnlyTasksItMayRun(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 12}, "": {}}
-	ctrl.initTeamLedgers()
+	ctrl.quotas.initTeamLedgers()
 	addSilentMachine(ctrl, true)
 	addJob := func(id string, spotRange bool) *taskRange {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: 4, Shard: "m0"})
 		rec.Job.ID, rec.Job.Spot, rec.Job.Team = id, spotRange, "ops"
-		ctrl.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: 40})
-		tr := ctrl.jobs[id].taskRanges[0]
+		ctrl.cache.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: 40})
+		tr := ctrl.cache.jobs[id].taskRanges[0]
 		tr.recovered = true
 		return tr
 	}
 	spotRange, onDemandRange := addJob("job-000001", true), addJob("job-000002", false)
-	if free, _ := ctrl.teamHeadroom(s, "ops"); free.CPUs != 4 {
+	if free, _ := ctrl.quotas.teamHeadroom(s, "ops"); free.CPUs != 4 {
 		t.Errorf("of 12 processors, with 8 unseen, %v are left", free.CPUs)
 	}
-	if !ctrl.isBlockedByUnreported(s, spotRange) || ctrl.isBlockedByUnreported(s, onDemandRange) {
+	if !ctrl.agents.isBlockedByUnreported(s, spotRange) || ctrl.agents.isBlockedByUnreported(s, onDemandRange) {
 		t.Error("work that spot machines may not have waits for one, or work that it may have does not")
 	}
 	for _, ranges := range [][]string{{"job-000009/0"}, {spotRange.name()}} {
@@ -53,11 +53,11 @@
 			},
 		)
 		spotRange.recovered = true
-		if blocked, expected := ctrl.isBlockedByUnreported(s, spotRange), ranges[0] == spotRange.name(); blocked != expected {
+		if blocked, expected := ctrl.agents.isBlockedByUnreported(s, spotRange), ranges[0] == spotRange.name(); blocked != expected {
 			t.Errorf("with a note that names %v, it waits: %v", ranges, blocked)
 		}
 	}
-	if free, _ := ctrl.teamHeadroom(s, "ops"); free.CPUs != 10 {
+	if free, _ := ctrl.quotas.teamHeadroom(s, "ops"); free.CPUs != 10 {
 		t.Errorf("with a note of 2 processors, %v of 12 are left", free.CPUs)
 	}
 	// A stray's machine weighs what it has beside tasks that are known.
@@ -70,7 +70,7 @@
 				{Task: spotRange.name(), Attempt: 4, State: "running"},
 			}},
 	)
-	if free, _ := ctrl.teamHeadroom(s, "ops"); free.CPUs != 12-1-7 {
+	if free, _ := ctrl.quotas.teamHeadroom(s, "ops"); free.CPUs != 12-1-7 {
 		t.Errorf("with one task known and one stray on 8 processors, %v of 12 are left", free.CPUs)
 	}
 }
@@ -96,7 +96,7 @@
 	ctrl.params.Recovery = true
 	for i := range 3 { // so that one is few
 		id := fmt.Sprintf("i-%d", 5+i)
-		ctrl.applyChange(
+		ctrl.cache.applyChange(
 			KeyValue{
 				Key:   registryPrefix + id,
 				Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{id}}),
@@ -104,7 +104,7 @@
 			},
 		)
 	}
-	ctrl.applyChange(
+	ctrl.cache.applyChange(
 		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 40},
 	)
 	seq := uint64(3)
@@ -123,8 +123,8 @@
 		for range elapsedMS / 100 {
 			ctrl.now.MonotonicMS += 100
 			ctrl.now.WallMS += 100
-			ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
-			ctrl.tickReconcile(s)
+			ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+			ctrl.agents.tickReconcile(s)
 		}
 	}
 	advance(ctrl.maxHeartbeatIntervalMS() / 2)
@@ -134,17 +134,17 @@
 	advance(ctrl.maxHeartbeatIntervalMS())
 	op, rec, wrote := takeMemoryWrite(ctrl)
 	if !wrote || len(rec.Unreachable["i-1"].Ranges) != 1 || rec.Unreachable["i-1"].UsageByTeam[""].CPUs != 1 ||
-		ctrl.isSchedulable(mc) {
-		t.Fatalf("written: %v %+v, usable %v", wrote, rec, ctrl.isSchedulable(mc))
+		ctrl.agents.isSchedulable(mc) {
+		t.Fatalf("written: %v %+v, usable %v", wrote, rec, ctrl.agents.isSchedulable(mc))
 	}
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Rev: 50})
-	if heartbeat(running); ctrl.isSchedulable(mc) {
+	if heartbeat(running); ctrl.agents.isSchedulable(mc) {
 		t.Fatal("it speaks, and is used while the store says less than it may hold")
 	}
 	advance(ctrl.progressWriteInterval() + 200)
 	op, rec, wrote = takeMemoryWrite(ctrl)
-	if !wrote || len(rec.Unreachable) != 0 || ctrl.isSchedulable(mc) {
-		t.Fatalf("written: %v %+v, usable %v", wrote, rec, ctrl.isSchedulable(mc))
+	if !wrote || len(rec.Unreachable) != 0 || ctrl.agents.isSchedulable(mc) {
+		t.Fatalf("written: %v %+v, usable %v", wrote, rec, ctrl.agents.isSchedulable(mc))
 	}
 	// An answer that did not come proves nothing.
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Unknown})
@@ -154,7 +154,7 @@
 		read.ID,
 		StoreResult{Rev: 51, KVs: []KeyValue{{Key: read.Key, Value: op.Changes[0].Value, Rev: 51}}},
 	)
-	if ctrl.isSchedulable(mc) {
+	if ctrl.agents.isSchedulable(mc) {
 		t.Fatal("used after a write whose outcome is not certain")
 	}
 	heartbeat(running)
@@ -164,7 +164,7 @@
 		t.Fatalf("not written again: %v %+v", wrote, op)
 	}
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Rev: 60})
-	if !ctrl.isSchedulable(mc) {
+	if !ctrl.agents.isSchedulable(mc) {
 		t.Error("not used though the store is rid of its note")
 	}
 }
@@ -174,9 +174,9 @@
 func TestRuntimeEstimatesSurviveTakeover(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Recovery = true
-	ctrl.runtimeCorrections["c"] = &runtimeCorrection{ratio: 2.5, samples: 30}
+	ctrl.estimates.runtimeCorrections["c"] = &runtimeCorrection{ratio: 2.5, samples: 30}
 	s.memory.writeState.nextWriteAt, s.memory.nextRuntimeWriteAtMS = 0, 0
-	ctrl.writeRecoveryRecord(s)
+	ctrl.agents.writeRecoveryRecord(s)
 	op, _, wrote := takeMemoryWrite(ctrl)
 	if !wrote {
 		t.Fatal("lengths are not written")
@@ -184,11 +184,11 @@
 	attemptNumber := s.attemptIDs.Next(ctrl.now.WallMS)
 	successor, successorShard, _ := newControllerWithShard(t)
 	successor.now = Now{ctrl.now.MonotonicMS, ctrl.now.WallMS + 20_000}
-	successor.restoreRecoveryRecord(successorShard, KeyValue{Key: op.Changes[0].Key, Value: op.Changes[0].Value, Rev: 70})
+	successor.agents.restoreRecoveryRecord(successorShard, KeyValue{Key: op.Changes[0].Key, Value: op.Changes[0].Value, Rev: 70})
 	j := newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})
 	j.Job.Class, j.Job.EstimateS = "c", 10
-	successor.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(j), Rev: 40})
-	if estimateMS := successor.expectedRuntime(&successor.jobs["job-000001"].rec.Job); estimateMS != 25_000 {
+	successor.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(j), Rev: 40})
+	if estimateMS := successor.estimates.expectedRuntime(&successor.cache.jobs["job-000001"].rec.Job); estimateMS != 25_000 {
 		t.Errorf("an estimate of 10 s is taken for %d ms", estimateMS)
 	}
 	heartbeat := func(seq uint64, state string) {
@@ -210,7 +210,7 @@
 	}
 	successor.now.WallMS += 1000
 	heartbeat(11, "exited")
-	if estimate := successor.runtimeCorrections["c"]; estimate.samples != 30 || estimate.ratio != 2.5 {
+	if estimate := successor.estimates.runtimeCorrections["c"]; estimate.samples != 30 || estimate.ratio != 2.5 {
 		t.Errorf("what was left of it counts as its length: %+v", estimate)
 	}
 }
@@ -227,16 +227,16 @@
 			tasks[mc.id] = append(tasks[mc.id], TaskStatus{Task: k.task, Attempt: k.attempt, State: "running"})
 		}
 	}
-	delete(ctrl.ownedShards, "m0")
-	ctrl.dropShard(oldShard)
-	for _, j := range ctrl.jobs {
+	delete(ctrl.shards.ownedShards, "m0")
+	ctrl.shards.dropShard(oldShard)
+	for _, j := range ctrl.cache.jobs {
 		j.taskRanges = map[int]*taskRange{}
 	}
-	ctrl.mirrorRevision = 90_000
+	ctrl.cache.mirrorRevision = 90_000
 	ctrl.now.MonotonicMS += 5000
-	s := ctrl.newShard("m0", 8, 80_000)
-	ctrl.ownedShards["m0"] = s
-	ctrl.takeOverShard(s)
+	s := ctrl.shards.newShard("m0", 8, 80_000)
+	ctrl.shards.ownedShards["m0"] = s
+	ctrl.shards.takeOverShard(s)
 	s.progressRead = true
 	ctrl.TakeOutputs()
 	starts, ops := 0, 0
@@ -245,8 +245,8 @@
 		for i, mc := range s.machines {
 			ctrl.now.MonotonicMS = beginMS + int64(round)*1000 + int64(i)/10
 			if i%1000 == 0 {
-				ctrl.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
-				ctrl.tickShard(s)
+				ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+				ctrl.shards.tickShard(s)
 			}
 			token := s.token
 			if round == 0 {
--- a/scheduler/team_limits.go
+++ b/scheduler/team_limits.go
@@ -10,6 +10,35 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
+// quotaManager owns the teams' ledgers: the allocations of their limits to shards,
+// what counts as within their guarantees, and what is reclaimed for those.
+type quotaManager struct {
+	*environment
+	agents    *agentManager
+	cache     *stateCache
+	estimates *runtimeEstimator
+	peers     *peerTable
+	placer    *placementPlanner
+	registry  *machineRegistry
+	shards    *shardManager
+	store     *storeClient
+
+	quotaLedgers     map[string]*quota.Ledger // of teams with a limit
+	usageMonitor     *quota.UsageMonitor
+	homeShards       map[string]string // by team with a limit: the shard that its jobs go to
+	guaranteeStatus  guaranteeStatus
+	capacitySnapshot capacitySnapshot
+}
+
+func newQuotaManager(env *environment) *quotaManager {
+	qm := &quotaManager{
+		environment:  env,
+		usageMonitor: quota.NewUsageMonitor(env.params.MemberID, env.now.WallMS),
+	}
+	qm.initTeamLedgers()
+	return qm
+}
+
 // A team's limit is split among the shards by a record in the store; a start
 // needs room in its shard's part, so the limit holds whatever the shards know
 // of each other (package quota). Without a record all of it is with the team's home, the shard
@@ -17,24 +46,24 @@
 // for what lay unused on another, and the earliest deadline was the earliest of
 // its shard only.
 
-func (c *Controller) teamAllocation(s *shard, team string) (quota.Amounts, Team, bool) {
-	t := c.params.Teams[team]
-	if ledger := c.quotaLedgers[team]; ledger != nil {
+func (qm *quotaManager) teamAllocation(s *shard, team string) (quota.Amounts, Team, bool) {
+	t := qm.params.Teams[team]
+	if ledger := qm.quotaLedgers[team]; ledger != nil {
 		return ledger.Allocation(s.name), t, true
 	}
 	return quota.Amounts{}, t, false
 }
 
 // initTeamLedgers gives the teams that have a limit their homes, and opens their books.
-func (c *Controller) initTeamLedgers() {
-	c.homeShards, c.quotaLedgers = assignTeamHomes(c.params.Teams, c.memberIDs()), map[string]*quota.Ledger{}
-	for name, home := range c.homeShards {
-		t := c.params.Teams[name]
+func (qm *quotaManager) initTeamLedgers() {
+	qm.homeShards, qm.quotaLedgers = assignTeamHomes(qm.params.Teams, qm.memberIDs()), map[string]*quota.Ledger{}
+	for name, home := range qm.homeShards {
+		t := qm.params.Teams[name]
 		var others []string
-		if c.params.Quota {
-			others = slices.DeleteFunc(c.memberIDs(), func(s string) bool { return s == home })
+		if qm.params.Quota {
+			others = slices.DeleteFunc(qm.memberIDs(), func(s string) bool { return s == home })
 		}
-		c.quotaLedgers[name] = quota.NewLedger(quota.Amounts{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}, home, others...)
+		qm.quotaLedgers[name] = quota.NewLedger(quota.Amounts{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}, home, others...)
 	}
 }
 
@@ -54,8 +83,8 @@
 
 // fitsTeamAllocation tells whether all that a shard has of a limited team's work fits its
 // part: then some may go to a peer, which asks for the part that it needs.
-func (c *Controller) fitsTeamAllocation(s *shard, team string) bool {
-	headroom, limited := c.teamHeadroom(s, team)
+func (qm *quotaManager) fitsTeamAllocation(s *shard, team string) bool {
+	headroom, limited := qm.teamHeadroom(s, team)
 	if !limited {
 		return true
 	}
@@ -79,18 +108,18 @@
 // it. A machine that is unseen has at most what its note says, or what it has room
 // for. So does one with tasks that are not ours to keep: whose they are is no
 // longer known, and until they are stopped they may be this team's.
-func (c *Controller) maxUnreportedUsage(s *shard, team string) (sum reconcile.ResourceUsage) {
+func (qm *quotaManager) maxUnreportedUsage(s *shard, team string) (sum reconcile.ResourceUsage) {
 	for _, unreported := range s.reconciler.Unreported() {
 		if entry, recorded := s.reconciler.Ledger.Entry(unreported.ID); recorded {
 			sum = sum.Add(entry.UsageByTeam[team])
 			continue
 		}
-		sum = sum.Add(c.machineCapacity(c.machines[unreported.ID]))
+		sum = sum.Add(qm.cache.machineCapacity(qm.registry.machines[unreported.ID]))
 	}
 	if s.machinesWithOrphans > 0 {
 		for _, mc := range s.machines {
 			if mc.orphanedTasks > 0 && mc.IsReconciled() {
-				capacity := c.machineCapacity(mc)
+				capacity := qm.cache.machineCapacity(mc)
 				sum = sum.Add(reconcile.ResourceUsage{CPUs: capacity.CPUs - mc.usage.CPUs, GPUs: capacity.GPUs - mc.usage.GPUs})
 			}
 		}
@@ -99,21 +128,21 @@
 }
 
 // machineCapacity bounds what all tasks on a machine use: workers refuse more.
-func (c *Controller) machineCapacity(mc *machine) reconcile.ResourceUsage {
-	if mc == nil || c.machineTypes[mc.rec.Type] == nil {
+func (cache *stateCache) machineCapacity(mc *machine) reconcile.ResourceUsage {
+	if mc == nil || cache.machineTypes[mc.rec.Type] == nil {
 		return reconcile.ResourceUsage{CPUs: 1e12, GPUs: 1e12}
 	}
-	r := c.machineTypes[mc.rec.Type].Resources
+	r := cache.machineTypes[mc.rec.Type].Resources
 	return reconcile.ResourceUsage{CPUs: r.CPUs, GPUs: r.GPUs}
 }
 
 // teamHeadroom is what a team may still start in a shard.
-func (c *Controller) teamHeadroom(s *shard, team string) (availability.Resources, bool) {
-	allocation, t, limited := c.teamAllocation(s, team)
+func (qm *quotaManager) teamHeadroom(s *shard, team string) (availability.Resources, bool) {
+	allocation, t, limited := qm.teamAllocation(s, team)
 	if !limited {
 		return availability.Resources{}, false
 	}
-	usage, unreported := s.usage[team], c.maxUnreportedUsage(s, team)
+	usage, unreported := s.usage[team], qm.maxUnreportedUsage(s, team)
 	headroom := availability.Resources{
 		CPUs:     allocation.CPUs - usage.CPUs - unreported.CPUs,
 		GPUs:     allocation.GPUs - usage.GPUs - unreported.GPUs,
@@ -128,27 +157,27 @@
 	return headroom, true
 }
 
-func (c *Controller) isWithinTeamLimit(s *shard, j *Job) bool {
-	headroom, limited := c.teamHeadroom(s, j.Team)
-	return !limited || headroom.Sub(c.reservedForOthers(s, j)).Contains(withoutDisk(j.Request))
+func (qm *quotaManager) isWithinTeamLimit(s *shard, j *Job) bool {
+	headroom, limited := qm.teamHeadroom(s, j.Team)
+	return !limited || headroom.Sub(qm.placer.reservedForOthers(s, j)).Contains(withoutDisk(j.Request))
 }
 
 // tasksWithinTeamLimit is how many tasks of a job its team's part takes now, beside what
 // else of the team is about to start.
-func (c *Controller) tasksWithinTeamLimit(s *shard, j *Job, started availability.Resources) int {
-	headroom, limited := c.teamHeadroom(s, j.Team)
+func (qm *quotaManager) tasksWithinTeamLimit(s *shard, j *Job, started availability.Resources) int {
+	headroom, limited := qm.teamHeadroom(s, j.Team)
 	if !limited {
 		return j.Tasks
 	}
-	return headroom.Sub(started).Sub(c.reservedForOthers(s, j)).MaxCopies(withoutDisk(j.Request), j.Tasks)
+	return headroom.Sub(started).Sub(qm.placer.reservedForOthers(s, j)).MaxCopies(withoutDisk(j.Request), j.Tasks)
 }
 
 // teamDemands is what a shard has of limited teams' work: what runs and waits now, and
 // what of it had room at the last plan.
-func (c *Controller) teamDemands(s *shard) map[string]quota.Demand {
-	out := make(map[string]quota.Demand, len(c.quotaLedgers))
-	for name := range c.quotaLedgers {
-		unreported := c.maxUnreportedUsage(s, name)
+func (qm *quotaManager) teamDemands(s *shard) map[string]quota.Demand {
+	out := make(map[string]quota.Demand, len(qm.quotaLedgers))
+	for name := range qm.quotaLedgers {
+		unreported := qm.maxUnreportedUsage(s, name)
 		usage := s.usage[name]
 		out[name] = quota.Demand{
 			Used:           quota.Amounts{CPUs: usage.CPUs + unreported.CPUs, GPUs: usage.GPUs + unreported.GPUs},
@@ -178,24 +207,24 @@
 
 // recordPlaceableDemand notes how much of a group that its team's limit holds up has room on
 // machines, up or booting.
-func (c *Controller) recordPlaceableDemand(s *shard, g *taskGroup) {
+func (qm *quotaManager) recordPlaceableDemand(s *shard, g *taskGroup) {
 	n := s.clusterView.CountStartable(&g.Group, g.Remaining)
 	s.placeableDemand[g.job.Team] = s.placeableDemand[g.job.Team].Add(amountsOf(g.job.Request).Scale(float64(n)))
 }
 
 // proposeAllocations writes what the demands of a shard ask of its teams' records: what it
 // lacks, and what it gives to shards that lack more.
-func (c *Controller) proposeAllocations(s *shard) {
-	if c.now.MonotonicMS < s.nextProposalAt || !c.hasAuthority() {
+func (qm *quotaManager) proposeAllocations(s *shard) {
+	if qm.now.MonotonicMS < s.nextProposalAt || !qm.store.hasAuthority() {
 		return
 	}
-	s.nextProposalAt = c.now.MonotonicMS + secondsToMS(c.settings.SummaryS)/proposalsPerSummary
-	demands := c.teamDemands(s)
-	for name, ledger := range sortedByKey(c.quotaLedgers) {
-		ledger.GracePeriodMS = allocationGraceSummaries * secondsToMS(c.settings.SummaryS)
-		if write := ledger.Propose(c.now.WallMS, s.name, demands[name]); write != nil {
+	s.nextProposalAt = qm.now.MonotonicMS + secondsToMS(qm.cache.settings.SummaryS)/proposalsPerSummary
+	demands := qm.teamDemands(s)
+	for name, ledger := range sortedByKey(qm.quotaLedgers) {
+		ledger.GracePeriodMS = allocationGraceSummaries * secondsToMS(qm.cache.settings.SummaryS)
+		if write := ledger.Propose(qm.now.WallMS, s.name, demands[name]); write != nil {
 			s.dirty = true
-			c.writeTeamRecord(s, name, ledger, write)
+			qm.writeTeamRecord(s, name, ledger, write)
 		}
 	}
 }
@@ -209,17 +238,17 @@
 const allocationGraceSummaries = 30
 
 // writeTeamRecord writes a team's record until the outcome is certain (package quota).
-func (c *Controller) writeTeamRecord(s *shard, team string, ledger *quota.Ledger, write *quota.Write) {
+func (qm *quotaManager) writeTeamRecord(s *shard, team string, ledger *quota.Ledger, write *quota.Write) {
 	key := teamKey(team)
-	c.sendUntilSettled(key, inDoubtWrite{
-		isClaimValid: func() bool { return c.ownedShards[s.name] == s },
+	qm.store.sendUntilSettled(key, inDoubtWrite{
+		isClaimValid: func() bool { return qm.shards.ownedShards[s.name] == s },
 		send: func(onResult func(StoreResult)) {
-			c.sendTxn(
+			qm.store.sendTxn(
 				UrgencyUser,
 				[]Precondition{{claimKey(s.name), s.token}, {key, write.Revision}},
 				[]Change{{Key: key, Value: mustEncode(write.Record)}},
 				func(r StoreResult) {
-					c.log(
+					qm.log(
 						Debug,
 						"team record written",
 						"team",
@@ -248,7 +277,7 @@
 			}
 			return ledger.Resolve(r.Outcome, nil, 0)
 		},
-		onSettled:   c.markAllShardsDirty,
+		onSettled:   qm.shards.markAllShardsDirty,
 		onClaimLost: ledger.Abandon, // the shard went
 	})
 }
--- a/scheduler/team_preemption.go
+++ b/scheduler/team_preemption.go
@@ -34,12 +34,12 @@
 // deadline that is held still holds, for what runs. Without it, a burst of short
 // jobs kept long ones from ever ending in time. What must not be started twice is
 // not stopped either.
-func (c *Controller) preemptibleRanges(s *shard, g *taskGroup) map[*taskRange]int64 {
-	allocation, t, limited := c.teamAllocation(s, g.job.Team)
+func (pp *placementPlanner) preemptibleRanges(s *shard, g *taskGroup) map[*taskRange]int64 {
+	allocation, t, limited := pp.quotas.teamAllocation(s, g.job.Team)
 	if !limited || t.MaxCPUs <= 0 || allocation.CPUs <= 0 {
 		return nil
 	}
-	wall := c.now.WallMS
+	wall := pp.now.WallMS
 	delay := max(g.LengthMS, int64(float64(g.Remaining)*g.job.Request.CPUs/allocation.CPUs*float64(g.LengthMS)))
 	remainingMS := map[*taskRange]float64{}
 	for _, a := range s.liveAttempts[g.job.Team] {
@@ -50,14 +50,14 @@
 	out := map[*taskRange]int64{}
 	for tr, remaining := range remainingMS {
 		j := &tr.job.rec.Job
-		runtimeMS := c.expectedRuntime(j)
+		runtimeMS := pp.estimates.expectedRuntime(j)
 		remaining += float64(tr.pending()) * float64(runtimeMS)
 		// Whether it is late already is told from one task alone, whether it
 		// has time from all of them, padded: both can be wrong by half.
 		duration := max(runtimeMS, int64(remaining*j.Request.CPUs/allocation.CPUs*planner.RuntimePadding))
 		accepted := tr.job.rec.AcceptedAtMS
-		_, deadline, missed := c.taskDeadlines(j, accepted, runtimeMS/2)
-		if _, delayedDeadline, missedByDelay := c.taskDeadlines(j, accepted, duration+delay+secondsToMS(j.CheckpointDurationS)); missed {
+		_, deadline, missed := pp.taskDeadlines(j, accepted, runtimeMS/2)
+		if _, delayedDeadline, missedByDelay := pp.taskDeadlines(j, accepted, duration+delay+secondsToMS(j.CheckpointDurationS)); missed {
 			out[tr] = 1 << 40
 		} else if delayedDeadline == deadline && !missedByDelay {
 			out[tr] = deadline - wall - duration
@@ -68,7 +68,7 @@
 
 // preemptibleResources is what a team's tasks that may be stopped for a group have of its
 // limit, and what was stopped for its like already and has not been taken yet.
-func (c *Controller) preemptibleResources(
+func (pp *placementPlanner) preemptibleResources(
 	s *shard,
 	g *taskGroup,
 	ranges map[*taskRange]int64,
@@ -83,7 +83,7 @@
 			preemptible = preemptible.Add(a.job.Request)
 		}
 	}
-	if debt, ok := s.debts[g.job.Team]; ok && c.now.MonotonicMS < debt.until && g.job.Priority >= debt.priority {
+	if debt, ok := s.debts[g.job.Team]; ok && pp.now.MonotonicMS < debt.until && g.job.Priority >= debt.priority {
 		pendingRelease = pendingRelease.Add(availability.Resources{CPUs: debt.cpus, GPUs: debt.gpus, MemoryGB: 1})
 	}
 	return preemptible, pendingRelease
@@ -91,15 +91,15 @@
 
 // preemptibleTaskCount is how many tasks of a group its team's limit would take beyond
 // now, if tasks of lower priority were stopped.
-func (c *Controller) preemptibleTaskCount(s *shard, g *taskGroup, limit int) int {
+func (pp *placementPlanner) preemptibleTaskCount(s *shard, g *taskGroup, limit int) int {
 	if g.MissedObjectives || g.job.Kind != Array || limit <= 0 || len(s.reconciler.Unreported()) > 0 {
 		return 0 // what is unseen may give it room without a stop
 	}
 	// No more than its guarantee is taken for a priority: beyond it, in a burst
 	// that no limit holds, work of lower priority would never end.
 	guaranteeLeft := availability.Resources{
-		CPUs:     c.params.Teams[g.job.Team].CPUs,
-		GPUs:     c.params.Teams[g.job.Team].GPUs,
+		CPUs:     pp.params.Teams[g.job.Team].CPUs,
+		GPUs:     pp.params.Teams[g.job.Team].GPUs,
 		MemoryGB: 1e12,
 	}
 	for _, a := range s.liveAttempts[g.job.Team] {
@@ -111,7 +111,7 @@
 	if limit <= 0 {
 		return 0
 	}
-	preemptible, pendingRelease := c.preemptibleResources(s, g, c.preemptibleRanges(s, g))
+	preemptible, pendingRelease := pp.preemptibleResources(s, g, pp.preemptibleRanges(s, g))
 	total := preemptible.Add(pendingRelease)
 	total.MemoryGB = 1e12
 	return total.MaxCopies(withoutDisk(g.job.Request), limit)
@@ -120,10 +120,10 @@
 // preempt stops tasks of lower priority so that n tasks of a group, which have
 // room on machines, find it in their team's limit: those first whose
 // jobs have most time, or none to lose.
-func (c *Controller) preempt(s *shard, g *taskGroup, n int) {
+func (pp *placementPlanner) preempt(s *shard, g *taskGroup, n int) {
 	req := withoutDisk(g.job.Request)
-	ranges := c.preemptibleRanges(s, g)
-	_, pendingRelease := c.preemptibleResources(s, g, ranges)
+	ranges := pp.preemptibleRanges(s, g)
+	_, pendingRelease := pp.preemptibleResources(s, g, ranges)
 	pendingRelease.MemoryGB = 1e12
 	n -= pendingRelease.MaxCopies(req, n)
 	if n <= 0 {
@@ -141,8 +141,8 @@
 			!a.isPreemptibleBy(g.job.Priority) {
 			continue
 		}
-		remaining := a.expectedEnd(c.now.WallMS) - c.now.WallMS
-		if remaining <= 2*c.maxHeartbeatIntervalMS()+secondsToMS(a.job.CheckpointDurationS) {
+		remaining := a.expectedEnd(pp.now.WallMS) - pp.now.WallMS
+		if remaining <= 2*pp.maxHeartbeatIntervalMS()+secondsToMS(a.job.CheckpointDurationS) {
 			continue // over by itself as soon
 		}
 		victims = append(victims, victim{a.machine, a, slack})
@@ -162,34 +162,34 @@
 		}
 		freed = freed.Add(v.a.job.Request)
 		v.a.stopRequested, v.a.preemptorPriority = true, g.job.Priority
-		c.Counters.Preempted++
-		c.log(Debug, "task stopped for a higher priority", "task", v.a.key.task, "machine", v.mc.id, "for", g.job.ID)
+		pp.Counters.Preempted++
+		pp.log(Debug, "task stopped for a higher priority", "task", v.a.key.task, "machine", v.mc.id, "for", g.job.ID)
 	}
 }
 
 // recordDebt notes what a stopped task gave up when it is over. Without it, its own
 // job took the room in the limit again at the same report.
-func (c *Controller) recordDebt(s *shard, a *attempt) {
+func (pp *placementPlanner) recordDebt(s *shard, a *attempt) {
 	debt := s.debts[a.job.Team]
-	if c.now.MonotonicMS >= debt.until {
+	if pp.now.MonotonicMS >= debt.until {
 		debt = preemptionDebt{}
 	}
 	debt.cpus += a.job.Request.CPUs
 	debt.gpus += a.job.Request.GPUs
 	debt.priority = max(debt.priority, a.preemptorPriority)
-	debt.until = c.now.MonotonicMS + 2*c.maxHeartbeatIntervalMS()
+	debt.until = pp.now.MonotonicMS + 2*pp.maxHeartbeatIntervalMS()
 	s.debts[a.job.Team] = debt
 }
 
 // repayDebt takes a start off what its team is owed.
-func (c *Controller) repayDebt(s *shard, j *Job) {
+func (pp *placementPlanner) repayDebt(s *shard, j *Job) {
 	debt, ok := s.debts[j.Team]
 	if !ok || j.Priority < debt.priority {
 		return
 	}
 	debt.cpus -= j.Request.CPUs
 	debt.gpus -= j.Request.GPUs
-	if debt.cpus <= 0 && debt.gpus <= 0 || c.now.MonotonicMS >= debt.until {
+	if debt.cpus <= 0 && debt.gpus <= 0 || pp.now.MonotonicMS >= debt.until {
 		delete(s.debts, j.Team)
 		return
 	}
@@ -198,9 +198,9 @@
 
 // reservedForOthers is what a job must leave of its team's limit to others: to higher priorities,
 // and to a first task that the limit holds up.
-func (c *Controller) reservedForOthers(s *shard, j *Job) availability.Resources {
+func (pp *placementPlanner) reservedForOthers(s *shard, j *Job) availability.Resources {
 	reserved := s.reservedForFirstTask(j)
-	if debt, ok := s.debts[j.Team]; ok && j.Priority < debt.priority && c.now.MonotonicMS < debt.until {
+	if debt, ok := s.debts[j.Team]; ok && j.Priority < debt.priority && pp.now.MonotonicMS < debt.until {
 		return reserved.Add(availability.Resources{CPUs: max(0, debt.cpus), GPUs: max(0, debt.gpus)})
 	}
 	return reserved
--- a/scheduler/user_request_relay.go
+++ b/scheduler/user_request_relay.go
@@ -32,15 +32,15 @@
 )
 
 // canServeUsers tells whether this member can answer users from the state service.
-func (c *Controller) canServeUsers() bool {
-	return c.storeAccess.IsSynced() && len(c.machineTypes) > 0 && c.storeAccess.IsResponsive(c.now.MonotonicMS)
+func (rh *requestHandler) canServeUsers() bool {
+	return rh.store.storeAccess.IsSynced() && len(rh.cache.machineTypes) > 0 && rh.store.storeAccess.IsResponsive(rh.now.MonotonicMS)
 }
 
 // isStoreUnreachable tells whether the state service refuses this member or does not
 // answer it. Each request would take its whole patience to learn the same; the
 // hold's extension asks on, and its answer ends this.
-func (c *Controller) isStoreUnreachable() bool {
-	link := c.storeAccess.Link(c.now.MonotonicMS)
+func (sc *storeClient) isStoreUnreachable() bool {
+	link := sc.storeAccess.Link(sc.now.MonotonicMS)
 	return link == access.LinkSilent || link == access.LinkRefused
 }
 
@@ -50,79 +50,79 @@
 func (c *Controller) HandleUserRequest(now Now, replyID uint64, request UserRequest) {
 	c.now = now
 	pending := &pendingRequest{replyID: replyID, request: request, receivedAtMS: now.MonotonicMS, pendingLocally: true}
-	c.pendingRequests[replyID] = pending
-	if final, ok := c.terminalStates[request.ID]; ok {
-		c.completeRequest(replyID, final.response(request.ID))
+	c.requests.pendingRequests[replyID] = pending
+	if final, ok := c.requests.terminalStates[request.ID]; ok {
+		c.requests.completeRequest(replyID, final.response(request.ID))
 		return
 	}
-	c.requestsByArrival = append(c.requestsByArrival, pending)
-	c.expediteBudget = min(expediteBurst, c.expediteBudget+expediteShare)
-	if c.isStoreUnreachable() && !(request.Kind == SubmitJob && request.ID == "") {
-		c.completeRequest(replyID, unavailableResponse(request.ID, storeUnreachableMessage))
+	c.requests.requestsByArrival = append(c.requests.requestsByArrival, pending)
+	c.requests.expediteBudget = min(expediteBurst, c.requests.expediteBudget+expediteShare)
+	if c.store.isStoreUnreachable() && !(request.Kind == SubmitJob && request.ID == "") {
+		c.requests.completeRequest(replyID, unavailableResponse(request.ID, storeUnreachableMessage))
 		return
 	}
 	switch request.Kind {
 	case SubmitJob:
-		c.handleSubmit(replyID, request)
+		c.requests.handleSubmit(replyID, request)
 	case QueryJob:
-		c.enqueueQuery(pending)
+		c.requests.enqueueQuery(pending)
 	case CancelJob:
-		c.handleCancel(replyID, request.ID, 3)
+		c.requests.handleCancel(replyID, request.ID, 3)
 	}
 }
 
 // completeRequest ends what is asked here. While the state service fails this member
 // only, a peer answers in its place.
-func (c *Controller) completeRequest(replyID uint64, response UserResponse) {
-	pending := c.pendingRequests[replyID]
+func (rh *requestHandler) completeRequest(replyID uint64, response UserResponse) {
+	pending := rh.pendingRequests[replyID]
 	if pending == nil {
 		return // a peer was faster
 	}
 	pending.pendingLocally = false
 	if response.retryableAtPeer {
 		pending.localFault = &response
-		if pending.awaitingPeer || c.relayToPeer(pending) {
+		if pending.awaitingPeer || rh.relayToPeer(pending) {
 			return
 		}
 	}
-	c.sendUserResponse(pending, response)
+	rh.sendUserResponse(pending, response)
 }
 
-func (c *Controller) sendUserResponse(pending *pendingRequest, response UserResponse) {
+func (rh *requestHandler) sendUserResponse(pending *pendingRequest, response UserResponse) {
 	pending.completed = true
-	delete(c.pendingRequests, pending.replyID)
-	if c.outputs.UserResponses == nil {
-		c.outputs.UserResponses = map[uint64]UserResponse{}
+	delete(rh.pendingRequests, pending.replyID)
+	if rh.outputs.UserResponses == nil {
+		rh.outputs.UserResponses = map[uint64]UserResponse{}
 	}
-	c.outputs.UserResponses[pending.replyID] = response
+	rh.outputs.UserResponses[pending.replyID] = response
 	if response.Status == 503 {
-		c.Counters.UnavailableResponses++
+		rh.Counters.UnavailableResponses++
 	}
 }
 
 // relayToPeer asks the next peer that says that it can answer.
-func (c *Controller) relayToPeer(pending *pendingRequest) bool {
-	if pending.relayed || pending.request.Relayed || len(c.pendingRelays) >= c.params.MaxPendingRelays {
+func (rh *requestHandler) relayToPeer(pending *pendingRequest) bool {
+	if pending.relayed || pending.request.Relayed || len(rh.pendingRelays) >= rh.params.MaxPendingRelays {
 		return false
 	}
 	var servingPeers []string
-	for name, state := range sortedByKey(c.peers) {
-		if name != c.params.MemberID && c.isFresh(state) && state.message.ServesUsers {
+	for name, state := range sortedByKey(rh.peers.peers) {
+		if name != rh.params.MemberID && rh.peers.isFresh(state) && state.message.ServesUsers {
 			servingPeers = append(servingPeers, name)
 		}
 	}
 	if len(servingPeers) == 0 {
 		return false
 	}
-	peer := servingPeers[c.relayRoundRobin%uint64(len(servingPeers))]
-	c.relayRoundRobin++
-	c.lastRequestID++
+	peer := servingPeers[rh.relayRoundRobin%uint64(len(servingPeers))]
+	rh.relayRoundRobin++
+	rh.lastRequestID++
 	pending.relayed, pending.awaitingPeer = true, true
-	c.pendingRelays[c.lastRequestID] = pendingRelay{pending, peer}
+	rh.pendingRelays[rh.lastRequestID] = pendingRelay{pending, peer}
 	request := pending.request
 	request.Relayed = true
-	c.outputs.Relays = append(c.outputs.Relays, RelayRequest{c.lastRequestID, peer, request})
-	c.Counters.Relayed++
+	rh.outputs.Relays = append(rh.outputs.Relays, RelayRequest{rh.lastRequestID, peer, request})
+	rh.Counters.Relayed++
 	return true
 }
 
@@ -134,25 +134,25 @@
 // HandleRelayResult takes a peer's answer, or learns that there is none.
 func (c *Controller) HandleRelayResult(now Now, id uint64, response UserResponse, ok bool) {
 	c.now = now
-	relay, known := c.pendingRelays[id]
+	relay, known := c.requests.pendingRelays[id]
 	if !known {
 		return
 	}
-	delete(c.pendingRelays, id)
+	delete(c.requests.pendingRelays, id)
 	pending := relay.request
 	pending.awaitingPeer = false
 	if !ok || response.Status == 503 {
 		// What it said of itself is out of date; its next message says more.
-		if peer := c.peers[relay.peer]; peer != nil {
+		if peer := c.peers.peers[relay.peer]; peer != nil {
 			peer.message.ServesUsers = false
 		}
 	}
 	switch {
 	case pending.completed:
 	case ok && response.Status != 503:
-		c.sendUserResponse(pending, response)
+		c.requests.sendUserResponse(pending, response)
 	case !pending.pendingLocally && pending.localFault != nil:
-		c.sendUserResponse(pending, *pending.localFault)
+		c.requests.sendUserResponse(pending, *pending.localFault)
 	}
 }
 
@@ -160,20 +160,20 @@
 // state service may have stopped answering this member, which shows for certain
 // only when a request's whole time is up. Both may carry a request out: each
 // submission and cancellation is one conditional write, whoever sends it.
-func (c *Controller) expediteSlowRequests() {
-	c.requestsByArrival = slices.DeleteFunc(
-		c.requestsByArrival,
+func (rh *requestHandler) expediteSlowRequests() {
+	rh.requestsByArrival = slices.DeleteFunc(
+		rh.requestsByArrival,
 		func(pending *pendingRequest) bool { return pending.completed },
 	)
-	for _, pending := range c.requestsByArrival {
-		if c.now.MonotonicMS-pending.receivedAtMS <= c.storeAccess.OverdueAfterMS() || c.expediteBudget < 1 {
+	for _, pending := range rh.requestsByArrival {
+		if rh.now.MonotonicMS-pending.receivedAtMS <= rh.store.storeAccess.OverdueAfterMS() || rh.expediteBudget < 1 {
 			break
 		}
-		if pending.request.Kind == QueryJob && c.expediteBudget < 1+expediteReserve {
+		if pending.request.Kind == QueryJob && rh.expediteBudget < 1+expediteReserve {
 			continue
 		}
-		if pending.pendingLocally && c.relayToPeer(pending) {
-			c.expediteBudget--
+		if pending.pendingLocally && rh.relayToPeer(pending) {
+			rh.expediteBudget--
 		}
 	}
 }
