--- a/scheduler/extension_records.go
+++ b/scheduler/extension_records.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"slices"
 	"strings"
 )
 
@@ -46,10 +45,3 @@
 	}
 	return view
 }
-
-// MemberIDs lists the members, whose names are the shards', in order.
-func (p Params) MemberIDs() []string {
-	all := append([]string{p.MemberID}, p.PeerIDs...)
-	slices.Sort(all)
-	return all
-}
--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -185,14 +185,6 @@
 		!qm.isWithinGuarantee(a.job)
 }
 
-// stopDelay is how long a stop takes until its room can be used. It goes straight to the
-// worker, which tells of its end soon after: counted as for two reports, so many tasks
-// were about to end by themselves that nothing was stopped for half of the time that a
-// guarantee promises.
-func (env *environment) stopDelay(j *Job) int64 {
-	return env.maxHeartbeatIntervalMS()/2 + secondsToMS(j.CheckpointDurationS)
-}
-
 // lostWork is the work that a stop costs.
 func (qm *quotaManager) lostWork(a *attempt) float64 {
 	switch {
@@ -448,12 +440,6 @@
 	}
 }
 
-// isCurrent tells whether a work is still a live job's range of ours. One that went to a
-// peer is not: started from a pledge all the same, its tasks ran twice.
-func (cache *stateCache) isCurrent(tr *taskRange) bool {
-	return cache.jobs[tr.job.rec.Job.ID] == tr.job && tr.job.taskRanges[tr.bounds.Lo] == tr
-}
-
 // startReserved starts what a machine's room was pledged to, as soon as it is there.
 func (qm *quotaManager) startReserved(s *shard, mc *machine, hb *Heartbeat) {
 	if qm.reservedResources(mc); mc.reservation == nil || !qm.agents.isSchedulable(mc) || !mc.Up || !mc.IsReconciled() ||
--- a/scheduler/job_requests.go
+++ b/scheduler/job_requests.go
@@ -152,20 +152,6 @@
 	return response
 }
 
-// taskCounts is how far each live job is in a shard.
-func (sm *shardManager) taskCounts(s *shard) map[string]TaskCounts {
-	byJob := map[string]TaskCounts{}
-	for _, tr := range s.taskRanges {
-		if tr.runningCount > 0 || tr.doneCount > 0 {
-			c := byJob[tr.job.rec.Job.ID]
-			c.Running += tr.runningCount
-			c.Done += tr.doneCount
-			byJob[tr.job.rec.Job.ID] = c
-		}
-	}
-	return byJob
-}
-
 // unrunnableReason says why a job can never run, or nothing. known is false while
 // that cannot be decided.
 func (rh *requestHandler) unrunnableReason(j *Job) (reason string, decided bool) {
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -59,50 +59,11 @@
 	return min(startBy+runtimeMS, deadline), deadline, missed
 }
 
-// objectiveDeadlines are the times by which it counts that a job is done, in order.
-func (env *environment) objectiveDeadlines(j *Job, accepted int64) []int64 {
-	var deadlines []int64
-	if j.DeadlineS > 0 {
-		deadlines = append(deadlines, accepted+secondsToMS(j.DeadlineS))
-	}
-	for _, o := range env.params.Objectives[j.Class] {
-		switch o.Kind {
-		case "deadline":
-			if j.DeadlineS > 0 && o.DeadlineFactor > 1 {
-				deadlines = append(deadlines, accepted+secondsToMS(j.DeadlineS*o.DeadlineFactor))
-			}
-		case "finished":
-			deadlines = append(deadlines, accepted+secondsToMS(o.WithinS))
-		}
-	}
-	slices.Sort(deadlines)
-	return deadlines
-}
-
 // resourceRequest is what placement sees of a job.
 func (j *Job) resourceRequest() planner.ResourceRequest {
 	return planner.ResourceRequest{Resources: j.Request, Image: j.Image, Types: j.Types, Zone: j.Zone, AllowsSpot: j.Spot}
 }
 
-// isOfferingAllowed tells whether a job may use a kind of machine at all.
-func (cache *stateCache) isOfferingAllowed(j *Job, typ, zone string, spot bool) bool {
-	request := j.resourceRequest()
-	return cache.placementCatalog.IsAllowed(&request, planner.InstanceOffering{Type: typ, Zone: zone, Spot: spot})
-}
-
-// fitsType tells whether some machine of a type may take a job.
-func (cache *stateCache) fitsType(j *Job, t *MachineType) bool {
-	request := j.resourceRequest()
-	return cache.placementCatalog.FitsType(&request, cache.placementCatalog.Type(t.Name))
-}
-
-// isTypeScarce tells whether a type should be left to others by a job that fits other
-// types too: some live job fits no other.
-func (cache *stateCache) isTypeScarce(j *Job, t *MachineType) bool {
-	request := j.resourceRequest()
-	return cache.placementCatalog.ShouldAvoid(&request, t.Name)
-}
-
 // withoutDisk leaves the image out: a machine that must make room for it does.
 func withoutDisk(r availability.Resources) availability.Resources {
 	r.DiskGB = 0
@@ -434,11 +395,6 @@
 	s.clusterView.ReservedCPUs = s.reserveCPUs
 }
 
-// hasStartObjective tells whether a job's class has a start aim of its own.
-func (env *environment) hasStartObjective(j *Job) bool {
-	return slices.ContainsFunc(env.params.Objectives[j.Class], func(o Objective) bool { return o.Kind == "wait" })
-}
-
 // placeGroup admits a group to the shard's machines and returns how many of its
 // tasks start now.
 func (pp *placementPlanner) placeGroup(s *shard, g *taskGroup) int {
--- a/scheduler/query_batches.go
+++ b/scheduler/query_batches.go
@@ -51,19 +51,6 @@
 	})
 }
 
-// syncMirror brings the mirror up to everything that was written before now.
-func (cache *stateCache) syncMirror(onResult func(Outcome)) {
-	cache.store.sendStore(
-		StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: cache.mirrorRevision},
-		func(result StoreResult) {
-			if result.Outcome == OK && cache.store.storeAccess.IsSynced() {
-				cache.applyWatchResult(result)
-			}
-			onResult(result.Outcome)
-		},
-	)
-}
-
 // completeBatch answers questions that came before a read that ended so.
 func (rh *requestHandler) completeBatch(batch []*pendingRequest, outcome Outcome) {
 	switch {
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -65,17 +65,6 @@
 	}
 }
 
-// hasRuntimeUpdates tells whether some class's length is off what was written by a
-// twentieth.
-func (re *runtimeEstimator) hasRuntimeUpdates(s *shard) bool {
-	for class, correction := range re.runtimeCorrections {
-		if written, ok := s.memory.writtenRuntimes[class]; !ok || math.Abs(float64(written)-correction.ratio*100) > 5 {
-			return true
-		}
-	}
-	return false
-}
-
 // writeRecoveryRecord writes a shard's memory when it has news; with recovery off, when
 // notes that were made while it was on are out of date. What it says of silent
 // machines holds until another record is certain to have taken its place.
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -1,9 +1,7 @@
 package scheduler
 
 import (
-	"cmp"
 	"encoding/json"
-	"math"
 	"slices"
 	"strings"
 
@@ -22,33 +20,6 @@
 	disruptionPrefix = "l/d/"
 )
 
-// rolloutController is what a member knows and, while it leads, decides of the plan.
-type rolloutController struct {
-	*environment
-	cache    *stateCache
-	peers    *peerTable
-	registry *machineRegistry
-	requests *requestHandler
-	scaler   *autoscaler
-	shards   *shardManager
-	store    *storeClient
-
-	rec               *rollout.Record
-	disruptionRecords map[string]disruption.Record // by shard, as the store has them
-	ledger            *disruption.Ledger           // while it leads
-	ledgerPlanID      string                       // the plan that the ledger is of
-	nextTickAt        int64
-	writing           bool
-	provisioning      bool
-	nextProvisionAt   int64
-	countsHistory     []countsSample // of all members, for what is usual
-	machines          []rollout.Machine
-}
-
-func newRolloutController(env *environment) *rolloutController {
-	return &rolloutController{environment: env, disruptionRecords: map[string]disruption.Record{}}
-}
-
 type countsSample struct {
 	at     int64
 	counts rollout.HealthCounts
@@ -68,9 +39,6 @@
 	nextTickAt int64
 }
 
-// maxOpenCharges bounds the charges of a shard that are open, within half a value.
-func (env *environment) maxOpenCharges() int { return max(16, env.params.MaxValueBytes/2/80) }
-
 func (rc *rolloutController) rolloutMachine(mc *machine) rollout.Machine {
 	return rollout.Machine{
 		ID:                 mc.id,
@@ -86,17 +54,16 @@
 
 // applyRolloutRecord takes a record of a plan or of what a shard stopped.
 func (rc *rolloutController) applyRolloutRecord(kv KeyValue) error {
-	r := rc
 	if kv.Key == rolloutKey {
 		if kv.Value == nil {
-			r.rec = nil
+			rc.rec = nil
 			return nil
 		}
 		rec := &rollout.Record{}
 		if err := json.Unmarshal(kv.Value, rec); err != nil {
 			return err
 		}
-		r.rec = rec
+		rc.rec = rec
 		rc.shards.markAllShardsDirty()
 		return nil
 	}
@@ -107,7 +74,7 @@
 			return err
 		}
 	}
-	r.disruptionRecords[shard] = rec
+	rc.disruptionRecords[shard] = rec
 	return nil
 }
 
@@ -120,14 +87,6 @@
 	return rc.rec.Covers(&p)
 }
 
-// disruptionBudget is a team's, by the operators' settings; "*" stands for teams without one.
-func (rc *rolloutController) disruptionBudget(team string) disruption.Budget {
-	if b, ok := rc.cache.settings.Disruption[team]; ok {
-		return b
-	}
-	return rc.cache.settings.Disruption["*"]
-}
-
 // tickRollout leads the plan on: once or twice a second, by one write for all that
 // changed.
 func (rc *rolloutController) tickRollout() {
@@ -161,57 +120,15 @@
 	}
 }
 
-// issueDisruptionTokens hands out tokens for what the shards want to stop.
-func (rc *rolloutController) issueDisruptionTokens() (changed bool) {
-	r := rc
-	demands := map[string]map[string]disruption.Demand{} // team, shard
-	rc.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
-		for i := range msg.OwnedShards {
-			if peerShard := &msg.OwnedShards[i]; rc.cache.shardClaims[peerShard.Shard].Owner == from {
-				for team, d := range peerShard.DisruptionDemands {
-					if demands[team] == nil {
-						demands[team] = map[string]disruption.Demand{}
-					}
-					demands[team][peerShard.Shard] = d
-				}
-			}
-		}
-	})
-	rows, maxRows := 0, max(16, rc.params.MaxValueBytes/2/40) // a row takes some forty bytes
-	recorded := map[string]bool{}
-	for _, teams := range r.ledger.Issued() {
-		rows += len(teams)
-		for t := range teams {
-			recorded[t] = true
-		}
-	}
-	for team, shardDemands := range sortedByKey(demands) {
-		if !recorded[team] {
-			if rows += len(shardDemands); rows > maxRows {
-				continue // no room in the record: its machines wait for their tasks to end
-			}
-		}
-		settled := map[string]uint64{}
-		for s, a := range r.disruptionRecords {
-			settled[s] = a.Settled[team]
-		}
-		if r.ledger.Issue(rc.now.MonotonicMS, team, rc.disruptionBudget(team), shardDemands, settled) {
-			changed = true
-		}
-	}
-	return changed
-}
-
 // rolloutMachines lists the machines that are recorded, in order. What is asked back is on
 // its way and counts as there until the cloud has said so.
 func (rc *rolloutController) rolloutMachines() []rollout.Machine {
-	r := rc
-	r.machines = r.machines[:0]
+	rc.machines = rc.machines[:0]
 	for _, mc := range rc.registry.machines {
-		r.machines = append(r.machines, rc.rolloutMachine(mc))
+		rc.machines = append(rc.machines, rc.rolloutMachine(mc))
 	}
-	slices.SortFunc(r.machines, func(a, b rollout.Machine) int { return strings.Compare(a.ID, b.ID) })
-	return r.machines
+	slices.SortFunc(rc.machines, func(a, b rollout.Machine) int { return strings.Compare(a.ID, b.ID) })
+	return rc.machines
 }
 
 func (rc *rolloutController) hourlyPrice(k rollout.InstanceOffering) float64 {
@@ -243,7 +160,6 @@
 // provisionReplacements asks for machines that a plan replaces others by, one call for all
 // of a kind and zone.
 func (rc *rolloutController) provisionReplacements(plan string, toProvision map[rollout.InstanceOffering]int) {
-	r := rc
 	requests := map[offering]map[string]int{}
 	var order []offering
 	for k, n := range toProvision {
@@ -259,11 +175,11 @@
 	}
 	slices.SortFunc(order, offering.compare)
 	pending := len(order)
-	r.provisioning = pending > 0
+	rc.provisioning = pending > 0
 	for _, o := range order {
 		rc.scaler.provision(o, requests[o], plan, func() {
 			if pending--; pending == 0 {
-				r.provisioning = false
+				rc.provisioning = false
 			}
 		})
 	}
@@ -271,234 +187,33 @@
 
 // writeRolloutRecord changes the plan's record, under a condition beside its revision.
 func (rc *rolloutController) writeRolloutRecord(rec *rollout.Record, preconditions []Precondition, onResult func(StoreResult)) {
-	r := rc
-	r.writing = true
+	rc.writing = true
 	rc.store.sendTxn(
 		UrgencyUser,
 		append(preconditions, Precondition{rolloutKey, rc.cache.keyRevisions[rolloutKey]}),
 		[]Change{{Key: rolloutKey, Value: mustEncode(rec)}},
 		func(res StoreResult) {
 			if res.Outcome != Unknown && res.Outcome != Conflict {
-				r.writing = false
+				rc.writing = false
 				onResult(res)
 				return
 			}
 			// Tokens that the record would have issued count as issued, in the ledger
 			// of this leader and, if it was written, in the record.
 			rc.store.rereadKey(rolloutKey, func(StoreResult) {
-				r.writing = false
+				rc.writing = false
 				onResult(res)
 			})
 		},
 	)
 }
 
-// tickShardDisruption is a shard's part in each tick: what was stopped and runs again is
-// settled, what is to be stopped is charged, and the account is written.
-func (rc *rolloutController) tickShardDisruption(s *shard) {
-	d := &s.disruption
-	if !rc.params.Rollout || rc.now.MonotonicMS < d.nextTickAt {
-		return
-	}
-	d.nextTickAt = rc.now.MonotonicMS + 250
-	if d.account == nil {
-		d.account = disruption.OpenAccount(rc.disruptionRecords[s.name], rc.maxOpenCharges())
-		d.record.rev = rc.cache.keyRevisions[disruptionPrefix+s.name]
-	}
-	rc.settleCharges(s)
-	rc.requestEvictions(s)
-	rc.writeDisruptionAccount(s)
-}
-
-// settleCharges closes the charges of tasks that run again, are done or are nobody's any
-// more, and of tasks that go on where they are.
-func (rc *rolloutController) settleCharges(s *shard) {
-	d := &s.disruption
-	if d.account.IsEmpty() {
-		return
-	}
-	live := map[string]*attempt{}
-	for _, mc := range s.machines {
-		for _, a := range mc.byKey {
-			if !a.exited && a.running {
-				live[a.key.task] = a
-			}
-		}
-	}
-	d.account.EachLost(func(task, _ string) {
-		if tr, i := rc.shards.taskRangeOf(task); tr == nil || tr.done.has(i) || live[task] != nil {
-			d.account.RecordRecovery(task)
-		}
-	})
-	if len(s.reconciler.Unreported()) > 0 {
-		return // what is not heard may be what runs
-	}
-	d.account.EachReserved(func(task string, t disruption.StoppedTask) {
-		tr, i := rc.shards.taskRangeOf(task)
-		a := live[task]
-		switch {
-		case tr == nil, tr.done.has(i):
-			d.account.Release(task)
-		case a != nil && a.key.attempt != t.Attempt:
-			d.account.Release(task)
-		case a != nil && !a.evicted && !rc.isDrainedByRollout(a.machine):
-			d.account.Release(task) // it was never told to stop, and is not to be
-		}
-	})
-}
-
 // eviction is a task that would be stopped, with what that loses.
 type eviction struct {
 	attempt  *attempt
 	lostWork float64 // work, in processor milliseconds
 }
 
-// requestEvictions finds what the plan would have stopped, charges what was issued for, and
-// tells what more it wants. What ends in time is let end.
-func (rc *rolloutController) requestEvictions(s *shard) {
-	d, rec, wall := &s.disruption, rc.rec, rc.now.WallMS
-	d.demands = map[string]disruption.Demand{}
-	if rec == nil || rec.State.IsTerminal() {
-		return
-	}
-	for _, mc := range s.machines {
-		for _, a := range mc.byKey {
-			if !a.exited && a.running {
-				demand := d.demands[a.job.Team]
-				demand.Running++
-				d.demands[a.job.Team] = demand
-			}
-		}
-	}
-	d.account.EachLost(func(_, team string) {
-		demand := d.demands[team]
-		demand.Lost++
-		d.demands[team] = demand
-	})
-	if rec.State != rollout.Running || !s.reconciled {
-		return
-	}
-	late, deadline := rec.IsPastDeadline(wall), rec.StepDeadline()
-	var candidates []eviction
-	for _, mc := range s.machines {
-		if !mc.cordoned || !mc.IsReconciled() || mc.liveAttemptCount == 0 || !rc.isDrainedByRollout(mc) {
-			continue
-		}
-		for _, a := range mc.byKey {
-			if a.exited || a.checkpointing || a.job.AtMostOnce || d.account.IsReserved(a.key.task) {
-				continue
-			}
-			expectedEnd := a.expectedEnd(wall)
-			endsByItself := expectedEnd-wall <= 2*rc.maxHeartbeatIntervalMS()+secondsToMS(a.job.CheckpointDurationS)
-			e := eviction{attempt: a}
-			switch {
-			case a.job.Kind == Array && endsByItself || deadline > 0 && !late && a.job.Kind == Array && expectedEnd <= deadline && a.running:
-				continue // over by itself in time
-			case !a.running && a.job.Kind == Array:
-				// Nothing is lost.
-			case late:
-				e.lostWork = float64(wall-a.runningSince) * a.job.Request.CPUs
-				if a.job.CheckpointIntervalS > 0 {
-					e.lostWork = min(e.lostWork, a.job.CheckpointDurationS*1000*a.job.Request.CPUs)
-				}
-			case a.job.Kind == Array && a.job.CheckpointIntervalS > 0 && deadline > 0 && !rc.fitsOnlyTypeOf(a.job, mc):
-				e.lostWork = a.job.CheckpointDurationS * 1000 * a.job.Request.CPUs
-			default:
-				continue
-			}
-			candidates = append(candidates, e)
-		}
-	}
-	slices.SortFunc(candidates, func(x, y eviction) int {
-		return cmp.Or(cmp.Compare(x.lostWork, y.lostWork), cmp.Compare(x.attempt.key.task, y.attempt.key.task))
-	})
-	for _, e := range candidates {
-		a := e.attempt
-		tasks := rc.tasksEvictedTogether(s, a)
-		if tasks == nil {
-			continue
-		}
-		team := a.job.Team
-		if d.account.Reserve(team, rec.Issued[s.name][team], tasks) {
-			continue
-		}
-		demand := d.demands[team]
-		demand.Requested += len(tasks)
-		d.demands[team] = demand
-	}
-	for team := range d.demands {
-		if d.demands[team].Requested == 0 {
-			d.account.ReturnUnspent(team, rec.Issued[s.name][team])
-		}
-	}
-}
-
-// fitsOnlyTypeOf tells whether no other type of machine takes a job.
-func (rc *rolloutController) fitsOnlyTypeOf(j *Job, mc *machine) bool {
-	for _, t := range rc.cache.machineTypes {
-		if t.Name != mc.rec.Type && rc.cache.fitsType(j, t) {
-			return false
-		}
-	}
-	return rc.cache.placementCatalog.IsRequired(mc.rec.Type)
-}
-
-// tasksEvictedTogether is what goes down with a task: a gang all of it; nil if a service would fall
-// under what its team's budget keeps.
-func (rc *rolloutController) tasksEvictedTogether(s *shard, a *attempt) map[string]uint64 {
-	tasks := map[string]uint64{a.key.task: a.key.attempt}
-	switch a.job.Kind {
-	case Service:
-		down := 0
-		s.disruption.account.EachReserved(func(task string, _ disruption.StoppedTask) {
-			if tr, _ := rc.shards.taskRangeOf(task); tr == a.taskRange {
-				down++
-			}
-		})
-		minRunning := int(math.Ceil(rc.disruptionBudget(a.job.Team).MinReplicaShare * float64(a.taskRange.size())))
-		if min(a.taskRange.runningCount, a.taskRange.size()-down)-1 < minRunning {
-			return nil
-		}
-	case Gang:
-		for _, mc := range s.machines {
-			for _, other := range mc.byKey {
-				if !other.exited && other.taskRange == a.taskRange {
-					tasks[other.key.task] = other.key.attempt
-				}
-			}
-		}
-	}
-	return tasks
-}
-
-// mayEvict tells whether a task's stop may leave: its charge is in the store.
-func (rc *rolloutController) mayEvict(s *shard, mc *machine, a *attempt) bool {
-	d := &s.disruption
-	if !rc.params.Rollout || d.account == nil || !d.account.CanStop(a.key.task, a.key.attempt) {
-		return false
-	}
-	// A gang goes down whole, wherever its tasks are.
-	return a.evicted ||
-		rc.rec != nil && rc.rec.State == rollout.Running &&
-			(mc.cordoned && rc.isDrainedByRollout(mc) || a.job.Kind == Gang)
-}
-
-// writeDisruptionAccount stores a shard's account when it changed.
-func (rc *rolloutController) writeDisruptionAccount(s *shard) {
-	d := &s.disruption
-	if d.record.writing || !d.account.HasUnstoredChanges() || rc.now.MonotonicMS < d.record.nextWriteAt {
-		return
-	}
-	rec := d.account.BuildRecord()
-	rc.shards.writeShardRecord(s, disruptionPrefix+s.name, &d.record, rec, rc.progressWriteInterval()/2, func(ok bool) {
-		if ok {
-			d.account.ConfirmStored(rec)
-		} else {
-			d.account.MarkStoreFailed()
-		}
-	})
-}
-
 // RolloutStatus is a plan as the administration API shows it.
 type RolloutStatus struct {
 	*rollout.Record
@@ -664,20 +379,9 @@
 	})
 }
 
-// Rollout returns the plan as it stands, nil without one.
-func (c *Controller) Rollout(now Now) *RolloutStatus { return c.rollouts.status(now) }
-
-// PreviewRollout returns what a plan would do, by what is known now.
-func (c *Controller) PreviewRollout(now Now, p rollout.Plan) RolloutPreview { return c.rollouts.preview(now, p) }
-
-// ApplyRollout stores a plan, for the leader to carry out; the response is among
-// the users' under replyID.
-func (c *Controller) ApplyRollout(now Now, replyID uint64, p rollout.Plan) {
-	c.rollouts.submitPlan(now, replyID, p)
-}
-
-// CommandRollout carries out an operator's command to the plan; the response is
-// among the users' under replyID.
-func (c *Controller) CommandRollout(now Now, replyID uint64, command rollout.Command) {
-	c.rollouts.command(now, replyID, command)
+// isRolloutReplacement tells whether a machine was rented for a plan that goes on: it is idle
+// until those that it replaces are emptied.
+func (rc *rolloutController) isRolloutReplacement(mc *machine) bool {
+	record := rc.rec
+	return record != nil && rc.params.Rollout && !record.State.IsTerminal() && mc.rec.ReplacementPlan == record.Plan.ID
 }
--- a/scheduler/store_client.go
+++ b/scheduler/store_client.go
@@ -28,3 +28,111 @@
 	})
 	return sc
 }
+
+func (sc *storeClient) sendStore(op StoreOp, onResult func(StoreResult)) {
+	sc.lastRequestID++
+	op.ID = sc.lastRequestID
+	switch {
+	case op.Kind == StoreWatch && op.DurationMS > 0: // waits by its nature
+		sc.storeCallbacks[op.ID] = onResult
+	case op.Urgency == UrgencyBackground:
+		// Put off for as long as the rate is short: its time is not the state
+		// service's.
+		sc.storeCallbacks[op.ID] = func(r StoreResult) {
+			sc.storeAccess.ObserveOutcome(sc.now.MonotonicMS, r.Outcome)
+			onResult(r)
+		}
+	default:
+		ticket := sc.storeAccess.BeginRequest(sc.now.MonotonicMS)
+		sc.storeCallbacks[op.ID] = func(r StoreResult) {
+			sc.storeAccess.CompleteRequest(sc.now.MonotonicMS, ticket, r.QueuedMS, r.Outcome)
+			onResult(r)
+		}
+	}
+	sc.outputs.StoreOps = append(sc.outputs.StoreOps, op)
+}
+
+// leaseTTLMS is how long this member's holds last (access.Life).
+func (sc *storeClient) leaseTTLMS() int64 {
+	ttlMS := access.LeaseTTLMS(secondsToMS(sc.params.CancelWithinS), secondsToMS(sc.params.LeaseS))
+	if sc.params.LeaseTTLRatio > 0 {
+		ttlMS = int64(float64(ttlMS) * min(1, sc.params.LeaseTTLRatio))
+	}
+	return ttlMS
+}
+
+// leaseRenewalIntervalMS is how often holds are extended and watches renewed.
+func (sc *storeClient) leaseRenewalIntervalMS() int64 { return sc.storeAccess.RenewIntervalMS() }
+
+// hasAuthority tells whether this member may act for its shards. Past it, no
+// starts, no decisions, and no answer that would renew a worker's lease.
+func (sc *storeClient) hasAuthority() bool { return sc.storeAccess.HasAuthority(sc.now.MonotonicMS) }
+
+// listAll reads all keys with a prefix. rev is the revision of the first page:
+// watching from there on misses nothing.
+func (sc *storeClient) listAll(prefix string, onResult func(kvs []KeyValue, revision uint64, outcome Outcome)) {
+	var collected []KeyValue
+	var revision uint64
+	var readPage func(startAfter string)
+	readPage = func(startAfter string) {
+		sc.sendStore(StoreOp{Kind: StoreList, Key: prefix, StartAfter: startAfter}, func(r StoreResult) {
+			if r.Outcome != OK {
+				onResult(nil, 0, r.Outcome)
+				return
+			}
+			if startAfter == "" {
+				revision = r.Rev
+			}
+			collected = append(collected, r.KVs...)
+			if r.More && len(r.KVs) > 0 {
+				readPage(r.KVs[len(r.KVs)-1].Key)
+				return
+			}
+			onResult(collected, revision, OK)
+		})
+	}
+	readPage("")
+}
+
+// sendTxn sends a transaction. When it is known to have worked, the mirror has its
+// changes before done is called.
+func (sc *storeClient) sendTxn(
+	urgency Urgency,
+	preconditions []Precondition,
+	changes []Change,
+	onResult func(StoreResult),
+) {
+	sc.sendStore(
+		StoreOp{Kind: StoreTxn, Urgency: urgency, Preconditions: preconditions, Changes: changes},
+		func(result StoreResult) {
+			if result.Outcome == OK {
+				for _, change := range changes {
+					sc.observeChange(KeyValue{Key: change.Key, Value: change.Value, Rev: result.Rev})
+				}
+			}
+			onResult(result)
+		},
+	)
+}
+
+// rereadKey settles a write whose outcome is not known: the store's word on the
+// keys, before anything rests on them.
+func (sc *storeClient) rereadKey(key string, onResult func(StoreResult)) {
+	sc.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyUser, Key: key}, func(result StoreResult) {
+		if result.Outcome == OK && len(result.KVs) == 1 {
+			sc.observeChange(result.KVs[0])
+		}
+		if result.Outcome == NotFound {
+			sc.observeChange(KeyValue{Key: key, Rev: result.Rev})
+		}
+		onResult(result)
+	})
+}
+
+// isStoreUnreachable tells whether the state service refuses this member or does not
+// answer it. Each request would take its whole patience to learn the same; the
+// hold's extension asks on, and its answer ends this.
+func (sc *storeClient) isStoreUnreachable() bool {
+	link := sc.storeAccess.Link(sc.now.MonotonicMS)
+	return link == access.LinkSilent || link == access.LinkRefused
+}
--- a/scheduler/team_limits.go
+++ b/scheduler/team_limits.go
@@ -127,15 +127,6 @@
 	return sum
 }
 
-// machineCapacity bounds what all tasks on a machine use: workers refuse more.
-func (cache *stateCache) machineCapacity(mc *machine) reconcile.ResourceUsage {
-	if mc == nil || cache.machineTypes[mc.rec.Type] == nil {
-		return reconcile.ResourceUsage{CPUs: 1e12, GPUs: 1e12}
-	}
-	r := cache.machineTypes[mc.rec.Type].Resources
-	return reconcile.ResourceUsage{CPUs: r.CPUs, GPUs: r.GPUs}
-}
-
 // teamHeadroom is what a team may still start in a shard.
 func (qm *quotaManager) teamHeadroom(s *shard, team string) (availability.Resources, bool) {
 	allocation, t, limited := qm.teamAllocation(s, team)
--- a/scheduler/team_preemption.go
+++ b/scheduler/team_preemption.go
@@ -23,6 +23,11 @@
 	until      int64
 }
 
+func withoutMemory(r availability.Resources) availability.Resources {
+	r.MemoryGB, r.DiskGB = 0, 0
+	return r
+}
+
 // isPreemptibleBy tells whether an attempt may be stopped for work of a priority.
 func (a *attempt) isPreemptibleBy(p Priority) bool {
 	return !a.exited && !a.checkpointing && a.job.Priority < p && a.job.Kind == Array &&
@@ -205,8 +210,3 @@
 	}
 	return reserved
 }
-
-func withoutMemory(r availability.Resources) availability.Resources {
-	r.MemoryGB, r.DiskGB = 0, 0
-	return r
-}
--- a/scheduler/user_request_relay.go
+++ b/scheduler/user_request_relay.go
@@ -2,8 +2,6 @@
 
 import (
 	"slices"
-
-	"github.com/grebedock/grebedock/access"
 )
 
 // pendingRequest is a user's request that has no answer yet. It is asked of the state
@@ -36,14 +34,6 @@
 	return rh.store.storeAccess.IsSynced() && len(rh.cache.machineTypes) > 0 && rh.store.storeAccess.IsResponsive(rh.now.MonotonicMS)
 }
 
-// isStoreUnreachable tells whether the state service refuses this member or does not
-// answer it. Each request would take its whole patience to learn the same; the
-// hold's extension asks on, and its answer ends this.
-func (sc *storeClient) isStoreUnreachable() bool {
-	link := sc.storeAccess.Link(sc.now.MonotonicMS)
-	return link == access.LinkSilent || link == access.LinkRefused
-}
-
 const storeUnreachableMessage = "state service does not answer"
 
 // HandleUserRequest takes a user's request; reply names it in the outputs' answers.
