--- /dev/null
+++ b/emulator/events.go
@@ -0,0 +1,88 @@
+package emulator
+
+import "container/heap"
+
+type event struct {
+	at  int64
+	seq int
+	run func()
+}
+
+type eventQueue []event
+
+func (queue eventQueue) Len() int { return len(queue) }
+
+func (queue eventQueue) Less(i, j int) bool {
+	return queue[i].at < queue[j].at || queue[i].at == queue[j].at && queue[i].seq < queue[j].seq
+}
+
+func (queue eventQueue) Swap(i, j int) { queue[i], queue[j] = queue[j], queue[i] }
+
+func (queue *eventQueue) Push(item any) { *queue = append(*queue, item.(event)) }
+
+func (queue *eventQueue) Pop() any {
+	old := *queue
+	last := old[len(old)-1]
+	*queue = old[:len(old)-1]
+	return last
+}
+
+// After runs f so many milliseconds from now.
+func (sim *Simulation) After(delayMS int64, run func()) {
+	sim.eventSeq++
+	heap.Push(&sim.queue, event{sim.Now + delayMS, sim.eventSeq, run})
+}
+
+// runAt runs f at a time, at once if that has passed.
+func (sim *Simulation) runAt(at int64, run func()) {
+	if at <= sim.Now {
+		run()
+		return
+	}
+	sim.After(at-sim.Now, run)
+}
+
+// Run plays the world until a time, or until over says so.
+func (sim *Simulation) Run(until int64, isOver func() bool) {
+	var tick func()
+	tick = func() {
+		for _, id := range sim.WorkerIDs {
+			sim.stepWorker(sim.Workers[id])
+		}
+		stillParked := sim.parkedWatches[:0]
+		for _, watch := range sim.parkedWatches {
+			if sim.storeRefuses(watch.member) {
+				stillParked = append(stillParked, watch)
+				continue
+			}
+			result, ready := sim.Store.Apply(sim.Now, watch.op)
+			if ready || sim.Now >= watch.until {
+				watch.respond(result)
+			} else {
+				stillParked = append(stillParked, watch)
+			}
+		}
+		sim.parkedWatches = stillParked
+		if sim.OutageUntil["all"] <= sim.Now {
+			sim.Store.ExpireLeases(sim.Now)
+		}
+		sim.checkCancelled()
+		sim.checkForgotten()
+		sim.After(40, tick)
+	}
+	tick()
+	if !sim.ChecksDisabled {
+		sim.After(progressCheckIntervalMS, sim.checkProgress)
+	}
+	if sim.SweepIntervalMS > 0 && !sim.ChecksDisabled {
+		sim.After(sim.SweepIntervalMS, sim.sweep)
+	}
+	for len(sim.queue) > 0 {
+		next := heap.Pop(&sim.queue).(event)
+		if next.at > until || isOver() {
+			return
+		}
+		sim.Now = next.at
+		next.run()
+	}
+}
--- /dev/null
+++ b/emulator/experiment_result.go
@@ -0,0 +1,255 @@
+package emulator
+
+import (
+	"math"
+	"slices"
+
+	"github.com/grebedock/grebedock/internal/history"
+	"github.com/grebedock/grebedock/internal/platformfake"
+	"github.com/grebedock/grebedock/rollout"
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+// Result is what came of one run.
+type Result struct {
+	Experiment            string           `json:"experiment"`
+	Variant               string           `json:"variant"`
+	VariantIndex          int              `json:"order"` // of the variant in the experiment
+	Seed                  uint64           `json:"seed"`
+	Classes               []ClassResult    `json:"classes"`
+	SubmitMS              Quantiles        `json:"submit_ms"` // from the first try to the acceptance
+	InconclusiveResponses int              `json:"refused"`   // answers that settle nothing
+	Machines              int              `json:"machines"`
+	PriceRatio            float64          `json:"price"` // money against that of the useful work at the lowest price
+	UsefulShare           float64          `json:"useful"`
+	Requests              int              `json:"requests"` // of the state service
+	Changes               int              `json:"changes"`
+	Relayed               int              `json:"relayed"`
+	Teams                 []TeamResult     `json:"teams"`
+	TaskStarts            int              `json:"started"` // tasks
+	RepeatedStarts        int              `json:"again"`   // starts of tasks that had started before
+	CommandCounts         map[string][]int `json:"orders"`  // by kind, for each second
+	Rollout               *RolloutResult   `json:"rollout,omitempty"`
+	Timeline              []TimelinePoint  `json:"timeline"`
+	Faults                []RecordedFault  `json:"faults,omitempty"`
+	RuleViolations        []string         `json:"broken,omitempty"`   // rules
+	OrderViolations       []string         `json:"disorder,omitempty"` // what no order of events explains
+}
+
+// WorstSecond is the most starts, stops and clears of one second.
+func (result *Result) WorstSecond() (worst int) {
+	var perSecond []int
+	for _, kind := range []scheduler.CommandKind{scheduler.CommandStart, scheduler.CommandStop, scheduler.CommandForget} {
+		for i, n := range result.CommandCounts[string(kind)] {
+			if i == len(perSecond) {
+				perSecond = append(perSecond, 0)
+			}
+			perSecond[i] += n
+		}
+	}
+	for _, n := range perSecond {
+		worst = max(worst, n)
+	}
+	return worst
+}
+
+// TimelinePoint is how the world stood at a time.
+type TimelinePoint struct {
+	AtS          float64 `json:"at_s"`
+	Machines     int     `json:"machines"` // up
+	RunningTasks int     `json:"running"`  // tasks
+	CPUs         float64 `json:"cpus"`     // in use
+	Jobs         int     `json:"jobs"`     // accepted and not done
+}
+
+// RecordedFault is a fault that happened.
+type RecordedFault struct {
+	AtS       float64 `json:"at_s"`
+	DurationS float64 `json:"for_s,omitempty"`
+	Kind      string  `json:"kind"`
+}
+
+// defaultTimelinePoints is how many there are in a run.
+const defaultTimelinePoints = 60
+
+func (sim *Simulation) sampleTimeline(intervalMS int64, timeline *[]TimelinePoint) {
+	point := TimelinePoint{AtS: float64(sim.Now) / 1000}
+	for _, id := range sim.WorkerIDs {
+		if worker := sim.Workers[id]; worker.Up && !worker.Gone {
+			point.Machines++
+			worker.Agent.ForEachOnMachine(func(t *platformfake.Task) {
+				point.RunningTasks++
+				point.CPUs += t.Job.Request.CPUs
+			})
+		}
+	}
+	for _, id := range sim.JobIDs {
+		if j := sim.Jobs[id]; j.Accepted && j.DoneAt == 0 && j.CancelConfirmedAt == 0 {
+			point.Jobs++
+		}
+	}
+	*timeline = append(*timeline, point)
+	sim.After(intervalMS, func() { sim.sampleTimeline(intervalMS, timeline) })
+}
+
+// ClassResult is a class in a Result. Times are seconds.
+type ClassResult struct {
+	Class           string    `json:"class"`
+	Jobs            int       `json:"jobs"`
+	Done            int       `json:"done"`
+	InTimeShare     float64   `json:"in_time"` // share of those with a deadline that were done by it
+	WaitWithinShare float64   `json:"within"`  // share that started within the class's aim
+	WaitS           Quantiles `json:"wait_s"`  // until the first task starts
+	DoneS           Quantiles `json:"done_s"`
+}
+
+// TeamResult is a team in a Result.
+type TeamResult struct {
+	Team            string  `json:"team"`
+	Jobs            int     `json:"jobs"`
+	Done            int     `json:"done"`
+	WaitWithinShare float64 `json:"within"` // share that started within its class's aim
+	// Of the tasks of jobs that came within the team's guarantee: those that started as
+	// soon as the platform promises and were not stopped within half a minute, and how
+	// long their first starts took.
+	Guaranteed      int       `json:"guaranteed"`
+	PromptShare     float64   `json:"prompt"`
+	PromptWaitS     Quantiles `json:"prompt_wait_s"`
+	LimitUsedShare  float64   `json:"limit_used"`        // mean share of the limit in use while more than it is asked for
+	LimitContendedS int       `json:"limit_used_s"`      // seconds in which that was so
+	BelowGuaranteeS int       `json:"below_guarantee_s"` // seconds below its guarantee while work within it waited for longer than promised
+}
+
+// RolloutResult is a plan in a Result.
+type RolloutResult struct {
+	Plan         string         `json:"plan"`
+	State        rollout.State  `json:"state"`
+	Reason       string         `json:"why,omitempty"`
+	Total        int            `json:"total"`
+	DurationS    float64        `json:"took_s"`  // until it was done
+	StoppedTasks int            `json:"stopped"` // tasks
+	MaxDown      map[string]int `json:"down"`    // by team: most that were stopped and did not run again yet, by the machines' count
+}
+
+// Quantiles is some quantiles.
+type Quantiles struct {
+	P50 float64 `json:"p50"`
+	P90 float64 `json:"p90"`
+	P99 float64 `json:"p99"`
+}
+
+func quantiles(values []float64) Quantiles {
+	slices.Sort(values)
+	quantile := func(q float64) float64 {
+		if len(values) == 0 {
+			return 0
+		}
+		return values[min(len(values)-1, int(math.Ceil(q*float64(len(values))))-1)]
+	}
+	return Quantiles{quantile(0.5), quantile(0.9), quantile(0.99)}
+}
+
+func (experiment *Experiment) collectResult(sim *Simulation, variant Variant, seed uint64) Result {
+	result := Result{
+		Experiment:     experiment.Name,
+		Variant:        variant.Name,
+		Seed:           seed,
+		Machines:       len(sim.WorkerIDs),
+		Changes:        sim.StoreChanges,
+		Relayed:        sim.Relayed,
+		RepeatedStarts: sim.RepeatedStarts,
+		CommandCounts:  sim.CommandCounts,
+	}
+	for _, n := range sim.StoreRequests {
+		result.Requests += n
+	}
+	for rule, violation := range sim.Violations {
+		result.RuleViolations = append(result.RuleViolations, rule+" "+violation)
+	}
+	slices.Sort(result.RuleViolations)
+	if violations, err := history.Validate(sim.History, nil); err != nil {
+		result.OrderViolations = append(result.OrderViolations, err.Error())
+	} else {
+		for _, violation := range violations {
+			result.OrderViolations = append(result.OrderViolations, violation.String())
+		}
+	}
+	var submitMS []float64
+	for _, op := range sim.History {
+		if op.Status == 0 {
+			result.InconclusiveResponses++
+		}
+	}
+	for _, class := range experiment.Classes {
+		classResult := ClassResult{Class: class.Name}
+		var waitsS, doneS []float64
+		inTime, startedInTime := 0, 0
+		for _, id := range sim.JobIDs {
+			j := sim.Jobs[id]
+			if j.Spec.Class != class.Name {
+				continue
+			}
+			classResult.Jobs++
+			if j.Accepted {
+				submitMS = append(submitMS, float64(j.AcceptedAt-j.SubmittedAt))
+			}
+			if j.FirstStartAt > 0 {
+				waitS := float64(j.FirstStartAt-j.SubmittedAt) / 1000
+				waitsS = append(waitsS, waitS)
+				if waitS <= class.WaitWithinS {
+					startedInTime++
+				}
+			}
+			if j.DoneAt > 0 {
+				classResult.Done++
+				tookS := float64(j.DoneAt-j.SubmittedAt) / 1000
+				doneS = append(doneS, tookS)
+				if tookS <= class.DeadlineS {
+					inTime++
+				}
+			}
+		}
+		classResult.InTimeShare, classResult.WaitWithinShare = float64(
+			inTime,
+		)/float64(
+			max(1, classResult.Jobs),
+		), float64(
+			startedInTime,
+		)/float64(
+			max(1, classResult.Jobs),
+		)
+		classResult.WaitS, classResult.DoneS = quantiles(waitsS), quantiles(doneS)
+		result.Classes = append(result.Classes, classResult)
+	}
+	for _, team := range experiment.Teams {
+		teamResult := TeamResult{Team: team.Name}
+		startedInTime := 0
+		for _, id := range sim.JobIDs {
+			j := sim.Jobs[id]
+			if j.Spec.Team != team.Name {
+				continue
+			}
+			teamResult.Jobs++
+			if j.DoneAt > 0 {
+				teamResult.Done++
+			}
+			for _, class := range experiment.Classes {
+				if class.Name == j.Spec.Class && j.FirstStartAt > 0 &&
+					(class.WaitWithinS == 0 || float64(j.FirstStartAt-j.SubmittedAt) <= class.WaitWithinS*1000) {
+					startedInTime++
+				}
+			}
+		}
+		teamResult.WaitWithinShare = float64(startedInTime) / float64(max(1, teamResult.Jobs))
+		sim.countPromptStarts(&teamResult, experiment.Platform.GuaranteeS, int64(experiment.WarmupS*1000))
+		result.Teams = append(result.Teams, teamResult)
+	}
+	for _, j := range sim.Jobs {
+		for _, n := range j.StartCounts {
+			result.TaskStarts += n
+		}
+	}
+	result.SubmitMS = quantiles(submitMS)
+	result.UsefulShare, result.PriceRatio = sim.costs()
+	return result
+}
--- /dev/null
+++ b/emulator/invariants.go
@@ -0,0 +1,143 @@
+package emulator
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/grebedock/grebedock/internal/platformfake"
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+func (sim *Simulation) recordViolation(rule, format string, a ...any) {
+	if sim.Violations[rule] == "" {
+		sim.Tracef("BROKEN %s", rule)
+		sim.Violations[rule] = fmt.Sprintf("at %d ms: ", sim.Now) + fmt.Sprintf(format, a...)
+	}
+}
+
+// checkCommands counts orders to workers. One that stops an attempt at once, though its job
+// goes on and nobody else has the task, stops what runs well. A stop for another attempt
+// than the one that runs stops nothing: it answers a report that was held for long.
+func (sim *Simulation) checkCommands(commands []scheduler.Command) {
+	for _, command := range commands {
+		sim.countCommands(string(command.Kind), 1)
+		j := sim.Jobs[command.Task[:strings.IndexByte(command.Task, '/')]]
+		if command.Kind != scheduler.CommandStop || command.GraceS > 0 || sim.ChecksDisabled || j == nil ||
+			j.CancelRequested ||
+			j.ObservedState.IsTerminal() ||
+			j.DoneTasks[command.Task] ||
+			j.Spec.AtMostOnce ||
+			j.Spec.MaxTaskErrors > 0 {
+			continue
+		}
+		running, isRunningAttempt := 0, false
+		sim.EachTask(func(_ *Worker, t *platformfake.Task) {
+			if t.Name == command.Task {
+				running++
+				isRunningAttempt = t.Attempt == command.Attempt
+			}
+		})
+		if running == 1 && isRunningAttempt {
+			sim.recordViolation("stopped_well", "%s, attempt %d", command.Task, command.Attempt)
+		}
+	}
+}
+
+func (sim *Simulation) onStart(worker *Worker, t *platformfake.Task) {
+	j := sim.Jobs[t.Job.ID]
+	job := &j.Spec
+	if j.FirstStartAt == 0 {
+		j.FirstStartAt = sim.Now
+	}
+	if j.StartCounts[t.Name]++; j.StartCounts[t.Name] > 1 {
+		sim.RepeatedStarts++
+	}
+	if job.AtMostOnce && j.StartCounts[t.Name] > 1 {
+		sim.recordViolation("began_again", "%s begins for the %d. time", t.Name, j.StartCounts[t.Name])
+	}
+	sim.Tracef("world: %s try %d starts on %s", t.Name, t.Attempt, worker.Instance.ID)
+	worker.taskStartedAt[t.Name] = sim.Now
+	delete(sim.startableSince, job.ID)
+	sim.checkStart(worker, t)
+	if _, started := j.countedStartAt[t.Name]; !started {
+		j.countedStartAt[t.Name] = sim.Now
+	}
+	if sim.ChecksDisabled || sim.SweepIntervalMS > 0 {
+		return
+	}
+	cpus, gpus, zones, total := 0.0, 0.0, map[string]int{}, 0
+	sim.EachTask(func(other *Worker, task *platformfake.Task) {
+		if task.Job.Team == job.Team {
+			cpus += task.Job.Request.CPUs
+			gpus += task.Job.Request.GPUs
+		}
+		if task.Job.ID == job.ID {
+			zones[other.Instance.Zone]++
+			total++
+		}
+		if task.Name == t.Name && other != worker {
+			sim.recordViolation("ran_twice", "%s starts on %s while on %s", t.Name, worker.Instance.ID, other.Instance.ID)
+		}
+	})
+	sim.checkLimits(job.Team, cpus, gpus)
+	sim.checkPlacement(worker, t, zones)
+}
+
+func (sim *Simulation) checkLimits(team string, cpus, gpus float64) {
+	if t := sim.Params.Teams[team]; t.MaxCPUs > 0 && cpus > t.MaxCPUs+1e-6 || t.MaxGPUs > 0 && gpus > t.MaxGPUs+1e-6 {
+		sim.recordViolation("quota", "%s uses %v processors, %v accelerators", team, cpus, gpus)
+	}
+}
+
+// checkPlacement checks where a task runs; zones are those of its job's tasks.
+func (sim *Simulation) checkPlacement(worker *Worker, t *platformfake.Task, zones map[string]int) {
+	job := &sim.Jobs[t.Job.ID].Spec
+	if worker.Instance.Spot && !job.Spot || job.Zone != "" && job.Zone != worker.Instance.Zone ||
+		len(job.Types) > 0 && !slices.Contains(job.Types, worker.Instance.Type) ||
+		job.OneZone && len(zones) > 1 ||
+		job.Spread && zones[worker.Instance.Zone] > (job.Tasks+1)/2 {
+		sim.recordViolation("wrong_place", "%s on %s", t.Name, worker.Instance.ID)
+	}
+}
+
+// sweep checks the rules on places and limits over all tasks.
+func (sim *Simulation) sweep() {
+	cpus, gpus, zones, workers := map[string]float64{}, map[string]float64{}, map[string]map[string]int{}, map[string]*Worker{}
+	sim.EachTask(func(worker *Worker, t *platformfake.Task) {
+		if other := workers[t.Name]; other != nil {
+			sim.recordViolation("ran_twice", "%s on %s while on %s", t.Name, worker.Instance.ID, other.Instance.ID)
+		}
+		workers[t.Name] = worker
+		cpus[t.Job.Team] += t.Job.Request.CPUs
+		gpus[t.Job.Team] += t.Job.Request.GPUs
+		if zones[t.Job.ID] == nil {
+			zones[t.Job.ID] = map[string]int{}
+		}
+		zones[t.Job.ID][worker.Instance.Zone]++
+	})
+	for _, team := range slices.Sorted(maps.Keys(cpus)) { // the first that fails is told
+		sim.checkLimits(team, cpus[team], gpus[team])
+	}
+	sim.EachTask(func(worker *Worker, t *platformfake.Task) { sim.checkPlacement(worker, t, zones[t.Job.ID]) })
+	sim.After(sim.SweepIntervalMS, sim.sweep)
+}
+
+func (sim *Simulation) checkCancelled() {
+	if sim.ChecksDisabled {
+		return
+	}
+	sim.EachTask(func(worker *Worker, t *platformfake.Task) {
+		j := sim.Jobs[t.Job.ID]
+		if j.CancelConfirmedAt > 0 && sim.Now-j.CancelConfirmedAt > int64(sim.Params.CancelWithinS*1000) {
+			sim.recordViolation(
+				"ran_cancelled",
+				"%s on %s, %d ms after its cancellation",
+				t.Name,
+				worker.Instance.ID,
+				sim.Now-j.CancelConfirmedAt,
+			)
+		}
+	})
+}
--- /dev/null
+++ b/emulator/members.go
@@ -0,0 +1,303 @@
+package emulator
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+// InjectedFault breaks something between the cores and the world, so that a test can
+// see each rule's check fail.
+type InjectedFault struct {
+	WorkerResponse func(*scheduler.HeartbeatResponse) // answers to workers
+	Heartbeat      func(*scheduler.Heartbeat)         // reports of workers
+	Params         func(*scheduler.Params)
+	SubmittedJob   func(*scheduler.Job)          // what the cores are told of a job
+	UserResponse   func(*scheduler.UserResponse) // answers to users
+	// ResponseToRequest changes the answers to users by what they asked.
+	ResponseToRequest func(scheduler.UserRequest, *scheduler.UserResponse)
+}
+
+// Member is a member's place in the world, and its core while it runs.
+type Member struct {
+	Name          string
+	Core          *scheduler.Controller // nil while it is down
+	ClockOffsetMS int64                 // its time of day is off by so many milliseconds
+
+	sim          *Simulation
+	epoch        int
+	clockRate    float64
+	startedAt    int64
+	budgetFreeAt int64 // when its part of the rates has room again
+	// When its process, which stands still, goes on.
+	pausedUntil         int64
+	lastReplyID         uint64
+	pendingHeartbeats   map[uint64]func(scheduler.HeartbeatResponse)
+	pendingUserRequests map[uint64]func(scheduler.UserResponse)
+}
+
+type parkedWatch struct {
+	op      scheduler.StoreOp
+	until   int64
+	member  string
+	respond func(scheduler.StoreResult)
+}
+
+// Clock is the time as the member sees it.
+func (m *Member) Clock() scheduler.Now {
+	return scheduler.Now{
+		MonotonicMS: int64(float64(m.sim.Now-m.startedAt)*m.clockRate) + 1,
+		WallMS:      1_700_000_000_000 + m.sim.Now + m.ClockOffsetMS + m.sim.Rand.Int64N(11) - 5,
+	}
+}
+
+func (m *Member) start() {
+	cfg := m.sim.Params
+	cfg.MemberID = m.Name
+	for _, other := range m.sim.Members {
+		if other != m {
+			cfg.PeerIDs = append(cfg.PeerIDs, other.Name)
+		}
+	}
+	if m.sim.options.InjectedFault.Params != nil {
+		m.sim.options.InjectedFault.Params(&cfg)
+	}
+	m.epoch++
+	m.startedAt = m.sim.Now
+	m.pendingHeartbeats, m.pendingUserRequests = map[uint64]func(scheduler.HeartbeatResponse){}, map[uint64]func(scheduler.UserResponse){}
+	m.Core = scheduler.New(cfg, m.sim.Rand.Uint64(), m.Clock())
+	m.tick(m.epoch)
+}
+
+// Crash ends a member at once; it starts again after so many milliseconds.
+func (m *Member) Crash(downMS int64) {
+	if m.Core == nil {
+		return
+	}
+	m.Core = nil
+	m.epoch++
+	m.sim.After(downMS, m.start)
+}
+
+func (m *Member) tick(epoch int) {
+	if m.epoch != epoch || m.Core == nil {
+		return
+	}
+	if remainingPause := m.pausedUntil - m.sim.Now; remainingPause > 0 {
+		m.sim.After(remainingPause+1, func() { m.tick(epoch) })
+		return
+	}
+	m.Core.Tick(m.Clock())
+	m.dispatchOutputs()
+	m.sim.After(50+m.sim.lagDelay(m.Name), func() { m.tick(epoch) })
+}
+
+// inEpoch runs f if the member is still the process that asked.
+func (m *Member) inEpoch(epoch int, callback func()) func() {
+	var run func()
+	run = func() {
+		if remainingPause := m.pausedUntil - m.sim.Now; remainingPause > 0 {
+			m.sim.After(remainingPause+1, run)
+			return
+		}
+		if m.epoch == epoch && m.Core != nil {
+			callback()
+			m.dispatchOutputs()
+		}
+	}
+	return run
+}
+
+const requestTimeoutMS = 2000
+
+// sendToStore sends a request to the state service, within the member's part of its
+// rates if the world has any. First come, first served: the real budget lets
+// holds go first.
+func (sim *Simulation) sendToStore(m *Member, op scheduler.StoreOp, send func()) {
+	if sim.StoreRPS == 0 {
+		sim.sendMessage(m.Name, "store", send)
+		return
+	}
+	memberCount := float64(len(sim.Members))
+	m.budgetFreeAt = max(
+		m.budgetFreeAt,
+		sim.Now-1000,
+	) + int64(
+		max(1, memberCount/sim.StoreRPS*1000, memberCount/sim.StoreWriteRPS*1000*float64(len(op.Changes))),
+	)
+	sim.After(max(0, m.budgetFreeAt-sim.Now), func() { sim.sendMessage(m.Name, "store", send) })
+}
+
+func (m *Member) dispatchOutputs() {
+	sim, epoch := m.sim, m.epoch
+	outputs := m.Core.TakeOutputs()
+	if sim.Observer != nil {
+		sim.Observer(m, &outputs)
+	}
+	for _, line := range outputs.Logs {
+		if line.Message == "task stopped for a higher priority" {
+			sim.PriorityStops++
+		}
+		sim.Tracef("%s %s %v", m.Name, line.Message, line.Args)
+	}
+	sim.observeFirstCommands(m, &outputs)
+	for _, id := range slices.Sorted(maps.Keys(outputs.HeartbeatResponses)) {
+		resp := outputs.HeartbeatResponses[id]
+		sim.checkCommands(resp.Commands)
+		if respond := m.pendingHeartbeats[id]; respond != nil {
+			delete(m.pendingHeartbeats, id)
+			respond(resp)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(outputs.UserResponses)) {
+		resp := outputs.UserResponses[id]
+		if respond := m.pendingUserRequests[id]; respond != nil {
+			delete(m.pendingUserRequests, id)
+			respond(resp)
+		}
+	}
+	for _, op := range outputs.StoreOps {
+		timeoutMS := int64(requestTimeoutMS)
+		if op.Kind == scheduler.StoreWatch {
+			timeoutMS += op.DurationMS
+		}
+		respondStore := func(result scheduler.StoreResult) {
+			sim.sendMessage("store", m.Name, m.inEpoch(epoch, func() { m.Core.HandleStoreResult(m.Clock(), op.ID, result) }))
+		}
+		sim.StoreRequests[op.Kind]++
+		sim.StoreChanges += len(op.Changes)
+		sim.sendToStore(m, op, func() {
+			if sim.storeRefuses(m.Name) {
+				respondStore(scheduler.StoreResult{Outcome: scheduler.Refused})
+				return
+			}
+			if sim.divertLateWrite(m, op) {
+				return
+			}
+			result, ready := sim.Store.Apply(sim.Now, op)
+			if op.Kind == scheduler.StoreWatch && !ready {
+				sim.parkedWatches = append(sim.parkedWatches, parkedWatch{op, sim.Now + op.DurationMS, m.Name, respondStore})
+				return
+			}
+			sim.observeClaim(m, op, result)
+			if sim.dropsStoreResponse(m, op, result) {
+				return
+			}
+			respondStore(result)
+		})
+		sim.After(
+			timeoutMS,
+			m.inEpoch(
+				epoch,
+				func() { m.Core.HandleStoreResult(m.Clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown}) },
+			),
+		)
+	}
+	for _, op := range outputs.CloudOps {
+		switch op.Kind {
+		case scheduler.CloudProvision:
+			sim.countCommands("rent", op.Count)
+		case scheduler.CloudRelease:
+			sim.countCommands("return", len(op.Machines))
+		}
+		sim.sendMessage(m.Name, "cloud", func() {
+			result := sim.Cloud.Apply(sim.Now, op)
+			sim.sendMessage("cloud", m.Name, m.inEpoch(epoch, func() { m.Core.HandleCloudResult(m.Clock(), op.ID, result) }))
+		})
+		sim.After(
+			2*requestTimeoutMS,
+			m.inEpoch(
+				epoch,
+				func() { m.Core.HandleCloudResult(m.Clock(), op.ID, scheduler.CloudResult{Outcome: scheduler.Unknown}) },
+			),
+		)
+	}
+	for _, command := range outputs.DirectCommands {
+		sim.checkCommands(command.Commands)
+		if len(command.Commands) == 0 {
+			sim.countCommands("ask", 1)
+		}
+		worker := sim.Workers[command.Machine]
+		if worker == nil {
+			continue
+		}
+		if len(command.Commands) > 0 && sim.commandDelays.occurs(sim) {
+			sim.runCommandLate(worker, command)
+		} else {
+			sim.sendMessage(m.Name, "w"+command.Machine, func() {
+				sim.runAt(worker.commandsDelayedUntil, func() { sim.runDirectCommand(m, epoch, worker, command) })
+			})
+		}
+		sim.After(requestTimeoutMS, m.inEpoch(epoch, func() {
+			m.Core.HandleDirectCommandResult(m.Clock(), command.ID, scheduler.DirectCommandResult{Outcome: scheduler.Unknown})
+		}))
+	}
+	for _, result := range outputs.Relays {
+		peer := sim.Members[slices.IndexFunc(sim.Members, func(peer *Member) bool { return peer.Name == result.Peer })]
+		finished := false
+		finish := func(resp scheduler.UserResponse, ok bool) {
+			if !finished {
+				finished = true
+				m.inEpoch(epoch, func() { m.Core.HandleRelayResult(m.Clock(), result.ID, resp, ok) })()
+			}
+		}
+		sim.Relayed++
+		sim.sendMessage(m.Name, peer.Name, func() {
+			if peer.Core == nil {
+				return
+			}
+			peer.lastReplyID++
+			peer.pendingUserRequests[peer.lastReplyID] = func(resp scheduler.UserResponse) { sim.sendMessage(peer.Name, m.Name, func() { finish(resp, true) }) }
+			peer.Core.HandleUserRequest(peer.Clock(), peer.lastReplyID, result.Request)
+			peer.dispatchOutputs()
+		})
+		sim.After(requestTimeoutMS/2, func() { finish(scheduler.UserResponse{}, false) })
+	}
+	if outputs.PeerMessage != nil {
+		for _, peer := range sim.Members {
+			if peer == m {
+				continue
+			}
+			msg := *outputs.PeerMessage
+			if outputs.SummaryRecipients != nil && !slices.Contains(outputs.SummaryRecipients, peer.Name) {
+				msg = *outputs.PeerMessage.WithoutSummaries()
+			}
+			if sim.PeerMessages++; !msg.OmitsSummaries {
+				sim.SummaryMessages++
+			}
+			deliveries := 1
+			if sim.Rand.Float64() < 0.02 {
+				deliveries = 2
+			}
+			for range deliveries {
+				sim.sendMessage(m.Name, peer.Name, func() {
+					if peer.Core != nil {
+						// Each has a copy of its own, as on the network.
+						msg := msg
+						msg.OwnedShards = slices.Clone(msg.OwnedShards)
+						for i := range msg.OwnedShards {
+							msg.OwnedShards[i].Summary = slices.Clone(msg.OwnedShards[i].Summary)
+						}
+						peer.Core.HandlePeerMessage(peer.Clock(), msg)
+						peer.dispatchOutputs()
+					}
+				})
+			}
+		}
+	}
+}
+
+func (sim *Simulation) runDirectCommand(m *Member, epoch int, worker *Worker, command scheduler.DirectCommand) {
+	if !worker.Up || worker.Gone || worker.inboundPartitionedUntil > sim.Now {
+		return
+	}
+	if worker.HangUntil > sim.Now {
+		// A machine that hangs carries the command out when it resumes.
+		sim.After(worker.HangUntil-sim.Now+1, func() { sim.runDirectCommand(m, epoch, worker, command) })
+		return
+	}
+	result := worker.Agent.ApplyDirectCommand(worker.Clock(sim), command)
+	respond := m.inEpoch(epoch, func() { m.Core.HandleDirectCommandResult(m.Clock(), command.ID, result) })
+	sim.runAt(worker.commandResultsDelayedUntil, func() { sim.sendMessage("w"+command.Machine, m.Name, respond) })
+}
--- /dev/null
+++ b/emulator/network.go
@@ -0,0 +1,51 @@
+package emulator
+
+import "strings"
+
+// Partition holds what goes between two groups of endpoints until it ends. Members
+// have their names, machines "w" and theirs, and there are "store", "cloud" and
+// "users".
+type Partition struct {
+	A, B          string // prefixes of endpoints' names
+	Until         int64
+	DropsMessages bool // what goes between them is lost, not held
+}
+
+// Lag is how far a member that lacks processor time falls behind: what reaches
+// it waits, what it decided leaves late, and its ticks come seldom.
+type Lag struct{ Until, MaxDelayMS int64 }
+
+// sendMessage carries a message: late, lost, or held by a cut until it ends.
+func (sim *Simulation) sendMessage(from, to string, deliver func()) {
+	delay := 1 + sim.Rand.Int64N(12)
+	if sim.Rand.Float64() < 0.01 {
+		delay += sim.Rand.Int64N(600)
+	}
+	for _, partition := range sim.Partitions {
+		if partition.Until > sim.Now &&
+			(strings.HasPrefix(from, partition.A) && strings.HasPrefix(to, partition.B) || strings.HasPrefix(to, partition.A) && strings.HasPrefix(from, partition.B)) {
+			if partition.DropsMessages {
+				return
+			}
+			delay = max(delay, partition.Until-sim.Now+1+sim.Rand.Int64N(20))
+		}
+	}
+	if sim.Rand.Float64() < sim.MessageLoss {
+		return
+	}
+	if sim.ExtraDelay != nil {
+		delay += sim.ExtraDelay(from, to)
+	}
+	sim.After(delay+sim.lagDelay(from)+sim.lagDelay(to)+sim.pauseDelay(from, to), deliver)
+}
+
+func (sim *Simulation) lagDelay(name string) int64 {
+	if lag := sim.Lags[name]; lag.Until > sim.Now {
+		return sim.Rand.Int64N(lag.MaxDelayMS)
+	}
+	return 0
+}
+
+func (sim *Simulation) storeRefuses(m string) bool {
+	return sim.OutageUntil["all"] > sim.Now || sim.OutageUntil[m] > sim.Now
+}
