--- /dev/null
+++ b/access/fault_history_test.go
@@ -0,0 +1,228 @@
+package access
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// The transitions of the package comment.
+var (
+	leaseTransitions = map[LeaseState][]LeaseState{
+		LeaseAbsent:    {LeaseRequested},
+		LeaseRequested: {LeaseAbsent, LeaseGranted},
+		LeaseGranted:   {LeaseRenewing},
+		LeaseRenewing:  {LeaseGranted, LeaseAbsent},
+	}
+	mirrorTransitions = map[MirrorState][]MirrorState{
+		MirrorUnsynced: {MirrorListing},
+		MirrorListing:  {MirrorSynced, MirrorUnsynced},
+		MirrorSynced:   {MirrorWatching, MirrorUnsynced},
+		MirrorWatching: {MirrorSynced, MirrorUnsynced},
+	}
+	linkTransitions = map[LinkState][]LinkState{
+		LinkUp:       {LinkDoubtful, LinkRefused, LinkSilent},
+		LinkDoubtful: {LinkUp, LinkRefused, LinkSilent},
+		LinkRefused:  {LinkUp, LinkSilent},
+		LinkSilent:   {LinkUp, LinkRefused},
+	}
+)
+
+// seenTransitions collects the transitions of all histories.
+type seenTransitions struct {
+	lease  map[[2]LeaseState]bool
+	mirror map[[2]MirrorState]bool
+	link   map[[2]LinkState]bool
+}
+
+func newSeenTransitions() *seenTransitions {
+	return &seenTransitions{map[[2]LeaseState]bool{}, map[[2]MirrorState]bool{}, map[[2]LinkState]bool{}}
+}
+
+func isAllowed[S comparable](transitions map[S][]S, from, to S) bool {
+	return from == to || slices.Contains(transitions[from], to)
+}
+
+func checkAllSeen[S comparable](t *testing.T, name string, transitions map[S][]S, seen map[[2]S]bool) {
+	t.Helper()
+	for from, targets := range transitions {
+		for _, to := range targets {
+			if !seen[[2]S{from, to}] {
+				t.Errorf("%s: no transition from %v to %v was reached", name, from, to)
+			}
+		}
+	}
+}
+
+type requestKind string
+
+const (
+	leaseRequest  requestKind = "lease"
+	mirrorRequest requestKind = "mirror"
+	otherRequest  requestKind = "other"
+)
+
+type request struct {
+	id     RequestID
+	sentAt int64
+	kind   requestKind
+	readID uint64
+}
+
+// faultHistory is a LeaseKeeper and a service that responds, refuses, is silent and forgets leases, in
+// any order.
+type faultHistory struct {
+	t             *rapid.T
+	seen          *seenTransitions
+	keeper        *LeaseKeeper
+	now           int64
+	inFlight      []request
+	leaseProofAt  int64
+	mirrorProofAt int64
+}
+
+// checkInvariants compares the state with the one before an input.
+func (h *faultHistory) checkInvariants(before LeaseKeeper) {
+	from, to := before.lease.state, h.keeper.lease.state
+	if !isAllowed(leaseTransitions, from, to) {
+		h.t.Fatalf("lease: transition from %v to %v", from, to)
+	}
+	mirrorFrom, mirrorTo := before.mirror.state, h.keeper.mirror.state
+	if !isAllowed(mirrorTransitions, mirrorFrom, mirrorTo) {
+		h.t.Fatalf("mirror: transition from %v to %v", mirrorFrom, mirrorTo)
+	}
+	linkFrom, linkTo := before.link.state, h.keeper.link.state
+	if !isAllowed(linkTransitions, linkFrom, linkTo) {
+		h.t.Fatalf("link: transition from %v to %v", linkFrom, linkTo)
+	}
+	h.seen.lease[[2]LeaseState{from, to}] = true
+	h.seen.mirror[[2]MirrorState{mirrorFrom, mirrorTo}] = true
+	h.seen.link[[2]LinkState{linkFrom, linkTo}] = true
+
+	driftMS := int64(float64(testSettings.LeaseTTLMS) * testSettings.MaxClockDrift)
+	validMS := testSettings.LeaseTTLMS - driftMS - testSettings.AuthoritySlackMS
+	if h.keeper.HasAuthority(h.now) && h.now >= min(h.leaseProofAt, h.mirrorProofAt)+validMS {
+		h.t.Fatalf("authority at %d, proofs at %d and %d", h.now, h.leaseProofAt, h.mirrorProofAt)
+	}
+}
+
+// send notes a request, and that none of its kind is in flight beside it, but for a mirror read that was
+// overtaken.
+func (h *faultHistory) send(kind requestKind, readID uint64) {
+	for _, r := range h.inFlight {
+		overtaken := kind == mirrorRequest && r.readID < readID
+		if r.kind == kind && kind != otherRequest && !overtaken {
+			h.t.Fatalf("two %s requests at once", kind)
+		}
+	}
+	h.inFlight = append(h.inFlight, request{h.keeper.BeginRequest(h.now), h.now, kind, readID})
+}
+
+func (h *faultHistory) tick() {
+	h.now += rapid.Int64Range(0, 1500).Draw(h.t, "ms")
+	action := h.keeper.Tick(h.now)
+	if action.GrantLease || action.RenewLease != 0 {
+		h.send(leaseRequest, 0)
+	}
+	if action.ListMirror || action.WatchMirror {
+		h.send(mirrorRequest, action.ReadID)
+	}
+}
+
+// completeOne ends a request in flight.
+func (h *faultHistory) completeOne() {
+	if len(h.inFlight) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(h.inFlight)-1).Draw(h.t, "request")
+	r := h.inFlight[i]
+	h.inFlight = slices.Delete(h.inFlight, i, i+1)
+	outcomes := []Outcome{OK, OK, OK, NotFound, Conflict, Gone, Refused, Throttled, Unknown}
+	outcome := rapid.SampledFrom(outcomes).Draw(h.t, "outcome")
+	before := *h.keeper
+	h.keeper.CompleteRequest(h.now, r.id, 0, outcome)
+	if outcome.ProcessedByService() && h.keeper.link.state != LinkUp {
+		h.t.Fatalf("after a response the link is %v", h.keeper.link.state)
+	}
+	h.checkInvariants(before)
+	before = *h.keeper
+	switch r.kind {
+	case leaseRequest:
+		h.completeLeaseRequest(r, outcome)
+	case mirrorRequest:
+		if h.keeper.CompleteMirrorRead(h.now, r.readID, outcome, 0.5) && outcome == OK {
+			h.mirrorProofAt = max(h.mirrorProofAt, r.sentAt)
+		}
+	}
+	h.checkInvariants(before)
+}
+
+func (h *faultHistory) completeLeaseRequest(r request, outcome Outcome) {
+	renewing := h.keeper.lease.state == LeaseRenewing
+	lost := h.keeper.CompleteLeaseRequest(h.now, outcome, 7)
+	if outcome == OK {
+		h.leaseProofAt = r.sentAt
+	}
+	if want := renewing && (outcome == NotFound || outcome == Gone); lost != want {
+		h.t.Fatalf("outcome %v while renewing (%v): lost %v, want %v", outcome, renewing, lost, want)
+	}
+}
+
+func (h *faultHistory) step() {
+	before := *h.keeper
+	switch rapid.IntRange(0, 5).Draw(h.t, "event") {
+	case 0, 1:
+		h.tick()
+	case 2:
+		h.send(otherRequest, 0)
+	case 3:
+		h.keeper.ResyncMirror(h.now)
+	case 4:
+		h.keeper.Link(h.now)
+	case 5:
+		h.completeOne()
+		return
+	}
+	h.checkInvariants(before)
+}
+
+// checkNotStuck ends all requests in flight without a response; after that both the lease and the mirror
+// must want a request.
+func (h *faultHistory) checkNotStuck() {
+	for _, r := range h.inFlight {
+		h.keeper.CompleteRequest(h.now, r.id, 0, Unknown)
+		switch r.kind {
+		case leaseRequest:
+			h.keeper.CompleteLeaseRequest(h.now, Unknown, 0)
+		case mirrorRequest:
+			h.keeper.CompleteMirrorRead(h.now, r.readID, Unknown, 0.5)
+		}
+	}
+	h.now += h.keeper.RenewIntervalMS() + testSettings.RequestTimeoutMS
+	action := h.keeper.Tick(h.now)
+	wantsLease := action.GrantLease || action.RenewLease != 0
+	wantsMirror := action.ListMirror || action.WatchMirror
+	if !wantsLease || !wantsMirror {
+		h.t.Fatalf("stuck with lease %v, mirror %v", h.keeper.lease.state, h.keeper.mirror.state)
+	}
+	if sentAt, ok := h.keeper.link.inFlight.oldest(0); ok {
+		h.t.Fatalf("a request sent at %d is still counted as in flight", sentAt)
+	}
+}
+
+// Whatever the service does, only listed transitions happen, no request of the lease or of the mirror
+// goes out beside another, authority rests on two proofs that are young enough, and nothing gets stuck.
+func TestOnlyListedTransitionsUnderAnyServiceBehavior(t *testing.T) {
+	seen := newSeenTransitions()
+	rapid.Check(t, func(t *rapid.T) {
+		h := &faultHistory{t: t, seen: seen, keeper: NewLeaseKeeper(testSettings), now: 1}
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			h.step()
+		}
+		h.checkNotStuck()
+	})
+	checkAllSeen(t, "link", linkTransitions, seen.link)
+	checkAllSeen(t, "lease", leaseTransitions, seen.lease)
+	checkAllSeen(t, "mirror", mirrorTransitions, seen.mirror)
+}
