--- a/indoubt/indoubt.go
+++ b/indoubt/indoubt.go
@@ -1,25 +1,30 @@
-// Package indoubt settles transactions in doubt: guarded writes of which nobody said
-// whether they were carried out. It is pure. A write is guarded by a key's revision, so
-// it works once at most, however often it is sent; but while that revision stands, a
-// try that had no answer may yet be carried out, after newer ones of the same writer.
+// Package indoubt resolves writes in doubt: conditional writes of which it is unknown whether they were
+// applied. It owns the state of one write at a time, and is pure: outcomes are the input, the next step
+// is the output.
 //
-//	state    input                                  to       asks
-//	sent     OK                                     settled  -
-//	sent     Refused, Throttled, NotFound, Gone     settled  -             it was not carried out
-//	sent     Conflict                               decided  ReadBack      nor was it, but what stands is another
-//	sent     Unknown                                doubt    ReadBack
-//	doubt    OK                                     settled  -             one try worked, the others are void
-//	doubt    Refused, Throttled, NotFound, Gone     doubt    ReadBack      says nothing of the earlier try
-//	doubt    Conflict                               decided  ReadBack      the earlier try worked, or nothing will
-//	doubt    Unknown                                doubt    ReadBack
-//	doubt    read, another revision                 settled  -
-//	doubt    read, the same revision                doubt    Resend     one of both tries will be the last
-//	doubt    not read                               doubt    Resend
-//	decided  read                                   settled  -
-//	decided  not read                               decided  ReadBack
+// It assumes that a write has a key's revision as its precondition, so it is applied once at most, however
+// often it is sent. While that revision stands, an attempt that got no response may still be applied, after
+// later attempts of the same writer. It promises that a write is Settled only when no attempt of it can be
+// applied any more. It is built for responses that are lost, refusals, attempts that are applied late, and
+// other writers of the same key.
 //
-// Until a write is settled, what it gives away counts as given, and what it brings as
-// not there. It may be left unsettled when the writer's other guard is gone for good: its
+//	state    input                                to       next step
+//	sent     OK                                   settled  -
+//	sent     Refused, Throttled, NotFound, Gone   settled  -         it was not applied
+//	sent     Conflict                             decided  ReadBack  nor was this, but the record is another
+//	sent     Unknown                              doubt    ReadBack
+//	doubt    OK                                   settled  -         one attempt was applied, the others are void
+//	doubt    Refused, Throttled, NotFound, Gone   doubt    ReadBack  says nothing of the earlier attempt
+//	doubt    Conflict                             decided  ReadBack  the earlier attempt was applied, or none will be
+//	doubt    Unknown                              doubt    ReadBack
+//	doubt    read, another revision               settled  -
+//	doubt    read, the same revision              doubt    Resend    one of both attempts will be the last
+//	doubt    not read                             doubt    Resend
+//	decided  read                                 settled  -
+//	decided  not read                             decided  ReadBack
+//
+// Until a write is settled, what it gives away counts as given away, and what it gains as not yet gained.
+// It may be left unsettled when the writer's other precondition can never hold again, that is, when its
 // claim is over.
 package indoubt
 
@@ -28,23 +33,23 @@
 // NextStep is what is to be done about a write.
 type NextStep int
 
-// What is to be done.
+// The next steps.
 const (
-	Settled NextStep = iota
-	ReadBack
-	Resend
+	Settled  NextStep = iota // nothing: its outcome is known, or its key's record shows it
+	ReadBack                 // read the key, and call CompleteRead
+	Resend                   // send the write again, and call CompleteAttempt
 )
 
 func (s NextStep) String() string { return [...]string{"settled", "read back", "send again"}[s] }
 
-// ConditionalWrite is a write that was sent, guarded by a key's revision.
+// ConditionalWrite is a write that was sent with a key's revision as its precondition.
 type ConditionalWrite struct {
 	Revision uint64
 	inDoubt  bool
 	decided  bool
 }
 
-// CompleteAttempt tells how a try of the write ended.
+// CompleteAttempt takes the outcome of an attempt.
 func (w *ConditionalWrite) CompleteAttempt(outcome access.Outcome) NextStep {
 	switch {
 	case outcome == access.OK:
@@ -61,8 +66,8 @@
 	return Settled
 }
 
-// CompleteRead tells how reading the key ended, and its revision if that is known (0: the key
-// does not exist).
+// CompleteRead takes the outcome of reading the key, and its revision if that is known (0: the key does
+// not exist).
 func (w *ConditionalWrite) CompleteRead(outcome access.Outcome, revision uint64) NextStep {
 	succeeded := outcome == access.OK || outcome == access.NotFound
 	switch {
--- a/indoubt/indoubt_test.go
+++ b/indoubt/indoubt_test.go
@@ -18,111 +18,141 @@
 	os.Exit(m.Run())
 }
 
-// The rows of the package's table.
-func TestTransitionsMatchPackageTable(t *testing.T) {
-	type input struct {
-		read     bool
-		outcome  access.Outcome
-		revision uint64
+type input struct {
+	read     bool
+	outcome  access.Outcome
+	revision uint64
+}
+
+func (i input) apply(write *ConditionalWrite) NextStep {
+	if i.read {
+		return write.CompleteRead(i.outcome, i.revision)
 	}
-	attempt := func(outcome access.Outcome) input { return input{outcome: outcome} }
-	read := func(outcome access.Outcome, revision uint64) input { return input{true, outcome, revision} }
+	return write.CompleteAttempt(i.outcome)
+}
+
+func attempt(outcome access.Outcome) input { return input{outcome: outcome} }
+
+func read(outcome access.Outcome, revision uint64) input { return input{true, outcome, revision} }
+
+const expectedRevision = 7
+
+// The rows of the table in the package comment.
+func TestTransitionsMatchPackageTable(t *testing.T) {
+	unknown, conflict := attempt(access.Unknown), attempt(access.Conflict)
 	for _, tc := range []struct {
+		name   string
 		inputs []input
-		want   NextStep
+		next   NextStep
 	}{
-		{[]input{attempt(access.OK)}, Settled},
-		{[]input{attempt(access.Refused)}, Settled},
-		{[]input{attempt(access.Throttled)}, Settled},
-		{[]input{attempt(access.Gone)}, Settled},
-		{[]input{attempt(access.Conflict)}, ReadBack},
-		{[]input{attempt(access.Unknown)}, ReadBack},
-		{[]input{attempt(access.Unknown), attempt(access.OK)}, Settled},
-		{[]input{attempt(access.Unknown), attempt(access.Refused)}, ReadBack},
-		{[]input{attempt(access.Unknown), attempt(access.Throttled)}, ReadBack},
-		{[]input{attempt(access.Unknown), attempt(access.Gone)}, ReadBack},
-		{[]input{attempt(access.Unknown), attempt(access.Unknown)}, ReadBack},
-		{[]input{attempt(access.Unknown), read(access.OK, 8)}, Settled},
-		{[]input{attempt(access.Unknown), read(access.OK, 7)}, Resend},
-		{[]input{attempt(access.Unknown), read(access.NotFound, 0)}, Settled},
-		{[]input{attempt(access.Unknown), read(access.Refused, 0)}, Resend},
-		{[]input{attempt(access.Unknown), read(access.Unknown, 0)}, Resend},
-		{[]input{attempt(access.Unknown), attempt(access.Conflict), read(access.Refused, 0)}, ReadBack},
-		{[]input{attempt(access.Unknown), attempt(access.Conflict), read(access.OK, 7)}, Settled},
-		{[]input{attempt(access.Conflict), read(access.Unknown, 0)}, ReadBack},
-		{[]input{attempt(access.Conflict), read(access.OK, 7)}, Settled},
+		{"sent, OK", []input{attempt(access.OK)}, Settled},
+		{"sent, refused", []input{attempt(access.Refused)}, Settled},
+		{"sent, throttled", []input{attempt(access.Throttled)}, Settled},
+		{"sent, gone", []input{attempt(access.Gone)}, Settled},
+		{"sent, conflict", []input{conflict}, ReadBack},
+		{"sent, unknown", []input{unknown}, ReadBack},
+		{"doubt, OK", []input{unknown, attempt(access.OK)}, Settled},
+		{"doubt, refused", []input{unknown, attempt(access.Refused)}, ReadBack},
+		{"doubt, throttled", []input{unknown, attempt(access.Throttled)}, ReadBack},
+		{"doubt, gone", []input{unknown, attempt(access.Gone)}, ReadBack},
+		{"doubt, unknown", []input{unknown, unknown}, ReadBack},
+		{"doubt, read another revision", []input{unknown, read(access.OK, 8)}, Settled},
+		{"doubt, read the same revision", []input{unknown, read(access.OK, expectedRevision)}, Resend},
+		{"doubt, read a missing key", []input{unknown, read(access.NotFound, 0)}, Settled},
+		{"doubt, read refused", []input{unknown, read(access.Refused, 0)}, Resend},
+		{"doubt, read unknown", []input{unknown, read(access.Unknown, 0)}, Resend},
+		{"doubt, conflict, read refused", []input{unknown, conflict, read(access.Refused, 0)}, ReadBack},
+		{"doubt, conflict, read", []input{unknown, conflict, read(access.OK, expectedRevision)}, Settled},
+		{"decided, read unknown", []input{conflict, read(access.Unknown, 0)}, ReadBack},
+		{"decided, read", []input{conflict, read(access.OK, expectedRevision)}, Settled},
 	} {
-		write := ConditionalWrite{Revision: 7}
-		got := NextStep(-1)
-		for _, step := range tc.inputs {
-			if step.read {
-				got = write.CompleteRead(step.outcome, step.revision)
-			} else {
-				got = write.CompleteAttempt(step.outcome)
+		t.Run(tc.name, func(t *testing.T) {
+			write := ConditionalWrite{Revision: expectedRevision}
+			got := NextStep(-1)
+			for _, in := range tc.inputs {
+				got = in.apply(&write)
 			}
-		}
-		if got != tc.want {
-			t.Errorf("after %v: %v, want %v", tc.inputs, got, tc.want)
-		}
+			if got != tc.next {
+				t.Errorf("after %v: got %v, want %v", tc.inputs, got, tc.next)
+			}
+		})
+	}
+}
+
+// contendedKey is a key in a store that other writers change, and attempts that may be applied late.
+type contendedKey struct {
+	revision     uint64
+	applied      bool // our write
+	lateAttempts int
+}
+
+// apply applies an attempt of our write if its precondition holds.
+func (k *contendedKey) apply() bool {
+	if k.revision != expectedRevision {
+		return false
+	}
+	k.revision, k.applied = expectedRevision+2, true
+	return true
+}
+
+// applyAttempt carries out what becomes of an attempt, and returns its outcome.
+func (k *contendedKey) applyAttempt(event int) access.Outcome {
+	switch event {
+	case 0:
+		return access.Refused
+	case 1: // no response, and not applied yet
+		k.lateAttempts++
+		return access.Unknown
+	case 2: // no response, and applied
+		k.apply()
+		return access.Unknown
+	}
+	if k.apply() {
+		return access.OK
 	}
+	return access.Conflict
 }
 
-// A key without the write counts on that only when no try can work any more, whatever
-// the order in which tries are answered, refused, lost and carried out late.
+// drawInterference draws what happens to the key meanwhile, and returns a description.
+func (k *contendedKey) drawInterference(t *rapid.T) (history []string) {
+	if k.lateAttempts > 0 && rapid.IntRange(0, 3).Draw(t, "late") == 0 {
+		k.lateAttempts--
+		k.apply()
+		history = append(history, "late")
+	}
+	if rapid.IntRange(0, 12).Draw(t, "other") == 0 && k.revision == expectedRevision {
+		k.revision = expectedRevision + 1
+		history = append(history, "other")
+	}
+	return history
+}
+
+// A write is settled without being applied only when no attempt can be applied any more, whatever the order
+// in which attempts are answered, refused, lost and applied late.
 func TestSettledOnlyWhenNoAttemptCanStillApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		revision, applied := uint64(7), false // of the key, in the store
-		lateAttempts := 0                     // tries that may yet be carried out
-		applyAttempt := func() bool {
-			if revision != 7 {
-				return false
-			}
-			revision, applied = 9, true
-			return true
-		}
-		write := ConditionalWrite{Revision: 7}
+		key := contendedKey{revision: expectedRevision}
+		write := ConditionalWrite{Revision: expectedRevision}
 		next := Resend
 		var history []string
 		for step := 0; next != Settled && step < 40; step++ {
-			if lateAttempts > 0 && rapid.IntRange(0, 3).Draw(t, "late") == 0 {
-				lateAttempts--
-				applyAttempt()
-				history = append(history, "late")
-			}
-			if rapid.IntRange(0, 12).Draw(t, "other") == 0 && revision == 7 {
-				revision = 8 // somebody else's write
-				history = append(history, "other")
-			}
-			event := rapid.IntRange(0, 3).Draw(t, "kind")
-			if next == ReadBack {
-				if event == 0 {
-					next = write.CompleteRead(access.Refused, 0)
-				} else {
-					next = write.CompleteRead(access.OK, revision)
-				}
-				history = append(history, fmt.Sprint("read ", event))
-				continue
-			}
-			switch event {
-			case 0:
-				next = write.CompleteAttempt(access.Refused)
-			case 1: // no answer, and not carried out yet
-				lateAttempts++
-				next = write.CompleteAttempt(access.Unknown)
-			case 2: // no answer, carried out
-				applyAttempt()
-				next = write.CompleteAttempt(access.Unknown)
+			history = append(history, key.drawInterference(t)...)
+			event := rapid.IntRange(0, 3).Draw(t, "event")
+			switch {
+			case next != ReadBack:
+				history = append(history, fmt.Sprint("attempt ", event))
+				next = write.CompleteAttempt(key.applyAttempt(event))
+			case event == 0:
+				history = append(history, "read refused")
+				next = write.CompleteRead(access.Refused, 0)
 			default:
-				if applyAttempt() {
-					next = write.CompleteAttempt(access.OK)
-				} else {
-					next = write.CompleteAttempt(access.Conflict)
-				}
+				history = append(history, "read")
+				next = write.CompleteRead(access.OK, key.revision)
 			}
-			history = append(history, fmt.Sprint("try ", event))
 		}
-		if next == Settled && !applied && lateAttempts > 0 && revision == 7 {
-			t.Fatalf("settled, and a late try still works: %v", history)
+		stillApplicable := key.lateAttempts > 0 && key.revision == expectedRevision
+		if next == Settled && !key.applied && stillApplicable {
+			t.Fatalf("settled while a late attempt can still be applied: %v", history)
 		}
 	})
 }
