--- a/reconcile/unreachable_ledger.go
+++ b/reconcile/unreachable_ledger.go
@@ -48,7 +48,7 @@
 // the moment in which it is made, when it may not be stored yet, until a record without it is
 // stored: nothing starts on its machine meanwhile. So whatever the store says of a machine, no
 // more than that runs on it, whichever write was the last that succeeded and whenever the claim
-// ends. Writes are guarded by the record's revision, so at most one of several succeeds; one
+// ends. Writes have the record's revision as their precondition, so at most one succeeds; one
 // whose outcome is unknown proves nothing.
 type UnreachableLedger struct {
 	entries   map[string]UnreachableMachine
