--- a/extension/extension_test.go
+++ b/extension/extension_test.go
@@ -1,6 +1,7 @@
 package extension
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"testing"
@@ -10,136 +11,164 @@
 
 var now = scheduler.Now{MonotonicMS: 1}
 
-// base is an extension that asks in strings, hears numbers and answers errors.
+// base is an extension whose own requests are strings with numbers as results; its responses to users are
+// errors.
 type base = Base[string, int, error]
 
-// Each answer reaches who waits for it, once; an unknown one reaches nobody.
+// Each response reaches its callback, once; one to an unknown request reaches none.
 func TestEachResponseIsDeliveredOnce(t *testing.T) {
 	var b base
 	var got []string
-	b.SendStore(
-		scheduler.StoreOp{Key: "k"},
-		func(r scheduler.StoreResult) { got = append(got, fmt.Sprint("store ", r.Rev)) },
-	)
-	b.SendCore(
-		scheduler.UserRequest{ID: "job-1"},
-		func(a scheduler.UserResponse) { got = append(got, fmt.Sprint("core ", a.Status)) },
-	)
+	b.SendStore(scheduler.StoreOp{Key: "k"}, func(result scheduler.StoreResult) {
+		got = append(got, fmt.Sprint("store ", result.Rev))
+	})
+	b.SendCore(scheduler.UserRequest{ID: "job-1"}, func(response scheduler.UserResponse) {
+		got = append(got, fmt.Sprint("core ", response.Status))
+	})
 	b.SendRequest("q", func(n int) { got = append(got, fmt.Sprint("own ", n)) })
-	o := b.Take()
-	if len(o.Store) != 1 || len(o.Core) != 1 || len(o.Requests) != 1 || o.Requests[0].Body != "q" {
-		t.Fatalf("asked %+v", o)
+	outputs := b.Take()
+	if len(outputs.Store) != 1 || len(outputs.Core) != 1 || len(outputs.Requests) != 1 {
+		t.Fatalf("outputs %+v, want one request of each kind", outputs)
 	}
-	ids := []uint64{o.Store[0].ID, o.Core[0].ID, o.Requests[0].ID}
-	if ids[0] == ids[1] || ids[1] == ids[2] || ids[0] == ids[2] {
-		t.Errorf("numbers are used twice: %v", ids)
+	if got := outputs.Requests[0].Body; got != "q" {
+		t.Fatalf("own request %q, want %q", got, "q")
+	}
+	storeID, coreID, ownID := outputs.Store[0].ID, outputs.Core[0].ID, outputs.Requests[0].ID
+	if storeID == coreID || coreID == ownID || storeID == ownID {
+		t.Errorf("IDs %d, %d, %d are not unique", storeID, coreID, ownID)
 	}
 	for range 2 {
-		b.RequestDone(now, ids[2], 7)
-		b.CoreDone(now, ids[1], scheduler.UserResponse{Status: 201})
-		b.StoreDone(now, ids[0], scheduler.StoreResult{Rev: 5})
+		b.RequestDone(now, ownID, 7)
+		b.CoreDone(now, coreID, scheduler.UserResponse{Status: 201})
+		b.StoreDone(now, storeID, scheduler.StoreResult{Rev: 5})
 	}
 	b.StoreDone(now, 99, scheduler.StoreResult{})
 	if want := []string{"own 7", "core 201", "store 5"}; !slices.Equal(got, want) {
-		t.Errorf("heard %v, not %v", got, want)
+		t.Errorf("delivered %v, want %v", got, want)
 	}
 	if b.Now != now {
-		t.Errorf("the time is %+v, not the last input's", b.Now)
+		t.Errorf("time %+v, want that of the last input, %+v", b.Now, now)
 	}
-	if o := b.Take(); len(o.Store)+len(o.Core)+len(o.Requests) != 0 {
-		t.Errorf("taken twice: %+v", o)
+	if again := b.Take(); len(again.Store)+len(again.Core)+len(again.Requests) != 0 {
+		t.Errorf("taken twice: %+v", again)
 	}
 }
 
-// Users' answers and lines are handed out once.
+// Responses to users and log lines are taken once.
 func TestTakeReturnsOutputsOnce(t *testing.T) {
 	var b base
-	b.Respond(3, fmt.Errorf("no"))
+	response := errors.New("no")
+	b.Respond(3, response)
 	b.Log("line", "key", 1)
-	if o := b.Take(); o.Responses[3] == nil || len(o.Logs) != 1 || o.Logs[0].Message != "line" {
-		t.Errorf("took %+v", o)
+	outputs := b.Take()
+	if got := outputs.Responses[3]; got != response {
+		t.Errorf("response %v, want %v", got, response)
+	}
+	if len(outputs.Logs) != 1 || outputs.Logs[0].Message != "line" {
+		t.Errorf("log %+v, want one line %q", outputs.Logs, "line")
 	}
-	if o := b.Take(); len(o.Responses)+len(o.Logs) != 0 {
-		t.Errorf("taken twice: %+v", o)
+	if again := b.Take(); len(again.Responses)+len(again.Logs) != 0 {
+		t.Errorf("taken twice: %+v", again)
 	}
 }
 
-// A record that is not there differs from a state service that does not say.
+// A record that does not exist differs from a state service that gives no usable response.
 func TestGetDistinguishesMissingFromUnavailable(t *testing.T) {
-	for _, c := range []struct {
-		result scheduler.StoreResult
-		rev    uint64
-		ok     bool
+	found := scheduler.StoreResult{Outcome: scheduler.OK, KVs: []scheduler.KeyValue{{Key: "k", Rev: 4}}}
+	for _, tc := range []struct {
+		name     string
+		result   scheduler.StoreResult
+		revision uint64
+		ok       bool
 	}{
-		{scheduler.StoreResult{Outcome: scheduler.OK, KVs: []scheduler.KeyValue{{Key: "k", Rev: 4}}}, 4, true},
-		{scheduler.StoreResult{Outcome: scheduler.NotFound}, 0, true},
-		{scheduler.StoreResult{Outcome: scheduler.Unknown}, 0, false},
-		{scheduler.StoreResult{Outcome: scheduler.Refused}, 0, false},
+		{"found", found, 4, true},
+		{"missing", scheduler.StoreResult{Outcome: scheduler.NotFound}, 0, true},
+		{"unknown", scheduler.StoreResult{Outcome: scheduler.Unknown}, 0, false},
+		{"refused", scheduler.StoreResult{Outcome: scheduler.Refused}, 0, false},
 	} {
-		var b base
-		calls := 0
-		b.Get(scheduler.UrgencyRead, "k", func(it scheduler.KeyValue, ok bool) {
-			calls++
-			if it.Rev != c.rev || ok != c.ok {
-				t.Errorf("%+v gives revision %d, %v", c.result, it.Rev, ok)
+		t.Run(tc.name, func(t *testing.T) {
+			var b base
+			calls := 0
+			b.Get(scheduler.UrgencyRead, "k", func(record scheduler.KeyValue, ok bool) {
+				calls++
+				if record.Rev != tc.revision || ok != tc.ok {
+					t.Errorf("revision %d, ok %v, want %d, %v", record.Rev, ok, tc.revision, tc.ok)
+				}
+			})
+			b.StoreDone(now, b.Take().Store[0].ID, tc.result)
+			if calls != 1 {
+				t.Errorf("%d calls, want 1", calls)
 			}
 		})
-		b.StoreDone(now, b.Take().Store[0].ID, c.result)
-		if calls != 1 {
-			t.Errorf("%+v is handed on %d times", c.result, calls)
-		}
 	}
 }
 
-// A list goes on behind the last key of a page, until all is read, a page is
-// refused, or nobody wants more.
+func page(key string, more bool) scheduler.StoreResult {
+	return scheduler.StoreResult{Outcome: scheduler.OK, KVs: []scheduler.KeyValue{{Key: key}}, More: more}
+}
+
+// A list continues after the last key of a page, until all is read, a page is refused, or the caller stops.
 func TestListReadsAllPagesOrStops(t *testing.T) {
-	page := func(key string, more bool) scheduler.StoreResult {
-		return scheduler.StoreResult{Outcome: scheduler.OK, KVs: []scheduler.KeyValue{{Key: key}}, More: more}
-	}
-	for name, c := range map[string]struct {
-		results []scheduler.StoreResult
-		limit   int // pages that are wanted
-		keys    []string
-		done    string
+	refused := scheduler.StoreResult{Outcome: scheduler.Unknown}
+	for _, tc := range []struct {
+		name     string
+		results  []scheduler.StoreResult
+		maxPages int
+		keys     []string
+		done     string // the calls of onDone
 	}{
-		"all":     {[]scheduler.StoreResult{page("a", true), page("b", true), page("c", false)}, 9, []string{"a", "b", "c"}, "true"},
-		"refused": {[]scheduler.StoreResult{page("a", true), {Outcome: scheduler.Unknown}}, 9, []string{"a"}, "false"},
-		"early":   {[]scheduler.StoreResult{page("a", true), page("b", true)}, 2, []string{"a", "b"}, ""},
-		"empty":   {[]scheduler.StoreResult{{Outcome: scheduler.OK}}, 9, nil, "true"},
+		{
+			"all pages", []scheduler.StoreResult{page("a", true), page("b", true), page("c", false)}, 9,
+			[]string{"a", "b", "c"}, "true",
+		},
+		{"page refused", []scheduler.StoreResult{page("a", true), refused}, 9, []string{"a"}, "false"},
+		{"caller stops", []scheduler.StoreResult{page("a", true), page("b", true)}, 2, []string{"a", "b"}, ""},
+		{"no records", []scheduler.StoreResult{{Outcome: scheduler.OK}}, 9, nil, "true"},
 	} {
-		var b base
-		var keys []string
-		done, from := "", ""
-		b.List(scheduler.UrgencyRead, "p/", func(items []scheduler.KeyValue) bool {
-			for _, it := range items {
-				keys = append(keys, it.Key)
+		t.Run(tc.name, func(t *testing.T) {
+			var b base
+			var keys []string
+			done, after := "", ""
+			onPage := func(records []scheduler.KeyValue) bool {
+				for _, record := range records {
+					keys = append(keys, record.Key)
+				}
+				return len(keys) < tc.maxPages
 			}
-			return len(keys) < c.limit
-		}, func(ok bool) { done += fmt.Sprint(ok) })
-		for _, r := range c.results {
-			ops := b.Take().Store
-			if len(ops) != 1 || ops[0].StartAfter != from || ops[0].Key != "p/" {
-				t.Fatalf("%s: asked %+v, not from %q", name, ops, from)
+			b.List(scheduler.UrgencyRead, "p/", onPage, func(ok bool) { done += fmt.Sprint(ok) })
+			for _, result := range tc.results {
+				ops := b.Take().Store
+				if len(ops) != 1 || ops[0].StartAfter != after || ops[0].Key != "p/" {
+					t.Fatalf("requests %+v, want one for %q after %q", ops, "p/", after)
+				}
+				b.StoreDone(now, ops[0].ID, result)
+				if len(result.KVs) > 0 {
+					after = result.KVs[0].Key
+				}
 			}
-			b.StoreDone(now, ops[0].ID, r)
-			if len(r.KVs) > 0 {
-				from = r.KVs[0].Key
+			if !slices.Equal(keys, tc.keys) || done != tc.done {
+				t.Errorf("keys %v, done %q, want %v, %q", keys, done, tc.keys, tc.done)
 			}
-		}
-		if !slices.Equal(keys, c.keys) || done != c.done || len(b.Take().Store) != 0 {
-			t.Errorf("%s: read %v, done %q", name, keys, done)
-		}
+			if ops := b.Take().Store; len(ops) != 0 {
+				t.Errorf("requests after the end: %+v", ops)
+			}
+		})
 	}
 }
 
-// Members of different versions have to agree on the shard of an id: the values
-// are those of the first version.
+// Members of different versions have to agree on the shard of an ID: the values are those of the first
+// version.
 func TestShardOfIsStableAcrossVersions(t *testing.T) {
 	shards := []string{"m-0", "m-1", "m-2"}
-	for id, want := range map[string]string{"run-0": "m-0", "run-1": "m-1", "nightly": "m-1", "run-3": "m-2", "hourly": "m-2"} {
+	for id, want := range map[string]string{
+		"run-0":   "m-0",
+		"run-1":   "m-1",
+		"nightly": "m-1",
+		"run-3":   "m-2",
+		"hourly":  "m-2",
+	} {
 		if got := ShardOf(shards, id); got != want {
-			t.Errorf("%q is driven by %s, not %s", id, got, want)
+			t.Errorf("shard of %q: %s, want %s", id, got, want)
 		}
 	}
 }
