--- a/client/client_test.go
+++ b/client/client_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -11,7 +12,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// fakeMember is a stand-in that answers by a script, and notes when it was asked.
+// fakeMember responds by a script, and notes when requests came.
 type fakeMember struct {
 	addr         string
 	mu           sync.Mutex
@@ -21,63 +22,82 @@
 func (m *fakeMember) requestedAt() []time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]time.Time(nil), m.requestTimes...)
+	return slices.Clone(m.requestTimes)
+}
+
+// noteRequest returns the number of the request, from 1 on.
+func (m *fakeMember) noteRequest() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.requestTimes = append(m.requestTimes, time.Now())
+	return len(m.requestTimes)
 }
 
 func startFakeMember(t *testing.T, respond func(n int, c *fiber.Ctx) error) *fakeMember {
 	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &fakeMember{addr: ln.Addr().String()}
+	m := &fakeMember{addr: listener.Addr().String()}
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
-	app.All("/*", func(c *fiber.Ctx) error {
-		m.mu.Lock()
-		m.requestTimes = append(m.requestTimes, time.Now())
-		n := len(m.requestTimes)
-		m.mu.Unlock()
-		return respond(n, c)
-	})
-	go func() { _ = app.Listener(ln) }()
+	app.All("/*", func(c *fiber.Ctx) error { return respond(m.noteRequest(), c) })
+	go func() { _ = app.Listener(listener) }()
 	t.Cleanup(func() { _ = app.ShutdownWithTimeout(time.Second) })
 	return m
 }
 
+// unreachableAddress returns an address on which nothing listens.
+func unreachableAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
 func respondPending(_ int, c *fiber.Ctx) error {
-	return c.Status(201).JSON(fiber.Map{"ref": "job-000001", "stance": "pending"})
+	return c.Status(201).JSON(fiber.Map{"ref": testJob.ID, "stance": "pending"})
 }
 
-func newClient(t *testing.T, scale float64, members ...string) *Client {
+// newClient returns a client whose pauses are scaled by timeScale.
+func newClient(t *testing.T, timeScale float64, members ...string) *Client {
 	t.Helper()
 	c, err := New(members...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.failover.TimeScale = scale
+	c.failover.TimeScale = timeScale
 	return c
 }
 
-var aJob = Job{ID: "job-000001", Team: "ops", Tasks: 3, CPUs: 1, MemoryGB: 1}
+var testJob = Job{
+	ID:            "job-000001",
+	Team:          "ops",
+	Tasks:         3,
+	TaskResources: TaskResources{CPUs: 1, MemoryGB: 1},
+}
 
-// A member that is gone costs nothing but the next one's answer.
+// A member that is unreachable costs nothing but the next one's response.
 func TestUnreachableMemberFailsOverToNext(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	member := startFakeMember(t, respondPending)
+	status, err := newClient(t, 1, unreachableAddress(t), member.addr).Submit(t.Context(), testJob)
 	if err != nil {
 		t.Fatal(err)
 	}
-	unreachable := ln.Addr().String()
-	ln.Close()
-	m := startFakeMember(t, respondPending)
-	s, err := newClient(t, 1, unreachable, m.addr).Submit(t.Context(), aJob)
-	if err != nil || s.State != Pending || s.ID != "job-000001" || len(m.requestedAt()) != 1 {
-		t.Errorf("%+v, %v, %d requests", s, err, len(m.requestedAt()))
+	if status.State != Pending || status.ID != testJob.ID {
+		t.Errorf("status %+v, want %s, %s", status, testJob.ID, Pending)
+	}
+	if got := len(member.requestedAt()); got != 1 {
+		t.Errorf("%d requests, want 1", got)
 	}
 }
 
-// Retry-After is heeded, and nobody is asked sooner than after a pause.
+// Retry-After is honoured, and without it no request is repeated sooner than after a pause.
 func TestRetryWaitsForRetryAfter(t *testing.T) {
-	m := startFakeMember(t, func(n int, c *fiber.Ctx) error {
+	member := startFakeMember(t, func(n int, c *fiber.Ctx) error {
 		switch n {
 		case 1:
 			c.Set("Retry-After", "5")
@@ -87,91 +107,125 @@
 		}
 		return respondPending(n, c)
 	})
-	if _, err := newClient(t, 0.02, m.addr).Submit(t.Context(), aJob); err != nil {
+	if _, err := newClient(t, 0.02, member.addr).Submit(t.Context(), testJob); err != nil {
 		t.Fatal(err)
 	}
-	at := m.requestedAt()
-	if len(at) != 3 || at[1].Sub(at[0]) < 100*time.Millisecond || at[2].Sub(at[1]) < 20*time.Millisecond {
-		t.Errorf("asked at %v", at)
+	at := member.requestedAt()
+	if len(at) != 3 {
+		t.Fatalf("requests at %v, want 3", at)
+	}
+	if got, want := at[1].Sub(at[0]), 100*time.Millisecond; got < want {
+		t.Errorf("after Retry-After: pause of %v, want at least %v", got, want)
+	}
+	if got, want := at[2].Sub(at[1]), 20*time.Millisecond; got < want {
+		t.Errorf("without Retry-After: pause of %v, want at least %v", got, want)
 	}
 }
 
-// What asking again does not change is not asked again; what nobody answers ends
-// with an error that says so.
+// A response that repeating does not change ends the call.
 func TestFinalStatusIsNotRetried(t *testing.T) {
-	for status, check := range map[int]func(error) bool{
-		404: func(err error) bool { return errors.Is(err, ErrNotFound) },
-		422: func(err error) bool {
-			var r *RejectedError
-			return errors.As(err, &r) && r.Status == 422 && r.Reason == "unknown team"
-		},
-		400: func(err error) bool { var r *RejectedError; return errors.As(err, &r) },
-	} {
-		m := startFakeMember(
-			t,
-			func(_ int, c *fiber.Ctx) error { return c.Status(status).JSON(fiber.Map{"error": "unknown team"}) },
-		)
-		if _, err := newClient(t, 1, m.addr).Cancel(t.Context(), "job-000001"); !check(err) || len(m.requestedAt()) != 1 {
-			t.Errorf("%d gives %v after %d requests", status, err, len(m.requestedAt()))
-		}
+	isRejected := func(err error) bool {
+		var rejected *RejectedError
+		return errors.As(err, &rejected)
 	}
-	m := startFakeMember(t, func(_ int, c *fiber.Ctx) error { return c.SendStatus(503) })
-	var unavailable *UnavailableError
-	if _, err := newClient(t, 0.01, m.addr).Job(t.Context(), "job-000001"); !errors.As(err, &unavailable) ||
-		unavailable.Attempts < 3 {
-		t.Errorf("503 for ever gives %v", err)
-	}
-	ctx, cancel := context.WithCancel(t.Context())
-	cancel()
-	if _, err := newClient(t, 1, m.addr).Job(ctx, "job-000001"); !errors.Is(err, context.Canceled) {
-		t.Errorf("an ended context gives %v", err)
+	for _, tc := range []struct {
+		name   string
+		status int
+		check  func(error) bool
+	}{
+		{"not found", 404, func(err error) bool { return errors.Is(err, ErrNotFound) }},
+		{"unprocessable", 422, func(err error) bool {
+			var rejected *RejectedError
+			return errors.As(err, &rejected) && rejected.Status == 422 && rejected.Reason == "unknown team"
+		}},
+		{"bad request", 400, isRejected},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			member := startFakeMember(t, func(_ int, c *fiber.Ctx) error {
+				return c.Status(tc.status).JSON(fiber.Map{"error": "unknown team"})
+			})
+			_, err := newClient(t, 1, member.addr).Cancel(t.Context(), testJob.ID)
+			if !tc.check(err) {
+				t.Errorf("status %d: error %v", tc.status, err)
+			}
+			if got := len(member.requestedAt()); got != 1 {
+				t.Errorf("status %d: %d requests, want 1", tc.status, got)
+			}
+		})
 	}
 }
 
-// Wrong jobs are refused before anybody is asked.
+// Without a final response a call ends with an UnavailableError after several attempts, or with its context.
+func TestCallEndsWithoutFinalResponse(t *testing.T) {
+	member := startFakeMember(t, func(_ int, c *fiber.Ctx) error { return c.SendStatus(503) })
+	t.Run("unavailable", func(t *testing.T) {
+		_, err := newClient(t, 0.01, member.addr).Job(t.Context(), testJob.ID)
+		var unavailable *UnavailableError
+		if !errors.As(err, &unavailable) || unavailable.Attempts < 3 {
+			t.Errorf("error %v, want an UnavailableError after at least 3 attempts", err)
+		}
+	})
+	t.Run("context cancelled", func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
+		if _, err := newClient(t, 1, member.addr).Job(ctx, testJob.ID); !errors.Is(err, context.Canceled) {
+			t.Errorf("error %v, want %v", err, context.Canceled)
+		}
+	})
+}
+
+// An invalid job is rejected before a request is sent.
 func TestInvalidJobIsRejectedWithoutRequest(t *testing.T) {
-	m := startFakeMember(t, respondPending)
-	c := newClient(t, 1, m.addr)
-	for _, change := range []func(*Job){
-		func(j *Job) { j.ID = "x" }, func(j *Job) { j.Kind = "x" }, func(j *Job) { j.Priority = "x" }, func(j *Job) { j.Tasks = 0 },
+	member := startFakeMember(t, respondPending)
+	c := newClient(t, 1, member.addr)
+	for _, tc := range []struct {
+		name   string
+		change func(*Job)
+	}{
+		{"ID", func(j *Job) { j.ID = "x" }},
+		{"kind", func(j *Job) { j.Kind = "x" }},
+		{"priority", func(j *Job) { j.Priority = "x" }},
+		{"tasks", func(j *Job) { j.Tasks = 0 }},
 	} {
-		j := aJob
-		change(&j)
-		if _, err := c.Submit(t.Context(), j); err == nil {
-			t.Errorf("%+v is sent", j)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			job := testJob
+			tc.change(&job)
+			var rejected *RejectedError
+			if _, err := c.Submit(t.Context(), job); !errors.As(err, &rejected) {
+				t.Errorf("error %v, want a RejectedError", err)
+			}
+		})
 	}
-	if len(m.requestedAt()) > 0 {
-		t.Errorf("%d requests", len(m.requestedAt()))
+	if got := len(member.requestedAt()); got > 0 {
+		t.Errorf("%d requests, want none", got)
 	}
+}
+
+func TestNewRejectsAddressWithoutPort(t *testing.T) {
 	if _, err := New("nowhere"); err == nil {
-		t.Error("an address without a port is taken")
+		t.Error("no error")
 	}
 }
 
-// Wait goes on while nobody answers, and ends with the job.
+// Wait goes on while members are unavailable, and ends with the job.
 func TestWaitSurvivesUnavailableMembers(t *testing.T) {
-	m := startFakeMember(t, func(n int, c *fiber.Ctx) error {
+	member := startFakeMember(t, func(n int, c *fiber.Ctx) error {
 		switch {
 		case n < 20:
 			return c.SendStatus(503)
 		case n < 22:
-			return c.JSON(fiber.Map{"ref": "job-000001", "stance": "running", "done": 1, "running": 2})
+			return c.JSON(fiber.Map{"ref": testJob.ID, "stance": "running", "done": 1, "running": 2})
 		}
-		return c.JSON(fiber.Map{"ref": "job-000001", "stance": "done", "done": 3, "running": 0})
+		return c.JSON(fiber.Map{"ref": testJob.ID, "stance": "done", "done": 3, "running": 0})
 	})
 	var seen []State
-	s, err := newClient(
-		t,
-		0.002,
-		m.addr,
-	).Wait(
-		t.Context(),
-		"job-000001",
-		time.Millisecond,
-		func(s Status) { seen = append(seen, s.State) },
-	)
-	if err != nil || s.State != Done || s.Done != 3 || len(seen) != 3 || seen[0] != Running {
-		t.Errorf("%+v, %v, saw %v", s, err, seen)
+	progress := func(status Status) { seen = append(seen, status.State) }
+	c := newClient(t, 0.002, member.addr)
+	status, err := c.Wait(t.Context(), testJob.ID, time.Millisecond, progress)
+	if err != nil || status.State != Done || status.Done != 3 {
+		t.Errorf("status %+v, error %v, want %s with 3 tasks done", status, err, Done)
+	}
+	if len(seen) != 3 || seen[0] != Running {
+		t.Errorf("progress %v, want 3 states from %s on", seen, Running)
 	}
 }
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -7,15 +7,15 @@
 	"github.com/grebedock/grebedock/internal/wire"
 )
 
-// TestSubmissionsKeepTheirForm holds what a client sends for a job whose fields
+// TestSubmissionsKeepTheirForm compares what a client sends for a job whose fields
 // are all set.
 func TestSubmissionsKeepTheirForm(t *testing.T) {
 	var j Job
 	golden.Fill(&j)
 	j.ID, j.Kind, j.Priority = "job-7", Gang, "production"
-	core, err := j.toSchedulerJob()
+	submission, err := j.toSchedulerJob()
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "submission.json", wire.SubmitRequest(core).Body)
+	golden.Compare(t, "submission.json", wire.SubmitRequest(submission).Body)
 }
