--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -128,6 +128,14 @@
 	return now
 }
 
+// checkEnded checks that a heartbeat of an ended incarnation changed nothing.
+func checkEnded(t *testing.T, machine *Machine, got Disposition) {
+	t.Helper()
+	if got != Stale || machine.State() != LeaseExpired {
+		t.Errorf("ended incarnation: got %v, state %v, want %v, %v", got, machine.State(), Stale, LeaseExpired)
+	}
+}
+
 // A heartbeat that the network delayed until its incarnation had ended proves nothing.
 func TestLateHeartbeatOfEndedIncarnationIsStale(t *testing.T) {
 	claim, machine := newTestMachine(0)
@@ -138,11 +146,8 @@
 		t.Fatalf("heartbeat under the claim's token: got %v, want %v", got, Accept)
 	}
 	expiredAt := expireLease(t, claim, machine)
-	got := claim.ReceiveHeartbeat(machine, expiredAt+5, 1, 3, testToken)
-	if got != Stale || machine.State() != LeaseExpired {
-		t.Errorf("ended incarnation: got %v, state %v, want %v, %v", got, machine.State(), Stale, LeaseExpired)
-	}
-	got = claim.ReceiveHeartbeat(machine, expiredAt+9, 2, 4, testToken)
+	checkEnded(t, machine, claim.ReceiveHeartbeat(machine, expiredAt+5, 1, 3, testToken))
+	got := claim.ReceiveHeartbeat(machine, expiredAt+9, 2, 4, testToken)
 	if got != AcceptNewIncarnation || !machine.IsReconciled() {
 		t.Errorf("next incarnation: got %v, state %v, want %v, %v",
 			got, machine.State(), AcceptNewIncarnation, Reconciled)
@@ -185,10 +190,7 @@
 		t.Fatalf("notified incarnation: got %d, want 5", got)
 	}
 	expiredAt := expireLease(t, claim, machine)
-	got := claim.ReceiveHeartbeat(machine, expiredAt+5, 5, 21, testToken)
-	if got != Stale || machine.State() != LeaseExpired {
-		t.Errorf("ended incarnation: got %v, state %v, want %v, %v", got, machine.State(), Stale, LeaseExpired)
-	}
+	checkEnded(t, machine, claim.ReceiveHeartbeat(machine, expiredAt+5, 5, 21, testToken))
 }
 
 // A machine that sends heartbeats and receives no responses is accounted for when every incarnation
