--- /dev/null
+++ b/planner/admission.go
@@ -0,0 +1,282 @@
+package planner
+
+import (
+	"math"
+	"slices"
+
+	"github.com/grebedock/grebedock/availability"
+)
+
+// RuntimePadding multiplies a task's expected run time before it waits behind another: estimates are often wrong by
+// half.
+const RuntimePadding = 1.5
+
+// QueueMode is which queues of a machine a group may take.
+type QueueMode int
+
+const (
+	// AllQueues is new queues on free resources, then all queues.
+	AllQueues QueueMode = iota
+	// NewSlotsInTime is new queues on free resources that end by the deadline.
+	NewSlotsInTime
+	// NewSlotsAnyTime is new queues on free resources, in time or not.
+	NewSlotsAnyTime
+	// ExistingQueues is queues that exist.
+	ExistingQueues
+)
+
+// AdmitToMachine puts as many tasks of the group, at most limit, on the machine as its queues end by a deadline (time
+// of day, ms), with an image that takes fetchMS there. startable of the admitted tasks can start now; examined
+// measures the cost. The group is not changed.
+func AdmitToMachine(
+	m *Machine,
+	g *Group,
+	fetchMS, deadlineMS int64,
+	limit int,
+	mode QueueMode,
+) (admitted, startable, examined int) {
+	request := g.Request.WithoutImage()
+	if mode != ExistingQueues {
+		startable = m.openSlots(g, request, fetchMS, deadlineMS, limit, mode)
+	}
+	if mode == NewSlotsInTime || mode == NewSlotsAnyTime {
+		return startable, startable, 1 + startable
+	}
+	admitted = startable
+	lengthMS := int64(float64(g.LengthMS)*RuntimePadding) + fetchMS
+	for i := range m.Slots {
+		if admitted >= limit {
+			break
+		}
+		examined++
+		slot := &m.Slots[i]
+		if !slot.Queue.MayAdmit(deadlineMS, lengthMS) || !slot.Resources.Contains(request) {
+			continue
+		}
+		admitted += int(slot.Queue.Admit(deadlineMS, lengthMS, int64(limit-admitted)))
+	}
+	return admitted, startable, 1 + examined + startable
+}
+
+// openSlots opens new queues on the machine's free resources, each with a task that starts now, and returns how many.
+func (m *Machine) openSlots(
+	g *Group,
+	request availability.Resources,
+	fetchMS, deadlineMS int64,
+	limit int,
+	mode QueueMode,
+) (opened int) {
+	// The first task of a queue needs no padding: nothing waits behind it yet.
+	lengthMS := g.LengthMS + fetchMS
+	if mode != NewSlotsAnyTime && deadlineMS-m.ReadyAtMS < lengthMS {
+		return 0
+	}
+	for opened < limit && m.Free.Contains(request) {
+		slot := m.AddSlot(request, m.ReadyAtMS)
+		slot.Queue.Admit(max(deadlineMS, m.ReadyAtMS+lengthMS), lengthMS, 1)
+		m.Free = m.Free.Sub(request)
+		opened++
+	}
+	return opened
+}
+
+// Admit admits what is left of the group for a deadline (time of day, ms), machine by machine.
+func (s *CandidateSearch) Admit(deadlineMS int64, mode QueueMode) {
+	g := s.group
+	lengthMS := int64(float64(g.LengthMS) * RuntimePadding)
+	for i := 0; g.Remaining > 0 && (i > 0 || s.canAdmitAny(deadlineMS, lengthMS, mode)); i++ {
+		candidate := s.candidate(i)
+		if candidate == nil {
+			break
+		}
+		s.view.Examined++
+		queues := &s.view.scanEntries[candidate.machine.Index].queues
+		if mode == ExistingQueues && !queues.mayAdmit(s.request, deadlineMS, lengthMS+candidate.fetchMS) {
+			continue
+		}
+		s.tryMachine(candidate.machine, candidate.fetchMS, deadlineMS, mode)
+	}
+	if mode == ExistingQueues {
+		s.admitToOccupied(deadlineMS, lengthMS)
+	}
+}
+
+// skipsOffering reports whether the current pass leaves an offering out.
+func (s *CandidateSearch) skipsOffering(offering int) bool {
+	u := &s.uses[offering]
+	return !u.allowed || s.spotOnly && !s.view.offerings[offering].Spot || s.objectiveOnly && u.avoid
+}
+
+// isBoundByReserve reports whether a pass must leave the reserve alone: groups without a start objective may not start
+// on it.
+func (s *CandidateSearch) isBoundByReserve(mode QueueMode) bool {
+	return s.enforceLimits && mode == NewSlotsInTime && s.group.ObjectiveDeadlineMS >= s.group.DeadlineMS
+}
+
+// unreservedCopies is how many of the group's tasks, at most limit, the processors outside the reserve take.
+func (s *CandidateSearch) unreservedCopies(limit int) int {
+	unreserved := availability.Resources{CPUs: s.view.SpareCPUs - s.view.ReservedCPUs}
+	return unreserved.MaxCopies(availability.Resources{CPUs: s.group.Request.Resources.CPUs}, limit)
+}
+
+// canAdmitAny reports whether any machine with free resources may take a task in a pass. Without it, each pass for a
+// deadline that is too near sorted all of them.
+func (s *CandidateSearch) canAdmitAny(deadlineMS, lengthMS int64, mode QueueMode) bool {
+	reserveExhausted := s.isBoundByReserve(mode) && s.unreservedCopies(1) == 0
+	for i := range s.uses {
+		use := &s.uses[i]
+		if use.openMachines == 0 || s.skipsOffering(i) {
+			continue
+		}
+		mayAdmit := true
+		switch mode {
+		case NewSlotsInTime:
+			mayAdmit = deadlineMS-use.earliestStartMS >= s.group.LengthMS && (!reserveExhausted || use.booting)
+		case ExistingQueues:
+			mayAdmit = s.slotsAdded || use.queues.mayAdmit(s.request, deadlineMS, lengthMS)
+		}
+		if mayAdmit {
+			return true
+		}
+	}
+	return false
+}
+
+// occupiedScan is one pass over the queues of machines without free resources for the group.
+type occupiedScan struct {
+	offerings   []int // of the machines
+	deadlineMS  int64
+	lengthMS    int64 // of a task whose image is there
+	minLengthMS int64 // no task of the pass takes less
+	cached      bool  // machines that have the image; otherwise those that lack it
+}
+
+// admitToOccupied admits to the queues of machines that had no free resources: lower ranks first, those that have the
+// image before others, then by position.
+func (s *CandidateSearch) admitToOccupied(deadlineMS, lengthMS int64) {
+	for rank := 0; rank < 8 && s.group.Remaining > 0; rank += 2 {
+		minFetchMS := s.splitOfferings(rank)
+		if len(s.cached) > 0 {
+			s.scanOccupied(&occupiedScan{s.cached, deadlineMS, lengthMS, lengthMS, true})
+		}
+		if len(s.uncached) > 0 {
+			s.scanOccupied(&occupiedScan{s.uncached, deadlineMS, lengthMS, lengthMS + minFetchMS, false})
+		}
+	}
+}
+
+// splitOfferings collects the offerings of a rank whose machines may have the image, and those whose machines may lack
+// it; an offering can be both. It returns the shortest fetch of the latter.
+func (s *CandidateSearch) splitOfferings(rank int) (minFetchMS int64) {
+	s.cached, s.uncached = s.cached[:0], s.uncached[:0]
+	minFetchMS = int64(math.MaxInt64)
+	for i := range s.uses {
+		use := &s.uses[i]
+		if use.rank != rank || s.skipsOffering(i) {
+			continue
+		}
+		if use.fetchMS == 0 || s.imageMachines != nil {
+			s.cached = append(s.cached, i)
+		}
+		if use.fetchMS != 0 {
+			s.uncached = append(s.uncached, i)
+			minFetchMS = min(minFetchMS, use.fetchMS)
+		}
+	}
+	return minFetchMS
+}
+
+func (s *CandidateSearch) scanOccupied(scan *occupiedScan) {
+	v, g := s.view, s.group
+	if scan.cached && s.fetchAlwaysNeeded {
+		for _, i := range s.imageMachines.indexes {
+			if g.Remaining <= 0 {
+				return
+			}
+			s.tryOccupied(int(i), scan)
+		}
+		return
+	}
+	for i := 0; i < len(v.blocks) && g.Remaining > 0; i++ {
+		if !s.mayBlockAdmit(v.refreshedBlock(i), scan) {
+			continue
+		}
+		end := min((i+1)*blockSize, len(v.machines))
+		for index := i * blockSize; index < end && g.Remaining > 0; index++ {
+			s.tryOccupied(index, scan)
+		}
+	}
+}
+
+// mayBlockAdmit reports whether a queue of a block may take a task of the pass; false is certain.
+func (s *CandidateSearch) mayBlockAdmit(block *block, scan *occupiedScan) bool {
+	return block.queues.mayAdmit(s.request, scan.deadlineMS, scan.minLengthMS) &&
+		slices.ContainsFunc(scan.offerings, func(offering int) bool {
+			return block.queuesByOffering[offering].mayAdmit(s.request, scan.deadlineMS, scan.minLengthMS)
+		})
+}
+
+// tryOccupied admits to the queues of the machine at a position, if it belongs to the pass.
+func (s *CandidateSearch) tryOccupied(i int, scan *occupiedScan) {
+	v := s.view
+	v.Examined++
+	entry := &v.scanEntries[i]
+	if entry.openForSearch == v.searchID ||
+		!entry.queues.mayAdmit(s.request, scan.deadlineMS, scan.minLengthMS) ||
+		!slices.Contains(scan.offerings, int(entry.offeringIndex)) {
+		return
+	}
+	fetchMS := s.fetchMSOn(i, &s.uses[entry.offeringIndex])
+	if (fetchMS == 0) != scan.cached || entry.queues.maxAvailableMS(scan.deadlineMS) < scan.lengthMS+fetchMS {
+		return
+	}
+	if m := v.machines[i]; !s.group.hasFailedOn(m) {
+		s.tryMachine(m, fetchMS, scan.deadlineMS, ExistingQueues)
+	}
+}
+
+// tryMachine admits what a machine takes of the group within its limits, and counts it.
+func (s *CandidateSearch) tryMachine(m *Machine, fetchMS, deadlineMS int64, mode QueueMode) {
+	v, g := s.view, s.group
+	if s.skipsOffering(m.offeringIndex) {
+		return
+	}
+	limit := min(g.Remaining, g.zoneAllowance(m))
+	if m.Ready && s.isBoundByReserve(mode) {
+		limit = s.unreservedCopies(limit)
+	}
+	if limit <= 0 {
+		return
+	}
+	admitted, startable, examined := AdmitToMachine(m, g, fetchMS, deadlineMS, limit, mode)
+	v.Examined += examined
+	if admitted == 0 {
+		return
+	}
+	v.refreshBounds(m)
+	s.slotsAdded = s.slotsAdded || mode != ExistingQueues
+	g.Remaining -= admitted
+	if m.Ready {
+		v.SpareCPUs -= float64(startable) * g.Request.Resources.CPUs
+	}
+	if g.SingleZone || g.SpreadZones {
+		g.recordPlaced(m, admitted)
+	}
+	if s.enforceLimits {
+		s.recordStarts(m, startable, fetchMS)
+	}
+}
+
+// recordStarts records tasks that start on a machine now. Those without an objective start as the pacer lets them.
+func (s *CandidateSearch) recordStarts(m *Machine, startable int, fetchMS int64) {
+	v, g := s.view, s.group
+	if !g.HasObjective && !g.IsGang {
+		startable = min(startable, v.PacedStartsLeft)
+	}
+	if startable <= 0 || !m.Ready {
+		return
+	}
+	s.placement.StartedTasks += startable
+	v.PacedStartsLeft -= startable
+	s.placement.Starts = append(s.placement.Starts, Start{m.Index, startable, fetchMS})
+}
--- a/planner/aging_test.go
+++ b/planner/aging_test.go
@@ -6,41 +6,35 @@
 	"pgregory.net/rapid"
 )
 
-// drawWaitingGroups draws groups as a plan has them, some of them of jobs that have waited long.
+// drawWaitingGroups draws groups as a round has them, some of them of jobs that have waited long.
 func drawWaitingGroups(t *rapid.T, now int64) (groups []*Group) {
 	n := rapid.IntRange(1, 12).Draw(t, "groups")
 	for i := range n {
-		g := &Group{Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Remaining: rapid.IntRange(1, 9).Draw(t, "left"),
-			LengthMS: rapid.Int64Range(
-				1,
-				200_000,
-			).Draw(
-				t,
-				"length",
-			), AcceptedMS: now - rapid.Int64Range(0, 400_000).Draw(t, "waited"),
-			MissedObjectives: rapid.Bool().Draw(
-				t,
-				"lost",
-			), WithinGuarantee: rapid.Bool().Draw(t, "within"), QuotaTier: rapid.IntRange(0, 3).Draw(t, "level"),
-			PreviouslyAdmitted: rapid.Bool().Draw(
-				t,
-				"held",
-			), HasBegun: rapid.Bool().Draw(t, "begun"), IsGang: rapid.IntRange(0, 5).Draw(t, "gang") == 0,
-			SingleZone: rapid.IntRange(
-				0,
-				5,
-			).Draw(
-				t,
-				"one zone",
-			) == 0, Name: string(rune('a' + i)), RangeStart: rapid.IntRange(0, 3).Draw(t, "lo") / 3}
-		g.DeadlineMS = g.AcceptedMS + rapid.Int64Range(1000, 500_000).Draw(t, "due")
+		g := &Group{
+			Priority:   rapid.IntRange(0, 2).Draw(t, "priority"),
+			Remaining:  rapid.IntRange(1, 9).Draw(t, "remaining"),
+			LengthMS:   rapid.Int64Range(1, 200_000).Draw(t, "length"),
+			AcceptedMS: now - rapid.Int64Range(0, 400_000).Draw(t, "waited"),
+			Ranking: Ranking{
+				MissedObjectives: rapid.Bool().Draw(t, "missed objectives"),
+				WithinGuarantee:  rapid.Bool().Draw(t, "within guarantee"),
+				QuotaTier:        rapid.IntRange(0, 3).Draw(t, "tier"),
+			},
+			PreviouslyAdmitted: rapid.Bool().Draw(t, "previously admitted"),
+			HasBegun:           rapid.Bool().Draw(t, "begun"),
+			Name:               string(rune('a' + i)),
+		}
+		g.IsGang = rapid.IntRange(0, 5).Draw(t, "gang") == 0
+		g.SingleZone = rapid.IntRange(0, 5).Draw(t, "single zone") == 0
+		g.RangeStart = rapid.IntRange(0, 3).Draw(t, "range start") / 3
+		g.DeadlineMS = g.AcceptedMS + rapid.Int64Range(1000, 500_000).Draw(t, "deadline")
 		groups = append(groups, g)
 	}
 	return groups
 }
 
-// The first task of each aged group goes before all others of its priority, once, and
-// no task is lost or doubled by the split, but for what zones bind.
+// The first task of each aged group goes before all others of its priority, once, and no task is lost or doubled by the
+// split, except where a zone constraint cuts the group down to one task.
 func TestAgedGroupPlacesFirstTaskBeforeEquals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = int64(1_000_000)
--- a/planner/catalog.go
+++ b/planner/catalog.go
@@ -8,29 +8,29 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// MachineType is a kind of machine that the cloud has.
+// MachineType is a type of machine that the cloud offers.
 type MachineType struct {
 	Name      string
 	Resources availability.Resources
-	FetchGBps float64 // 0: images need no time
-	BootMS    int64   // ms
+	FetchGBps float64 // 0: images take no time
+	BootMS    int64
 	Zones     []string
 }
 
-// InstanceOffering is what the rules of placement see of a machine.
+// InstanceOffering is a type in a zone and a market: all that the rules of placement see of a machine.
 type InstanceOffering struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// ResourceRequest is what placement sees of a job. The request's disk is its image's size; a
-// machine whose cache must make room for it takes the job all the same.
+// ResourceRequest is what placement sees of a job. Its disk is the image's size, which bounds nothing: a machine's
+// cache evicts other images for it.
 type ResourceRequest struct {
 	Resources  availability.Resources
 	Image      string
-	Types      []string // none: any
-	Zone       string   // none: any
-	AllowsSpot bool     // may use spot machines
+	Types      []string // empty: any
+	Zone       string   // empty: any
+	AllowsSpot bool
 }
 
 // WithoutImage is what a task takes of a machine beside the image.
@@ -40,12 +40,16 @@
 	return resources
 }
 
-// Catalog is all types, and which of them some live job cannot do without.
+func (request *ResourceRequest) acceptsType(name string) bool {
+	return len(request.Types) == 0 || slices.Contains(request.Types, name)
+}
+
+// Catalog is all machine types, and which of them some live job cannot do without. It is not safe for concurrent use.
 type Catalog struct {
 	types    map[string]*MachineType
 	sorted   []*MachineType // by name
 	required map[string]bool
-	largest  availability.Resources // the largest of each
+	largest  availability.Resources // processors and memory, each by itself
 }
 
 // NewCatalog makes a catalog without types.
@@ -53,7 +57,7 @@
 	return &Catalog{types: map[string]*MachineType{}, required: map[string]bool{}}
 }
 
-// SetTypes takes types in; one that is known is replaced.
+// SetTypes adds types, and replaces those of the same name.
 func (c *Catalog) SetTypes(ts ...MachineType) {
 	for _, t := range ts {
 		c.types[t.Name] = &t
@@ -61,40 +65,35 @@
 	c.sorted, c.largest = c.sorted[:0], availability.Resources{}
 	for _, t := range c.types {
 		c.sorted = append(c.sorted, t)
-		c.largest.CPUs, c.largest.MemoryGB = max(
-			c.largest.CPUs,
-			t.Resources.CPUs,
-		), max(
-			c.largest.MemoryGB,
-			t.Resources.MemoryGB,
-		)
+		c.largest.CPUs = max(c.largest.CPUs, t.Resources.CPUs)
+		c.largest.MemoryGB = max(c.largest.MemoryGB, t.Resources.MemoryGB)
 	}
 	slices.SortFunc(c.sorted, func(a, b *MachineType) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Type finds a type; nil: there is none.
+// Type returns the type of a name, nil if there is none.
 func (c *Catalog) Type(name string) *MachineType { return c.types[name] }
 
-// FitsType tells whether some machine of a type may take a job.
+// FitsType reports whether some machine of a type, spot or on-demand, may take a job.
 func (c *Catalog) FitsType(request *ResourceRequest, t *MachineType) bool {
-	if len(request.Types) > 0 && !slices.Contains(request.Types, t.Name) ||
-		request.Zone != "" && !slices.Contains(t.Zones, request.Zone) {
+	if request.Zone != "" && !slices.Contains(t.Zones, request.Zone) {
 		return false
 	}
-	return t.Resources.Contains(request.WithoutImage())
+	return request.acceptsType(t.Name) && t.Resources.Contains(request.WithoutImage())
 }
 
-// IsAllowed tells whether a job may use a kind of machine at all.
+// IsAllowed reports whether a job may use an offering at all.
 func (c *Catalog) IsAllowed(request *ResourceRequest, offering InstanceOffering) bool {
-	if offering.Spot && !request.AllowsSpot || request.Zone != "" && request.Zone != offering.Zone ||
-		len(request.Types) > 0 && !slices.Contains(request.Types, offering.Type) {
+	acceptsMarket := request.AllowsSpot || !offering.Spot
+	acceptsZone := request.Zone == "" || request.Zone == offering.Zone
+	if !acceptsMarket || !acceptsZone || !request.acceptsType(offering.Type) {
 		return false
 	}
 	t := c.types[offering.Type]
 	return t != nil && t.Resources.Contains(request.WithoutImage())
 }
 
-// FetchMS is how long a job's image takes on a type of machine that lacks it, in ms.
+// FetchMS is how long a job's image takes on a machine of a type that lacks it, in ms.
 func (c *Catalog) FetchMS(request *ResourceRequest, typ string) int64 {
 	t := c.types[typ]
 	if t == nil || request.Image == "" {
@@ -103,7 +102,7 @@
 	return t.fetchMS(request.Resources.DiskGB)
 }
 
-// fetchMS is how long an image takes, to the nearest ms.
+// fetchMS is how long an image of a size takes, rounded to ms.
 func (t *MachineType) fetchMS(sizeGB float64) int64 {
 	if t.FetchGBps <= 0 {
 		return 0
@@ -111,9 +110,12 @@
 	return int64(math.Round(sizeGB / t.FetchGBps * 1000))
 }
 
-// MinReadyMS is how long the quickest type that takes a job needs to boot and fetch, in ms.
+// noReadyMS is what MinReadyMS says if no type takes a job: later than any deadline, and far from an overflow.
+const noReadyMS = int64(1) << 40
+
+// MinReadyMS is how long the quickest type that takes a job needs to boot and fetch its image, in ms.
 func (c *Catalog) MinReadyMS(request *ResourceRequest) int64 {
-	best := int64(1) << 40
+	best := noReadyMS
 	for _, t := range c.sorted {
 		if c.FitsType(request, t) {
 			best = min(best, t.BootMS+t.fetchMS(request.Resources.DiskGB))
@@ -122,28 +124,34 @@
 	return best
 }
 
-// SetRequired notes the types that some live job cannot do without.
+// SetRequired replaces the types that some live job cannot do without, given the requests of all live jobs.
 func (c *Catalog) SetRequired(requests func(yield func(ResourceRequest) bool)) {
 	clear(c.required)
 	for request := range requests {
-		only, n := "", 0
-		for _, t := range c.sorted {
-			if c.FitsType(&request, t) {
-				only = t.Name
-				n++
-			}
-		}
-		if n == 1 {
+		if only, ok := c.onlyType(&request); ok {
 			c.required[only] = true
 		}
 	}
 }
 
-// IsRequired tells whether some live job fits no other type.
+// onlyType returns the type that fits a job, if there is exactly one.
+func (c *Catalog) onlyType(request *ResourceRequest) (name string, ok bool) {
+	for _, t := range c.sorted {
+		if !c.FitsType(request, t) {
+			continue
+		}
+		if ok {
+			return "", false
+		}
+		name, ok = t.Name, true
+	}
+	return name, ok
+}
+
+// IsRequired reports whether some live job fits no other type.
 func (c *Catalog) IsRequired(typ string) bool { return c.required[typ] }
 
-// ShouldAvoid tells whether a type should be left to others by a job that fits other
-// types too: some live job fits no other.
+// ShouldAvoid reports whether a job that fits other types too should leave a type to live jobs that fit no other.
 func (c *Catalog) ShouldAvoid(request *ResourceRequest, typ string) bool {
 	if !c.required[typ] {
 		return false
@@ -155,3 +163,21 @@
 	}
 	return false
 }
+
+// Key is the kind under which an availability function stands for machines of the offering, see [ClusterView.Summary].
+func (o InstanceOffering) Key() string {
+	market := "-"
+	if o.Spot {
+		market = "s"
+	}
+	return market + "|" + o.Zone + "|" + o.Type
+}
+
+// ParseInstanceOffering is the inverse of Key; anything else gives an offering without a type.
+func ParseInstanceOffering(key string) InstanceOffering {
+	fields := strings.SplitN(key, "|", 3)
+	if len(fields) != 3 {
+		return InstanceOffering{}
+	}
+	return InstanceOffering{Type: fields[2], Zone: fields[1], Spot: fields[0] == "s"}
+}
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -178,11 +178,13 @@
 			PreviouslyAdmitted: tr.admitted,
 			Name:               j.ID,
 			RangeStart:         tr.bounds.Lo,
-			IsGang:             j.Kind == Gang,
-			SingleZone:         j.OneZone,
-			SpreadZones:        j.Spread,
-			RunningByZone:      tr.attemptsByZone,
-			FailuresByMachine:  tr.errorsByMachine,
+			Constraints: planner.Constraints{
+				IsGang:            j.Kind == Gang,
+				SingleZone:        j.OneZone,
+				SpreadZones:       j.Spread,
+				RunningByZone:     tr.attemptsByZone,
+				FailuresByMachine: tr.errorsByMachine,
+			},
 		},
 	}
 	g.ObjectiveDeadlineMS, g.DeadlineMS, g.MissedObjectives = c.taskDeadlines(j, g.AcceptedMS, g.LengthMS)
