--- a/availability/deadline_queue.go
+++ b/availability/deadline_queue.go
@@ -1,11 +1,3 @@
-// Package availability holds the part of the design that comes from the paper
-// "A Highly Scalable Decentralized Scheduler of Tasks with Deadlines" by
-// Celaya and Arronategui: the earliest-deadline queue with its admission rule,
-// the availability l(δ) it leaves, sampled functions of it, and the summaries
-// that merge them by their minima.
-//
-// The package knows no jobs, machines or clocks. Times are milliseconds on any
-// one clock that the caller keeps to.
 package availability
 
 import (
@@ -13,7 +5,7 @@
 	"sort"
 )
 
-// Entry is Count tasks of one group that run one after the other in a queue.
+// Entry is Count tasks of one group that run one after the other in a queue, each of them by Deadline.
 type Entry struct {
 	Deadline int64
 	Length   int64 // of one task
@@ -22,28 +14,28 @@
 
 func (e Entry) totalLength() int64 { return e.Length * e.Count }
 
-// Queue is a non-preemptive earliest-deadline queue of speed 1. What runs at
-// its head cannot be stopped, so nothing admitted starts before Base.
+// Queue is a non-preemptive earliest-deadline queue of speed 1. What runs at its head cannot be stopped, so nothing
+// admitted starts before EarliestStart. The zero value is an empty queue that can start at 0.
 type Queue struct {
 	EarliestStart int64
 	entries       []Entry
 	totalLength   int64 // of all entries
 }
 
-// Reset empties the queue for another round with another base. It keeps its
-// memory: a planner that fills a thousand queues a second makes no garbage.
+// Reset empties the queue for another round with another earliest start. It keeps its memory: a planner that fills a
+// thousand queues a second makes no garbage.
 func (q *Queue) Reset(earliestStart int64) {
 	q.EarliestStart, q.entries, q.totalLength = earliestStart, q.entries[:0], 0
 }
 
-// Entries returns the admitted entries in the order in which they would run.
-// The caller must not change them.
+// Entries returns the admitted entries in the order in which they would run. The caller must not change them, and they
+// are good until the next Admit or Reset.
 func (q *Queue) Entries() []Entry { return q.entries }
 
 // End is when the last admitted task would end.
 func (q *Queue) End() int64 { return q.EarliestStart + q.totalLength }
 
-// LastDeadline is the latest deadline that was admitted; ok is false when nothing was.
+// LastDeadline is the latest deadline that was admitted; ok is false if none was.
 func (q *Queue) LastDeadline() (deadline int64, ok bool) {
 	if n := len(q.entries); n > 0 {
 		return q.entries[n-1].Deadline, true
@@ -51,9 +43,8 @@
 	return 0, false
 }
 
-// MayAdmit tells, at little cost, whether a task might be admitted: where it says no,
-// Admit admits none. l(δ) is at most the time from Base to δ, and at most what the
-// queue has behind its last deadline, or up to it.
+// MayAdmit reports, at little cost, whether a task might be admitted: if not, Admit admits none. l(δ) is at most the
+// time from EarliestStart to δ, and at most what the queue has free up to its last deadline, or behind it.
 func (q *Queue) MayAdmit(deadline, length int64) bool {
 	if deadline-q.EarliestStart < length {
 		return false
@@ -62,52 +53,50 @@
 	return n == 0 || max(deadline, q.entries[n-1].Deadline)-q.End() >= length
 }
 
-// insertionIndex is where a task with this deadline would be inserted: behind every
-// entry with the same or an earlier deadline.
+// insertionIndex is where a task with this deadline would be inserted: behind every entry with the same or an earlier
+// deadline.
 func (q *Queue) insertionIndex(deadline int64) int {
 	return sort.Search(len(q.entries), func(i int) bool { return q.entries[i].Deadline > deadline })
 }
 
-// insertionWindow gives e, the time at which the tasks before the insertion point of
-// deadline have ended, and x, the latest start of the ones behind it that
-// still keeps all their deadlines. ok is false when nothing is behind.
-func (q *Queue) insertionWindow(deadline int64) (e, x int64, ok bool) {
+// insertionWindow returns when the tasks before the insertion point of a deadline have ended (the paper's e), and the
+// latest start of the tasks behind it that still keeps all their deadlines (the paper's x). ok is false if there is
+// nothing behind it.
+func (q *Queue) insertionWindow(deadline int64) (predecessorsEnd, latestStart int64, ok bool) {
 	index := q.insertionIndex(deadline)
-	e = q.EarliestStart
+	predecessorsEnd = q.EarliestStart
 	for _, entry := range q.entries[:index] {
-		e += entry.totalLength()
+		predecessorsEnd += entry.totalLength()
 	}
 	for i := len(q.entries) - 1; i >= index; i-- {
 		entry := q.entries[i]
 		end := entry.Deadline
-		if ok && x < end {
-			end = x
+		if ok && latestStart < end {
+			end = latestStart
 		}
-		x, ok = end-entry.totalLength(), true
+		latestStart, ok = end-entry.totalLength(), true
 	}
-	return e, x, ok
+	return predecessorsEnd, latestStart, ok
 }
 
-// Available is l(δ) = min(δ, x) − e: how long the queue can work for a new
-// task that must end by deadline, with every admitted deadline kept.
+// Available is l(δ) = min(δ, x) − e: how long the queue can work for a new task that must end by a deadline, with every
+// admitted deadline kept. See insertionWindow for e and x.
 func (q *Queue) Available(deadline int64) int64 {
 	if n := len(q.entries); n == 0 || q.entries[n-1].Deadline <= deadline {
-		return max(0, deadline-q.End()) // nothing stands behind it
+		return max(0, deadline-q.End()) // nothing is behind it
 	}
-	e, x, ok := q.insertionWindow(deadline)
+	predecessorsEnd, latestStart, ok := q.insertionWindow(deadline)
 	end := deadline
-	if ok && x < end {
-		end = x
+	if ok && latestStart < end {
+		end = latestStart
 	}
-	return max(0, end-e)
+	return max(0, end-predecessorsEnd)
 }
 
-// Admit adds as many of count tasks as the queue can end by deadline without
-// breaking a deadline it already holds, and returns their number.
+// Admit adds as many of count tasks as the queue can end by a deadline without breaking one that it already holds, and
+// returns their number.
 func (q *Queue) Admit(deadline, length, count int64) int64 {
-	if length < 1 {
-		length = 1
-	}
+	length = max(length, 1)
 	n := min(count, q.Available(deadline)/length)
 	if n <= 0 {
 		return 0
@@ -120,9 +109,9 @@
 	return n
 }
 
-// Samples gives the breakpoints of l(δ) up to horizon: the queue's base, and
-// for each entry the latest start x of what is behind an insertion point and
-// the deadline that moves the insertion point.
+// Samples returns the breakpoints of l(δ) up to a horizon: the queue's earliest start, and for each entry the end of
+// what is before an insertion point, the latest start of what is behind it, and the deadline that moves the insertion
+// point.
 func (q *Queue) Samples(horizon int64) []Sample {
 	if q.EarliestStart >= horizon {
 		return []Sample{{TimeMS: horizon}}
@@ -130,9 +119,8 @@
 	times := make([]int64, 0, 2+6*len(q.entries))
 	times = append(times, q.EarliestStart, horizon)
 	for _, e := range q.entries {
-		// l(δ) jumps where δ passes an entry's deadline, unless the entries
-		// leave no slack: a sample just before it keeps the function a
-		// minimum of the true one on both sides.
+		// l(δ) jumps where δ passes an entry's deadline, unless the entries leave no slack: a sample just before it
+		// keeps the function a minimum of the true one on both sides.
 		times = append(times, e.Deadline-1, e.Deadline)
 		if predecessorsEnd, latestStart, ok := q.insertionWindow(e.Deadline - 1); ok {
 			times = append(times, predecessorsEnd, latestStart)
@@ -146,7 +134,8 @@
 	slices.Sort(times)
 	samples := make([]Sample, 0, len(times))
 	for _, t := range times {
-		if t < q.EarliestStart || t > horizon || (len(samples) > 0 && samples[len(samples)-1].TimeMS == t) {
+		isRepeated := len(samples) > 0 && samples[len(samples)-1].TimeMS == t
+		if t < q.EarliestStart || t > horizon || isRepeated {
 			continue
 		}
 		samples = append(samples, Sample{TimeMS: t, AvailableMS: q.Available(t)})
--- a/availability/function_test.go
+++ b/availability/function_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// genQueue draws a queue by admitting tasks, as its users do.
+// genQueue draws a queue by admitting tasks, as its callers do.
 func genQueue(t *rapid.T) *Queue {
-	q := &Queue{EarliestStart: rapid.Int64Range(0, 50).Draw(t, "base")}
+	q := &Queue{EarliestStart: rapid.Int64Range(0, 50).Draw(t, "earliest start")}
 	for range rapid.IntRange(0, 8).Draw(t, "groups") {
 		q.Admit(
 			rapid.Int64Range(0, 300).Draw(t, "deadline"),
@@ -31,8 +31,8 @@
 
 type task struct{ deadline, length int64 }
 
-// meetsDeadlines runs tasks one after the other, earliest deadline first, and tells
-// whether all end in time.
+// meetsDeadlines runs tasks one after the other, earliest deadline first, from a start on. It reports whether all end
+// in time.
 func meetsDeadlines(end int64, tasks []task) bool {
 	sort.SliceStable(tasks, func(i, j int) bool { return tasks[i].deadline < tasks[j].deadline })
 	for _, x := range tasks {
@@ -58,7 +58,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := genQueue(t)
 		if !meetsDeadlines(q.EarliestStart, tasksOf(q)) {
-			t.Fatalf("a queue breaks a deadline that it admitted: base %d, %v", q.EarliestStart, q.Entries())
+			t.Fatalf("a queue breaks a deadline that it admitted: earliest start %d, %v", q.EarliestStart, q.Entries())
 		}
 	})
 }
@@ -75,7 +75,8 @@
 			want++
 		}
 		if got := q.Available(deadline); got != want {
-			t.Fatalf("l(%d) = %d, a brute-force queue says %d; base %d, %v", deadline, got, want, q.EarliestStart, q.Entries())
+			t.Fatalf("l(%d) = %d, a brute-force queue gives %d; earliest start %d, %v",
+				deadline, got, want, q.EarliestStart, q.Entries())
 		}
 	})
 }
@@ -98,7 +99,7 @@
 		for at := int64(0); at <= 450; at++ {
 			want := float64(q.Available(min(at, 400)))
 			if got := f.AvailableBy(at); got != want && (got > want || at >= q.EarliestStart) {
-				t.Fatalf("at %d the samples say %v, the queue %v; %v %v", at, got, want, q, f.Samples)
+				t.Fatalf("at %d the samples give %v, the queue %v; %v %v", at, got, want, q, f.Samples)
 			}
 		}
 	})
@@ -106,17 +107,11 @@
 
 // requireNotAbove fails when f promises more than g anywhere.
 func requireNotAbove(t *rapid.T, name string, f, g *Function) {
+	t.Helper()
 	for at := int64(0); at <= 450; at++ {
 		if f.AvailableBy(at) > g.AvailableBy(at)+1e-6 {
-			t.Fatalf(
-				"%s: %v at %d, where it was %v\n%v\n%v",
-				name,
-				f.AvailableBy(at),
-				at,
-				g.AvailableBy(at),
-				f.Samples,
-				g.Samples,
-			)
+			t.Fatalf("%s: %v at %d, where it was %v\n%v\n%v",
+				name, f.AvailableBy(at), at, g.AvailableBy(at), f.Samples, g.Samples)
 		}
 	}
 }
@@ -174,15 +169,8 @@
 		reduced := Reduce(all, limit, 6, 0)
 		after, queues := count(reduced)
 		if len(reduced) > limit || queues != machines || after > before {
-			t.Fatalf(
-				"%d functions of at most %d, %d machines of %d, %d tasks where there were %d",
-				len(reduced),
-				limit,
-				queues,
-				machines,
-				after,
-				before,
-			)
+			t.Fatalf("%d functions of at most %d, %d machines of %d, %d tasks where there were %d",
+				len(reduced), limit, queues, machines, after, before)
 		}
 	})
 }
--- a/availability/summary_accuracy_bench_test.go
+++ b/availability/summary_accuracy_bench_test.go
@@ -6,10 +6,18 @@
 	"testing"
 )
 
-// BenchmarkSummaryAccuracy is the paper's measure of a summary: what one of nodes with uniformly
-// distributed memory, disk and availability says of them, as a share of what they have (its tables I and II, figure 5).
+// BenchmarkSummaryAccuracy is the paper's measure of a summary: what it promises of nodes with uniformly distributed
+// memory, disk and availability, as a share of what they have (its tables I and II, figure 5).
 func BenchmarkSummaryAccuracy(b *testing.B) {
-	for _, c := range []struct{ nodes, functions int }{{1024, 8}, {1024, 27}, {1024, 64}, {1024, 125}, {1024, 216}, {128, 125}, {8192, 125}} {
+	for _, c := range []struct{ nodes, functions int }{
+		{1024, 8},
+		{1024, 27},
+		{1024, 64},
+		{1024, 125},
+		{1024, 216},
+		{128, 125},
+		{8192, 125},
+	} {
 		b.Run(fmt.Sprintf("%dx%d", c.nodes, c.functions), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			const horizon = 1_000_000
@@ -19,7 +27,9 @@
 				for range rng.IntN(4) {
 					queues[i].Admit(rng.Int64N(horizon), 1000+rng.Int64N(100_000), 1)
 				}
-				resources[i] = Resources{CPUs: 1, MemoryGB: 0.25 * float64(1+rng.IntN(16)), DiskGB: 10 * float64(1+rng.IntN(16))}
+				memoryGB := 0.25 * float64(1+rng.IntN(16))
+				diskGB := 10 * float64(1+rng.IntN(16))
+				resources[i] = Resources{CPUs: 1, MemoryGB: memoryGB, DiskGB: diskGB}
 			}
 			var s Summary
 			for b.Loop() {
--- a/availability/summary_test.go
+++ b/availability/summary_test.go
@@ -15,18 +15,16 @@
 }
 
 func (s *queueSet) drawChanges(t *rapid.T, now int64) {
-	for range rapid.IntRange(0, 40).Draw(t, "come") {
+	for range rapid.IntRange(0, 40).Draw(t, "joining") {
 		s.queues = append(s.queues, genQueue(t))
-		s.resources = append(
-			s.resources,
-			Resources{CPUs: rapid.SampledFrom([]float64{1, 4, 16}).Draw(t, "cpus"), MemoryGB: 8},
-		)
+		cpus := rapid.SampledFrom([]float64{1, 4, 16}).Draw(t, "cpus")
+		s.resources = append(s.resources, Resources{CPUs: cpus, MemoryGB: 8})
 		s.kinds = append(s.kinds, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "kind"))
 	}
 	for _, q := range s.queues {
 		switch rapid.IntRange(0, 7).Draw(t, "queue") {
 		case 0:
-			q.Reset(now + rapid.Int64Range(0, 60).Draw(t, "base"))
+			q.Reset(now + rapid.Int64Range(0, 60).Draw(t, "earliest start after"))
 		case 1:
 			q.Admit(now+rapid.Int64Range(0, 300).Draw(t, "deadline"), rapid.Int64Range(1, 40).Draw(t, "length"), 2)
 		}
@@ -41,8 +39,8 @@
 	return r.Summary()
 }
 
-// A reducer that goes through rounds says in each what one that starts there says, to the
-// bit, and neither ever more than the queues.
+// In each round, a reducer that has gone through rounds before gives what a new one gives, to the bit, and neither ever
+// promises more than the queues.
 func TestIncrementalSummaryEqualsFreshSummary(t *testing.T) {
 	kept, rounds := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -55,11 +53,12 @@
 			fresh := Reducer{CoarseStarts: r.CoarseStarts}
 			got, want := set.reduce(&r, functions, now), set.reduce(&fresh, functions, now)
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("at %d:\n%+v\nfrom nothing:\n%+v", now, got, want)
+				t.Fatalf("at %d:\ngot  %+v\nfrom nothing %+v", now, got, want)
 			}
 			again := set.reduce(&r, functions, now)
 			if !reflect.DeepEqual(again, want) || r.Recomputed > 0 {
-				t.Fatalf("without a change, %d things are worked out anew:\n%+v\n%+v", r.Recomputed, again, want)
+				t.Fatalf("without a change, %d functions and merges are computed anew:\n%+v\n%+v",
+					r.Recomputed, again, want)
 			}
 			request, length := Resources{CPUs: 1, MemoryGB: 1}, rapid.Int64Range(1, 60).Draw(t, "length")
 			for deadline := now; deadline < now+600; deadline += 25 {
@@ -91,7 +90,7 @@
 	}
 }
 
-// Two functions of one hash are told apart.
+// Two functions of one hash keep a node each.
 func TestFunctionsOfEqualHashStayDistinct(t *testing.T) {
 	var r Reducer
 	r.Begin(8, 6, 0, 1024)
@@ -100,8 +99,8 @@
 	n := r.intern(a)
 	delete(r.nodes.current, n.hash)
 	other := r.intern(b)
-	r.nodes.current[other.hash], r.nodes.current[other.hash+1] = n, other // as if they met
+	r.nodes.current[other.hash], r.nodes.current[other.hash+1] = n, other // as if both had the hash of the second
 	if r.intern(b) != other {
-		t.Error("one stands for the other")
+		t.Error("the node of one function stands for the other")
 	}
 }
