--- a/internal/history/linearizability.go
+++ b/internal/history/linearizability.go
@@ -1,6 +1,17 @@
-// Package history holds what users were told against what a service that keeps
-// its word may tell: submissions, cancellations and questions about each job must
-// fit one order in which each happens at once, between its asking and its answer.
+// Package history checks that a service's answers to its users are linearizable: submissions, cancellations and queries
+// of each job must fit one order in which each takes effect at once, between its call and its return.
+//
+// It owns nothing and keeps nothing between calls. It may assume that calls and returns are on one clock that orders
+// them strictly. It promises to report a job only if no order explains its answers, whatever answers were lost, late or
+// without a definite outcome, and to give up, with an error, on a job that takes longer than checkTimeout. Jobs are
+// independent of each other, so it can't find a contradiction between two jobs' answers.
+//
+// A job's states, as its users may know them, and what takes it from one to the other:
+//
+//	absent     submitted: live
+//	live       ends by itself: done; cancelled by a user, or by the system: cancelled
+//	done       final
+//	cancelled  final
 package history
 
 import (
@@ -13,9 +24,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Op is one request of a user. Call and Return are in any unit that orders them
-// strictly. Without an answer, or with one that settles nothing (503), Status is
-// 0: it may have been carried out, or may yet be.
+// Op is one request of a user. Call and Return are in any unit that orders them strictly. Status is the HTTP status, or
+// 0 without an answer or with one of no definite outcome (503): the request may have been carried out, or may yet be.
 type Op struct {
 	Client       int
 	Job          string
@@ -25,7 +35,7 @@
 	State        scheduler.JobState
 }
 
-// CancelledBySystem tells of a job whether it may end as cancelled though nobody asked.
+// CancelledBySystem reports whether a job may end as cancelled though no user cancelled it.
 type CancelledBySystem func(job string) bool
 
 // state is a job as its users may know it.
@@ -36,11 +46,11 @@
 	live
 	done
 	cancelled
-	invalid // no state of a job
+	invalid // an answer's state that no job has
 )
 
-// modelState is the state that an answer tells. Whether a live job is pending or running is no
-// matter of order: tasks end, are lost and start again.
+// modelState is the state in an answer. Pending and running are one state: a job may go back from the latter to the
+// former, as its tasks end, are lost and start again.
 func modelState(s scheduler.JobState) state {
 	switch s {
 	case scheduler.Pending, scheduler.Running:
@@ -63,30 +73,50 @@
 	state  state
 }
 
-// step is what a request with this answer can have met, and left. Tasks end at
-// times of their own: a job that is live may be found done by any answer.
+// answersState reports whether an answer states what the job's state is. To a cancellation, that is never a live job.
+func answersState(in input, out output) bool {
+	return out.status == 200 && (in.kind != scheduler.CancelJob || out.state != live)
+}
+
+// step returns the states in which a job can be after a request with this answer, if it was in state s before; none:
+// the answer is impossible there. Tasks end at times of their own: any answer may be the first to find a live job done.
 func step(s state, in input, out output) []any {
-	found := out.status == 200 && in.kind != scheduler.CancelJob ||
-		out.status == 200 && in.kind == scheduler.CancelJob && out.state != live
+	if out.status == 0 {
+		return stepWithoutOutcome(s, in)
+	}
+	submits, cancels := in.kind == scheduler.SubmitJob, in.kind == scheduler.CancelJob
+	if s == absent {
+		isAccepted := submits && out.status == 201 && out.state == live
+		isRefused := submits && (out.status == 400 || out.status == 422)
+		isUnknown := !submits && out.status == 404
+		switch {
+		case isAccepted:
+			return []any{live}
+		case isRefused, isUnknown:
+			return []any{absent}
+		}
+		return nil
+	}
+	if !answersState(in, out) {
+		return nil
+	}
+	endedByItself := s == live && out.state == done
+	wasCancelled := s == live && out.state == cancelled && (cancels || in.cancelledBySystem)
+	if s == out.state || endedByItself || wasCancelled {
+		return []any{out.state}
+	}
+	return nil
+}
+
+// stepWithoutOutcome is step for a request that may have been carried out or not.
+func stepWithoutOutcome(s state, in input) []any {
 	switch {
-	case out.status == 0 && in.kind == scheduler.SubmitJob && s == absent:
+	case in.kind == scheduler.SubmitJob && s == absent:
 		return []any{absent, live}
-	case out.status == 0 && in.kind == scheduler.CancelJob && s == live:
+	case in.kind == scheduler.CancelJob && s == live:
 		return []any{live, cancelled}
-	case out.status == 0:
-		return []any{s}
-	case out.status == 201 && in.kind == scheduler.SubmitJob && s == absent && out.state == live:
-		return []any{live}
-	case out.status == 404 && in.kind != scheduler.SubmitJob && s == absent:
-		return []any{absent}
-	case (out.status == 400 || out.status == 422) && in.kind == scheduler.SubmitJob && s == absent:
-		return []any{absent}
-	case found && s != absent && (s == out.state || s == live && out.state == done):
-		return []any{out.state}
-	case found && s == live && out.state == cancelled && (in.kind == scheduler.CancelJob || in.cancelledBySystem):
-		return []any{cancelled}
 	}
-	return nil
+	return []any{s}
 }
 
 var model = (&porcupine.NondeterministicModel{
@@ -94,10 +124,10 @@
 	Step: func(s, in, out any) []any { return step(s.(state), in.(input), out.(output)) },
 }).ToModel()
 
-// Violation is a job whose users were told what no order of events explains.
+// Violation is a job whose answers no order of events explains.
 type Violation struct {
 	Job        string
-	Operations []Op
+	Operations []Op // without those that change no verdict
 }
 
 func (v Violation) String() string {
@@ -114,12 +144,13 @@
 	scheduler.CancelJob: "cancel",
 }
 
-// checkTimeout bounds the check of one job. Histories of a job are short and have
-// four states, so it is only there for what nobody foresaw.
+// checkTimeout bounds the check of one job. Histories of a job are short and have four states, so it is there for the
+// unforeseen alone.
 const checkTimeout = 10 * time.Second
 
-// Validate returns the jobs whose history fits no order, by job. cancelledBySystem may be
-// nil.
+// Validate returns the jobs whose history fits no order, in the order of their first operations. cancelledBySystem may
+// be nil: never. The error says which job's check took longer than checkTimeout; the violations found before it are
+// returned too.
 func Validate(ops []Op, cancelledBySystem CancelledBySystem) ([]Violation, error) {
 	var order []string
 	byJob := map[string][]Op{}
@@ -142,24 +173,28 @@
 	return violations, nil
 }
 
-// checkLinearizable tells whether there is an order of a job's requests that explains the answers.
+// checkLinearizable reports whether some order of a job's requests explains the answers.
 func checkLinearizable(ops []Op, cancelledBySystem bool) porcupine.CheckResult {
 	var operations []porcupine.Operation
 	for _, op := range ops {
-		operations = append(operations, porcupine.Operation{ClientId: op.Client, Call: op.Call, Return: op.Return,
-			Input: input{op.Kind, cancelledBySystem}, Output: output{op.Status, modelState(op.State)}})
+		operations = append(operations, porcupine.Operation{
+			ClientId: op.Client,
+			Call:     op.Call,
+			Return:   op.Return,
+			Input:    input{op.Kind, cancelledBySystem},
+			Output:   output{op.Status, modelState(op.State)},
+		})
 	}
 	return porcupine.CheckOperationsTimeout(model, operations, checkTimeout)
 }
 
-// completePendingOps leaves out questions that had no answer, and lets submissions and
-// cancellations without one last for ever: of each kind the first, which can
-// do at any time what the later ones could. A submission that hears of a job as
-// known may have stored it itself and then asked, if its write's outcome was
-// not told: it is a submission that may have worked, and a question.
+// completePendingOps prepares the operations without an outcome. Queries among them are left out. Submissions and
+// cancellations never return: of each kind the first is kept, which can take effect at any time at which the later ones
+// could. A submission that is answered with a known job (200) may have stored the job itself and then queried it, if
+// its write was in doubt: it becomes a submission without an outcome and a query.
 func completePendingOps(ops []Op) []Op {
 	var out []Op
-	first := map[scheduler.UserRequestKind]int{}
+	first := map[scheduler.UserRequestKind]int{} // position in out
 	for _, op := range ops {
 		if op.Status == 200 && op.Kind == scheduler.SubmitJob {
 			query := op
@@ -172,10 +207,12 @@
 			out = append(out, op)
 			continue
 		}
-		op.Return = math.MaxInt64
-		if i, ok := first[op.Kind]; op.Kind == scheduler.QueryJob {
+		if op.Kind == scheduler.QueryJob {
 			continue
-		} else if !ok {
+		}
+		op.Return = math.MaxInt64
+		i, ok := first[op.Kind]
+		if !ok {
 			first[op.Kind] = len(out)
 			out = append(out, op)
 		} else if op.Call < out[i].Call {
@@ -185,35 +222,43 @@
 	return out
 }
 
-// withoutRedundantOps leaves out what says no more than others do, so that crowds of requests that
-// overlap have few orders to try: a question in whose time another one was asked and
-// answered alike, which can stand next to it, and a submission that may have worked within
-// the time of another one, which may have worked then too.
+// withoutRedundantOps leaves out what constrains no more than others do, so that many requests that overlap have few
+// orders to try: a query during which another one was called and answered alike, which can stand next to it, and a
+// submission without an outcome during another one, which may have taken effect then too.
 func withoutRedundantOps(ops []Op) []Op {
-	within := func(a, b int) bool { // the time of a is within that of b
-		x, y := ops[a], ops[b]
-		same := x.Call == y.Call && x.Return == y.Return
-		return x.Call >= y.Call && x.Return <= y.Return && (!same || a < b)
-	}
-	sameOutcome := func(a, b Op) bool {
-		return a.Kind == b.Kind && a.Status == b.Status && modelState(a.State) == modelState(b.State)
-	}
 	var out []Op
-	for i, op := range ops {
-		needed := true
-		for k, other := range ops {
-			if i == k || !sameOutcome(op, other) {
-				continue
-			}
-			if op.Kind == scheduler.QueryJob && op.Status != 0 && within(k, i) ||
-				op.Kind == scheduler.SubmitJob && op.Status == 0 && within(i, k) {
-				needed = false
-				break
-			}
-		}
-		if needed {
-			out = append(out, op)
+	for i := range ops {
+		if !isRedundant(ops, i) {
+			out = append(out, ops[i])
 		}
 	}
 	return out
 }
+
+// isRedundant reports whether another operation constrains the order as much as the ith does.
+func isRedundant(ops []Op, i int) bool {
+	op := ops[i]
+	for k, other := range ops {
+		if i == k || !sameOutcome(op, other) {
+			continue
+		}
+		isAnsweredQuery := op.Kind == scheduler.QueryJob && op.Status != 0
+		isPendingSubmission := op.Kind == scheduler.SubmitJob && op.Status == 0
+		if isAnsweredQuery && isWithin(ops, k, i) || isPendingSubmission && isWithin(ops, i, k) {
+			return true
+		}
+	}
+	return false
+}
+
+// isWithin reports whether the ith operation is called and returns during the kth; of two at the same time, the first
+// is within the second.
+func isWithin(ops []Op, i, k int) bool {
+	inner, outer := ops[i], ops[k]
+	sameTime := inner.Call == outer.Call && inner.Return == outer.Return
+	return inner.Call >= outer.Call && inner.Return <= outer.Return && (!sameTime || i < k)
+}
+
+func sameOutcome(a, b Op) bool {
+	return a.Kind == b.Kind && a.Status == b.Status && modelState(a.State) == modelState(b.State)
+}
--- a/internal/history/linearizability_test.go
+++ b/internal/history/linearizability_test.go
@@ -23,129 +23,340 @@
 	isDone, isCancelled   = scheduler.Done, scheduler.Cancelled
 )
 
-func operation(call, ret int64, kind scheduler.UserRequestKind, status int, s scheduler.JobState) Op {
-	return Op{Job: "job-1", Kind: kind, Call: call, Return: ret, Status: status, State: s}
+func operation(call, returned int64, kind scheduler.UserRequestKind, status int, s scheduler.JobState) Op {
+	return Op{Job: "job-1", Kind: kind, Call: call, Return: returned, Status: status, State: s}
+}
+
+// historyCases are histories of one job, and whether no order of events explains them.
+var historyCases = []struct {
+	name            string
+	ops             []Op
+	expectViolation bool
+}{
+	{
+		name: "unknown after accepted",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, query, 404, ""),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "queried while accepted",
+		ops: []Op{
+			operation(1, 4, submit, 201, pending),
+			operation(2, 3, query, 404, ""),
+		},
+		expectViolation: false,
+	},
+	{
+		name: "never submitted",
+		ops: []Op{
+			operation(1, 2, query, 200, pending),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "accepted late",
+		ops: []Op{
+			operation(1, 2, submit, 0, ""),
+			operation(3, 4, query, 404, ""),
+			operation(5, 6, query, 200, running),
+		},
+		expectViolation: false,
+	},
+	{
+		name: "unknown after accepted late",
+		ops: []Op{
+			operation(1, 2, submit, 0, ""),
+			operation(3, 4, query, 200, running),
+			operation(5, 6, query, 404, ""),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "accepted twice",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, submit, 201, pending),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "submitted again, running",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, submit, 200, running),
+		},
+		expectViolation: false,
+	},
+	{
+		name: "done, then running",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, query, 200, isDone),
+			operation(5, 6, query, 200, running),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "done while queried",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 6, query, 200, isDone),
+			operation(4, 5, query, 200, running),
+		},
+		expectViolation: false,
+	},
+	{
+		name: "cancelled by nobody",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, query, 200, isCancelled),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "cancelled, then done",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, cancel, 200, isCancelled),
+			operation(5, 6, query, 200, isDone),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "cancelled late",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, cancel, 0, ""),
+			operation(5, 6, query, 200, running),
+			operation(7, 8, query, 200, isCancelled),
+		},
+		expectViolation: false,
+	},
+	{
+		name: "submitted again, running after done",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, query, 200, isDone),
+			operation(5, 6, submit, 200, running),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "submitted again, pending after cancelled",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, cancel, 200, isCancelled),
+			operation(5, 6, submit, 200, pending),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "submitted again, 201 after 200",
+		ops: []Op{
+			operation(1, 2, submit, 0, ""),
+			operation(3, 4, submit, 200, running),
+			operation(5, 6, submit, 201, pending),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "submitted again, 201 after done",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, query, 200, isDone),
+			operation(5, 6, submit, 201, pending),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "submitted again while it ends",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 8, submit, 200, running),
+			operation(4, 5, query, 200, isDone),
+		},
+		expectViolation: false,
+	},
+	{
+		name: "submitted again, refused",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, submit, 422, ""),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "accepted as done",
+		ops: []Op{
+			operation(1, 2, submit, 201, isDone),
+			operation(3, 4, query, 200, running),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "answer without a state",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, query, 200, ""),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "pending after running",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, query, 200, running),
+			operation(5, 6, query, 200, pending),
+		},
+		expectViolation: false,
+	},
+	{
+		name: "cancelled again, answered with done",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, cancel, 200, isCancelled),
+			operation(5, 6, cancel, 200, isDone),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "cancelled, then unknown",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, cancel, 200, isCancelled),
+			operation(5, 6, cancel, 404, ""),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "cancellation answered with running",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, cancel, 200, running),
+		},
+		expectViolation: true,
+	},
+	{
+		name: "cancelled before accepted",
+		ops: []Op{
+			operation(1, 2, submit, 201, pending),
+			operation(3, 4, cancel, 404, ""),
+		},
+		expectViolation: true,
+	},
 }
 
-// What a member may never tell is found, and what it may is not.
 func TestContradictoryHistoryIsReported(t *testing.T) {
-	for name, c := range map[string]struct {
-		ops             []Op
-		expectViolation bool
-	}{
-		"forgotten":                           {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 404, "")}, true},
-		"asked while accepted":                {[]Op{operation(1, 4, submit, 201, pending), operation(2, 3, query, 404, "")}, false},
-		"invented":                            {[]Op{operation(1, 2, query, 200, pending)}, true},
-		"accepted late":                       {[]Op{operation(1, 2, submit, 0, ""), operation(3, 4, query, 404, ""), operation(5, 6, query, 200, running)}, false},
-		"gone after late":                     {[]Op{operation(1, 2, submit, 0, ""), operation(3, 4, query, 200, running), operation(5, 6, query, 404, "")}, true},
-		"accepted twice":                      {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, submit, 201, pending)}, true},
-		"known":                               {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, submit, 200, running)}, false},
-		"done, then running":                  {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, isDone), operation(5, 6, query, 200, running)}, true},
-		"done while asked":                    {[]Op{operation(1, 2, submit, 201, pending), operation(3, 6, query, 200, isDone), operation(4, 5, query, 200, running)}, false},
-		"cancelled by nobody":                 {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, isCancelled)}, true},
-		"cancelled, then done":                {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, cancel, 200, isCancelled), operation(5, 6, query, 200, isDone)}, true},
-		"cancelled late":                      {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, cancel, 0, ""), operation(5, 6, query, 200, running), operation(7, 8, query, 200, isCancelled)}, false},
-		"submitted again, running after done": {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, isDone), operation(5, 6, submit, 200, running)}, true},
-		"submitted again, pending after cancelled": {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, cancel, 200, isCancelled), operation(5, 6, submit, 200, pending)}, true},
-		"submitted again, 201 after 200":           {[]Op{operation(1, 2, submit, 0, ""), operation(3, 4, submit, 200, running), operation(5, 6, submit, 201, pending)}, true},
-		"submitted again, 201 after done":          {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, isDone), operation(5, 6, submit, 201, pending)}, true},
-		"submitted again while it ends":            {[]Op{operation(1, 2, submit, 201, pending), operation(3, 8, submit, 200, running), operation(4, 5, query, 200, isDone)}, false},
-		"submitted again, refused":                 {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, submit, 422, "")}, true},
-		"accepted as done":                         {[]Op{operation(1, 2, submit, 201, isDone), operation(3, 4, query, 200, running)}, true},
-		"no state":                                 {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, "")}, true},
-		"pending after running":                    {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, running), operation(5, 6, query, 200, pending)}, false},
-		"cancelled again, done":                    {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, cancel, 200, isCancelled), operation(5, 6, cancel, 200, isDone)}, true},
-		"cancelled, unknown":                       {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, cancel, 200, isCancelled), operation(5, 6, cancel, 404, "")}, true},
-		"cancel answers running":                   {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, cancel, 200, running)}, true},
-		"cancelled before accepted":                {[]Op{operation(1, 2, submit, 201, pending), operation(3, 4, cancel, 404, "")}, true},
-	} {
-		v, err := Validate(c.ops, nil)
-		if err != nil || len(v) > 0 != c.expectViolation {
-			t.Errorf("%s: %v, %v", name, v, err)
-		}
+	for _, c := range historyCases {
+		t.Run(c.name, func(t *testing.T) {
+			violations, err := Validate(c.ops, nil)
+			if err != nil || len(violations) > 0 != c.expectViolation {
+				t.Errorf("got %v, %v", violations, err)
+			}
+		})
 	}
-	if v, _ := Validate([]Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, isCancelled)}, func(string) bool { return true }); len(
-		v,
-	) > 0 {
-		t.Errorf("a job that was given up: %v", v)
+}
+
+func TestCancellationBySystemIsNotReported(t *testing.T) {
+	ops := []Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, isCancelled)}
+	violations, err := Validate(ops, func(string) bool { return true })
+	if err != nil || len(violations) > 0 {
+		t.Errorf("got %v, %v", violations, err)
 	}
 }
 
-// A service that does everything at once, at some time while it is asked, is
-// never accused, however its answers overlap, are lost or come late; one that
-// answers from an old state is.
-func TestLinearizableServiceIsNotReported(t *testing.T) {
-	violations := 0
-	rapid.Check(t, func(t *rapid.T) {
-		stale := rapid.Bool().Draw(t, "stale")
-		now := int64(0)
-		current, previous := absent, absent
-		var ops []Op
-		respond := func(k scheduler.UserRequestKind, s state) (int, scheduler.JobState) {
-			st := map[state]scheduler.JobState{live: running, done: isDone, cancelled: isCancelled}[s]
-			switch {
-			case s == absent && k != submit:
-				return 404, ""
-			default:
-				return 200, st
-			}
+// generatedService is a service that serves one job, one request at a time; a stale one answers from the state before
+// the last change.
+type generatedService struct {
+	current, previous state
+	stale             bool
+}
+
+func (service *generatedService) set(s state) {
+	service.previous, service.current = service.current, s
+}
+
+// serve carries out a request and returns the answer.
+func (service *generatedService) serve(kind scheduler.UserRequestKind) (status int, jobState scheduler.JobState) {
+	switch {
+	case kind == submit && service.current == absent:
+		service.set(live)
+		return 201, pending
+	case kind == cancel && service.current == live:
+		service.set(cancelled)
+		return 200, isCancelled
+	}
+	observed := service.current
+	if service.stale {
+		observed = service.previous
+	}
+	hasNoOutcome := kind == cancel && observed == live || kind == submit && observed == absent
+	switch {
+	case hasNoOutcome && observed == live:
+		return 0, running
+	case hasNoOutcome:
+		return 0, ""
+	case observed == absent:
+		return 404, ""
+	}
+	states := map[state]scheduler.JobState{live: running, done: isDone, cancelled: isCancelled}
+	return 200, states[observed]
+}
+
+// drawHistory draws requests and answers of a service. Calls and returns are unique and lie around the time at which
+// the service carries the request out; some answers are lost.
+func drawHistory(t *rapid.T, service *generatedService) []Op {
+	now := int64(0)
+	var ops []Op
+	for range rapid.IntRange(1, 25).Draw(t, "requests") {
+		if service.current == live && rapid.IntRange(0, 9).Draw(t, "ends") == 0 {
+			service.set(done)
 		}
-		for range rapid.IntRange(1, 25).Draw(t, "requests") {
-			if current == live && rapid.IntRange(0, 9).Draw(t, "ends") == 0 {
-				previous, current = current, done
-			}
-			now += 10
-			k := rapid.SampledFrom([]scheduler.UserRequestKind{submit, query, query, cancel}).Draw(t, "kind")
-			op := Op{
-				Job:    "job-1",
-				Kind:   k,
-				Call:   now - rapid.Int64Range(0, 60).Draw(t, "call"),
-				Return: now + 1 + rapid.Int64Range(0, 60).Draw(t, "return"),
-			}
-			op.Call = max(1, op.Call)*100 + int64(len(ops))
-			op.Return = op.Return*100 + int64(len(ops))
-			observed := current
-			switch {
-			case k == submit && current == absent:
-				previous, current = current, live
-				op.Status, op.State = 201, pending
-			case k == cancel && current == live:
-				previous, current = current, cancelled
-				op.Status, op.State = 200, isCancelled
-			default:
-				if stale {
-					observed = previous
-				}
-				op.Status, op.State = respond(k, observed)
-				if k == cancel && observed == live {
-					op.Status = 0
-				}
-				if k == submit && observed == absent {
-					op.Status = 0
-				}
-			}
-			if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
-				op.Status, op.State = 0, ""
-			}
-			ops = append(ops, op)
+		now += 10
+		kind := rapid.SampledFrom([]scheduler.UserRequestKind{submit, query, query, cancel}).Draw(t, "kind")
+		op := Op{
+			Job:    "job-1",
+			Kind:   kind,
+			Call:   now - rapid.Int64Range(0, 60).Draw(t, "call"),
+			Return: now + 1 + rapid.Int64Range(0, 60).Draw(t, "return"),
 		}
-		v, err := Validate(ops, nil)
+		op.Call = max(1, op.Call)*100 + int64(len(ops))
+		op.Return = op.Return*100 + int64(len(ops))
+		op.Status, op.State = service.serve(kind)
+		if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
+			op.Status, op.State = 0, ""
+		}
+		ops = append(ops, op)
+	}
+	return ops
+}
+
+// A service that carries out each request at once, at some time between call and return, is never reported, however its
+// answers overlap, are lost or come late; one that answers from an old state is.
+func TestLinearizableServiceIsNotReported(t *testing.T) {
+	reported := 0
+	rapid.Check(t, func(t *rapid.T) {
+		service := &generatedService{stale: rapid.Bool().Draw(t, "stale")}
+		violations, err := Validate(drawHistory(t, service), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(v) > 0 && !stale {
-			t.Fatalf("accused: %v", v)
+		if len(violations) > 0 && !service.stale {
+			t.Fatalf("reported: %v", violations)
 		}
-		if len(v) > 0 {
-			violations++
+		if len(violations) > 0 {
+			reported++
 		}
 	})
-	if violations == 0 {
-		t.Error("a service that answers from an old state is never accused")
+	if reported == 0 {
+		t.Error("a service that answers from an old state is never reported")
 	}
 }
 
-// What is left out changes no verdict: whatever was told of a job, with it and without it.
+// The operations left out change no verdict: whatever the answers were, it is the same with and without them.
 func TestRedundantOpsDoNotChangeVerdict(t *testing.T) {
 	removed, verdicts := 0, map[porcupine.CheckResult]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -155,10 +366,8 @@
 		}
 		states := []scheduler.JobState{running, running, isDone, isCancelled}
 		for range rapid.IntRange(1, 9).Draw(t, "requests") {
-			op := Op{
-				Job:  "job-1",
-				Kind: rapid.SampledFrom([]scheduler.UserRequestKind{submit, query, query, query, cancel}).Draw(t, "kind"),
-			}
+			kinds := []scheduler.UserRequestKind{submit, query, query, query, cancel}
+			op := Op{Job: "job-1", Kind: rapid.SampledFrom(kinds).Draw(t, "kind")}
 			op.Call = rapid.Int64Range(1, 2000).Draw(t, "call")
 			op.Return = op.Call + rapid.Int64Range(1, 1500).Draw(t, "length")
 			op.Status, op.State = 200, rapid.SampledFrom(states).Draw(t, "state")
@@ -170,7 +379,7 @@
 			}
 			ops = append(ops, op)
 		}
-		cancelledBySystem := rapid.Bool().Draw(t, "given up")
+		cancelledBySystem := rapid.Bool().Draw(t, "cancelled by system")
 		all := completePendingOps(ops)
 		reduced := withoutRedundantOps(all)
 		removed += len(all) - len(reduced)
