--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -55,9 +55,10 @@
 		job:       &job{rec: jobRecord{Job: Job{ID: "job-7"}}},
 		shardName: "m0",
 		bounds:    Range{Lo: 3, Hi: 5},
-		done:      newBitset(2),
 	}
-	large := &taskRange{job: small.job, shardName: "m0", bounds: Range{Lo: 3, Hi: 1003}, done: newBitset(1000)}
+	small.done = newBitset(2)
+	large := &taskRange{job: small.job, shardName: "m0", bounds: Range{Lo: 3, Hi: 1003}}
+	large.done = newBitset(1000)
 	for _, k := range []struct{ got, want string }{
 		{livePrefix, "l/"},
 		{jobKey("job-7"), "l/j/job-7"},
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -26,6 +26,35 @@
 	return &placementPlanner{environment: env}
 }
 
+// planStepCostMS is the assumed cost of a step of the planner, in milliseconds of a
+// whole processor. It only paces the planner, so a rough figure does.
+const planStepCostMS = 20e-6
+
+// planningCPUShare is the largest part of its processor that a member spends on planning.
+const planningCPUShare = 0.2
+
+// Least times between two plans of a shard, in milliseconds.
+const (
+	minPlanIntervalMS  = 50   // after a change
+	maxDirtyWaitMS     = 500  // before the plan that follows a change, if plans cost little
+	idlePlanIntervalMS = 1000 // without a change
+)
+
+// isPlanDue reports whether a shard is to be planned again: soon when a job arrived,
+// otherwise as often as the last plan's cost allows. Machines whose heartbeats show free
+// capacity in between take the next task of the queue by themselves.
+func (pp *placementPlanner) isPlanDue(s *shard) bool {
+	interval := pp.planInterval(s)
+	passed := float64(pp.now.MonotonicMS - s.plannedAt)
+	switch {
+	case s.planExpedited:
+		return passed >= max(minPlanIntervalMS, interval/2)
+	case s.dirty:
+		return passed >= max(minPlanIntervalMS, min(pp.params.HeartbeatS*1000/4, maxDirtyWaitMS), interval)
+	}
+	return passed >= max(idlePlanIntervalMS, 2*interval)
+}
+
 // noDeadlineSpanLeases is the horizon of a job without any aim, in leases: far enough that
 // any job with a deadline goes first.
 const noDeadlineSpanLeases = 100
--- a/scheduler/progress_records.go
+++ b/scheduler/progress_records.go
@@ -6,6 +6,23 @@
 	"strconv"
 )
 
+// Which tasks of a shard's ranges are done is kept in progress records in the store: a
+// record for each range would cost a write each, every few seconds, so small ranges
+// share a few. Workers keep the results of finished tasks until these are stored, and
+// report them again to the next owner.
+
+// sharedProgressRecords is how many records the progress of a shard's small ranges is spread over.
+const sharedProgressRecords = 4
+
+// Bounds of a progress record, in parts of and bytes below MaxValueBytes.
+const (
+	ownProgressRecordDivisor = 16 // a range whose bitmap is larger than this part has a record of its own
+	progressRecordMargin     = 64
+	bitmapEntryOverhead      = 12 // JSON around a range's name and bitmap
+)
+
+// readProgress reads which tasks of a newly claimed shard are done, and the rest of its
+// records. A read that fails is repeated by the tick.
 func (sm *shardManager) readProgress(s *shard) {
 	if s.requestPending {
 		return
@@ -17,33 +34,46 @@
 			s.plannedAt = sm.now.MonotonicMS
 			return
 		}
-		done := map[string][]byte{}
-		for _, kv := range kvs {
-			if kv.Key == recoveryKey(s.name) {
-				sm.agents.restoreRecoveryRecord(s, kv)
-				continue
-			}
-			var rec progressRecord
-			if json.Unmarshal(kv.Value, &rec) != nil {
-				continue
-			}
-			s.progressRecord(kv.Key).rev = kv.Rev
-			for name, bitmap := range rec.DoneBitmaps {
-				done[name] = bitmap
-			}
-		}
+		done := sm.restoreProgressRecords(s, kvs)
 		for _, tr := range s.taskRanges {
-			for i := range tr.size() {
-				if bitset(done[tr.name()]).has(i) {
-					tr.storedDone.set(i)
-					tr.markDone(i)
-				}
-			}
+			tr.restoreDone(done[tr.name()])
 		}
 		s.progressRead = true
 	})
 }
 
+// restoreProgressRecords takes a shard's records over and returns the bitmaps of done tasks
+// by the names of their ranges.
+func (sm *shardManager) restoreProgressRecords(s *shard, kvs []KeyValue) map[string]bitset {
+	done := map[string]bitset{}
+	for _, kv := range kvs {
+		if kv.Key == recoveryKey(s.name) {
+			sm.agents.restoreRecoveryRecord(s, kv)
+			continue
+		}
+		var rec progressRecord
+		if json.Unmarshal(kv.Value, &rec) != nil {
+			continue
+		}
+		s.progressRecord(kv.Key).rev = kv.Rev
+		for name, bitmap := range rec.DoneBitmaps {
+			done[name] = bitmap
+		}
+	}
+	return done
+}
+
+// restoreDone marks the tasks as done that the store has as done.
+func (tr *taskRange) restoreDone(stored bitset) {
+	for i := range tr.size() {
+		if stored.has(i) {
+			tr.storedDone.set(i)
+			tr.markDone(i)
+		}
+	}
+}
+
+// progressRecord returns the write state of one of the shard's records, new if there is none.
 func (s *shard) progressRecord(key string) *recordWriteState {
 	state := s.progressRecords[key]
 	if state == nil {
@@ -53,64 +83,70 @@
 	return state
 }
 
-// progressKey is the value that a range's progress is kept in: one of its own for a
+// progressKey is the key of the record that a range's progress is kept in: its own for a
 // large range, which would fill a shared one.
 func (sm *shardManager) progressKey(tr *taskRange) string {
-	if tr.progressKey == "" {
-		tr.progressKey = progressPrefix + tr.shardName + "/"
-		if name := tr.name(); len(tr.done) > sm.params.MaxValueBytes/16 {
-			tr.progressKey += name
-		} else {
-			h := fnv.New32a()
-			h.Write([]byte(name))
-			tr.progressKey += strconv.Itoa(int(h.Sum32() % sharedProgressRecords))
-		}
+	if tr.progressKey != "" {
+		return tr.progressKey
 	}
+	tr.progressKey = progressPrefix + tr.shardName + "/"
+	name := tr.name()
+	if len(tr.done) > sm.params.MaxValueBytes/ownProgressRecordDivisor {
+		tr.progressKey += name
+		return tr.progressKey
+	}
+	h := fnv.New32a()
+	h.Write([]byte(name))
+	tr.progressKey += strconv.Itoa(int(h.Sum32() % sharedProgressRecords))
 	return tr.progressKey
 }
 
-// writeShardRecord writes a value of a shard's own, or removes it (nil), under its claim and the
-// value's revision, and not again before a while. stored says whether the store is known to have it; if
-// it may, the revision is read before anything is written again.
+// writeShardRecord writes one of a shard's own records, or removes it (nil value), under the
+// claim and the record's revision, and allows the next write intervalMS later. onResult
+// learns whether the store is known to have it. If the store may have it, its
+// revision is read before anything is written again.
 func (sm *shardManager) writeShardRecord(
 	s *shard,
 	key string,
 	state *recordWriteState,
 	value any,
-	interval int64,
+	intervalMS int64,
 	onResult func(ok bool),
 ) {
-	state.writing, state.nextWriteAt = true, sm.now.MonotonicMS+interval
+	state.writing, state.nextWriteAt = true, sm.now.MonotonicMS+intervalMS
 	change := Change{Key: key}
 	if value != nil {
 		change.Value = mustEncode(value)
 	}
-	sm.store.sendTxn(
-		UrgencyBackground,
-		[]Precondition{{claimKey(s.name), s.token}, {key, state.rev}},
-		[]Change{change},
-		func(r StoreResult) {
-			state.writing = false
-			if r.Outcome == OK {
-				state.rev = r.Rev
-			}
-			onResult(r.Outcome == OK)
-			if r.Outcome == Unknown || r.Outcome == Conflict {
-				state.writing = true
-				sm.store.rereadKey(key, func(r StoreResult) {
-					state.writing = false
-					if r.Outcome == OK && len(r.KVs) == 1 {
-						state.rev = r.KVs[0].Rev
-					} else if r.Outcome == NotFound {
-						state.rev = 0
-					}
-				})
-			}
-		},
-	)
+	preconditions := []Precondition{{claimKey(s.name), s.token}, {key, state.rev}}
+	sm.store.sendTxn(UrgencyBackground, preconditions, []Change{change}, func(r StoreResult) {
+		state.writing = false
+		if r.Outcome == OK {
+			state.rev = r.Rev
+		}
+		onResult(r.Outcome == OK)
+		if r.Outcome == Unknown || r.Outcome == Conflict {
+			sm.rereadShardRecord(key, state)
+		}
+	})
 }
 
-// writeProgress writes the pages of a shard that have news.
+// rereadShardRecord reads the revision of a record that a write may have changed. Until then
+// it is not written.
+func (sm *shardManager) rereadShardRecord(key string, state *recordWriteState) {
+	state.writing = true
+	sm.store.rereadKey(key, func(r StoreResult) {
+		state.writing = false
+		switch {
+		case r.Outcome == OK && len(r.KVs) == 1:
+			state.rev = r.KVs[0].Rev
+		case r.Outcome == NotFound:
+			state.rev = 0
+		}
+	})
+}
+
+// writeProgress writes the progress records of a shard whose ranges have new results.
 func (sm *shardManager) writeProgress(s *shard) {
 	now := sm.now.MonotonicMS
 	for _, tr := range s.taskRanges {
@@ -125,32 +161,45 @@
 	}
 }
 
-func (sm *shardManager) writeProgressRecord(s *shard, key string, state *recordWriteState) {
-	rec := progressRecord{DoneBitmaps: map[string][]byte{}}
-	snapshots := map[*taskRange]bitset{}
+// progressSnapshot is the content of a progress record and the ranges that it was taken of.
+type progressSnapshot struct {
+	record progressRecord
+	done   map[*taskRange]bitset
+}
+
+// snapshotProgress copies the done tasks of the ranges that share a record. These are no longer
+// dirty then; what does not fit waits until other ranges end, whose results their
+// workers keep.
+func (sm *shardManager) snapshotProgress(s *shard, key string) progressSnapshot {
+	snapshot := progressSnapshot{progressRecord{DoneBitmaps: map[string][]byte{}}, map[*taskRange]bitset{}}
 	size := 0
 	for _, tr := range s.taskRanges {
 		if tr.doneCount == 0 || sm.progressKey(tr) != key {
 			continue
 		}
-		// What does not fit waits until other ranges end: their machines
-		// keep the results.
-		if size += len(tr.done)*4/3 + len(tr.name()) + 12; size > sm.params.MaxValueBytes-64 {
+		size += len(tr.done)*4/3 + len(tr.name()) + bitmapEntryOverhead // bitmaps are base64 in JSON
+		if size > sm.params.MaxValueBytes-progressRecordMargin {
 			break
 		}
-		snapshot := append(bitset(nil), tr.done...)
-		snapshots[tr], rec.DoneBitmaps[tr.name()] = snapshot, snapshot
+		done := append(bitset(nil), tr.done...)
+		snapshot.done[tr], snapshot.record.DoneBitmaps[tr.name()] = done, done
 		tr.dirty = false
 	}
+	return snapshot
+}
+
+// writeProgressRecord writes a progress record, or removes it when no range has progress in it.
+func (sm *shardManager) writeProgressRecord(s *shard, key string, state *recordWriteState) {
+	snapshot := sm.snapshotProgress(s, key)
 	state.dirty = false
 	var value any
-	if len(rec.DoneBitmaps) > 0 {
-		value = rec
+	if len(snapshot.record.DoneBitmaps) > 0 {
+		value = snapshot.record
 	}
 	sm.writeShardRecord(s, key, state, value, sm.progressWriteInterval(), func(ok bool) {
 		if !ok {
 			state.dirty = true
-			for tr := range snapshots {
+			for tr := range snapshot.done {
 				tr.dirty = true
 			}
 			return
@@ -158,8 +207,8 @@
 		if value == nil {
 			delete(s.progressRecords, key)
 		}
-		for tr, snapshot := range snapshots {
-			tr.storedDone = snapshot
+		for tr, done := range snapshot.done {
+			tr.storedDone = done
 		}
 	})
 }
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -6,6 +6,12 @@
 
 // shardManager owns the shards that this member has claimed: their claims,
 // failover and hand-back, the task ranges in them and their progress records.
+//
+// A claim is a record under the owner's store lease, so it ends with the owner.
+// The revision that wrote it is the shard's fencing token: workers refuse
+// commands with a lower one, so an owner that does not know yet that it lost the
+// shard can do no harm. Every change of a shard's records has the claim at that
+// token as precondition.
 type shardManager struct {
 	*environment
 	agents   *agentManager
@@ -31,49 +37,68 @@
 	}
 }
 
-// leaseSlack is what measuring a lease costs, in milliseconds.
-const leaseSlack = 300
+// leaseSlackMS is the error of measuring a worker's lease.
+const leaseSlackMS = 300
 
+// Pace of operations on a claim, in milliseconds.
+const (
+	claimRetryMS      = 300 // after a failed try to claim, and as much again at random
+	tokenRaiseDelayMS = 500 // between two raises of a token
+	shardRetryDelayMS = 500 // between two tries to read the progress or to remove the claim
+)
+
+// tickShards ticks the owned shards and claims those that this member should own.
 func (sm *shardManager) tickShards() {
 	if !sm.store.storeAccess.IsSynced() || sm.store.storeAccess.LeaseID() == 0 {
 		return
 	}
-	now := sm.now.MonotonicMS
 	for _, name := range sm.memberIDs() {
-		rec, claimed := sm.cache.shardClaims[name]
-		if !claimed {
-			if _, ok := sm.ownerlessSinceMS[name]; !ok {
-				sm.ownerlessSinceMS[name] = now
-			}
-		} else {
-			delete(sm.ownerlessSinceMS, name)
-		}
+		sm.trackOwnerless(name)
 		if s := sm.ownedShards[name]; s != nil {
 			sm.tickShard(s)
 			continue
 		}
-		if now < sm.claimRetryAtMS[name] || now-sm.store.storeAccess.MirrorReadSentAt() > sm.store.leaseRenewalIntervalMS()*3 {
-			continue
-		}
-		own := name == sm.params.MemberID
-		switch {
-		case own && (!claimed || rec.Owner == sm.params.MemberID):
-			// Held under our own name and not by us: by our predecessor,
-			// which is dead.
-		case !claimed && !own && now-sm.ownerlessSinceMS[name] > sm.adoptionDelay():
-			// Its hold ended, and its member does not come back.
-		case claimed && rec.Owner == sm.params.MemberID:
-			// An adoption of our predecessor's.
-		default:
-			continue
+		if sm.canClaimNow(name) && sm.shouldClaim(name) {
+			sm.claimShard(name)
 		}
-		sm.claimShard(name)
 	}
 }
 
-// adoptionDelay is how long a shard must have been without a holder before
-// another member adopts it, a step of a hold at most. Its hold has ended by then; the rest lets its own
-// member, which starts again within seconds, come first.
+// trackOwnerless notes since when a shard has no owner.
+func (sm *shardManager) trackOwnerless(name string) {
+	if _, claimed := sm.cache.shardClaims[name]; claimed {
+		delete(sm.ownerlessSinceMS, name)
+		return
+	}
+	if _, known := sm.ownerlessSinceMS[name]; !known {
+		sm.ownerlessSinceMS[name] = sm.now.MonotonicMS
+	}
+}
+
+// canClaimNow reports whether a try to claim a shard is due, and the cache recent enough
+// to decide on it.
+func (sm *shardManager) canClaimNow(name string) bool {
+	now := sm.now.MonotonicMS
+	cacheAgeMS := now - sm.store.storeAccess.MirrorReadSentAt()
+	return now >= sm.claimRetryAtMS[name] && cacheAgeMS <= sm.store.leaseRenewalIntervalMS()*3
+}
+
+// shouldClaim reports whether a shard that this member does not own is its to claim.
+func (sm *shardManager) shouldClaim(name string) bool {
+	claim, claimed := sm.cache.shardClaims[name]
+	if claimed {
+		// In our name and not owned: our predecessor's claim, of its own shard
+		// or of one that it adopted. That process is dead.
+		return claim.Owner == sm.params.MemberID
+	}
+	// The claim of another member's shard ended with its lease, and the member does not come back.
+	return name == sm.params.MemberID || sm.now.MonotonicMS-sm.ownerlessSinceMS[name] > sm.adoptionDelay()
+}
+
+// adoptionDelay is how long a shard must have been without an owner before
+// another member adopts it, in milliseconds: one renewal interval of the store's
+// lease at most. The owner's lease has ended by then; the delay lets the shard's
+// own member, which restarts within seconds, come first.
 func (sm *shardManager) adoptionDelay() int64 {
 	if sm.now.MonotonicMS-sm.startedAtMS < sm.store.leaseTTLMS() {
 		return sm.store.leaseTTLMS()
@@ -81,70 +106,102 @@
 	return sm.store.leaseRenewalIntervalMS()/2 + sm.rng.Int64N(sm.store.leaseRenewalIntervalMS()/2)
 }
 
+// claimWrite is a claim whose write is in flight.
+type claimWrite struct {
+	shard   string
+	nonce   uint64
+	leaseID uint64 // store lease that the claim is attached to
+}
+
+// claimShard writes this member's claim of a shard. Whether a write with an
+// unknown outcome took effect shows the nonce in the record.
 func (sm *shardManager) claimShard(name string) {
-	nonce := sm.rng.Uint64()
+	w := claimWrite{name, sm.rng.Uint64(), sm.store.storeAccess.LeaseID()}
 	key := claimKey(name)
 	sm.claimRetryAtMS[name] = sm.now.MonotonicMS + 10*sm.store.leaseRenewalIntervalMS()
-	leaseID := sm.store.storeAccess.LeaseID()
-	takeClaim := func(rev uint64) {
-		if sm.store.storeAccess.LeaseID() != leaseID {
-			sm.claimRetryAtMS[name] = 0
+	value := mustEncode(claimRecord{sm.params.MemberID, w.nonce})
+	op := StoreOp{
+		Kind:          StoreTxn,
+		Urgency:       UrgencyLease,
+		Preconditions: []Precondition{{key, sm.cache.keyRevisions[key]}},
+		Changes:       []Change{{Key: key, Value: value, LeaseID: w.leaseID}},
+	}
+	sm.store.sendStore(op, func(r StoreResult) {
+		switch r.Outcome {
+		case OK:
+			sm.ownShard(w, r.Rev)
+			sm.cache.applyChange(KeyValue{Key: key, Value: value, Rev: r.Rev})
+		case Unknown, Conflict:
+			sm.resolveClaim(w)
+		default:
+			sm.retryClaim(name)
+		}
+	})
+}
+
+// resolveClaim reads back a claim whose write may have taken effect.
+func (sm *shardManager) resolveClaim(w claimWrite) {
+	sm.store.rereadKey(claimKey(w.shard), func(r StoreResult) {
+		sm.retryClaim(w.shard)
+		if r.Outcome != OK || len(r.KVs) != 1 {
 			return
 		}
-		delete(sm.claimRetryAtMS, name)
-		sm.ownedShards[name] = sm.newShard(name, nonce, rev)
-		sm.Counters.Claims++
-		sm.log(Info, "shard claimed", "shard", name, "token", rev)
-		sm.takeOverShard(sm.ownedShards[name])
-	}
-	retryLater := func() { sm.claimRetryAtMS[name] = sm.now.MonotonicMS + 300 + sm.rng.Int64N(300) }
-	sm.store.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{key, sm.cache.keyRevisions[key]}},
-		Changes: []Change{{Key: key, Value: mustEncode(claimRecord{sm.params.MemberID, nonce}), LeaseID: leaseID}}},
-		func(r StoreResult) {
-			switch r.Outcome {
-			case OK:
-				takeClaim(r.Rev)
-				sm.cache.applyChange(KeyValue{Key: key, Value: mustEncode(claimRecord{sm.params.MemberID, nonce}), Rev: r.Rev})
-			case Unknown, Conflict:
-				sm.store.rereadKey(key, func(r StoreResult) {
-					retryLater()
-					if r.Outcome != OK || len(r.KVs) != 1 {
-						return
-					}
-					var rec claimRecord
-					if json.Unmarshal(r.KVs[0].Value, &rec) == nil && rec.Nonce == nonce {
-						takeClaim(r.KVs[0].Rev)
-					}
-				})
-			default:
-				retryLater()
-			}
-		})
-}
-
-// raiseToken gives a shard a higher token. Once a worker has seen it, commands that
-// were sent to it before and never answered can no longer run, however long the
-// network held them.
+		var rec claimRecord
+		if json.Unmarshal(r.KVs[0].Value, &rec) == nil && rec.Nonce == w.nonce {
+			sm.ownShard(w, r.KVs[0].Rev)
+		}
+	})
+}
+
+// ownShard begins to act for a shard whose claim is in the store, unless the lease that
+// the claim is attached to has been replaced since.
+func (sm *shardManager) ownShard(w claimWrite, rev uint64) {
+	if sm.store.storeAccess.LeaseID() != w.leaseID {
+		sm.claimRetryAtMS[w.shard] = 0
+		return
+	}
+	delete(sm.claimRetryAtMS, w.shard)
+	s := sm.newShard(w.shard, w.nonce, rev)
+	sm.ownedShards[w.shard] = s
+	sm.Counters.Claims++
+	sm.log(Info, "shard claimed", "shard", w.shard, "token", rev)
+	sm.takeOverShard(s)
+}
+
+func (sm *shardManager) retryClaim(name string) {
+	sm.claimRetryAtMS[name] = sm.now.MonotonicMS + claimRetryMS + sm.rng.Int64N(claimRetryMS)
+}
+
+// raiseToken writes the claim again and so gives its shard a higher fencing token. Once a
+// worker has seen it, commands that were sent to it before and never acknowledged
+// cannot take effect any more, however long the network delayed them.
 func (sm *shardManager) raiseToken(s *shard) {
-	if s.raisingToken || s.releasing || sm.store.storeAccess.LeaseID() == 0 || sm.now.MonotonicMS < s.nextRaiseAt {
+	now := sm.now.MonotonicMS
+	leaseID := sm.store.storeAccess.LeaseID()
+	if s.raisingToken || s.releasing || leaseID == 0 || now < s.nextRaiseAt {
 		return
 	}
-	s.raisingToken, s.nextRaiseAt = true, sm.now.MonotonicMS+500
+	s.raisingToken, s.nextRaiseAt = true, now+tokenRaiseDelayMS
 	key := claimKey(s.name)
-	rec := claimRecord{sm.params.MemberID, s.nonce}
-	sm.store.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{key, s.token}},
-		Changes: []Change{{Key: key, Value: mustEncode(rec), LeaseID: sm.store.storeAccess.LeaseID()}}}, func(r StoreResult) {
+	value := mustEncode(claimRecord{sm.params.MemberID, s.nonce})
+	op := StoreOp{
+		Kind:          StoreTxn,
+		Urgency:       UrgencyLease,
+		Preconditions: []Precondition{{key, s.token}},
+		Changes:       []Change{{Key: key, Value: value, LeaseID: leaseID}},
+	}
+	sm.store.sendStore(op, func(r StoreResult) {
 		s.raisingToken = false
-		if r.Outcome == OK {
-			sm.cache.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: r.Rev})
-			sm.log(Info, "token raised", "shard", s.name, "token", r.Rev)
+		if r.Outcome != OK {
+			sm.store.rereadKey(key, func(StoreResult) {})
 			return
 		}
-		sm.store.rereadKey(key, func(StoreResult) {})
+		sm.cache.applyChange(KeyValue{Key: key, Value: value, Rev: r.Rev})
+		sm.log(Info, "token raised", "shard", s.name, "token", r.Rev)
 	})
 }
 
-// dropShard forgets a claim that ended.
+// dropShard forgets a shard whose claim ended, and its task ranges.
 func (sm *shardManager) dropShard(s *shard) {
 	if sm.ownedShards[s.name] != s {
 		return
@@ -155,7 +212,7 @@
 	}
 }
 
-// takeOverShard takes over what the mirror says the shard owns. The path is the
+// takeOverShard takes over what the cache says that the shard owns. The path is the
 // same for a first start, a restart, an adoption and a hand-back.
 func (sm *shardManager) takeOverShard(s *shard) {
 	for _, mc := range sortedByKey(sm.registry.machines) {
@@ -171,24 +228,14 @@
 }
 
 // claimPreconditions returns the conditions under which a shard may change a job's record:
-// the claim still stands, and the record is the one that we know.
+// the claim still stands, and the record is the one in the cache.
 func (sm *shardManager) claimPreconditions(s *shard, j *job) []Precondition {
 	return []Precondition{{claimKey(s.name), s.token}, {jobKey(j.rec.Job.ID), j.rev}}
 }
 
-// planStepCostMS is what a step of the planner is taken to cost, in milliseconds of a
-// whole processor. It only paces the planner, so a rough figure does.
-const planStepCostMS = 20e-6
-
-// planningCPUShare is which part of its processor a member spends on planning at most.
-const planningCPUShare = 0.2
-
-// sharedProgressRecords is how many values the progress of a shard's small ranges is spread over.
-const sharedProgressRecords = 4
-
-// releaseShard hands a shard back to its own member: first we stop acting for it,
-// then the claim is removed. There is no way back once the removal was sent: it
-// may be applied late, and the next claim may follow at once.
+// releaseShard hands a shard back to its own member: first this member stops acting for
+// it, then the claim is removed. There is no way back once the removal was sent: it
+// may take effect late, and the next claim may follow at once.
 func (sm *shardManager) releaseShard(s *shard) {
 	if s.releasing {
 		return
@@ -211,6 +258,8 @@
 	})
 }
 
+// applyClaimRecord applies a change of a claim in the store to the cache and to the shard
+// that this member owns under it. It returns the decoder's error; nothing is changed then.
 func (sm *shardManager) applyClaimRecord(kv KeyValue) error {
 	id := kv.Key[len(claimPrefix):]
 	removed := kv.Value == nil
@@ -224,13 +273,16 @@
 		sm.cache.shardClaims[id] = rec
 	}
 	s := sm.ownedShards[id]
-	switch {
-	case s == nil:
-	case !removed && rec.Nonce == s.nonce:
-		// Our own claim, whose token we raised.
+	if s == nil {
+		return nil
+	}
+	if !removed && rec.Nonce == s.nonce {
+		// Our own claim, whose token was raised.
 		s.token = max(s.token, kv.Rev)
 		s.attemptIDs.Rebase(s.token, sm.now.WallMS)
-	case kv.Rev > s.token:
+		return nil
+	}
+	if kv.Rev > s.token {
 		// Another member's claim, or none: the shard is no longer ours.
 		sm.log(Warn, "shard lost", "shard", id)
 		sm.dropShard(s)
@@ -238,6 +290,7 @@
 	return nil
 }
 
+// markAllShardsDirty has every owned shard planned again soon.
 func (sm *shardManager) markAllShardsDirty() {
 	for _, s := range sm.ownedShards {
 		s.dirty = true
--- a/scheduler/shard_tick.go
+++ b/scheduler/shard_tick.go
@@ -3,53 +3,26 @@
 // tickShard writes results and progress, watches for silent machines, and
 // plans when something changed.
 func (sm *shardManager) tickShard(s *shard) {
-	now := sm.now.MonotonicMS
 	if s.releasing {
-		if !s.requestPending && now-s.plannedAt > 500 {
+		if sm.mayRetryRequest(s) {
 			sm.removeClaim(s)
 		}
 		return
 	}
 	if !s.ready {
-		// The mirror must have passed the claim: a machine that the earlier
-		// claim listed as up last of all may run what would start again.
-		if s.progressRead && sm.cache.mirrorRevision >= s.claimRev {
-			s.ready, s.dirty = true, true
-			if sm.params.Recovery && len(s.taskRanges) > 0 {
-				s.reconciler.Pacer.Activate(now, len(s.machines), secondsToMS(sm.params.HeartbeatS), secondsToMS(sm.params.LeaseS))
-			}
-			sm.log(Info, "shard ready", "shard", s.name, "machines", len(s.machines), "ranges", len(s.taskRanges))
-		} else if !s.progressRead && !s.requestPending && now-s.plannedAt > 500 {
-			sm.readProgress(s)
-		}
+		sm.tickReadiness(s)
 		return
 	}
 	if !sm.store.hasAuthority() {
 		return
 	}
-	if s.token <= s.voidToken {
-		// Tried until it worked: refused once, in an outage, it left a task
-		// waiting for good.
-		sm.raiseToken(s)
-	}
-	if s.attemptIDs.IsHalfExhausted(sm.now.WallMS) {
+	// A void token is retried on each tick: a raise that was refused once, in a
+	// store outage, left a task waiting for good.
+	if s.isTokenVoid() || s.attemptIDs.IsHalfExhausted(sm.now.WallMS) {
 		sm.raiseToken(s)
 	}
 	for _, tr := range s.taskRanges {
-		if tr.writing || tr.job.recordWritePending || now < tr.nextWriteAt {
-			continue
-		}
-		if tr.job.failureReason != "" {
-			sm.failJob(s, tr)
-			continue
-		}
-		if tr.job.awaitingBegunRecord {
-			sm.writeBegunRecord(s, tr)
-			continue
-		}
-		if tr.doneCount == tr.size() && tr.job.rec.Job.Kind != Service {
-			sm.finishTaskRange(s, tr)
-		}
+		sm.writeJobOutcome(s, tr)
 	}
 	sm.agents.tickReconcile(s)
 	sm.rollouts.tickShardDisruption(s)
@@ -69,17 +42,46 @@
 	sm.quotas.proposeAllocations(s)
 }
 
-// isPlanDue tells whether a shard is to be planned anew: soon when a job arrived,
-// otherwise as often as the last plan's cost allows. Machines that report room
-// in between take the next task of the queue by themselves.
-func (pp *placementPlanner) isPlanDue(s *shard) bool {
-	interval := pp.planInterval(s)
-	passed := float64(pp.now.MonotonicMS - s.plannedAt)
+// mayRetryRequest reports whether the read of a shard's progress, or the removal of its
+// claim, is due again.
+func (sm *shardManager) mayRetryRequest(s *shard) bool {
+	return !s.requestPending && sm.now.MonotonicMS-s.plannedAt > shardRetryDelayMS
+}
+
+// tickReadiness makes a shard ready once its progress is read and the cache has passed
+// the claim: a machine that the earlier claim listed as live at the very end may run
+// what would start again.
+func (sm *shardManager) tickReadiness(s *shard) {
+	if !s.progressRead {
+		if sm.mayRetryRequest(s) {
+			sm.readProgress(s)
+		}
+		return
+	}
+	if sm.cache.mirrorRevision < s.claimRev {
+		return
+	}
+	s.ready, s.dirty = true, true
+	if sm.params.Recovery && len(s.taskRanges) > 0 {
+		heartbeatMS, leaseMS := secondsToMS(sm.params.HeartbeatS), secondsToMS(sm.params.LeaseS)
+		s.reconciler.Pacer.Activate(sm.now.MonotonicMS, len(s.machines), heartbeatMS, leaseMS)
+	}
+	sm.log(Info, "shard ready", "shard", s.name, "machines", len(s.machines), "ranges", len(s.taskRanges))
+}
+
+// writeJobOutcome writes what a task range has to record about its job: that the job
+// failed, that tasks may have begun, or that the range is done.
+func (sm *shardManager) writeJobOutcome(s *shard, tr *taskRange) {
+	j := tr.job
+	if tr.writing || j.recordWritePending || sm.now.MonotonicMS < tr.nextWriteAt {
+		return
+	}
 	switch {
-	case s.planExpedited:
-		return passed >= max(50, interval/2)
-	case s.dirty:
-		return passed >= max(50, min(pp.params.HeartbeatS*1000/4, 500), interval)
+	case j.failureReason != "":
+		sm.failJob(s, tr)
+	case j.awaitingBegunRecord:
+		sm.writeBegunRecord(s, tr)
+	case tr.isDone() && j.rec.Job.Kind != Service:
+		sm.finishTaskRange(s, tr)
 	}
-	return passed >= max(1000, 2*interval)
 }
--- a/scheduler/task_ranges.go
+++ b/scheduler/task_ranges.go
@@ -6,16 +6,18 @@
 	"strings"
 )
 
-// job is a live job of the mirror.
+// job is a live job of the state cache.
 type job struct {
 	rec                 jobRecord
 	rev                 uint64
-	recordWritePending  bool // a write on its record is under way
-	taskRanges          map[int]*taskRange
-	failureReason       string // why the job is to be given up
-	awaitingBegunRecord bool   // Once: a task waits for the record to say that it may begin
+	recordWritePending  bool               // a write of its record is in flight
+	taskRanges          map[int]*taskRange // those of owned shards, by their first task
+	failureReason       string             // why the job is to fail; empty: it is not
+	awaitingBegunRecord bool               // at most once: a task waits for the record to say that it may have begun
 }
 
+// applyJobRecord applies a change of a live job in the store. It returns the decoder's
+// error; nothing is changed then.
 func (sm *shardManager) applyJobRecord(kv KeyValue) error {
 	id := kv.Key[len(jobPrefix):]
 	if kv.Value == nil {
@@ -30,64 +32,147 @@
 	return nil
 }
 
-// taskCounts is how far each live job is in a shard.
+// taskCounts returns how many tasks of each live job run and are done in a shard.
 func (sm *shardManager) taskCounts(s *shard) map[string]TaskCounts {
 	byJob := map[string]TaskCounts{}
 	for _, tr := range s.taskRanges {
-		if tr.runningCount > 0 || tr.doneCount > 0 {
-			c := byJob[tr.job.rec.Job.ID]
-			c.Running += tr.runningCount
-			c.Done += tr.doneCount
-			byJob[tr.job.rec.Job.ID] = c
+		if tr.runningCount == 0 && tr.doneCount == 0 {
+			continue
 		}
+		id := tr.job.rec.Job.ID
+		counts := byJob[id]
+		counts.Running += tr.runningCount
+		counts.Done += tr.doneCount
+		byJob[id] = counts
 	}
 	return byJob
 }
 
-// taskRange is a range of a job that a shard of ours runs.
+// taskRange is a range of a job's tasks that an owned shard runs. Tasks are counted from the
+// range's first. It belongs to one claim of the shard: a later claim makes a new one.
 type taskRange struct {
-	job           *job
-	bounds        Range
-	shardName     string
-	claim         *shard
-	done          bitset
-	doneCount     int
-	assigned      bitset // an attempt has it, running or not known to be over
-	assignedCount int
-	searchFrom    int
-	storedDone    bitset // done, as the store has it
-	progressKey   string // of its progress in the store
-
-	// recovered works were run by an earlier claim, so a task of theirs may
-	// still run on any machine that has not spoken under our token.
+	job       *job
+	bounds    Range
+	shardName string
+	claim     *shard
+
+	// recovered ranges were run by an earlier claim, so a task of theirs may
+	// still run on any machine that has not sent a heartbeat under our token.
 	recovered bool
+	admitted  bool // at the last plan
+	moving    bool // a move of its tail to a peer is in flight
+
+	taskProgress
+	taskAssignments
+	taskErrors
+	taskStops
+	gangStart
+
+	writing     bool  // a write of the job's record for this range is in flight
+	nextWriteAt int64 // monotonic milliseconds; no such write before
+}
+
+// taskProgress is which tasks are done, here and in the store.
+type taskProgress struct {
+	done        bitset
+	doneCount   int
+	storedDone  bitset // done, as the store has it
+	progressKey string // key of the progress record; empty: not computed
+	dirty       bool   // done differs from storedDone
+}
 
-	dirty           bool // done differs from stored
-	writing         bool
-	nextWriteAt     int64
-	admitted        bool
-	retryAt         int64 // after errors: wait until then
+func (p *taskProgress) markDone(i int) {
+	if p.done.has(i) {
+		return
+	}
+	p.done.set(i)
+	p.doneCount++
+}
+
+// unmarkDone forgets that a task is done, here and in the store.
+func (p *taskProgress) unmarkDone(i int) {
+	if p.done.has(i) {
+		p.done.clear(i)
+		p.doneCount--
+	}
+	p.storedDone.clear(i)
+}
+
+// taskAssignments is which tasks have an attempt.
+type taskAssignments struct {
+	assigned       bitset // an attempt has it, running or not known to be over
+	assignedCount  int
+	searchFrom     int            // no lower task is free to start
+	runningCount   int            // attempts that run
+	attemptsByZone map[string]int // live attempts
+}
+
+func (ta *taskAssignments) assign(i int) {
+	if ta.assigned.has(i) {
+		return
+	}
+	ta.assigned.set(i)
+	ta.assignedCount++
+}
+
+func (ta *taskAssignments) unassign(i int) {
+	if !ta.assigned.has(i) {
+		return
+	}
+	ta.assigned.clear(i)
+	ta.assignedCount--
+	ta.searchFrom = min(ta.searchFrom, i)
+}
+
+// taskErrors is what failed, and how long to wait after it.
+type taskErrors struct {
+	retryAt         int64 // monotonic milliseconds; no start before
 	errors          int
-	errorsByMachine map[string]int // machine: errors of this job there
-	errorsByTask    map[int]int    // task: errors, for jobs that bound them
-	reclaimedFor    map[int]string // task: the team that it was last stopped for
-	checkpointedMS  map[int]int64  // task: how long it had run when it saved and stopped
-	moving          bool
-	runningCount    int            // attempts that run
-	attemptsByZone  map[string]int // zone: live attempts
-	gangStartedAt   int64          // when the last try to start all of a gang began
-	gangAttempt     uint64         // its attempt, the same for all tasks
-	gangStartsSent  bitset         // the tasks that were started in it
+	errorsByMachine map[string]int
+	errorsByTask    map[int]int // for jobs that limit them
+}
+
+// taskStops is what stops by this scheduler left behind, by task.
+type taskStops struct {
+	reclaimedFor   map[int]string // the team that it was last stopped for
+	checkpointedMS map[int]int64  // how long it had run when it saved its state and stopped
+}
+
+// gangStart is the last try to start all tasks of a gang.
+type gangStart struct {
+	gangStartedAt  int64  // monotonic milliseconds
+	gangAttempt    uint64 // attempt of all its tasks
+	gangStartsSent bitset // tasks whose start was sent in it
+}
+
+// jobWriteRetryMS is how long a range waits after a write of its job's record failed.
+const jobWriteRetryMS = 200
+
+// newTaskRange makes a range of a job, none of whose tasks is known to run or to be done.
+func newTaskRange(j *job, bounds Range, claim *shard) *taskRange {
+	n := bounds.Hi - bounds.Lo
+	return &taskRange{
+		job:             j,
+		bounds:          bounds,
+		shardName:       bounds.Shard,
+		claim:           claim,
+		taskProgress:    taskProgress{done: newBitset(n), storedDone: newBitset(n)},
+		taskAssignments: taskAssignments{assigned: newBitset(n), attemptsByZone: map[string]int{}},
+	}
 }
 
 func (tr *taskRange) size() int { return tr.bounds.Hi - tr.bounds.Lo }
 
 func (tr *taskRange) pending() int { return tr.size() - tr.doneCount - tr.assignedCount }
 
-// hasStarted tells whether a task of the range runs or is done.
+// isDone reports whether all tasks are done.
+func (tr *taskRange) isDone() bool { return tr.doneCount == tr.size() }
+
+// hasStarted reports whether a task of the range runs or is done.
 func (tr *taskRange) hasStarted() bool { return tr.assignedCount > 0 || tr.doneCount > 0 }
 
-// nextTask finds the lowest task that is neither done nor taken. All below low are.
+// nextTask returns the lowest task that is neither done nor assigned, or -1. All below
+// searchFrom are one or the other.
 func (tr *taskRange) nextTask() int {
 	for ; tr.searchFrom < tr.size(); tr.searchFrom++ {
 		if !tr.done.has(tr.searchFrom) && !tr.assigned.has(tr.searchFrom) {
@@ -97,44 +182,18 @@
 	return -1
 }
 
-// shrinkTo cuts a work down to what its shard keeps. A machine that was thought
-// lost may have told of a result while the move was under way: left in the
-// count, it made the work done more often than it has tasks, and its job never
-// ended. The peer runs that task once more, or hears the same result.
+// shrinkTo cuts a range down to what its shard keeps of it. A machine that was thought
+// lost may have reported a result while the move was in flight: left in the
+// count, it made more tasks done than the range has, and the job never
+// ended. The peer runs that task once more, or receives the same result.
 func (tr *taskRange) shrinkTo(kept Range) {
 	for i := kept.Hi - kept.Lo; i < tr.size(); i++ {
-		if tr.done.has(i) {
-			tr.done.clear(i)
-			tr.doneCount--
-		}
-		tr.storedDone.clear(i)
+		tr.unmarkDone(i)
 	}
 	tr.bounds = kept
 }
 
-func (tr *taskRange) markDone(i int) {
-	if !tr.done.has(i) {
-		tr.done.set(i)
-		tr.doneCount++
-	}
-}
-
-func (tr *taskRange) assign(i int) {
-	if !tr.assigned.has(i) {
-		tr.assigned.set(i)
-		tr.assignedCount++
-	}
-}
-
-func (tr *taskRange) unassign(i int) {
-	if tr.assigned.has(i) {
-		tr.assigned.clear(i)
-		tr.assignedCount--
-		tr.searchFrom = min(tr.searchFrom, i)
-	}
-}
-
-// upsertJob follows a live job's record.
+// upsertJob enters a live job's record, new or changed, into the cache.
 func (sm *shardManager) upsertJob(id string, rec jobRecord, rev uint64) {
 	j := sm.cache.jobs[id]
 	if j == nil {
@@ -146,7 +205,8 @@
 	sm.syncTaskRanges(j, false)
 }
 
-// syncTaskRanges makes a job's works those of its ranges that are ours.
+// syncTaskRanges makes a job's task ranges those of its record whose shards this member
+// owns. New ones are marked as recovered if an earlier claim may have run them.
 func (sm *shardManager) syncTaskRanges(j *job, recovered bool) {
 	keep := map[int]bool{}
 	for _, r := range j.rec.Ranges {
@@ -158,30 +218,16 @@
 		s.dirty = true
 		tr := j.taskRanges[r.Lo]
 		if tr == nil || tr.claim != s {
-			// A work of a claim that ended must not pass for one of this
+			// A range of a claim that ended must not pass for one of this
 			// claim: a shard handed back and a range moved here from it
 			// left a range that nobody ran.
-			n := r.Hi - r.Lo
-			tr = &taskRange{
-				job:            j,
-				bounds:         r,
-				shardName:      r.Shard,
-				claim:          s,
-				done:           newBitset(n),
-				assigned:       newBitset(n),
-				storedDone:     newBitset(n),
-				recovered:      recovered,
-				attemptsByZone: map[string]int{},
-			}
-			j.taskRanges[r.Lo] = tr
-			pos, _ := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare)
-			s.taskRanges = slices.Insert(s.taskRanges, pos, tr)
-			s.planExpedited = true
+			tr = newTaskRange(j, r, s)
+			tr.recovered = recovered
+			s.addTaskRange(tr)
 			continue
 		}
 		if r.Hi != tr.bounds.Hi {
-			// The tail went to a peer; none of it was started.
-			tr.shrinkTo(r)
+			tr.shrinkTo(r) // the tail went to a peer; none of it was started
 		}
 	}
 	for lo, tr := range j.taskRanges {
@@ -192,23 +238,31 @@
 	}
 }
 
-// dropTaskRange takes a work off its claim's list.
+// addTaskRange enters a new range under its job and its shard, which is then planned soon.
+func (s *shard) addTaskRange(tr *taskRange) {
+	tr.job.taskRanges[tr.bounds.Lo] = tr
+	pos, _ := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare)
+	s.taskRanges = slices.Insert(s.taskRanges, pos, tr)
+	s.planExpedited = true
+}
+
+// dropTaskRange removes a range from its shard's list.
 func (sm *shardManager) dropTaskRange(tr *taskRange) {
 	s := tr.claim
 	s.dirty = true
 	if tr.doneCount == 0 {
 		sm.agents.discountMachineFailures(tr)
 	}
-	if record := s.progressRecords[tr.progressKey]; record != nil && record.rev != 0 &&
-		strings.HasSuffix(tr.progressKey, tr.name()) {
-		record.dirty = true // a page of its own goes with it
+	hasOwnRecord := strings.HasSuffix(tr.progressKey, tr.name())
+	if record := s.progressRecords[tr.progressKey]; record != nil && record.rev != 0 && hasOwnRecord {
+		record.dirty = true // it is removed with the range
 	}
 	if pos, ok := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare); ok && s.taskRanges[pos] == tr {
 		s.taskRanges = slices.Delete(s.taskRanges, pos, pos+1)
 	}
 }
 
-// compare orders works by job and place in it.
+// compare orders ranges by job and first task.
 func (tr *taskRange) compare(other *taskRange) int {
 	if c := strings.Compare(tr.job.rec.Job.ID, other.job.rec.Job.ID); c != 0 {
 		return c
@@ -216,8 +270,8 @@
 	return tr.bounds.Lo - other.bounds.Lo
 }
 
-// deleteJob handles the end of a job's live record: it is done or cancelled, and
-// whatever still runs of it is stopped when its machine reports.
+// deleteJob handles the removal of a job's live record: the job is done or cancelled, and
+// what still runs of it is stopped at the next heartbeat of its machine.
 func (sm *shardManager) deleteJob(id string) {
 	j := sm.cache.jobs[id]
 	if j == nil {
@@ -231,7 +285,8 @@
 	clear(j.taskRanges)
 }
 
-// taskRangeOf finds the work that a task of ours belongs to.
+// taskRangeOf returns the owned range that a task belongs to, and the task's index in it;
+// nil if there is none.
 func (sm *shardManager) taskRangeOf(name string) (*taskRange, int) {
 	id, n, ok := parseTaskName(name)
 	if !ok {
@@ -249,43 +304,54 @@
 	return nil, 0
 }
 
-// name names a range in its page.
+// name is the range's key in its progress record.
 func (tr *taskRange) name() string { return taskName(tr.job.rec.Job.ID, tr.bounds.Lo) }
 
-// finishTaskRange records that all of a range is done. The last range of a job moves
-// it to its final record in the same transaction.
+// finishTaskRange records that all tasks of a range are done. With the last range of a job,
+// the job's final record replaces the live one in the same transaction.
 func (sm *shardManager) finishTaskRange(s *shard, tr *taskRange) {
-	j := tr.job
-	id := j.rec.Job.ID
-	var preconditions []Precondition
-	var changes []Change
-	remaining := make([]Range, 0, len(j.rec.Ranges))
-	for _, r := range j.rec.Ranges {
+	rec := tr.job.rec
+	remaining := make([]Range, 0, len(rec.Ranges))
+	for _, r := range rec.Ranges {
 		if r.Lo != tr.bounds.Lo {
 			remaining = append(remaining, r)
 		}
 	}
-	final := terminalRecord{State: Done, Tasks: j.rec.Job.Tasks, WorkflowRun: j.rec.Job.WorkflowRun}
 	if len(remaining) == 0 {
-		changes = append(changes, Change{Key: jobKey(id)}, Change{Key: terminalKey(id), Value: mustEncode(final)})
-		preconditions = append(preconditions, Precondition{terminalKey(id), 0})
-	} else {
-		rec := j.rec
-		rec.Ranges = remaining
-		changes = append(changes, Change{Key: jobKey(id), Value: mustEncode(rec)})
+		sm.finishJob(s, tr)
+		return
 	}
-	sm.writeJob(s, tr, changes, preconditions, func() {
-		if len(remaining) == 0 {
-			sm.Counters.Finished++
-			if deadlineS := j.rec.Job.DeadlineS; deadlineS > 0 && sm.now.WallMS > j.rec.AcceptedAtMS+secondsToMS(deadlineS) {
-				sm.rolloutCounts.MissedDeadlines++
-			}
-			sm.requests.cacheTerminalState(id, final)
+	rec.Ranges = remaining
+	sm.writeJob(s, tr, []Change{{Key: jobKey(rec.Job.ID), Value: mustEncode(rec)}}, nil, func() {})
+}
+
+// finishJob replaces a job's live record by its final one.
+func (sm *shardManager) finishJob(s *shard, tr *taskRange) {
+	j := tr.job
+	final := terminalRecord{State: Done, Tasks: j.rec.Job.Tasks, WorkflowRun: j.rec.Job.WorkflowRun}
+	sm.writeTerminalRecord(s, tr, final, func() {
+		sm.Counters.Finished++
+		deadlineS := j.rec.Job.DeadlineS
+		if deadlineS > 0 && sm.now.WallMS > j.rec.AcceptedAtMS+secondsToMS(deadlineS) {
+			sm.rolloutCounts.MissedDeadlines++
 		}
 	})
 }
 
-// writeJob changes a job's record under its shard's claim.
+// writeTerminalRecord ends a job: its final record, which must not exist yet, replaces the
+// live one in one transaction. Users see it before onSuccess runs.
+func (sm *shardManager) writeTerminalRecord(s *shard, tr *taskRange, final terminalRecord, onSuccess func()) {
+	id := tr.job.rec.Job.ID
+	changes := []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}
+	sm.writeJob(s, tr, changes, []Precondition{{terminalKey(id), 0}}, func() {
+		sm.requests.cacheTerminalState(id, final)
+		onSuccess()
+	})
+}
+
+// writeJob changes a job's records under its shard's claim. After an outcome other than OK
+// nothing is assumed: the record is read again where it may have changed, and the tick
+// that found the write due finds it due again.
 func (sm *shardManager) writeJob(
 	s *shard,
 	tr *taskRange,
@@ -301,12 +367,13 @@
 			onSuccess()
 			return
 		}
-		tr.nextWriteAt = sm.now.MonotonicMS + 200 // not before
-		if r.Outcome == Unknown || r.Outcome == Conflict {
-			tr.writing, j.recordWritePending = true, true
-			sm.store.rereadKey(jobKey(j.rec.Job.ID), func(StoreResult) {
-				tr.writing, j.recordWritePending = false, false
-			})
+		tr.nextWriteAt = sm.now.MonotonicMS + jobWriteRetryMS
+		if r.Outcome != Unknown && r.Outcome != Conflict {
+			return
 		}
+		tr.writing, j.recordWritePending = true, true
+		sm.store.rereadKey(jobKey(j.rec.Job.ID), func(StoreResult) {
+			tr.writing, j.recordWritePending = false, false
+		})
 	})
 }
