--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -64,8 +64,8 @@
 	if err := strict.Decode(b, &p); err != nil {
 		return nil, &codedError{fmt.Errorf("%s: %w", name, err), exitInvalid}
 	}
-	if reason := p.Validate(); reason != "" {
-		return nil, &codedError{fmt.Errorf("%s: %s", name, reason), exitInvalid}
+	if err := p.Validate(); err != nil {
+		return nil, &codedError{fmt.Errorf("%s: %w", name, err), exitInvalid}
 	}
 	return &p, nil
 }
--- a/disruption/disruption.go
+++ b/disruption/disruption.go
@@ -39,23 +39,32 @@
 	MinReplicaShare float64 `json:"keep,omitempty"      toml:"keep"`      // of a service's replicas, this share stays
 }
 
-// Validate says what is wrong with a budget, or nothing, naming the field.
-func (b Budget) Validate() string {
+// FieldError is the first fault that Validate finds in a budget.
+type FieldError struct {
+	Field string // as in JSON and TOML
+	Text  string // the whole text for operators; it begins with the field
+}
+
+func (e *FieldError) Error() string { return e.Text }
+
+// Validate returns a *FieldError for the first field that is out of its range, or nil.
+func (b Budget) Validate() error {
+	invalid := func(field, rest string) error { return &FieldError{Field: field, Text: field + " " + rest} }
 	switch {
 	case b.MaxTasks < 0 || b.MaxTasks > 1_000_000:
-		return "tasks must be from 0 to 1000000"
+		return invalid("tasks", "must be from 0 to 1000000")
 	case !(b.MaxShare >= 0) || b.MaxShare > 1:
-		return "share must be from 0 to 1"
+		return invalid("share", "must be from 0 to 1")
 	case !(b.WindowS >= 0) || b.WindowS > 86_400:
-		return "window_s must be from 0 to 86400"
+		return invalid("window_s", "must be from 0 to 86400")
 	case b.MaxInWindow < 0 || b.MaxInWindow > 1_000_000:
-		return "in_window must be from 0 to 1000000"
+		return invalid("in_window", "must be from 0 to 1000000")
 	case (b.WindowS > 0) != (b.MaxInWindow > 0):
-		return "window_s and in_window go together"
+		return invalid("window_s", "and in_window go together")
 	case !(b.MinReplicaShare >= 0) || b.MinReplicaShare > 1:
-		return "keep must be from 0 to 1"
+		return invalid("keep", "must be from 0 to 1")
 	}
-	return ""
+	return nil
 }
 
 // MaxDown is how many tasks of a team may be down at once when so many run.
--- a/disruption/disruption_test.go
+++ b/disruption/disruption_test.go
@@ -16,17 +16,33 @@
 	}
 }
 
+// The texts reach operators as they are.
 func TestInvalidBudgetsAreRejectedNamingTheField(t *testing.T) {
-	for _, tc := range []struct {
-		budget Budget
-		want   string
-	}{{Budget{}, ""}, {Budget{MaxTasks: 3, MaxShare: 0.1, MinReplicaShare: 0.5}, ""}, {Budget{MaxTasks: -1}, "tasks"}, {Budget{MaxShare: 1.5}, "share"}, {Budget{WindowS: 5}, "window_s"},
-		{Budget{MaxInWindow: 5}, "window_s"}, {Budget{MinReplicaShare: 2}, "keep"}} {
-		if reason := tc.budget.Validate(); (reason == "") != (tc.want == "") || len(reason) < len(tc.want) ||
-			reason[:len(tc.want)] != tc.want {
-			t.Errorf("%+v: %q", tc.budget, reason)
+	for _, valid := range []Budget{{}, {MaxTasks: 3, MaxShare: 0.1, MinReplicaShare: 0.5}} {
+		if err := valid.Validate(); err != nil {
+			t.Errorf("%+v: %v", valid, err)
 		}
 	}
+	for _, tc := range []struct {
+		budget      Budget
+		field, text string
+	}{
+		{Budget{MaxTasks: -1}, "tasks", "tasks must be from 0 to 1000000"},
+		{Budget{MaxShare: 1.5}, "share", "share must be from 0 to 1"},
+		{Budget{WindowS: -1}, "window_s", "window_s must be from 0 to 86400"},
+		{Budget{MaxInWindow: -1}, "in_window", "in_window must be from 0 to 1000000"},
+		{Budget{WindowS: 5}, "window_s", "window_s and in_window go together"},
+		{Budget{MaxInWindow: 5}, "window_s", "window_s and in_window go together"},
+		{Budget{MinReplicaShare: 2}, "keep", "keep must be from 0 to 1"},
+	} {
+		t.Run(fmt.Sprintf("%+v", tc.budget), func(t *testing.T) {
+			err := tc.budget.Validate()
+			var fieldError *FieldError
+			if !errors.As(err, &fieldError) || fieldError.Field != tc.field || err.Error() != tc.text {
+				t.Errorf("got %v, want field %s: %s", err, tc.field, tc.text)
+			}
+		})
+	}
 }
 
 // The model: a leader that issues, shards that charge, stop and settle, a store that
--- a/emulator/experiment.go
+++ b/emulator/experiment.go
@@ -265,8 +265,8 @@
 		spans[key] = append(spans[key], span{spec.AtS, spec.AtS + spec.DurationS, i})
 	}
 	for i := range experiment.Rollouts {
-		if reason := experiment.Rollouts[i].Plan.Validate(); reason != "" {
-			fail("line %d: rollout %d: %s", lineOf(b, "[[rollout]]", i), i+1, reason)
+		if err := experiment.Rollouts[i].Plan.Validate(); err != nil {
+			fail("line %d: rollout %d: %w", lineOf(b, "[[rollout]]", i), i+1, err)
 		}
 	}
 	names := map[string]bool{}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -22,6 +22,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -130,42 +131,94 @@
 // maxNamedMachines bounds the names of a plan, so that it fits half a value of 8 KB.
 const maxNamedMachines = 200
 
-// Validate says what is wrong with a plan, or nothing, naming the field.
-func (p *Plan) Validate() string {
+// FieldError is a fault of one field of a plan, or of a command.
+type FieldError struct {
+	Field string // as in JSON and TOML
+	Text  string // the whole text for operators
+}
+
+func (e *FieldError) Error() string { return e.Text }
+
+// invalidField returns a FieldError whose text begins with the field.
+func invalidField(field, format string, args ...any) error {
+	return &FieldError{Field: field, Text: field + fmt.Sprintf(format, args...)}
+}
+
+// TerminalError refuses a command to a plan that is aborted or done.
+type TerminalError struct {
+	PlanID string
+	State  State
+}
+
+func (e *TerminalError) Error() string { return fmt.Sprintf("plan %s is %s", e.PlanID, e.State) }
+
+// ErrNoMachineSelected refuses a plan that selects no machine of the fleet.
+var ErrNoMachineSelected = errors.New("no machine of the fleet is meant")
+
+// Validate returns a *FieldError for the first field that is out of its range, or nil.
+func (p *Plan) Validate() error {
+	if len(p.ID) < 1 || len(p.ID) > 60 || strings.ContainsAny(p.ID, " /\t\n") {
+		return invalidField("id", " must have 1 to 60 characters, no spaces and no slashes")
+	}
+	if err := p.validateSelection(); err != nil {
+		return err
+	}
+	if err := p.validateMode(); err != nil {
+		return err
+	}
+	return p.validatePace()
+}
+
+func (p *Plan) validateSelection() error {
 	hasSelector := p.Type != "" || p.Zone != "" || p.Spot != nil || p.MinAgeS != 0
 	switch {
-	case len(p.ID) < 1 || len(p.ID) > 60 || strings.ContainsAny(p.ID, " /\t\n"):
-		return "id must have 1 to 60 characters, no spaces and no slashes"
 	case len(p.Machines) > maxNamedMachines:
-		return fmt.Sprintf("machines must name at most %d; choose by type, zone, spot or older_s instead", maxNamedMachines)
+		return invalidField(
+			"machines",
+			" must name at most %d; choose by type, zone, spot or older_s instead",
+			maxNamedMachines,
+		)
 	case len(p.Machines) > 0 && (hasSelector || p.All):
-		return "machines goes with none of all, type, zone, spot and older_s"
+		return invalidField("machines", " goes with none of all, type, zone, spot and older_s")
 	case len(p.Machines) == 0 && !hasSelector && !p.All:
-		return "name machines, or say all, type, zone, spot or older_s"
+		return &FieldError{Field: "machines", Text: "name machines, or say all, type, zone, spot or older_s"}
+	}
+	return nil
+}
+
+func (p *Plan) validateMode() error {
+	switch {
 	case p.Mode != Drain && p.Mode != Replace:
-		return fmt.Sprintf("mode %q is neither drain nor replace", p.Mode)
+		return invalidField("mode", " %q is neither drain nor replace", p.Mode)
 	case p.Mode == Replace && p.Surge < 1:
-		return "surge must be at least 1 to replace"
+		return invalidField("surge", " must be at least 1 to replace")
 	case p.Mode == Drain && (p.Surge != 0 || p.SurgeCostPerHour != 0):
-		return "surge and surge_money go with mode replace"
+		return invalidField("surge", " and surge_money go with mode replace")
 	case p.Surge > 1000:
-		return "surge must be at most 1000"
+		return invalidField("surge", " must be at most 1000")
 	case !(p.SurgeCostPerHour >= 0):
-		return "surge_money must not be below 0"
+		return invalidField("surge_money", " must not be below 0")
+	}
+	return nil
+}
+
+func (p *Plan) validatePace() error {
+	g := p.Gates
+	switch {
 	case p.FirstStepMachines < 0 || p.FirstStepMachines > 100_000:
-		return "first must be from 0 to 100000"
+		return invalidField("first", " must be from 0 to 100000")
 	case !(p.StepShare >= 0) || p.StepShare > 1:
-		return "step must be from 0 to 1"
+		return invalidField("step", " must be from 0 to 1")
 	case !(p.StepPauseS >= 0) || p.StepPauseS > 86_400:
-		return "pause_s must be from 0 to 86400"
+		return invalidField("pause_s", " must be from 0 to 86400")
 	case !(p.DeadlineS >= 0) || p.DeadlineS > 7*86_400:
-		return "deadline_s must be from 0 to 604800"
+		return invalidField("deadline_s", " must be from 0 to 604800")
 	case !(p.MinAgeS >= 0):
-		return "older_s must not be below 0"
-	case p.Gates.Errors < 0 || p.Gates.Losses < 0 || p.Gates.LateStarts < 0 || p.Gates.MissedDeadlines < 0 || p.Gates.ReplacementErrors < 0:
-		return "gates must not be below 0"
+		return invalidField("older_s", " must not be below 0")
+	case min(g.Errors, g.Losses, g.LateStarts, g.MissedDeadlines, g.ReplacementErrors) < 0:
+		return invalidField("gates", " must not be below 0")
 	}
-	return ""
+	return nil
 }
 
 // State is how a plan stands.
@@ -263,10 +316,11 @@
 	Shard      string
 }
 
-// NewRecord makes the record of a plan that is applied now, or says why it can't be.
-func NewRecord(plan Plan, wallMS int64, fleet []Machine, baseline HealthRates) (*Record, string) {
-	if reason := plan.Validate(); reason != "" {
-		return nil, reason
+// NewRecord returns the record of a plan that is applied now. It fails with a *FieldError if
+// a field is invalid or names an unknown machine, and with ErrNoMachineSelected.
+func NewRecord(plan Plan, wallMS int64, fleet []Machine, baseline HealthRates) (*Record, error) {
+	if err := plan.Validate(); err != nil {
+		return nil, err
 	}
 	record := &Record{Plan: plan, State: Running, StartedAt: wallMS, BaselineRates: baseline}
 	for i := range fleet {
@@ -276,13 +330,13 @@
 	}
 	for _, id := range plan.Machines {
 		if !slices.ContainsFunc(fleet, func(m Machine) bool { return m.ID == id }) {
-			return nil, fmt.Sprintf("machines: %s is no machine of the fleet", id)
+			return nil, invalidField("machines", ": %s is no machine of the fleet", id)
 		}
 	}
 	if record.TotalMachines == 0 {
-		return nil, "no machine of the fleet is meant"
+		return nil, ErrNoMachineSelected
 	}
-	return record, ""
+	return record, nil
 }
 
 // Advance moves a running plan on. The fleet is in the order of names; price is what a machine of a kind costs an hour. It
@@ -486,23 +540,25 @@
 	Abort  Command = "abort"
 )
 
-// ApplyCommand carries an operator's command out, or says why it can't be.
-func (r *Record) ApplyCommand(command Command, wallMS int64, counts HealthCounts) string {
-	switch {
-	case r.State.IsTerminal():
-		return fmt.Sprintf("plan %s is %s", r.Plan.ID, r.State)
-	case command == Pause:
+// ApplyCommand carries an operator's command out. It fails with a *TerminalError if the plan
+// is over, and with a *FieldError if the command is unknown.
+func (r *Record) ApplyCommand(command Command, wallMS int64, counts HealthCounts) error {
+	if r.State.IsTerminal() {
+		return &TerminalError{PlanID: r.Plan.ID, State: r.State}
+	}
+	switch command {
+	case Pause:
 		if r.State == Running {
 			r.State, r.Reason = Paused, "by an operator"
 		}
-	case command == Resume:
+	case Resume:
 		if r.State == Paused {
 			r.State, r.Reason, r.StepBaseCounts, r.StepBaseAt = Running, "", counts, wallMS
 		}
-	case command == Abort:
+	case Abort:
 		r.State, r.Reason, r.EndedAt = Aborted, cmp.Or(r.Reason, "by an operator"), wallMS
 	default:
-		return fmt.Sprintf("unknown command %q", command)
+		return &FieldError{Field: "command", Text: fmt.Sprintf("unknown command %q", command)}
 	}
-	return ""
+	return nil
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -1,6 +1,7 @@
 package rollout
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -24,34 +25,63 @@
 	return machines
 }
 
+// The texts reach operators as they are.
 func TestInvalidPlansAreRejectedNamingTheField(t *testing.T) {
 	validPlan := Plan{ID: "p", All: true, Mode: Replace, Surge: 2}
-	for want, change := range map[string]func(p *Plan){
-		"":                func(*Plan) {},
-		"id must":         func(p *Plan) { p.ID = "a b" },
-		"machines goes":   func(p *Plan) { p.Machines = []string{"i-1"} },
-		"name machines":   func(p *Plan) { p.All = false },
-		"mode \"x\"":      func(p *Plan) { p.Mode = "x" },
-		"surge must be":   func(p *Plan) { p.Surge = 0 },
-		"surge and":       func(p *Plan) { p.Mode = Drain },
-		"step must":       func(p *Plan) { p.StepShare = 2 },
-		"deadline_s must": func(p *Plan) { p.DeadlineS = -1 },
-		"gates must":      func(p *Plan) { p.Gates.LateStarts = -1 },
+	if err := validPlan.Validate(); err != nil {
+		t.Errorf("valid plan: %v", err)
+	}
+	for _, tc := range []struct {
+		name, field, text string
+		change            func(p *Plan)
+	}{
+		{"id with a space", "id", "id must have 1 to 60 characters, no spaces and no slashes",
+			func(p *Plan) { p.ID = "a b" }},
+		{"too many machines", "machines",
+			"machines must name at most 200; choose by type, zone, spot or older_s instead",
+			func(p *Plan) { p.Machines = make([]string, 201) }},
+		{"machines and all", "machines", "machines goes with none of all, type, zone, spot and older_s",
+			func(p *Plan) { p.Machines = []string{"i-1"} }},
+		{"no selection", "machines", "name machines, or say all, type, zone, spot or older_s",
+			func(p *Plan) { p.All = false }},
+		{"unknown mode", "mode", `mode "x" is neither drain nor replace`, func(p *Plan) { p.Mode = "x" }},
+		{"replace without surge", "surge", "surge must be at least 1 to replace", func(p *Plan) { p.Surge = 0 }},
+		{"drain with surge", "surge", "surge and surge_money go with mode replace",
+			func(p *Plan) { p.Mode = Drain }},
+		{"large surge", "surge", "surge must be at most 1000", func(p *Plan) { p.Surge = 1001 }},
+		{"negative cost", "surge_money", "surge_money must not be below 0",
+			func(p *Plan) { p.SurgeCostPerHour = -1 }},
+		{"negative first step", "first", "first must be from 0 to 100000",
+			func(p *Plan) { p.FirstStepMachines = -1 }},
+		{"step above all", "step", "step must be from 0 to 1", func(p *Plan) { p.StepShare = 2 }},
+		{"long pause", "pause_s", "pause_s must be from 0 to 86400", func(p *Plan) { p.StepPauseS = 86_401 }},
+		{"negative deadline", "deadline_s", "deadline_s must be from 0 to 604800",
+			func(p *Plan) { p.DeadlineS = -1 }},
+		{"negative age", "older_s", "older_s must not be below 0", func(p *Plan) { p.MinAgeS = -1 }},
+		{"negative gate", "gates", "gates must not be below 0", func(p *Plan) { p.Gates.LateStarts = -1 }},
 	} {
-		p := validPlan
-		change(&p)
-		if reason := p.Validate(); !strings.HasPrefix(reason, want) || want == "" && reason != "" {
-			t.Errorf("%q: %q", want, reason)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			p := validPlan
+			tc.change(&p)
+			err := p.Validate()
+			var fieldError *FieldError
+			if !errors.As(err, &fieldError) || fieldError.Field != tc.field || err.Error() != tc.text {
+				t.Errorf("got %v, want field %s: %s", err, tc.field, tc.text)
+			}
+		})
 	}
-	if _, reason := NewRecord(Plan{ID: "p", Machines: []string{"i-9"}, Mode: Drain}, 100, testFleet(3), HealthRates{}); !strings.Contains(
-		reason,
-		"i-9",
-	) {
-		t.Errorf("a machine that is none: %q", reason)
+}
+
+func TestPlansWithoutKnownMachinesAreRejected(t *testing.T) {
+	unknownMachine := Plan{ID: "p", Machines: []string{"i-9"}, Mode: Drain}
+	_, err := NewRecord(unknownMachine, 100, testFleet(3), HealthRates{})
+	var fieldError *FieldError
+	if !errors.As(err, &fieldError) || fieldError.Field != "machines" || !strings.Contains(err.Error(), "i-9") {
+		t.Errorf("unknown machine: %v", err)
 	}
-	if _, reason := NewRecord(Plan{ID: "p", Type: "large", Mode: Drain}, 100, testFleet(3), HealthRates{}); reason == "" {
-		t.Error("a plan of no machines begins")
+	selectsNone := Plan{ID: "p", Type: "large", Mode: Drain}
+	if _, err := NewRecord(selectsNone, 100, testFleet(3), HealthRates{}); !errors.Is(err, ErrNoMachineSelected) {
+		t.Errorf("plan that selects no machine: %v", err)
 	}
 }
 
@@ -107,7 +137,7 @@
 func TestMachinesAreReplacedInStepsWithinSurge(t *testing.T) {
 	for _, byZone := range []bool{false, true} {
 		machines := testFleet(20)
-		record, reason := NewRecord(
+		record, err := NewRecord(
 			Plan{
 				ID:                "p",
 				All:               true,
@@ -122,8 +152,8 @@
 			machines,
 			HealthRates{},
 		)
-		if reason != "" {
-			t.Fatal(reason)
+		if err != nil {
+			t.Fatal(err)
 		}
 		maxCoveredByStep, zoneOrder := map[int]int{}, ""
 		machines = simulateRollout(t, record, machines, func(_ int64, machines []Machine) HealthCounts {
@@ -192,18 +222,20 @@
 		len(machines) < 6 {
 		t.Fatalf("%+v, %d machines left", record, len(machines))
 	}
-	if reason := record.ApplyCommand(Resume, 90_000, HealthCounts{Errors: taskErrors}); reason != "" ||
+	if err := record.ApplyCommand(Resume, 90_000, HealthCounts{Errors: taskErrors}); err != nil ||
 		record.State != Running ||
 		record.failedGate(90_500, HealthCounts{Errors: taskErrors}) != "" {
-		t.Errorf("resumed: %q, %+v", reason, record)
+		t.Errorf("resumed: %v, %+v", err, record)
 	}
 	covered := slices.IndexFunc(machines, func(m Machine) bool { return record.Covers(&m) })
-	if reason := record.ApplyCommand(Abort, 91_000, HealthCounts{}); reason != "" ||
+	if err := record.ApplyCommand(Abort, 91_000, HealthCounts{}); err != nil ||
 		covered >= 0 && record.Covers(&machines[covered]) {
-		t.Errorf("aborted: %q, %+v", reason, record)
+		t.Errorf("aborted: %v, %+v", err, record)
 	}
-	if record.ApplyCommand(Resume, 92_000, HealthCounts{}) == "" {
-		t.Error("an aborted plan is resumed")
+	var terminal *TerminalError
+	if err := record.ApplyCommand(Resume, 92_000, HealthCounts{}); !errors.As(err, &terminal) ||
+		terminal.State != Aborted || err.Error() != "plan p is aborted" {
+		t.Errorf("resuming an aborted plan: %v", err)
 	}
 }
 
--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -106,8 +106,8 @@
 		return "disruption must name at most 100 teams"
 	}
 	for team, budget := range sortedByKey(s.Disruption) {
-		if reason := budget.Validate(); reason != "" {
-			return "disruption." + team + "." + reason
+		if err := budget.Validate(); err != nil {
+			return "disruption." + team + "." + err.Error()
 		}
 	}
 	return ""
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"math"
 	"slices"
 	"strings"
@@ -548,9 +550,9 @@
 func (c *Controller) PreviewRollout(now Now, p rollout.Plan) RolloutPreview {
 	c.now = now
 	preview := RolloutPreview{Kinds: map[string]int{}, Tasks: map[string]int{}, MaxDisrupted: map[string]int{}}
-	rec, reason := rollout.NewRecord(p, c.now.WallMS, c.rolloutMachines(), rollout.HealthRates{})
-	if reason != "" {
-		preview.InvalidReason = reason
+	rec, err := rollout.NewRecord(p, c.now.WallMS, c.rolloutMachines(), rollout.HealthRates{})
+	if err != nil {
+		preview.InvalidReason = err.Error()
 		return preview
 	}
 	preview.Machines = rec.TotalMachines
@@ -584,39 +586,39 @@
 // ApplyRollout stores a plan, for the member that leads the fleet to carry out;
 // reply names the answer among the users'.
 func (c *Controller) ApplyRollout(now Now, replyID uint64, p rollout.Plan) {
-	c.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
+	c.changeRollout(now, replyID, func() (*rollout.Record, int, error) {
 		if current := c.rolloutState.rec; current != nil && !current.State.IsTerminal() {
-			return nil, "plan " + current.Plan.ID + " is " + string(current.State) + ": abort it first", 409
+			return nil, 409, fmt.Errorf("plan %s is %s: abort it first", current.Plan.ID, current.State)
 		} else if current != nil && current.Plan.ID == p.ID {
-			return nil, "id: plan " + p.ID + " has been already", 409
+			return nil, 409, &rollout.FieldError{Field: "id", Text: "id: plan " + p.ID + " has been already"}
 		}
 		if p.Type != "" && c.machineTypes[p.Type] == nil {
-			return nil, "type: no machine type " + p.Type, 400
+			return nil, 400, &rollout.FieldError{Field: "type", Text: "type: no machine type " + p.Type}
 		}
-		rec, reason := rollout.NewRecord(p, c.now.WallMS, c.rolloutMachines(), c.baselineRate())
+		rec, err := rollout.NewRecord(p, c.now.WallMS, c.rolloutMachines(), c.baselineRate())
 		if rec != nil && c.rolloutState.rec != nil {
 			rec.Issued = c.rolloutState.rec.Issued // tokens are the shards', whatever the plan
 		}
-		return rec, reason, 400
+		return rec, 400, err
 	})
 }
 
 // CommandRollout carries an operator's command to the plan out.
 func (c *Controller) CommandRollout(now Now, replyID uint64, command rollout.Command) {
-	c.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
+	c.changeRollout(now, replyID, func() (*rollout.Record, int, error) {
 		if c.rolloutState.rec == nil {
-			return nil, "there is no plan", 404
+			return nil, 404, errors.New("there is no plan")
 		}
 		rec := *c.rolloutState.rec
-		reason := rec.ApplyCommand(command, c.now.WallMS, c.clusterCounts())
-		return &rec, reason, 409
+		err := rec.ApplyCommand(command, c.now.WallMS, c.clusterCounts())
+		return &rec, 409, err
 	})
 }
 
 func (c *Controller) changeRollout(
 	now Now,
 	replyID uint64,
-	change func() (rec *rollout.Record, reason string, status int),
+	change func() (rec *rollout.Record, failureStatus int, err error),
 ) {
 	c.now = now
 	c.pendingRequests[replyID] = &pendingRequest{
@@ -633,9 +635,9 @@
 		c.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		return
 	}
-	rec, reason, status := change()
-	if reason != "" {
-		c.completeRequest(replyID, UserResponse{Status: status, Error: reason})
+	rec, failureStatus, err := change()
+	if err != nil {
+		c.completeRequest(replyID, UserResponse{Status: failureStatus, Error: err.Error()})
 		return
 	}
 	c.log(Info, "rollout", "plan", rec.Plan.ID, "state", rec.State, "machines", rec.TotalMachines)
