--- a/quota/grace_period_test.go
+++ b/quota/grace_period_test.go
@@ -6,8 +6,8 @@
 	"github.com/grebedock/grebedock/access"
 )
 
-// twoShardLedger are two shards of one limit of 64: a's next task needs 32, of which it has 25
-// beside what it uses; b's tasks need 4 each, and it has room for one.
+// twoShardLedger is two shards that share a limit of 64: a's next task needs 32, of which it has 25
+// beside what it uses; b's tasks need 4 each, and its allocation has room for one.
 type twoShardLedger struct {
 	ledger   *Ledger
 	revision uint64
@@ -21,7 +21,7 @@
 	return k
 }
 
-// proposeBoth has both shards draft, and what they write carried out.
+// proposeBoth has both shards propose, and applies what they write.
 func (k *twoShardLedger) proposeBoth(demandA Demand, demandB func() Demand) {
 	k.nowMS += 250
 	k.propose("a", demandA)
@@ -36,7 +36,7 @@
 	}
 }
 
-// smallTaskDemand is what a shard has of tasks of 4 that start as soon as its part has room.
+// smallTaskDemand is the demand of tasks of 4 that start as soon as the allocation has room.
 func smallTaskDemand(used, pending float64) Demand {
 	return Demand{
 		Used:           Amounts{CPUs: used},
@@ -46,14 +46,15 @@
 	}
 }
 
-// fourSmallTasks is four tasks of b's, of which as many run as its part has room for.
+// fourSmallTasks is the demand of four tasks of b's, of which as many run as its allocation has room for.
 func (k *twoShardLedger) fourSmallTasks() Demand {
 	used := min(16, float64(int(k.ledger.Allocation("b").CPUs/4)*4))
 	return smallTaskDemand(used, 16-used)
 }
 
-// What a shard keeps and can't use goes to a shard that can, after a while and not before;
-// kept for ever, both waited (found by TestPairsOfTroubles: a job was left waiting for 91 s).
+// What a shard retains but cannot use goes to a shard that can use it, after the grace period and not
+// before. Retained without end, both waited (found by TestInvariantsSurvivePairsOfFaults: a job
+// was left waiting for 91 s).
 func TestUnusableAllocationIsGrantedAfterGracePeriod(t *testing.T) {
 	large := Demand{
 		Used:           Amounts{CPUs: 32},
@@ -71,24 +72,25 @@
 				grantedMS = k.nowMS
 			}
 		}
-		if configuredMS == 0 && grantedMS != 0 ||
-			configuredMS > 0 && (grantedMS <= gracePeriodMS || grantedMS > gracePeriodMS+2000) {
-			t.Errorf("patience %d: given after %d ms", configuredMS, grantedMS)
+		granted := grantedMS != 0
+		onTime := grantedMS > gracePeriodMS && grantedMS <= gracePeriodMS+2000
+		if configuredMS == 0 && granted || configuredMS > 0 && !onTime {
+			t.Errorf("grace period %d ms: granted after %d ms", configuredMS, grantedMS)
 		}
 		if sum := k.ledger.Allocation("a").Add(k.ledger.Allocation("b")); !(Amounts{CPUs: 64}).Contains(sum) {
-			t.Errorf("the parts add up to %v", sum)
+			t.Errorf("allocations add up to %v", sum)
 		}
 	}
 }
 
-// The large task gets what it lacks when tasks end within the time for which it is kept,
-// however many small ones wait.
+// A large task gets what it lacks if tasks end within the grace period, however many small ones are
+// pending.
 func TestLargeTaskAccumulatesAllocation(t *testing.T) {
 	k := newTwoShardLedger(30_000)
 	large := Demand{Pending: Amounts{CPUs: 60}, Startable: Amounts{CPUs: 60}, LargestPending: Amounts{CPUs: 60}}
 	for k.nowMS < 200_000 && !k.ledger.Allocation("a").Contains(large.LargestPending) {
 		k.proposeBoth(large, func() Demand {
-			// All of its part is used for small tasks; one of them ends each second.
+			// Small tasks use all of its allocation; one of them ends each second.
 			used := float64(int(k.ledger.Allocation("b").CPUs/4) * 4)
 			if k.nowMS%1000 == 0 {
 				used = max(0, used-4)
@@ -101,7 +103,7 @@
 	}
 }
 
-// What is kept counts from when others want it: a spell in which nobody did ends the wait.
+// The grace period begins when others request what is retained; a time without requests ends it.
 func TestGracePeriodRestartsWithoutRequests(t *testing.T) {
 	const gracePeriodMS = 30_000
 	k := newTwoShardLedger(gracePeriodMS)
@@ -121,7 +123,7 @@
 	for k.nowMS < restartedMS+gracePeriodMS {
 		k.proposeBoth(large, k.fourSmallTasks)
 		if allocation := k.ledger.Allocation("a"); allocation.CPUs < 57 {
-			t.Fatalf("%d ms after it was wanted again, %v is left", k.nowMS-restartedMS, allocation)
+			t.Fatalf("%d ms after it was requested again, %v is left", k.nowMS-restartedMS, allocation)
 		}
 	}
 }
--- a/quota/ledger_model_test.go
+++ b/quota/ledger_model_test.go
@@ -15,15 +15,15 @@
 	"github.com/grebedock/grebedock/indoubt"
 )
 
-// The explorer goes through all orders of events within small bounds: starts, ends,
-// loans and wants, writes that are applied late or whose answers are lost, members
-// that end and whose shards others adopt, all of them at once. It runs the real Book;
-// only the state service and the machines are models.
+// The explorer visits all orders of events within small bounds: task starts and ends, grants and
+// requests, writes that are applied late or whose answers are lost, members that end and whose
+// shards others adopt, all of them at once. It runs the real Ledger; only the state service
+// and the machines are models.
 
 // inFlightWrite is a write on its way, its answer, or both.
 type inFlightWrite struct {
-	member       int // who waits for the answer
-	incarnation  int // and as which process
+	member       int // that waits for the answer
+	incarnation  int // of that member
 	fencingToken int // of the shard's claim
 	write        Write
 	arrived      bool // at the store, which answered
@@ -54,17 +54,11 @@
 
 func (s *clusterState) clone() *clusterState {
 	copied := *s
-	copied.owners, copied.fencingTokens, copied.incarnations, copied.used, copied.inFlight = slices.Clone(
-		s.owners,
-	), slices.Clone(
-		s.fencingTokens,
-	), slices.Clone(
-		s.incarnations,
-	), slices.Clone(
-		s.used,
-	), slices.Clone(
-		s.inFlight,
-	)
+	copied.owners = slices.Clone(s.owners)
+	copied.fencingTokens = slices.Clone(s.fencingTokens)
+	copied.incarnations = slices.Clone(s.incarnations)
+	copied.used = slices.Clone(s.used)
+	copied.inFlight = slices.Clone(s.inFlight)
 	copied.ledgers = make([]*Ledger, len(s.ledgers))
 	for i, ledger := range s.ledgers {
 		copied.ledgers[i] = ledger.clone()
@@ -72,7 +66,7 @@
 	return &copied
 }
 
-// digest writes what tells states apart as numbers.
+// digest collects what distinguishes states, as numbers.
 type digest []byte
 
 func (d *digest) putInts(ns ...int) {
@@ -97,7 +91,7 @@
 		d.putInts(-1)
 		return
 	}
-	// Parts and wants are whole here, or fractions of small numbers.
+	// Amounts are whole numbers here, or fractions with small denominators.
 	thousandths := func(v float64) int { return int(math.Round(v * 1000)) }
 	for i := range 3 {
 		allocation := r.Allocations[shardName(i)]
@@ -112,8 +106,8 @@
 	}
 }
 
-// nextAfterRefusal and probe tell what a refusal and a read of the same revision would ask for:
-// together all that a write's state is.
+// nextAfterRefusal and nextAfterRead return the next step after a refusal and after a read of the same
+// revision, on a copy: together they distinguish all states of a write.
 func nextAfterRefusal(w indoubt.ConditionalWrite) indoubt.NextStep {
 	return w.CompleteAttempt(access.Refused)
 }
@@ -142,7 +136,7 @@
 		}
 	}
 	for _, flight := range s.inFlight {
-		// Of claims and processes it matters only whether they still stand.
+		// Of tokens and incarnations it matters only whether they are current.
 		d.putInts(flight.member, int(flight.write.Shard[0]), int(flight.write.Revision))
 		d.putBools(
 			flight.incarnation == s.incarnations[flight.member],
@@ -157,21 +151,21 @@
 
 const teamLimit = 2
 
-// exploreDeep has the explorer go on where the usual run stops: hours, and much memory.
+// exploreDeep raises the bounds beyond those of the usual run: hours, and much memory.
 var exploreDeep = flag.Bool("deep", false, "explore three writes and two ends")
 
 func shardName(i int) string { return string(rune('a' + i)) }
 
-// fault is a mistake that is planted, to see that it is found.
+// fault is a planted mistake, to show that the explorer finds it.
 type fault int
 
 const (
 	noFault                  fault = iota
-	treatsLostAsUnapplied          // a write that nobody answered counts as not applied
-	treatsRefusalAsUnapplied       // a write that was refused counts as not applied, whatever became of an earlier try
-	ignoresPendingGrants           // what a write gives away counts until it is applied
-	acceptsStaleClaims             // the store takes writes of claims that are over
-	adoptsFromStaleMirror          // who adopts a shard starts there before it heard what was written until then
+	treatsLostAsUnapplied          // a write without an answer counts as not applied
+	treatsRefusalAsUnapplied       // a refused write counts as not applied, whatever became of an earlier attempt
+	ignoresPendingGrants           // what a write grants counts as the writer's until it is applied
+	acceptsStaleClaims             // the store takes writes of former claims
+	adoptsFromStaleMirror          // an adopter starts tasks before its replica is current
 )
 
 type explorer struct {
@@ -181,7 +175,7 @@
 	seen        map[uint64]bool
 	queue       []*clusterState
 	violation   string
-	stepsTaken  map[string]bool // kinds of steps that happened
+	stepsTaken  map[string]bool // by kind
 }
 
 func (x *explorer) allocation(s *clusterState, shard int) float64 {
@@ -207,13 +201,14 @@
 			stored += p.CPUs
 		}
 	}
+	storedDiffers := math.Abs(stored-teamLimit) > roundingTolerance
 	switch {
 	case used > teamLimit:
 		x.violation = fmt.Sprintf("%d in use after %s", used, step)
 	case allocated > teamLimit+roundingTolerance:
 		x.violation = fmt.Sprintf("members count on %g after %s", allocated, step)
-	case s.record != nil && (stored > teamLimit+roundingTolerance || stored < teamLimit-roundingTolerance):
-		x.violation = fmt.Sprintf("the parts are %g after %s", stored, step)
+	case s.record != nil && storedDiffers:
+		x.violation = fmt.Sprintf("allocations in the store add up to %g after %s", stored, step)
 	}
 	if k := s.hash(); !x.seen[k] {
 		x.seen[k] = true
@@ -221,7 +216,7 @@
 	}
 }
 
-// resolveWrite carries out what a book wants done about a write.
+// resolveWrite carries out the next steps of a write, up to a resend.
 func (x *explorer) resolveWrite(state *clusterState, member int, next indoubt.NextStep, write Write, fencingToken int) {
 	for next != indoubt.Settled {
 		ledger := state.ledgers[member]
@@ -235,153 +230,189 @@
 			}
 			continue
 		}
-		if shard := int(write.Shard[0] - 'a'); state.owners[shard] != member || state.fencingTokens[shard] != fencingToken {
+		shard := int(write.Shard[0] - 'a')
+		if state.owners[shard] != member || state.fencingTokens[shard] != fencingToken {
 			ledger.Abandon()
 			return
 		}
-		// SendAgain: the same write once more.
-		state.inFlight = append(
-			state.inFlight,
-			inFlightWrite{member: member, incarnation: state.incarnations[member], fencingToken: fencingToken, write: write},
-		)
+		// Resend: the same write once more.
+		state.inFlight = append(state.inFlight, inFlightWrite{
+			member:       member,
+			incarnation:  state.incarnations[member],
+			fencingToken: fencingToken,
+			write:        write,
+		})
 		return
 	}
 }
 
 func (x *explorer) expand(state *clusterState) {
 	for shard := range state.used {
-		owner := state.owners[shard]
-		if owner < 0 {
-			for member := range state.ledgers { // somebody adopts it, with what runs there
-				if state.ledgers[member].revision < state.revision && x.fault != adoptsFromStaleMirror {
-					continue
-				}
-				next := state.clone()
-				next.owners[shard] = member
-				next.fencingTokens[shard]++
-				x.visit(next, "adopt")
-			}
+		if state.owners[shard] < 0 {
+			x.adoptShard(state, shard)
 			continue
 		}
-		if x.allocation(state, shard)-float64(state.used[shard]) >= 1 {
-			next := state.clone()
-			next.used[shard]++
-			x.visit(next, "start")
-		}
-		if state.used[shard] > 0 {
-			next := state.clone()
-			next.used[shard]--
-			x.visit(next, "end")
-		}
+		x.runTasks(state, shard)
 		if state.writes < x.maxWrites {
-			for _, pending := range []float64{0, 2} {
-				next := state.clone()
-				demand := Demand{
-					Used:           Amounts{CPUs: float64(state.used[shard])},
-					Pending:        Amounts{CPUs: pending},
-					Startable:      Amounts{CPUs: pending},
-					LargestPending: Amounts{CPUs: min(pending, 1)},
-				}
-				if write := next.ledgers[owner].Propose(0, shardName(shard), demand); write != nil {
-					next.writes++
-					next.inFlight = append(
-						next.inFlight,
-						inFlightWrite{
-							member:       owner,
-							incarnation:  next.incarnations[owner],
-							fencingToken: next.fencingTokens[shard],
-							write:        *write,
-						},
-					)
-					x.visit(next, "write")
-				}
-			}
+			x.proposeWrites(state, shard)
 		}
 	}
-	for n, flight := range state.inFlight {
-		shard := int(flight.write.Shard[0] - 'a')
-		if !flight.arrived {
+	for n := range state.inFlight {
+		x.deliver(state, n)
+		x.failAttempt(state, n)
+	}
+	mayFail := state.failures < x.maxFailures
+	for member, ledger := range state.ledgers {
+		if ledger.revision < state.revision { // the store's watch
 			next := state.clone()
-			arriving := &next.inFlight[n]
-			arriving.arrived = true
-			if (flight.fencingToken == state.fencingTokens[shard] && state.owners[shard] >= 0 || x.fault == acceptsStaleClaims) &&
-				flight.write.Revision == state.revision {
-				arriving.applied = true
-				next.revision++
-				record := flight.write.Record
-				next.record = &record
-			}
-			x.visit(next, "arrives")
+			next.ledgers[member].Observe(state.record, state.revision)
+			x.visit(next, "heard")
 		}
-		awaitsOutcome := state.incarnations[flight.member] == flight.incarnation &&
-			state.ledgers[flight.member].pendingWrite != nil &&
-			state.ledgers[flight.member].pendingWrite.Shard == flight.write.Shard &&
-			state.ledgers[flight.member].pendingWrite.Revision == flight.write.Revision
-		if flight.arrived {
-			next := state.clone()
-			next.inFlight = slices.Delete(next.inFlight, n, n+1)
-			if awaitsOutcome {
-				if ledger := next.ledgers[flight.member]; flight.applied {
-					record := flight.write.Record
-					ledger.Observe(&record, flight.write.Revision+1)
-					ledger.RecordOutcome(access.OK)
-				} else {
-					x.resolveWrite(next, flight.member, ledger.RecordOutcome(access.Conflict), flight.write, flight.fencingToken)
-				}
-			}
-			x.visit(next, "answered")
+		if mayFail {
+			x.failMember(state, member)
 		}
-		// A try that did not bring the write through, as far as the writer knows.
-		recordFailure := func(step string, outcome access.Outcome, removed bool, ignoredBy fault) {
-			next := state.clone()
-			if removed {
-				next.inFlight = slices.Delete(next.inFlight, n, n+1)
-			}
-			if x.fault == ignoredBy {
-				next.ledgers[flight.member].pendingWrite = nil
-			} else {
-				x.resolveWrite(next, flight.member, next.ledgers[flight.member].RecordOutcome(outcome), flight.write, flight.fencingToken)
-			}
-			x.visit(next, step)
-		}
-		if awaitsOutcome && len(state.inFlight) < 3 { // nobody answers; the write may still be on its way
-			recordFailure("lost", access.Unknown, flight.arrived, treatsLostAsUnapplied)
+	}
+	if mayFail {
+		x.restartAll(state)
+	}
+}
+
+// adoptShard has any member adopt a shard without an owner, with what runs there.
+func (x *explorer) adoptShard(state *clusterState, shard int) {
+	for member := range state.ledgers {
+		if state.ledgers[member].revision < state.revision && x.fault != adoptsFromStaleMirror {
+			continue
 		}
-		if awaitsOutcome && !flight.arrived { // the state service refuses it, for now
-			recordFailure("refused", access.Refused, true, treatsRefusalAsUnapplied)
+		next := state.clone()
+		next.owners[shard] = member
+		next.fencingTokens[shard]++
+		x.visit(next, "adopt")
+	}
+}
+
+func (x *explorer) runTasks(state *clusterState, shard int) {
+	if x.allocation(state, shard)-float64(state.used[shard]) >= 1 {
+		next := state.clone()
+		next.used[shard]++
+		x.visit(next, "start")
+	}
+	if state.used[shard] > 0 {
+		next := state.clone()
+		next.used[shard]--
+		x.visit(next, "end")
+	}
+}
+
+func (x *explorer) proposeWrites(state *clusterState, shard int) {
+	owner := state.owners[shard]
+	for _, pending := range []float64{0, 2} {
+		next := state.clone()
+		write := next.ledgers[owner].Propose(0, shardName(shard), Demand{
+			Used:           Amounts{CPUs: float64(state.used[shard])},
+			Pending:        Amounts{CPUs: pending},
+			Startable:      Amounts{CPUs: pending},
+			LargestPending: Amounts{CPUs: min(pending, 1)},
+		})
+		if write == nil {
+			continue
 		}
-		if !flight.arrived && !awaitsOutcome { // the network loses it
-			next := state.clone()
-			next.inFlight = slices.Delete(next.inFlight, n, n+1)
-			x.visit(next, "dropped")
+		next.writes++
+		next.inFlight = append(next.inFlight, inFlightWrite{
+			member:       owner,
+			incarnation:  next.incarnations[owner],
+			fencingToken: next.fencingTokens[shard],
+			write:        *write,
+		})
+		x.visit(next, "write")
+	}
+}
+
+// awaitsOutcome reports whether the member that sent a write still waits for its outcome.
+func (s *clusterState) awaitsOutcome(flight inFlightWrite) bool {
+	pending := s.ledgers[flight.member].pendingWrite
+	return s.incarnations[flight.member] == flight.incarnation && pending != nil &&
+		pending.Shard == flight.write.Shard && pending.Revision == flight.write.Revision
+}
+
+// deliver brings a write to the store, or the store's answer to the member.
+func (x *explorer) deliver(state *clusterState, n int) {
+	flight := state.inFlight[n]
+	next := state.clone()
+	if !flight.arrived {
+		shard := int(flight.write.Shard[0] - 'a')
+		claimHeld := flight.fencingToken == state.fencingTokens[shard] && state.owners[shard] >= 0
+		arriving := &next.inFlight[n]
+		arriving.arrived = true
+		if (claimHeld || x.fault == acceptsStaleClaims) && flight.write.Revision == state.revision {
+			arriving.applied = true
+			next.revision++
+			record := flight.write.Record
+			next.record = &record
 		}
+		x.visit(next, "arrives")
+		return
 	}
-	for member, ledger := range state.ledgers {
-		if ledger.revision < state.revision { // the watch
-			next := state.clone()
-			next.ledgers[member].Observe(state.record, state.revision)
-			x.visit(next, "heard")
+	next.inFlight = slices.Delete(next.inFlight, n, n+1)
+	ledger, awaited := next.ledgers[flight.member], state.awaitsOutcome(flight)
+	switch {
+	case awaited && flight.applied:
+		record := flight.write.Record
+		ledger.Observe(&record, flight.write.Revision+1)
+		ledger.RecordOutcome(access.OK)
+	case awaited:
+		x.resolveWrite(next, flight.member, ledger.RecordOutcome(access.Conflict), flight.write, flight.fencingToken)
+	}
+	x.visit(next, "answered")
+}
+
+// failAttempt ends an attempt that did not apply the write, as far as the writer knows.
+func (x *explorer) failAttempt(state *clusterState, n int) {
+	flight, awaited := state.inFlight[n], state.awaitsOutcome(state.inFlight[n])
+	recordFailure := func(step string, outcome access.Outcome, removed bool, ignoredBy fault) {
+		next := state.clone()
+		if removed {
+			next.inFlight = slices.Delete(next.inFlight, n, n+1)
 		}
-		if state.failures < x.maxFailures {
-			next := state.clone()
-			next.restart(member)
-			x.visit(next, "ends")
-			next = state.clone()
-			next.loseShards(member)
-			x.visit(next, "loses")
+		if ledger := next.ledgers[flight.member]; x.fault == ignoredBy {
+			ledger.pendingWrite = nil
+		} else {
+			x.resolveWrite(next, flight.member, ledger.RecordOutcome(outcome), flight.write, flight.fencingToken)
 		}
+		x.visit(next, step)
 	}
-	if state.failures < x.maxFailures {
+	if awaited && len(state.inFlight) < 3 { // no answer; the write may still be on its way
+		recordFailure("lost", access.Unknown, flight.arrived, treatsLostAsUnapplied)
+	}
+	if awaited && !flight.arrived { // the state service refuses it, for now
+		recordFailure("refused", access.Refused, true, treatsRefusalAsUnapplied)
+	}
+	if !flight.arrived && !awaited { // the network loses it
 		next := state.clone()
-		for member := range state.ledgers {
-			next.restart(member)
-		}
-		next.failures = x.maxFailures
-		x.visit(next, "all end")
+		next.inFlight = slices.Delete(next.inFlight, n, n+1)
+		x.visit(next, "dropped")
 	}
 }
 
-// loseShards has a member lose its shards and live on: its hold ended.
+// failMember restarts a member, or takes its lease away.
+func (x *explorer) failMember(state *clusterState, member int) {
+	next := state.clone()
+	next.restart(member)
+	x.visit(next, "ends")
+	next = state.clone()
+	next.loseShards(member)
+	x.visit(next, "loses")
+}
+
+func (x *explorer) restartAll(state *clusterState) {
+	next := state.clone()
+	for member := range state.ledgers {
+		next.restart(member)
+	}
+	next.failures = x.maxFailures
+	x.visit(next, "all end")
+}
+
+// loseShards takes a member's shards away while it lives on: its lease expired.
 func (s *clusterState) loseShards(member int) {
 	s.failures++
 	for i, owner := range s.owners {
@@ -391,8 +422,8 @@
 	}
 }
 
-// restart ends a member. It starts again with what the store has; its shards are nobody's
-// until somebody claims them.
+// restart ends a member and starts it again with what the store has. Its shards have no owner until
+// a member claims them.
 func (s *clusterState) restart(member int) {
 	s.loseShards(member)
 	s.incarnations[member]++
@@ -400,7 +431,7 @@
 	s.ledgers[member].Observe(s.record, s.revision)
 }
 
-// explore visits every state within the bounds, or as many as most.
+// explore visits every state within the bounds, up to maxStates.
 func explore(shards, maxWrites, maxFailures int, planted fault, maxStates int) *explorer {
 	x := &explorer{
 		fault:       planted,
@@ -411,19 +442,10 @@
 	}
 	s := &clusterState{}
 	for i := range shards {
-		s.owners, s.fencingTokens, s.incarnations, s.used = append(
-			s.owners,
-			i,
-		), append(
-			s.fencingTokens,
-			1,
-		), append(
-			s.incarnations,
-			0,
-		), append(
-			s.used,
-			0,
-		)
+		s.owners = append(s.owners, i)
+		s.fencingTokens = append(s.fencingTokens, 1)
+		s.incarnations = append(s.incarnations, 0)
+		s.used = append(s.used, 0)
 		s.ledgers = append(s.ledgers, NewLedger(Amounts{CPUs: teamLimit}, "a"))
 	}
 	x.visit(s, "begin")
@@ -435,9 +457,9 @@
 	return x
 }
 
-// Two members with two shards, two writes, an end of one or of both: in no order of
-// events is more in use than the limit, nor do members count on more, nor do the parts
-// in the store add up to anything else. Three members, as far as there is time.
+// Two members with two shards, two writes, a restart of one or of both: in no order of events is more
+// in use than the limit, nor do members count on more, nor do the allocations in the store add
+// up to anything else. With three members, the first states up to a bound.
 func TestEveryEventOrderKeepsTeamLimit(t *testing.T) {
 	writes, failures, maxStates := 2, 1, 20_000
 	if *exploreDeep {
@@ -447,7 +469,10 @@
 	if x.violation != "" {
 		t.Fatal(x.violation)
 	}
-	for _, step := range []string{"adopt", "start", "end", "write", "arrives", "answered", "lost", "refused", "dropped", "heard", "ends", "loses", "all"} {
+	for _, step := range []string{
+		"adopt", "start", "end", "write", "arrives", "answered", "lost", "refused", "dropped",
+		"heard", "ends", "loses", "all",
+	} {
 		if !x.stepsTaken[step] {
 			t.Errorf("no step %q", step)
 		}
@@ -459,13 +484,21 @@
 	t.Logf("three members: the first %d states", len(x.seen))
 }
 
-// What is planted is found.
+// Each planted fault leads to a violation.
 func TestExplorerFindsPlantedFaults(t *testing.T) {
-	for planted, name := range map[fault]string{treatsLostAsUnapplied: "a lost answer counts as not applied", treatsRefusalAsUnapplied: "a refusal counts for the earlier try", ignoresPendingGrants: "gifts count until they are applied", acceptsStaleClaims: "writes of claims that are over are taken", adoptsFromStaleMirror: "an adopter with an old mirror"} {
-		if x := explore(2, 2, 1, planted, 1<<40); x.violation == "" {
-			t.Errorf("%s: not found in %d states", name, len(x.seen))
-		} else {
-			t.Logf("%s: %s, after %d states", name, x.violation, len(x.seen))
-		}
+	for planted, name := range map[fault]string{
+		treatsLostAsUnapplied:    "lost answer counts as not applied",
+		treatsRefusalAsUnapplied: "refusal counts for the earlier attempt",
+		ignoresPendingGrants:     "grants count until they are applied",
+		acceptsStaleClaims:       "store takes writes of former claims",
+		adoptsFromStaleMirror:    "adopter with a stale replica",
+	} {
+		t.Run(name, func(t *testing.T) {
+			x := explore(2, 2, 1, planted, 1<<40)
+			if x.violation == "" {
+				t.Fatalf("not found in %d states", len(x.seen))
+			}
+			t.Logf("%s, after %d states", x.violation, len(x.seen))
+		})
 	}
 }
--- a/quota/usage_monitor.go
+++ b/quota/usage_monitor.go
@@ -9,17 +9,17 @@
 // Job is an unfinished job of a team.
 type Job struct {
 	ID         string
-	AcceptedMS int64   // when it came, time of day
-	Size       Amounts // of all its tasks
+	AcceptedMS int64   // time of day
+	Size       Amounts // of all its tasks together
 }
 
-// Compare orders jobs as they came.
+// Compare orders jobs by arrival.
 func (j Job) Compare(o Job) int {
 	return cmp.Or(cmp.Compare(j.AcceptedMS, o.AcceptedMS), cmp.Compare(j.ID, o.ID))
 }
 
-// JobsWithinGuarantee tells which of a team's unfinished jobs are within its guarantee: each that
-// fits it together with all that came before. Members that see the same jobs agree.
+// JobsWithinGuarantee returns the IDs of a team's unfinished jobs that are within its guarantee: each
+// that fits it together with all that arrived before. Members that see the same jobs agree.
 func JobsWithinGuarantee(guarantee Amounts, jobs []Job) map[string]bool {
 	if !guarantee.isSignificant() {
 		return nil
@@ -37,31 +37,31 @@
 	return within
 }
 
-// UsageSnapshot is what a member tells the others of what teams use in its shards.
+// UsageSnapshot is a member's figures of what teams use in its shards, as sent to the others.
 type UsageSnapshot struct {
-	Version          int64              `msgpack:"at"`    // rises with each
-	Used             map[string]Amounts `msgpack:"use"`   // by team, without what is told to stop
+	Version          int64              `msgpack:"at"`    // higher in each
+	Used             map[string]Amounts `msgpack:"use"`   // by team, without what is being stopped
 	Pending          map[string]Amounts `msgpack:"wait"`  // by team
-	ReceivedVersions map[string]int64   `msgpack:"heard"` // by member: the newest of its figures that this one has
+	ReceivedVersions map[string]int64   `msgpack:"heard"` // by member: its newest version received here
 }
 
-// UsageMonitor is what a member knows of the use of teams over all members, and what it may
-// stop for others' guarantees.
+// UsageMonitor is what a member knows of teams' use over all members, and what it may preempt for
+// other teams' guarantees.
 type UsageMonitor struct {
 	memberID          string
-	startVersion      int64 // figures of an earlier life are not newer
+	startVersion      int64 // of this incarnation; those of earlier ones are not above it
 	version           int64
-	peerIDs           []string // of the members that were heard, in order
+	peerIDs           []string // of the members that were heard from, in order
 	snapshots         map[string]receivedSnapshot
 	preemptionBudgets map[string]preemptionBudget // by team
 }
 
 type receivedSnapshot struct {
 	UsageSnapshot
-	receivedMS int64 // when they came
+	receivedMS int64 // monotonic time
 }
 
-// NewUsageMonitor returns the watch of a member that starts at a time of day, which has heard
+// NewUsageMonitor returns the monitor of a member that starts at a time of day and has heard from
 // nobody.
 func NewUsageMonitor(memberID string, wallMS int64) *UsageMonitor {
 	return &UsageMonitor{
@@ -73,8 +73,8 @@
 	}
 }
 
-// Snapshot returns the figures to send. wall is the time of day, which makes those of a
-// member that starts again newer than those before.
+// Snapshot returns the figures to send. Their version follows the time of day, so that those of a
+// member that restarted are newer than those before.
 func (m *UsageMonitor) Snapshot(wallMS int64, used, pending map[string]Amounts) UsageSnapshot {
 	m.version = max(m.version+1, wallMS)
 	snapshot := UsageSnapshot{Version: m.version, Used: used, Pending: pending, ReceivedVersions: map[string]int64{}}
@@ -84,7 +84,7 @@
 	return snapshot
 }
 
-// Receive takes another member's figures, unless newer ones overtook them.
+// Receive takes another member's figures, unless newer ones overtook them. nowMS is monotonic time.
 func (m *UsageMonitor) Receive(nowMS int64, from string, snapshot UsageSnapshot) {
 	old, known := m.snapshots[from]
 	if snapshot.Version <= old.Version {
@@ -97,38 +97,36 @@
 	m.snapshots[from] = receivedSnapshot{snapshot, nowMS}
 }
 
-// PeerUsage is what a team uses and waits for in the shards of the members that were heard
-// since, and how old the oldest of these figures is.
+// PeerUsage returns what a team uses and has pending in the shards of the members that were heard
+// from since a monotonic time, and how old the oldest of these figures is.
 func (m *UsageMonitor) PeerUsage(team string, nowMS, sinceMS int64) (used, pending Amounts, ageMS int64) {
 	for _, peerID := range m.peerIDs {
-		if snapshot := m.snapshots[peerID]; snapshot.receivedMS >= sinceMS {
-			used, pending, ageMS = used.Add(
-				snapshot.Used[team],
-			), pending.Add(
-				snapshot.Pending[team],
-			), max(
-				ageMS,
-				nowMS-snapshot.receivedMS,
-			)
+		snapshot := m.snapshots[peerID]
+		if snapshot.receivedMS < sinceMS {
+			continue
 		}
+		used = used.Add(snapshot.Used[team])
+		pending = pending.Add(snapshot.Pending[team])
+		ageMS = max(ageMS, nowMS-snapshot.receivedMS)
 	}
 	return used, pending, ageMS
 }
 
-// preemptionBudget is what a member has stopped of a team since the others' figures were last
-// complete: what else it may, by the figures of then.
+// preemptionBudget is what a member may still preempt of a team by the figures that were complete
+// before its last preemption.
 type preemptionBudget struct {
-	version     int64 // the last of our figures before the last of them
+	version     int64 // of the last snapshot sent before the last preemption
 	remaining   Amounts
-	minOwnUsage Amounts // as little of it as may be left here
+	minOwnUsage Amounts // what must remain in use here
 }
 
-// lastPreemption is what was stopped of a team last, and whether each member that was heard since a
-// time has told what it uses after it heard of that. One that just started has others hear
-// of it first: what its earlier life stopped they may not know.
+// lastPreemption returns the budget after the last preemption of a team, and whether every member
+// heard from since a monotonic time has reported its use after it received a newer snapshot of ours.
+// A member that just started waits for that too: the others may not know what its earlier
+// incarnation preempted.
 func (m *UsageMonitor) lastPreemption(team string, sinceMS int64) (budget preemptionBudget, acknowledged bool) {
-	budget, stopped := m.preemptionBudgets[team]
-	if !stopped {
+	budget, preempted := m.preemptionBudgets[team]
+	if !preempted {
 		budget.version = m.startVersion
 	}
 	for _, snapshot := range m.snapshots {
@@ -139,33 +137,36 @@
 	return budget, true
 }
 
-// PreemptibleExcess is what this member may stop of a team that uses so much here, beyond its
-// guarantee. Members not heard since a time count as using nothing. In a dimension in
-// which nothing is guaranteed there is no bound.
+// PreemptibleExcess returns what this member may preempt of a team that uses ownUsage here: its
+// part of what the team uses beyond its guarantee. Members not heard from since a monotonic time
+// count as using nothing. A dimension without a guarantee is unbounded (+Inf).
 func (m *UsageMonitor) PreemptibleExcess(team string, ownUsage, guarantee Amounts, sinceMS int64) Amounts {
 	if budget, acknowledged := m.lastPreemption(team, sinceMS); !acknowledged {
-		// What some say, they said before they heard of our last stop: they may stop
-		// their parts by figures of before, and so may we, but no more.
-		return budget.remaining.Min(ownUsage.Sub(budget.minOwnUsage)).Max(Amounts{})
+		// Some figures are from before their senders knew of our last preemption: those members may
+		// preempt their parts by the earlier figures, and so may we, but no more.
+		return budget.remaining.Min(ownUsage.Sub(budget.minOwnUsage)).nonNegative()
 	}
 	peerUsage, _, _ := m.PeerUsage(team, 0, sinceMS)
 	total := ownUsage.Add(peerUsage)
-	preemptible := func(ownUsage, total, guarantee float64) float64 {
-		switch {
-		case guarantee <= 0:
-			return math.Inf(1)
-		case total <= guarantee || ownUsage <= 0:
-			return 0
-		}
-		return (total - guarantee) * ownUsage / total
-	}
 	return Amounts{
-		preemptible(ownUsage.CPUs, total.CPUs, guarantee.CPUs),
-		preemptible(ownUsage.GPUs, total.GPUs, guarantee.GPUs),
+		ownShareOfExcess(ownUsage.CPUs, total.CPUs, guarantee.CPUs),
+		ownShareOfExcess(ownUsage.GPUs, total.GPUs, guarantee.GPUs),
+	}
+}
+
+// ownShareOfExcess divides what a team uses beyond its guarantee in proportion to use.
+func ownShareOfExcess(ownUsage, total, guarantee float64) float64 {
+	switch {
+	case guarantee <= 0:
+		return math.Inf(1)
+	case total <= guarantee || ownUsage <= 0:
+		return 0
 	}
+	return (total - guarantee) * ownUsage / total
 }
 
-// TryPreempt takes what is to be stopped of a team off what may be, and says whether it may.
+// TryPreempt takes an amount off what may be preempted of a team, and reports whether it was within
+// that. Only then may the caller stop tasks of that size.
 func (m *UsageMonitor) TryPreempt(team string, ownUsage, guarantee Amounts, sinceMS int64, amount Amounts) bool {
 	excess := m.PreemptibleExcess(team, ownUsage, guarantee, sinceMS)
 	if !excess.Contains(amount) {
@@ -180,8 +181,8 @@
 	return true
 }
 
-// DominantShare is a team's dominant share: the larger of what it uses of all processors and
-// of all accelerators (Ghodsi et al., "Dominant Resource Fairness", NSDI 2011).
+// DominantShare returns a team's dominant share: the larger of its shares of all processors and of
+// all accelerators (Ghodsi et al., "Dominant Resource Fairness", NSDI 2011).
 func DominantShare(used, total Amounts) float64 {
 	share := 0.0
 	if total.CPUs > 0 {
@@ -193,9 +194,10 @@
 	return share
 }
 
-// Tier says how far a team is beyond its guarantee, in halves of an equal share of all
-// that there is: what is free goes to lower levels first. Within a level deadlines count,
-// so that teams that are about even do not cost each other theirs.
+// Tier returns how far a team is beyond its guarantee, in halves of an equal share of the total: what
+// is free goes to lower tiers first. Within a tier deadlines decide, so that teams that are
+// about even do not cost each other theirs.
 func Tier(used, guarantee, total Amounts, teamCount int) int {
-	return int(DominantShare(used.Sub(guarantee).Max(Amounts{}), total)*float64(2*teamCount) + roundingTolerance)
+	excess := used.Sub(guarantee).nonNegative()
+	return int(DominantShare(excess, total)*float64(2*teamCount) + roundingTolerance)
 }
