--- a/emulator/experiment.go
+++ b/emulator/experiment.go
@@ -291,8 +291,8 @@
 			!slices.ContainsFunc(experiment.Rollouts, func(r Rollout) bool { return r.Plan.ID == v.Rollout }) {
 			fail("variant %s: rollout %q is none of the plans", v.Name, v.Rollout)
 		}
-		if reason := v.settings().Validate(); reason != "" {
-			fail("variant %s: %s", v.Name, reason)
+		if err := v.settings().Validate(); err != nil {
+			fail("variant %s: %w", v.Name, err)
 		}
 	}
 	return experiment, errors.Join(problems...)
--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -190,8 +190,8 @@
 		pendingLocally: true,
 		relayed:        true,
 	} // this member's to answer
-	if reason := s.Validate(); reason != "" {
-		c.requests.completeRequest(replyID, UserResponse{Status: 400, Error: reason})
+	if err := s.Validate(); err != nil {
+		c.requests.completeRequest(replyID, UserResponse{Status: 400, Error: err.Error()})
 		return
 	}
 	if !c.store.storeAccess.IsSynced() {
--- a/scheduler/environment.go
+++ b/scheduler/environment.go
@@ -7,19 +7,19 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// environment is what all owners of state share: the settings of the member, the
-// time and the random numbers of the present input, and where outputs go. It
-// holds no state of the cluster.
+// environment is what all owners of state share: the member's parameters, the
+// time of the current input, the random numbers, and where outputs go. It holds
+// no state of the cluster.
 type environment struct {
 	params        Params
 	rng           *rand.Rand
-	now           Now // of the present input
+	now           Now // of the current input
 	outputs       Outputs
-	startedAtMS   int64 // monotonic
+	startedAtMS   int64 // monotonic time
 	lastRequestID uint64
 
 	Counters      Counters
-	rolloutCounts rollout.HealthCounts // what the health gates of rollouts count at this member
+	rolloutCounts rollout.HealthCounts // input of the rollouts' health gates, counted at this member
 }
 
 func newEnvironment(params Params, seed uint64, now Now) *environment {
@@ -31,6 +31,7 @@
 	}
 }
 
+// log appends a log line to the outputs. args are keys and values in turn.
 func (env *environment) log(level LogLevel, text string, args ...any) {
 	if level == Debug && !env.params.Debug {
 		return
@@ -38,54 +39,55 @@
 	env.outputs.Logs = append(env.outputs.Logs, LogLine{level, text, args})
 }
 
-// memberIDs lists all members in order.
+// memberIDs lists all members, sorted.
 func (env *environment) memberIDs() []string {
 	return env.params.MemberIDs()
 }
 
-// stopDelay is how long a stop takes until its room can be used. It goes straight to the
-// worker, which tells of its end soon after: counted as for two reports, so many tasks
-// were about to end by themselves that nothing was stopped for half of the time that a
-// guarantee promises.
+// stopDelay is how many milliseconds pass from a stop until the task's resources can be
+// used. The command goes straight to the worker, which reports the end soon after.
+// Estimated as two heartbeat intervals, so many tasks were about to end by themselves
+// that nothing was stopped for half of the time that a guarantee promises.
 func (env *environment) stopDelay(j *Job) int64 {
 	return env.maxHeartbeatIntervalMS()/2 + secondsToMS(j.CheckpointDurationS)
 }
 
-// maxHeartbeatIntervalMS is the longest time between two reports of a machine that is well.
+// maxHeartbeatIntervalMS is the longest time between two heartbeats of a healthy machine.
 func (env *environment) maxHeartbeatIntervalMS() int64 {
 	return secondsToMS(env.params.HeartbeatS*1.25) + 500
 }
 
-// isUrgent tells whether a start should not wait for the machine's next report:
-// half an interval is much against the start aim of its class or against the
-// task's own length.
+// isUrgent reports whether a start should not wait for the machine's next heartbeat:
+// half an interval is long against the start objective of its class or against the
+// task's own runtime.
 func (env *environment) isUrgent(p plannedStart) bool {
 	meanDelay := secondsToMS(env.params.HeartbeatS) / 2
 	for _, o := range env.params.Objectives[p.taskRange.job.rec.Job.Class] {
-		if o.Kind == "wait" && meanDelay*10 > secondsToMS(o.WithinS) {
+		if o.Kind == startObjective && meanDelay*10 > secondsToMS(o.WithinS) {
 			return true
 		}
 	}
 	return meanDelay*50 > p.runtimeMS
 }
 
-// maxChangesPerBackgroundTxn bounds the changes of one transaction that is not urgent, so
-// that it does not use up a member's part of the store's rate at once.
+// maxChangesPerBackgroundTxn bounds the changes of a background transaction, so that it
+// does not use up the member's share of the store's rate at once.
 func (env *environment) maxChangesPerBackgroundTxn() int { return max(1, env.params.MaxTxnOps/4) }
 
-// maxMachinesPerPage bounds the machines of a roster, by the bytes that a value takes;
-// names take up to some twenty of them.
+// maxMachinesPerPage bounds the machines of one registry record to half a value of the
+// store; a name takes up to about twenty bytes.
 func (env *environment) maxMachinesPerPage() int { return max(1, env.params.MaxValueBytes/2/24) }
 
 // maxRangeTasks bounds the tasks of one range, so that its progress fits half a
-// value: a bitmap in base64 takes a sixth of a byte a task.
+// value: a bitmap in base64 takes a sixth of a byte per task.
 func (env *environment) maxRangeTasks() int { return max(64, env.params.MaxValueBytes/2*6) }
 
-// maxJobRanges bounds the ranges of a job's record, a record of some fifty
-// bytes each in a quarter of a value.
+// maxJobRanges bounds the ranges of a job's record to a quarter of a value; a range
+// takes about fifty bytes.
 func (env *environment) maxJobRanges() int { return max(8, env.params.MaxValueBytes/4/50) }
 
-// objectiveDeadlines are the times by which it counts that a job is done, in order.
+// objectiveDeadlines are the times of day, in milliseconds and sorted, by which the
+// job's deadline and the objectives of its class want it done.
 func (env *environment) objectiveDeadlines(j *Job, accepted int64) []int64 {
 	var deadlines []int64
 	if j.DeadlineS > 0 {
@@ -93,11 +95,11 @@
 	}
 	for _, o := range env.params.Objectives[j.Class] {
 		switch o.Kind {
-		case "deadline":
+		case deadlineObjective:
 			if j.DeadlineS > 0 && o.DeadlineFactor > 1 {
 				deadlines = append(deadlines, accepted+secondsToMS(j.DeadlineS*o.DeadlineFactor))
 			}
-		case "finished":
+		case finishObjective:
 			deadlines = append(deadlines, accepted+secondsToMS(o.WithinS))
 		}
 	}
@@ -105,22 +107,24 @@
 	return deadlines
 }
 
-// hasStartObjective tells whether a job's class has a start aim of its own.
+// hasStartObjective reports whether a job's class has a start objective of its own.
 func (env *environment) hasStartObjective(j *Job) bool {
-	return slices.ContainsFunc(env.params.Objectives[j.Class], func(o Objective) bool { return o.Kind == "wait" })
+	isStartObjective := func(o Objective) bool { return o.Kind == startObjective }
+	return slices.ContainsFunc(env.params.Objectives[j.Class], isStartObjective)
 }
 
-// maxOpenCharges bounds the charges of a shard that are open, within half a value.
+// maxOpenCharges bounds the open charges against a shard's disruption budgets, so that
+// their record fits half a value.
 func (env *environment) maxOpenCharges() int { return max(16, env.params.MaxValueBytes/2/80) }
 
-// progressWriteInterval is how long progress may stay unwritten: a result is kept by
-// its machine until it is stored, so only a machine's loss costs it.
+// progressWriteInterval is how many milliseconds progress may stay unwritten: a worker
+// keeps a result until it is stored, so only the loss of the machine costs it.
 func (env *environment) progressWriteInterval() int64 {
 	return max(secondsToMS(env.params.HeartbeatS), 1500)
 }
 
-// planInterval is how long the last plan's cost asks to wait for the next one, in
-// milliseconds.
+// planInterval is how many milliseconds after the last plan the next one may run, by
+// the cost of the last one and the member's share of processor time.
 func (env *environment) planInterval(s *shard) float64 {
 	interval := float64(s.planSteps) * planStepCostMS / planningCPUShare
 	if env.params.CPUShare > 0 {
--- a/scheduler/params.go
+++ b/scheduler/params.go
@@ -2,46 +2,54 @@
 
 import "slices"
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team is a team's guaranteed resources and its limit; 0 means none.
 type Team struct {
 	CPUs, GPUs       float64
 	MaxCPUs, MaxGPUs float64
 }
 
-// Objective is an aim for a class of jobs. Kind is deadline, wait, finished or
-// guarantee; others are ignored.
+// The kinds of objectives that the core pursues.
+const (
+	deadlineObjective = "deadline" // done by the job's deadline, times a factor
+	startObjective    = "wait"     // the first start within a time after the submission
+	finishObjective   = "finished" // done within a time after the submission
+)
+
+// Objective is a service level objective of a class of jobs. Kind is deadline, wait,
+// finished or guarantee; others are ignored.
 type Objective struct {
 	Kind           string
 	WithinS        float64
-	DeadlineFactor float64 // deadline: the deadline times this
+	DeadlineFactor float64 // of kind deadline: multiplies the job's deadline
 }
 
-// Params is what a core needs of the settings.
+// Params is what the core needs of the member's configuration. It does not change while
+// the member runs.
 type Params struct {
 	MemberID         string
 	Zone             string
 	PeerIDs          []string
 	Teams            map[string]Team
-	Objectives       map[string][]Objective // by class
-	GuaranteeWithinS float64                // work within a guarantee starts this soon; 0: no such aim
+	Objectives       map[string][]Objective // by class of jobs
+	GuaranteeWithinS float64                // work within a guarantee starts this soon; 0: no such objective
 	HeartbeatS       float64
 	LeaseS           float64
 	CancelWithinS    float64
 	CPUShare         float64 // of one core; 0: not limited
-	Debug            bool    // debug lines are wanted
+	Debug            bool    // debug log lines are wanted
 	MaxValueBytes    int
 	MaxTxnOps        int
 	CloudListLagS    float64
-	StoreChangeRate  float64 // changes a second that the state service allows this member; 0: submissions are written one by one
-	MaxPendingRelays int     // users' requests that peers may be answering at once; 0: none
-	Aging            bool    // first tasks of jobs that waited too long to begin go before their equals
-	Quota            bool    // teams get their guarantees by what others run beyond theirs
-	Rollout          bool    // machines are drained and replaced in steps, by plans
-	Recovery         bool    // orders after a claim are paced, and what reports do not say is remembered
-	LeaseTTLRatio    float64 // life of holds, against the longest that is safe; 0: that
+	StoreChangeRate  float64 // store changes per second for this member; 0: submissions are written one by one
+	MaxPendingRelays int     // users' requests relayed to peers at the same time; 0: none
+	Aging            bool    // first tasks of jobs that waited too long precede others of their priority
+	Quota            bool    // tasks beyond their team's guarantee are stopped for the guarantees of others
+	Rollout          bool    // machines are drained and replaced in steps, by rollout plans
+	Recovery         bool    // commands after a claim are paced, and the state of unreachable machines is recorded
+	LeaseTTLRatio    float64 // of the longest safe lease TTL, in (0,1]; 0: 1
 }
 
-// MemberIDs lists the members, whose names are the shards', in order.
+// MemberIDs lists all members, sorted. Shards have the same names.
 func (p Params) MemberIDs() []string {
 	all := append([]string{p.MemberID}, p.PeerIDs...)
 	slices.Sort(all)
--- a/scheduler/peer_messages.go
+++ b/scheduler/peer_messages.go
@@ -129,24 +129,6 @@
 	return peer != nil && pt.now.MonotonicMS-peer.receivedAtMS < pt.cache.maxMessageAgeMS()
 }
 
-// homeShard is the shard that holds what is left of a new job.
-func (qm *quotaManager) homeShard(j *Job) string {
-	homeShard, limited := qm.homeShards[j.Team]
-	if !limited || qm.keepsJobFromHome(homeShard, j) {
-		return qm.params.MemberID
-	}
-	return homeShard
-}
-
-// keepsJobFromHome tells whether a job stays here though its team has another home: whoever
-// holds that is not heard, and the part that stands here takes a task.
-func (qm *quotaManager) keepsJobFromHome(homeShard string, j *Job) bool {
-	owner := qm.cache.shardClaims[homeShard].Owner
-	s := qm.shards.ownedShards[qm.params.MemberID]
-	return qm.params.Quota && s != nil && owner != qm.params.MemberID && (owner == "" || !qm.peers.isFresh(qm.peers.peers[owner])) &&
-		qm.quotaLedgers[j.Team].Allocation(s.name).Contains(amountsOf(j.Request))
-}
-
 // minMoveDivisor is how small a share of what waits may go by a move of its own:
 // each costs a write now and one at its end.
 const minMoveDivisor = 8
--- a/scheduler/state_cache.go
+++ b/scheduler/state_cache.go
@@ -79,7 +79,7 @@
 		cache.applyChange(KeyValue{Key: key, Rev: revision})
 	}
 	cache.mirrorRevision = revision
-	cache.log(Info, "mirror read", "keys", len(kvs), "revision", revision)
+	cache.log(Info, "state cache loaded", "keys", len(kvs), "revision", revision)
 }
 
 // applyChange brings the mirror up to a change, unless it has a newer one already.
@@ -159,7 +159,7 @@
 func (cache *stateCache) applySettingsRecord(kv KeyValue) error {
 	settings := DefaultSettings()
 	if kv.Value != nil {
-		if err := json.Unmarshal(kv.Value, &settings); err != nil || settings.Validate() != "" {
+		if err := json.Unmarshal(kv.Value, &settings); err != nil || settings.Validate() != nil {
 			return nil
 		}
 	}
--- /dev/null
+++ b/scheduler/store_access.go
@@ -0,0 +1,69 @@
+package scheduler
+
+// tickStoreAccess sends what the member's access to the store needs: its lease,
+// and the replica of everything live, by one list and then by watches. A watch
+// that returns proves that everything up to its sending was seen.
+func (c *Controller) tickStoreAccess() {
+	actions := c.store.storeAccess.Tick(c.now.MonotonicMS)
+	if link := c.store.storeAccess.Link(c.now.MonotonicMS); link != c.store.lastStoreLink {
+		c.store.lastStoreLink = link
+		c.log(Info, "state service", "link", link)
+	}
+	if actions.GrantLease {
+		c.requestLease()
+	}
+	if actions.RenewLease != 0 {
+		c.renewLease(actions.RenewLease)
+	}
+	if actions.ListMirror {
+		c.listLiveRecords(actions.ReadID)
+	}
+	if actions.WatchMirror {
+		c.watchLiveRecords(actions.ReadID)
+	}
+}
+
+func (c *Controller) requestLease() {
+	op := StoreOp{Kind: StoreGrantLease, DurationMS: c.store.leaseTTLMS()}
+	c.store.sendStore(op, func(r StoreResult) {
+		c.store.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, r.LeaseID)
+	})
+}
+
+func (c *Controller) renewLease(leaseID uint64) {
+	c.store.sendStore(StoreOp{Kind: StoreRenewLease, LeaseID: leaseID}, func(r StoreResult) {
+		lost := c.store.storeAccess.CompleteLeaseRequest(c.now.MonotonicMS, r.Outcome, 0)
+		if !lost {
+			return
+		}
+		// Every claim that was attached to the lease is gone with it.
+		c.log(Warn, "lease lost", "shards", len(c.shards.ownedShards))
+		for _, s := range sortedByKey(c.shards.ownedShards) {
+			c.shards.dropShard(s)
+		}
+	})
+}
+
+func (c *Controller) listLiveRecords(readID uint64) {
+	c.store.listAll(livePrefix, func(kvs []KeyValue, rev uint64, outcome Outcome) {
+		if outcome == OK {
+			c.cache.applySnapshot(kvs, rev)
+		}
+		c.store.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, readID, outcome, c.rng.Float64())
+	})
+}
+
+func (c *Controller) watchLiveRecords(readID uint64) {
+	op := StoreOp{
+		Kind:       StoreWatch,
+		Key:        livePrefix,
+		Rev:        c.cache.mirrorRevision,
+		DurationMS: c.store.leaseRenewalIntervalMS(),
+	}
+	c.store.sendStore(op, func(r StoreResult) {
+		current := c.store.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, readID, r.Outcome, c.rng.Float64())
+		if current && r.Outcome == OK {
+			c.cache.applyWatchResult(r)
+		}
+	})
+}
