--- a/scheduler/extension_records.go
+++ b/scheduler/extension_records.go
@@ -1,27 +1,26 @@
 package scheduler
 
-import (
-	"strings"
-)
+import "strings"
 
-// ExtensionPrefix begins the keys that subsystems beside the core keep in the
-// mirror, each under a letter of its own. They are for small records that say
-// that something lives and which shard owns it.
+// ExtensionPrefix begins the keys that subsystems beside the core keep in the state
+// cache, each under a letter of its own. They are for small records: that something
+// is live, and which shard owns it.
 const ExtensionPrefix = extensionPrefix
 
-// ClaimKey is the key of a shard's claim: a guard on it makes a write of whoever
-// holds the shard.
+// ClaimKey is the key of a shard's claim. A precondition on it restricts a write to the
+// owner of the shard.
 func ClaimKey(shard string) string { return claimKey(shard) }
 
-// ExtensionView is what a subsystem beside the core sees of it.
+// ExtensionView is what a subsystem beside the core sees of the core's state.
 type ExtensionView struct {
 	HasAuthority bool
-	ClaimTokens  map[string]uint64 // shards of this member that are ready, with their tokens
-	KVs          []KeyValue        // under the prefix that was asked for, by key
-	EndedJobs    []string          // of the jobs that were asked about: those that the mirror lacks
+	ClaimTokens  map[string]uint64 // fencing tokens of this member's shards that are ready
+	KVs          []KeyValue        // under the requested prefix, sorted by key
+	EndedJobs    []string          // of the requested jobs: those that are not live
 }
 
-// ExtensionView tells how the member stands. Until it has a mirror all of it is empty.
+// ExtensionView returns the state that a subsystem acts by: records under prefix, and which
+// of the jobs have ended. Until the cache is synced, only HasAuthority is set.
 func (c *Controller) ExtensionView(now Now, prefix string, jobs []string) ExtensionView {
 	c.now = now
 	view := ExtensionView{HasAuthority: c.store.hasAuthority(), ClaimTokens: map[string]uint64{}}
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -5,41 +5,49 @@
 	"github.com/grebedock/grebedock/indoubt"
 )
 
-// inDoubtWrite is a guarded write that is sent until its outcome is certain (package
-// indoubt): how it is sent, what its state makes of a try and of reading the key
-// back, and whom it matters to.
+// inDoubtWrite is a conditional write that is sent until its outcome is certain (package
+// indoubt). onSent and onRead decide the next step after an attempt and after reading the
+// key back:
+//
+//	step            then
+//	indoubt.Settled onSettled; the write is over
+//	indoubt.Resend  send again, then onSent
+//	otherwise       read the key, then onRead
+//
+// Before the second and third, a claim that is not valid any more ends the write with
+// onClaimLost. Exactly one of onSettled and onClaimLost is called, once.
 type inDoubtWrite struct {
-	isClaimValid func() bool // the claim under which it was sent is still ours
+	isClaimValid func() bool // the claim under which it was sent is still this member's
 	send         func(done func(StoreResult))
 	onSent       func(Outcome) indoubt.NextStep
 	onRead       func(StoreResult) indoubt.NextStep
 	onSettled    func()
-	onClaimLost  func() // the claim went: what became of it, the mirror tells
+	onClaimLost  func() // the outcome stays unknown here; the cache shows it in time
 }
 
-// retryPauseDivisor is which part of a request's time passes until a write in doubt goes on
-// that the state service did not answer or refused: asked again at once, an outage would
-// be all requests.
+// retryPauseDivisor divides the request timeout to give the pause before an in-doubt write
+// goes on that the state service refused or did not answer: retried at once, an outage
+// would consist of requests.
 const retryPauseDivisor = 6
 
-// sendUntilSettled sends a write and goes on with it until it is settled.
+// sendUntilSettled sends a write, and repeats or rereads it until it is settled or its
+// claim is lost.
 func (sc *storeClient) sendUntilSettled(key string, write inDoubtWrite) {
 	var proceed func(indoubt.NextStep)
-	proceed = func(action indoubt.NextStep) {
+	proceed = func(step indoubt.NextStep) {
 		switch {
-		case action == indoubt.Settled:
+		case step == indoubt.Settled:
 			write.onSettled()
 		case !write.isClaimValid():
 			write.onClaimLost()
-		case action == indoubt.Resend:
+		case step == indoubt.Resend:
 			write.send(func(result StoreResult) {
 				sc.continueAfter(result.Outcome, func() { proceed(write.onSent(result.Outcome)) })
 			})
 		default:
-			sc.rereadKey(
-				key,
-				func(result StoreResult) { sc.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) }) },
-			)
+			sc.rereadKey(key, func(result StoreResult) {
+				sc.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) })
+			})
 		}
 	}
 	write.send(func(result StoreResult) {
@@ -51,25 +59,24 @@
 	})
 }
 
-// continueAfter goes on at once after an answer, and else in a while.
+// continueAfter resumes at once if the service processed the request, and after a pause
+// otherwise.
 func (sc *storeClient) continueAfter(outcome Outcome, resume func()) {
 	if outcome.ProcessedByService() {
 		resume()
 		return
 	}
-	sc.delayedSteps = append(
-		sc.delayedSteps,
-		delayedStep{sc.now.MonotonicMS + access.RequestTimeout.Milliseconds()/retryPauseDivisor, resume},
-	)
+	pauseMS := access.RequestTimeout.Milliseconds() / retryPauseDivisor
+	sc.delayedSteps = append(sc.delayedSteps, delayedStep{dueAtMS: sc.now.MonotonicMS + pauseMS, resume: resume})
 }
 
-// delayedStep is something that goes on at a time.
+// delayedStep is what resumes at a time.
 type delayedStep struct {
-	dueAtMS int64
+	dueAtMS int64 // monotonic time
 	resume  func()
 }
 
-// runDueSteps goes on with what paused long enough.
+// runDueSteps resumes the steps whose time has come, in the order in which they paused.
 func (sc *storeClient) runDueSteps() {
 	steps := sc.delayedSteps
 	sc.delayedSteps = nil
--- a/scheduler/inputs_outputs.go
+++ b/scheduler/inputs_outputs.go
@@ -11,9 +11,8 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// Now is the time at which an input happened: the steady clock for leases and
-// authority, the time of day for what members compare with each other. Both in
-// milliseconds.
+// Now is the time at which an input happened, in milliseconds: monotonic time for
+// leases and authority, the time of day for what members compare with each other.
 type Now struct{ MonotonicMS, WallMS int64 }
 
 // Urgency orders requests when the rate budget is short.
@@ -21,10 +20,10 @@
 
 // The urgencies, most urgent first.
 const (
-	UrgencyLease      Urgency = iota // holds, claims, watches
-	UrgencyUser                      // accepts, cancels, results that users wait for
-	UrgencyRead                      // polls
-	UrgencyBackground                // whatever can wait
+	UrgencyLease      Urgency = iota // leases, claims, watches
+	UrgencyUser                      // submissions, cancellations, results that users wait for
+	UrgencyRead                      // users' queries
+	UrgencyBackground                // all that can wait
 )
 
 // StoreOpKind is an operation of the state service.
@@ -40,13 +39,14 @@
 	StoreWatch
 )
 
-// Precondition is a condition of a transaction: the key's revision, 0 for none.
+// Precondition is a condition of a transaction: the key has this revision; 0: it does not exist.
 type Precondition struct {
 	Key      string `msgpack:"Key"`
 	Revision uint64 `msgpack:"Rev"`
 }
 
-// Change is a put or, without a value, a removal.
+// Change is a put or, without a value, a removal. A put with a LeaseID is removed when
+// the lease ends.
 type Change struct {
 	Key     string
 	Value   json.RawMessage
@@ -59,10 +59,10 @@
 	Kind          StoreOpKind
 	Urgency       Urgency
 	Key           string // the key, or the prefix
-	StartAfter    string // StoreList: read on behind this key
-	Rev           uint64 // StoreWatch: changes behind this revision
+	StartAfter    string // StoreList: only keys after this one
+	Rev           uint64 // StoreWatch: changes after this revision
 	LeaseID       uint64
-	DurationMS    int64 // life of a hold, or how long a watch waits
+	DurationMS    int64 // TTL of a lease, or how long a watch waits
 	Preconditions []Precondition
 	Changes       []Change
 }
@@ -71,8 +71,8 @@
 type Outcome = access.Outcome
 
 // The outcomes. Refused and Throttled mean that the request was certainly not
-// executed, Unknown that it may have been or may yet be. A watch is Gone if its
-// revision is too old, a put if its hold is over.
+// executed, Unknown that it may have been or may still be. A watch is Gone if its
+// revision is too old, a put if its lease has ended.
 const (
 	OK        = access.OK
 	NotFound  = access.NotFound
@@ -97,9 +97,9 @@
 	LeaseID      uint64
 	KVs          []KeyValue
 	More         bool
-	FailedKeys   []string // Conflict: the keys whose guards failed
-	RetryAfterMS int64    // Throttled by the member's own budget: when there is room again
-	QueuedMS     int64    // how long the request waited for its turn in that budget
+	FailedKeys   []string // Conflict: the keys whose preconditions failed
+	RetryAfterMS int64    // Throttled by the member's own rate limit: when to try again
+	QueuedMS     int64    // how long the request waited for that rate limit
 }
 
 // CloudOpKind is an operation of the cloud.
@@ -113,8 +113,8 @@
 	CloudRelease
 )
 
-// Urgency orders requests to the cloud: work waits for rentals, returns only
-// cost money, and lists come again.
+// Urgency orders requests to the cloud, the most urgent first: tasks wait for
+// provisioning, late releases only cost money, and lists are repeated.
 func (k CloudOpKind) Urgency() int {
 	switch k {
 	case CloudProvision, CloudCatalog:
@@ -125,7 +125,7 @@
 	return 2
 }
 
-// CloudOp is a request to the cloud.
+// CloudOp is a request to the cloud. IdempotencyKey makes a repeated CloudProvision safe.
 type CloudOp struct {
 	ID             uint64
 	Kind           CloudOpKind
@@ -138,7 +138,7 @@
 	Machines       []string
 }
 
-// CloudMachine is a machine in the cloud's list.
+// CloudMachine is a machine in the list of the cloud.
 type CloudMachine struct {
 	ID, Addr, Type, Zone string
 	Spot                 bool
@@ -155,7 +155,7 @@
 	More     bool
 }
 
-// TaskStatus is a task as a worker reports it.
+// TaskStatus is an attempt of a task as a worker reports it.
 type TaskStatus struct {
 	Task         string
 	Attempt      uint64
@@ -164,7 +164,9 @@
 	Checkpointed bool
 }
 
-// Heartbeat is a worker's report.
+// Heartbeat is a worker's report of itself and of all its tasks. Incarnation counts the
+// worker's processes, Seq the heartbeats of one; Token is the highest fencing token
+// that it has seen.
 type Heartbeat struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
@@ -173,7 +175,7 @@
 	Tasks                     []TaskStatus
 }
 
-// CommandKind is what a worker is told to do.
+// CommandKind is the kind of a command to a worker.
 type CommandKind string
 
 // The commands.
@@ -191,15 +193,15 @@
 	GraceS  float64
 }
 
-// HeartbeatResponse answers a report.
+// HeartbeatResponse answers a heartbeat. An accepted one renews the worker's lease.
 type HeartbeatResponse struct {
 	Accepted   bool   // 200
-	RedirectTo string // 421: the member to report to; empty with !Accepted: 503
+	RedirectTo string // 421: the member to send heartbeats to; empty with !Accepted: 503
 	Token      uint64
 	Commands   []Command
 }
 
-// UserRequestKind is what a user asks for.
+// UserRequestKind is the kind of a user's request.
 type UserRequestKind int
 
 // The requests of users.
@@ -209,23 +211,22 @@
 	CancelJob
 )
 
-// UserRequest is a user's request. A submission whose body was no good still
-// carries its id if that could be read: a job that is known is known whatever
-// a repeated body says.
+// UserRequest is a user's request. A submission with a malformed body still carries
+// its ID if that could be read: a repeated submission of a known job is answered with
+// the job's state, whatever its body is.
 type UserRequest struct {
 	Kind      UserRequestKind `msgpack:"Kind"`
 	ID        string          `msgpack:"ID"`
 	Job       *Job            `msgpack:"Job"`
 	Malformed string          `msgpack:"Bad"` // why the submission is malformed
 	// Preconditions are further conditions of a submission, for subsystems beside the
-	// core: with one that fails the job is not accepted (409).
+	// core: if one fails, the job is not accepted (409).
 	Preconditions []Precondition `msgpack:"Guards"`
-	// Relayed says that a peer asks on its user's behalf: it is not passed on
-	// again.
+	// Relayed means that a peer relayed the request: it is not relayed again.
 	Relayed bool `msgpack:"Relayed"`
 }
 
-// UserResponse answers a user.
+// UserResponse answers a UserRequest. Status is that of HTTP.
 type UserResponse struct {
 	Status      int      `msgpack:"Status"`
 	Error       string   `msgpack:"Error"`
@@ -233,22 +234,22 @@
 	State       JobState `msgpack:"State"`
 	Done        int      `msgpack:"Done"`
 	Running     int      `msgpack:"Running"`
-	RetryAfterS int      `msgpack:"RetryS"` // >0: when to come back
-	// For subsystems beside the core; users are not told.
-	FailureReason string `msgpack:"Failed"` // why a cancelled job was given up
-	WorkflowRun   string `msgpack:"Run"`    // the run that the job is a step of
+	RetryAfterS int      `msgpack:"RetryS"` // seconds until the request may be repeated; 0: not given
+	// For subsystems beside the core; users do not see them.
+	FailureReason string `msgpack:"Failed"` // why the core cancelled the job
+	WorkflowRun   string `msgpack:"Run"`    // the workflow run that the job is a step of
 
-	retryableAtPeer bool // the state service, or what comes from it, is missing here: a peer may have it
+	retryableAtPeer bool // the fault is this member's access to the state service: a peer may do better
 }
 
-// RelayRequest is a user's request that a peer is asked to answer.
+// RelayRequest is a user's request that a peer is to answer.
 type RelayRequest struct {
 	ID      uint64
 	Peer    string
 	Request UserRequest
 }
 
-// DirectCommand is a set of commands sent straight to a worker.
+// DirectCommand is a set of commands sent to a worker without waiting for its heartbeat.
 type DirectCommand struct {
 	ID          uint64
 	Addr        string
@@ -258,26 +259,28 @@
 	Commands    []Command
 }
 
-// DirectCommandResult answers a Do: OK when the worker carried it out, Conflict when it
-// refused all of it, Unknown when it may have been or may yet be carried out.
+// DirectCommandResult answers a DirectCommand: OK when the worker carried it out, Conflict
+// when it refused all of it, Unknown when it may have been or may still be carried out.
+// Heartbeat is the worker's state after it, nil if unknown.
 type DirectCommandResult struct {
 	Outcome   Outcome
 	Heartbeat *Heartbeat
 }
 
-// PeerMessage is what members tell each other, in msgpack.
+// PeerMessage is what each member sends to all others, in msgpack.
 type PeerMessage struct {
 	From               string
 	WallMS             int64
-	ShardRequestedFrom string               // the member that is asked to hand the sender's shard back
-	RolloutCounts      rollout.HealthCounts // what gates of rollouts count, since the sender's start
-	ServesUsers        bool                 // the sender has the state service: requests may be relayed to it
-	TeamUsage          quota.UsageSnapshot  // what teams use and wait for in the sender's shards
-	OmitsSummaries     bool                 // without summaries: the last ones stand
+	ShardRequestedFrom string               // the member that owns the sender's shard and is to release it
+	RolloutCounts      rollout.HealthCounts // input of the rollouts' health gates, since the sender's start
+	ServesUsers        bool                 // users' requests may be relayed to the sender
+	TeamUsage          quota.UsageSnapshot  // by team, used and requested resources in the sender's shards
+	OmitsSummaries     bool                 // without summaries: the last ones remain valid
 	OwnedShards        []PeerShard
 }
 
-// WithoutSummaries is the message without its summaries, for peers whose turn it is not.
+// WithoutSummaries is a copy of the message without its summaries, for peers that are not
+// among the SummaryRecipients.
 func (p *PeerMessage) WithoutSummaries() *PeerMessage {
 	stripped := *p
 	stripped.OmitsSummaries = true
@@ -288,42 +291,42 @@
 	return &stripped
 }
 
-// PeerShard is a shard as its holder sees it.
+// PeerShard is a shard as its owner sees it.
 type PeerShard struct {
 	Shard             string
 	Summary           availability.Summary
 	Demands           []CapacityDemand
 	TaskCounts        map[string]TaskCounts
-	DisruptionDemands map[string]disruption.Demand // by team: what it would stop, and what runs
-	MachinesToRelease []string                     // machines that the lead is to return
+	DisruptionDemands map[string]disruption.Demand // by team, for rollouts
+	MachinesToRelease []string                     // machines that the leader is to release
 }
 
-// TaskCounts is how far a job's tasks in one shard are.
+// TaskCounts is the progress of a job's tasks in one shard.
 type TaskCounts struct {
 	Running int `msgpack:"r"`
 	Done    int `msgpack:"d"`
 }
 
-// CapacityDemand is work that a shard's machines cannot end in time.
+// CapacityDemand is work that a shard's machines cannot finish in time.
 type CapacityDemand struct {
 	Job           string `json:"Job"      msgpack:"job"`
 	Tasks         int    `json:"Count"    msgpack:"n"`
 	DeadlineMS    int64  `json:"Deadline" msgpack:"dl"`   // time of day, ms
-	TaskRuntimeMS int64  `json:"Length"   msgpack:"len"`  // of a task, without its image
-	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // ordinary machines serve it, at a higher price
+	TaskRuntimeMS int64  `json:"Length"   msgpack:"len"`  // of a task, without fetching its image
+	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // on-demand machines could run it, at a higher price
 }
 
-// LogLevel is how much a log line matters.
+// LogLevel is the severity of a log line.
 type LogLevel int
 
-// The levels.
+// The log levels, lowest first.
 const (
 	Debug LogLevel = iota
 	Info
 	Warn
 )
 
-// LogLine is something an operator may want to know.
+// LogLine is a log line: a fixed message, and attributes as keys and values in turn.
 type LogLine struct {
 	Level   LogLevel
 	Message string
@@ -331,15 +334,16 @@
 }
 
 // Outputs is what the core wants done. The caller takes all of it after each
-// input.
+// input, and passes results back under the IDs of the requests; responses are by the
+// reply ID that came with the request.
 type Outputs struct {
 	StoreOps           []StoreOp
 	CloudOps           []CloudOp
 	DirectCommands     []DirectCommand
 	HeartbeatResponses map[uint64]HeartbeatResponse
 	UserResponses      map[uint64]UserResponse
-	PeerMessage        *PeerMessage // to all others
-	SummaryRecipients  []string     // those of them that get the summaries too; nil: all
+	PeerMessage        *PeerMessage // to all other members; nil: none now
+	SummaryRecipients  []string     // of PeerMessage: members that get its summaries; nil: all
 	Relays             []RelayRequest
 	Logs               []LogLine
 }
--- a/scheduler/store_client.go
+++ b/scheduler/store_client.go
@@ -2,20 +2,20 @@
 
 import "github.com/grebedock/grebedock/access"
 
-// storeClient sends requests to the state service and owns those without an
-// answer, the member's lease there, and writes whose outcome is not known yet.
+// storeClient sends requests to the state service. It owns the pending requests, the
+// member's lease there, and writes whose outcome is unknown.
 type storeClient struct {
 	*environment
 
 	storeAccess    *access.LeaseKeeper
-	storeCallbacks map[uint64]func(StoreResult) // by request
-	delayedSteps   []delayedStep                // of writes in doubt
+	storeCallbacks map[uint64]func(StoreResult) // by request ID
+	delayedSteps   []delayedStep                // of in-doubt writes
 	lastStoreLink  access.LinkState             // as it was last logged
 	hadAuthority   bool                         // as it was last logged
-	observeChange  func(KeyValue)               // takes what a completed request shows of a key
+	observeChange  func(KeyValue)               // receives the state of a key that a completed request shows
 }
 
-// authoritySlackMS is taken off the time for which a lease gives authority.
+// authoritySlackMS is subtracted from the time for which a lease gives authority.
 const authoritySlackMS = 50
 
 func newStoreClient(env *environment) *storeClient {
@@ -29,6 +29,8 @@
 	return sc
 }
 
+// sendStore sends a request; onResult is called once with its result. Except for watches
+// that wait, and for background requests, its duration counts as the store's latency.
 func (sc *storeClient) sendStore(op StoreOp, onResult func(StoreResult)) {
 	sc.lastRequestID++
 	op.ID = sc.lastRequestID
@@ -36,8 +38,8 @@
 	case op.Kind == StoreWatch && op.DurationMS > 0: // waits by its nature
 		sc.storeCallbacks[op.ID] = onResult
 	case op.Urgency == UrgencyBackground:
-		// Put off for as long as the rate is short: its time is not the state
-		// service's.
+		// It may wait long for the rate limit: its duration is no latency of
+		// the state service.
 		sc.storeCallbacks[op.ID] = func(r StoreResult) {
 			sc.storeAccess.ObserveOutcome(sc.now.MonotonicMS, r.Outcome)
 			onResult(r)
@@ -52,7 +54,7 @@
 	sc.outputs.StoreOps = append(sc.outputs.StoreOps, op)
 }
 
-// leaseTTLMS is how long this member's holds last (access.Life).
+// leaseTTLMS is the TTL of this member's lease (access.LeaseTTLMS).
 func (sc *storeClient) leaseTTLMS() int64 {
 	ttlMS := access.LeaseTTLMS(secondsToMS(sc.params.CancelWithinS), secondsToMS(sc.params.LeaseS))
 	if sc.params.LeaseTTLRatio > 0 {
@@ -61,15 +63,15 @@
 	return ttlMS
 }
 
-// leaseRenewalIntervalMS is how often holds are extended and watches renewed.
+// leaseRenewalIntervalMS is the interval between renewals of the lease, and of watches.
 func (sc *storeClient) leaseRenewalIntervalMS() int64 { return sc.storeAccess.RenewIntervalMS() }
 
-// hasAuthority tells whether this member may act for its shards. Past it, no
-// starts, no decisions, and no answer that would renew a worker's lease.
+// hasAuthority reports whether this member may act for its shards. Without it: no starts,
+// no decisions, and no response that would renew a worker's lease.
 func (sc *storeClient) hasAuthority() bool { return sc.storeAccess.HasAuthority(sc.now.MonotonicMS) }
 
-// listAll reads all keys with a prefix. rev is the revision of the first page:
-// watching from there on misses nothing.
+// listAll reads all keys with a prefix, page by page. revision is that of the first page:
+// a watch from there on misses nothing.
 func (sc *storeClient) listAll(prefix string, onResult func(kvs []KeyValue, revision uint64, outcome Outcome)) {
 	var collected []KeyValue
 	var revision uint64
@@ -94,8 +96,8 @@
 	readPage("")
 }
 
-// sendTxn sends a transaction. When it is known to have worked, the mirror has its
-// changes before done is called.
+// sendTxn sends a transaction. If it is known to have succeeded, the cache has its changes
+// before onResult is called.
 func (sc *storeClient) sendTxn(
 	urgency Urgency,
 	preconditions []Precondition,
@@ -115,8 +117,8 @@
 	)
 }
 
-// rereadKey settles a write whose outcome is not known: the store's word on the
-// keys, before anything rests on them.
+// rereadKey reads a key whose last write has an unknown outcome, and updates the cache
+// before onResult is called.
 func (sc *storeClient) rereadKey(key string, onResult func(StoreResult)) {
 	sc.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyUser, Key: key}, func(result StoreResult) {
 		if result.Outcome == OK && len(result.KVs) == 1 {
@@ -129,9 +131,9 @@
 	})
 }
 
-// isStoreUnreachable tells whether the state service refuses this member or does not
-// answer it. Each request would take its whole patience to learn the same; the
-// hold's extension asks on, and its answer ends this.
+// isStoreUnreachable reports whether the state service refuses this member's requests or
+// does not answer them. Each further request would take its whole timeout to learn the
+// same; renewals of the lease go on, and their answer ends this.
 func (sc *storeClient) isStoreUnreachable() bool {
 	link := sc.storeAccess.Link(sc.now.MonotonicMS)
 	return link == access.LinkSilent || link == access.LinkRefused
