--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -195,7 +195,7 @@
 		return
 	}
 	if !c.store.storeAccess.IsSynced() {
-		c.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+		c.requests.completeRequest(replyID, unavailableResponse("", storeUnavailableMessage))
 		return
 	}
 	c.store.sendTxn(
@@ -213,7 +213,7 @@
 					UserResponse{Status: 409, Error: "changed by somebody else meanwhile; read and try again"},
 				)
 			default:
-				c.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+				c.requests.completeRequest(replyID, unavailableResponse("", storeUnavailableMessage))
 			}
 		},
 	)
--- a/scheduler/inputs_outputs.go
+++ b/scheduler/inputs_outputs.go
@@ -164,9 +164,9 @@
 	Checkpointed bool
 }
 
-// Heartbeat is a worker's report of itself and of all its tasks. Incarnation counts the
-// worker's processes, Seq the heartbeats of one; Token is the highest fencing token
-// that it has seen.
+// Heartbeat is a worker's report of itself and of all its tasks. Incarnation is that of
+// the worker's process, higher for a later one; Seq orders the heartbeats of one; Token is
+// the fencing token that the worker obeys.
 type Heartbeat struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
--- a/scheduler/job_requests.go
+++ b/scheduler/job_requests.go
@@ -2,14 +2,15 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"slices"
 
 	"github.com/grebedock/grebedock/admission"
 )
 
-// requestHandler owns users' requests that have no answer yet: submissions in
+// requestHandler owns users' requests that have no response yet: submissions in
 // their queue, queries in their batches, cancellations, and requests relayed to
-// peers.
+// peers. It also caches terminal states of jobs.
 type requestHandler struct {
 	*environment
 	cache  *stateCache
@@ -22,8 +23,8 @@
 	pendingRequests    map[uint64]*pendingRequest // by reply ID
 	requestsByArrival  []*pendingRequest          // the same, oldest first
 	pendingRelays      map[uint64]pendingRelay    // by request ID
-	relayRoundRobin    uint64
-	expediteBudget     float64 // relays that may go only to expedite a response
+	relayRoundRobin    uint64                     // number of relays so far
+	expediteBudget     float64                    // relays that may be sent only to expedite a response
 	queryBatcher       queryBatches
 	terminalStates     map[string]terminalRecord // by job
 	terminalStateOrder []string                  // the same, oldest first
@@ -40,10 +41,11 @@
 	}
 }
 
-// maxCachedTerminalStates bounds the cache of final states; the store keeps them all.
+// maxCachedTerminalStates bounds the cache of terminal states; the store keeps them all.
 const maxCachedTerminalStates = 2048
 
-// cacheTerminalState keeps a final state, which never changes, for later questions.
+// cacheTerminalState keeps a terminal state, which never changes, for later queries. The
+// oldest is dropped when the cache is full.
 func (rh *requestHandler) cacheTerminalState(id string, final terminalRecord) {
 	if _, ok := rh.terminalStates[id]; ok {
 		return
@@ -56,10 +58,12 @@
 	}
 }
 
+// unavailableResponse is a 503 that a peer may be able to better.
 func unavailableResponse(id, reason string) UserResponse {
 	return UserResponse{Status: 503, ID: id, Error: reason, RetryAfterS: 1, retryableAtPeer: true}
 }
 
+// response is the response to users about a job that is over.
 func (f terminalRecord) response(id string) UserResponse {
 	response := UserResponse{
 		Status:        200,
@@ -74,17 +78,17 @@
 	return response
 }
 
-// readJob asks the store for a job: the live record first, then the final one,
-// in the order in which a job moves, so that one is found whenever it exists.
-// The mirror may lag, so it answers nothing here.
+// readJob reads a job from the store: the live record first, then the terminal one,
+// in the order in which a job changes, so that one is found whenever it exists.
+// The cache may lag, so it is not used here. onResult gets the live record, or nil.
 func (rh *requestHandler) readJob(id string, urgency Urgency, onResult func(UserResponse, *KeyValue)) {
 	rh.store.sendStore(StoreOp{Kind: StoreGet, Urgency: urgency, Key: jobKey(id)}, func(result StoreResult) {
 		switch {
 		case result.Outcome == OK && len(result.KVs) == 1:
 			var rec jobRecord
 			if json.Unmarshal(result.KVs[0].Value, &rec) != nil {
-				// Known all the same: it was accepted, and is not over. Answered 503, it
-				// would be forgotten, and its user could not even cancel it.
+				// It was accepted and is not over, though its record is unreadable. With
+				// 503 for it, its user could not even cancel it.
 				onResult(UserResponse{Status: 200, ID: id, State: Pending}, &result.KVs[0])
 				return
 			}
@@ -93,12 +97,13 @@
 		case result.Outcome == NotFound:
 			rh.readTerminalState(id, urgency, func(response UserResponse) { onResult(response, nil) })
 		default:
-			onResult(unavailableResponse(id, "state service unavailable"), nil)
+			onResult(unavailableResponse(id, storeUnavailableMessage), nil)
 		}
 	})
 }
 
-// readTerminalState asks the store for the end of a job that is not live.
+// readTerminalState reads the terminal state of a job that is not live from the cache of
+// terminal states or from the store.
 func (rh *requestHandler) readTerminalState(id string, urgency Urgency, onResult func(UserResponse)) {
 	if final, ok := rh.terminalStates[id]; ok {
 		onResult(final.response(id))
@@ -117,12 +122,13 @@
 		case result.Outcome == NotFound:
 			onResult(UserResponse{Status: 404, ID: id, Error: "no such job"})
 		default:
-			onResult(unavailableResponse(id, "state service unavailable"))
+			onResult(unavailableResponse(id, storeUnavailableMessage))
 		}
 	})
 }
 
-// liveJobResponse gives the state of a live job with what members last knew of it.
+// liveJobResponse is the state of a live job: its record, and the progress that this
+// member and its peers last knew.
 func (rh *requestHandler) liveJobResponse(id string, rec *jobRecord) UserResponse {
 	response := UserResponse{Status: 200, ID: id, State: Pending, WorkflowRun: rec.Job.WorkflowRun}
 	unfinished := 0
@@ -136,15 +142,9 @@
 			response.Done += tr.doneCount
 		}
 	}
-	for _, peer := range rh.peers.peers {
-		for _, peerShard := range peer.message.OwnedShards {
-			if rh.shards.ownedShards[peerShard.Shard] == nil {
-				counts := peerShard.TaskCounts[id]
-				response.Running += counts.Running
-				response.Done += counts.Done
-			}
-		}
-	}
+	atPeers := rh.taskCountsAtPeers(id)
+	response.Running += atPeers.Running
+	response.Done += atPeers.Done
 	response.Done = min(response.Done, rec.Job.Tasks)
 	if response.Running > 0 {
 		response.State = Running
@@ -152,78 +152,118 @@
 	return response
 }
 
-// unrunnableReason says why a job can never run, or nothing. known is false while
-// that cannot be decided.
-func (rh *requestHandler) unrunnableReason(j *Job) (reason string, decided bool) {
-	t, ok := rh.params.Teams[j.Team]
-	if !ok {
-		return "unknown team", true
+// taskCountsAtPeers is the progress of a job in shards that this member does not own.
+func (rh *requestHandler) taskCountsAtPeers(id string) TaskCounts {
+	var sum TaskCounts
+	for _, peer := range rh.peers.peers {
+		for _, peerShard := range peer.message.OwnedShards {
+			if rh.shards.ownedShards[peerShard.Shard] != nil {
+				continue
+			}
+			counts := peerShard.TaskCounts[id]
+			sum.Running += counts.Running
+			sum.Done += counts.Done
+		}
+	}
+	return sum
+}
+
+// Why a submission is not accepted. Users receive the texts.
+var (
+	errUnknownTeam         = errors.New("unknown team")
+	errExceedsTeamLimit    = errors.New("needs more than the team's limit")
+	errFitsNoMachineType   = errors.New("a task fits no allowed machine type")
+	errMachineTypesUnknown = errors.New("machine types not known yet") // it cannot be decided now
+	errRecordTooLarge      = errors.New("the job's names are too long")
+)
+
+// checkRunnable returns why a job can never run, errMachineTypesUnknown while that cannot
+// be decided, and nil if it can run.
+func (rh *requestHandler) checkRunnable(j *Job) error {
+	team, known := rh.params.Teams[j.Team]
+	if !known {
+		return errUnknownTeam
 	}
 	concurrentTasks := 1.0
 	if j.Kind != Array {
 		concurrentTasks = float64(j.Tasks)
 	}
-	if t.MaxCPUs > 0 && concurrentTasks*j.Request.CPUs > t.MaxCPUs ||
-		t.MaxGPUs > 0 && concurrentTasks*j.Request.GPUs > t.MaxGPUs {
-		return "needs more than the team's limit", true
+	exceedsCPUs := team.MaxCPUs > 0 && concurrentTasks*j.Request.CPUs > team.MaxCPUs
+	exceedsGPUs := team.MaxGPUs > 0 && concurrentTasks*j.Request.GPUs > team.MaxGPUs
+	if exceedsCPUs || exceedsGPUs {
+		return errExceedsTeamLimit
 	}
 	if len(rh.cache.machineTypes) == 0 {
-		return "", false
+		return errMachineTypesUnknown
 	}
-	for _, t := range rh.cache.machineTypes {
-		if rh.cache.fitsType(j, t) {
-			return "", true
+	for _, machineType := range rh.cache.machineTypes {
+		if rh.cache.fitsType(j, machineType) {
+			return nil
 		}
 	}
-	return "a task fits no allowed machine type", true
+	return errFitsNoMachineType
 }
 
-func (rh *requestHandler) handleSubmit(replyID uint64, request UserRequest) {
-	rejectUnlessKnown := func(response UserResponse) {
-		if request.ID == "" {
-			rh.completeRequest(replyID, response)
-			return
-		}
-		// A repeated submission of a known job is welcome whatever its
-		// body says now.
-		rh.readJob(request.ID, UrgencyUser, func(known UserResponse, _ *KeyValue) {
-			if known.Status == 404 {
-				known = response
-			}
-			rh.completeRequest(replyID, known)
-		})
+// checkRecordSize returns errRecordTooLarge for a job that no value of the store can hold,
+// however often it is sent.
+func (rh *requestHandler) checkRecordSize(j *Job) error {
+	smallest := jobRecord{
+		Job:          *j,
+		AcceptedAtMS: rh.now.WallMS,
+		Ranges:       []Range{{0, j.Tasks, rh.params.MemberID, false}},
+	}
+	if len(mustEncode(smallest)) > rh.params.MaxValueBytes {
+		return errRecordTooLarge
 	}
+	return nil
+}
+
+// validateSubmission returns the response to a submission that cannot be accepted, nil if
+// it can.
+func (rh *requestHandler) validateSubmission(request *UserRequest) *UserResponse {
 	if request.Job == nil {
-		rejectUnlessKnown(UserResponse{Status: 400, ID: request.ID, Error: request.Malformed})
-		return
+		return &UserResponse{Status: 400, ID: request.ID, Error: request.Malformed}
 	}
-	reason, known := rh.unrunnableReason(request.Job)
-	if reason != "" {
-		rejectUnlessKnown(UserResponse{Status: 422, ID: request.ID, Error: reason})
-		return
+	err := rh.checkRunnable(request.Job)
+	if errors.Is(err, errMachineTypesUnknown) {
+		response := unavailableResponse(request.ID, err.Error())
+		return &response
 	}
-	if !known {
-		rejectUnlessKnown(unavailableResponse(request.ID, "machine types not known yet"))
+	if err != nil {
+		return &UserResponse{Status: 422, ID: request.ID, Error: err.Error()}
+	}
+	if err := rh.checkRecordSize(request.Job); err != nil {
+		return &UserResponse{Status: 400, ID: request.ID, Error: err.Error()}
+	}
+	return nil
+}
+
+// respondUnlessKnown answers a submission that cannot be accepted. A repeated submission
+// of a known job gets the job's state instead, whatever its body is.
+func (rh *requestHandler) respondUnlessKnown(replyID uint64, id string, response UserResponse) {
+	if id == "" {
+		rh.completeRequest(replyID, response)
 		return
 	}
-	if len(
-		mustEncode(
-			jobRecord{
-				Job:          *request.Job,
-				AcceptedAtMS: rh.now.WallMS,
-				Ranges:       []Range{{0, request.Job.Tasks, rh.params.MemberID, false}},
-			},
-		),
-	) > rh.params.MaxValueBytes {
-		// No value of the store holds it, however often it is sent.
-		rejectUnlessKnown(UserResponse{Status: 400, ID: request.ID, Error: "the job's names are too long"})
+	rh.readJob(id, UrgencyUser, func(known UserResponse, _ *KeyValue) {
+		if known.Status == 404 {
+			known = response
+		}
+		rh.completeRequest(replyID, known)
+	})
+}
+
+// handleSubmit starts a submission.
+func (rh *requestHandler) handleSubmit(replyID uint64, request UserRequest) {
+	if response := rh.validateSubmission(&request); response != nil {
+		rh.respondUnlessKnown(replyID, request.ID, *response)
 		return
 	}
 	if rh.cache.jobs[request.ID] == nil {
 		rh.enqueueSubmission(replyID, request)
 		return
 	}
-	// Known already: a write would only fail.
+	// The job is known already: a write would only fail.
 	rh.readJob(request.ID, UrgencyUser, func(response UserResponse, _ *KeyValue) {
 		if response.Status == 404 {
 			rh.enqueueSubmission(replyID, request)
@@ -233,6 +273,8 @@
 	})
 }
 
+// handleCancel replaces a live job's record by a terminal one. A conflict or an unknown
+// outcome is retried, from reading the job on.
 func (rh *requestHandler) handleCancel(replyID uint64, id string, retries int) {
 	rh.readJob(id, UrgencyUser, func(response UserResponse, kv *KeyValue) {
 		if kv == nil {
@@ -244,8 +286,9 @@
 			rh.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 		}
 		final := terminalRecord{State: Cancelled, Tasks: rec.Job.Tasks, WorkflowRun: rec.Job.WorkflowRun}
+		preconditions := []Precondition{{jobKey(id), kv.Rev}, {terminalKey(id), 0}}
 		changes := []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}
-		rh.store.sendTxn(UrgencyUser, []Precondition{{jobKey(id), kv.Rev}, {terminalKey(id), 0}}, changes, func(result StoreResult) {
+		rh.store.sendTxn(UrgencyUser, preconditions, changes, func(result StoreResult) {
 			switch {
 			case result.Outcome == OK:
 				rh.cacheTerminalState(id, final)
@@ -254,7 +297,7 @@
 			case (result.Outcome == Conflict || result.Outcome == Unknown) && retries > 0:
 				rh.handleCancel(replyID, id, retries-1)
 			default:
-				rh.completeRequest(replyID, unavailableResponse(id, "state service unavailable"))
+				rh.completeRequest(replyID, unavailableResponse(id, storeUnavailableMessage))
 			}
 		})
 	})
--- a/scheduler/query_batches.go
+++ b/scheduler/query_batches.go
@@ -2,34 +2,35 @@
 
 import "github.com/grebedock/grebedock/access"
 
-// Users' questions about jobs, asked of the state service in batches. A question may be
-// answered from the mirror once the mirror has everything that was written before the
-// question came: one watch that does not wait, sent after the question, proves that for
-// all that wait. So a flood of questions costs a bounded number of requests, and none is
-// answered with anything older than what another member has told.
+// Users' queries about jobs are answered in batches. A query may be answered from the cache
+// once the cache has everything that was written before the query came: one watch that
+// does not wait, sent after the query, proves that for all queued ones. So a flood of
+// queries costs a bounded number of requests, and no response is older than one that
+// another member has given.
 
 const (
-	// batchIntervalDivisor is how long after a read of the state service the next one goes, as a part
-	// of a request's time: what comes meanwhile shares it.
+	// batchIntervalDivisor divides the request timeout to give the interval between reads
+	// of the state service: queries that come meanwhile share the next one.
 	batchIntervalDivisor = 20
-	// minBatchSize is from how many questions on a batch is cheaper than one read for each.
+	// minBatchSize is the number of queries from which a batch is cheaper than one read each.
 	minBatchSize = 3
 )
 
-// queryBatches are questions that wait to be asked.
+// queryBatches owns the queries that wait for the next read.
 type queryBatches struct {
 	queued        []*pendingRequest
-	batchInFlight bool  // a batch is under way
-	nextBatchAtMS int64 // when the next may go
+	batchInFlight bool
+	nextBatchAtMS int64 // monotonic time from which the next may be sent
 }
 
-// enqueueQuery puts a question in line.
+// enqueueQuery queues a query, and sends it at once if the last batch was long enough ago.
 func (rh *requestHandler) enqueueQuery(pending *pendingRequest) {
 	rh.queryBatcher.queued = append(rh.queryBatcher.queued, pending)
 	rh.sendQueryBatch()
 }
 
-// sendQueryBatch asks what waits, unless the last read was a moment ago.
+// sendQueryBatch sends the queued queries, unless a batch is in flight or the last one was
+// a moment ago.
 func (rh *requestHandler) sendQueryBatch() {
 	batches := &rh.queryBatcher
 	if len(batches.queued) == 0 || batches.batchInFlight || rh.now.MonotonicMS < batches.nextBatchAtMS {
@@ -51,15 +52,15 @@
 	})
 }
 
-// completeBatch answers questions that came before a read that ended so.
+// completeBatch answers the queries that came before a read of this outcome.
 func (rh *requestHandler) completeBatch(batch []*pendingRequest, outcome Outcome) {
 	switch {
 	case outcome == Gone || outcome == OK && !rh.store.storeAccess.IsSynced():
-		// The mirror is read anew: it says nothing for now.
+		// The cache is loaded anew and cannot answer for now.
 		rh.readJobsOneByOne(batch)
 	case outcome != OK:
 		for _, pending := range batch {
-			rh.completeRequest(pending.replyID, unavailableResponse(pending.request.ID, "state service unavailable"))
+			rh.completeRequest(pending.replyID, unavailableResponse(pending.request.ID, storeUnavailableMessage))
 		}
 	default:
 		for _, pending := range batch {
@@ -68,8 +69,8 @@
 	}
 }
 
-// completeFromMirror answers a question by the mirror, which is as new as the question. A
-// job that is not live is over, or was never accepted.
+// completeFromMirror answers a query from the cache, which is as new as the query. A job
+// that is not live is over, or was never accepted.
 func (rh *requestHandler) completeFromMirror(pending *pendingRequest) {
 	id := pending.request.ID
 	j := rh.cache.jobs[id]
@@ -80,19 +81,20 @@
 	case rh.cache.keyRevisions[jobKey(id)] != 0: // its record is unreadable
 		rh.readJobsOneByOne([]*pendingRequest{pending})
 	default:
-		rh.readTerminalState(id, UrgencyRead, func(response UserResponse) { rh.completeRequest(pending.replyID, response) })
+		rh.readTerminalState(id, UrgencyRead, func(response UserResponse) {
+			rh.completeRequest(pending.replyID, response)
+		})
 	}
 }
 
-// readJobsOneByOne asks the state service about each question's job.
+// readJobsOneByOne reads the job of each query from the state service.
 func (rh *requestHandler) readJobsOneByOne(batch []*pendingRequest) {
 	for _, pending := range batch {
-		if !pending.completed {
-			rh.readJob(
-				pending.request.ID,
-				UrgencyRead,
-				func(response UserResponse, _ *KeyValue) { rh.completeRequest(pending.replyID, response) },
-			)
+		if pending.completed {
+			continue
 		}
+		rh.readJob(pending.request.ID, UrgencyRead, func(response UserResponse, _ *KeyValue) {
+			rh.completeRequest(pending.replyID, response)
+		})
 	}
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -11,7 +11,7 @@
 type Settings struct {
 	Functions int      `json:"functions"`       // availability functions per summary
 	Samples   int      `json:"samples"`         // samples per availability function
-	LateShare float64  `json:"late_share"`      // of a job's time to its deadline, by which late tasks may exceed it
+	LateShare float64  `json:"late_share"`      // of a job's span from acceptance to deadline: one step of extending a late deadline
 	SummaryS  float64  `json:"summary_s"`       // seconds between two peer messages
 	IdleBoots float64  `json:"idle_boots"`      // idle time before release, in boot times of the machine's type
 	Drain     []string `json:"drain,omitempty"` // IDs of cordoned machines
@@ -27,7 +27,7 @@
 }
 
 // DefaultSettings are the settings of a cluster whose operators changed none: the limits of
-// the published algorithm and the starting values of the design.
+// the paper (package availability) and the starting values of the design.
 func DefaultSettings() Settings {
 	return Settings{Functions: 125, Samples: 10, LateShare: 0.25, SummaryS: 1, IdleBoots: 1.5, BeginWithinS: 240}
 }
--- a/scheduler/submissions.go
+++ b/scheduler/submissions.go
@@ -7,41 +7,41 @@
 	"github.com/grebedock/grebedock/admission"
 )
 
-// pendingSubmission is a submission that is in order and not stored yet.
+// pendingSubmission is a valid submission that is not stored yet.
 type pendingSubmission struct {
 	replyID uint64
 	request UserRequest
 }
 
-// queueWaitDivisor is the longest that a submission waits in line for its write, as a
-// part of a request's time: users count a second as at once, and give up after
-// five. Advice reaches as far as users follow it.
 const (
-	queueWaitDivisor          = 2
+	// queueWaitDivisor divides the request timeout to give the longest time that a
+	// submission waits for its write: to users a second is at once, and they give up
+	// after five.
+	queueWaitDivisor = 2
+	// maxSubmissionRetryAfterS is the longest delay that users are advised: few follow
+	// a longer one.
 	maxSubmissionRetryAfterS  = 30
 	maxSubmissionTxnsInFlight = 4
 )
 
 func newSubmissionQueue(params *Params) *admission.Queue[pendingSubmission] {
-	return admission.NewQueue[pendingSubmission](
-		admission.Limits{
-			ChangesPerSecond: params.StoreChangeRate,
-			MaxChanges:       params.MaxTxnOps,
-			MaxPreconditions: 4 * params.MaxTxnOps,
-			MaxBytes:         maxTxnBytes,
-			MaxInFlight:      maxSubmissionTxnsInFlight,
-			MaxWaitMS:        access.RequestTimeout.Milliseconds() / queueWaitDivisor,
-			MaxRetryAfterS:   maxSubmissionRetryAfterS,
-			Priorities:       int(Production) + 1,
-		},
-	)
+	return admission.NewQueue[pendingSubmission](admission.Limits{
+		ChangesPerSecond: params.StoreChangeRate,
+		MaxChanges:       params.MaxTxnOps,
+		MaxPreconditions: 4 * params.MaxTxnOps,
+		MaxBytes:         maxTxnBytes,
+		MaxInFlight:      maxSubmissionTxnsInFlight,
+		MaxWaitMS:        access.RequestTimeout.Milliseconds() / queueWaitDivisor,
+		MaxRetryAfterS:   maxSubmissionRetryAfterS,
+		Priorities:       int(Production) + 1,
+	})
 }
 
-// maxTxnBytes bounds a transaction: the state service takes 64 KiB, and names and
-// punctuation are counted short here.
+// maxTxnBytes bounds a transaction. The state service accepts 64 KiB; the estimate of
+// names and punctuation here is low.
 const maxTxnBytes = 60 << 10
 
-// enqueueSubmission puts a submission in line for its write. Without a rate each is written
+// enqueueSubmission queues a submission for its write. Without a rate limit it is written
 // at once by itself.
 func (rh *requestHandler) enqueueSubmission(replyID uint64, request UserRequest) {
 	submission := pendingSubmission{replyID, request}
@@ -63,27 +63,25 @@
 	rh.writeQueuedSubmissions()
 }
 
+// shedSubmission answers a submission that exceeds the store's rate limit.
 func (rh *requestHandler) shedSubmission(submission pendingSubmission, retryAfterS int) {
 	rh.Counters.ShedSubmissions++
-	rh.completeRequest(
-		submission.replyID,
-		UserResponse{
-			Status:      503,
-			ID:          submission.request.ID,
-			Error:       "more submissions than the state service takes",
-			RetryAfterS: retryAfterS,
-		},
-	)
+	rh.completeRequest(submission.replyID, UserResponse{
+		Status:      503,
+		ID:          submission.request.ID,
+		Error:       "more submissions than the state service takes",
+		RetryAfterS: retryAfterS,
+	})
 }
 
-// maxSubmissionBytes is how many bytes a submission takes in a transaction at most:
-// its ranges are not known yet, one a shard and one more for each full one.
+// maxSubmissionBytes is the upper bound of a submission's bytes in a transaction. Its
+// ranges are not known yet: one per shard, and one more for each full one.
 func (rh *requestHandler) maxSubmissionBytes(j *Job) int {
 	ranges := len(rh.memberIDs()) + 1 + j.Tasks/rh.maxRangeTasks()
 	return len(mustEncode(j)) + 128*(ranges+4)
 }
 
-// writeQueuedSubmissions writes what is next in line.
+// writeQueuedSubmissions writes as many submissions from the queue as its limits allow.
 func (rh *requestHandler) writeQueuedSubmissions() {
 	if rh.params.StoreChangeRate == 0 {
 		return
@@ -103,36 +101,34 @@
 	}
 }
 
+// buildSubmissionWrite assigns the ranges of a new job. It returns the write of its record.
 func (rh *requestHandler) buildSubmissionWrite(submission pendingSubmission) (Change, []Precondition) {
-	id := submission.request.Job.ID
+	j := submission.request.Job
 	if pending := rh.pendingRequests[submission.replyID]; pending != nil {
 		pending.writeSent = true
 	}
 	rec := jobRecord{
-		Job:          *submission.request.Job,
+		Job:          *j,
 		AcceptedAtMS: rh.now.WallMS,
-		Ranges:       rh.peers.assignRanges(submission.request.Job),
+		Ranges:       rh.peers.assignRanges(j),
 	}
 	value := mustEncode(rec)
 	if len(value) > rh.params.MaxValueBytes {
-		// Too many peers have a little room.
-		rec.Ranges = []Range{{0, submission.request.Job.Tasks, rh.quotas.homeShard(submission.request.Job), false}}
+		// Too many peers have capacity for a few tasks each.
+		rec.Ranges = []Range{{0, j.Tasks, rh.quotas.homeShard(j), false}}
 		value = mustEncode(rec)
 	}
-	return Change{
-			Key:   jobKey(id),
-			Value: value,
-		}, append(
-			[]Precondition{{jobKey(id), 0}, {terminalKey(id), 0}},
-			submission.request.Preconditions...)
+	preconditions := []Precondition{{jobKey(j.ID), 0}, {terminalKey(j.ID), 0}}
+	preconditions = append(preconditions, submission.request.Preconditions...)
+	return Change{Key: jobKey(j.ID), Value: value}, preconditions
 }
 
-// writeSubmissions writes several submissions in one transaction. Of those of the same job only
-// the first is written: both were answered 201 once.
+// writeSubmissions writes several submissions in one transaction. Of those of the same job
+// only the first is written: without that, both were answered 201.
 func (rh *requestHandler) writeSubmissions(batch []admission.Request[pendingSubmission]) {
 	var changes []Change
 	var preconditions []Precondition
-	writtenRequests := map[string]uint64{} // job: the submission that is written
+	writtenRequests := map[string]uint64{} // by job, the reply ID of the submission that is written
 	for _, queued := range batch {
 		id := queued.Value.request.Job.ID
 		if _, repeated := writtenRequests[id]; repeated {
@@ -151,22 +147,7 @@
 	rh.store.sendTxn(UrgencyUser, preconditions, changes, func(result StoreResult) {
 		rh.submissionQueue.Complete(batch, rh.now.MonotonicMS-sentAtMS, result.Outcome.ProcessedByService())
 		if result.Outcome == Conflict && len(batch) > 1 {
-			// Only those whose own conditions fail are held up by them.
-			var requeued []admission.Request[pendingSubmission]
-			for _, queued := range batch {
-				if rh.hasFailedPrecondition(queued.Value, result.FailedKeys) {
-					rh.completeSubmission(queued.Value, result)
-				} else {
-					requeued = append(requeued, queued)
-				}
-			}
-			if len(requeued) == len(batch) {
-				for _, queued := range batch {
-					rh.writeSubmission(queued.Value)
-				}
-				requeued = nil
-			}
-			rh.submissionQueue.Requeue(requeued)
+			rh.separateConflicts(batch, result)
 		} else {
 			for _, queued := range batch {
 				rh.completeBatchedSubmission(queued.Value, result, writtenRequests)
@@ -176,8 +157,28 @@
 	})
 }
 
-// completeBatchedSubmission answers a submission whose transaction has ended: of a job's second one it
-// only tells that the job is known.
+// separateConflicts completes the submissions of a batch whose own preconditions failed,
+// and queues the others again. If none of them did, each is written by itself.
+func (rh *requestHandler) separateConflicts(batch []admission.Request[pendingSubmission], result StoreResult) {
+	var requeued []admission.Request[pendingSubmission]
+	for _, queued := range batch {
+		if rh.hasFailedPrecondition(queued.Value, result.FailedKeys) {
+			rh.completeSubmission(queued.Value, result)
+		} else {
+			requeued = append(requeued, queued)
+		}
+	}
+	if len(requeued) == len(batch) {
+		for _, queued := range batch {
+			rh.writeSubmission(queued.Value)
+		}
+		requeued = nil
+	}
+	rh.submissionQueue.Requeue(requeued)
+}
+
+// completeBatchedSubmission completes a submission whose transaction has ended. A job's
+// second one in the batch counts as a conflict: the job is known.
 func (rh *requestHandler) completeBatchedSubmission(
 	submission pendingSubmission,
 	result StoreResult,
@@ -189,27 +190,26 @@
 	rh.completeSubmission(submission, result)
 }
 
+// hasFailedPrecondition reports whether one of the submission's own preconditions failed.
 func (rh *requestHandler) hasFailedPrecondition(submission pendingSubmission, failedKeys []string) bool {
 	id := submission.request.Job.ID
-	return slices.Contains(failedKeys, jobKey(id)) || slices.Contains(failedKeys, terminalKey(id)) ||
-		slices.ContainsFunc(
-			submission.request.Preconditions,
-			func(condition Precondition) bool { return slices.Contains(failedKeys, condition.Key) },
-		)
+	if slices.Contains(failedKeys, jobKey(id)) || slices.Contains(failedKeys, terminalKey(id)) {
+		return true
+	}
+	failed := func(condition Precondition) bool { return slices.Contains(failedKeys, condition.Key) }
+	return slices.ContainsFunc(submission.request.Preconditions, failed)
 }
 
 // writeSubmission writes a submission by itself.
 func (rh *requestHandler) writeSubmission(submission pendingSubmission) {
 	change, preconditions := rh.buildSubmissionWrite(submission)
-	rh.store.sendTxn(
-		UrgencyUser,
-		preconditions,
-		[]Change{change},
-		func(result StoreResult) { rh.completeSubmission(submission, result) },
-	)
+	rh.store.sendTxn(UrgencyUser, preconditions, []Change{change}, func(result StoreResult) {
+		rh.completeSubmission(submission, result)
+	})
 }
 
-// completeSubmission answers a submission whose write has ended.
+// completeSubmission answers a submission whose write has ended. A conflict or an unknown
+// outcome is settled by reading the job.
 func (rh *requestHandler) completeSubmission(submission pendingSubmission, result StoreResult) {
 	id := submission.request.Job.ID
 	switch result.Outcome {
@@ -218,13 +218,14 @@
 		rh.completeRequest(submission.replyID, UserResponse{Status: 201, ID: id, State: Pending})
 	case Conflict, Unknown:
 		if rh.pendingRequests[submission.replyID] == nil {
-			return // its record was read meanwhile, or a peer answered
+			return // answered meanwhile by its record or by a peer
 		}
 		rh.readJob(id, UrgencyUser, func(response UserResponse, _ *KeyValue) {
+			notStored := response.Status == 404
 			switch {
-			case response.Status == 404 && result.Outcome == Conflict && len(submission.request.Preconditions) > 0:
+			case notStored && result.Outcome == Conflict && len(submission.request.Preconditions) > 0:
 				response = UserResponse{Status: 409, ID: id, Error: "a condition of the submission does not hold"}
-			case response.Status == 404:
+			case notStored:
 				response = unavailableResponse(id, "not stored yet")
 			}
 			rh.completeRequest(submission.replyID, response)
@@ -232,21 +233,22 @@
 	case Throttled:
 		rh.shedSubmission(submission, max(rh.submissionQueue.RetryAfterS(), int((result.RetryAfterMS+999)/1000)))
 	default:
-		rh.completeRequest(submission.replyID, unavailableResponse(id, "state service unavailable"))
+		rh.completeRequest(submission.replyID, unavailableResponse(id, storeUnavailableMessage))
 	}
 }
 
-// confirmMirroredSubmissions answers submissions whose write has no answer though answers take less:
-// the answer may be lost, and the mirror shows their record. It is read, since it may
-// have moved on; that it is not in the mirror tells nothing, so a write that may yet be
-// carried out is asked for by nothing but its own end. Each costs one read, in place of
-// the one that follows a write without an answer.
+// confirmMirroredSubmissions answers submissions whose write takes longer than is typical,
+// if the cache has their record: the result of the write may be lost. The record is read
+// from the store, since it may have changed. Its absence from the cache proves nothing,
+// so a write that may still be carried out is settled only by its own end. Each costs one
+// read, in place of the one that follows a write without a result.
 func (rh *requestHandler) confirmMirroredSubmissions() {
 	for _, pending := range rh.requestsByArrival {
 		if rh.now.MonotonicMS-pending.receivedAtMS <= rh.store.storeAccess.TypicalLatencyMS() {
 			break
 		}
-		if pending.completed || pending.readingRecord || !pending.writeSent || rh.cache.jobs[pending.request.ID] == nil {
+		confirmable := pending.writeSent && !pending.completed && !pending.readingRecord
+		if !confirmable || rh.cache.jobs[pending.request.ID] == nil {
 			continue
 		}
 		pending.readingRecord = true
--- a/scheduler/user_request_relay.go
+++ b/scheduler/user_request_relay.go
@@ -1,42 +1,59 @@
 package scheduler
 
-import (
-	"slices"
-)
+import "slices"
 
-// pendingRequest is a user's request that has no answer yet. It is asked of the state
-// service here, or of a peer, or of both; the first that can tell answers it.
+// pendingRequest is a user's request that has no response yet. This member handles it with
+// the state service, or a peer does, or both; the first that has a result answers it.
+//
+//	event                         pendingLocally  awaitingPeer  response
+//	received                      true            false         -
+//	relayed to a peer             as before       true          -
+//	result here                   false           as before     the result
+//	fault here, a peer handles it false           true          -; the fault is kept
+//	fault here, no peer can       false           false         the fault
+//	result from the peer          as before       false         the result
+//	no result from the peer       as before       false         the fault, if one is kept
 type pendingRequest struct {
 	replyID        uint64
 	request        UserRequest
-	receivedAtMS   int64
-	pendingLocally bool          // asked here, and not ended
-	relayed        bool          // a peer was asked, once at most
-	awaitingPeer   bool          // for the peer
-	localFault     *UserResponse // what was learned here: come back later
+	receivedAtMS   int64         // monotonic time
+	pendingLocally bool          // handled here, and not ended
+	relayed        bool          // sent to a peer; at most once
+	awaitingPeer   bool          // sent to a peer, and not ended
+	localFault     *UserResponse // the 503 that handling it here ended with
 	writeSent      bool          // a submission whose write was sent
-	readingRecord  bool          // its record was seen in the mirror, and is read
+	readingRecord  bool          // its record is in the cache, and is read from the store
 	completed      bool
 }
 
-// Relays that only hurry an answer along double what the state service is
-// asked. When it is slow for everybody that makes it worse, so they are a share
-// of all requests, and some more at first. Polls leave a part to submissions and
-// cancellations: many polls that wait for their turn in this member's rate took all.
+// Relays that only expedite a response double the load of the state service. When it is
+// slow for everybody that makes it worse, so they are limited to a share of all requests
+// (expediteShare) after a burst. Queries leave a part of the burst (expediteReserve) to
+// submissions and cancellations: many queries that waited for this member's rate limit
+// used up all of it.
 const (
 	expediteShare   = 0.1
 	expediteBurst   = 10
 	expediteReserve = expediteBurst / 2
 )
 
-// canServeUsers tells whether this member can answer users from the state service.
+// canServeUsers reports whether this member can answer users from the state service.
 func (rh *requestHandler) canServeUsers() bool {
-	return rh.store.storeAccess.IsSynced() && len(rh.cache.machineTypes) > 0 && rh.store.storeAccess.IsResponsive(rh.now.MonotonicMS)
+	storeAccess := rh.store.storeAccess
+	return storeAccess.IsSynced() && len(rh.cache.machineTypes) > 0 && storeAccess.IsResponsive(rh.now.MonotonicMS)
 }
 
-const storeUnreachableMessage = "state service does not answer"
+// Texts of 503 responses.
+const (
+	storeUnreachableMessage = "state service does not answer"
+	storeUnavailableMessage = "state service unavailable"
+)
+
+// cancelRetries bounds the retries of a cancellation's write.
+const cancelRetries = 3
 
-// HandleUserRequest takes a user's request; reply names it in the outputs' answers.
+// HandleUserRequest takes a user's request. Its response appears in Outputs.UserResponses
+// under replyID, which must be unique. A malformed submission carries its ID if known.
 func (c *Controller) HandleUserRequest(now Now, replyID uint64, request UserRequest) {
 	c.now = now
 	pending := &pendingRequest{replyID: replyID, request: request, receivedAtMS: now.MonotonicMS, pendingLocally: true}
@@ -47,7 +64,8 @@
 	}
 	c.requests.requestsByArrival = append(c.requests.requestsByArrival, pending)
 	c.requests.expediteBudget = min(expediteBurst, c.requests.expediteBudget+expediteShare)
-	if c.store.isStoreUnreachable() && !(request.Kind == SubmitJob && request.ID == "") {
+	needsStore := request.Kind != SubmitJob || request.ID != ""
+	if needsStore && c.store.isStoreUnreachable() {
 		c.requests.completeRequest(replyID, unavailableResponse(request.ID, storeUnreachableMessage))
 		return
 	}
@@ -57,16 +75,16 @@
 	case QueryJob:
 		c.requests.enqueueQuery(pending)
 	case CancelJob:
-		c.requests.handleCancel(replyID, request.ID, 3)
+		c.requests.handleCancel(replyID, request.ID, cancelRetries)
 	}
 }
 
-// completeRequest ends what is asked here. While the state service fails this member
-// only, a peer answers in its place.
+// completeRequest ends the handling of a request here. While the state service fails this
+// member only, a peer answers in its place.
 func (rh *requestHandler) completeRequest(replyID uint64, response UserResponse) {
 	pending := rh.pendingRequests[replyID]
 	if pending == nil {
-		return // a peer was faster
+		return // a peer answered first
 	}
 	pending.pendingLocally = false
 	if response.retryableAtPeer {
@@ -78,6 +96,7 @@
 	rh.sendUserResponse(pending, response)
 }
 
+// sendUserResponse passes a response to the outputs. The request is over then.
 func (rh *requestHandler) sendUserResponse(pending *pendingRequest, response UserResponse) {
 	pending.completed = true
 	delete(rh.pendingRequests, pending.replyID)
@@ -90,7 +109,8 @@
 	}
 }
 
-// relayToPeer asks the next peer that says that it can answer.
+// relayToPeer sends a request to the next peer, in turn, that reports that it serves users.
+// It reports whether there is one and the request may be relayed.
 func (rh *requestHandler) relayToPeer(pending *pendingRequest) bool {
 	if pending.relayed || pending.request.Relayed || len(rh.pendingRelays) >= rh.params.MaxPendingRelays {
 		return false
@@ -116,12 +136,14 @@
 	return true
 }
 
+// pendingRelay is a request that a peer has and did not answer yet.
 type pendingRelay struct {
 	request *pendingRequest
 	peer    string
 }
 
-// HandleRelayResult takes a peer's answer, or learns that there is none.
+// HandleRelayResult takes a peer's response to the RelayRequest with this ID; !ok means that
+// there is none.
 func (c *Controller) HandleRelayResult(now Now, id uint64, response UserResponse, ok bool) {
 	c.now = now
 	relay, known := c.requests.pendingRelays[id]
@@ -132,7 +154,7 @@
 	pending := relay.request
 	pending.awaitingPeer = false
 	if !ok || response.Status == 503 {
-		// What it said of itself is out of date; its next message says more.
+		// Its last message is out of date in this; the next one corrects it.
 		if peer := c.peers.peers[relay.peer]; peer != nil {
 			peer.message.ServesUsers = false
 		}
@@ -146,15 +168,13 @@
 	}
 }
 
-// expediteSlowRequests asks a peer too about what takes longer than answers do: the
-// state service may have stopped answering this member, which shows for certain
-// only when a request's whole time is up. Both may carry a request out: each
-// submission and cancellation is one conditional write, whoever sends it.
+// expediteSlowRequests relays requests to a peer as well that take longer than responses
+// of the state service do: it may have stopped answering this member, which is certain
+// only after a request's whole timeout. Both may carry out a request: each submission
+// and cancellation is one conditional write, whoever sends it.
 func (rh *requestHandler) expediteSlowRequests() {
-	rh.requestsByArrival = slices.DeleteFunc(
-		rh.requestsByArrival,
-		func(pending *pendingRequest) bool { return pending.completed },
-	)
+	isCompleted := func(pending *pendingRequest) bool { return pending.completed }
+	rh.requestsByArrival = slices.DeleteFunc(rh.requestsByArrival, isCompleted)
 	for _, pending := range rh.requestsByArrival {
 		if rh.now.MonotonicMS-pending.receivedAtMS <= rh.store.storeAccess.OverdueAfterMS() || rh.expediteBudget < 1 {
 			break
