--- a/emulator/experiment_parse.go
+++ b/emulator/experiment_parse.go
@@ -131,8 +131,8 @@
 		spans[key] = append(spans[key], span{spec.AtS, spec.AtS + spec.DurationS, i})
 	}
 	for i := range experiment.Rollouts {
-		if reason := experiment.Rollouts[i].Plan.Validate(); reason != "" {
-			fail("line %d: rollout %d: %s", lineOf(b, "[[rollout]]", i), i+1, reason)
+		if err := experiment.Rollouts[i].Plan.Validate(); err != nil {
+			fail("line %d: rollout %d: %w", lineOf(b, "[[rollout]]", i), i+1, err)
 		}
 	}
 	names := map[string]bool{}
@@ -157,8 +157,8 @@
 			!slices.ContainsFunc(experiment.Rollouts, func(r Rollout) bool { return r.Plan.ID == v.Rollout }) {
 			fail("variant %s: rollout %q is none of the plans", v.Name, v.Rollout)
 		}
-		if reason := v.settings().Validate(); reason != "" {
-			fail("variant %s: %s", v.Name, reason)
+		if err := v.settings().Validate(); err != nil {
+			fail("variant %s: %w", v.Name, err)
 		}
 	}
 	return experiment, errors.Join(problems...)
--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -190,12 +190,12 @@
 		pendingLocally: true,
 		relayed:        true,
 	} // this member's to answer
-	if reason := s.Validate(); reason != "" {
-		c.requests.completeRequest(replyID, UserResponse{Status: 400, Error: reason})
+	if err := s.Validate(); err != nil {
+		c.requests.completeRequest(replyID, UserResponse{Status: 400, Error: err.Error()})
 		return
 	}
 	if !c.store.storeAccess.IsSynced() {
-		c.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+		c.requests.completeRequest(replyID, unavailableResponse("", storeUnavailableMessage))
 		return
 	}
 	c.store.sendTxn(
@@ -213,7 +213,7 @@
 					UserResponse{Status: 409, Error: "changed by somebody else meanwhile; read and try again"},
 				)
 			default:
-				c.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
+				c.requests.completeRequest(replyID, unavailableResponse("", storeUnavailableMessage))
 			}
 		},
 	)
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"fmt"
 	"slices"
 	"strings"
 
@@ -276,9 +278,9 @@
 func (rc *rolloutController) preview(now Now, p rollout.Plan) RolloutPreview {
 	rc.now = now
 	preview := RolloutPreview{Kinds: map[string]int{}, Tasks: map[string]int{}, MaxDisrupted: map[string]int{}}
-	rec, reason := rollout.NewRecord(p, rc.now.WallMS, rc.rolloutMachines(), rollout.HealthRates{})
-	if reason != "" {
-		preview.InvalidReason = reason
+	rec, err := rollout.NewRecord(p, rc.now.WallMS, rc.rolloutMachines(), rollout.HealthRates{})
+	if err != nil {
+		preview.InvalidReason = err.Error()
 		return preview
 	}
 	preview.Machines = rec.TotalMachines
@@ -312,39 +314,39 @@
 // ApplyRollout stores a plan, for the member that leads the fleet to carry out;
 // reply names the answer among the users'.
 func (rc *rolloutController) submitPlan(now Now, replyID uint64, p rollout.Plan) {
-	rc.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
+	rc.changeRollout(now, replyID, func() (*rollout.Record, int, error) {
 		if current := rc.rec; current != nil && !current.State.IsTerminal() {
-			return nil, "plan " + current.Plan.ID + " is " + string(current.State) + ": abort it first", 409
+			return nil, 409, fmt.Errorf("plan %s is %s: abort it first", current.Plan.ID, current.State)
 		} else if current != nil && current.Plan.ID == p.ID {
-			return nil, "id: plan " + p.ID + " has been already", 409
+			return nil, 409, &rollout.FieldError{Field: "id", Text: "id: plan " + p.ID + " has been already"}
 		}
 		if p.Type != "" && rc.cache.machineTypes[p.Type] == nil {
-			return nil, "type: no machine type " + p.Type, 400
+			return nil, 400, &rollout.FieldError{Field: "type", Text: "type: no machine type " + p.Type}
 		}
-		rec, reason := rollout.NewRecord(p, rc.now.WallMS, rc.rolloutMachines(), rc.baselineRate())
+		rec, err := rollout.NewRecord(p, rc.now.WallMS, rc.rolloutMachines(), rc.baselineRate())
 		if rec != nil && rc.rec != nil {
 			rec.Issued = rc.rec.Issued // tokens are the shards', whatever the plan
 		}
-		return rec, reason, 400
+		return rec, 400, err
 	})
 }
 
 // CommandRollout carries an operator's command to the plan out.
 func (rc *rolloutController) command(now Now, replyID uint64, command rollout.Command) {
-	rc.changeRollout(now, replyID, func() (*rollout.Record, string, int) {
+	rc.changeRollout(now, replyID, func() (*rollout.Record, int, error) {
 		if rc.rec == nil {
-			return nil, "there is no plan", 404
+			return nil, 404, errors.New("there is no plan")
 		}
 		rec := *rc.rec
-		reason := rec.ApplyCommand(command, rc.now.WallMS, rc.clusterCounts())
-		return &rec, reason, 409
+		err := rec.ApplyCommand(command, rc.now.WallMS, rc.clusterCounts())
+		return &rec, 409, err
 	})
 }
 
 func (rc *rolloutController) changeRollout(
 	now Now,
 	replyID uint64,
-	change func() (rec *rollout.Record, reason string, status int),
+	change func() (rec *rollout.Record, failureStatus int, err error),
 ) {
 	rc.now = now
 	rc.requests.pendingRequests[replyID] = &pendingRequest{
@@ -361,9 +363,9 @@
 		rc.requests.completeRequest(replyID, unavailableResponse("", "state service unavailable"))
 		return
 	}
-	rec, reason, status := change()
-	if reason != "" {
-		rc.requests.completeRequest(replyID, UserResponse{Status: status, Error: reason})
+	rec, failureStatus, err := change()
+	if err != nil {
+		rc.requests.completeRequest(replyID, UserResponse{Status: failureStatus, Error: err.Error()})
 		return
 	}
 	rc.log(Info, "rollout", "plan", rec.Plan.ID, "state", rec.State, "machines", rec.TotalMachines)
