--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -10,17 +10,14 @@
 
 func testFleet(n int) (machines []Machine) {
 	for i := range n {
-		machines = append(
-			machines,
-			Machine{
-				ID:            fmt.Sprintf("i-%03d", i),
-				Type:          "small",
-				Zone:          string("ab"[i%2]),
-				Spot:          i%3 == 0,
-				Up:            true,
-				ProvisionedAt: int64(i),
-			},
-		)
+		machines = append(machines, Machine{
+			ID:            fmt.Sprintf("i-%03d", i),
+			Type:          "small",
+			Zone:          string("ab"[i%2]),
+			Spot:          i%3 == 0,
+			Up:            true,
+			ProvisionedAt: int64(i),
+		})
 	}
 	return machines
 }
@@ -85,169 +82,186 @@
 	}
 }
 
-// simulateRollout moves a plan on until it is over or stands for long: machines that are covered
-// go after a while, those that are rented come up.
-func simulateRollout(
-	t *testing.T,
-	record *Record,
-	machines []Machine,
-	countsAt func(wallMS int64, machines []Machine) HealthCounts,
-) []Machine {
+// simulation is a plan over a fleet in which covered machines are gone after a while, and replacements
+// that are provisioned come up.
+type simulation struct {
+	record   *Record
+	machines []Machine
+	countsAt func(wallMS int64, machines []Machine) HealthCounts
+	bootAt   map[string]int64
+	goneAt   map[string]int64
+}
+
+// run advances the plan until it is over or paused, an hour at most.
+func (s *simulation) run(t *testing.T) {
 	t.Helper()
-	nextID := 1000
-	bootAt, goneAt := map[string]int64{}, map[string]int64{}
-	for wallMS := record.StartedAt; wallMS < record.StartedAt+3_600_000 && !record.State.IsTerminal() && record.State != Paused; wallMS += 500 {
-		counts := HealthCounts{}
-		if countsAt != nil {
-			counts = countsAt(wallMS, machines)
+	s.bootAt, s.goneAt = map[string]int64{}, map[string]int64{}
+	endMS := s.record.StartedAt + 3_600_000
+	for wallMS := s.record.StartedAt; wallMS < endMS && s.record.State == Running; wallMS += 500 {
+		counts := s.countsAt(wallMS, s.machines)
+		price := func(InstanceOffering) float64 { return 1 }
+		_, provision := s.record.Advance(wallMS, s.machines, counts, price)
+		s.provision(wallMS, provision)
+		s.moveMachines(wallMS)
+	}
+}
+
+func (s *simulation) provision(wallMS int64, provision map[InstanceOffering]int) {
+	for offering, n := range provision {
+		for range n {
+			id := fmt.Sprintf("i-%d", 1000+len(s.bootAt))
+			s.bootAt[id] = wallMS + 20_000
+			s.machines = append(s.machines, Machine{
+				ID:                 id,
+				Type:               offering.Type,
+				Zone:               offering.Zone,
+				Spot:               offering.Spot,
+				ProvisionedAt:      wallMS,
+				ProvisionedForPlan: s.record.Plan.ID,
+			})
 		}
-		_, provision := record.Advance(wallMS, machines, counts, func(InstanceOffering) float64 { return 1 })
-		for offering, n := range provision {
-			for range n {
-				id := fmt.Sprintf("i-%d", nextID)
-				nextID++
-				machines = append(
-					machines,
-					Machine{
-						ID:                 id,
-						Type:               offering.Type,
-						Zone:               offering.Zone,
-						Spot:               offering.Spot,
-						ProvisionedAt:      wallMS,
-						ProvisionedForPlan: record.Plan.ID,
-					},
-				)
-				bootAt[id] = wallMS + 20_000
-			}
+	}
+}
+
+func (s *simulation) moveMachines(wallMS int64) {
+	for i := range s.machines {
+		m := &s.machines[i]
+		if bootAt := s.bootAt[m.ID]; bootAt > 0 && wallMS >= bootAt {
+			m.Up = true
 		}
-		for i := range machines {
-			if bootedAt := bootAt[machines[i].ID]; bootedAt > 0 && wallMS >= bootedAt {
-				machines[i].Up = true
-			}
-			if record.Covers(&machines[i]) && goneAt[machines[i].ID] == 0 {
-				goneAt[machines[i].ID] = wallMS + 7000
-			}
+		if s.record.Covers(m) && s.goneAt[m.ID] == 0 {
+			s.goneAt[m.ID] = wallMS + 7000
 		}
-		machines = slices.DeleteFunc(machines, func(m Machine) bool { return goneAt[m.ID] > 0 && wallMS >= goneAt[m.ID] })
 	}
-	return machines
+	s.machines = slices.DeleteFunc(s.machines, func(m Machine) bool {
+		return s.goneAt[m.ID] > 0 && wallMS >= s.goneAt[m.ID]
+	})
 }
 
-// A plan goes step by step, rents first, and never has more beyond than its surge.
+// A plan goes step by step, provisions before it drains, and never exceeds its surge.
 func TestMachinesAreReplacedInStepsWithinSurge(t *testing.T) {
 	for _, byZone := range []bool{false, true} {
-		machines := testFleet(20)
-		record, err := NewRecord(
-			Plan{
-				ID:                "p",
-				All:               true,
-				Mode:              Replace,
-				Surge:             3,
-				FirstStepMachines: 2,
-				StepShare:         0.25,
-				ByZone:            byZone,
-				StepPauseS:        5,
-			},
-			1000,
-			machines,
-			HealthRates{},
-		)
-		if err != nil {
-			t.Fatal(err)
-		}
-		maxCoveredByStep, zoneOrder := map[int]int{}, ""
-		machines = simulateRollout(t, record, machines, func(_ int64, machines []Machine) HealthCounts {
-			selected, covered := 0, 0
-			for i := range machines {
-				if record.Selects(&machines[i]) {
-					selected++
-					if record.Covers(&machines[i]) {
-						covered++
-						if byZone && !strings.HasSuffix(zoneOrder, machines[i].Zone) {
-							zoneOrder += machines[i].Zone
-						}
-					}
-				}
+		t.Run(fmt.Sprintf("by zone %v", byZone), func(t *testing.T) { testReplacement(t, byZone) })
+	}
+}
+
+func testReplacement(t *testing.T, byZone bool) {
+	t.Helper()
+	machines := testFleet(20)
+	record, err := NewRecord(Plan{
+		ID:                "p",
+		All:               true,
+		Mode:              Replace,
+		Surge:             3,
+		FirstStepMachines: 2,
+		StepShare:         0.25,
+		ByZone:            byZone,
+		StepPauseS:        5,
+	}, 1000, machines, HealthRates{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	maxCoveredByStep, zoneOrder := map[int]int{}, ""
+	s := simulation{record: record, machines: machines}
+	s.countsAt = func(_ int64, machines []Machine) HealthCounts {
+		covered := 0
+		for i := range machines {
+			if !record.Covers(&machines[i]) {
+				continue
 			}
-			if len(machines) > 20+3 {
-				t.Fatalf("%d machines, 20 and 3 beyond are allowed", len(machines))
+			covered++
+			if !strings.HasSuffix(zoneOrder, machines[i].Zone) {
+				zoneOrder += machines[i].Zone
 			}
-			maxCoveredByStep[record.Step] = max(maxCoveredByStep[record.Step], covered)
-			return HealthCounts{}
-		})
-		if record.State != Done || len(machines) != 20 {
-			t.Fatalf("by zone %v: %+v, %d machines", byZone, record, len(machines))
-		}
-		if n := record.StepCount(map[string]int{"a": 10, "b": 10}); n != record.Step {
-			t.Errorf("by zone %v: %d steps, %d were foreseen", byZone, record.Step, n)
 		}
-		if maxCoveredByStep[1] > 2 || len(maxCoveredByStep) < 5 || byZone && zoneOrder != "ab" {
-			t.Errorf("by zone %v: covered at once in each step %v, zones %q", byZone, maxCoveredByStep, zoneOrder)
-		}
-		if hasOldMachine := slices.ContainsFunc(machines, func(m Machine) bool { return m.ProvisionedAt < 1000 }); hasOldMachine {
-			t.Error("an old machine is left")
+		if len(machines) > 20+3 {
+			t.Fatalf("got %d machines, want at most 20 and a surge of 3", len(machines))
 		}
+		maxCoveredByStep[record.Step] = max(maxCoveredByStep[record.Step], covered)
+		return HealthCounts{}
+	}
+	s.run(t)
+	if record.State != Done || len(s.machines) != 20 {
+		t.Fatalf("got %+v and %d machines, want done and 20", record, len(s.machines))
+	}
+	if n := record.StepCount(map[string]int{"a": 10, "b": 10}); n != record.Step {
+		t.Errorf("got %d steps, want %d as predicted", record.Step, n)
+	}
+	if maxCoveredByStep[1] > 2 || len(maxCoveredByStep) < 5 {
+		t.Errorf("covered at once in each step: got %v, want 5 steps or more, the first of 2", maxCoveredByStep)
+	}
+	if byZone && zoneOrder != "ab" {
+		t.Errorf("order of zones: got %q, want ab", zoneOrder)
+	}
+	if slices.ContainsFunc(s.machines, func(m Machine) bool { return m.ProvisionedAt < 1000 }) {
+		t.Error("an old machine is left")
 	}
 }
 
-// Past a gate a plan pauses by itself and says why, within the step; resumed, it counts
+// A plan pauses within the step in which a gate is exceeded, with the reason; resumed, it counts
 // anew; aborted, it covers nothing.
 func TestPlanPausesWhenHealthGateFails(t *testing.T) {
 	machines := testFleet(10)
-	record, _ := NewRecord(
-		Plan{
-			ID:                "p",
-			All:               true,
-			Mode:              Drain,
-			FirstStepMachines: 2,
-			StepShare:         0.2,
-			StepPauseS:        3,
-			Gates:             HealthGates{Errors: 4},
-		},
-		1000,
-		machines,
-		HealthRates{Errors: 0.5},
-	)
+	plan := Plan{
+		ID:                "p",
+		All:               true,
+		Mode:              Drain,
+		FirstStepMachines: 2,
+		StepShare:         0.2,
+		StepPauseS:        3,
+		Gates:             HealthGates{Errors: 4},
+	}
+	record, err := NewRecord(plan, 1000, machines, HealthRates{Errors: 0.5})
+	if err != nil {
+		t.Fatal(err)
+	}
 	taskErrors := uint64(0)
-	machines = simulateRollout(t, record, machines, func(wallMS int64, _ []Machine) HealthCounts {
+	s := simulation{record: record, machines: machines}
+	s.countsAt = func(wallMS int64, _ []Machine) HealthCounts {
 		if wallMS%2000 == 0 {
-			taskErrors++ // as usual
+			taskErrors++ // the baseline
 		}
 		if record.Step == 2 {
 			taskErrors += 2
 		}
 		return HealthCounts{Errors: taskErrors}
-	})
-	if record.State != Paused || record.Step != 2 || !strings.HasPrefix(record.Reason, "gate errors") ||
-		len(machines) < 6 {
-		t.Fatalf("%+v, %d machines left", record, len(machines))
 	}
-	if err := record.ApplyCommand(Resume, 90_000, HealthCounts{Errors: taskErrors}); err != nil ||
-		record.State != Running ||
-		record.failedGate(90_500, HealthCounts{Errors: taskErrors}) != "" {
-		t.Errorf("resumed: %v, %+v", err, record)
+	s.run(t)
+	if record.State != Paused || record.Step != 2 || !strings.HasPrefix(record.Reason, "gate errors") {
+		t.Fatalf("got %+v, want a pause in step 2 by the gate of errors", record)
+	}
+	if len(s.machines) < 6 {
+		t.Fatalf("got %d machines left, want 6 or more", len(s.machines))
 	}
-	covered := slices.IndexFunc(machines, func(m Machine) bool { return record.Covers(&m) })
-	if err := record.ApplyCommand(Abort, 91_000, HealthCounts{}); err != nil ||
-		covered >= 0 && record.Covers(&machines[covered]) {
-		t.Errorf("aborted: %v, %+v", err, record)
+	if err := record.ApplyCommand(Resume, 90_000, HealthCounts{Errors: taskErrors}); err != nil {
+		t.Errorf("resume: %v", err)
+	}
+	reason := record.failedGate(90_500, HealthCounts{Errors: taskErrors})
+	if record.State != Running || reason != "" {
+		t.Errorf("resumed: got %+v, gate %q, want running and no gate exceeded", record, reason)
+	}
+	covered := slices.IndexFunc(s.machines, func(m Machine) bool { return record.Covers(&m) })
+	if err := record.ApplyCommand(Abort, 91_000, HealthCounts{}); err != nil {
+		t.Errorf("abort: %v", err)
+	}
+	if covered >= 0 && record.Covers(&s.machines[covered]) {
+		t.Errorf("aborted, and covers %s: %+v", s.machines[covered].ID, record)
 	}
 	var terminal *TerminalError
-	if err := record.ApplyCommand(Resume, 92_000, HealthCounts{}); !errors.As(err, &terminal) ||
-		terminal.State != Aborted || err.Error() != "plan p is aborted" {
-		t.Errorf("resuming an aborted plan: %v", err)
+	err = record.ApplyCommand(Resume, 92_000, HealthCounts{})
+	if !errors.As(err, &terminal) || terminal.State != Aborted || err.Error() != "plan p is aborted" {
+		t.Errorf("resuming an aborted plan: got %v, want a TerminalError", err)
 	}
 }
 
-// What a plan of ten thousand machines costs its leader each time that it looks.
+// The leader advances a plan of ten thousand machines twice a second.
 func BenchmarkAdvance(b *testing.B) {
 	machines := testFleet(10_000)
-	record, _ := NewRecord(
-		Plan{ID: "p", All: true, Mode: Replace, Surge: 50, FirstStepMachines: 10, StepShare: 0.05},
-		100_000,
-		machines,
-		HealthRates{},
-	)
+	plan := Plan{ID: "p", All: true, Mode: Replace, Surge: 50, FirstStepMachines: 10, StepShare: 0.05}
+	record, err := NewRecord(plan, 100_000, machines, HealthRates{})
+	if err != nil {
+		b.Fatal(err)
+	}
 	b.ReportAllocs()
 	for b.Loop() {
 		record.Advance(101_000, machines, HealthCounts{}, func(InstanceOffering) float64 { return 1 })
