--- a/recurrence/file.go
+++ b/recurrence/file.go
@@ -7,14 +7,14 @@
 	"github.com/grebedock/grebedock/strict"
 )
 
-// File is calendars and schedules as operators write them, in TOML.
+// File holds calendars and schedules as operators write them in TOML.
 type File struct {
 	Calendars []*Calendar `toml:"calendar"`
 	Schedules []*Schedule `toml:"schedule"`
 }
 
-// ParseFile reads and checks a file. The error names line and field where the
-// text is wrong, and calendar or schedule where its meaning is.
+// ParseFile decodes and validates a file. Errors of syntax name line and field; errors of meaning name
+// the calendar or schedule and the field.
 func ParseFile(b []byte) (*File, error) {
 	var f File
 	if err := strict.Decode(b, &f); err != nil {
@@ -23,31 +23,33 @@
 	return &f, ValidateAll(f.Calendars, f.Schedules)
 }
 
-// ValidateAll checks calendars and schedules that refer to them.
-func ValidateAll(cs []*Calendar, ss []*Schedule) error {
+// ValidateAll validates calendars and the schedules that refer to them, and returns all errors joined.
+func ValidateAll(calendars []*Calendar, schedules []*Schedule) error {
 	var errs []error
-	calendars := map[string]*Calendar{}
-	for i, c := range cs {
+	calendarByName := map[string]*Calendar{}
+	for i, c := range calendars {
 		err := c.Validate()
-		if c.Name == "" {
+		switch {
+		case c.Name == "":
 			err = fmt.Errorf("calendar[%d].name is missing", i)
-		} else if calendars[c.Name] != nil {
+		case calendarByName[c.Name] != nil:
 			err = fmt.Errorf("calendar %s is there twice", c.Name)
-		} else if err != nil {
+		case err != nil:
 			err = fmt.Errorf("calendar %s: %w", c.Name, err)
 		}
-		calendars[c.Name] = c
+		calendarByName[c.Name] = c
 		errs = append(errs, err)
 	}
-	names := map[string]bool{}
-	for i, s := range ss {
-		err := s.Validate(calendars)
-		if err != nil {
+	scheduleNames := map[string]bool{}
+	for i, s := range schedules {
+		err := s.Validate(calendarByName)
+		switch {
+		case err != nil:
 			err = fmt.Errorf("schedule[%d] %s: %w", i, s.Name, err)
-		} else if names[s.Name] {
+		case scheduleNames[s.Name]:
 			err = fmt.Errorf("schedule %s is there twice", s.Name)
 		}
-		names[s.Name] = true
+		scheduleNames[s.Name] = true
 		errs = append(errs, err)
 	}
 	return errors.Join(errs...)
--- /dev/null
+++ b/recurrence/schedule.go
@@ -0,0 +1,184 @@
+package recurrence
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+	_ "time/tzdata" // members without zone files, or with others, must agree
+
+	"github.com/teambition/rrule-go"
+)
+
+// Gap is what happens to a time of day that a clock change skips. A day that a zone skipped is one
+// long gap.
+type Gap string
+
+// The policies for gaps.
+const (
+	GapAfter Gap = "after" // due at the first instant after the gap
+	GapSkip  Gap = "skip"  // dropped
+)
+
+// Overlap is what happens to a time of day that a clock change repeats.
+type Overlap string
+
+// The policies for overlaps.
+const (
+	OverlapFirst  Overlap = "first"
+	OverlapSecond Overlap = "second"
+	OverlapBoth   Overlap = "both"
+)
+
+// Schedule defines when something recurs. Validate makes it ready for use.
+type Schedule struct {
+	Name     string  `toml:"name"     json:"name"`
+	Zone     string  `toml:"zone"     json:"zone"`     // of the IANA database
+	Calendar string  `toml:"calendar" json:"calendar"` // by name; empty: every day is a working day
+	Rule     string  `toml:"rule"     json:"rule"`     // an RRULE of RFC 5545, of days: FREQ from DAILY to YEARLY
+	From     Date    `toml:"from"     json:"from"`     // the first day, and what INTERVAL counts from
+	Until    *Date   `toml:"until"    json:"until,omitempty"`
+	At       []Clock `toml:"at"       json:"at"`
+	Shift    Shift   `toml:"shift"    json:"shift"`
+	Gap      Gap     `toml:"gap"      json:"gap"`
+	Overlap  Overlap `toml:"overlap"  json:"overlap"`
+
+	calendar *Calendar
+	location *time.Location
+	rule     *rrule.RRule
+}
+
+// Errors of schedules, wrapped with the field and its value.
+var (
+	ErrInvalidZone = errors.New("is no time zone")
+	ErrInvalidRule = errors.New("is no rule")
+)
+
+// Validate returns an error that names the first invalid field, sets the defaults of Shift, Gap and
+// Overlap, sorts At, and makes the schedule ready for use. The calendars are by name.
+func (s *Schedule) Validate(calendars map[string]*Calendar) error {
+	if s.Name == "" {
+		return errors.New("name is missing")
+	}
+	if err := s.loadZone(); err != nil {
+		return err
+	}
+	if err := s.resolveCalendar(calendars); err != nil {
+		return err
+	}
+	if err := s.validateTimes(); err != nil {
+		return err
+	}
+	if err := s.validatePolicies(); err != nil {
+		return err
+	}
+	return s.parseRule()
+}
+
+func (s *Schedule) loadZone() (err error) {
+	if s.Zone == "" || s.Zone == "Local" { // which LoadLocation takes for UTC and the host's zone
+		return fmt.Errorf("zone: %q %w", s.Zone, ErrInvalidZone)
+	}
+	if s.location, err = time.LoadLocation(s.Zone); err != nil {
+		return fmt.Errorf("zone: %q %w", s.Zone, ErrInvalidZone)
+	}
+	return nil
+}
+
+func (s *Schedule) resolveCalendar(calendars map[string]*Calendar) error {
+	s.calendar = &Calendar{Working: weekdays}
+	if s.Calendar != "" {
+		if s.calendar = calendars[s.Calendar]; s.calendar == nil {
+			return fmt.Errorf("calendar: there is no %q", s.Calendar)
+		}
+	}
+	if s.calendar.validated {
+		return nil
+	}
+	if err := s.calendar.Validate(); err != nil {
+		return fmt.Errorf("calendar %s: %w", s.Calendar, err)
+	}
+	return nil
+}
+
+func (s *Schedule) validateTimes() error {
+	switch {
+	case s.From == (Date{}):
+		return errors.New("from is missing")
+	case s.Until != nil && s.Until.Compare(s.From) < 0:
+		return errors.New("until is before from")
+	case len(s.At) == 0:
+		return errors.New("at is missing")
+	}
+	s.At = slices.Compact(slices.Sorted(slices.Values(s.At)))
+	return nil
+}
+
+func (s *Schedule) validatePolicies() error {
+	err := validateChoice("shift", &s.Shift, Run, Skip, Next, Previous, NextInMonth, PreviousInMonth)
+	if err != nil {
+		return err
+	}
+	if err := validateChoice("gap", &s.Gap, GapAfter, GapSkip); err != nil {
+		return err
+	}
+	return validateChoice("overlap", &s.Overlap, OverlapFirst, OverlapSecond, OverlapBoth)
+}
+
+// validateChoice checks that a value is one of the allowed ones; an empty one becomes the first.
+func validateChoice[T ~string](field string, value *T, allowed ...T) error {
+	if *value == "" {
+		*value = allowed[0]
+	}
+	if slices.Contains(allowed, *value) {
+		return nil
+	}
+	names := make([]string, len(allowed))
+	for i, choice := range allowed {
+		names[i] = string(choice)
+	}
+	return fmt.Errorf("%s: %q is none of %s", field, *value, strings.Join(names, ", "))
+}
+
+// allowedRuleFields are the fields of an RRULE that concern days.
+var allowedRuleFields = []string{
+	"FREQ",
+	"INTERVAL",
+	"COUNT",
+	"BYDAY",
+	"BYMONTHDAY",
+	"BYYEARDAY",
+	"BYWEEKNO",
+	"BYMONTH",
+	"BYSETPOS",
+	"WKST",
+}
+
+func (s *Schedule) parseRule() error {
+	for _, part := range strings.Split(s.Rule, ";") {
+		name, _, _ := strings.Cut(part, "=")
+		if !slices.Contains(allowedRuleFields, name) {
+			allowed := strings.Join(allowedRuleFields, ", ")
+			return fmt.Errorf("rule: %q %w of days (%s)", part, ErrInvalidRule, allowed)
+		}
+	}
+	options, err := rrule.StrToROption(s.Rule)
+	if err != nil {
+		return fmt.Errorf("rule: %q %w: %v", s.Rule, ErrInvalidRule, err)
+	}
+	if options.Freq > rrule.DAILY {
+		return errors.New("rule: FREQ must be DAILY, WEEKLY, MONTHLY or YEARLY; times of day stand in at")
+	}
+	if options.Interval < 0 || options.Count < 0 {
+		return errors.New("rule: INTERVAL and COUNT must not be negative")
+	}
+	options.Dtstart = s.From.utc()
+	if s.Until != nil {
+		options.Until = s.Until.utc()
+	}
+	if s.rule, err = rrule.NewRRule(*options); err != nil {
+		return fmt.Errorf("rule: %q %w: %v", s.Rule, ErrInvalidRule, err)
+	}
+	return nil
+}
