--- a/internal/httpclient/budget.go
+++ b/internal/httpclient/budget.go
@@ -1,116 +1,15 @@
-// Package httpclient makes HTTP requests to the services that a controller uses,
-// within a rate budget and most urgent first.
 package httpclient
 
 import (
 	"context"
-	"strconv"
 	"sync"
 	"time"
 
-	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
-
-	"github.com/grebedock/grebedock/internal/wire"
 )
 
-// Client talks to one service.
-type Client struct{ host *fasthttp.HostClient }
-
-// NewClient returns a client for the service at addr.
-func NewClient(addr string, conns int) *Client {
-	return &Client{host: &fasthttp.HostClient{
-		Addr: addr, MaxConns: conns, MaxIdleConnDuration: time.Minute, NoDefaultUserAgentHeader: true,
-		DisablePathNormalizing: true, MaxIdemponentCallAttempts: 1, RetryIfErr: noRetry,
-	}}
-}
-
-// Do makes a request. Without an answer in time the status is 0: the request
-// may have been executed.
-func (c *Client) Do(r wire.Request, timeout time.Duration) (int, []byte) {
-	return roundTrip(c.host, c.host.Addr, r, "application/json", timeout)
-}
-
-// DoType is Do with a content type.
-func (c *Client) DoType(r wire.Request, contentType string, timeout time.Duration) (int, []byte) {
-	return roundTrip(c.host, c.host.Addr, r, contentType, timeout)
-}
-
-// MultiHostClient talks to many hosts, a few requests to each.
-type MultiHostClient struct{ http *fasthttp.Client }
-
-// NewMultiHostClient returns a client for any address, with so many connections to each.
-func NewMultiHostClient(conns int) *MultiHostClient {
-	return &MultiHostClient{
-		http: &fasthttp.Client{MaxConnsPerHost: conns, MaxIdleConnDuration: 30 * time.Second, NoDefaultUserAgentHeader: true,
-			MaxIdemponentCallAttempts: 1, RetryIfErr: noRetry},
-	}
-}
-
-// Do makes a request to a host.
-func (c *MultiHostClient) Do(addr string, r wire.Request, timeout time.Duration) (int, []byte) {
-	return roundTrip(c.http, addr, r, "application/json", timeout)
-}
-
-// Response is an answer; Status 0 means that there was none in time.
-type Response struct {
-	Status      int
-	Body        []byte
-	RetryAfterS int // what Retry-After says, 0 if nothing
-}
-
-// DoWithRetryAfter makes a request to a host and tells when it wants to be asked again.
-func (c *MultiHostClient) DoWithRetryAfter(addr string, r wire.Request, timeout time.Duration) Response {
-	var response Response
-	response.Status, response.Body = roundTripInspecting(
-		c.http,
-		addr,
-		r,
-		"application/json",
-		timeout,
-		func(res *fasthttp.Response) {
-			response.RetryAfterS, _ = strconv.Atoi(string(res.Header.Peek(fasthttp.HeaderRetryAfter)))
-		},
-	)
-	return response
-}
-
-// noRetry: a request that may have been executed is settled by its asker, so
-// none is sent twice on its own.
-func noRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
-
-type timeoutDoer interface {
-	DoTimeout(*fasthttp.Request, *fasthttp.Response, time.Duration) error
-}
-
-func roundTrip(c timeoutDoer, addr string, r wire.Request, contentType string, timeout time.Duration) (int, []byte) {
-	return roundTripInspecting(c, addr, r, contentType, timeout, func(*fasthttp.Response) {})
-}
-
-func roundTripInspecting(
-	c timeoutDoer,
-	addr string,
-	r wire.Request,
-	contentType string,
-	timeout time.Duration,
-	inspect func(*fasthttp.Response),
-) (int, []byte) {
-	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(res)
-	req.SetRequestURI("http://" + addr + r.Path)
-	req.Header.SetMethod(r.Method)
-	if r.Body != nil {
-		req.Header.SetContentType(contentType)
-		req.SetBodyRaw(r.Body)
-	}
-	if err := c.DoTimeout(req, res, timeout); err != nil {
-		return 0, nil
-	}
-	inspect(res)
-	// The response's buffer is used again.
-	return res.StatusCode(), append([]byte(nil), res.Body()...)
-}
+// urgencyLevels is the number of a Budget's queues; 0 is the most urgent.
+const urgencyLevels = 4
 
 // queuedRequest is a request that waits for its turn.
 type queuedRequest struct {
@@ -120,17 +19,25 @@
 	onDropped func(time.Duration)
 }
 
-// Budget lets requests through at a rate, most urgent first. Each member has
-// its part of a service's limits, so that all together stay within them.
+// isExpired reports whether the request waited past its deadline.
+func (q *queuedRequest) isExpired(now time.Time) bool {
+	return !q.deadline.IsZero() && now.After(q.deadline)
+}
+
+// Budget lets requests through at a rate, most urgent first. Each controller
+// has its share of a service's limits, so that all together stay within them.
+// It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
-	queues   [4][]queuedRequest
+	queues   [urgencyLevels][]queuedRequest
 	wake     chan struct{}
 	requests *rate.Limiter
 	writes   *rate.Limiter
 }
 
-// NewBudget returns a budget of requests, and of writes if writes is above 0.
+// NewBudget returns a budget of requests a second, and of writes a second if
+// writes is above 0, of which maxWriteBurst may come at once. It sends until ctx
+// ends; what waits then is neither sent nor dropped.
 func NewBudget(ctx context.Context, requests, writes float64, maxWriteBurst int) *Budget {
 	b := &Budget{wake: make(chan struct{}, 1), requests: rate.NewLimiter(rate.Limit(requests), max(1, int(requests)))}
 	if writes > 0 {
@@ -140,9 +47,11 @@
 	return b
 }
 
-// Enqueue queues a request. run is called on its own goroutine when it may go,
-// drop when it would wait, or waited, longer than patience: with how long that
-// is, if it is known.
+// Enqueue queues a request that changes writeOps keys; urgency 0 is the most
+// urgent. Either send or onDropped is called, on a goroutine of its own: send
+// when the budget allows the request, onDropped when it would wait or has waited
+// longer than maxWait, with the expected wait, or 0 if that is not known. With
+// maxWait 0 a request waits for as long as it takes and onDropped may be nil.
 func (b *Budget) Enqueue(
 	urgency, writeOps int,
 	maxWait time.Duration,
@@ -157,8 +66,8 @@
 	urgency = min(max(urgency, 0), len(b.queues)-1)
 	if maxWait > 0 {
 		if wait := b.estimateWait(urgency, writeOps); wait > maxWait {
-			// It would be dropped when its time is up; whoever asks is better
-			// told now.
+			// It would be dropped at its deadline; the caller is better off
+			// knowing now.
 			b.mu.Unlock()
 			go onDropped(wait)
 			return
@@ -172,59 +81,79 @@
 	}
 }
 
-// estimateWait is how long a request would wait behind those that go before it.
+// estimateWait returns how long a new request would wait behind those that go
+// before it. The caller holds mu.
 func (b *Budget) estimateWait(urgency, writeOps int) time.Duration {
 	requests, writes := 1.0, float64(writeOps)
-	for _, q := range b.queues[:urgency+1] {
-		for _, j := range q {
-			requests++
-			writes += float64(j.writeOps)
+	for _, queue := range b.queues[:urgency+1] {
+		requests += float64(len(queue))
+		for _, queued := range queue {
+			writes += float64(queued.writeOps)
 		}
 	}
 	waitS := (requests - b.requests.Tokens()) / float64(b.requests.Limit())
-	if b.writes != nil && writeOps > 0 {
+	if b.limitsWrites(writeOps) {
 		waitS = max(waitS, (writes-b.writes.Tokens())/float64(b.writes.Limit()))
 	}
 	return time.Duration(max(0, waitS) * float64(time.Second))
 }
 
-// dequeue removes the most urgent request if there is room for it, or says when
-// there will be. Nothing is set aside for one that waits: a large write that was
-// first in line once held up holds for longer than they lasted.
+// dequeue removes the most urgent request if the budget allows it, or returns
+// how long until it does, -1 if none waits. An expired request comes without
+// send. Nothing is reserved for one that waits: a large write that was first in
+// line once held up lease renewals for longer than the leases lasted.
 func (b *Budget) dequeue(now time.Time) (request queuedRequest, ok bool, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i := range b.queues {
-		queue := b.queues[i]
-		if len(queue) == 0 {
-			continue
-		}
-		request := queue[0]
-		expired := !request.deadline.IsZero() && now.After(request.deadline)
-		if !expired {
-			if wait := b.delayUntilAllowed(now, request.writeOps); wait > 0 {
-				return queuedRequest{}, false, wait
-			}
-			b.requests.AllowN(now, 1)
-			if request.writeOps > 0 && b.writes != nil {
-				b.writes.AllowN(now, min(request.writeOps, b.writes.Burst()))
-			}
-		}
-		queue[0] = queuedRequest{}
-		b.queues[i] = queue[1:]
-		if expired {
-			request.send = nil
-		}
+	urgency, found := b.mostUrgent()
+	if !found {
+		return queuedRequest{}, false, -1
+	}
+	request = b.queues[urgency][0]
+	if request.isExpired(now) {
+		request.send = nil
+		b.removeFirst(urgency)
 		return request, true, 0
 	}
-	return queuedRequest{}, false, -1
+	if wait := b.delayUntilAllowed(now, request.writeOps); wait > 0 {
+		return queuedRequest{}, false, wait
+	}
+	b.requests.AllowN(now, 1)
+	if b.limitsWrites(request.writeOps) {
+		b.writes.AllowN(now, min(request.writeOps, b.writes.Burst()))
+	}
+	b.removeFirst(urgency)
+	return request, true, 0
+}
+
+// mostUrgent returns the first queue in which a request waits.
+func (b *Budget) mostUrgent() (urgency int, found bool) {
+	for urgency := range b.queues {
+		if len(b.queues[urgency]) > 0 {
+			return urgency, true
+		}
+	}
+	return 0, false
 }
 
-// delayUntilAllowed is how long it takes until a request may go, 0 if it may now.
+// removeFirst removes a queue's first request, and the references that the
+// array behind it would keep.
+func (b *Budget) removeFirst(urgency int) {
+	queue := b.queues[urgency]
+	queue[0] = queuedRequest{}
+	b.queues[urgency] = queue[1:]
+}
+
+// limitsWrites reports whether the budget of writes applies to a request.
+func (b *Budget) limitsWrites(writeOps int) bool { return b.writes != nil && writeOps > 0 }
+
+// delayUntilAllowed returns how long until a request may go, 0 if it may now. A
+// write of more keys than the burst goes when the burst is full.
 func (b *Budget) delayUntilAllowed(now time.Time, writeOps int) time.Duration {
 	delayS := (1 - b.requests.TokensAt(now)) / float64(b.requests.Limit())
-	if b.writes != nil && writeOps > 0 {
-		delayS = max(delayS, (float64(min(writeOps, b.writes.Burst()))-b.writes.TokensAt(now))/float64(b.writes.Limit()))
+	if b.limitsWrites(writeOps) {
+		needed := float64(min(writeOps, b.writes.Burst()))
+		delayS = max(delayS, (needed-b.writes.TokensAt(now))/float64(b.writes.Limit()))
 	}
 	if delayS <= 0 {
 		return 0
@@ -232,9 +161,11 @@
 	return max(time.Millisecond, time.Duration(delayS*float64(time.Second)))
 }
 
+// loop sends what the budget allows, and sleeps until it allows more or a
+// request comes.
 func (b *Budget) loop(ctx context.Context) {
-	t := time.NewTimer(time.Hour)
-	defer t.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		request, ok, wait := b.dequeue(time.Now())
 		switch {
@@ -245,13 +176,13 @@
 			go request.onDropped(0)
 			continue
 		case wait > 0:
-			t.Reset(wait)
+			timer.Reset(wait)
 		default:
-			t.Stop()
+			timer.Stop()
 		}
 		select {
 		case <-b.wake:
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/httpclient/budget_test.go
+++ b/internal/httpclient/budget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A request that would wait past its patience is told so at once; one that can
-// wait goes, and a more urgent one goes before it.
+// A request that would wait longer than its maxWait is dropped at once; one that
+// can wait is sent, and a more urgent one before it.
 func TestBudgetRejectsAtOnceWhatWouldExceedMaxWait(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -24,10 +24,10 @@
 	select {
 	case n := <-dropped:
 		if n != 100 || time.Since(start) > 500*time.Millisecond {
-			t.Errorf("%d is dropped after %v", n, time.Since(start))
+			t.Errorf("dropped request %d after %v, want 100 within 500ms", n, time.Since(start))
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("a request that must wait for two seconds with one second's patience is held")
+		t.Fatal("a request that must wait two seconds with a maxWait of one second is kept")
 	}
 	enqueue(0, 200, time.Second)
 	for {
@@ -37,16 +37,16 @@
 				return
 			}
 			if n == 59 {
-				t.Fatal("the most urgent request goes last")
+				t.Fatal("the most urgent request is sent last")
 			}
 		case n := <-dropped:
-			t.Fatalf("%d is dropped", n)
+			t.Fatalf("dropped request %d, want none dropped", n)
 		}
 	}
 }
 
-// A large write that waits for room holds up nothing that is more urgent: a hold
-// that came behind it was extended too late, and its member lost its shards.
+// A large write that waits for its budget delays nothing that is more urgent: a
+// lease behind one was renewed too late, and its controller lost its shards.
 func TestQueuedLargeWriteDoesNotDelayLeaseRenewal(t *testing.T) {
 	b := NewBudget(t.Context(), 1000, 20, 40)
 	sent := make(chan string, 10)
@@ -55,17 +55,17 @@
 	}
 	enqueue(3, 40, "burst")
 	if n := <-sent; n != "burst" {
-		t.Fatalf("%s goes first", n)
+		t.Fatalf("first sent = %s, want burst", n)
 	}
 	enqueue(3, 40, "write") // must wait for two seconds
 	time.Sleep(20 * time.Millisecond)
-	enqueue(0, 0, "extension")
+	enqueue(0, 0, "renewal")
 	enqueue(0, 1, "claim")
 	var order []string
 	for range 3 {
 		order = append(order, <-sent)
 	}
 	if order[2] != "write" {
-		t.Errorf("order %v", order)
+		t.Errorf("order %v, want the write last", order)
 	}
 }
--- a/internal/httpclient/failover.go
+++ b/internal/httpclient/failover.go
@@ -8,7 +8,7 @@
 	"github.com/grebedock/grebedock/internal/wire"
 )
 
-// Times that users are asked to keep to: a request that is not answered for good
+// Retry times that users are asked to keep to: a request without a final response
 // is repeated after a second or what Retry-After says, for up to a minute.
 const (
 	minRetryDelay = time.Second
@@ -16,56 +16,79 @@
 	retryTimeout  = time.Minute
 )
 
-// FailoverClient are asked in turn, as users are to do it.
+// FailoverClient makes requests to the controllers in turn, as users are asked
+// to do it.
 type FailoverClient struct {
 	Addrs     []string
-	TimeScale float64 // of pauses and patience, 1 but in tests
+	TimeScale float64 // of delays and the overall timeout; 1 except in tests
 	hosts     *MultiHostClient
 }
 
-// NewFailoverClient returns members at these addresses, the first to be asked first.
+// NewFailoverClient returns a client of the controllers at addrs, which it tries
+// in this order.
 func NewFailoverClient(addrs []string) *FailoverClient {
 	return &FailoverClient{Addrs: addrs, TimeScale: 1, hosts: NewMultiHostClient(8)}
 }
 
-// isFinalStatus tells whether a status settles a request: asking again changes nothing.
+// isFinalStatus reports whether a status settles a request: a retry would change
+// nothing.
 func isFinalStatus(status int) bool {
 	switch status {
-	case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge,
+	case http.StatusOK, http.StatusCreated,
+		http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge,
 		http.StatusUnsupportedMediaType, http.StatusUnprocessableEntity:
 		return true
 	}
 	return false
 }
 
-// DoUntilFinal makes a request until its answer is final: the next member takes over from
-// one that cannot answer. Without one in time ok is false, with the last answer,
-// who gave it, and how often it was tried.
-func (m *FailoverClient) DoUntilFinal(
+// DoUntilFinal makes a request until its response is final: the next controller
+// takes over from one that cannot respond. It returns the last response, the
+// address that gave it, and the number of attempts. ok reports whether the
+// response is final; err is ctx's error if ctx ended first, and nil otherwise.
+func (c *FailoverClient) DoUntilFinal(
 	ctx context.Context,
 	r wire.Request,
 	timeout time.Duration,
 ) (res Response, from string, attempts int, ok bool, err error) {
-	deadline := time.Now().Add(time.Duration(m.TimeScale * float64(retryTimeout)))
+	deadline := time.Now().Add(c.scale(retryTimeout))
 	for attempts = 1; ; attempts++ {
-		from = m.Addrs[(attempts-1)%len(m.Addrs)]
-		if res = m.hosts.DoWithRetryAfter(from, r, timeout); isFinalStatus(res.Status) {
+		from = c.Addrs[(attempts-1)%len(c.Addrs)]
+		if res = c.hosts.DoWithRetryAfter(from, r, timeout); isFinalStatus(res.Status) {
 			return res, from, attempts, true, nil
 		}
-		wait := max(minRetryDelay, min(maxRetryDelay, time.Duration(res.RetryAfterS)*time.Second))
-		if res.Status == 0 && attempts%len(m.Addrs) != 0 {
-			wait = 0 // another member may be there
-		}
-		wait = time.Duration(m.TimeScale * float64(wait))
-		if time.Now().Add(wait).After(deadline) {
+		delay := c.retryDelay(res, attempts)
+		if time.Now().Add(delay).After(deadline) {
 			return res, from, attempts, false, nil
 		}
-		t := time.NewTimer(wait)
-		select {
-		case <-ctx.Done():
-			t.Stop()
-			return res, from, attempts, false, ctx.Err()
-		case <-t.C:
+		if err := sleep(ctx, delay); err != nil {
+			return res, from, attempts, false, err
 		}
 	}
 }
+
+// retryDelay returns how long to wait after an attempt that had no final
+// response: not at all while there is a controller that was not tried yet in
+// this round.
+func (c *FailoverClient) retryDelay(res Response, attempts int) time.Duration {
+	if res.Status == 0 && attempts%len(c.Addrs) != 0 {
+		return 0
+	}
+	return c.scale(max(minRetryDelay, min(maxRetryDelay, time.Duration(res.RetryAfterS)*time.Second)))
+}
+
+func (c *FailoverClient) scale(d time.Duration) time.Duration {
+	return time.Duration(c.TimeScale * float64(d))
+}
+
+// sleep waits for d, or returns ctx's error when ctx ends first.
+func sleep(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-timer.C:
+		return nil
+	}
+}
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -1,4 +1,15 @@
-// Package statestore carries the core's requests to the state service.
+// Package statestore sends the core's requests to the state service.
+//
+// It owns the connections to the service and this controller's share of its
+// rate limits. It keeps no copy of what is stored: the core has the cache.
+//
+// It may assume that the other controllers keep to their shares, and that the
+// caller's request IDs are unique while a request is open.
+//
+// It promises exactly one result for each request, and never sends one twice:
+// whether a write without a response took effect is for the core to find out.
+// It is built for a service that is slow, that answers nothing, or that refuses
+// by rate.
 package statestore
 
 import (
@@ -12,30 +23,39 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Client is a client of the state service.
+// watchConns is the number of connections for watches. They have a client of
+// their own, so that long polls never take the place of a lease renewal.
+const watchConns = 2
+
+// Client sends requests to the state service. It is safe for concurrent use.
 type Client struct {
 	requestClient, watchClient *httpclient.Client
 	budget                     *httpclient.Budget
 	onResult                   func(uint64, scheduler.StoreResult)
 }
 
-// New returns a client; done is called with each request's result.
+// New returns a client that sends until ctx ends. onResult receives the ID and
+// the result of each request, on a goroutine of its own.
 func New(ctx context.Context, settings *config.File, onResult func(uint64, scheduler.StoreResult)) *Client {
 	controllers := float64(len(settings.Peers) + 1)
 	limits := settings.Cluster.State
+	addr := settings.External.State
+	requestConns := max(4, settings.Cluster.Limits.MaxSockets/10)
 	return &Client{
-		requestClient: httpclient.NewClient(settings.External.State, max(4, settings.Cluster.Limits.MaxSockets/10)),
-		watchClient:   httpclient.NewClient(settings.External.State, 2),
+		requestClient: httpclient.NewClient(addr, requestConns),
+		watchClient:   httpclient.NewClient(addr, watchConns),
 		budget:        httpclient.NewBudget(ctx, limits.RPS/controllers, limits.WriteRPS/controllers, limits.TxnOps),
 		onResult:      onResult,
 	}
 }
 
-// timeout bounds a request; the service answers in hundredths of a second, now
+// timeout bounds a request; the service responds in hundredths of a second, now
 // and then in a few tenths.
 const timeout = access.RequestTimeout
 
-// Send queues a request within the budget.
+// Send queues a request within the budget and returns at once. A read or a
+// user's request that would wait longer than timeout is throttled instead; what
+// leases and claims depend on waits for as long as it takes.
 func (s *Client) Send(op scheduler.StoreOp) {
 	client, limit := s.requestClient, timeout
 	if op.Kind == scheduler.StoreWatch {
@@ -46,13 +66,15 @@
 		maxWait = timeout
 	}
 	queuedAt := time.Now()
-	s.budget.Enqueue(int(op.Urgency), len(op.Changes), maxWait, func() {
+	send := func() {
 		queuedFor := time.Since(queuedAt)
 		status, body := client.Do(wire.StoreRequest(op), limit)
-		r := wire.ParseStoreResult(op, status, body)
-		r.QueuedMS = queuedFor.Milliseconds()
-		s.onResult(op.ID, r)
-	}, func(wait time.Duration) {
+		result := wire.ParseStoreResult(op, status, body)
+		result.QueuedMS = queuedFor.Milliseconds()
+		s.onResult(op.ID, result)
+	}
+	onDropped := func(wait time.Duration) {
 		s.onResult(op.ID, scheduler.StoreResult{Outcome: scheduler.Throttled, RetryAfterMS: wait.Milliseconds()})
-	})
+	}
+	s.budget.Enqueue(int(op.Urgency), len(op.Changes), maxWait, send, onDropped)
 }
