--- a/internal/node/closing_listener.go
+++ b/internal/node/closing_listener.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// closingListener ends its connections when it ends. The HTTP library closes those
-// that are idle and leaves the rest: after an unfinished request they would be
-// served again, by a member whose core has stopped.
+// closingListener can close the connections that it accepted. The HTTP library
+// closes those that are idle and leaves the rest: after an unfinished request
+// they would be served again, by a controller whose core has stopped.
 type closingListener struct {
 	net.Listener
 	mu        sync.Mutex
@@ -23,6 +23,7 @@
 	return &closingListener{Listener: ln, openConns: map[net.Conn]struct{}{}}, nil
 }
 
+// Accept waits for a connection and tracks it until it is closed.
 func (l *closingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -34,12 +35,12 @@
 		_ = c.Close()
 		return nil, net.ErrClosed
 	}
-	tracked := &trackedConn{c, l}
+	tracked := &trackedConn{Conn: c, listener: l}
 	l.openConns[tracked] = struct{}{}
 	return tracked, nil
 }
 
-// closeAll closes the listener and all that it accepted.
+// closeAll closes the listener and all connections that it accepted.
 func (l *closingListener) closeAll() {
 	_ = l.Listener.Close()
 	l.mu.Lock()
@@ -52,11 +53,13 @@
 	}
 }
 
+// trackedConn is a connection that its listener can close.
 type trackedConn struct {
 	net.Conn
 	listener *closingListener
 }
 
+// Close closes the connection; its listener forgets it.
 func (c *trackedConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.openConns, c)
--- a/internal/node/extension_runner.go
+++ b/internal/node/extension_runner.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"log/slog"
+	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -12,15 +13,25 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Marks of the store's requests of extensions: they share the client and its
-// budget, and their answers find their way back.
+// Flags in the IDs of the extensions' requests to the state service: they share
+// the core's client and its budget, and the flag routes the results back.
 const (
 	workflowRequestFlag = 1 << 63
 	scheduleRequestFlag = 1 << 62
 )
 
+// inputQueueSize bounds the inputs that wait for an extension's loop.
+const inputQueueSize = 256
+
+// viewInterval is how often an extension receives a view of the core: it learns
+// of a job's end that much later.
+const viewInterval = 2 * tick
+
+// coreRequestTimeout bounds a request to the core, as it would a user's.
+const coreRequestTimeout = 5 * time.Second
+
 // stateMachine is an extension of the core: requests Q of its own kind with
-// results R, and answers A to users.
+// results R, and responses A to users. One goroutine at a time may call it.
 type stateMachine[Q, R, A any] interface {
 	Tick(scheduler.Now, scheduler.ExtensionView)
 	WatchedJobs() []string
@@ -30,161 +41,167 @@
 	Take() extension.Outputs[Q, A]
 }
 
-// counterSample is a metric of an extension as it stands.
+// counterSample is the value of an extension's counter.
 type counterSample struct {
 	desc  *prometheus.Desc
-	event string // its label; "": it has none
+	event string // the label's value; "": the metric has no label
 	value uint64
 }
 
-// extensionRunner runs an extension on a loop of its own, which owns it: what it works
-// out may take longer than the core's loop can wait.
+// extensionConfig is what distinguishes one extension's runner from another's.
+type extensionConfig[Q, R any] struct {
+	requestFlag uint64
+	prefix      string                 // of the extension's keys in the state cache
+	perform     func(Q) R              // carries out a request of the extension's own kind; may block
+	counters    func() []counterSample // called by the loop
+}
+
+// extensionRunner runs an extension on a loop of its own, which owns it: what
+// it computes may take longer than the core's loop can wait.
 type extensionRunner[Q, R, A any] struct {
+	extensionConfig[Q, R]
 	node            *Node
 	machine         stateMachine[Q, R, A]
-	requestFlag     uint64
-	prefix          string                 // of its records in the mirror
-	perform         func(Q) R              // carries out a request of the extension's own kind; may wait
-	counters        func() []counterSample // called by the loop
+	inputs          chan coreInput
 	counterSnapshot atomic.Pointer[[]counterSample]
-	inputs          chan func(scheduler.Now)
-	// Owned by the loop.
-	lastReplyID  uint64
-	pendingUsers map[uint64]chan A
-}
 
-// initialize makes a runner ready for use once its fields are set.
-func (s *extensionRunner[Q, R, A]) initialize() *extensionRunner[Q, R, A] {
-	s.inputs, s.pendingUsers = make(chan func(scheduler.Now), inputQueueSize), map[uint64]chan A{}
-	s.snapshotCounters()
-	return s
+	// Owned by the loop.
+	lastRequestID uint64
+	pendingUsers  pendingResponses[A]
+	viewPending   bool
 }
 
-// inputQueueSize bounds the inputs that wait for an extension's loop.
-const inputQueueSize = 256
-
-func (s *extensionRunner[Q, R, A]) enqueue(f func(scheduler.Now)) {
-	select {
-	case s.inputs <- f:
-	case <-s.node.stopped:
+func newExtensionRunner[Q, R, A any](
+	node *Node,
+	machine stateMachine[Q, R, A],
+	config extensionConfig[Q, R],
+) *extensionRunner[Q, R, A] {
+	r := &extensionRunner[Q, R, A]{
+		extensionConfig: config,
+		node:            node,
+		machine:         machine,
+		inputs:          make(chan coreInput, inputQueueSize),
+		pendingUsers:    pendingResponses[A]{},
 	}
+	r.snapshotCounters()
+	return r
 }
 
-// viewInterval is how often an extension sees how the core stands: what ended is
-// seen that much later.
-const viewInterval = 2 * tick
-
-// coreRequestTimeout bounds a request to the core, as a user's would be.
-const coreRequestTimeout = 5 * time.Second
+func (r *extensionRunner[Q, R, A]) enqueue(f coreInput) { r.node.enqueue(r.inputs, f) }
 
-func (s *extensionRunner[Q, R, A]) loop(ctx context.Context) {
-	t := time.NewTicker(viewInterval)
-	defer t.Stop()
-	viewPending := false
+// loop feeds the extension until ctx ends. It owns the extension.
+func (r *extensionRunner[Q, R, A]) loop(ctx context.Context) {
+	ticker := time.NewTicker(viewInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-s.inputs:
-			f(s.node.now())
-		case <-t.C:
-			if viewPending {
+		case input := <-r.inputs:
+			input(r.node.now())
+		case <-ticker.C:
+			if r.viewPending {
 				continue
 			}
-			viewPending = true
-			watched := s.machine.WatchedJobs()
-			// Never both wait for each other: the core's loop hands the view
-			// to a goroutine.
-			go s.node.enqueueResponse(func(now scheduler.Now) {
-				v := s.node.core.ExtensionView(now, s.prefix, watched)
-				go s.enqueue(func(now scheduler.Now) {
-					viewPending = false
-					s.machine.Tick(now, v)
-				})
-			})
+			r.requestView()
 		}
-		s.dispatchOutputs()
+		r.dispatchOutputs()
 	}
 }
 
+// requestView has the core's loop make a view, and ticks the extension with it.
+// The two loops hand the view over by goroutines, so that they never wait for
+// each other.
+func (r *extensionRunner[Q, R, A]) requestView() {
+	r.viewPending = true
+	watched := r.machine.WatchedJobs()
+	go r.node.enqueueResponse(func(now scheduler.Now) {
+		view := r.node.core.ExtensionView(now, r.prefix, watched)
+		go r.enqueue(func(now scheduler.Now) {
+			r.viewPending = false
+			r.machine.Tick(now, view)
+		})
+	})
+}
+
 // dispatchOutputs carries out what the extension wants done.
-func (s *extensionRunner[Q, R, A]) dispatchOutputs() {
-	o := s.machine.Take()
-	s.snapshotCounters()
-	for _, r := range o.Requests {
-		go func() {
-			result := s.perform(r.Body)
-			s.enqueue(func(now scheduler.Now) { s.machine.RequestDone(now, r.ID, result) })
-		}()
+func (r *extensionRunner[Q, R, A]) dispatchOutputs() {
+	o := r.machine.Take()
+	r.snapshotCounters()
+	for _, request := range o.Requests {
+		go r.performRequest(request)
 	}
-	for _, l := range o.Logs {
-		s.node.logger.Log(context.Background(), slog.LevelInfo, l.Message, l.Args...)
+	for _, line := range o.Logs {
+		r.node.logger.Log(context.Background(), slog.LevelInfo, line.Message, line.Args...)
 	}
-	for id, a := range o.Responses {
-		if ch := s.pendingUsers[id]; ch != nil {
-			delete(s.pendingUsers, id)
-			ch <- a
-		}
+	for id, response := range o.Responses {
+		r.pendingUsers.deliver(id, response)
 	}
 	for _, op := range o.Store {
-		op.ID |= s.requestFlag
-		s.node.store.Send(op)
+		op.ID |= r.requestFlag
+		r.node.clients.store.Send(op)
 	}
-	for _, c := range o.Core {
-		go func() {
-			a, ok := s.node.HandleUserRequest(c.UserRequest, coreRequestTimeout)
-			if !ok {
-				a = scheduler.UserResponse{Status: 503, ID: c.UserRequest.ID, RetryAfterS: 1}
-			}
-			s.enqueue(func(now scheduler.Now) { s.machine.CoreDone(now, c.ID, a) })
-		}()
+	for _, request := range o.Core {
+		go r.sendToCore(request)
 	}
 }
 
-// storeDone takes the answer to a request that has the extension's mark.
-func (s *extensionRunner[Q, R, A]) storeDone(id uint64, r scheduler.StoreResult) {
-	s.enqueue(func(now scheduler.Now) { s.machine.StoreDone(now, id&^s.requestFlag, r) })
+func (r *extensionRunner[Q, R, A]) performRequest(request extension.Request[Q]) {
+	result := r.perform(request.Body)
+	r.enqueue(func(now scheduler.Now) { r.machine.RequestDone(now, request.ID, result) })
 }
 
-// awaitResponse asks the extension on somebody's behalf.
-func (s *extensionRunner[Q, R, A]) awaitResponse(timeout time.Duration, submit func(scheduler.Now, uint64)) (A, bool) {
-	ch := make(chan A, 1)
-	var id uint64
-	s.enqueue(func(now scheduler.Now) {
-		s.lastReplyID++
-		id = s.lastReplyID
-		s.pendingUsers[id] = ch
-		submit(now, id)
-	})
-	t := time.NewTimer(timeout)
-	defer t.Stop()
-	select {
-	case a := <-ch:
-		return a, true
-	case <-t.C:
-		s.enqueue(func(scheduler.Now) { delete(s.pendingUsers, id) })
-	case <-s.node.stopped:
+// sendToCore makes a request to the core as a user would. Without a response in
+// time the extension sees the refusal that a user would, and retries.
+func (r *extensionRunner[Q, R, A]) sendToCore(request extension.CoreRequest) {
+	response, ok := r.node.HandleUserRequest(request.UserRequest, coreRequestTimeout)
+	if !ok {
+		response = scheduler.UserResponse{
+			Status:      http.StatusServiceUnavailable,
+			ID:          request.UserRequest.ID,
+			RetryAfterS: 1,
+		}
 	}
-	var zero A
-	return zero, false
+	r.enqueue(func(now scheduler.Now) { r.machine.CoreDone(now, request.ID, response) })
+}
+
+// enqueueStoreResult takes the result of a request that carries the extension's
+// flag.
+func (r *extensionRunner[Q, R, A]) enqueueStoreResult(id uint64, result scheduler.StoreResult) {
+	r.enqueue(func(now scheduler.Now) { r.machine.StoreDone(now, id&^r.requestFlag, result) })
+}
+
+// awaitResponse has the loop start a request to the extension and waits for the
+// response; false means that there was none in time.
+func (r *extensionRunner[Q, R, A]) awaitResponse(
+	timeout time.Duration,
+	submit func(now scheduler.Now, id uint64),
+) (A, bool) {
+	e := newExchange(r.pendingUsers)
+	r.enqueue(func(now scheduler.Now) {
+		r.lastRequestID++
+		e.register(r.lastRequestID)
+		submit(now, e.id)
+	})
+	return e.wait(timeout, r.node.stopped, r.enqueue)
 }
 
-// snapshotCounters notes the metrics as they stand, for whoever collects them.
-func (s *extensionRunner[Q, R, A]) snapshotCounters() {
-	cs := s.counters()
-	s.counterSnapshot.Store(&cs)
+// snapshotCounters copies the counters for whoever collects them.
+func (r *extensionRunner[Q, R, A]) snapshotCounters() {
+	samples := r.counters()
+	r.counterSnapshot.Store(&samples)
 }
 
-// Describe gives the metrics' descriptions.
-func (s *extensionRunner[Q, R, A]) Describe(ch chan<- *prometheus.Desc) {
-	for _, c := range *s.counterSnapshot.Load() {
+// Describe sends the metrics' descriptions.
+func (r *extensionRunner[Q, R, A]) Describe(ch chan<- *prometheus.Desc) {
+	for _, c := range *r.counterSnapshot.Load() {
 		ch <- c.desc
 	}
 }
 
-// Collect gives the metrics as they stand.
-func (s *extensionRunner[Q, R, A]) Collect(ch chan<- prometheus.Metric) {
-	for _, c := range *s.counterSnapshot.Load() {
+// Collect sends the metrics' values.
+func (r *extensionRunner[Q, R, A]) Collect(ch chan<- prometheus.Metric) {
+	for _, c := range *r.counterSnapshot.Load() {
 		var labels []string
 		if c.event != "" {
 			labels = []string{c.event}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -16,7 +16,7 @@
 
 var helpText = regexp.MustCompile(`(?m)^# HELP .*\n|help: "[^"]*", `)
 
-// TestMetricsKeepTheirNames holds the metrics of a member's process: names,
+// TestMetricsKeepTheirNames holds the metrics of a controller's process: names,
 // types, labels and buckets, but not the texts that explain them.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	h := newHealth(1)
--- a/internal/node/input_queues.go
+++ b/internal/node/input_queues.go
@@ -7,70 +7,67 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// coreInput is something that the core is told.
+// coreInput gives the core one input. The loop calls it.
 type coreInput func(scheduler.Now)
 
-// inputQueues are the loop's inputs, most urgent first. What the state service, the
-// cloud, workers and peers answer comes before new reports, since claims and
-// holds hang on it, and reports come before users' requests, since leases hang
-// on them. Hundreds of machines that report at once, or users who all come
-// back, wait behind one another and not in front of the rest.
+// inputQueues are the loop's inputs, most urgent first. Responses of the state
+// service, the cloud, workers and peers come before new heartbeats, since claims
+// and the controller's lease depend on them; heartbeats come before users'
+// requests, since workers' leases depend on them. Hundreds of machines that send
+// heartbeats at once, or users who all come back, queue behind one another and
+// not in front of the rest.
 type inputQueues struct {
 	responses, heartbeats, userRequests chan coreInput
 }
 
-// Depths of the lanes. An answer is never dropped; of the others more wait in
-// their connections' goroutines, which the sockets bound. Users past theirs are
-// told to come back: each took the place of the next for nothing.
+// Depths of the queues. A response is never dropped, nor is a heartbeat: more of
+// them wait in their connections' goroutines, which the sockets bound. Users
+// past their depth are told to retry: waiting longer, each would only take the
+// place of the next.
 const (
 	responseQueueSize  = 256
 	heartbeatQueueSize = 256
 	userQueueSize      = 1024
 )
 
+// maxInputBatch bounds the inputs after the first that share one dispatch of
+// the outputs, and with it the delay of a tick.
+const maxInputBatch = 256
+
 func newInputQueues() inputQueues {
 	return inputQueues{
-		make(chan coreInput, responseQueueSize),
-		make(chan coreInput, heartbeatQueueSize),
-		make(chan coreInput, userQueueSize),
+		responses:    make(chan coreInput, responseQueueSize),
+		heartbeats:   make(chan coreInput, heartbeatQueueSize),
+		userRequests: make(chan coreInput, userQueueSize),
 	}
 }
 
-// next takes what is most urgent, or waits for anything, or for a tick.
-func (l *inputQueues) next(ctx context.Context, tick <-chan time.Time) (f coreInput, due time.Time, ok bool) {
-	if f := l.poll(); f != nil {
-		return f, time.Time{}, true
+// next returns the most urgent input; if none waits, it waits for one or for a
+// tick. An input of nil means that the tick that was due then has come; ok is
+// false when ctx has ended.
+func (q *inputQueues) next(ctx context.Context, ticks <-chan time.Time) (input coreInput, due time.Time, ok bool) {
+	if input := q.poll(); input != nil {
+		return input, time.Time{}, true
 	}
 	select {
 	case <-ctx.Done():
 		return nil, time.Time{}, false
-	case f = <-l.responses:
-	case f = <-l.heartbeats:
-	case f = <-l.userRequests:
-	case due = <-tick:
+	case input = <-q.responses:
+	case input = <-q.heartbeats:
+	case input = <-q.userRequests:
+	case due = <-ticks:
 	}
-	return f, due, true
+	return input, due, true
 }
 
-// poll takes what is most urgent of what waits already, or nothing.
-func (l *inputQueues) poll() coreInput {
-	select {
-	case f := <-l.responses:
-		return f
-	default:
-	}
-	select {
-	case f := <-l.heartbeats:
-		return f
-	default:
-	}
-	select {
-	case f := <-l.userRequests:
-		return f
-	default:
+// poll returns the most urgent input that waits, or nil.
+func (q *inputQueues) poll() coreInput {
+	for _, queue := range []chan coreInput{q.responses, q.heartbeats, q.userRequests} {
+		select {
+		case input := <-queue:
+			return input
+		default:
+		}
 	}
 	return nil
 }
-
-// maxInputBatch bounds how many inputs share the outputs' handling, and a tick's delay.
-const maxInputBatch = 256
--- a/internal/node/input_queues_test.go
+++ b/internal/node/input_queues_test.go
@@ -10,67 +10,72 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// However many reports and requests wait, an answer of the state service goes
-// before them, and reports before requests; none is lost.
+// However many heartbeats and requests wait, a response of the state service goes
+// before them, and heartbeats before requests; none is lost.
 func TestResponsesAreTakenBeforeHeartbeatsAndUserRequests(t *testing.T) {
-	l := newInputQueues()
+	queues := newInputQueues()
 	var got []string
 	inputOf := func(s string) coreInput { return func(scheduler.Now) { got = append(got, s) } }
 	for range 100 {
-		l.userRequests <- inputOf("user")
-		l.heartbeats <- inputOf("report")
+		queues.userRequests <- inputOf("user")
+		queues.heartbeats <- inputOf("heartbeat")
 	}
 	for i := range 101 {
 		if i == 50 {
-			l.responses <- inputOf("answer")
+			queues.responses <- inputOf("response")
 		}
-		f, _, ok := l.next(t.Context(), nil)
+		f, _, ok := queues.next(t.Context(), nil)
 		if !ok {
-			t.Fatal("nothing comes")
+			t.Fatal("next returns no input")
 		}
 		f(scheduler.Now{})
 	}
-	if got[50] != "answer" || slices.Index(got, "user") != -1 || len(got) != 101 {
-		t.Errorf("order %v", got)
+	if got[50] != "response" || slices.Index(got, "user") != -1 || len(got) != 101 {
+		t.Errorf("order %v, want 101 inputs: the response at 50, heartbeats else", got)
 	}
-	for f := l.poll(); f != nil; f = l.poll() {
+	for f := queues.poll(); f != nil; f = queues.poll() {
 		f(scheduler.Now{})
 	}
 	if len(got) != 201 {
-		t.Errorf("%d of 201 inputs came", len(got))
+		t.Errorf("got %d inputs, want 201", len(got))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, _, ok := l.next(ctx, nil); ok {
-		t.Error("goes on after its end")
+	if _, _, ok := queues.next(ctx, nil); ok {
+		t.Error("next returns an input after its context has ended")
 	}
 }
 
-// A user who finds no room is answered at once, with when to come back.
+// A user who finds the queue full is refused at once, with a time to retry.
 func TestFullUserQueueIsRejectedAtOnceWithRetryAfter(t *testing.T) {
 	n := &Node{
-		queues:       newInputQueues(),
-		health:       newHealth(1 << 40),
-		pendingUsers: map[uint64]chan scheduler.UserResponse{},
+		queues:  newInputQueues(),
+		health:  newHealth(1 << 40),
+		pending: newPendingRequests(),
 	}
 	for range userQueueSize {
 		n.queues.userRequests <- func(scheduler.Now) {}
 	}
 	a, ok := n.HandleUserRequest(scheduler.UserRequest{Kind: scheduler.QueryJob, ID: "job-000001"}, time.Hour)
 	if !ok || a.Status != 503 || a.RetryAfterS < 1 {
-		t.Errorf("answered %+v, %v", a, ok)
+		t.Errorf("got %+v, %v, want status 503 with a retry time", a, ok)
 	}
 }
 
-// How long an answer of the state service waits behind a fleet that reports at
-// once, in inputs of ten microseconds.
+// BenchmarkStoreResponseBehindHeartbeats measures how long a response of the
+// state service waits behind a fleet whose heartbeats come at once, each of
+// which takes the loop ten microseconds.
 func BenchmarkStoreResponseBehindHeartbeats(b *testing.B) {
 	for _, machines := range []int{0, 800, 10_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			queues := newInputQueues()
 			ctx := b.Context()
 			process := func(scheduler.Now) {
-				for at := time.Now(); time.Since(at) < 10*time.Microsecond; {
+				startedAt := time.Now()
+				for {
+					if time.Since(startedAt) >= 10*time.Microsecond {
+						return
+					}
 				}
 			}
 			go func() {
--- a/internal/node/load_shedding.go
+++ b/internal/node/load_shedding.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"net/http"
 	"runtime/metrics"
 	"sync/atomic"
 	"time"
@@ -11,39 +12,47 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// health watches what a small machine runs short of.
+// health measures what a small machine runs short of: memory, and time for the
+// loop.
 type health struct {
-	memoryLimit   uint64 // bytes that the process may hold
+	memoryLimit   uint64 // bytes held by the runtime above which memory is short
 	memoryShort   atomic.Bool
-	nextSampleAt  time.Time
-	memorySamples []metrics.Sample
+	nextSampleAt  time.Time        // owned by the loop
+	memorySamples []metrics.Sample // total and released; owned by the loop
 	loopDelay     prometheus.Histogram
 	shedRequests  prometheus.Counter
 }
 
-// shedMemoryShare is how much of the memory that it may hold the runtime has when a
-// member takes no new work: one over its limit is killed, and everybody waits
-// for its shard. The collector works towards a lower share, so this is what it
-// cannot free.
+// memorySampleInterval is how often the runtime's memory is read.
+const memorySampleInterval = time.Second
+
+// shedMemoryShare is the share of its memory limit above which a controller
+// accepts no new work: a process over its limit is killed, and its shards'
+// users wait for a new owner. The garbage collector aims at a lower share, so
+// what is held above this one cannot be freed.
 const shedMemoryShare = 0.97
 
-// shedRetryAfterS is when a refused user should come back: the collector needs a
-// moment, and jobs must end.
+// shedRetryAfterS is when a user who was refused for memory should retry: the
+// garbage collector needs a moment, and jobs must end.
 const shedRetryAfterS = 5
 
+// newHealth returns the health of a process whose runtime may hold heapBytes.
 func newHealth(heapBytes float64) *health {
 	return &health{
-		memoryLimit:   uint64(heapBytes * shedMemoryShare),
-		memorySamples: []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}},
-		loopDelay: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "grebedock_loop_delay_seconds",
+		memoryLimit: uint64(heapBytes * shedMemoryShare),
+		memorySamples: []metrics.Sample{
+			{Name: "/memory/classes/total:bytes"},
+			{Name: "/memory/classes/heap/released:bytes"},
+		},
+		loopDelay: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name:    "grebedock_loop_delay_seconds",
 			Help:    "How late the loop takes up a tick: how far a member is behind.",
-			Buckets: prometheus.ExponentialBuckets(tick.Seconds()/100, 4, 8)}),
-		shedRequests: prometheus.NewCounter(
-			prometheus.CounterOpts{
-				Name: "grebedock_shed_total",
-				Help: "Requests refused because memory is short or too many wait.",
-			},
-		),
+			Buckets: prometheus.ExponentialBuckets(tick.Seconds()/100, 4, 8),
+		}),
+		shedRequests: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "grebedock_shed_total",
+			Help: "Requests refused because memory is short or too many wait.",
+		}),
 	}
 }
 
@@ -51,24 +60,31 @@
 	return []prometheus.Collector{h.loopDelay, h.shedRequests, collectors.NewGoCollector()}
 }
 
-// observeTick notes a tick that was due at a time, and once a second what the process
-// holds.
+// observeTick records how late a tick is, and at most once in
+// memorySampleInterval reads the runtime's memory. The loop calls it.
 func (h *health) observeTick(due, now time.Time) {
 	h.loopDelay.Observe(now.Sub(due).Seconds())
 	if now.Before(h.nextSampleAt) {
 		return
 	}
-	h.nextSampleAt = now.Add(time.Second)
+	h.nextSampleAt = now.Add(memorySampleInterval)
 	metrics.Read(h.memorySamples)
-	h.memoryShort.Store(h.memorySamples[0].Value.Uint64()-h.memorySamples[1].Value.Uint64() > h.memoryLimit)
+	total, released := h.memorySamples[0].Value.Uint64(), h.memorySamples[1].Value.Uint64()
+	h.memoryShort.Store(total-released > h.memoryLimit)
 }
 
-// rejectIfMemoryShort tells whether a request is answered without asking the core, and how.
-// Only new work is: questions and cancellations make nothing grow.
+// rejectIfMemoryShort returns the refusal of a request while memory is short, or
+// false if the core should have it. Only submissions are refused: queries and
+// cancellations take no lasting memory.
 func (h *health) rejectIfMemoryShort(r scheduler.UserRequest) (scheduler.UserResponse, bool) {
 	if r.Kind != scheduler.SubmitJob || !h.memoryShort.Load() {
 		return scheduler.UserResponse{}, false
 	}
 	h.shedRequests.Inc()
-	return scheduler.UserResponse{Status: 503, ID: r.ID, Error: "memory is short", RetryAfterS: shedRetryAfterS}, true
+	return scheduler.UserResponse{
+		Status:      http.StatusServiceUnavailable,
+		ID:          r.ID,
+		Error:       "memory is short",
+		RetryAfterS: shedRetryAfterS,
+	}, true
 }
--- a/internal/node/schedule_runner.go
+++ b/internal/node/schedule_runner.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"net/http"
+
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/grebedock/grebedock/internal/config"
@@ -9,12 +11,12 @@
 	"github.com/grebedock/grebedock/workflow"
 )
 
-// decisionWriteShare is which part of a member's changes in the state service
+// decisionWriteShare is the share of a controller's rate of writes that the
 // decisions of schedules may take: when thousands fall due at once, interactive
 // jobs keep the rest.
 const decisionWriteShare = 0.25
 
-// scheduleRunner runs the host of schedules.
+// scheduleRunner runs the extension for schedules.
 type scheduleRunner struct {
 	*extensionRunner[schedules.WorkflowRequest, schedules.WorkflowResult, schedules.Response]
 	host *schedules.Host
@@ -22,22 +24,30 @@
 
 func newScheduleRunner(n *Node, settings *config.File) *scheduleRunner {
 	p := Params(settings)
-	controllers := float64(len(settings.Peers) + 1)
 	host := schedules.NewHost(schedules.Params{
-		Members: p.MemberIDs(), Teams: p.Teams, ValueBytes: p.MaxValueBytes, TxnOps: p.MaxTxnOps,
-		ClockErrorMS: settings.Cluster.ClockErrorMS, Rate: settings.Cluster.State.WriteRPS / controllers * decisionWriteShare,
+		Members:      p.MemberIDs(),
+		Teams:        p.Teams,
+		ValueBytes:   p.MaxValueBytes,
+		TxnOps:       p.MaxTxnOps,
+		ClockErrorMS: settings.Cluster.ClockErrorMS,
+		Rate:         writeRateShare(settings) * decisionWriteShare,
 	})
 	s := &scheduleRunner{host: host}
-	s.extensionRunner = (&extensionRunner[schedules.WorkflowRequest, schedules.WorkflowResult, schedules.Response]{
-		node: n, machine: host, requestFlag: scheduleRequestFlag, prefix: schedules.ChangeIndexPrefix, perform: n.performWorkflowRequest, counters: s.counters,
-	}).initialize()
+	config := extensionConfig[schedules.WorkflowRequest, schedules.WorkflowResult]{
+		requestFlag: scheduleRequestFlag,
+		prefix:      schedules.ChangeIndexPrefix,
+		perform:     n.performWorkflowRequest,
+		counters:    s.counters,
+	}
+	s.extensionRunner = newExtensionRunner(n, host, config)
 	return s
 }
 
-// performWorkflowRequest carries out what a schedule asks of workflows.
+// performWorkflowRequest carries out a schedule's request to the extension for
+// workflows: to submit, abort or query a run.
 func (n *Node) performWorkflowRequest(request schedules.WorkflowRequest) schedules.WorkflowResult {
 	if n.workflows == nil {
-		return schedules.WorkflowResult{Status: 422, Error: "workflows are not switched on"}
+		return schedules.WorkflowResult{Status: http.StatusUnprocessableEntity, Error: "workflows are not switched on"}
 	}
 	query := workflow.Request{Kind: workflow.Query, ID: request.Run}
 	if request.Body != nil {
@@ -47,12 +57,13 @@
 	}
 	a, ok := n.workflows.HandleRequest(query, coreRequestTimeout)
 	if !ok {
-		a.Status = 503
+		a.Status = http.StatusServiceUnavailable
 	}
 	return schedules.WorkflowResult{Status: a.Status, IsOver: a.State.IsFinal(), Error: a.Error}
 }
 
-// HandleRequest asks the host on an operator's behalf.
+// HandleRequest carries out an operator's request and waits for the response;
+// false means that there was none in time.
 func (s *scheduleRunner) HandleRequest(q schedules.Request) (schedules.Response, bool) {
 	return s.awaitResponse(adminTimeout, func(now scheduler.Now, id uint64) { s.host.HandleRequest(now, id, q) })
 }
--- a/internal/node/workflow_runner.go
+++ b/internal/node/workflow_runner.go
@@ -12,15 +12,15 @@
 	"github.com/grebedock/grebedock/workflow"
 )
 
-// workflowRunner runs the host of workflows.
+// workflowRunner runs the extension for workflows.
 type workflowRunner struct {
 	*extensionRunner[workflow.Data, workflow.DataResult, workflow.Response]
-	dir  toolrun.Dir
+	dir  toolrun.Dir // shared with the workers; "": there is none
 	host *workflow.Host
 }
 
-// Parts of the heap that a document may take: its text, and its values at some
-// 500 bytes each while it is read, a quarter of the heap in all.
+// What a document may take of the heap: its text a sixty-fourth, and its nodes a
+// quarter, at some 500 bytes each while it is parsed.
 const (
 	documentHeapDivisor = 64
 	nodeHeapDivisor     = 2048
@@ -30,18 +30,31 @@
 	p := Params(settings)
 	heap := int(settings.Cluster.Limits.HeapBytes())
 	host := workflow.NewHost(workflow.Params{
-		Members: p.MemberIDs(), Teams: p.Teams, ValueBytes: p.MaxValueBytes, TxnOps: p.MaxTxnOps, HeartbeatS: p.HeartbeatS,
-		Limits: cwl.Limits{Bytes: heap / documentHeapDivisor, Nodes: heap / nodeHeapDivisor, Depth: cwl.DefaultLimits.Depth},
+		Members:    p.MemberIDs(),
+		Teams:      p.Teams,
+		ValueBytes: p.MaxValueBytes,
+		TxnOps:     p.MaxTxnOps,
+		HeartbeatS: p.HeartbeatS,
+		Limits: cwl.Limits{
+			Bytes: heap / documentHeapDivisor,
+			Nodes: heap / nodeHeapDivisor,
+			Depth: cwl.DefaultLimits.Depth,
+		},
 	})
 	w := &workflowRunner{dir: toolrun.Dir(dir), host: host}
-	w.extensionRunner = (&extensionRunner[workflow.Data, workflow.DataResult, workflow.Response]{
-		node: n, machine: host, requestFlag: workflowRequestFlag, prefix: workflow.LivePrefix, perform: w.performDataRequest, counters: w.counters,
-	}).initialize()
+	config := extensionConfig[workflow.Data, workflow.DataResult]{
+		requestFlag: workflowRequestFlag,
+		prefix:      workflow.LivePrefix,
+		perform:     w.performDataRequest,
+		counters:    w.counters,
+	}
+	w.extensionRunner = newExtensionRunner(n, host, config)
 	return w
 }
 
-// performDataRequest carries out a request to the shared directory. Without one, tools are
-// described to the workers by whoever submits, and report no outputs.
+// performDataRequest carries out a request to the shared directory. Without a
+// directory there is no description to write, since whoever submits describes
+// the tools to the workers, and every task has empty outputs.
 func (w *workflowRunner) performDataRequest(request workflow.Data) workflow.DataResult {
 	switch {
 	case w.dir == "" && request.Description != nil:
@@ -58,11 +71,13 @@
 	return w.dir.ReadOutputs(request.Job, request.Tasks)
 }
 
-// HandleRequest asks the host on a user's behalf.
+// HandleRequest carries out a user's request and waits for the response; false
+// means that there was none in time. Submissions are refused while memory is
+// short.
 func (w *workflowRunner) HandleRequest(r workflow.Request, timeout time.Duration) (workflow.Response, bool) {
-	if a, ok := w.node.health.rejectIfMemoryShort(scheduler.UserRequest{Kind: scheduler.SubmitJob}); ok &&
-		r.Kind == workflow.Submit {
-		return workflow.Response{Status: a.Status, Error: a.Error, RetryAfterS: a.RetryAfterS}, true
+	refusal, ok := w.node.health.rejectIfMemoryShort(scheduler.UserRequest{Kind: scheduler.SubmitJob})
+	if ok && r.Kind == workflow.Submit {
+		return workflow.Response{Status: refusal.Status, Error: refusal.Error, RetryAfterS: refusal.RetryAfterS}, true
 	}
 	return w.awaitResponse(timeout, func(now scheduler.Now, id uint64) { w.host.HandleRequest(now, id, r) })
 }
