--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -46,9 +46,9 @@
 
 func TestInvalidSettingsAreRejectedNamingTheField(t *testing.T) {
 	if _, err := Parse([]byte(validSettings)); err != nil {
-		t.Fatalf("good settings, with a field nobody knows: %v", err)
+		t.Fatalf("valid settings with an unknown field: %v", err)
 	}
-	for _, c := range []struct{ old, new, field string }{
+	for _, c := range []struct{ old, new, expectedErr string }{
 		{`member = "m-0"`, ``, "member is missing"},
 		{`front = "127.0.0.1:8080"`, `front = "nowhere"`, "front"},
 		{`mesh_addr = "127.0.0.1:8081"`, `mesh_addr = "127.0.0.1:8080"`, "front and mesh_addr"},
@@ -70,9 +70,11 @@
 		{`cpu_share = 0.1`, `cpu_share = 0.001`, "cpu_share"},
 		{`max_sockets = 600`, `max_sockets = 0`, "max_sockets"},
 	} {
-		_, err := Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: %v, not one line that names %q", c.new, c.old, err, c.field)
-		}
+		t.Run(c.new+" for "+c.old, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), c.expectedErr) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got error %v, want one line with %q", err, c.expectedErr)
+			}
+		})
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,11 +13,12 @@
 	var f File
 	golden.Fill(&f)
 	golden.CheckTags(t, "toml", f)
-	golden.RoundTrip(t, "settings.toml", f, func(f File) ([]byte, error) { return toml.Marshal(f) },
-		func(b []byte) (f File, err error) { return f, toml.Unmarshal(b, &f) })
+	encode := func(f File) ([]byte, error) { return toml.Marshal(f) }
+	decode := func(b []byte) (f File, err error) { return f, toml.Unmarshal(b, &f) }
+	golden.RoundTrip(t, "settings.toml", f, encode, decode)
 }
 
-// TestExampleIsReadAsBefore holds what is read of the example of the documentation.
+// TestExampleIsReadAsBefore holds what is read of the example in docs.
 func TestExampleIsReadAsBefore(t *testing.T) {
 	b, err := os.ReadFile("../../docs/example.toml")
 	if err != nil {
@@ -27,5 +28,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.RoundTrip(t, "example.toml", f, func(f *File) ([]byte, error) { return toml.Marshal(f) }, Parse)
+	encode := func(f *File) ([]byte, error) { return toml.Marshal(f) }
+	golden.RoundTrip(t, "example.toml", f, encode, Parse)
 }
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -7,27 +7,31 @@
 )
 
 func TestParseReportsEnabledFeaturesAndFaultPosition(t *testing.T) {
-	for _, c := range []struct{ text, on, expectedErr string }{
-		{"", "", ""},
-		{"[connections]\non = true\n", "connections", ""},
-		{"[connections]\non = false\n", "", ""},
-		{"[connections]\n\nonn = true\n", "", "line 3 column 1: connections.onn is no field"},
-		{"[conections]\non = true\n", "", "line 1 column 2: conections"},
-		{"[connections]\non = \"yes\"\n", "", "line 2 column 6: connections.on"},
-		{"[connections\n", "", "line 1 column"},
+	for _, c := range []struct{ name, text, enabled, expectedErr string }{
+		{"empty", "", "", ""},
+		{"on", "[connections]\non = true\n", "connections", ""},
+		{"off", "[connections]\non = false\n", "", ""},
+		{"unknown field", "[connections]\n\nonn = true\n", "", "line 3 column 1: connections.onn is no field"},
+		{"unknown table", "[conections]\non = true\n", "", "line 1 column 2: conections"},
+		{"wrong type", "[connections]\non = \"yes\"\n", "", "line 2 column 6: connections.on"},
+		{"syntax error", "[connections\n", "", "line 1 column"},
 	} {
-		s, err := Parse([]byte(c.text))
-		if c.expectedErr == "" && err != nil ||
-			c.expectedErr != "" && (err == nil || !strings.HasPrefix(err.Error(), c.expectedErr)) {
-			t.Errorf("%q: %v, not %q", c.text, err, c.expectedErr)
-		}
-		if got := strings.Join(s.EnabledNames(), " "); got != c.on {
-			t.Errorf("%q switches on %q, not %q", c.text, got, c.on)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			s, err := Parse([]byte(c.text))
+			switch {
+			case c.expectedErr == "" && err != nil:
+				t.Errorf("got error %v, want none", err)
+			case c.expectedErr != "" && (err == nil || !strings.HasPrefix(err.Error(), c.expectedErr)):
+				t.Errorf("got error %v, want one that begins with %q", err, c.expectedErr)
+			}
+			if got := strings.Join(s.EnabledNames(), " "); got != c.enabled {
+				t.Errorf("got %q enabled, want %q", got, c.enabled)
+			}
+		})
 	}
 }
 
-// The files that the project hands out are good.
+// The files in deploy are valid.
 func TestDeployedFeatureFilesAreValid(t *testing.T) {
 	entries, err := os.ReadDir("../../deploy")
 	if err != nil {
@@ -36,7 +40,7 @@
 	seen := 0
 	for _, e := range entries {
 		if e.Name() == "service.toml" {
-			continue // the platform's
+			continue // the platform's settings file
 		}
 		if _, err := Load("../../deploy/" + e.Name()); err != nil {
 			t.Error(err)
@@ -44,6 +48,6 @@
 		seen++
 	}
 	if seen == 0 {
-		t.Error("no features file is handed out")
+		t.Error("deploy has no features file")
 	}
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -8,7 +8,7 @@
 //
 // It promises exactly one result for each request, and never sends one twice:
 // whether a write without a response took effect is for the core to find out.
-// It is built for a service that is slow, that answers nothing, or that refuses
+// It is built for a service that is slow, that does not respond, or that refuses
 // by rate.
 package statestore
 
