--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -6,10 +6,10 @@
 // It may assume that nearly all requests are the fleet leader's, and that the
 // caller's request IDs are unique while a request is open.
 //
-// It promises exactly one result for each request, and never sends one twice:
-// whether one without a response was executed is for the core to find out, by
-// idempotency keys and the list of instances. It is built for a cloud that is
-// slow, that does not respond, or that refuses.
+// It promises one result for each request while its context lasts, and never
+// sends one twice: whether one without a response was executed is for the core
+// to find out, by idempotency keys and the list of instances. It is built for a
+// cloud that is slow, that does not respond, or that refuses.
 package cloud
 
 import (
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -6,10 +6,10 @@
 // It may assume that the other controllers keep to their shares, and that the
 // caller's request IDs are unique while a request is open.
 //
-// It promises exactly one result for each request, and never sends one twice:
-// whether a write without a response took effect is for the core to find out.
-// It is built for a service that is slow, that does not respond, or that refuses
-// by rate.
+// It promises one result for each request while its context lasts, and never
+// sends one twice: whether a write without a response took effect is for the
+// core to find out. It is built for a service that is slow, that does not
+// respond, or that refuses by rate.
 package statestore
 
 import (
