--- a/cmd/grebedock/main.go
+++ b/cmd/grebedock/main.go
@@ -70,7 +70,10 @@
 				if f, err := config.Load(args[0]); err != nil {
 					errs = append(errs, err)
 				} else {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: member %s, %d others, %d teams: good\n", args[0], f.Member, len(f.Peers), len(f.Cluster.Teams))
+					fmt.Fprintf(
+						cmd.OutOrStdout(), "%s: member %s, %d others, %d teams: good\n", args[0], f.Member,
+						len(f.Peers), len(f.Cluster.Teams),
+					)
 				}
 			}
 			if featuresPath != "" {
--- a/cmd/grebedock/program_test.go
+++ b/cmd/grebedock/program_test.go
@@ -231,7 +231,10 @@
 		out, err := grebedock("settings", "get", "--addr", mesh[1])
 		return err == nil && strings.Contains(out, `"idle_boots":3`)
 	})
-	for _, bad := range []string{"late_share=-1", "unknown=1", "functions=0", `samples="x"`, `disruption={"ops":{"share":2}}`} {
+	for _, bad := range []string{
+		"late_share=-1", "unknown=1", "functions=0", `samples="x"`,
+		`disruption={"ops":{"share":2}}`,
+	} {
 		if out, err := grebedock("settings", "set", "--addr", mesh[0], bad); err == nil ||
 			!strings.Contains(err.Error(), "400") {
 			t.Errorf("%s: %q, %v", bad, out, err)
@@ -254,12 +257,21 @@
 		code int
 		want string
 	}{
-		{[]string{"submit", "--addr", unreachable + "," + front[0], "--team", "ops", "--id", "job-70", "--tasks", "2", "--estimate", "0.2", "--wait"}, 0, "job-70  done  2 done"},
+		{
+			[]string{
+				"submit", "--addr", unreachable + "," + front[0], "--team", "ops", "--id", "job-70",
+				"--tasks", "2", "--estimate", "0.2", "--wait",
+			},
+			0, "job-70  done  2 done",
+		},
 		{[]string{"job", "--addr", front[1], "job-70", "--json"}, 0, `"state":"done"`},
 		{[]string{"submit", "--addr", front[0], "--team", "nobody"}, exitInvalid, ""},
 		{[]string{"submit", "--addr", front[0], "--team", "ops", "--kind", "x"}, exitInvalid, ""},
 		{[]string{"job", "--addr", front[0], "job-71"}, exitInvalid, ""},
-		{[]string{"submit", "--addr", front[0], "--team", "ops", "--id", "job-72", "--estimate", "600"}, 0, "job-72  pending"},
+		{
+			[]string{"submit", "--addr", front[0], "--team", "ops", "--id", "job-72", "--estimate", "600"},
+			0, "job-72  pending",
+		},
 		{[]string{"cancel", "--addr", front[0], "job-72"}, 0, "job-72  cancelled"},
 		{[]string{"job", "--addr", front[0], "job-72", "--wait"}, exitCancelled, "job-72  cancelled"},
 		{[]string{"status", "--addr", mesh[0]}, 0, "state service"},
@@ -272,8 +284,12 @@
 		{[]string{"settings", "set", "--addr", mesh[0], `disruption={"ops":{"tasks":2}}`}, 0, `"tasks":2`},
 		{[]string{"rollout", "status", "--addr", mesh[0]}, exitError, ""},
 		{[]string{"rollout", "apply", "--addr", mesh[0], "main_test.go"}, exitInvalid, ""},
-		{[]string{"rollout", "apply", "--addr", mesh[0], "../../docs/examples/rollouts/replace.toml"}, exitError, ""}, // switched off here
-		{[]string{"lab", "load", "--addr", front[0] + "," + front[1], "--rate", "40", "--for", "1s", "--estimate", "0.1"}, 0, "told in one order: true"},
+		// switched off here
+		{[]string{"rollout", "apply", "--addr", mesh[0], "../../docs/examples/rollouts/replace.toml"}, exitError, ""},
+		{
+			[]string{"lab", "load", "--addr", front[0] + "," + front[1], "--rate", "40", "--for", "1s", "--estimate", "0.1"},
+			0, "told in one order: true",
+		},
 		{[]string{"lab", "load", "--rate", "0"}, exitInvalid, ""},
 	} {
 		out, err := grebedock(c.args...)
--- a/cmd/grebedock/stalling_clients_test.go
+++ b/cmd/grebedock/stalling_clients_test.go
@@ -174,7 +174,11 @@
 	for _, c := range []struct {
 		name, with string
 		attackers  int
-	}{{"bounded/none", connectionsEnabled, 0}, {"bounded/450", connectionsEnabled, 450}, {"bounded/2000", connectionsEnabled, 2000}, {"unbounded/none", "", 0}, {"unbounded/450", "", 450}} {
+	}{
+		{"bounded/none", connectionsEnabled, 0}, {"bounded/450", connectionsEnabled, 450},
+		{"bounded/2000", connectionsEnabled, 2000}, {"unbounded/none", "", 0},
+		{"unbounded/450", "", 450},
+	} {
 		b.Run(c.name, func(b *testing.B) {
 			front, _ := startMember(b, 600, c.with)
 			stop := keepConnections(front, c.attackers, sendText(halfSentRequest))
@@ -348,8 +352,11 @@
 	}
 	defer res.Body.Close()
 	text, _ := io.ReadAll(res.Body)
-	for _, want := range []string{`given_up_total{address="front",class="users",why="late_body"}`, `given_up_total{address="front",class="users",why="shed"}`,
-		`connection_slots{address="front"} 40`, `grebedock_events_total{event="lost_task"} 0`} {
+	for _, want := range []string{
+		`given_up_total{address="front",class="users",why="late_body"}`,
+		`given_up_total{address="front",class="users",why="shed"}`,
+		`connection_slots{address="front"} 40`, `grebedock_events_total{event="lost_task"} 0`,
+	} {
 		if !strings.Contains(string(text), want) ||
 			strings.Contains(string(text), want+" 0") && !strings.HasSuffix(want, " 0") {
 			t.Errorf("metrics lack %s, or it is 0", want)
--- a/emulator/experiment_parse.go
+++ b/emulator/experiment_parse.go
@@ -63,7 +63,11 @@
 	for _, spec := range []struct {
 		name string
 		v    float64
-	}{{"report_s", platform.HeartbeatS}, {"lease_s", platform.LeaseS}, {"value_kb", platform.ValueKB}, {"txn_ops", float64(platform.TxnOps)}, {"rps", platform.StoreRPS}, {"write_rps", platform.StoreWriteRPS}} {
+	}{
+		{"report_s", platform.HeartbeatS}, {"lease_s", platform.LeaseS},
+		{"value_kb", platform.ValueKB}, {"txn_ops", float64(platform.TxnOps)},
+		{"rps", platform.StoreRPS}, {"write_rps", platform.StoreWriteRPS},
+	} {
 		positive("platform."+spec.name, spec.v)
 	}
 	if minCancelS := float64(access.MinCancelMS(int64(platform.LeaseS*1000))) / 1000; !(platform.CancelS >= minCancelS) {
--- a/emulator/experiment_result.go
+++ b/emulator/experiment_result.go
@@ -115,20 +115,22 @@
 	Guaranteed      int       `json:"guaranteed"`
 	PromptShare     float64   `json:"prompt"`
 	PromptWaitS     Quantiles `json:"prompt_wait_s"`
-	LimitUsedShare  float64   `json:"limit_used"`        // mean share of the limit in use while more than it is asked for
-	LimitContendedS int       `json:"limit_used_s"`      // seconds in which that was so
-	BelowGuaranteeS int       `json:"below_guarantee_s"` // seconds below its guarantee while work within it waited for longer than promised
+	LimitUsedShare  float64   `json:"limit_used"`   // mean share of the limit in use while more than it is asked for
+	LimitContendedS int       `json:"limit_used_s"` // seconds in which that was so
+	// seconds below its guarantee while work within it waited for longer than promised
+	BelowGuaranteeS int `json:"below_guarantee_s"`
 }
 
 // RolloutResult is a plan in a Result.
 type RolloutResult struct {
-	Plan         string         `json:"plan"`
-	State        rollout.State  `json:"state"`
-	Reason       string         `json:"why,omitempty"`
-	Total        int            `json:"total"`
-	DurationS    float64        `json:"took_s"`  // until it was done
-	StoppedTasks int            `json:"stopped"` // tasks
-	MaxDown      map[string]int `json:"down"`    // by team: most that were stopped and did not run again yet, by the machines' count
+	Plan         string        `json:"plan"`
+	State        rollout.State `json:"state"`
+	Reason       string        `json:"why,omitempty"`
+	Total        int           `json:"total"`
+	DurationS    float64       `json:"took_s"`  // until it was done
+	StoppedTasks int           `json:"stopped"` // tasks
+	// by team: most that were stopped and did not run again yet, by the machines' count
+	MaxDown map[string]int `json:"down"`
 }
 
 // Quantiles is some quantiles.
--- a/emulator/experiment_run.go
+++ b/emulator/experiment_run.go
@@ -27,7 +27,10 @@
 	for _, override := range []struct {
 		to   *float64
 		from float64
-	}{{&settings.LateShare, variant.LateShare}, {&settings.SummaryS, variant.SummaryS}, {&settings.IdleBoots, variant.IdleBoots}} {
+	}{
+		{&settings.LateShare, variant.LateShare}, {&settings.SummaryS, variant.SummaryS},
+		{&settings.IdleBoots, variant.IdleBoots},
+	} {
 		if override.from != 0 {
 			*override.to = override.from
 		}
--- a/emulator/experiment_test.go
+++ b/emulator/experiment_test.go
@@ -20,13 +20,19 @@
 // What is wrong with an experiment is named, with its line.
 func TestInvalidExperimentsAreRefused(t *testing.T) {
 	for name, replacement := range map[string]struct{ from, to, expected string }{
-		"a field that is none":  {"run_s = 300.0", "runs_s = 300.0", "runs_s"},
-		"no team of the class":  {"[[class]]\nname = \"batch\"\nteam = \"ops\"", "[[class]]\nname = \"batch\"\nteam = \"x\"", "line 51: class 2 (batch): team \"x\""},
+		"a field that is none": {"run_s = 300.0", "runs_s = 300.0", "runs_s"},
+		"no team of the class": {
+			"[[class]]\nname = \"batch\"\nteam = \"ops\"", "[[class]]\nname = \"batch\"\nteam = \"x\"",
+			"line 51: class 2 (batch): team \"x\"",
+		},
 		"an unknown fault":      {"kind = \"outage\"", "kind = \"flood\"", "line 74: fault 2 (flood at 160 s): unknown kind"},
 		"a fault without time":  {"kind = \"outage\"\nfor_s = 20.0", "kind = \"outage\"", "needs for_s"},
 		"a fault after the end": {"at_s = 160.0", "at_s = 1600.0", "is not within run_s"},
-		"two at once": {"[[variant]]\nname = \"longest\"", "[[fault]]\nat_s = 170.0\nkind = \"outage\"\nfor_s = 20.0\n\n[[variant]]\nname = \"longest\"",
-			"fault 4 (outage at 170 s): overlaps fault 2"},
+		"two at once": {
+			"[[variant]]\nname = \"longest\"",
+			"[[fault]]\nat_s = 170.0\nkind = \"outage\"\nfor_s = 20.0\n\n[[variant]]\nname = \"longest\"",
+			"fault 4 (outage at 170 s): overlaps fault 2",
+		},
 		"one name twice":                 {"name = \"half\"", "name = \"longest\"", "a name of its own"},
 		"settings out of range":          {"name = \"half\"", "name = \"half\"\nsamples = 1", "samples must be"},
 		"a lease above the cancellation": {"cancel_s = 42.5", "cancel_s = 10.0", "cancel_s must be above"},
--- a/emulator/group_progress_test.go
+++ b/emulator/group_progress_test.go
@@ -41,19 +41,37 @@
 		prepare  func(*Simulation)
 		expected []string
 	}{
-		"all are served":       {func(*Simulation) {}, nil},
-		"half is served":       {func(sim *Simulation) { leaveUnfinished(sim, 0, 2, 3, 7) }, nil},
-		"the largest are left": {func(sim *Simulation) { leaveUnfinished(sim, 6, 7) }, []string{"largest batch: 0 of 2 served"}},
-		"the longest are left": {func(sim *Simulation) { leaveUnfinished(sim, 0, 1) }, []string{"longest batch: 0 of 2 served"}},
-		"a team is left":       {func(sim *Simulation) { leaveUnfinished(sim, 1, 3, 5) }, []string{"team t1: 1 of 4 served"}},
-		"one began late":       {func(sim *Simulation) { sim.Jobs[sim.JobIDs[7]].FirstStartAt = 1001 + MaxLargestJobWaitMS }, []string{"largest batch: one began after 240001 ms"}},
-		"a small began late":   {func(sim *Simulation) { sim.Jobs[sim.JobIDs[2]].FirstStartAt = 1001 + MaxLargestJobWaitMS }, nil},
-		"one never began":      {func(sim *Simulation) { sim.Jobs[sim.JobIDs[7]].FirstStartAt = 0 }, []string{"largest batch: one began after 999000 ms"}},
+		"all are served": {func(*Simulation) {}, nil},
+		"half is served": {func(sim *Simulation) { leaveUnfinished(sim, 0, 2, 3, 7) }, nil},
+		"the largest are left": {
+			func(sim *Simulation) { leaveUnfinished(sim, 6, 7) },
+			[]string{"largest batch: 0 of 2 served"},
+		},
+		"the longest are left": {
+			func(sim *Simulation) { leaveUnfinished(sim, 0, 1) },
+			[]string{"longest batch: 0 of 2 served"},
+		},
+		"a team is left": {func(sim *Simulation) { leaveUnfinished(sim, 1, 3, 5) }, []string{"team t1: 1 of 4 served"}},
+		"one began late": {
+			func(sim *Simulation) { sim.Jobs[sim.JobIDs[7]].FirstStartAt = 1001 + MaxLargestJobWaitMS },
+			[]string{"largest batch: one began after 240001 ms"},
+		},
+		"a small began late": {
+			func(sim *Simulation) { sim.Jobs[sim.JobIDs[2]].FirstStartAt = 1001 + MaxLargestJobWaitMS },
+			nil,
+		},
+		"one never began": {
+			func(sim *Simulation) { sim.Jobs[sim.JobIDs[7]].FirstStartAt = 0 },
+			[]string{"largest batch: one began after 999000 ms"},
+		},
 		"cancelled, so left": {func(sim *Simulation) {
 			leaveUnfinished(sim, 6, 7)
 			sim.Jobs[sim.JobIDs[6]].CancelRequested, sim.Jobs[sim.JobIDs[7]].CancelRequested = true, true
 		}, nil},
-		"the class is left":     {func(sim *Simulation) { leaveUnfinished(sim, 1, 2, 3, 4, 5) }, []string{"class batch: 3 of 8 served", "team t1: 1 of 4 served"}},
+		"the class is left": {
+			func(sim *Simulation) { leaveUnfinished(sim, 1, 2, 3, 4, 5) },
+			[]string{"class batch: 3 of 8 served", "team t1: 1 of 4 served"},
+		},
 		"half of large is left": {func(sim *Simulation) { leaveUnfinished(sim, 7, 0) }, nil},
 	} {
 		sim := newServedSimulation()
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -248,7 +248,11 @@
 				return
 			}
 			peer.lastReplyID++
-			peer.pendingUserRequests[peer.lastReplyID] = func(resp scheduler.UserResponse) { sim.sendMessage(peer.Name, m.Name, func() { finish(resp, true) }) }
+			peer.pendingUserRequests[peer.lastReplyID] = func(resp scheduler.UserResponse) {
+				sim.sendMessage(
+					peer.Name, m.Name, func() { finish(resp, true) },
+				)
+			}
 			peer.Core.HandleUserRequest(peer.Clock(), peer.lastReplyID, result.Request)
 			peer.dispatchOutputs()
 		})
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -23,7 +23,8 @@
 	}
 	for _, partition := range sim.Partitions {
 		if partition.Until > sim.Now &&
-			(strings.HasPrefix(from, partition.A) && strings.HasPrefix(to, partition.B) || strings.HasPrefix(to, partition.A) && strings.HasPrefix(from, partition.B)) {
+			(strings.HasPrefix(from, partition.A) && strings.HasPrefix(to, partition.B) ||
+				strings.HasPrefix(to, partition.A) && strings.HasPrefix(from, partition.B)) {
 			if partition.DropsMessages {
 				return
 			}
--- a/emulator/protocol_faults.go
+++ b/emulator/protocol_faults.go
@@ -160,7 +160,10 @@
 
 // hasActiveFault tells whether something is wrong that keeps members from answering users.
 func (sim *Simulation) hasActiveFault() bool {
-	for _, until := range []int64{sim.writeDelays.until, sim.heartbeatReplays.until, sim.responseLosses.until, sim.storeSlowUntil} {
+	for _, until := range []int64{
+		sim.writeDelays.until, sim.heartbeatReplays.until, sim.responseLosses.until,
+		sim.storeSlowUntil,
+	} {
 		if until > sim.Now {
 			return true
 		}
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -62,8 +62,9 @@
 	StoreWriteRPS  float64
 	StoreRequests  map[scheduler.StoreOpKind]int
 	StoreChanges   int
-	CommandCounts  map[string][]int // commands, questions to workers, machines rented and returned: by kind, for each second
-	RepeatedStarts int              // starts of tasks that had started before
+	// commands, questions to workers, machines rented and returned: by kind, for each second
+	CommandCounts  map[string][]int
+	RepeatedStarts int // starts of tasks that had started before
 	History        []history.Op
 	// ChecksDisabled leaves out the rules, whose checks look at all tasks at each
 	// start: for measurements at sizes where that takes all the time.
--- a/emulator/workers.go
+++ b/emulator/workers.go
@@ -220,7 +220,8 @@
 	switch {
 	case worker.heartbeatInFlight || sim.Now < worker.nextHeartbeatAt:
 		return
-	case !worker.retryHeartbeat && (sim.Now-worker.lastHeartbeatAt < 500 || !worker.Agent.HasChanges && sim.Now-worker.lastHeartbeatAt < worker.heartbeatIntervalMS):
+	case !worker.retryHeartbeat && (sim.Now-worker.lastHeartbeatAt < 500 || !worker.Agent.HasChanges &&
+		sim.Now-worker.lastHeartbeatAt < worker.heartbeatIntervalMS):
 		return
 	}
 	worker.heartbeatInFlight, worker.lastHeartbeatAt, worker.retryHeartbeat = true, sim.Now, false
--- a/internal/knownred/verdict_test.go
+++ b/internal/knownred/verdict_test.go
@@ -50,24 +50,81 @@
 	}{
 		{name: "all pass", code: pass, passes: true, expectedOutput: "tests: 1 passed, 0 failed"},
 		{name: "not listed", code: pass + "func TestBad(t *testing.T) { t.Error(1) }\n", expectedOutput: "FAIL: p.TestBad"},
-		{name: "listed", code: pass + "func TestBad(t *testing.T) { t.Error(1) }\n", list: "p.TestBad; why; #1", passes: true, expectedOutput: "known red, passed over: p.TestBad: why (#1)"},
-		{name: "one more", code: pass + "func TestBad(t *testing.T) { t.Error(1) }\nfunc TestWorse(t *testing.T) { t.Error(1) }\n", list: "p.TestBad; why; #1", expectedOutput: "FAIL: p.TestWorse"},
+		{
+			name:           "listed",
+			code:           pass + "func TestBad(t *testing.T) { t.Error(1) }\n",
+			list:           "p.TestBad; why; #1",
+			passes:         true,
+			expectedOutput: "known red, passed over: p.TestBad: why (#1)",
+		},
+		{
+			name:           "one more",
+			code:           pass + "func TestBad(t *testing.T) { t.Error(1) }\nfunc TestWorse(t *testing.T) { t.Error(1) }\n",
+			list:           "p.TestBad; why; #1",
+			expectedOutput: "FAIL: p.TestWorse",
+		},
 		{name: "passes", code: pass, list: "p.TestGood; why; #1", passes: true, expectedOutput: "its line is to go"},
 		{name: "does not exist", code: pass, list: "p.TestGone; why; #1", expectedOutput: "p.TestGone does not exist"},
-		{name: "skipped", code: pass + "func TestBad(t *testing.T) { t.Skip() }\n", list: "p.TestBad; why; #1", expectedOutput: "p.TestBad was skipped"},
-		{name: "a case", code: pass + "func TestBad(t *testing.T) { t.Run(\"a\", func(t *testing.T) { t.Error(1) }) }\n", list: "p.TestBad/a; why; #1", passes: true, expectedOutput: "passed over: p.TestBad/a"},
-		{name: "another case", code: pass + "func TestBad(t *testing.T) {\n\tfor _, n := range []string{\"a\", \"b\"} {\n\t\tt.Run(n, func(t *testing.T) { t.Error(1) })\n\t}\n}\n", list: "p.TestBad/a; why; #1", expectedOutput: "FAIL: p.TestBad/b"},
-		{name: "its parent too", code: pass + "func TestBad(t *testing.T) {\n\tt.Run(\"a\", func(t *testing.T) { t.Error(1) })\n\tt.Error(2)\n}\n", list: "p.TestBad/a; why; #1", expectedOutput: "FAIL: p.TestBad"},
-		{name: "panic", code: pass + "func TestBad(t *testing.T) { panic(1) }\n", list: "p.TestBad; why; #1", expectedOutput: "panic: 1"},
-		{name: "exit", code: pass + "func TestMain(m *testing.M) {\n\tm.Run()\n\tpanic(\"late\")\n}\n", expectedOutput: "panic: late"},
-		{name: "time-out", code: pass + "func TestBad(t *testing.T) { select {} }\n", args: []string{"-timeout=1s"}, list: "p.TestBad; why; #1", expectedOutput: "test timed out"},
+		{
+			name:           "skipped",
+			code:           pass + "func TestBad(t *testing.T) { t.Skip() }\n",
+			list:           "p.TestBad; why; #1",
+			expectedOutput: "p.TestBad was skipped",
+		},
+		{
+			name:           "a case",
+			code:           pass + "func TestBad(t *testing.T) { t.Run(\"a\", func(t *testing.T) { t.Error(1) }) }\n",
+			list:           "p.TestBad/a; why; #1",
+			passes:         true,
+			expectedOutput: "passed over: p.TestBad/a",
+		},
+		{
+			name:           "another case",
+			code:           pass + "func TestBad(t *testing.T) {\n\tfor _, n := range []string{\"a\", \"b\"} {\n\t\tt.Run(n, func(t *testing.T) { t.Error(1) })\n\t}\n}\n",
+			list:           "p.TestBad/a; why; #1",
+			expectedOutput: "FAIL: p.TestBad/b",
+		},
+		{
+			name:           "its parent too",
+			code:           pass + "func TestBad(t *testing.T) {\n\tt.Run(\"a\", func(t *testing.T) { t.Error(1) })\n\tt.Error(2)\n}\n",
+			list:           "p.TestBad/a; why; #1",
+			expectedOutput: "FAIL: p.TestBad",
+		},
+		{
+			name:           "panic",
+			code:           pass + "func TestBad(t *testing.T) { panic(1) }\n",
+			list:           "p.TestBad; why; #1",
+			expectedOutput: "panic: 1",
+		},
+		{
+			name:           "exit",
+			code:           pass + "func TestMain(m *testing.M) {\n\tm.Run()\n\tpanic(\"late\")\n}\n",
+			expectedOutput: "panic: late",
+		},
+		{
+			name:           "time-out",
+			code:           pass + "func TestBad(t *testing.T) { select {} }\n",
+			args:           []string{"-timeout=1s"},
+			list:           "p.TestBad; why; #1",
+			expectedOutput: "test timed out",
+		},
 		{name: "no build", code: pass + "var _ int = \"\"\n", list: "p.TestGood; why; #1", expectedOutput: "does not build"},
-		{name: "race", code: pass + "func TestBad(t *testing.T) {\n\tx, c := 0, make(chan int)\n\tgo func() { x++; close(c) }()\n\tx++\n\t<-c\n\t_ = x\n}\n", args: []string{"-race"}, list: "p.TestBad; why; #1", expectedOutput: "DATA RACE"},
+		{
+			name:           "race",
+			code:           pass + "func TestBad(t *testing.T) {\n\tx, c := 0, make(chan int)\n\tgo func() { x++; close(c) }()\n\tx++\n\t<-c\n\t_ = x\n}\n",
+			args:           []string{"-race"},
+			list:           "p.TestBad; why; #1",
+			expectedOutput: "DATA RACE",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			for name, text := range map[string]string{"go.mod": "module m\n\ngo 1.26\n", "p/p.go": "package p\n", "p/p_test.go": head + c.code} {
+			for name, text := range map[string]string{
+				"go.mod":      "module m\n\ngo 1.26\n",
+				"p/p.go":      "package p\n",
+				"p/p_test.go": head + c.code,
+			} {
 				path := filepath.Join(dir, name)
 				if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 					t.Fatal(err)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -152,7 +152,12 @@
 func (c client) submitWorkflow(member int, id string, doc, inputs map[string]any) {
 	c.t.Helper()
 	doc["cwlVersion"] = "v1.2"
-	if s, m := c.request(member, "POST", "/v1/workflows", map[string]any{"id": id, "document": doc, "inputs": inputs, "job": map[string]any{"team": "ops"}}); s != 201 {
+	if s, m := c.request(member, "POST", "/v1/workflows", map[string]any{
+		"id":       id,
+		"document": doc,
+		"inputs":   inputs,
+		"job":      map[string]any{"team": "ops"},
+	}); s != 201 {
 		c.t.Fatalf("%s gets %d %v", id, s, m)
 	}
 }
--- a/internal/packagegraph/packagegraph_test.go
+++ b/internal/packagegraph/packagegraph_test.go
@@ -54,7 +54,10 @@
 		t.Errorf("%d packages", len(g))
 	}
 	page := g.Markdown()
-	for _, want := range []string{"4 packages on 4 levels, 4 imports", "p_top --> p_mid", "| 1 | `mid` | `low` | Package mid is for a test. |", `p_internal_in["internal/in"]`} {
+	for _, want := range []string{
+		"4 packages on 4 levels, 4 imports", "p_top --> p_mid",
+		"| 1 | `mid` | `low` | Package mid is for a test. |", `p_internal_in["internal/in"]`,
+	} {
 		if !strings.Contains(page, want) {
 			t.Errorf("the page lacks %q", want)
 		}
--- a/workflow/host_benchmark_test.go
+++ b/workflow/host_benchmark_test.go
@@ -78,7 +78,10 @@
 	_, doc := loadDocument(b, chainWorkflow(1000))
 	for b.Loop() {
 		w := newSimulation(b, 1, false)
-		if a := w.request("m-0", Request{Kind: Submit, Body: submission("run", doc, map[string]any{"a": int64(1), "b": int64(38)})}); a.Status != 201 {
+		if a := w.request("m-0", Request{
+			Kind: Submit,
+			Body: submission("run", doc, map[string]any{"a": int64(1), "b": int64(38)}),
+		}); a.Status != 201 {
 			b.Fatal(a)
 		}
 		host := runToEnd(b, w, []string{"run"})
@@ -99,7 +102,10 @@
 	}
 	for b.Loop() {
 		w := newSimulation(b, 1, false)
-		if a := w.request("m-0", Request{Kind: Submit, Body: submission("run", doc, map[string]any{"l": l, "b": int64(1)})}); a.Status != 201 {
+		if a := w.request("m-0", Request{
+			Kind: Submit,
+			Body: submission("run", doc, map[string]any{"l": l, "b": int64(1)}),
+		}); a.Status != 201 {
 			b.Fatal(a)
 		}
 		host := runToEnd(b, w, []string{"run"})
--- a/workflow/host_test.go
+++ b/workflow/host_test.go
@@ -225,7 +225,10 @@
 		if w.ignorePreconditions {
 			r.Preconditions = nil
 		}
-		if res := w.applyTxn(r.Preconditions, scheduler.Change{Key: "jobs/" + r.ID, Value: extension.Encode(r.ID)}); res.Outcome != scheduler.OK {
+		if res := w.applyTxn(r.Preconditions, scheduler.Change{
+			Key:   "jobs/" + r.ID,
+			Value: extension.Encode(r.ID),
+		}); res.Outcome != scheduler.OK {
 			return scheduler.UserResponse{Status: 409, ID: r.ID}
 		}
 		if w.store.Value(finalKey(r.Job.WorkflowRun)) != nil {
@@ -482,7 +485,8 @@
 		return `{"cwlVersion": "v1.2", "class": "CommandLineTool", "baseCommand": "x", "inputs": {"n": "int"}, "outputs": {}` + extra + `}`
 	}
 	flow := `{"cwlVersion": "v1.2", "class": "Workflow", "inputs": {"n": "int"}, "outputs": {}, "steps": {
-		"a": {"run": {"class": "Workflow", "inputs": {"n": "int"}, "outputs": {}, "steps": {"b": {"run": ` + tool("") + `, "in": {"n": "n"}, "out": []}}}, "scatter": "n", "in": {"n": {"source": ["n"], "linkMerge": "merge_flattened"}}, "out": []}}}`
+		"a": {"run": {"class": "Workflow", "inputs": {"n": "int"}, "outputs": {}, "steps": {"b": {"run": ` + tool("") +
+		`, "in": {"n": "n"}, "out": []}}}, "scatter": "n", "in": {"n": {"source": ["n"], "linkMerge": "merge_flattened"}}, "out": []}}}`
 	body := func(doc, rest string) string {
 		return `{"id": "r", "document": ` + doc + `, "inputs": {"n": 1}` + rest + `}`
 	}
@@ -515,7 +519,14 @@
 		{"unknown priority", body(tool(""), `, "job": {"team": "ops", "priority": "now"}`), 400, `"now" is none of`},
 		{"too few ids", body(tool(""), ops+`, "jobs": {"first": 5, "count": 0}`), 400, "has 1 jobs, 0 ids"},
 		{"uncountable", body(flow, ops+`, "jobs": {"first": 5, "count": 9}`), 400, "cannot be counted"},
-		{"other files", body(`{"cwlVersion": "v1.2", "class": "Workflow", "inputs": {}, "outputs": {}, "steps": {"a": {"run": "b.cwl", "in": {}, "out": []}}}`, ops), 400, "pack it first"},
+		{
+			"other files",
+			body(
+				`{"cwlVersion": "v1.2", "class": "Workflow", "inputs": {}, "outputs": {}, "steps": {"a": {"run": "b.cwl", "in": {}, "out": []}}}`,
+				ops,
+			),
+			400, "pack it first",
+		},
 		{"a bomb", packed([]byte(strings.Repeat(" ", cwl.DefaultLimits.Bytes+1) + tool(""))), 400, "more than"},
 		{"packed YAML", packed([]byte("cwlVersion: v1.2")), 400, "no JSON"},
 		{"not packed", strings.Replace(packed(nil), `"id"`, `"packed": "eHh4", "id"`, 1), 400, "packed"},
