--- a/emulator/experiment_parse.go
+++ b/emulator/experiment_parse.go
@@ -49,123 +49,162 @@
 	if err := strict.Decode(b, experiment); err != nil {
 		return nil, err
 	}
-	var problems []error
-	fail := func(format string, a ...any) { problems = append(problems, fmt.Errorf(format, a...)) }
-	positive := func(name string, v float64) {
-		if !(v > 0) {
-			fail("%s must be above 0", name)
-		}
+	if len(experiment.Variants) == 0 {
+		experiment.Variants = []Variant{{Name: "default"}}
+	}
+	v := &experimentValidator{experiment: experiment, source: b}
+	v.validatePlatform()
+	v.validateClasses()
+	v.validateFaults()
+	v.validateRollouts()
+	v.validateVariants()
+	return experiment, errors.Join(v.problems...)
+}
+
+// experimentValidator gathers all that is wrong with an experiment.
+type experimentValidator struct {
+	experiment *Experiment
+	source     []byte // of the file, for the numbers of lines
+	problems   []error
+}
+
+func (v *experimentValidator) fail(format string, a ...any) {
+	v.problems = append(v.problems, fmt.Errorf(format, a...))
+}
+
+func (v *experimentValidator) requirePositive(name string, value float64) {
+	if !(value > 0) {
+		v.fail("%s must be above 0", name)
 	}
-	positive("run_s", experiment.RunS)
-	positive("members", float64(experiment.Members))
-	positive("machines", float64(experiment.Machines))
-	platform := experiment.Platform
-	for _, spec := range []struct {
-		name string
-		v    float64
+}
+
+func (v *experimentValidator) validatePlatform() {
+	experiment, platform := v.experiment, &v.experiment.Platform
+	v.requirePositive("run_s", experiment.RunS)
+	v.requirePositive("members", float64(experiment.Members))
+	v.requirePositive("machines", float64(experiment.Machines))
+	for _, field := range []struct {
+		name  string
+		value float64
 	}{
-		{"report_s", platform.HeartbeatS}, {"lease_s", platform.LeaseS},
-		{"value_kb", platform.ValueKB}, {"txn_ops", float64(platform.TxnOps)},
-		{"rps", platform.StoreRPS}, {"write_rps", platform.StoreWriteRPS},
+		{"report_s", platform.HeartbeatS},
+		{"lease_s", platform.LeaseS},
+		{"value_kb", platform.ValueKB},
+		{"txn_ops", float64(platform.TxnOps)},
+		{"rps", platform.StoreRPS},
+		{"write_rps", platform.StoreWriteRPS},
 	} {
-		positive("platform."+spec.name, spec.v)
+		v.requirePositive("platform."+field.name, field.value)
 	}
 	if minCancelS := float64(access.MinCancelMS(int64(platform.LeaseS*1000))) / 1000; !(platform.CancelS >= minCancelS) {
-		fail("platform.cancel_s must be above lease_s: %g or more", minCancelS)
+		v.fail("platform.cancel_s must be above lease_s: %g or more", minCancelS)
 	}
 	if len(experiment.Seeds) == 0 {
-		fail("seeds is empty")
+		v.fail("seeds is empty")
 	}
 	if len(experiment.Types) == 0 || len(experiment.Classes) == 0 || len(experiment.Teams) == 0 {
-		fail("a type, a team and a class are needed")
-	}
-	classes, teams := map[string]bool{}, map[string]bool{}
-	for _, t := range experiment.Teams {
-		teams[t.Name] = true
+		v.fail("a type, a team and a class are needed")
 	}
-	for i, c := range experiment.Classes {
-		position := fmt.Sprintf("line %d: class %d (%s)", lineOf(b, "[[class]]", i), i+1, c.Name)
-		classes[c.Name] = true
-		if !teams[c.Team] {
-			fail("%s: team %q is none of the teams", position, c.Team)
+}
+
+func (v *experimentValidator) validateClasses() {
+	for i, c := range v.experiment.Classes {
+		position := fmt.Sprintf("line %d: class %d (%s)", lineOf(v.source, "[[class]]", i), i+1, c.Name)
+		if !slices.ContainsFunc(v.experiment.Teams, func(t Team) bool { return t.Name == c.Team }) {
+			v.fail("%s: team %q is none of the teams", position, c.Team)
 		}
 		if _, ok := priorities[c.Priority]; !ok {
-			fail("%s: priority %q is none of low, standard, high, production", position, c.Priority)
+			v.fail("%s: priority %q is none of low, standard, high, production", position, c.Priority)
 		}
 		if len(c.Tasks) != 2 || c.Tasks[0] < 1 || c.Tasks[1] < c.Tasks[0] {
-			fail("%s: tasks must be the smallest and the largest number", position)
+			v.fail("%s: tasks must be the smallest and the largest number", position)
 		}
-		positive(position+": per_minute", c.PerMinute)
-		positive(position+": run_s", c.RunS)
-		positive(position+": cpus", c.CPUs)
-	}
-	type span struct {
-		from, to float64
-		i        int
-	}
-	spans := map[string][]span{}
-	for i := range experiment.Faults {
-		spec := &experiment.Faults[i]
-		position := fmt.Sprintf("line %d: fault %d (%s at %g s)", lineOf(b, "[[fault]]", i), i+1, spec.Kind, spec.AtS)
-		validate, ok := faultKinds[spec.Kind]
-		if !ok {
-			fail("%s: unknown kind", position)
+		v.requirePositive(position+": per_minute", c.PerMinute)
+		v.requirePositive(position+": run_s", c.RunS)
+		v.requirePositive(position+": cpus", c.CPUs)
+	}
+}
+
+// faultSpan is the time for which a fault of a kind lasts on its target.
+type faultSpan struct {
+	fromS, toS float64
+	index      int
+}
+
+func (v *experimentValidator) validateFaults() {
+	spans := map[string][]faultSpan{} // by kind and target
+	for i := range v.experiment.Faults {
+		spec := &v.experiment.Faults[i]
+		line := lineOf(v.source, "[[fault]]", i)
+		position := fmt.Sprintf("line %d: fault %d (%s at %g s)", line, i+1, spec.Kind, spec.AtS)
+		if !v.validateFault(spec, position) {
 			continue
 		}
-		if reason := validate(spec); reason != "" {
-			fail("%s: %s", position, reason)
-		}
-		if spec.Class != "" && !classes[spec.Class] {
-			fail("%s: class %q is none of the classes", position, spec.Class)
-		}
-		if spec.Member != "" && !slices.Contains(experiment.memberNames(), spec.Member) {
-			fail("%s: member %q is none of %v", position, spec.Member, experiment.memberNames())
-		}
-		if spec.AtS < 0 || spec.AtS > experiment.RunS {
-			fail("%s: at_s is not within run_s", position)
-		}
-		// Two of the same kind on the same thing cannot overlap: what would
+		// Two of the same kind on the same target cannot overlap: what would
 		// end first?
-		key := spec.Kind + "|" + spec.Member + "|" + spec.Class + "|" + spec.OtherSide
-		for _, other := range spans[key] {
-			if spec.DurationS > 0 && spec.AtS < other.to && other.from < spec.AtS+spec.DurationS {
-				fail("%s: overlaps fault %d of the same kind on the same", position, other.i+1)
+		target := spec.Kind + "|" + spec.Member + "|" + spec.Class + "|" + spec.OtherSide
+		for _, other := range spans[target] {
+			if spec.DurationS > 0 && spec.AtS < other.toS && other.fromS < spec.AtS+spec.DurationS {
+				v.fail("%s: overlaps fault %d of the same kind on the same", position, other.index+1)
 			}
 		}
-		spans[key] = append(spans[key], span{spec.AtS, spec.AtS + spec.DurationS, i})
+		spans[target] = append(spans[target], faultSpan{spec.AtS, spec.AtS + spec.DurationS, i})
+	}
+}
+
+// validateFault reports whether the fault's kind is known.
+func (v *experimentValidator) validateFault(spec *FaultSpec, position string) bool {
+	experiment := v.experiment
+	validate, ok := faultKinds[spec.Kind]
+	if !ok {
+		v.fail("%s: unknown kind", position)
+		return false
+	}
+	if reason := validate(spec); reason != "" {
+		v.fail("%s: %s", position, reason)
+	}
+	isClass := func(c Class) bool { return c.Name == spec.Class }
+	if spec.Class != "" && !slices.ContainsFunc(experiment.Classes, isClass) {
+		v.fail("%s: class %q is none of the classes", position, spec.Class)
 	}
-	for i := range experiment.Rollouts {
-		if err := experiment.Rollouts[i].Plan.Validate(); err != nil {
-			fail("line %d: rollout %d: %w", lineOf(b, "[[rollout]]", i), i+1, err)
+	if spec.Member != "" && !slices.Contains(experiment.memberNames(), spec.Member) {
+		v.fail("%s: member %q is none of %v", position, spec.Member, experiment.memberNames())
+	}
+	if spec.AtS < 0 || spec.AtS > experiment.RunS {
+		v.fail("%s: at_s is not within run_s", position)
+	}
+	return true
+}
+
+func (v *experimentValidator) validateRollouts() {
+	for i := range v.experiment.Rollouts {
+		if err := v.experiment.Rollouts[i].Plan.Validate(); err != nil {
+			v.fail("line %d: rollout %d: %w", lineOf(v.source, "[[rollout]]", i), i+1, err)
 		}
 	}
+}
+
+func (v *experimentValidator) validateVariants() {
 	names := map[string]bool{}
-	if len(experiment.Variants) == 0 {
-		experiment.Variants = []Variant{{Name: "default"}}
-	}
-	for _, v := range experiment.Variants {
-		if v.Name == "" || names[v.Name] {
-			fail("variant %q: each needs a name of its own", v.Name)
+	for _, variant := range v.experiment.Variants {
+		if variant.Name == "" || names[variant.Name] {
+			v.fail("variant %q: each needs a name of its own", variant.Name)
 		}
-		names[v.Name] = true
-		for _, kind := range v.Without {
+		names[variant.Name] = true
+		for _, kind := range variant.Without {
 			if _, ok := faultKinds[kind]; !ok || kind == "burst" {
-				fail(
-					"variant %s: without names %q, which is no kind of fault that a variant can be spared (bursts change the jobs)",
-					v.Name,
-					kind,
-				)
+				v.fail("variant %s: without names %q, which is no kind of fault that a variant can be spared "+
+					"(bursts change the jobs)", variant.Name, kind)
 			}
 		}
-		if v.Rollout != "" &&
-			!slices.ContainsFunc(experiment.Rollouts, func(r Rollout) bool { return r.Plan.ID == v.Rollout }) {
-			fail("variant %s: rollout %q is none of the plans", v.Name, v.Rollout)
+		isPlan := func(r Rollout) bool { return r.Plan.ID == variant.Rollout }
+		if variant.Rollout != "" && !slices.ContainsFunc(v.experiment.Rollouts, isPlan) {
+			v.fail("variant %s: rollout %q is none of the plans", variant.Name, variant.Rollout)
 		}
-		if err := v.settings().Validate(); err != nil {
-			fail("variant %s: %w", v.Name, err)
+		if err := variant.settings().Validate(); err != nil {
+			v.fail("variant %s: %w", variant.Name, err)
 		}
 	}
-	return experiment, errors.Join(problems...)
 }
 
 // lineOf is the line of the nth header, from 0, of a list of tables.
--- a/emulator/experiment_result.go
+++ b/emulator/experiment_result.go
@@ -165,86 +165,20 @@
 	for _, n := range sim.StoreRequests {
 		result.Requests += n
 	}
-	for rule, violation := range sim.Violations {
-		result.RuleViolations = append(result.RuleViolations, rule+" "+violation)
-	}
-	slices.Sort(result.RuleViolations)
-	if violations, err := history.Validate(sim.History, nil); err != nil {
-		result.OrderViolations = append(result.OrderViolations, err.Error())
-	} else {
-		for _, violation := range violations {
-			result.OrderViolations = append(result.OrderViolations, violation.String())
-		}
-	}
-	var submitMS []float64
+	result.addViolations(sim)
 	for _, op := range sim.History {
 		if op.Status == 0 {
 			result.InconclusiveResponses++
 		}
 	}
-	for _, class := range experiment.Classes {
-		classResult := ClassResult{Class: class.Name}
-		var waitsS, doneS []float64
-		inTime, startedInTime := 0, 0
-		for _, id := range sim.JobIDs {
-			j := sim.Jobs[id]
-			if j.Spec.Class != class.Name {
-				continue
-			}
-			classResult.Jobs++
-			if j.Accepted {
-				submitMS = append(submitMS, float64(j.AcceptedAt-j.SubmittedAt))
-			}
-			if j.FirstStartAt > 0 {
-				waitS := float64(j.FirstStartAt-j.SubmittedAt) / 1000
-				waitsS = append(waitsS, waitS)
-				if waitS <= class.WaitWithinS {
-					startedInTime++
-				}
-			}
-			if j.DoneAt > 0 {
-				classResult.Done++
-				tookS := float64(j.DoneAt-j.SubmittedAt) / 1000
-				doneS = append(doneS, tookS)
-				if tookS <= class.DeadlineS {
-					inTime++
-				}
-			}
-		}
-		classResult.InTimeShare, classResult.WaitWithinShare = float64(
-			inTime,
-		)/float64(
-			max(1, classResult.Jobs),
-		), float64(
-			startedInTime,
-		)/float64(
-			max(1, classResult.Jobs),
-		)
-		classResult.WaitS, classResult.DoneS = quantiles(waitsS), quantiles(doneS)
+	var submitMS []float64
+	for i := range experiment.Classes {
+		classResult, classSubmitMS := sim.classResult(&experiment.Classes[i])
 		result.Classes = append(result.Classes, classResult)
+		submitMS = append(submitMS, classSubmitMS...)
 	}
 	for _, team := range experiment.Teams {
-		teamResult := TeamResult{Team: team.Name}
-		startedInTime := 0
-		for _, id := range sim.JobIDs {
-			j := sim.Jobs[id]
-			if j.Spec.Team != team.Name {
-				continue
-			}
-			teamResult.Jobs++
-			if j.DoneAt > 0 {
-				teamResult.Done++
-			}
-			for _, class := range experiment.Classes {
-				if class.Name == j.Spec.Class && j.FirstStartAt > 0 &&
-					(class.WaitWithinS == 0 || float64(j.FirstStartAt-j.SubmittedAt) <= class.WaitWithinS*1000) {
-					startedInTime++
-				}
-			}
-		}
-		teamResult.WaitWithinShare = float64(startedInTime) / float64(max(1, teamResult.Jobs))
-		sim.countPromptStarts(&teamResult, experiment.Platform.GuaranteeS, int64(experiment.WarmupS*1000))
-		result.Teams = append(result.Teams, teamResult)
+		result.Teams = append(result.Teams, experiment.teamResult(sim, team.Name))
 	}
 	for _, j := range sim.Jobs {
 		for _, n := range j.StartCounts {
@@ -255,3 +189,87 @@
 	result.UsefulShare, result.PriceRatio = sim.costs()
 	return result
 }
+
+// addViolations adds the broken rules, and the responses that fit no order of
+// events.
+func (result *Result) addViolations(sim *Simulation) {
+	for rule, violation := range sim.Violations {
+		result.RuleViolations = append(result.RuleViolations, rule+" "+violation)
+	}
+	slices.Sort(result.RuleViolations)
+	violations, err := history.Validate(sim.History, nil)
+	if err != nil {
+		result.OrderViolations = append(result.OrderViolations, err.Error())
+		return
+	}
+	for _, violation := range violations {
+		result.OrderViolations = append(result.OrderViolations, violation.String())
+	}
+}
+
+// classResult is what became of a class's jobs, and how long each took to be
+// accepted, in milliseconds.
+func (sim *Simulation) classResult(class *Class) (result ClassResult, submitMS []float64) {
+	result.Class = class.Name
+	var waitsS, doneS []float64
+	inTime, startedInTime := 0, 0
+	for _, id := range sim.JobIDs {
+		j := sim.Jobs[id]
+		if j.Spec.Class != class.Name {
+			continue
+		}
+		result.Jobs++
+		if j.Accepted {
+			submitMS = append(submitMS, float64(j.AcceptedAt-j.SubmittedAt))
+		}
+		if j.FirstStartAt > 0 {
+			waitS := float64(j.FirstStartAt-j.SubmittedAt) / 1000
+			waitsS = append(waitsS, waitS)
+			if waitS <= class.WaitWithinS {
+				startedInTime++
+			}
+		}
+		if j.DoneAt > 0 {
+			result.Done++
+			tookS := float64(j.DoneAt-j.SubmittedAt) / 1000
+			doneS = append(doneS, tookS)
+			if tookS <= class.DeadlineS {
+				inTime++
+			}
+		}
+	}
+	jobs := float64(max(1, result.Jobs))
+	result.InTimeShare, result.WaitWithinShare = float64(inTime)/jobs, float64(startedInTime)/jobs
+	result.WaitS, result.DoneS = quantiles(waitsS), quantiles(doneS)
+	return result, submitMS
+}
+
+// teamResult is what became of a team's jobs.
+func (experiment *Experiment) teamResult(sim *Simulation, team string) TeamResult {
+	result := TeamResult{Team: team}
+	startedInTime := 0
+	for _, id := range sim.JobIDs {
+		j := sim.Jobs[id]
+		if j.Spec.Team != team {
+			continue
+		}
+		result.Jobs++
+		if j.DoneAt > 0 {
+			result.Done++
+		}
+		for _, class := range experiment.Classes {
+			if class.Name == j.Spec.Class && j.startedWithin(class.WaitWithinS) {
+				startedInTime++
+			}
+		}
+	}
+	result.WaitWithinShare = float64(startedInTime) / float64(max(1, result.Jobs))
+	sim.countPromptStarts(&result, experiment.Platform.GuaranteeS, int64(experiment.WarmupS*1000))
+	return result
+}
+
+// startedWithin reports whether the job's first task started within so many
+// seconds; 0: at all.
+func (j *Job) startedWithin(seconds float64) bool {
+	return j.FirstStartAt > 0 && (seconds == 0 || float64(j.FirstStartAt-j.SubmittedAt) <= seconds*1000)
+}
--- a/emulator/experiment_run.go
+++ b/emulator/experiment_run.go
@@ -57,9 +57,9 @@
 				continue
 			}
 			if status := m.Core.Rollout(m.Clock()); status != nil {
-				result.State, result.Reason, result.Total, result.StoppedTasks, result.DurationS = status.State, status.Reason, status.TotalMachines, counter.Total, float64(
-					sim.Now-appliedAt,
-				)/1000
+				result.State, result.Reason, result.Total = status.State, status.Reason, status.TotalMachines
+				result.StoppedTasks = counter.Total
+				result.DurationS = float64(sim.Now-appliedAt) / 1000
 				break
 			}
 		}
@@ -129,7 +129,42 @@
 
 func (experiment *Experiment) newSimulation(variant Variant, seed uint64) *Simulation {
 	platform := experiment.Platform
-	cfg := scheduler.Params{
+	spreads := map[string]float64{} // of run times, by class
+	for _, class := range experiment.Classes {
+		spreads[class.Name] = class.Spread
+	}
+	sim := New(Options{
+		Seed:                seed,
+		Members:             experiment.Members,
+		Types:               experiment.machineTypes(),
+		CapacityPerOffering: experiment.Machines,
+		Params:              experiment.params(variant),
+		MessageLoss:         experiment.Loss,
+		SpeedSpread:         platform.SpeedSpread,
+		FetchSpread:         platform.FetchSpread,
+		SpotLossPerHour:     platform.SpotLossPerHour,
+		NoticeS:             platform.NoticeS,
+		GangWaitMS:          int64(platform.GangWaitS * 1000),
+		TaskRunMS: func(_ *Simulation, j *Job, task string) int64 {
+			h := fnv.New64a()
+			h.Write([]byte(task))
+			r := rand.New(rand.NewPCG(seed, h.Sum64()))
+			return max(1, int64(1000*j.TaskRunS*math.Exp(spreads[j.Spec.Class]*r.NormFloat64())))
+		},
+	})
+	sim.StoreRPS, sim.StoreWriteRPS = platform.StoreRPS, platform.StoreWriteRPS
+	sim.Store.PageSize = storePageSize
+	sim.SweepIntervalMS = int64(experiment.SweepIntervalS * 1000)
+	return sim
+}
+
+// storePageSize bounds the keys in one response of the simulated state service.
+const storePageSize = 500
+
+// params is what the members' cores need of the experiment.
+func (experiment *Experiment) params(variant Variant) scheduler.Params {
+	platform := experiment.Platform
+	params := scheduler.Params{
 		Teams:            map[string]scheduler.Team{},
 		Objectives:       map[string][]scheduler.Objective{},
 		HeartbeatS:       platform.HeartbeatS,
@@ -147,66 +182,43 @@
 		StoreChangeRate:  platform.StoreWriteRPS / float64(experiment.Members),
 		LeaseTTLRatio:    variant.LeaseTTLRatio,
 	}
-	for _, spec := range experiment.Teams {
-		cfg.Teams[spec.Name] = scheduler.Team{CPUs: spec.CPUs, MaxCPUs: spec.MaxCPUs}
+	for _, team := range experiment.Teams {
+		params.Teams[team.Name] = scheduler.Team{CPUs: team.CPUs, MaxCPUs: team.MaxCPUs}
 	}
-	classes := map[string]*Class{}
-	for i := range experiment.Classes {
-		class := &experiment.Classes[i]
-		classes[class.Name] = class
-		if class.DeadlineS > 0 {
-			cfg.Objectives[class.Name] = append(
-				cfg.Objectives[class.Name],
-				scheduler.Objective{Kind: "deadline", DeadlineFactor: 1},
-			)
-		}
-		if class.WaitWithinS > 0 {
-			cfg.Objectives[class.Name] = append(
-				cfg.Objectives[class.Name],
-				scheduler.Objective{Kind: "wait", WithinS: class.WaitWithinS},
-			)
+	for _, class := range experiment.Classes {
+		if objectives := class.objectives(); len(objectives) > 0 {
+			params.Objectives[class.Name] = append(params.Objectives[class.Name], objectives...)
 		}
 	}
+	return params
+}
+
+// objectives are the service-level objectives of a class.
+func (class *Class) objectives() []scheduler.Objective {
+	var objectives []scheduler.Objective
+	if class.DeadlineS > 0 {
+		objectives = append(objectives, scheduler.Objective{Kind: "deadline", DeadlineFactor: 1})
+	}
+	if class.WaitWithinS > 0 {
+		objectives = append(objectives, scheduler.Objective{Kind: "wait", WithinS: class.WaitWithinS})
+	}
+	return objectives
+}
+
+func (experiment *Experiment) machineTypes() []scheduler.MachineType {
 	var types []scheduler.MachineType
-	for _, spec := range experiment.Types {
-		types = append(
-			types,
-			scheduler.MachineType{
-				Name:           spec.Name,
-				Resources:      availability.Resources{CPUs: spec.CPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.CacheGB},
-				ImageFetchGBps: spec.FetchGBps,
-				Price:          spec.Price,
-				SpotPrice:      spec.SpotPrice,
-				BootS:          spec.BootS,
-				Zones:          spec.Zones,
-			},
-		)
+	for _, t := range experiment.Types {
+		types = append(types, scheduler.MachineType{
+			Name:           t.Name,
+			Resources:      availability.Resources{CPUs: t.CPUs, MemoryGB: t.MemoryGB, DiskGB: t.CacheGB},
+			ImageFetchGBps: t.FetchGBps,
+			Price:          t.Price,
+			SpotPrice:      t.SpotPrice,
+			BootS:          t.BootS,
+			Zones:          t.Zones,
+		})
 	}
-	sim := New(
-		Options{
-			Seed:                seed,
-			Members:             experiment.Members,
-			Types:               types,
-			CapacityPerOffering: experiment.Machines,
-			Params:              cfg,
-			MessageLoss:         experiment.Loss,
-			SpeedSpread:         platform.SpeedSpread,
-			FetchSpread:         platform.FetchSpread,
-			SpotLossPerHour:     platform.SpotLossPerHour,
-			NoticeS:             platform.NoticeS,
-			GangWaitMS:          int64(platform.GangWaitS * 1000),
-			TaskRunMS: func(_ *Simulation, j *Job, task string) int64 {
-				h := fnv.New64a()
-				h.Write([]byte(task))
-				r := rand.New(rand.NewPCG(seed, h.Sum64()))
-				return max(1, int64(1000*j.TaskRunS*math.Exp(classes[j.Spec.Class].Spread*r.NormFloat64())))
-			},
-		},
-	)
-	sim.StoreRPS, sim.StoreWriteRPS, sim.Store.PageSize, sim.SweepIntervalMS = platform.StoreRPS, platform.StoreWriteRPS, 500, int64(
-		experiment.SweepIntervalS*1000,
-	)
-	return sim
+	return types
 }
 
 // scheduleArrivals has a class's jobs come, without memory, more often while a burst lasts.
--- /dev/null
+++ b/emulator/heartbeat_faults.go
@@ -0,0 +1,148 @@
+package emulator
+
+import (
+	"slices"
+
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+// ReplayHeartbeats has a copy of that share of the workers' reports arrive again, from
+// 2 s to well over a lease later.
+func (sim *Simulation) ReplayHeartbeats(probability float64, ms int64) {
+	sim.heartbeatReplays = faultRate{probability, sim.Now + ms}
+}
+
+// replayHeartbeat brings a copy of a report again, to the member that it went to.
+func (sim *Simulation) replayHeartbeat(worker *Worker, m *Member, hb scheduler.Heartbeat) {
+	if !sim.heartbeatReplays.occurs(sim) {
+		return
+	}
+	epoch := m.epoch
+	sim.After(2000+sim.Rand.Int64N(int64(sim.Params.LeaseS*1500)), func() {
+		if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
+			return
+		}
+		sim.DuplicateCounts["all"]++
+		if hb.Incarnation < worker.Agent.Incarnation {
+			sim.DuplicateCounts["of an earlier session"]++
+		}
+		if epoch != m.epoch {
+			sim.DuplicateCounts["after an end of the member"]++
+		}
+		m.lastReplyID++ // nobody waits for the answer
+		m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, hb)
+		m.dispatchOutputs()
+	})
+}
+
+// capturedHeartbeat is a copy of a worker's report.
+type capturedHeartbeat struct {
+	worker    *Worker
+	heartbeat scheduler.Heartbeat
+}
+
+// ReplayHeartbeatsAtClaim has a copy of that share of the workers' reports kept until a member
+// claims a shard, or the lead, and then arrive at every member.
+func (sim *Simulation) ReplayHeartbeatsAtClaim(probability float64, ms int64) {
+	sim.claimReplays = faultRate{probability, sim.Now + ms}
+}
+
+// captureForClaim keeps a copy of a report for the next claim.
+func (sim *Simulation) captureForClaim(worker *Worker, hb scheduler.Heartbeat) {
+	if !sim.claimReplays.occurs(sim) {
+		return
+	}
+	if len(sim.claimHeartbeats) == maxCapturedHeartbeats {
+		sim.claimHeartbeats = slices.Delete(sim.claimHeartbeats, 0, 1)
+	}
+	sim.claimHeartbeats = append(sim.claimHeartbeats, capturedHeartbeat{worker, hb})
+}
+
+// observeClaim sees a claim that the state service has carried out, and lets the kept
+// copies of reports arrive.
+func (sim *Simulation) observeClaim(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) {
+	if len(sim.claimHeartbeats)+len(sim.ownerHeartbeats) == 0 || op.Kind != scheduler.StoreTxn ||
+		result.Outcome != scheduler.OK {
+		return
+	}
+	claims := slices.ContainsFunc(op.Changes, func(c scheduler.Change) bool {
+		return c.Value != nil && (KeyKind(c.Key) == "l/s/" || c.Key == "l/lead")
+	})
+	if !claims {
+		return
+	}
+	if sim.newOwners == nil {
+		sim.newOwners = map[string]bool{}
+	}
+	sim.newOwners[m.Name] = true
+	captured := sim.claimHeartbeats
+	sim.claimHeartbeats = nil
+	sim.replayToAll(captured, "at a claim")
+}
+
+// replayToAll brings reports to every member within moments.
+func (sim *Simulation) replayToAll(captured []capturedHeartbeat, occasion string) {
+	for _, capture := range captured {
+		for _, m := range sim.Members {
+			sim.After(sim.Rand.Int64N(400), func() { sim.deliverDuplicate(m, capture, occasion) })
+		}
+	}
+}
+
+// DelayHeartbeatsUntilNewOwnerActs has that share of the workers' reports held back, unanswered, until a member
+// that claimed a shard, or the lead, has told a worker to do something. They arrive at every
+// member then.
+func (sim *Simulation) DelayHeartbeatsUntilNewOwnerActs(probability float64, ms int64) {
+	sim.ownerReplays = faultRate{probability, sim.Now + ms}
+}
+
+// captureForNewOwner tells whether a report is held back.
+func (sim *Simulation) captureForNewOwner(worker *Worker, hb scheduler.Heartbeat) bool {
+	if !sim.ownerReplays.occurs(sim) {
+		return false
+	}
+	if len(sim.ownerHeartbeats) == maxCapturedHeartbeats {
+		sim.ownerHeartbeats = slices.Delete(sim.ownerHeartbeats, 0, 1)
+	}
+	sim.ownerHeartbeats = append(sim.ownerHeartbeats, capturedHeartbeat{worker, hb})
+	return true
+}
+
+// observeFirstCommands sees whether a member that claimed something tells workers what to do for the
+// first time, and lets the reports arrive that were held until then.
+func (sim *Simulation) observeFirstCommands(m *Member, outputs *scheduler.Outputs) {
+	if !sim.newOwners[m.Name] {
+		return
+	}
+	hasCommands := slices.ContainsFunc(
+		outputs.DirectCommands,
+		func(command scheduler.DirectCommand) bool { return len(command.Commands) > 0 },
+	)
+	for _, resp := range outputs.HeartbeatResponses {
+		hasCommands = hasCommands || len(resp.Commands) > 0
+	}
+	if !hasCommands {
+		return
+	}
+	delete(sim.newOwners, m.Name)
+	captured := sim.ownerHeartbeats
+	sim.ownerHeartbeats = nil
+	sim.replayToAll(captured, "after a new holder acted")
+}
+
+// deliverDuplicate brings a report to a member; nobody waits for the answer.
+func (sim *Simulation) deliverDuplicate(m *Member, capture capturedHeartbeat, occasion string) {
+	if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
+		return
+	}
+	sim.DuplicateCounts[occasion]++
+	if capture.heartbeat.Incarnation < capture.worker.Agent.Incarnation {
+		sim.DuplicateCounts["of an earlier session "+occasion]++
+	}
+	m.lastReplyID++
+	m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, capture.heartbeat)
+	m.dispatchOutputs()
+}
+
+// maxCapturedHeartbeats bounds the copies that wait for a claim: later ones replace the oldest.
+const maxCapturedHeartbeats = 60
--- a/emulator/invariants.go
+++ b/emulator/invariants.go
@@ -104,7 +104,8 @@
 
 // sweep checks the rules on places and limits over all tasks.
 func (sim *Simulation) sweep() {
-	cpus, gpus, zones, workers := map[string]float64{}, map[string]float64{}, map[string]map[string]int{}, map[string]*Worker{}
+	cpus, gpus := map[string]float64{}, map[string]float64{}
+	zones, workers := map[string]map[string]int{}, map[string]*Worker{}
 	sim.EachTask(func(worker *Worker, t *platformfake.Task) {
 		if other := workers[t.Name]; other != nil {
 			sim.recordViolation("ran_twice", "%s on %s while on %s", t.Name, worker.Instance.ID, other.Instance.ID)
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -65,7 +65,8 @@
 	}
 	m.epoch++
 	m.startedAt = m.sim.Now
-	m.pendingHeartbeats, m.pendingUserRequests = map[uint64]func(scheduler.HeartbeatResponse){}, map[uint64]func(scheduler.UserResponse){}
+	m.pendingHeartbeats = map[uint64]func(scheduler.HeartbeatResponse){}
+	m.pendingUserRequests = map[uint64]func(scheduler.UserResponse){}
 	m.Core = scheduler.New(cfg, m.sim.Rand.Uint64(), m.Clock())
 	m.tick(m.epoch)
 }
@@ -120,176 +121,210 @@
 		return
 	}
 	memberCount := float64(len(sim.Members))
-	m.budgetFreeAt = max(
-		m.budgetFreeAt,
-		sim.Now-1000,
-	) + int64(
-		max(1, memberCount/sim.StoreRPS*1000, memberCount/sim.StoreWriteRPS*1000*float64(len(op.Changes))),
-	)
+	cost := max(1, memberCount/sim.StoreRPS*1000, memberCount/sim.StoreWriteRPS*1000*float64(len(op.Changes)))
+	m.budgetFreeAt = max(m.budgetFreeAt, sim.Now-1000) + int64(cost)
 	sim.After(max(0, m.budgetFreeAt-sim.Now), func() { sim.sendMessage(m.Name, "store", send) })
 }
 
+// dispatchOutputs carries out what the member's core wants done.
 func (m *Member) dispatchOutputs() {
+	// An observer may end the member: what its core wanted is sent all the same, as
+	// from a process that ends a moment later, but no answer reaches the next one.
 	sim, epoch := m.sim, m.epoch
 	outputs := m.Core.TakeOutputs()
 	if sim.Observer != nil {
 		sim.Observer(m, &outputs)
 	}
-	for _, line := range outputs.Logs {
+	m.traceLogs(outputs.Logs)
+	sim.observeFirstCommands(m, &outputs)
+	m.respondToWorkers(outputs.HeartbeatResponses)
+	m.respondToUsers(outputs.UserResponses)
+	for _, op := range outputs.StoreOps {
+		m.sendStoreOp(epoch, op)
+	}
+	for _, op := range outputs.CloudOps {
+		m.sendCloudOp(epoch, op)
+	}
+	for _, command := range outputs.DirectCommands {
+		m.sendDirectCommand(epoch, command)
+	}
+	for _, request := range outputs.Relays {
+		m.relayRequest(epoch, request)
+	}
+	if outputs.PeerMessage == nil {
+		return
+	}
+	for _, peer := range sim.Members {
+		if peer != m {
+			m.sendPeerMessage(peer, &outputs)
+		}
+	}
+}
+
+func (m *Member) traceLogs(lines []scheduler.LogLine) {
+	for _, line := range lines {
 		if line.Message == "task stopped for a higher priority" {
-			sim.PriorityStops++
+			m.sim.PriorityStops++
 		}
-		sim.Tracef("%s %s %v", m.Name, line.Message, line.Args)
+		m.sim.Tracef("%s %s %v", m.Name, line.Message, line.Args)
 	}
-	sim.observeFirstCommands(m, &outputs)
-	for _, id := range slices.Sorted(maps.Keys(outputs.HeartbeatResponses)) {
-		resp := outputs.HeartbeatResponses[id]
-		sim.checkCommands(resp.Commands)
+}
+
+func (m *Member) respondToWorkers(responses map[uint64]scheduler.HeartbeatResponse) {
+	for _, id := range slices.Sorted(maps.Keys(responses)) {
+		resp := responses[id]
+		m.sim.checkCommands(resp.Commands)
 		if respond := m.pendingHeartbeats[id]; respond != nil {
 			delete(m.pendingHeartbeats, id)
 			respond(resp)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(outputs.UserResponses)) {
-		resp := outputs.UserResponses[id]
+}
+
+func (m *Member) respondToUsers(responses map[uint64]scheduler.UserResponse) {
+	for _, id := range slices.Sorted(maps.Keys(responses)) {
+		resp := responses[id]
 		if respond := m.pendingUserRequests[id]; respond != nil {
 			delete(m.pendingUserRequests, id)
 			respond(resp)
 		}
 	}
-	for _, op := range outputs.StoreOps {
-		timeoutMS := int64(requestTimeoutMS)
-		if op.Kind == scheduler.StoreWatch {
-			timeoutMS += op.DurationMS
-		}
-		respondStore := func(result scheduler.StoreResult) {
-			sim.sendMessage("store", m.Name, m.inEpoch(epoch, func() { m.Core.HandleStoreResult(m.Clock(), op.ID, result) }))
-		}
-		sim.StoreRequests[op.Kind]++
-		sim.StoreChanges += len(op.Changes)
-		sim.sendToStore(m, op, func() {
-			if sim.storeRefuses(m.Name) {
-				respondStore(scheduler.StoreResult{Outcome: scheduler.Refused})
-				return
-			}
-			if sim.divertLateWrite(m, op) {
-				return
-			}
-			result, ready := sim.Store.Apply(sim.Now, op)
-			if op.Kind == scheduler.StoreWatch && !ready {
-				sim.parkedWatches = append(sim.parkedWatches, parkedWatch{op, sim.Now + op.DurationMS, m.Name, respondStore})
-				return
-			}
-			sim.observeClaim(m, op, result)
-			if sim.dropsStoreResponse(m, op, result) {
-				return
-			}
-			respondStore(result)
-		})
-		sim.After(
-			timeoutMS,
-			m.inEpoch(
-				epoch,
-				func() { m.Core.HandleStoreResult(m.Clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown}) },
-			),
-		)
+}
+
+func (m *Member) sendStoreOp(epoch int, op scheduler.StoreOp) {
+	sim := m.sim
+	timeoutMS := int64(requestTimeoutMS)
+	if op.Kind == scheduler.StoreWatch {
+		timeoutMS += op.DurationMS
 	}
-	for _, op := range outputs.CloudOps {
-		switch op.Kind {
-		case scheduler.CloudProvision:
-			sim.countCommands("rent", op.Count)
-		case scheduler.CloudRelease:
-			sim.countCommands("return", len(op.Machines))
-		}
-		sim.sendMessage(m.Name, "cloud", func() {
-			result := sim.Cloud.Apply(sim.Now, op)
-			sim.sendMessage("cloud", m.Name, m.inEpoch(epoch, func() { m.Core.HandleCloudResult(m.Clock(), op.ID, result) }))
+	respond := func(result scheduler.StoreResult) {
+		sim.sendMessage("store", m.Name, m.inEpoch(epoch, func() { m.Core.HandleStoreResult(m.Clock(), op.ID, result) }))
+	}
+	sim.StoreRequests[op.Kind]++
+	sim.StoreChanges += len(op.Changes)
+	sim.sendToStore(m, op, func() { sim.runStoreOp(m, op, respond) })
+	sim.After(timeoutMS, m.inEpoch(epoch, func() {
+		m.Core.HandleStoreResult(m.Clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
+	}))
+}
+
+// runStoreOp carries out a request at the state service.
+func (sim *Simulation) runStoreOp(m *Member, op scheduler.StoreOp, respond func(scheduler.StoreResult)) {
+	if sim.storeRefuses(m.Name) {
+		respond(scheduler.StoreResult{Outcome: scheduler.Refused})
+		return
+	}
+	if sim.divertLateWrite(m, op) {
+		return
+	}
+	result, ready := sim.Store.Apply(sim.Now, op)
+	if op.Kind == scheduler.StoreWatch && !ready {
+		sim.parkedWatches = append(sim.parkedWatches, parkedWatch{op, sim.Now + op.DurationMS, m.Name, respond})
+		return
+	}
+	sim.observeClaim(m, op, result)
+	if sim.dropsStoreResponse(m, op, result) {
+		return
+	}
+	respond(result)
+}
+
+func (m *Member) sendCloudOp(epoch int, op scheduler.CloudOp) {
+	sim := m.sim
+	switch op.Kind {
+	case scheduler.CloudProvision:
+		sim.countCommands("rent", op.Count)
+	case scheduler.CloudRelease:
+		sim.countCommands("return", len(op.Machines))
+	}
+	sim.sendMessage(m.Name, "cloud", func() {
+		result := sim.Cloud.Apply(sim.Now, op)
+		sim.sendMessage("cloud", m.Name, m.inEpoch(epoch, func() { m.Core.HandleCloudResult(m.Clock(), op.ID, result) }))
+	})
+	sim.After(2*requestTimeoutMS, m.inEpoch(epoch, func() {
+		m.Core.HandleCloudResult(m.Clock(), op.ID, scheduler.CloudResult{Outcome: scheduler.Unknown})
+	}))
+}
+
+func (m *Member) sendDirectCommand(epoch int, command scheduler.DirectCommand) {
+	sim := m.sim
+	sim.checkCommands(command.Commands)
+	if len(command.Commands) == 0 {
+		sim.countCommands("ask", 1)
+	}
+	worker := sim.Workers[command.Machine]
+	if worker == nil {
+		return
+	}
+	if len(command.Commands) > 0 && sim.commandDelays.occurs(sim) {
+		sim.runCommandLate(worker, command)
+	} else {
+		sim.sendMessage(m.Name, "w"+command.Machine, func() {
+			sim.runAt(worker.commandsDelayedUntil, func() { sim.runDirectCommand(m, epoch, worker, command) })
 		})
-		sim.After(
-			2*requestTimeoutMS,
-			m.inEpoch(
-				epoch,
-				func() { m.Core.HandleCloudResult(m.Clock(), op.ID, scheduler.CloudResult{Outcome: scheduler.Unknown}) },
-			),
-		)
 	}
-	for _, command := range outputs.DirectCommands {
-		sim.checkCommands(command.Commands)
-		if len(command.Commands) == 0 {
-			sim.countCommands("ask", 1)
-		}
-		worker := sim.Workers[command.Machine]
-		if worker == nil {
-			continue
-		}
-		if len(command.Commands) > 0 && sim.commandDelays.occurs(sim) {
-			sim.runCommandLate(worker, command)
-		} else {
-			sim.sendMessage(m.Name, "w"+command.Machine, func() {
-				sim.runAt(worker.commandsDelayedUntil, func() { sim.runDirectCommand(m, epoch, worker, command) })
-			})
+	sim.After(requestTimeoutMS, m.inEpoch(epoch, func() {
+		m.Core.HandleDirectCommandResult(m.Clock(), command.ID, scheduler.DirectCommandResult{Outcome: scheduler.Unknown})
+	}))
+}
+
+func (m *Member) relayRequest(epoch int, request scheduler.RelayRequest) {
+	sim := m.sim
+	peer := sim.Members[slices.IndexFunc(sim.Members, func(peer *Member) bool { return peer.Name == request.Peer })]
+	finished := false
+	finish := func(resp scheduler.UserResponse, ok bool) {
+		if !finished {
+			finished = true
+			m.inEpoch(epoch, func() { m.Core.HandleRelayResult(m.Clock(), request.ID, resp, ok) })()
 		}
-		sim.After(requestTimeoutMS, m.inEpoch(epoch, func() {
-			m.Core.HandleDirectCommandResult(m.Clock(), command.ID, scheduler.DirectCommandResult{Outcome: scheduler.Unknown})
-		}))
-	}
-	for _, result := range outputs.Relays {
-		peer := sim.Members[slices.IndexFunc(sim.Members, func(peer *Member) bool { return peer.Name == result.Peer })]
-		finished := false
-		finish := func(resp scheduler.UserResponse, ok bool) {
-			if !finished {
-				finished = true
-				m.inEpoch(epoch, func() { m.Core.HandleRelayResult(m.Clock(), result.ID, resp, ok) })()
-			}
+	}
+	sim.Relayed++
+	sim.sendMessage(m.Name, peer.Name, func() {
+		if peer.Core == nil {
+			return
 		}
-		sim.Relayed++
-		sim.sendMessage(m.Name, peer.Name, func() {
-			if peer.Core == nil {
-				return
-			}
-			peer.lastReplyID++
-			peer.pendingUserRequests[peer.lastReplyID] = func(resp scheduler.UserResponse) {
-				sim.sendMessage(
-					peer.Name, m.Name, func() { finish(resp, true) },
-				)
-			}
-			peer.Core.HandleUserRequest(peer.Clock(), peer.lastReplyID, result.Request)
-			peer.dispatchOutputs()
-		})
-		sim.After(requestTimeoutMS/2, func() { finish(scheduler.UserResponse{}, false) })
-	}
-	if outputs.PeerMessage != nil {
-		for _, peer := range sim.Members {
-			if peer == m {
-				continue
-			}
-			msg := *outputs.PeerMessage
-			if outputs.SummaryRecipients != nil && !slices.Contains(outputs.SummaryRecipients, peer.Name) {
-				msg = *outputs.PeerMessage.WithoutSummaries()
-			}
-			if sim.PeerMessages++; !msg.OmitsSummaries {
-				sim.SummaryMessages++
-			}
-			deliveries := 1
-			if sim.Rand.Float64() < 0.02 {
-				deliveries = 2
-			}
-			for range deliveries {
-				sim.sendMessage(m.Name, peer.Name, func() {
-					if peer.Core != nil {
-						// Each has a copy of its own, as on the network.
-						msg := msg
-						msg.OwnedShards = slices.Clone(msg.OwnedShards)
-						for i := range msg.OwnedShards {
-							msg.OwnedShards[i].Summary = slices.Clone(msg.OwnedShards[i].Summary)
-						}
-						peer.Core.HandlePeerMessage(peer.Clock(), msg)
-						peer.dispatchOutputs()
-					}
-				})
-			}
+		peer.lastReplyID++
+		peer.pendingUserRequests[peer.lastReplyID] = func(resp scheduler.UserResponse) {
+			sim.sendMessage(peer.Name, m.Name, func() { finish(resp, true) })
 		}
+		peer.Core.HandleUserRequest(peer.Clock(), peer.lastReplyID, request.Request)
+		peer.dispatchOutputs()
+	})
+	sim.After(requestTimeoutMS/2, func() { finish(scheduler.UserResponse{}, false) })
+}
+
+// duplicatePeerMessageShare is the share of peers' messages that arrive twice.
+const duplicatePeerMessageShare = 0.02
+
+func (m *Member) sendPeerMessage(peer *Member, outputs *scheduler.Outputs) {
+	sim := m.sim
+	msg := *outputs.PeerMessage
+	if outputs.SummaryRecipients != nil && !slices.Contains(outputs.SummaryRecipients, peer.Name) {
+		msg = *outputs.PeerMessage.WithoutSummaries()
+	}
+	if sim.PeerMessages++; !msg.OmitsSummaries {
+		sim.SummaryMessages++
+	}
+	deliveries := 1
+	if sim.Rand.Float64() < duplicatePeerMessageShare {
+		deliveries = 2
 	}
+	for range deliveries {
+		sim.sendMessage(m.Name, peer.Name, func() { peer.receivePeerMessage(msg) })
+	}
+}
+
+// receivePeerMessage hands the core a copy of its own, as the network does.
+func (m *Member) receivePeerMessage(msg scheduler.PeerMessage) {
+	if m.Core == nil {
+		return
+	}
+	msg.OwnedShards = slices.Clone(msg.OwnedShards)
+	for i := range msg.OwnedShards {
+		msg.OwnedShards[i].Summary = slices.Clone(msg.OwnedShards[i].Summary)
+	}
+	m.Core.HandlePeerMessage(m.Clock(), msg)
+	m.dispatchOutputs()
 }
 
 func (sim *Simulation) runDirectCommand(m *Member, epoch int, worker *Worker, command scheduler.DirectCommand) {
--- a/emulator/protocol_faults.go
+++ b/emulator/protocol_faults.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"slices"
 	"strings"
 
 	"github.com/grebedock/grebedock/scheduler"
@@ -28,12 +27,6 @@
 	sim.writeDelays = faultRate{probability, sim.Now + ms}
 }
 
-// ReplayHeartbeats has a copy of that share of the workers' reports arrive again, from
-// 2 s to well over a lease later.
-func (sim *Simulation) ReplayHeartbeats(probability float64, ms int64) {
-	sim.heartbeatReplays = faultRate{probability, sim.Now + ms}
-}
-
 // LoseResponses has that share of transactions be carried out at once, and only their
 // answer lost.
 func (sim *Simulation) LoseResponses(probability float64, ms int64) {
@@ -265,29 +258,6 @@
 	return true
 }
 
-// replayHeartbeat brings a copy of a report again, to the member that it went to.
-func (sim *Simulation) replayHeartbeat(worker *Worker, m *Member, hb scheduler.Heartbeat) {
-	if !sim.heartbeatReplays.occurs(sim) {
-		return
-	}
-	epoch := m.epoch
-	sim.After(2000+sim.Rand.Int64N(int64(sim.Params.LeaseS*1500)), func() {
-		if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
-			return
-		}
-		sim.DuplicateCounts["all"]++
-		if hb.Incarnation < worker.Agent.Incarnation {
-			sim.DuplicateCounts["of an earlier session"]++
-		}
-		if epoch != m.epoch {
-			sim.DuplicateCounts["after an end of the member"]++
-		}
-		m.lastReplyID++ // nobody waits for the answer
-		m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, hb)
-		m.dispatchOutputs()
-	})
-}
-
 // runCommandLate carries out commands that were held up on their way; nobody is answered.
 func (sim *Simulation) runCommandLate(worker *Worker, command scheduler.DirectCommand) {
 	var run func()
@@ -304,242 +274,9 @@
 	sim.After(2000+sim.Rand.Int64N(14_000), run)
 }
 
-// capturedHeartbeat is a copy of a worker's report.
-type capturedHeartbeat struct {
-	worker    *Worker
-	heartbeat scheduler.Heartbeat
-}
-
-// maxCapturedHeartbeats bounds the copies that wait for a claim: later ones replace the oldest.
-const maxCapturedHeartbeats = 60
-
-// ReplayHeartbeatsAtClaim has a copy of that share of the workers' reports kept until a member
-// claims a shard, or the lead, and then arrive at every member.
-func (sim *Simulation) ReplayHeartbeatsAtClaim(probability float64, ms int64) {
-	sim.claimReplays = faultRate{probability, sim.Now + ms}
-}
-
-// captureForClaim keeps a copy of a report for the next claim.
-func (sim *Simulation) captureForClaim(worker *Worker, hb scheduler.Heartbeat) {
-	if !sim.claimReplays.occurs(sim) {
-		return
-	}
-	if len(sim.claimHeartbeats) == maxCapturedHeartbeats {
-		sim.claimHeartbeats = slices.Delete(sim.claimHeartbeats, 0, 1)
-	}
-	sim.claimHeartbeats = append(sim.claimHeartbeats, capturedHeartbeat{worker, hb})
-}
-
-// observeClaim sees a claim that the state service has carried out, and lets the kept
-// copies of reports arrive.
-func (sim *Simulation) observeClaim(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) {
-	if len(sim.claimHeartbeats)+len(sim.ownerHeartbeats) == 0 || op.Kind != scheduler.StoreTxn ||
-		result.Outcome != scheduler.OK {
-		return
-	}
-	claims := slices.ContainsFunc(op.Changes, func(c scheduler.Change) bool {
-		return c.Value != nil && (KeyKind(c.Key) == "l/s/" || c.Key == "l/lead")
-	})
-	if !claims {
-		return
-	}
-	if sim.newOwners == nil {
-		sim.newOwners = map[string]bool{}
-	}
-	sim.newOwners[m.Name] = true
-	captured := sim.claimHeartbeats
-	sim.claimHeartbeats = nil
-	sim.replayToAll(captured, "at a claim")
-}
-
-// replayToAll brings reports to every member within moments.
-func (sim *Simulation) replayToAll(captured []capturedHeartbeat, occasion string) {
-	for _, capture := range captured {
-		for _, m := range sim.Members {
-			sim.After(sim.Rand.Int64N(400), func() { sim.deliverDuplicate(m, capture, occasion) })
-		}
-	}
-}
-
-// DelayHeartbeatsUntilNewOwnerActs has that share of the workers' reports held back, unanswered, until a member
-// that claimed a shard, or the lead, has told a worker to do something. They arrive at every
-// member then.
-func (sim *Simulation) DelayHeartbeatsUntilNewOwnerActs(probability float64, ms int64) {
-	sim.ownerReplays = faultRate{probability, sim.Now + ms}
-}
-
-// captureForNewOwner tells whether a report is held back.
-func (sim *Simulation) captureForNewOwner(worker *Worker, hb scheduler.Heartbeat) bool {
-	if !sim.ownerReplays.occurs(sim) {
-		return false
-	}
-	if len(sim.ownerHeartbeats) == maxCapturedHeartbeats {
-		sim.ownerHeartbeats = slices.Delete(sim.ownerHeartbeats, 0, 1)
-	}
-	sim.ownerHeartbeats = append(sim.ownerHeartbeats, capturedHeartbeat{worker, hb})
-	return true
-}
-
-// observeFirstCommands sees whether a member that claimed something tells workers what to do for the
-// first time, and lets the reports arrive that were held until then.
-func (sim *Simulation) observeFirstCommands(m *Member, outputs *scheduler.Outputs) {
-	if !sim.newOwners[m.Name] {
-		return
-	}
-	hasCommands := slices.ContainsFunc(
-		outputs.DirectCommands,
-		func(command scheduler.DirectCommand) bool { return len(command.Commands) > 0 },
-	)
-	for _, resp := range outputs.HeartbeatResponses {
-		hasCommands = hasCommands || len(resp.Commands) > 0
-	}
-	if !hasCommands {
-		return
-	}
-	delete(sim.newOwners, m.Name)
-	captured := sim.ownerHeartbeats
-	sim.ownerHeartbeats = nil
-	sim.replayToAll(captured, "after a new holder acted")
-}
-
-// deliverDuplicate brings a report to a member; nobody waits for the answer.
-func (sim *Simulation) deliverDuplicate(m *Member, capture capturedHeartbeat, occasion string) {
-	if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
-		return
-	}
-	sim.DuplicateCounts[occasion]++
-	if capture.heartbeat.Incarnation < capture.worker.Agent.Incarnation {
-		sim.DuplicateCounts["of an earlier session "+occasion]++
-	}
-	m.lastReplyID++
-	m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, capture.heartbeat)
-	m.dispatchOutputs()
-}
-
-// SampleLiveWorkers does something to a share of the machines that are up.
-func (sim *Simulation) SampleLiveWorkers(probability float64, action func(*Worker)) {
-	for _, id := range sim.WorkerIDs {
-		if worker := sim.Workers[id]; worker.Up && !worker.Gone && sim.Rand.Float64() < probability {
-			action(worker)
-		}
-	}
-}
-
 // CrashAll ends every member; they are back some three seconds later, not together.
 func (sim *Simulation) CrashAll() {
 	for _, m := range sim.Members {
 		m.Crash(2500 + sim.Rand.Int64N(1500))
 	}
 }
-
-func (sim *Simulation) randomMember() *Member { return sim.Members[sim.Rand.IntN(len(sim.Members))] }
-
-// randomBetween draws a time of so many milliseconds.
-func (sim *Simulation) randomBetween(from, to int64) int64 { return from + sim.Rand.Int64N(to-from) }
-
-// Fault is something that can go wrong, with lengths of its own.
-type Fault struct {
-	Name   string
-	Inject func(*Simulation)
-}
-
-// Faults are all that can go wrong by themselves, for days that pair them.
-var Faults = []Fault{
-	{
-		"late writes",
-		func(sim *Simulation) { sim.DelayWrites(0.1+0.5*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) },
-	},
-	{"late reports", func(sim *Simulation) {
-		sim.ReplayHeartbeats(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
-	}},
-	{
-		"lost answers",
-		func(sim *Simulation) { sim.LoseResponses(0.1+0.5*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) },
-	},
-	{"reports kept for the next claim", func(sim *Simulation) {
-		sim.ReplayHeartbeatsAtClaim(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
-	}},
-	{"reports held until a new holder acts", func(sim *Simulation) {
-		sim.DelayHeartbeatsUntilNewOwnerActs(0.1+0.3*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
-	}},
-	{
-		"commands late",
-		func(sim *Simulation) { sim.DelayCommands(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) },
-	},
-	{"mute machines", func(sim *Simulation) {
-		sim.SampleLiveWorkers(0.4, func(worker *Worker) { sim.PartitionOutbound(worker, sim.randomBetween(2000, 28_000)) })
-	}},
-	{"jobs cancelled together", func(sim *Simulation) {
-		sim.CancelRunningJobs(1+sim.Rand.IntN(4), sim.randomBetween(0, 2)*sim.randomBetween(2000, 10_000))
-	}},
-	{"jobs cancelled as they end", func(sim *Simulation) { sim.CancelAtEnd(0.5, sim.randomBetween(3000, 28_000)) }},
-	{"odd requests", func(sim *Simulation) { sim.SendInvalidRequests(sim.randomBetween(3000, 28_000)) }},
-	{"close looks", func(sim *Simulation) { sim.ReadConcurrently(sim.randomBetween(3000, 28_000)) }},
-	{"deaf machines", func(sim *Simulation) {
-		sim.SampleLiveWorkers(0.4, func(worker *Worker) { sim.PartitionInbound(worker, sim.randomBetween(2000, 28_000)) })
-	}},
-	{
-		"a member cut from state and peers, held",
-		func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), false) },
-	},
-	{
-		"a member cut from state and peers, refused",
-		func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), true) },
-	},
-	{"slow state", func(sim *Simulation) { sim.SlowStore(sim.randomBetween(400, 3000), sim.randomBetween(3000, 28_000)) }},
-	{
-		"a member stands still",
-		func(sim *Simulation) { sim.PauseMember(sim.randomMember(), sim.randomBetween(500, 12_000)) },
-	},
-	{"commands held", func(sim *Simulation) {
-		sim.SampleLiveWorkers(0.5, func(worker *Worker) {
-			sim.DelayWorkerCommands(worker, sim.randomBetween(1000, 11_000), sim.Rand.IntN(2) == 0)
-		})
-	}},
-	{"refused alone, then down for all", func(sim *Simulation) {
-		durationMS := sim.randomBetween(3000, 28_000)
-		sim.StartOutage(sim.randomMember().Name, durationMS)
-		sim.After(sim.Rand.Int64N(durationMS), func() { sim.StartOutage("all", sim.randomBetween(2000, 56_000)) })
-	}},
-	{"one ends, back within a second", func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(100, 1000)) }},
-	{
-		"one ends, is adopted and comes back",
-		func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(14_000, 20_000)) },
-	},
-	{"all end", (*Simulation).CrashAll},
-	{"a roll", func(sim *Simulation) {
-		for i, m := range sim.Members {
-			sim.After(int64(i)*2500, func() { m.Crash(1500) })
-		}
-	}},
-	{"an outage", func(sim *Simulation) { sim.StartOutage("all", sim.randomBetween(1000, 10_000)) }},
-	{"a zone cut off", func(sim *Simulation) {
-		sim.PartitionZone([]string{"a", "b"}[sim.Rand.IntN(2)], sim.randomBetween(2000, 14_000))
-	}},
-	{"a wave of spot machines taken back", func(sim *Simulation) {
-		sim.SampleLiveWorkers(0.5, func(worker *Worker) {
-			if worker.Instance.Spot {
-				sim.Cloud.Reclaim(worker.Instance.ID)
-			}
-		})
-	}},
-	{"machines hang", func(sim *Simulation) {
-		sim.SampleLiveWorkers(0.4, func(worker *Worker) { worker.HangUntil = sim.Now + sim.randomBetween(1000, 10_000) })
-	}},
-	{"a member lacks processor time", func(sim *Simulation) {
-		sim.Lags[sim.randomMember().Name] = Lag{Until: sim.Now + 12_000, MaxDelayMS: 3000}
-	}},
-	{"a member cut from its workers", func(sim *Simulation) {
-		sim.Partitions = append(
-			sim.Partitions,
-			Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + sim.randomBetween(2000, 11_000)},
-		)
-	}},
-}
-
-// InjectRandomFault begins one of them.
-func (sim *Simulation) InjectRandomFault() {
-	fault := Faults[sim.Rand.IntN(len(Faults))]
-	sim.Tracef("trouble: %s", fault.Name)
-	fault.Inject(sim)
-}
--- a/emulator/workers.go
+++ b/emulator/workers.go
@@ -59,6 +59,10 @@
 // Clock is the machine's own steady clock.
 func (worker *Worker) Clock(sim *Simulation) int64 { return int64(float64(sim.Now) * worker.clockRate) }
 
+// neverBootsShare is the share of instances that never come up.
+const neverBootsShare = 0.05
+
+// provisioned takes an instance that the cloud gave out.
 func (sim *Simulation) provisioned(instance *platformfake.Instance) {
 	worker := &Worker{
 		Instance:      instance,
@@ -68,13 +72,11 @@
 	}
 	sim.Workers[instance.ID] = worker
 	sim.WorkerIDs = append(sim.WorkerIDs, instance.ID)
-	var machineType scheduler.MachineType
 	for _, candidate := range sim.Cloud.Types {
 		if candidate.Name == instance.Type {
-			machineType = candidate
+			worker.machineType = candidate
 		}
 	}
-	worker.machineType = machineType
 	speedRatio, fetchRatio := 1.0, 1.0
 	if sim.options.SpeedSpread > 0 {
 		speedRatio = 1 + sim.options.SpeedSpread*(2*sim.Rand.Float64()-1)
@@ -83,14 +85,12 @@
 		fetchRatio = 1 + sim.options.FetchSpread*(2*sim.Rand.Float64()-1)
 	}
 	if instance.Spot && sim.options.SpotLossPerHour > 0 {
-		sim.After(
-			max(1, int64(sim.Rand.ExpFloat64()*3_600_000*100/sim.options.SpotLossPerHour)),
-			func() { sim.interruptSpot(worker) },
-		)
+		lossAfterMS := int64(sim.Rand.ExpFloat64() * 3_600_000 * 100 / sim.options.SpotLossPerHour)
+		sim.After(max(1, lossAfterMS), func() { sim.interruptSpot(worker) })
 	}
-	bootMS := int64(machineType.BootS * 1000 * (0.6 + 0.9*sim.Rand.Float64()))
-	if sim.Rand.Float64() < 0.05 {
-		return // never comes up
+	bootMS := int64(worker.machineType.BootS * 1000 * (0.6 + 0.9*sim.Rand.Float64()))
+	if sim.Rand.Float64() < neverBootsShare {
+		return
 	}
 	if sim.BootDelay != nil {
 		bootMS = sim.BootDelay(worker, bootMS)
@@ -98,73 +98,86 @@
 	if bootMS < 0 {
 		return
 	}
-	sim.After(bootMS, func() {
-		if worker.Gone {
-			return
-		}
-		worker.Up = true
-		instance.State = "running"
-		worker.Agent = &platformfake.Worker{
-			Machine:   instance.CloudMachine,
-			Resources: machineType.Resources,
-			LeaseMS:   int64(sim.Params.LeaseS * 1000),
-			FetchMS:   300 + sim.Rand.Int64N(900),
-			FindJob: func(id string) *scheduler.Job {
-				if j := sim.Jobs[id]; j != nil {
-					return &j.Spec
-				}
-				return nil
-			},
-			RunTimeMS: func(task string) int64 {
-				j := sim.Jobs[task[:strings.IndexByte(task, '/')]]
-				ms := sim.options.TaskRunMS(sim, j, task)
-				j.longestRunMS = max(j.longestRunMS, ms)
-				return ms * int64(1000*speedRatio) / 1000
-			},
-			GangTimeoutMS: sim.options.GangWaitMS,
-			OnStarted:     func(_ *platformfake.Worker, machineType *platformfake.Task) { sim.onStart(worker, machineType) },
-			OnStopping: func(_ *platformfake.Worker, machineType *platformfake.Task) {
-				sim.discountEarlyStop(worker, machineType)
-				if sim.OnTaskStop != nil {
-					sim.OnTaskStop(worker, machineType)
-				}
-			},
-			OnDone: func(_ *platformfake.Worker, machineType *platformfake.Task) {
-				if sim.OnTaskDone != nil {
-					sim.OnTaskDone(machineType)
-				}
-				j := sim.Jobs[machineType.Job.ID]
-				if startedAt, ok := worker.taskStartedAt[machineType.Name]; ok && !j.DoneTasks[machineType.Name] {
-					ms := float64(sim.Now-startedAt) * j.Spec.Request.CPUs
-					sim.usefulCPUMS += ms
-					sim.usefulCost += ms / worker.machineType.Resources.CPUs * worker.price()
-				}
-				if j.DoneTasks[machineType.Name] = true; len(j.DoneTasks) == j.Spec.Tasks && j.DoneAt == 0 {
-					j.DoneAt = sim.Now
-					sim.onJobDone(j)
-				}
-			},
-			Execute: func(machineType *platformfake.Task) platformfake.Execution {
-				if sim.IsFaulty != nil && sim.IsFaulty(worker) ||
-					sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[machineType.Job.ID]) {
-					return &erringExecution{sim, sim.Now + 1000, false}
-				}
-				if machineType.Job.MaxTaskErrors == 0 {
-					return nil
-				}
-				return &erringExecution{sim, sim.Now + 1000 + sim.Rand.Int64N(4000), sim.Rand.IntN(4) > 0}
-			},
-		}
-		if sim.options.GangWaitMS > 0 {
-			worker.Agent.IsGangReady = sim.isGangComplete
+	sim.After(bootMS, func() { sim.bootWorker(worker, speedRatio, fetchRatio) })
+}
+
+// bootWorker starts the agent of a machine that has come up, unless it is gone.
+func (sim *Simulation) bootWorker(worker *Worker, speedRatio, fetchRatio float64) {
+	if worker.Gone {
+		return
+	}
+	worker.Up = true
+	worker.Instance.State = "running"
+	worker.Agent = sim.newAgent(worker, speedRatio)
+	if sim.options.GangWaitMS > 0 {
+		worker.Agent.IsGangReady = sim.isGangComplete
+	}
+	if fetchGBps := worker.machineType.ImageFetchGBps; sim.options.FetchSpread > 0 && fetchGBps > 0 {
+		worker.Agent.FetchTimeMS = func(j *scheduler.Job) int64 {
+			return int64(1000 * j.Request.DiskGB / fetchGBps * fetchRatio)
 		}
-		if sim.options.FetchSpread > 0 && machineType.ImageFetchGBps > 0 {
-			worker.Agent.FetchTimeMS = func(j *scheduler.Job) int64 {
-				return int64(1000 * j.Request.DiskGB / machineType.ImageFetchGBps * fetchRatio)
+	}
+	worker.Agent.StartIncarnation(worker.Clock(sim))
+}
+
+func (sim *Simulation) newAgent(worker *Worker, speedRatio float64) *platformfake.Worker {
+	return &platformfake.Worker{
+		Machine:   worker.Instance.CloudMachine,
+		Resources: worker.machineType.Resources,
+		LeaseMS:   int64(sim.Params.LeaseS * 1000),
+		FetchMS:   300 + sim.Rand.Int64N(900),
+		FindJob: func(id string) *scheduler.Job {
+			if j := sim.Jobs[id]; j != nil {
+				return &j.Spec
 			}
-		}
-		worker.Agent.StartIncarnation(worker.Clock(sim))
-	})
+			return nil
+		},
+		RunTimeMS: func(task string) int64 {
+			j := sim.Jobs[task[:strings.IndexByte(task, '/')]]
+			runMS := sim.options.TaskRunMS(sim, j, task)
+			j.longestRunMS = max(j.longestRunMS, runMS)
+			return runMS * int64(1000*speedRatio) / 1000
+		},
+		GangTimeoutMS: sim.options.GangWaitMS,
+		OnStarted:     func(_ *platformfake.Worker, t *platformfake.Task) { sim.onStart(worker, t) },
+		OnStopping: func(_ *platformfake.Worker, t *platformfake.Task) {
+			sim.discountEarlyStop(worker, t)
+			if sim.OnTaskStop != nil {
+				sim.OnTaskStop(worker, t)
+			}
+		},
+		OnDone:  func(_ *platformfake.Worker, t *platformfake.Task) { sim.onDone(worker, t) },
+		Execute: func(t *platformfake.Task) platformfake.Execution { return sim.execute(worker, t) },
+	}
+}
+
+// onDone counts a task's result, and what of its machine's time was of use.
+func (sim *Simulation) onDone(worker *Worker, t *platformfake.Task) {
+	if sim.OnTaskDone != nil {
+		sim.OnTaskDone(t)
+	}
+	j := sim.Jobs[t.Job.ID]
+	if startedAt, ok := worker.taskStartedAt[t.Name]; ok && !j.DoneTasks[t.Name] {
+		cpuMS := float64(sim.Now-startedAt) * j.Spec.Request.CPUs
+		sim.usefulCPUMS += cpuMS
+		sim.usefulCost += cpuMS / worker.machineType.Resources.CPUs * worker.price()
+	}
+	if j.DoneTasks[t.Name] = true; len(j.DoneTasks) == j.Spec.Tasks && j.DoneAt == 0 {
+		j.DoneAt = sim.Now
+		sim.onJobDone(j)
+	}
+}
+
+// execute is how a task ends that may fail; nil: it runs its time and succeeds.
+func (sim *Simulation) execute(worker *Worker, t *platformfake.Task) platformfake.Execution {
+	if sim.IsFaulty != nil && sim.IsFaulty(worker) ||
+		sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[t.Job.ID]) {
+		return &erringExecution{sim, sim.Now + 1000, false}
+	}
+	if t.Job.MaxTaskErrors == 0 {
+		return nil
+	}
+	return &erringExecution{sim, sim.Now + 1000 + sim.Rand.Int64N(4000), sim.Rand.IntN(4) > 0}
 }
 
 // isGangComplete tells whether all tasks of a gang's try have their images.
@@ -211,104 +224,143 @@
 	}
 }
 
+// The pace of heartbeats: no two within minHeartbeatIntervalMS, the next member after
+// a refusal in memberRetryMS, and no response waited for longer than
+// heartbeatTimeoutMS.
+const (
+	minHeartbeatIntervalMS  = 500
+	memberRetryMS           = 1000
+	heartbeatTimeoutMS      = 4000
+	duplicateHeartbeatShare = 0.01
+)
+
 // stepWorker lets a worker act.
 func (sim *Simulation) stepWorker(worker *Worker) {
 	if !worker.Up || worker.Gone || worker.HangUntil > sim.Now {
 		return
 	}
 	worker.Agent.Advance(worker.Clock(sim))
-	switch {
-	case worker.heartbeatInFlight || sim.Now < worker.nextHeartbeatAt:
+	if worker.heartbeatInFlight || sim.Now < worker.nextHeartbeatAt {
 		return
-	case !worker.retryHeartbeat && (sim.Now-worker.lastHeartbeatAt < 500 || !worker.Agent.HasChanges &&
-		sim.Now-worker.lastHeartbeatAt < worker.heartbeatIntervalMS):
+	}
+	sinceLastMS := sim.Now - worker.lastHeartbeatAt
+	isDue := worker.Agent.HasChanges || sinceLastMS >= worker.heartbeatIntervalMS
+	if !worker.retryHeartbeat && (sinceLastMS < minHeartbeatIntervalMS || !isDue) {
 		return
 	}
+	sim.sendHeartbeat(worker)
+}
+
+// heartbeatExchange is one heartbeat and its response.
+type heartbeatExchange struct {
+	sim         *Simulation
+	worker      *Worker
+	member      *Member
+	heartbeat   scheduler.Heartbeat
+	sentAt      int64  // by the worker's clock
+	incarnation uint64 // as it was sent
+	finished    bool   // answered, refused or timed out
+	delivered   bool   // a copy has arrived
+}
+
+func (sim *Simulation) sendHeartbeat(worker *Worker) {
 	worker.heartbeatInFlight, worker.lastHeartbeatAt, worker.retryHeartbeat = true, sim.Now, false
 	worker.heartbeatIntervalMS = int64(sim.Params.HeartbeatS * 1000 * (0.75 + sim.Rand.Float64()/2))
-	sentAt := worker.Clock(sim)
-	hb := worker.Agent.Heartbeat()
-	if sim.options.InjectedFault.Heartbeat != nil {
-		sim.options.InjectedFault.Heartbeat(&hb)
+	exchange := &heartbeatExchange{
+		sim:       sim,
+		worker:    worker,
+		member:    sim.Members[worker.memberIndex],
+		sentAt:    worker.Clock(sim),
+		heartbeat: worker.Agent.Heartbeat(),
 	}
-	incarnation := hb.Incarnation
-	m := sim.Members[worker.memberIndex]
-	finished, delivered := false, false
-	tryNextMember := func() {
-		worker.heartbeatInFlight = false
-		worker.memberIndex = (worker.memberIndex + 1) % len(sim.Members)
-		worker.nextHeartbeatAt, worker.retryHeartbeat = sim.Now+1000, true
+	if sim.options.InjectedFault.Heartbeat != nil {
+		sim.options.InjectedFault.Heartbeat(&exchange.heartbeat)
 	}
-	endpoint := "w" + worker.Instance.ID
+	exchange.incarnation = exchange.heartbeat.Incarnation
 	if worker.outboundPartitionedUntil > sim.Now {
 		sim.FailedConnections++
-		sim.After(connectTimeoutMS, tryNextMember)
+		sim.After(connectTimeoutMS, exchange.tryNextMember)
 		return
 	}
-	deliver := func() {
-		if worker.outboundPartitionedUntil > sim.Now || sim.captureForNewOwner(worker, hb) {
-			return
-		}
-		if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
-			// Refused: nothing listens there, or it has no connection left.
-			sim.sendMessage(m.Name, endpoint, func() {
-				if !finished {
-					finished = true
-					tryNextMember()
-				}
-			})
-			return
-		}
-		m.lastReplyID++
-		replyID := m.lastReplyID
-		if delivered { // nobody waits for the answer to a copy
-			m.pendingHeartbeats[replyID] = func(scheduler.HeartbeatResponse) { sim.sendMessage(m.Name, endpoint, func() {}) }
-			m.Core.HandleHeartbeat(m.Clock(), replyID, hb)
-			m.dispatchOutputs()
-			return
-		}
-		delivered = true
-		m.pendingHeartbeats[replyID] = func(resp scheduler.HeartbeatResponse) {
-			if sim.options.InjectedFault.WorkerResponse != nil {
-				sim.options.InjectedFault.WorkerResponse(&resp)
-			}
-			sim.sendMessage(m.Name, endpoint, func() {
-				if finished || worker.Gone || worker.inboundPartitionedUntil > sim.Now ||
-					worker.outboundPartitionedUntil > sim.Now {
-					return
-				}
-				if worker.HangUntil > sim.Now {
-					return // dropped: answers are never executed late
-				}
-				finished = true
-				switch {
-				case resp.Accepted:
-					worker.heartbeatInFlight, worker.AcknowledgedAt = false, sim.Now
-					worker.Agent.ApplyHeartbeatResponse(worker.Clock(sim), sentAt, incarnation, resp)
-				case resp.RedirectTo != "":
-					worker.heartbeatInFlight = false
-					worker.memberIndex = slices.IndexFunc(sim.Members, func(m *Member) bool { return m.Name == resp.RedirectTo })
-					worker.nextHeartbeatAt, worker.retryHeartbeat = sim.Now+sim.Rand.Int64N(500), true
-				default:
-					tryNextMember()
-				}
-			})
+	endpoint := worker.endpoint()
+	sim.sendMessage(endpoint, exchange.member.Name, exchange.deliver)
+	if sim.Rand.Float64() < duplicateHeartbeatShare {
+		sim.sendMessage(endpoint, exchange.member.Name, exchange.deliver)
+	}
+	sim.After(heartbeatTimeoutMS, exchange.fail)
+}
+
+func (worker *Worker) endpoint() string { return "w" + worker.Instance.ID }
+
+// fail ends an exchange without a response.
+func (x *heartbeatExchange) fail() {
+	if !x.finished {
+		x.finished = true
+		x.tryNextMember()
+	}
+}
+
+func (x *heartbeatExchange) tryNextMember() {
+	worker := x.worker
+	worker.heartbeatInFlight = false
+	worker.memberIndex = (worker.memberIndex + 1) % len(x.sim.Members)
+	worker.nextHeartbeatAt, worker.retryHeartbeat = x.sim.Now+memberRetryMS, true
+}
+
+// deliver hands a copy of the heartbeat to the member.
+func (x *heartbeatExchange) deliver() {
+	sim, worker, m := x.sim, x.worker, x.member
+	if worker.outboundPartitionedUntil > sim.Now || sim.captureForNewOwner(worker, x.heartbeat) {
+		return
+	}
+	if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
+		// Refused: nothing listens there, or it has no connection left.
+		sim.sendMessage(m.Name, worker.endpoint(), x.fail)
+		return
+	}
+	m.lastReplyID++
+	replyID := m.lastReplyID
+	if x.delivered { // nobody waits for the response to a copy
+		m.pendingHeartbeats[replyID] = func(scheduler.HeartbeatResponse) {
+			sim.sendMessage(m.Name, worker.endpoint(), func() {})
 		}
-		m.Core.HandleHeartbeat(m.Clock(), replyID, hb)
+		m.Core.HandleHeartbeat(m.Clock(), replyID, x.heartbeat)
 		m.dispatchOutputs()
-		sim.replayHeartbeat(worker, m, hb)
-		sim.captureForClaim(worker, hb)
-	}
-	sim.sendMessage(endpoint, m.Name, deliver)
-	if sim.Rand.Float64() < 0.01 {
-		sim.sendMessage(endpoint, m.Name, deliver) // once more
+		return
 	}
-	sim.After(4000, func() {
-		if !finished {
-			finished = true
-			tryNextMember()
+	x.delivered = true
+	m.pendingHeartbeats[replyID] = func(resp scheduler.HeartbeatResponse) {
+		if sim.options.InjectedFault.WorkerResponse != nil {
+			sim.options.InjectedFault.WorkerResponse(&resp)
 		}
-	})
+		sim.sendMessage(m.Name, worker.endpoint(), func() { x.receiveResponse(resp) })
+	}
+	m.Core.HandleHeartbeat(m.Clock(), replyID, x.heartbeat)
+	m.dispatchOutputs()
+	sim.replayHeartbeat(worker, m, x.heartbeat)
+	sim.captureForClaim(worker, x.heartbeat)
+}
+
+// receiveResponse takes the response at the worker. One that comes while the
+// machine hangs is dropped: responses are never carried out late.
+func (x *heartbeatExchange) receiveResponse(resp scheduler.HeartbeatResponse) {
+	sim, worker := x.sim, x.worker
+	isPartitioned := worker.inboundPartitionedUntil > sim.Now || worker.outboundPartitionedUntil > sim.Now
+	if x.finished || worker.Gone || isPartitioned || worker.HangUntil > sim.Now {
+		return
+	}
+	x.finished = true
+	switch {
+	case resp.Accepted:
+		worker.heartbeatInFlight, worker.AcknowledgedAt = false, sim.Now
+		worker.Agent.ApplyHeartbeatResponse(worker.Clock(sim), x.sentAt, x.incarnation, resp)
+	case resp.RedirectTo != "":
+		worker.heartbeatInFlight = false
+		worker.memberIndex = slices.IndexFunc(sim.Members, func(m *Member) bool { return m.Name == resp.RedirectTo })
+		worker.nextHeartbeatAt, worker.retryHeartbeat = sim.Now+sim.Rand.Int64N(500), true
+	default:
+		x.tryNextMember()
+	}
 }
 
 // EachTask visits every task on every machine that exists.
