--- a/cwl/build.go
+++ b/cwl/build.go
@@ -9,23 +9,22 @@
 // Version is the version of the language that is read.
 const Version = "v1.2"
 
-// JobHintClass is the class of grebedock's hint, as documents write it: with the
-// namespace of the project, or with any prefix that is declared for it.
+// JobHintClass is the class of grebedock's hint, as documents write it: with the namespace of the project, or with any
+// prefix that is declared for it.
 const JobHintClass = "https://grebedock.example/cwl#Job"
 
-// builder turns values into processes.
+// builder turns the values of one file into processes.
 type builder struct {
 	*loader
 	graph   map[string]*value // processes of a $graph, by id
 	spaces  map[string]string // declared namespaces
-	running []string          // processes that are being built
+	running []string          // names of the processes that are being built, outermost first
 }
 
-// Load reads the process that name names: a file, or a part of its $graph after
-// a "#". What is wrong with it is an Errors.
+// Load reads a process: name is a file, or a file and after a "#" a part of its $graph. The error is an Errors.
 func Load(name string, open Open) (*Process, error) { return DefaultLimits.Load(name, open) }
 
-// Load is Load within these limits.
+// Load reads a process within these limits; see the function Load.
 func (limits Limits) Load(name string, open Open) (*Process, error) {
 	file, part, _ := strings.Cut(name, "#")
 	l := &loader{open: open, limits: limits, files: map[string]*value{}}
@@ -39,7 +38,7 @@
 	return p, nil
 }
 
-// process builds the process of a file.
+// process builds the process of a file, or of a part of it, which is referred to from a position.
 func (l *loader) process(file, part string, from Pos, running []string) *Process {
 	v := l.file(file, from)
 	if v == nil {
@@ -49,129 +48,113 @@
 		l.fail(v.Pos, "", "a process must be an object")
 		return nil
 	}
-	b := &builder{loader: l, spaces: map[string]string{}, running: running}
-	if ns := v.get("$namespaces"); ns != nil {
-		for _, f := range ns.fields {
-			if s, ok := f.v.text(); ok {
-				b.spaces[f.key] = s
-			}
-		}
-	}
+	b := &builder{loader: l, spaces: namespacesOf(v), running: running}
 	if s, ok := textOf(v.get("cwlVersion")); !ok {
 		l.fail(v.Pos, "cwlVersion", "is missing")
 	} else if s != Version {
 		l.fail(v.get("cwlVersion").Pos, "cwlVersion", "is %q, only %s is taken", s, Version)
 	}
-	g := v.get("$graph")
-	if g == nil {
-		if part != "" {
-			if id, _ := textOf(v.get("id")); shortID(id) != shortID(part) {
-				l.fail(from, "", "%s has no process %q", file, part)
-				return nil
-			}
+	graph := v.get("$graph")
+	if graph != nil {
+		return b.graphProcess(graph, file, part, from)
+	}
+	if part != "" {
+		if id, _ := textOf(v.get("id")); shortID(id) != shortID(part) {
+			l.fail(from, "", "%s has no process %q", file, part)
+			return nil
+		}
+	}
+	return b.processOf(v, file, Requirements{})
+}
+
+// namespacesOf are the namespaces that a document declares, by prefix.
+func namespacesOf(v *value) map[string]string {
+	spaces := map[string]string{}
+	declared := v.get("$namespaces")
+	if declared == nil {
+		return spaces
+	}
+	for _, f := range declared.fields {
+		if s, ok := f.v.text(); ok {
+			spaces[f.key] = s
 		}
-		return b.processOf(v, file, Requirements{})
 	}
+	return spaces
+}
+
+// graphProcess builds a part of a $graph: without a name, the only one or "main".
+func (b *builder) graphProcess(graph *value, file, part string, from Pos) *Process {
 	b.graph = map[string]*value{}
-	for _, x := range g.items {
+	for _, x := range graph.items {
 		id, _ := textOf(x.get("id"))
 		if id == "" {
-			l.fail(x.Pos, "$graph", "a process needs an id")
+			b.fail(x.Pos, "$graph", "a process needs an id")
 			continue
 		}
 		if b.graph[shortID(id)] != nil {
-			l.fail(x.Pos, "$graph", "the id %q is there twice", id)
+			b.fail(x.Pos, "$graph", "the id %q is there twice", id)
 		}
 		b.graph[shortID(id)] = x
 	}
 	if part == "" {
 		part = "main"
-		if len(g.items) == 1 {
-			id, _ := textOf(g.items[0].get("id"))
+		if len(graph.items) == 1 {
+			id, _ := textOf(graph.items[0].get("id"))
 			part = shortID(id)
 		}
 	}
 	x := b.graph[shortID(part)]
 	if x == nil {
-		l.fail(from, "", "%s has no process %q", file, part)
+		b.fail(from, "", "%s has no process %q", file, part)
 		return nil
 	}
 	return b.processOf(x, file+"#"+shortID(part), Requirements{})
 }
 
+// objectKind is a kind of object of the language, by the fields that it may have.
+type objectKind string
+
+const (
+	processObject   objectKind = "process"
+	toolObject      objectKind = "tool"
+	inputObject     objectKind = "input"
+	outputObject    objectKind = "output"
+	stepObject      objectKind = "step"
+	stepInputObject objectKind = "stepin"
+)
+
 // known are the fields of the language by the kind of object.
-var known = map[string][]string{
-	"process": {
-		"id",
-		"class",
-		"label",
-		"doc",
-		"inputs",
-		"outputs",
-		"requirements",
-		"hints",
-		"cwlVersion",
-		"intent",
-		"$namespaces",
-		"$schemas",
-		"$graph",
-		"steps",
-		"expression",
+var known = map[objectKind][]string{
+	processObject: {
+		"id", "class", "label", "doc", "inputs", "outputs", "requirements", "hints", "cwlVersion",
+		"intent", "$namespaces", "$schemas", "$graph", "steps", "expression",
+	},
+	toolObject: {
+		"baseCommand", "arguments", "stdin", "stdout", "stderr", "successCodes",
+		"temporaryFailCodes", "permanentFailCodes",
 	},
-	"tool": {
-		"baseCommand",
-		"arguments",
-		"stdin",
-		"stdout",
-		"stderr",
-		"successCodes",
-		"temporaryFailCodes",
-		"permanentFailCodes",
+	inputObject: {
+		"id", "label", "doc", "type", "default", "inputBinding", "secondaryFiles", "streamable",
+		"format", "loadContents", "loadListing",
 	},
-	"input": {
-		"id",
-		"label",
-		"doc",
-		"type",
-		"default",
-		"inputBinding",
-		"secondaryFiles",
-		"streamable",
-		"format",
-		"loadContents",
-		"loadListing",
+	outputObject: {
+		"id", "label", "doc", "type", "outputBinding", "secondaryFiles", "streamable", "format",
+		"outputSource", "linkMerge", "pickValue",
 	},
-	"output": {
-		"id",
-		"label",
-		"doc",
-		"type",
-		"outputBinding",
-		"secondaryFiles",
-		"streamable",
-		"format",
-		"outputSource",
-		"linkMerge",
-		"pickValue",
+	stepObject: {
+		"id", "label", "doc", "in", "out", "run", "scatter", "scatterMethod", "when",
+		"requirements", "hints",
 	},
-	"step": {"id", "label", "doc", "in", "out", "run", "scatter", "scatterMethod", "when", "requirements", "hints"},
-	"stepin": {
-		"id",
-		"label",
-		"doc",
-		"source",
-		"linkMerge",
-		"pickValue",
-		"default",
-		"valueFrom",
-		"loadContents",
-		"loadListing",
+	stepInputObject: {
+		"id", "label", "doc", "source", "linkMerge", "pickValue", "default", "valueFrom",
+		"loadContents", "loadListing",
 	},
 }
 
-func (b *builder) check(v *value, at string, kinds ...string) {
+// check reports the fields of an object that none of the kinds has. Extensions, whose names have a prefix, are let be.
+func (b *builder) check(v *value, at string, kinds ...objectKind) {
 	for _, f := range v.fields {
-		ok := strings.ContainsAny(f.key, ":") // extensions of others
+		ok := strings.ContainsAny(f.key, ":")
 		for _, k := range kinds {
 			ok = ok || slices.Contains(known[k], f.key)
 		}
@@ -181,6 +164,7 @@
 	}
 }
 
+// join is the path of a field of what is at a path.
 func join(at, key string) string {
 	if at == "" {
 		return key
@@ -188,6 +172,8 @@
 	return at + "." + key
 }
 
+// processOf builds a process, whose name must be unique among those that are being built. outer are the requirements
+// that it inherits.
 func (b *builder) processOf(v *value, name string, outer Requirements) *Process {
 	if slices.Contains(b.running, name) {
 		b.fail(v.Pos, "run", "runs itself: %s", strings.Join(append(b.running, name), ", "))
@@ -206,11 +192,11 @@
 	p.ID = shortID(id)
 	switch p.Class {
 	case Tool:
-		b.check(v, "", "process", "tool")
+		b.check(v, "", processObject, toolObject)
 	case Expression:
-		b.check(v, "", "process")
+		b.check(v, "", processObject)
 	case Flow:
-		b.check(v, "", "process")
+		b.check(v, "", processObject)
 	case "Operation":
 		b.fail(v.Pos, "class", "an Operation has nothing to run")
 		return nil
@@ -238,14 +224,15 @@
 	return p
 }
 
+// entry is an object with an id.
 type entry struct {
 	id string
 	v  *value
 	at Pos
 }
 
-// idMap reads a list of objects with ids, or an object by id whose values may be
-// short for one field.
+// idMap reads a list of objects with ids (in the field idKey), or an object by id. In the latter, a value that is no
+// object stands for the field short alone; "": for none.
 func (b *builder) idMap(v *value, at, idKey, short string) []entry {
 	if v == nil || v.kind == scalar && v.data == nil {
 		return nil
@@ -254,30 +241,13 @@
 	switch v.kind {
 	case array:
 		for _, x := range v.items {
-			id, ok := textOf(x.get(idKey))
-			if x.kind != object || !ok {
-				if s, isText := x.text(); isText && short == "" {
-					out = append(out, entry{shortID(s), &value{Pos: x.Pos, kind: object}, x.Pos})
-					continue
-				}
-				b.fail(x.Pos, at, "needs %s", idKey)
-				continue
+			if e, ok := b.listEntry(x, at, idKey, short); ok {
+				out = append(out, e)
 			}
-			if idKey == "id" || idKey == "name" {
-				id = shortID(id)
-			}
-			out = append(out, entry{id, x, x.Pos})
 		}
 	case object:
 		for _, f := range v.fields {
-			x := f.v
-			if x.kind != object || short == "type" && x.get("type") == nil {
-				x = &value{Pos: x.Pos, kind: object, fields: []field{{short, f.at, f.v}}}
-				if short == "" || f.v.kind == scalar && f.v.data == nil {
-					x.fields = nil
-				}
-			}
-			out = append(out, entry{f.key, x, f.at})
+			out = append(out, fieldEntry(f, short))
 		}
 	default:
 		b.fail(v.Pos, at, "must be a list or an object")
@@ -292,34 +262,55 @@
 	return out
 }
 
+// listEntry reads an entry of a list. Where short is "", a text stands for an object with this id alone.
+func (b *builder) listEntry(x *value, at, idKey, short string) (e entry, ok bool) {
+	id, hasID := textOf(x.get(idKey))
+	if x.kind == object && hasID {
+		if idKey == "id" || idKey == "name" {
+			id = shortID(id)
+		}
+		return entry{id, x, x.Pos}, true
+	}
+	if s, isText := x.text(); isText && short == "" {
+		return entry{shortID(s), &value{Pos: x.Pos, kind: object}, x.Pos}, true
+	}
+	b.fail(x.Pos, at, "needs %s", idKey)
+	return entry{}, false
+}
+
+// fieldEntry reads an entry of an object by id.
+func fieldEntry(f field, short string) entry {
+	x := f.v
+	isTypeItself := short == "type" && x.get("type") == nil // an object that is a type, not one with a type
+	if x.kind == object && !isTypeItself {
+		return entry{f.key, x, f.at}
+	}
+	v := &value{Pos: x.Pos, kind: object}
+	isNull := x.kind == scalar && x.data == nil
+	if short != "" && !isNull {
+		v.fields = []field{{short, f.at, x}}
+	}
+	return entry{f.key, v, f.at}
+}
+
+// tool reads what only a CommandLineTool has.
 func (b *builder) tool(p *Process, v *value) {
 	p.BaseCommand = texts(v.get("baseCommand"))
 	if x := v.get("arguments"); x != nil {
 		for i, a := range x.items {
-			at := fmt.Sprintf("arguments[%d]", i)
-			if a.kind == object {
-				bd := b.binding(a, at)
-				if a.get("valueFrom") == nil {
-					b.fail(a.Pos, at, "an argument needs valueFrom")
-				}
-				b.expr(a.get("valueFrom"), at+".valueFrom", p.Req)
-				p.Arguments = append(p.Arguments, *bd)
-				continue
-			}
-			b.expr(a, at, p.Req)
-			p.Arguments = append(p.Arguments, Binding{ValueFrom: scalarText(a.data)})
+			p.Arguments = append(p.Arguments, b.argument(a, fmt.Sprintf("arguments[%d]", i), p.Req))
 		}
 	}
 	if len(p.BaseCommand) == 0 && len(p.Arguments) == 0 {
 		b.fail(v.Pos, "baseCommand", "is missing, and so is arguments")
 	}
-	for _, f := range []struct {
+	for _, stream := range []struct {
 		name string
 		to   *string
 	}{{"stdin", &p.Stdin}, {"stdout", &p.Stdout}, {"stderr", &p.Stderr}} {
-		if s, ok := textOf(v.get(f.name)); ok {
-			*f.to = s
-			b.expr(v.get(f.name), f.name, p.Req)
+		if s, ok := textOf(v.get(stream.name)); ok {
+			*stream.to = s
+			b.expr(v.get(stream.name), stream.name, p.Req)
 		}
 	}
 	if x := v.get("successCodes"); x != nil {
@@ -331,7 +322,21 @@
 	}
 }
 
-// Walk visits a process and all that its steps run.
+// argument reads an argument of a tool: a text or number, or a binding with valueFrom.
+func (b *builder) argument(a *value, at string, req Requirements) Binding {
+	if a.kind != object {
+		b.expr(a, at, req)
+		return Binding{ValueFrom: scalarText(a.data)}
+	}
+	binding := b.binding(a, at)
+	if a.get("valueFrom") == nil {
+		b.fail(a.Pos, at, "an argument needs valueFrom")
+	}
+	b.expr(a.get("valueFrom"), at+".valueFrom", req)
+	return *binding
+}
+
+// Walk visits a process and all processes that its steps run, outer ones first.
 func (p *Process) Walk(visit func(*Process)) {
 	visit(p)
 	for _, s := range p.Steps {
--- a/cwl/command.go
+++ b/cwl/command.go
@@ -10,31 +10,33 @@
 // Command is what a tool runs for given inputs.
 type Command struct {
 	Args                  []string
-	Shell                 bool // Args is one text for a shell
+	Shell                 bool // Args is one text, for a shell
 	Env                   []EnvVar
-	Stdin, Stdout, Stderr string
-	TimeLimitS            float64 // 0: none
+	Stdin, Stdout, Stderr string  // names of files; empty: none is named
+	TimeLimitS            float64 // seconds; 0: none
 	Files                 []Staged
 }
 
-// Staged is something that lies in the tool's directory when it starts: a text,
-// or what stands at a path.
+// Staged is a file or directory that is in the tool's directory when it starts: a text, or what is at a path.
 type Staged struct {
-	Name     string
-	Text     string
+	Name     string // relative to the tool's directory, and within it
+	Text     string // if Path is empty
 	Path     string
-	Writable bool
+	Writable bool // the tool may change it: a copy, not a link
 }
 
-// word is a part of a command line with its place.
+// sortKey orders the words of a command line: float64 and string, compared one after the other.
+type sortKey []any
+
+// word is what one argument, input or field adds to a command line.
 type word struct {
-	key  []any // numbers and texts, compared in order
+	key  sortKey
 	text []string
-	raw  bool
+	raw  bool // not quoted for a shell
 }
 
-// CommandLine builds a tool's command line. runtime has outdir, tmpdir, cores
-// and ram, as expressions see them.
+// CommandLine builds a tool's command line. in are complete inputs (CheckInputs); runtime has outdir, tmpdir, cores and
+// ram, as expressions see them. The error names the argument, input or requirement whose expression fails.
 func (p *Process) CommandLine(in, runtime map[string]any) (*Command, error) {
 	sc := Scope{Inputs: in, Runtime: runtime}
 	c := &Command{Shell: p.Req.Shell}
@@ -64,7 +66,7 @@
 	return c, err
 }
 
-// words are the parts of a command line behind the base command, in order.
+// words are what follows the base command, in order.
 func (p *Process) words(in map[string]any, sc Scope) ([]word, error) {
 	var words []word
 	for i, a := range p.Arguments {
@@ -76,12 +78,12 @@
 		if err != nil {
 			return nil, fmt.Errorf("arguments[%d]: %w", i, err)
 		}
-		if ws := bind(&a, &Type{Name: "Any"}, v); ws != nil {
-			words = append(words, word{[]any{pos, float64(i)}, ws, a.NoQuote})
+		if ws := a.bind(v); ws != nil {
+			words = append(words, word{sortKey{pos, float64(i)}, ws, a.NoQuote})
 		}
 	}
 	for _, x := range p.Inputs {
-		ws, err := inputWords(p, x.ID, x.Type, x.Binding, in[x.ID], nil, sc)
+		ws, err := p.inputWords(boundValue{x.ID, x.Type, x.Binding, in[x.ID]}, nil, sc)
 		if err != nil {
 			return nil, fmt.Errorf("inputs.%s: %w", x.ID, err)
 		}
@@ -91,8 +93,8 @@
 	return words, nil
 }
 
-// joined is the command line of the base command and these words: for a shell
-// one text, in which all is quoted that is not to be left as it is.
+// joined is the command line of the base command and these words: for a shell one text, in which all words but raw ones
+// are quoted.
 func (p *Process) joined(words []word) []string {
 	args := slices.Clone(p.BaseCommand)
 	shell := p.Req.Shell
@@ -113,7 +115,7 @@
 	return []string{strings.Join(args, " ")}
 }
 
-// redirect works out which files stand for a command's standard streams.
+// redirect evaluates the names of the files of a command's standard streams.
 func (p *Process) redirect(c *Command, sc Scope) error {
 	for _, f := range []struct {
 		from string
@@ -131,14 +133,15 @@
 	return nil
 }
 
-func compareKeys(a, b []any) int {
+// compareKeys orders numbers before texts, and a key before those that it begins.
+func compareKeys(a, b sortKey) int {
 	for i := range min(len(a), len(b)) {
 		x, xn := a[i].(float64)
 		y, yn := b[i].(float64)
 		switch {
 		case xn && yn && x != y:
 			return cmp.Compare(x, y)
-		case xn != yn: // numbers before texts
+		case xn != yn:
 			if xn {
 				return -1
 			}
@@ -152,6 +155,7 @@
 	return cmp.Compare(len(a), len(b))
 }
 
+// position is the position of a binding, 0 without one.
 func position(b *Binding, sc Scope, req Requirements) (float64, error) {
 	if b == nil || b.Position == "" {
 		return 0, nil
@@ -166,43 +170,65 @@
 	return f, nil
 }
 
-// inputWords is what an input adds, its items and fields with bindings of their
-// own among it.
-func inputWords(p *Process, name string, t *Type, b *Binding, v any, key []any, sc Scope) ([]word, error) {
+// boundValue is a value that may become part of a command line: an input, an item of an array or a field of a record.
+type boundValue struct {
+	name    string
+	typ     *Type
+	binding *Binding // may be nil
+	value   any
+}
+
+// inputWords are what a value adds to the command line, those of its items and fields with bindings of their own among
+// them. key is the sort key of what the value is part of.
+func (p *Process) inputWords(bound boundValue, key sortKey, sc Scope) ([]word, error) {
+	v, b := bound.value, bound.binding
 	if v == nil {
 		return nil, nil
 	}
-	t = pick(t, v)
+	t := pick(bound.typ, v)
 	sc.Self = v
-	var out []word
-	if b != nil {
-		pos, err := position(b, sc, p.Req)
-		if err != nil {
+	if b == nil {
+		return p.innerWords(bound.name, t, v, key, sc)
+	}
+	pos, err := position(b, sc, p.Req)
+	if err != nil {
+		return nil, err
+	}
+	key = append(slices.Clone(key), pos, bound.name)
+	if b.ValueFrom != "" {
+		if v, err = Eval(b.ValueFrom, sc, p.Req); err != nil {
 			return nil, err
 		}
-		key = append(slices.Clone(key), pos, name)
-		if b.ValueFrom != "" {
-			if v, err = Eval(b.ValueFrom, sc, p.Req); err != nil {
-				return nil, err
-			}
-			t = &Type{Name: "Any"}
-		}
-		inner := t.Binding != nil || t.Name == "record"
-		if !inner || b.ValueFrom != "" {
-			if ws := bind(b, t, v); ws != nil {
-				out = append(out, word{key, ws, b.NoQuote})
-			}
-			return out, nil
-		}
-		if b.Prefix != "" {
-			out = append(out, word{key, []string{b.Prefix}, b.NoQuote})
-		}
+		return b.words(v, key), nil
+	}
+	if t.Binding == nil && t.Name != "record" {
+		return b.words(v, key), nil
+	}
+	inner, err := p.innerWords(bound.name, t, v, key, sc)
+	if err != nil || b.Prefix == "" {
+		return inner, err
 	}
+	return append([]word{{key, []string{b.Prefix}, b.NoQuote}}, inner...), nil
+}
+
+// words are the words that a binding makes of a whole value.
+func (b *Binding) words(v any, key sortKey) []word {
+	text := b.bind(v)
+	if text == nil {
+		return nil
+	}
+	return []word{{key, text, b.NoQuote}}
+}
+
+// innerWords are the words of an array's items or a record's fields, as far as they have bindings of their own.
+func (p *Process) innerWords(name string, t *Type, v any, key sortKey, sc Scope) ([]word, error) {
+	var out []word
 	switch {
 	case t.Name == "array" && t.Binding != nil:
 		list, _ := v.([]any)
 		for i, x := range list {
-			ws, err := inputWords(p, name, t.Items, t.Binding, x, append(slices.Clone(key), float64(i)), sc)
+			itemKey := append(slices.Clone(key), float64(i))
+			ws, err := p.inputWords(boundValue{name, t.Items, t.Binding, x}, itemKey, sc)
 			if err != nil {
 				return nil, err
 			}
@@ -211,7 +237,7 @@
 	case t.Name == "record":
 		m, _ := v.(map[string]any)
 		for _, f := range t.Fields {
-			ws, err := inputWords(p, f.Name, f.Type, f.Binding, m[f.Name], key, sc)
+			ws, err := p.inputWords(boundValue{f.Name, f.Type, f.Binding, m[f.Name]}, key, sc)
 			if err != nil {
 				return nil, err
 			}
@@ -221,7 +247,7 @@
 	return out, nil
 }
 
-// pick is the part of a union that a value is of.
+// pick is the first type of a union that a value has.
 func pick(t *Type, v any) *Type {
 	if t.Name != "union" {
 		return t
@@ -234,54 +260,63 @@
 	return &Type{Name: "Any"}
 }
 
-// bind is the words that a value makes.
-func bind(b *Binding, t *Type, v any) []string {
-	with := func(s string) []string {
-		switch {
-		case b.Prefix == "":
-			return []string{s}
-		case b.NoSeparate:
-			return []string{b.Prefix + s}
-		}
-		return []string{b.Prefix, s}
-	}
+// bind is the texts that a binding makes of a value; nil: none.
+func (b *Binding) bind(v any) []string {
 	switch v := v.(type) {
 	case nil:
 		return nil
 	case bool:
-		if v && b.Prefix != "" {
-			return []string{b.Prefix}
-		}
-		return nil
-	case []any:
-		if len(v) == 0 {
+		if !v {
 			return nil
 		}
-		var items []string
-		for _, x := range v {
-			if s, ok := wordOf(x); ok {
-				items = append(items, s)
-			}
-		}
-		if b.HasSeparator {
-			return with(strings.Join(items, b.ItemSeparator))
-		}
-		if b.Prefix != "" {
-			return append([]string{b.Prefix}, items...)
-		}
-		return items
-	default:
-		s, ok := wordOf(v)
-		if !ok {
-			if b.Prefix != "" {
-				return []string{b.Prefix}
-			}
-			return nil
+		return b.prefixAlone()
+	case []any:
+		return b.bindList(v)
+	}
+	s, ok := wordOf(v)
+	if !ok {
+		return b.prefixAlone()
+	}
+	return b.withPrefix(s)
+}
+
+func (b *Binding) bindList(list []any) []string {
+	if len(list) == 0 {
+		return nil
+	}
+	var items []string
+	for _, x := range list {
+		if s, ok := wordOf(x); ok {
+			items = append(items, s)
 		}
-		return with(s)
 	}
+	if b.HasSeparator {
+		return b.withPrefix(strings.Join(items, b.ItemSeparator))
+	}
+	if b.Prefix != "" {
+		return append([]string{b.Prefix}, items...)
+	}
+	return items
+}
+
+func (b *Binding) prefixAlone() []string {
+	if b.Prefix == "" {
+		return nil
+	}
+	return []string{b.Prefix}
 }
 
+func (b *Binding) withPrefix(s string) []string {
+	switch {
+	case b.Prefix == "":
+		return []string{s}
+	case b.NoSeparate:
+		return []string{b.Prefix + s}
+	}
+	return []string{b.Prefix, s}
+}
+
+// wordOf is the text of a value on a command line: of a file or directory its path. ok is false for a record or null.
 func wordOf(v any) (string, bool) {
 	if m, ok := v.(map[string]any); ok {
 		s, ok := m["path"].(string)
@@ -290,7 +325,7 @@
 	return scalarText(v), v != nil
 }
 
-// Quote makes one word of a text for a shell.
+// Quote quotes a text for a shell, if need be, so that it is one word.
 func Quote(s string) string {
 	if s != "" && !strings.ContainsAny(s, " \t\n\"'\\$&|;<>()*?[]{}~#`!=%") {
 		return s
@@ -306,55 +341,85 @@
 	}
 	var out []Staged
 	for i, d := range list {
-		at := fmt.Sprintf("InitialWorkDirRequirement.listing[%d]", i)
-		v, err := Eval(d.Entry, sc, p.Req)
+		staged, err := p.stagedEntry(d, sc)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", at, err)
+			return nil, fmt.Errorf("InitialWorkDirRequirement.listing[%d]: %w", i, err)
 		}
-		name := ""
-		if d.Name != "" {
-			if name, err = EvalText(d.Name, sc, p.Req); err != nil {
-				return nil, fmt.Errorf("%s: %w", at, err)
-			}
+		out = append(out, staged...)
+	}
+	return out, nil
+}
+
+// stagedEntry evaluates one entry, which may give none, one or several files and directories.
+func (p *Process) stagedEntry(d Dirent, sc Scope) ([]Staged, error) {
+	v, err := Eval(d.Entry, sc, p.Req)
+	if err != nil {
+		return nil, err
+	}
+	name := ""
+	if d.Name != "" {
+		if name, err = EvalText(d.Name, sc, p.Req); err != nil {
+			return nil, err
+		}
+	}
+	items, isList := v.([]any)
+	if !isList {
+		items = []any{v}
+	}
+	var out []Staged
+	for _, x := range items {
+		if x == nil {
+			continue
 		}
-		items, isList := v.([]any)
-		if !isList {
-			items = []any{v}
+		s := stagedItem(x)
+		s.Writable = d.Writable
+		if name != "" && !isNamedEntry(x) {
+			s.Name = name
 		}
-		for _, x := range items {
-			s := Staged{Name: name, Writable: d.Writable}
-			switch x := x.(type) {
-			case nil:
-				continue
-			case map[string]any:
-				if x["class"] == "File" || x["class"] == "Directory" {
-					s.Path, _ = x["path"].(string)
-					s.Text, _ = x["contents"].(string)
-					if s.Name == "" {
-						s.Name, _ = x["basename"].(string)
-					}
-				} else if e, ok := x["entryname"].(string); ok {
-					s.Name = e
-					s.Text, _ = x["entry"].(string)
-				}
-			case string:
-				s.Text = x
-			default:
-				s.Text = scalarText(x)
-			}
-			if s.Name == "" || strings.HasPrefix(s.Name, "/") || slices.Contains(strings.Split(s.Name, "/"), "..") {
-				return nil, fmt.Errorf("%s: %q is no name within the tool's directory", at, s.Name)
-			}
-			out = append(out, s)
+		if s.Name == "" || strings.HasPrefix(s.Name, "/") || slices.Contains(strings.Split(s.Name, "/"), "..") {
+			return nil, fmt.Errorf("%q is no name within the tool's directory", s.Name)
 		}
+		out = append(out, s)
 	}
 	return out, nil
 }
 
-// Resources is what a tool asks for, in cores and gigabytes.
+// isNamedEntry reports whether a value is a Dirent with a name, as an expression may give it.
+func isNamedEntry(x any) bool {
+	m, ok := x.(map[string]any)
+	if !ok || isFileOrDirectory(m) {
+		return false
+	}
+	_, ok = m["entryname"].(string)
+	return ok
+}
+
+func isFileOrDirectory(m map[string]any) bool {
+	return m["class"] == "File" || m["class"] == "Directory"
+}
+
+// stagedItem is what a value puts into the tool's directory, under the value's own name if it has one.
+func stagedItem(x any) Staged {
+	m, isObject := x.(map[string]any)
+	var s Staged
+	switch {
+	case !isObject:
+		s.Text = scalarText(x)
+	case isFileOrDirectory(m):
+		s.Path, _ = m["path"].(string)
+		s.Text, _ = m["contents"].(string)
+		s.Name, _ = m["basename"].(string)
+	case isNamedEntry(x):
+		s.Name, _ = m["entryname"].(string)
+		s.Text, _ = m["entry"].(string)
+	}
+	return s
+}
+
+// Resources is what a tool requests, in cores and gigabytes.
 type Resources struct{ CPUs, MemoryGB, DiskGB float64 }
 
-// ResourcesVary tells whether what a tool asks for hangs on its inputs.
+// ResourcesVary reports whether what a tool requests depends on its inputs.
 func (p *Process) ResourcesVary() bool {
 	for _, v := range p.Req.Resources {
 		if s, ok := v.(string); ok && HasExpr(s) {
@@ -364,36 +429,41 @@
 	return false
 }
 
-// Resources evaluates ResourceRequirement. The specification's defaults are one
-// core, 256 MiB of memory and 1 GiB each for temporary files and results.
+// The specification's defaults of ResourceRequirement, in cores and MiB.
+const (
+	defaultCores     = 1
+	defaultRAMMiB    = 256
+	defaultTmpMiB    = 1024
+	defaultOutputMiB = 1024
+)
+
+// gbPerMiB turns the specification's unit into gigabytes.
+const gbPerMiB = 1 << 20 / 1e9
+
+// Resources evaluates ResourceRequirement for inputs. The specification's defaults are one core, 256 MiB of memory and
+// 1 GiB each for temporary files and results. The error names the field that is no amount.
 func (p *Process) Resources(in map[string]any) (Resources, error) {
 	sc := Scope{Inputs: in}
-	get := func(name string, or float64) (float64, error) {
-		for _, k := range []string{name + "Min", name + "Max"} {
-			if x := p.Req.Resources[k]; x != nil {
-				v, err := Number(x, sc, p.Req)
-				if err != nil || v < 0 {
-					return 0, fmt.Errorf("ResourceRequirement.%s: %v is no amount", k, x)
-				}
-				return v, nil
-			}
+	cpus, cpusErr := p.amount("cores", defaultCores, sc)
+	memory, memoryErr := p.amount("ram", defaultRAMMiB, sc)
+	tmp, tmpErr := p.amount("tmpdir", defaultTmpMiB, sc)
+	out, outErr := p.amount("outdir", defaultOutputMiB, sc)
+	r := Resources{CPUs: cpus, MemoryGB: memory * gbPerMiB, DiskGB: (tmp + out) * gbPerMiB}
+	return r, cmp.Or(cpusErr, memoryErr, tmpErr, outErr)
+}
+
+// amount evaluates the least that ResourceRequirement requests of a resource, or else the most.
+func (p *Process) amount(resource string, byDefault float64, sc Scope) (float64, error) {
+	for _, field := range []string{resource + "Min", resource + "Max"} {
+		x := p.Req.Resources[field]
+		if x == nil {
+			continue
 		}
-		return or, nil
-	}
-	var r Resources
-	var err, e2, e3, e4 error
-	var tmp, out float64
-	r.CPUs, err = get("cores", 1)
-	r.MemoryGB, e2 = get("ram", 256)
-	tmp, e3 = get("tmpdir", 1024)
-	out, e4 = get("outdir", 1024)
-	const mib = 1 << 20 / 1e9
-	r.MemoryGB *= mib
-	r.DiskGB = (tmp + out) * mib
-	for _, e := range []error{e2, e3, e4} {
-		if err == nil {
-			err = e
+		v, err := Number(x, sc, p.Req)
+		if err != nil || v < 0 {
+			return 0, fmt.Errorf("ResourceRequirement.%s: %v is no amount", field, x)
 		}
+		return v, nil
 	}
-	return r, err
+	return byDefault, nil
 }
--- a/cwl/cwl_test.go
+++ b/cwl/cwl_test.go
@@ -22,60 +22,166 @@
 
 const head = "cwlVersion: v1.2\n"
 
-// What is wrong with a document is told with its place and field.
+// Problems of a document are reported with their position and field.
 func TestErrors(t *testing.T) {
 	tool := head + "class: CommandLineTool\nbaseCommand: echo\ninputs: {}\noutputs: {}\n"
-	flow := head + "class: Workflow\ninputs: {n: int}\noutputs: {}\nrequirements: {InlineJavascriptRequirement: {}}\nsteps:\n"
+	flow := head + "class: Workflow\ninputs: {n: int}\noutputs: {}\n" +
+		"requirements: {InlineJavascriptRequirement: {}}\nsteps:\n"
 	run := "run: {class: CommandLineTool, baseCommand: x, inputs: {v: string}, outputs: {o: string}}"
 	bomb := "a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n"
 	for i := range 8 {
-		bomb += fmt.Sprintf(
-			"a%d: &a%d [%s]\n",
-			i+1,
-			i+1,
-			strings.TrimSuffix(strings.Repeat(fmt.Sprintf("*a%d, ", i), 10), ", "),
-		)
+		aliases := strings.TrimSuffix(strings.Repeat(fmt.Sprintf("*a%d, ", i), 10), ", ")
+		bomb += fmt.Sprintf("a%d: &a%d [%s]\n", i+1, i+1, aliases)
 	}
 	for _, c := range []struct{ name, text, expectedErr string }{
 		{"no document", "", "d.cwl:1:1: EOF"},
 		{"not YAML", "a: [", "d.cwl:1:1: "},
-		{"no version", "class: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\n", "d.cwl:1:1: cwlVersion: is missing"},
-		{"other version", "cwlVersion: v1.0\nclass: ExpressionTool\ninputs: {}\noutputs: {}\nexpression: $(null)\n", `d.cwl:1:13: cwlVersion: is "v1.0"`},
+		{
+			"no version",
+			"class: CommandLineTool\n" +
+				"baseCommand: x\n" +
+				"inputs: {}\n" +
+				"outputs: {}\n",
+			"d.cwl:1:1: cwlVersion: is missing",
+		},
+		{
+			"other version",
+			"cwlVersion: v1.0\n" +
+				"class: ExpressionTool\n" +
+				"inputs: {}\n" +
+				"outputs: {}\n" +
+				"expression: $(null)\n",
+			`d.cwl:1:13: cwlVersion: is "v1.0"`,
+		},
 		{"no class", head + "inputs: {}\n", `class: "" is no process`},
 		{"unknown field", tool + "stdot: x\n", "d.cwl:6:1: stdot: is no field"},
 		{"key twice", tool + "inputs: {}\n", "d.cwl:6:1: inputs: the key stands here twice"},
-		{"unknown type", head + "class: CommandLineTool\nbaseCommand: x\ninputs: {a: strin}\noutputs: {}\n", `d.cwl:4:13: inputs.a: "strin" is no type`},
-		{"bad default", head + "class: CommandLineTool\nbaseCommand: x\ninputs: {a: {type: int, default: x}}\noutputs: {}\n", "d.cwl:4:34: inputs.a.default: got string, want integer"},
-		{"unsupported", tool + "requirements: {MPIRequirement: {}}\n", "requirements.MPIRequirement: is not supported"},
-		{"script unasked", tool + "stdout: $(1+1)\n", "d.cwl:6:9: stdout: \"1+1\" needs InlineJavascriptRequirement"},
-		{"script broken", tool + "requirements: {InlineJavascriptRequirement: {}}\nstdout: $(1+)\n", "stdout: the expression is no JavaScript"},
-		{"script open", tool + "stdout: $(inputs.a\n", "stdout: the expression does not end"},
-		{"circle", flow + "  a: {" + run + ", in: {v: b/o}, out: [o]}\n  b: {" + run + ", in: {v: a/o}, out: [o]}\n", "depends on itself: a, b, a"},
-		{"type of a link", flow + "  a: {" + run + ", in: {v: n}, out: [o]}\n", "d.cwl:7:102: steps.a.in.v: n gives int, which is not taken as string"},
+		{
+			"unknown type",
+			head + "class: CommandLineTool\n" +
+				"baseCommand: x\n" +
+				"inputs: {a: strin}\n" +
+				"outputs: {}\n",
+			`d.cwl:4:13: inputs.a: "strin" is no type`,
+		},
+		{
+			"bad default",
+			head + "class: CommandLineTool\n" +
+				"baseCommand: x\n" +
+				"inputs: {a: {type: int, default: x}}\n" +
+				"outputs: {}\n",
+			"d.cwl:4:34: inputs.a.default: got string, want integer",
+		},
+		{
+			"unsupported",
+			tool + "requirements: {MPIRequirement: {}}\n",
+			"requirements.MPIRequirement: is not supported",
+		},
+		{
+			"script without requirement",
+			tool + "stdout: $(1+1)\n",
+			"d.cwl:6:9: stdout: \"1+1\" needs InlineJavascriptRequirement",
+		},
+		{
+			"script with a syntax error",
+			tool + "requirements: {InlineJavascriptRequirement: {}}\n" +
+				"stdout: $(1+)\n",
+			"stdout: the expression is no JavaScript",
+		},
+		{"script without end", tool + "stdout: $(inputs.a\n", "stdout: the expression does not end"},
+		{
+			"cycle of steps",
+			flow + "  a: {" + run + ", in: {v: b/o}, out: [o]}\n" +
+				"  b: {" + run + ", in: {v: a/o}, out: [o]}\n",
+			"depends on itself: a, b, a",
+		},
+		{
+			"type of a link",
+			flow + "  a: {" + run + ", in: {v: n}, out: [o]}\n",
+			"d.cwl:7:102: steps.a.in.v: n gives int, which is not taken as string",
+		},
 		{"no such source", flow + "  a: {" + run + ", in: {v: m}, out: [o]}\n", `steps.a.in.v: "m" names no input`},
-		{"missing input", flow + "  a: {" + run + ", in: {}, out: [o]}\n", `steps.a.in: the input "v" of what the step runs gets no value`},
-		{"no such output", flow + "  a: {" + run + ", in: {v: {default: x}}, out: [p]}\n", `steps.a.out: "p" is no output`},
-		{"scatter method", flow + "  a: {" + run + ", scatter: [v, w], in: {v: n, w: n}, out: [o]}\n", "steps.a.scatterMethod: must be one of"},
-		{"runs itself", head + "class: Workflow\ninputs: {}\noutputs: {}\nsteps: {a: {run: d.cwl, in: {}, out: []}}\n", "steps.a.run: runs itself"},
-		{"network", head + "class: Workflow\ninputs: {}\noutputs: {}\nsteps: {a: {run: 'http://x/y.cwl', in: {}, out: []}}\n", "not fetched from the network"},
-		{"missing file", head + "class: Workflow\ninputs: {}\noutputs: {}\nsteps: {a: {run: y.cwl, in: {}, out: []}}\n", "cannot read y.cwl"},
-		{"includes itself", head + "class: Workflow\ninputs: {$import: d.cwl}\noutputs: {}\nsteps: {}\n", "d.cwl includes itself"},
+		{
+			"missing input",
+			flow + "  a: {" + run + ", in: {}, out: [o]}\n",
+			`steps.a.in: the input "v" of what the step runs gets no value`,
+		},
+		{
+			"no such output",
+			flow + "  a: {" + run + ", in: {v: {default: x}}, out: [p]}\n",
+			`steps.a.out: "p" is no output`,
+		},
+		{
+			"scatter method",
+			flow + "  a: {" + run + ", scatter: [v, w], in: {v: n, w: n}, out: [o]}\n",
+			"steps.a.scatterMethod: must be one of",
+		},
+		{
+			"runs itself",
+			head + "class: Workflow\n" +
+				"inputs: {}\n" +
+				"outputs: {}\n" +
+				"steps: {a: {run: d.cwl, in: {}, out: []}}\n",
+			"steps.a.run: runs itself",
+		},
+		{
+			"file on the network",
+			head + "class: Workflow\n" +
+				"inputs: {}\n" +
+				"outputs: {}\n" +
+				"steps: {a: {run: 'http://x/y.cwl', in: {}, out: []}}\n",
+			"not fetched from the network",
+		},
+		{
+			"missing file",
+			head + "class: Workflow\n" +
+				"inputs: {}\n" +
+				"outputs: {}\n" +
+				"steps: {a: {run: y.cwl, in: {}, out: []}}\n",
+			"cannot read y.cwl",
+		},
+		{
+			"includes itself",
+			head + "class: Workflow\n" +
+				"inputs: {$import: d.cwl}\n" +
+				"outputs: {}\n" +
+				"steps: {}\n",
+			"d.cwl includes itself",
+		},
 		{"alias bomb", bomb, "more than 400000 values once its aliases are followed"},
-		{"hint", tool + "$namespaces: {g: 'https://grebedock.example/cwl#'}\nhints: {g:Job: {priority: urgent}}\n", "hints.g:Job.priority: has a wrong value"},
-		{"deep", head + "class: CommandLineTool\nbaseCommand: x\noutputs: {}\ninputs: " + strings.Repeat("[", 300) + strings.Repeat("]", 300) + "\n", "nested more than 200 deep"},
+		{
+			"wrong value in job hint",
+			tool + "$namespaces: {g: 'https://grebedock.example/cwl#'}\n" +
+				"hints: {g:Job: {priority: urgent}}\n",
+			"hints.g:Job.priority: has a wrong value",
+		},
+		{
+			"nested too deep",
+			head + "class: CommandLineTool\n" +
+				"baseCommand: x\n" +
+				"outputs: {}\n" +
+				"inputs: " + strings.Repeat("[", 300) + strings.Repeat("]", 300) + "\n",
+			"nested more than 200 deep",
+		},
 	} {
-		_, err := load(c.text)
-		if err == nil || !strings.Contains(err.Error(), c.expectedErr) {
-			t.Errorf("%s: %v, not %q", c.name, err, c.expectedErr)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := load(c.text)
+			if err == nil || !strings.Contains(err.Error(), c.expectedErr) {
+				t.Errorf("got %v, want %q", err, c.expectedErr)
+			}
+		})
 	}
-	if _, err := load(head + "class: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\ndoc: '" + strings.Repeat("x", DefaultLimits.Bytes) + "'\n"); err == nil ||
-		!strings.Contains(err.Error(), "more than") {
-		t.Error("a document above the bound is read")
+}
+
+func TestDocumentAboveSizeLimitIsRefused(t *testing.T) {
+	text := strings.Repeat("x", DefaultLimits.Bytes)
+	_, err := load(head + "class: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\ndoc: '" + text + "'\n")
+	if err == nil || !strings.Contains(err.Error(), "more than") {
+		t.Errorf("got %v", err)
 	}
 }
 
-// Expressions that never end, take all memory or throw end soon with a reason.
+// Expressions that never end, allocate without bound or throw end soon, with a reason.
 func TestExpressionsAreBounded(t *testing.T) {
 	req := Requirements{JS: true}
 	for _, c := range []struct{ text, expectedErr string }{
@@ -111,10 +217,23 @@
 		text     string
 		expected any
 	}{
-		{"plain", "plain"}, {"$(inputs.n)", int64(3)}, {" $(inputs.n) ", int64(3)}, {"n=$(inputs.n)!", "n=3!"}, {`\$(inputs.n)`, "$(inputs.n)"},
-		{"$(inputs.f.tags[1])", "y"}, {"$(inputs['f']['path'])", "/d/a b.txt"}, {"$(inputs.f.tags.length)", int64(2)}, {"$(self)-$(runtime.cores)", "me-2"},
-		{"$(inputs.n * 2 + ')')", "6)"}, {"${ return [inputs.n, {a: null}]; }", []any{int64(3), map[string]any{"a": nil}}}, {"$(inputs.f.tags)", []any{"x", "y"}},
-		{"tags $(inputs.f.tags)", `tags ["x","y"]`}, {"$(null)", nil}, {"$(1/4)", 0.25}, {"$(undefined)", nil}, {"${inputs.n = 9; return inputs.n}", int64(9)},
+		{"plain", "plain"},
+		{"$(inputs.n)", int64(3)},
+		{" $(inputs.n) ", int64(3)},
+		{"n=$(inputs.n)!", "n=3!"},
+		{`\$(inputs.n)`, "$(inputs.n)"},
+		{"$(inputs.f.tags[1])", "y"},
+		{"$(inputs['f']['path'])", "/d/a b.txt"},
+		{"$(inputs.f.tags.length)", int64(2)},
+		{"$(self)-$(runtime.cores)", "me-2"},
+		{"$(inputs.n * 2 + ')')", "6)"},
+		{"${ return [inputs.n, {a: null}]; }", []any{int64(3), map[string]any{"a": nil}}},
+		{"$(inputs.f.tags)", []any{"x", "y"}},
+		{"tags $(inputs.f.tags)", `tags ["x","y"]`},
+		{"$(null)", nil},
+		{"$(1/4)", 0.25},
+		{"$(undefined)", nil},
+		{"${inputs.n = 9; return inputs.n}", int64(9)},
 	} {
 		if got, err := Eval(c.text, sc, Requirements{JS: true}); err != nil || !reflect.DeepEqual(got, c.expected) {
 			t.Errorf("%s gives %#v, %v, not %#v", c.text, got, err, c.expected)
@@ -125,53 +244,108 @@
 	}
 }
 
-// The command lines that the specification's rules give.
+// Command lines follow the specification's rules.
 func TestCommandLines(t *testing.T) {
 	for _, c := range []struct{ name, doc, in, expected string }{
-		{"order", "baseCommand: [p, q]\narguments: [first, {valueFrom: last, position: 9}]\ninputs:\n  b: {type: string, inputBinding: {position: 2}}\n  a: {type: int, inputBinding: {position: 2, prefix: -a}}\n  c: {type: boolean, inputBinding: {position: 1, prefix: -c}}\n  d: {type: boolean, inputBinding: {prefix: -d}}\n  e: string?\n",
-			`{"a": 7, "b": "x y", "c": true, "d": false}`, "p|q|first|-c|-a|7|x y|last"},
-		{"arrays", "baseCommand: p\ninputs:\n  a: {type: 'int[]', inputBinding: {prefix: -a, itemSeparator: ','}}\n  b: {type: 'string[]', inputBinding: {prefix: -b, position: 1}}\n  c: {type: {type: array, items: string, inputBinding: {prefix: -c, separate: false}}, inputBinding: {position: 2}}\n  d: {type: 'string[]', inputBinding: {position: 3, prefix: -d}}\n",
-			`{"a": [1, 2], "b": ["x", "y"], "c": ["u", "v"], "d": []}`, "p|-a|1,2|-b|x|y|-cu|-cv"},
-		{"records", "baseCommand: p\ninputs:\n  r:\n    type: {type: record, fields: {x: {type: int, inputBinding: {prefix: -x, position: 2}}, y: {type: File, inputBinding: {position: 1}}}}\n    inputBinding: {position: 1}\n",
-			`{"r": {"x": 1, "y": {"class": "File", "path": "/f"}}}`, "p|/f|-x|1"},
-		{"expressions", "baseCommand: p\nrequirements: {InlineJavascriptRequirement: {expressionLib: ['function twice(x) { return 2*x; }']}}\ninputs:\n  f: {type: File, inputBinding: {valueFrom: $(self.nameroot)}}\n  n: {type: int, inputBinding: {valueFrom: $(twice(self)), position: $(1+1)}}\n",
-			`{"f": {"class": "File", "path": "/d/x.tar.gz"}, "n": 4}`, "p|x.tar|8"},
-		{"shell", "baseCommand: echo\nrequirements: {ShellCommandRequirement: {}}\narguments: [{valueFrom: '>', shellQuote: false, position: 2}, {valueFrom: a b, position: 3}]\ninputs: {s: {type: string, inputBinding: {position: 1}}}\n",
-			`{"s": "it's"}`, `echo 'it'\''s' > 'a b'`},
-		{"union", "baseCommand: p\ninputs:\n  u: {type: ['null', int, 'string[]'], inputBinding: {prefix: -u}}\n", `{"u": ["a"]}`, "p|-u|a"},
+		{
+			"order",
+			"baseCommand: [p, q]\n" +
+				"arguments: [first, {valueFrom: last, position: 9}]\n" +
+				"inputs:\n" +
+				"  b: {type: string, inputBinding: {position: 2}}\n" +
+				"  a: {type: int, inputBinding: {position: 2, prefix: -a}}\n" +
+				"  c: {type: boolean, inputBinding: {position: 1, prefix: -c}}\n" +
+				"  d: {type: boolean, inputBinding: {prefix: -d}}\n" +
+				"  e: string?\n",
+			`{"a": 7, "b": "x y", "c": true, "d": false}`,
+			"p|q|first|-c|-a|7|x y|last",
+		},
+		{
+			"arrays",
+			"baseCommand: p\n" +
+				"inputs:\n" +
+				"  a: {type: 'int[]', inputBinding: {prefix: -a, itemSeparator: ','}}\n" +
+				"  b: {type: 'string[]', inputBinding: {prefix: -b, position: 1}}\n" +
+				"  c: {type: {type: array, items: string, inputBinding: {prefix: -c, separate: false}}, " +
+				"inputBinding: {position: 2}}\n" +
+				"  d: {type: 'string[]', inputBinding: {position: 3, prefix: -d}}\n",
+			`{"a": [1, 2], "b": ["x", "y"], "c": ["u", "v"], "d": []}`,
+			"p|-a|1,2|-b|x|y|-cu|-cv",
+		},
+		{
+			"records",
+			"baseCommand: p\n" +
+				"inputs:\n" +
+				"  r:\n" +
+				"    type: {type: record, fields: {x: {type: int, inputBinding: {prefix: -x, position: 2}}, " +
+				"y: {type: File, inputBinding: {position: 1}}}}\n" +
+				"    inputBinding: {position: 1}\n",
+			`{"r": {"x": 1, "y": {"class": "File", "path": "/f"}}}`,
+			"p|/f|-x|1",
+		},
+		{
+			"expressions",
+			"baseCommand: p\n" +
+				"requirements: {InlineJavascriptRequirement: " +
+				"{expressionLib: ['function twice(x) { return 2*x; }']}}\n" +
+				"inputs:\n" +
+				"  f: {type: File, inputBinding: {valueFrom: $(self.nameroot)}}\n" +
+				"  n: {type: int, inputBinding: {valueFrom: $(twice(self)), position: $(1+1)}}\n",
+			`{"f": {"class": "File", "path": "/d/x.tar.gz"}, "n": 4}`,
+			"p|x.tar|8",
+		},
+		{
+			"shell",
+			"baseCommand: echo\n" +
+				"requirements: {ShellCommandRequirement: {}}\n" +
+				"arguments: [{valueFrom: '>', shellQuote: false, position: 2}, {valueFrom: a b, position: 3}]\n" +
+				"inputs: {s: {type: string, inputBinding: {position: 1}}}\n",
+			`{"s": "it's"}`,
+			`echo 'it'\''s' > 'a b'`,
+		},
+		{
+			"union",
+			"baseCommand: p\n" +
+				"inputs:\n" +
+				"  u: {type: ['null', int, 'string[]'], inputBinding: {prefix: -u}}\n",
+			`{"u": ["a"]}`,
+			"p|-u|a",
+		},
 	} {
-		p, err := load(head + "class: CommandLineTool\noutputs: {}\n" + c.doc)
-		if err != nil {
-			t.Errorf("%s: %v", c.name, err)
-			continue
-		}
-		v, err := decode([]byte(c.in))
-		if err != nil {
-			t.Fatal(err)
-		}
-		in, err := p.CheckInputs(v.(map[string]any))
-		if err != nil {
-			t.Errorf("%s: %v", c.name, err)
-			continue
-		}
-		cmd, err := p.CommandLine(in, nil)
-		if err != nil || strings.Join(cmd.Args, "|") != c.expected {
-			t.Errorf("%s: %v, %v, not %s", c.name, cmd, err, c.expected)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			p, err := load(head + "class: CommandLineTool\noutputs: {}\n" + c.doc)
+			if err != nil {
+				t.Fatal(err)
+			}
+			v, err := decode([]byte(c.in))
+			if err != nil {
+				t.Fatal(err)
+			}
+			in, err := p.CheckInputs(v.(map[string]any))
+			if err != nil {
+				t.Fatal(err)
+			}
+			cmd, err := p.CommandLine(in, nil)
+			if err != nil || strings.Join(cmd.Args, "|") != c.expected {
+				t.Errorf("got %v, %v, want %s", cmd, err, c.expected)
+			}
+		})
 	}
 }
 
 func TestInputsAreChecked(t *testing.T) {
-	p, err := load(
-		head + "class: CommandLineTool\nbaseCommand: x\noutputs: {}\ninputs: {n: int, f: 'File?', e: {type: {type: enum, symbols: [a, b]}, default: a}, l: 'string[]'}\n",
-	)
+	p, err := load(head + "class: CommandLineTool\nbaseCommand: x\noutputs: {}\n" +
+		"inputs: {n: int, f: 'File?', e: {type: {type: enum, symbols: [a, b]}, default: a}, l: 'string[]'}\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ in, expectedErr string }{
-		{`{"n": 1, "l": []}`, ""}, {`{"n": 1, "l": ["x"], "e": "b", "f": {"class": "File", "location": "file:///x"}}`, ""},
+		{`{"n": 1, "l": []}`, ""},
+		{`{"n": 1, "l": ["x"], "e": "b", "f": {"class": "File", "location": "file:///x"}}`, ""},
 		{`{"l": []}`, "missing property 'n'"}, {`{"n": 1.5, "l": []}`, "n: "}, {`{"n": 9999999999, "l": []}`, "n: "},
-		{`{"n": 1, "l": ["x", 2]}`, "l.1: got number, want string"}, {`{"n": 1, "l": [], "e": "c"}`, "e: "}, {`{"n": 1, "l": [], "m": 1}`, `input "m"`},
+		{`{"n": 1, "l": ["x", 2]}`, "l.1: got number, want string"},
+		{`{"n": 1, "l": [], "e": "c"}`, "e: "},
+		{`{"n": 1, "l": [], "m": 1}`, `input "m"`},
 		{`{"n": 1, "l": [], "f": "x"}`, "f: "},
 	} {
 		v, err := decode([]byte(c.in))
@@ -186,7 +360,17 @@
 	}
 }
 
-// The worked examples are good, and mean the same once packed into one document.
+// shape is what a process and those that it runs are made of.
+func shape(p *Process) (out string) {
+	p.Walk(func(p *Process) {
+		job, _ := json.Marshal(p.Req.Job)
+		counts := fmt.Sprint(len(p.Inputs), len(p.Outputs), len(p.Steps))
+		out += fmt.Sprintln(p.Class, counts, p.Req.JS, string(job), p.BaseCommand)
+	})
+	return out
+}
+
+// The worked examples are without errors, and mean the same once packed into one document.
 func TestExamples(t *testing.T) {
 	files, err := filepath.Glob("../docs/examples/cwl/*.cwl")
 	if err != nil || len(files) < 3 {
@@ -207,21 +391,13 @@
 			t.Errorf("%s packed: %v", f, err)
 			continue
 		}
-		shape := func(p *Process) (out string) {
-			p.Walk(func(p *Process) {
-				job, _ := json.Marshal(p.Req.Job)
-				out += fmt.Sprintln(p.Class, len(p.Inputs), len(p.Outputs), len(p.Steps), p.Req.JS, string(job), p.BaseCommand)
-			})
-			return out
-		}
 		if shape(p) != shape(q) {
 			t.Errorf("%s: packed it is\n%s, not\n%s", f, shape(q), shape(p))
 		}
 	}
 }
 
-// Hostile documents end in an error or a process, and in no more time than the
-// bounds allow.
+// Hostile documents end in an error or a process, and in no more time than the limits allow.
 func FuzzLoad(f *testing.F) {
 	files, _ := filepath.Glob("../docs/examples/cwl/*.cwl")
 	for _, name := range files {
--- a/cwl/model.go
+++ b/cwl/model.go
@@ -1,9 +1,11 @@
 package cwl
 
-// Class is the kind of a process.
+import "cmp"
+
+// Class is the class of a process.
 type Class string
 
-// The kinds of processes.
+// The classes of processes.
 const (
 	Tool       Class = "CommandLineTool"
 	Expression Class = "ExpressionTool"
@@ -28,13 +30,13 @@
 	// ExpressionTool.
 	Expression string
 
-	// Workflow, in an order in which each step follows what it depends on.
+	// Workflow: each step follows what it depends on.
 	Steps []*Step
 
-	src *value
+	src *value // for Pack
 }
 
-// Input is a parameter of a process.
+// Input is an input of a process.
 type Input struct {
 	Pos
 	ID           string
@@ -46,44 +48,46 @@
 	LoadContents bool
 }
 
-// Secondary is a pattern of files that go with another.
+// Secondary is a pattern of the names of files that go with another.
 type Secondary struct {
 	Pattern  string
 	Required string // "", "true", "false" or an expression
 }
 
-// Binding says how a value becomes part of a command line.
+// Binding is how a value becomes part of a command line.
 type Binding struct {
-	Position      string // a number or an expression
+	Position      string // a number or an expression; empty: 0
 	Prefix        string
 	NoSeparate    bool // the prefix and the value are one word
 	ItemSeparator string
 	HasSeparator  bool
 	ValueFrom     string
-	NoQuote       bool // with ShellCommandRequirement
+	NoQuote       bool // not quoted for a shell, with ShellCommandRequirement
 	LoadContents  bool
 }
 
-// Output is a result of a process.
+// Output is an output of a process.
 type Output struct {
 	Pos
 	ID        string
 	Type      *Type
 	Secondary []Secondary
-	// Tools.
+
+	// Of tools.
 	Glob         []string
 	LoadContents bool
 	OutputEval   string
-	// Workflows.
+
+	// Of workflows.
 	Link Link
 }
 
-// Link says where a value comes from.
+// Link is where a value comes from.
 type Link struct {
-	Source []string
-	Listed bool // written as a list: the value is one even of a single source
-	Merge  string
-	Pick   string
+	Source []string // INPUT of the workflow, or STEP/OUTPUT
+	Listed bool     // written as a list, even of a single source
+	Merge  string   // linkMerge
+	Pick   string   // pickValue
 }
 
 // Step is a process within a workflow.
@@ -93,13 +97,13 @@
 	In      []StepIn
 	Out     []string
 	Run     *Process
-	Scatter []string
-	Method  string // dotproduct, nested_crossproduct, flat_crossproduct
-	When    string
+	Scatter []string // inputs
+	Method  string   // dotProduct, nestedProduct or flatProduct, if it is scattered
+	When    string   // an expression; empty: always
 	Req     Requirements
 }
 
-// StepIn is a parameter of a step.
+// StepIn is an input of a step.
 type StepIn struct {
 	Pos
 	ID           string
@@ -110,33 +114,32 @@
 	LoadContents bool
 }
 
-// Requirements is what a process or step asks of whoever runs it, its own and
-// what it has from the workflow above.
+// Requirements are what a process or step requires of the platform, its own and what it inherits from the workflow
+// above.
 type Requirements struct {
-	JS         bool
-	Lib        []string
+	JS         bool     // JavaScript in expressions
+	Lib        []string // JavaScript that runs before each expression
 	Shell      bool
 	Image      string
 	Env        []EnvVar
 	TimeLimit  any // seconds or an expression
 	WorkDir    []Dirent
-	WorkDirAll string // an expression that gives the listing
-	Resources  map[string]any
+	WorkDirAll string         // an expression that gives the listing
+	Resources  map[string]any // fields of ResourceRequirement: numbers or expressions
 	Job        *JobHint
 }
 
 // EnvVar is a variable of a tool's environment.
 type EnvVar struct{ Name, Value string }
 
-// Dirent is something that lies in a tool's directory before it starts.
+// Dirent is a file or directory that is in a tool's directory before it starts. Name and Entry may be expressions.
 type Dirent struct {
 	Name     string
 	Entry    string
 	Writable bool
 }
 
-// JobHint is grebedock's own hint: how a step is scheduled. Zero fields are
-// inherited from the workflow above.
+// JobHint is grebedock's own hint: how a step is scheduled. Zero fields are inherited from the workflow above.
 type JobHint struct {
 	Team      string  `json:"team,omitempty"`
 	Class     string  `json:"class,omitempty"`
@@ -157,38 +160,20 @@
 	if outer == nil {
 		return h
 	}
-	out := *outer
-	if h.Team != "" {
-		out.Team = h.Team
-	}
-	if h.Class != "" {
-		out.Class = h.Class
-	}
-	if h.Priority != "" {
-		out.Priority = h.Priority
-	}
-	if h.DeadlineS != 0 {
-		out.DeadlineS = h.DeadlineS
-	}
-	if h.EstimateS != 0 {
-		out.EstimateS = h.EstimateS
-	}
-	if h.ImageGB != 0 {
-		out.ImageGB = h.ImageGB
-	}
-	if h.Spot != nil {
-		out.Spot = h.Spot
-	}
-	if h.Retries != nil {
-		out.Retries = h.Retries
-	}
-	if h.Once != nil {
-		out.Once = h.Once
+	return &JobHint{
+		Team:      cmp.Or(h.Team, outer.Team),
+		Class:     cmp.Or(h.Class, outer.Class),
+		Priority:  cmp.Or(h.Priority, outer.Priority),
+		DeadlineS: cmp.Or(h.DeadlineS, outer.DeadlineS),
+		EstimateS: cmp.Or(h.EstimateS, outer.EstimateS),
+		ImageGB:   cmp.Or(h.ImageGB, outer.ImageGB),
+		Spot:      cmp.Or(h.Spot, outer.Spot),
+		Retries:   cmp.Or(h.Retries, outer.Retries),
+		Once:      cmp.Or(h.Once, outer.Once),
 	}
-	return &out
 }
 
-// Input finds a parameter.
+// Input returns the input of a name, nil if there is none.
 func (p *Process) Input(id string) *Input {
 	for i := range p.Inputs {
 		if p.Inputs[i].ID == id {
@@ -198,7 +183,7 @@
 	return nil
 }
 
-// Output finds a result.
+// Output returns the output of a name, nil if there is none.
 func (p *Process) Output(id string) *Output {
 	for i := range p.Outputs {
 		if p.Outputs[i].ID == id {
--- a/cwl/pack.go
+++ b/cwl/pack.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Pack writes a process, with all that it runs in place of references, as one
-// JSON document. Load reads it back.
+// Pack writes a process, with all processes that it runs in place of references, as one JSON document. Load reads it
+// back.
 func Pack(p *Process) map[string]any {
 	doc := p.pack()
 	doc["requirements"] = p.Req.pack(doc["requirements"])
@@ -18,9 +18,8 @@
 	return doc
 }
 
-// pack writes requirements, the inherited ones among them: a tool that is packed
-// by itself still means what it did within its workflow. Types that a document
-// defines are kept as they stand.
+// pack writes requirements, the inherited ones among them: a tool that is packed by itself still means what it did
+// within its workflow. src are the requirements of the document, whose types are copied as they are.
 func (r Requirements) pack(src any) []any {
 	out := []any{}
 	add := func(class string, fields map[string]any) {
@@ -61,7 +60,7 @@
 	return out
 }
 
-// listing writes the files that a tool finds in its directory; nil: none.
+// listing writes the files that a tool finds in its directory; nil: there are none.
 func (r Requirements) listing() any {
 	if r.WorkDirAll != "" {
 		return r.WorkDirAll
@@ -84,7 +83,7 @@
 	return list
 }
 
-// schemaDefsOf copies what a document's requirements say of types of its own.
+// schemaDefsOf copies the SchemaDefRequirement among a document's requirements.
 func schemaDefsOf(requirements any) (defs []map[string]any) {
 	keep := func(class string, x any) {
 		if m, ok := x.(map[string]any); ok && class == "SchemaDefRequirement" {
@@ -106,8 +105,7 @@
 	return defs
 }
 
-// pack writes a process. Its requirements include what it inherited, so that
-// its meaning does not hang on where it stands.
+// pack writes a process. Its job hint includes what it inherited, so that its meaning does not depend on where it is.
 func (p *Process) pack() map[string]any {
 	doc := p.src.plain().(map[string]any)
 	doc = maps.Clone(doc)
@@ -121,28 +119,65 @@
 	}
 	steps := map[string]any{}
 	for _, s := range p.Steps {
-		var src map[string]any
-		for _, e := range (&builder{loader: &loader{}}).idMap(p.src.get("steps"), "steps", "id", "run") {
-			if e.id == s.ID {
-				src = maps.Clone(e.v.plain().(map[string]any))
-			}
-		}
-		delete(src, "id")
-		src["run"] = s.Run.pack()
-		if s.Req.Job != nil {
-			src["hints"] = withJobHint(src["hints"], s.Req.Job)
-		}
-		steps[s.ID] = src
+		steps[s.ID] = s.pack(p.src)
 	}
 	doc["steps"] = steps
 	return doc
 }
 
+// pack writes a step of the workflow that src describes.
+func (s *Step) pack(src *value) map[string]any {
+	var doc map[string]any
+	reader := &builder{loader: &loader{}} // whose errors were reported when the workflow was loaded
+	for _, e := range reader.idMap(src.get("steps"), "steps", "id", "run") {
+		if e.id == s.ID {
+			doc = maps.Clone(e.v.plain().(map[string]any))
+		}
+	}
+	delete(doc, "id")
+	doc["run"] = s.Run.pack()
+	if s.Req.Job != nil {
+		doc["hints"] = withJobHint(doc["hints"], s.Req.Job)
+	}
+	return doc
+}
+
+// withJobHint is a list of hints with the job hint first, in place of any that were there.
 func withJobHint(hints any, h *JobHint) any {
+	list := []any{h.pack()}
+	switch hs := hints.(type) {
+	case []any:
+		for _, x := range hs {
+			m, ok := x.(map[string]any)
+			if !ok || !isJobHint(fmt.Sprint(m["class"])) {
+				list = append(list, x)
+			}
+		}
+	case map[string]any:
+		for _, class := range slices.Sorted(maps.Keys(hs)) {
+			if isJobHint(class) {
+				continue
+			}
+			m := map[string]any{}
+			if fields, ok := hs[class].(map[string]any); ok {
+				m = maps.Clone(fields)
+			}
+			m["class"] = class
+			list = append(list, m)
+		}
+	}
+	return list
+}
+
+// isJobHint reports whether a class is that of the job hint, with whatever prefix.
+func isJobHint(class string) bool { return strings.HasSuffix(class, "Job") }
+
+// pack writes a job hint.
+func (h *JobHint) pack() map[string]any {
 	job := map[string]any{"class": "gd:Job"}
-	put := func(k string, v any, there bool) {
-		if there {
-			job[k] = v
+	put := func(key string, v any, isSet bool) {
+		if isSet {
+			job[key] = v
 		}
 	}
 	put("team", h.Team, h.Team != "")
@@ -160,26 +195,5 @@
 	if h.Retries != nil {
 		job["retries"] = *h.Retries
 	}
-	list := []any{job}
-	switch hs := hints.(type) {
-	case []any:
-		for _, x := range hs {
-			if m, ok := x.(map[string]any); !ok || !strings.HasSuffix(fmt.Sprint(m["class"]), "Job") {
-				list = append(list, x)
-			}
-		}
-	case map[string]any:
-		for _, k := range slices.Sorted(maps.Keys(hs)) {
-			if strings.HasSuffix(k, "Job") {
-				continue
-			}
-			m := map[string]any{}
-			if sub, ok := hs[k].(map[string]any); ok {
-				m = maps.Clone(sub)
-			}
-			m["class"] = k
-			list = append(list, m)
-		}
-	}
-	return list
+	return job
 }
--- a/cwl/ports.go
+++ b/cwl/ports.go
@@ -7,83 +7,102 @@
 	"strings"
 )
 
+// inputs reads the inputs of a process. defs are the types that it defines.
 func (b *builder) inputs(p *Process, v *value, defs map[string]*Type) {
 	if v.get("inputs") == nil {
 		b.fail(v.Pos, "inputs", "is missing")
 	}
 	for _, e := range b.idMap(v.get("inputs"), "inputs", "id", "type") {
-		at := "inputs." + e.id
-		b.check(e.v, at, "input")
-		in := Input{Pos: e.at, ID: e.id, LoadContents: flag(e.v.get("loadContents"))}
-		if s, _ := textOf(e.v.get("type")); s == "stdin" {
-			in.Type = &Type{Name: "File"}
-			p.Stdin = "$(inputs." + e.id + ".path)"
-		} else if t := e.v.get("type"); t == nil {
-			b.fail(e.at, at, "type is missing")
-			in.Type = &Type{Name: "Any"}
-		} else {
-			in.Type = b.parseType(t, at, defs)
-		}
-		if d := e.v.get("default"); d != nil {
-			in.Default, in.HasDefault = d.plain(), true
-			if err := checkValue(in.Type, in.Default); err != nil && in.Default != nil {
-				b.fail(d.Pos, at+".default", "%v", err)
-			}
-		}
-		if x := e.v.get("inputBinding"); x != nil {
-			in.Binding = b.binding(x, at+".inputBinding")
-			b.expr(x.get("valueFrom"), at+".inputBinding.valueFrom", p.Req)
-			in.LoadContents = in.LoadContents || in.Binding.LoadContents
+		p.Inputs = append(p.Inputs, b.input(p, e, defs))
+	}
+}
+
+func (b *builder) input(p *Process, e entry, defs map[string]*Type) Input {
+	at := "inputs." + e.id
+	b.check(e.v, at, inputObject)
+	in := Input{Pos: e.at, ID: e.id, LoadContents: flag(e.v.get("loadContents"))}
+	t := e.v.get("type")
+	name, _ := textOf(t)
+	switch {
+	case name == "stdin":
+		in.Type = &Type{Name: "File"}
+		p.Stdin = "$(inputs." + e.id + ".path)"
+	case t == nil:
+		b.fail(e.at, at, "type is missing")
+		in.Type = &Type{Name: "Any"}
+	default:
+		in.Type = b.parseType(t, at, defs)
+	}
+	if d := e.v.get("default"); d != nil {
+		in.Default, in.HasDefault = d.plain(), true
+		if err := checkValue(in.Type, in.Default); err != nil && in.Default != nil {
+			b.fail(d.Pos, at+".default", "%v", err)
 		}
-		in.Secondary = b.secondary(e.v.get("secondaryFiles"), at+".secondaryFiles", p.Req)
-		p.Inputs = append(p.Inputs, in)
 	}
+	if x := e.v.get("inputBinding"); x != nil {
+		in.Binding = b.binding(x, at+".inputBinding")
+		b.expr(x.get("valueFrom"), at+".inputBinding.valueFrom", p.Req)
+		in.LoadContents = in.LoadContents || in.Binding.LoadContents
+	}
+	in.Secondary = b.secondary(e.v.get("secondaryFiles"), at+".secondaryFiles", p.Req)
+	return in
 }
 
+// outputs reads the outputs of a process. defs are the types that it defines.
 func (b *builder) outputs(p *Process, v *value, defs map[string]*Type) {
 	if v.get("outputs") == nil {
 		b.fail(v.Pos, "outputs", "is missing")
 	}
 	for _, e := range b.idMap(v.get("outputs"), "outputs", "id", "type") {
-		at := "outputs." + e.id
-		b.check(e.v, at, "output")
-		o := Output{Pos: e.at, ID: e.id, Secondary: b.secondary(e.v.get("secondaryFiles"), at+".secondaryFiles", p.Req)}
-		switch s, _ := textOf(e.v.get("type")); s {
-		case "stdout", "stderr":
-			o.Type = &Type{Name: "File"}
-			name := &p.Stdout
-			if s == "stderr" {
-				name = &p.Stderr
-			}
-			if src, ok := textOf(v.get(s)); ok {
-				*name = src
-			} else {
-				*name = p.ID + "_" + e.id + "." + s
-			}
-			o.Glob = []string{*name}
-		default:
-			if e.v.get("type") == nil {
-				b.fail(e.at, at, "type is missing")
-			}
-			o.Type = b.parseType(e.v.get("type"), at, defs)
-		}
-		if x := e.v.get("outputBinding"); x != nil {
-			o.Glob = texts(x.get("glob"))
-			o.LoadContents = flag(x.get("loadContents"))
-			o.OutputEval, _ = textOf(x.get("outputEval"))
-			b.expr(x.get("glob"), at+".outputBinding.glob", p.Req)
-			b.expr(x.get("outputEval"), at+".outputBinding.outputEval", p.Req)
+		p.Outputs = append(p.Outputs, b.output(p, v, e, defs))
+	}
+}
+
+// output reads an output of the process that v describes.
+func (b *builder) output(p *Process, v *value, e entry, defs map[string]*Type) Output {
+	at := "outputs." + e.id
+	b.check(e.v, at, outputObject)
+	o := Output{Pos: e.at, ID: e.id}
+	o.Secondary = b.secondary(e.v.get("secondaryFiles"), at+".secondaryFiles", p.Req)
+	t := e.v.get("type")
+	switch name, _ := textOf(t); name {
+	case "stdout":
+		o.Type, o.Glob = &Type{Name: "File"}, []string{streamFile(&p.Stdout, v, name, p.ID, e.id)}
+	case "stderr":
+		o.Type, o.Glob = &Type{Name: "File"}, []string{streamFile(&p.Stderr, v, name, p.ID, e.id)}
+	default:
+		if t == nil {
+			b.fail(e.at, at, "type is missing")
 		}
-		if p.Class == Flow {
-			o.Link = b.link(e.v, "outputSource", at)
-			if len(o.Link.Source) == 0 {
-				b.fail(e.at, at, "outputSource is missing")
-			}
+		o.Type = b.parseType(t, at, defs)
+	}
+	if x := e.v.get("outputBinding"); x != nil {
+		o.Glob = texts(x.get("glob"))
+		o.LoadContents = flag(x.get("loadContents"))
+		o.OutputEval, _ = textOf(x.get("outputEval"))
+		b.expr(x.get("glob"), at+".outputBinding.glob", p.Req)
+		b.expr(x.get("outputEval"), at+".outputBinding.outputEval", p.Req)
+	}
+	if p.Class == Flow {
+		o.Link = b.link(e.v, "outputSource", at)
+		if len(o.Link.Source) == 0 {
+			b.fail(e.at, at, "outputSource is missing")
 		}
-		p.Outputs = append(p.Outputs, o)
 	}
+	return o
+}
+
+// streamFile sets the file of a standard stream that is an output: the one that the tool v names, or one named after
+// the output.
+func streamFile(name *string, v *value, stream, process, output string) string {
+	*name = process + "_" + output + "." + stream
+	if given, ok := textOf(v.get(stream)); ok {
+		*name = given
+	}
+	return *name
 }
 
+// flag is the boolean that a value is, false if it is none.
 func flag(v *value) bool {
 	if v == nil {
 		return false
@@ -92,6 +111,7 @@
 	return ok
 }
 
+// texts are the texts that a value is or lists.
 func texts(v *value) []string {
 	if v == nil {
 		return nil
@@ -108,6 +128,7 @@
 	return out
 }
 
+// secondary reads secondaryFiles.
 func (b *builder) secondary(v *value, at string, req Requirements) []Secondary {
 	if v == nil {
 		return nil
@@ -118,18 +139,7 @@
 	}
 	var out []Secondary
 	for _, x := range items {
-		s := Secondary{}
-		if text, ok := x.text(); ok {
-			s.Pattern = text
-			if t, opt := strings.CutSuffix(text, "?"); opt {
-				s.Pattern, s.Required = t, "false"
-			}
-		} else if x.kind == object {
-			s.Pattern, _ = textOf(x.get("pattern"))
-			if r := x.get("required"); r != nil {
-				s.Required = fmt.Sprint(r.data)
-			}
-		}
+		s := secondaryOf(x)
 		if s.Pattern == "" {
 			b.fail(x.Pos, at, "needs a pattern")
 		}
@@ -139,6 +149,30 @@
 	return out
 }
 
+// secondaryOf reads one pattern: a text, with ? behind an optional one, or an object.
+func secondaryOf(x *value) (s Secondary) {
+	if text, ok := x.text(); ok {
+		if pattern, isOptional := strings.CutSuffix(text, "?"); isOptional {
+			return Secondary{Pattern: pattern, Required: "false"}
+		}
+		return Secondary{Pattern: text}
+	}
+	if x.kind != object {
+		return Secondary{}
+	}
+	s.Pattern, _ = textOf(x.get("pattern"))
+	if r := x.get("required"); r != nil {
+		s.Required = fmt.Sprint(r.data)
+	}
+	return s
+}
+
+// bindingFields are the fields of a CommandLineBinding.
+var bindingFields = []string{
+	"position", "prefix", "separate", "itemSeparator", "valueFrom", "shellQuote", "loadContents",
+}
+
+// binding reads a CommandLineBinding.
 func (b *builder) binding(v *value, at string) *Binding {
 	bd := &Binding{LoadContents: flag(v.get("loadContents"))}
 	if p := v.get("position"); p != nil {
@@ -156,16 +190,14 @@
 		bd.NoQuote = s.data == false
 	}
 	for _, f := range v.fields {
-		if !slices.Contains(
-			[]string{"position", "prefix", "separate", "itemSeparator", "valueFrom", "shellQuote", "loadContents"},
-			f.key,
-		) {
+		if !slices.Contains(bindingFields, f.key) {
 			b.fail(f.at, join(at, f.key), "is no field of %s", Version)
 		}
 	}
 	return bd
 }
 
+// scalarText is a scalar as a text.
 func scalarText(x any) string {
 	switch x := x.(type) {
 	case nil:
@@ -178,17 +210,19 @@
 	return fmt.Sprint(x)
 }
 
-// schemaDefs reads the types that a document names itself.
+// schemaDefs reads the types that a process defines in SchemaDefRequirement, by name.
 func (b *builder) schemaDefs(v *value) map[string]*Type {
 	defs := map[string]*Type{}
 	for _, list := range []string{"hints", "requirements"} {
 		for _, e := range b.idMap(v.get(list), list, "class", "") {
-			if e.id != "SchemaDefRequirement" || e.v.get("types") == nil {
+			types := e.v.get("types")
+			if e.id != "SchemaDefRequirement" || types == nil {
 				continue
 			}
-			for _, x := range e.v.get("types").items {
+			for _, x := range types.items {
 				if name, ok := textOf(x.get("name")); ok {
-					defs[shortID(name)] = b.parseType(x, list+".SchemaDefRequirement."+shortID(name), defs)
+					id := shortID(name)
+					defs[id] = b.parseType(x, list+".SchemaDefRequirement."+id, defs)
 				}
 			}
 		}
--- a/cwl/requirements.go
+++ b/cwl/requirements.go
@@ -5,8 +5,7 @@
 	"strings"
 )
 
-// inherit gives a process that stands in a file of its own what the workflow
-// above asks for and it does not.
+// inherit adds to a process that is in a file of its own the requirements of the workflow above that it lacks.
 func inherit(p *Process, outer Requirements) {
 	p.Req = p.Req.under(outer)
 	for _, s := range p.Steps {
@@ -17,6 +16,7 @@
 	}
 }
 
+// under returns r with what it lacks taken from outer requirements.
 func (r Requirements) under(outer Requirements) Requirements {
 	r.JS = r.JS || outer.JS
 	if len(r.Lib) == 0 {
@@ -59,75 +59,107 @@
 	"InplaceUpdateRequirement",
 }
 
+// resourceFields are the fields of ResourceRequirement.
+var resourceFields = []string{
+	"coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax",
+}
+
+// requirements reads the requirements and hints of a process or step, and adds what it inherits. Requirements take
+// precedence over hints.
 func (b *builder) requirements(v *value, outer Requirements) Requirements {
 	r := Requirements{}
 	for _, list := range []string{"hints", "requirements"} {
 		for _, e := range b.idMap(v.get(list), list, "class", "") {
-			class := e.id
-			if ns, rest, ok := strings.Cut(class, ":"); ok && b.spaces[ns] != "" {
-				class = b.spaces[ns] + rest
-			}
 			at := list + "." + e.id
-			switch class {
-			case "InlineJavascriptRequirement":
-				r.JS = true
-				r.Lib = texts(e.v.get("expressionLib"))
-			case "ShellCommandRequirement":
-				r.Shell = true
-			case "DockerRequirement":
-				r.Image, _ = textOf(e.v.get("dockerPull"))
-				if r.Image == "" {
-					r.Image, _ = textOf(e.v.get("dockerImageId"))
-				}
-				if r.Image == "" {
-					b.fail(e.at, at, "needs dockerPull: images are not built or loaded here")
-				}
-			case "ToolTimeLimit":
-				if x := e.v.get("timelimit"); x != nil {
-					r.TimeLimit = x.data
-					b.expr(x, at+".timelimit", outer)
-				}
-			case "EnvVarRequirement":
-				for _, d := range b.idMap(e.v.get("envDef"), at+".envDef", "envName", "envValue") {
-					x := d.v.get("envValue")
-					if x == nil {
-						b.fail(d.at, at, "%s needs envValue", d.id)
-						continue
-					}
-					r.Env = append(r.Env, EnvVar{d.id, scalarText(x.data)})
-				}
-			case "ResourceRequirement":
-				r.Resources = map[string]any{}
-				for _, f := range e.v.fields {
-					if f.key == "class" {
-						continue
-					}
-					if !slices.Contains(
-						[]string{"coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax"},
-						f.key,
-					) {
-						b.fail(f.at, at+"."+f.key, "is no field of %s", Version)
-					}
-					r.Resources[f.key] = f.v.data
-				}
-			case "InitialWorkDirRequirement":
-				if e.v.get("listing") == nil {
-					b.fail(e.at, at, "needs listing")
-				} else {
-					b.workDir(e.v.get("listing"), at, &r)
-				}
-			case JobHintClass:
-				r.Job = b.jobHint(e.v, at)
-			default:
-				if list == "requirements" && !slices.Contains(ignored, class) {
-					b.fail(e.at, at, "is not supported")
-				}
+			class := b.expandPrefix(e.id)
+			isKnown := b.requirement(&r, class, e, at, outer)
+			if !isKnown && list == "requirements" && !slices.Contains(ignored, class) {
+				b.fail(e.at, at, "is not supported")
 			}
 		}
 	}
 	return r.under(outer)
 }
 
+// expandPrefix replaces the prefix of a declared namespace.
+func (b *builder) expandPrefix(class string) string {
+	if prefix, rest, ok := strings.Cut(class, ":"); ok && b.spaces[prefix] != "" {
+		return b.spaces[prefix] + rest
+	}
+	return class
+}
+
+// requirement reads one requirement into r, and reports whether its class is one that has an effect here.
+func (b *builder) requirement(r *Requirements, class string, e entry, at string, outer Requirements) (isKnown bool) {
+	switch class {
+	case "InlineJavascriptRequirement":
+		r.JS = true
+		r.Lib = texts(e.v.get("expressionLib"))
+	case "ShellCommandRequirement":
+		r.Shell = true
+	case "DockerRequirement":
+		r.Image = b.image(e, at)
+	case "ToolTimeLimit":
+		if x := e.v.get("timelimit"); x != nil {
+			r.TimeLimit = x.data
+			b.expr(x, at+".timelimit", outer)
+		}
+	case "EnvVarRequirement":
+		r.Env = append(r.Env, b.env(e.v.get("envDef"), at)...)
+	case "ResourceRequirement":
+		r.Resources = b.resources(e.v, at)
+	case "InitialWorkDirRequirement":
+		if e.v.get("listing") == nil {
+			b.fail(e.at, at, "needs listing")
+		} else {
+			b.workDir(e.v.get("listing"), at, r)
+		}
+	case JobHintClass:
+		r.Job = b.jobHint(e.v, at)
+	default:
+		return false
+	}
+	return true
+}
+
+func (b *builder) image(e entry, at string) string {
+	image, _ := textOf(e.v.get("dockerPull"))
+	if image == "" {
+		image, _ = textOf(e.v.get("dockerImageId"))
+	}
+	if image == "" {
+		b.fail(e.at, at, "needs dockerPull: images are not built or loaded here")
+	}
+	return image
+}
+
+func (b *builder) env(defs *value, at string) (env []EnvVar) {
+	for _, d := range b.idMap(defs, at+".envDef", "envName", "envValue") {
+		x := d.v.get("envValue")
+		if x == nil {
+			b.fail(d.at, at, "%s needs envValue", d.id)
+			continue
+		}
+		env = append(env, EnvVar{d.id, scalarText(x.data)})
+	}
+	return env
+}
+
+func (b *builder) resources(v *value, at string) map[string]any {
+	resources := map[string]any{}
+	for _, f := range v.fields {
+		if f.key == "class" {
+			continue
+		}
+		if !slices.Contains(resourceFields, f.key) {
+			b.fail(f.at, at+"."+f.key, "is no field of %s", Version)
+		}
+		resources[f.key] = f.v.data
+	}
+	return resources
+}
+
+// workDir reads the listing of InitialWorkDirRequirement.
 func (b *builder) workDir(v *value, at string, r *Requirements) {
 	if s, ok := v.text(); ok {
 		r.WorkDirAll = s
@@ -149,60 +181,73 @@
 	}
 }
 
+// maxRetries is the most retries that a job hint may request.
+const maxRetries = 1000
+
+// jobPriorities are the priorities that a job hint may request.
+var jobPriorities = []string{"low", "standard", "high", "production"}
+
+// jobHint reads grebedock's own hint.
 func (b *builder) jobHint(v *value, at string) *JobHint {
 	h := &JobHint{}
 	for _, f := range v.fields {
-		where, bad := join(at, f.key), false
-		number := func() float64 {
-			x, ok := toFloat(f.v.data)
-			bad = !ok || x < 0
-			return x
-		}
-		text := func() string {
-			s, ok := f.v.text()
-			bad = !ok
-			return s
-		}
-		truth := func() *bool {
-			t, ok := f.v.data.(bool)
-			bad = !ok
-			return &t
-		}
-		switch f.key {
-		case "class":
-		case "team":
-			h.Team = text()
-		case "jobClass":
-			h.Class = text()
-		case "priority":
-			h.Priority = text()
-			bad = !slices.Contains([]string{"low", "standard", "high", "production"}, h.Priority)
-		case "deadline":
-			h.DeadlineS = number()
-		case "estimate":
-			h.EstimateS = number()
-		case "imageSize":
-			h.ImageGB = number()
-		case "spot":
-			h.Spot = truth()
-		case "once":
-			h.Once = truth()
-		case "retries":
-			n, ok := f.v.data.(int64)
-			bad = !ok || n < 0 || n > 1000
-			i := int(n)
-			h.Retries = &i
-		default:
-			b.fail(f.at, where, "is no field of the hint")
-		}
-		if bad {
-			b.fail(f.v.Pos, where, "has a wrong value")
+		isKnown, isValid := h.set(f)
+		if !isKnown {
+			b.fail(f.at, join(at, f.key), "is no field of the hint")
+		} else if !isValid {
+			b.fail(f.v.Pos, join(at, f.key), "has a wrong value")
 		}
 	}
 	return h
 }
 
-// expr checks a text that may hold expressions.
+// set sets a field of the hint, and reports whether there is such a field and whether it takes the value.
+func (h *JobHint) set(f field) (isKnown, isValid bool) {
+	switch f.key {
+	case "class":
+		isValid = true
+	case "team":
+		h.Team, isValid = f.v.text()
+	case "jobClass":
+		h.Class, isValid = f.v.text()
+	case "priority":
+		h.Priority, _ = f.v.text()
+		isValid = slices.Contains(jobPriorities, h.Priority)
+	case "deadline":
+		h.DeadlineS, isValid = f.v.amount()
+	case "estimate":
+		h.EstimateS, isValid = f.v.amount()
+	case "imageSize":
+		h.ImageGB, isValid = f.v.amount()
+	case "spot":
+		h.Spot, isValid = f.v.truth()
+	case "once":
+		h.Once, isValid = f.v.truth()
+	case "retries":
+		n, ok := f.v.data.(int64)
+		isValid = ok && n >= 0 && n <= maxRetries
+		retries := int(n)
+		h.Retries = &retries
+	default:
+		return false, false
+	}
+	return true, isValid
+}
+
+// amount is the number that a value is; ok is false if it is none or negative.
+func (v *value) amount() (x float64, ok bool) {
+	x, isNumber := toFloat(v.data)
+	isNegative := x < 0
+	return x, isNumber && !isNegative
+}
+
+// truth is the boolean that a value is; ok is false if it is none.
+func (v *value) truth() (x *bool, ok bool) {
+	t, ok := v.data.(bool)
+	return &t, ok
+}
+
+// expr checks a text, or a list of texts, that may contain expressions.
 func (b *builder) expr(v *value, at string, req Requirements) {
 	if v == nil {
 		return
--- /dev/null
+++ b/cwl/scatter.go
@@ -0,0 +1,119 @@
+package cwl
+
+import (
+	"fmt"
+	"maps"
+)
+
+// The values of scatterMethod.
+const (
+	dotProduct    = "dotproduct"
+	nestedProduct = "nested_crossproduct"
+	flatProduct   = "flat_crossproduct"
+)
+
+// MaxTasks is the most tasks that a cross product can be scattered to: as many as a job of the platform can have.
+const MaxTasks = 100_000
+
+// Scatter is how a step's inputs are distributed to its tasks.
+type Scatter struct {
+	Inputs []map[string]any // by task
+	shape  []int            // lengths of the lists of a nested cross product
+}
+
+// Deal distributes a step's inputs to its tasks: to a single one, unless the step is scattered.
+func (s *Step) Deal(in map[string]any) (Scatter, error) {
+	if len(s.Scatter) == 0 {
+		return Scatter{Inputs: []map[string]any{in}}, nil
+	}
+	lists := make([][]any, len(s.Scatter))
+	for i, id := range s.Scatter {
+		l, ok := in[id].([]any)
+		if !ok {
+			return Scatter{}, fmt.Errorf("scatter needs a list in %s, not %s", id, typeName(in[id]))
+		}
+		lists[i] = l
+	}
+	if s.Method == dotProduct {
+		return s.dealDot(in, lists)
+	}
+	return s.dealCross(in, lists)
+}
+
+// taskInputs are the inputs of the task that takes the items at these positions of the scattered lists.
+func (s *Step) taskInputs(in map[string]any, lists [][]any, positions []int) map[string]any {
+	inputs := make(map[string]any, len(in))
+	maps.Copy(inputs, in)
+	for i, id := range s.Scatter {
+		inputs[id] = lists[i][positions[i]]
+	}
+	return inputs
+}
+
+// dealDot makes a task of the first items of all lists, one of the second, and so on.
+func (s *Step) dealDot(in map[string]any, lists [][]any) (Scatter, error) {
+	for i, l := range lists {
+		if len(l) != len(lists[0]) {
+			return Scatter{}, fmt.Errorf("dotproduct needs lists of one length: %s has %d, %s has %d",
+				s.Scatter[0], len(lists[0]), s.Scatter[i], len(l))
+		}
+	}
+	var sc Scatter
+	for i := range lists[0] {
+		positions := make([]int, len(lists))
+		for k := range positions {
+			positions[k] = i
+		}
+		sc.Inputs = append(sc.Inputs, s.taskInputs(in, lists, positions))
+	}
+	return sc, nil
+}
+
+// dealCross makes a task of each combination of items, the last list's items fastest.
+func (s *Step) dealCross(in map[string]any, lists [][]any) (Scatter, error) {
+	var sc Scatter
+	tasks := 1
+	for _, l := range lists {
+		if tasks *= len(l); tasks > MaxTasks {
+			return Scatter{}, fmt.Errorf("the cross product has more than %d tasks", MaxTasks)
+		}
+		if s.Method == nestedProduct {
+			sc.shape = append(sc.shape, len(l))
+		}
+	}
+	for i := range tasks {
+		positions := make([]int, len(lists))
+		for k, rest := len(lists)-1, i; k >= 0; k-- {
+			positions[k], rest = rest%len(lists[k]), rest/len(lists[k])
+		}
+		sc.Inputs = append(sc.Inputs, s.taskInputs(in, lists, positions))
+	}
+	return sc, nil
+}
+
+// Gather joins the tasks' values of one output, in the order of Inputs, to the value of the step's output.
+func (sc Scatter) Gather(s *Step, values []any) any {
+	if len(s.Scatter) == 0 {
+		return values[0]
+	}
+	if len(sc.shape) == 0 {
+		if values == nil {
+			values = []any{}
+		}
+		return values
+	}
+	next := 0
+	var nest func(shape []int) any
+	nest = func(shape []int) any {
+		if len(shape) == 0 {
+			next++
+			return values[next-1]
+		}
+		l := []any{}
+		for range shape[0] {
+			l = append(l, nest(shape[1:]))
+		}
+		return l
+	}
+	return nest(sc.shape)
+}
--- a/cwl/steps.go
+++ b/cwl/steps.go
@@ -6,7 +6,13 @@
 	"strings"
 )
 
-// link reads where a value comes from.
+// mergeMethods and pickMethods are the values of linkMerge and pickValue; empty: none is given.
+var (
+	mergeMethods = []string{"", "merge_nested", "merge_flattened"}
+	pickMethods  = []string{"", "first_non_null", "the_only_non_null", "all_non_null"}
+)
+
+// link reads where a value comes from. key is the field that names the sources.
 func (b *builder) link(v *value, key, at string) Link {
 	l := Link{Source: texts(v.get(key))}
 	if s := v.get(key); s != nil {
@@ -17,21 +23,17 @@
 	}
 	l.Merge, _ = textOf(v.get("linkMerge"))
 	l.Pick, _ = textOf(v.get("pickValue"))
-	if !slices.Contains([]string{"", "merge_nested", "merge_flattened"}, l.Merge) {
+	if !slices.Contains(mergeMethods, l.Merge) {
 		b.fail(v.get("linkMerge").Pos, at+".linkMerge", "%q is none of merge_nested, merge_flattened", l.Merge)
 	}
-	if !slices.Contains([]string{"", "first_non_null", "the_only_non_null", "all_non_null"}, l.Pick) {
-		b.fail(
-			v.get("pickValue").Pos,
-			at+".pickValue",
-			"%q is none of first_non_null, the_only_non_null, all_non_null",
-			l.Pick,
-		)
+	if !slices.Contains(pickMethods, l.Pick) {
+		pos := v.get("pickValue").Pos
+		b.fail(pos, at+".pickValue", "%q is none of first_non_null, the_only_non_null, all_non_null", l.Pick)
 	}
 	return l
 }
 
-// flow builds the steps of a workflow.
+// flow reads what only a Workflow has: its steps, and their links. name is that of the process.
 func (b *builder) flow(p *Process, v *value, name string) {
 	if v.get("steps") == nil {
 		b.fail(v.Pos, "steps", "is missing")
@@ -45,7 +47,7 @@
 	for _, s := range p.Steps {
 		for i := range s.In {
 			in := &s.In[i]
-			l.connect(in.Pos, fmt.Sprintf("steps.%s.in.%s", s.ID, in.ID), &in.Link, s.takes(in), s)
+			l.connect(in.Pos, fmt.Sprintf("steps.%s.in.%s", s.ID, in.ID), &in.Link, s.inputType(in), s)
 		}
 	}
 	for i := range p.Outputs {
@@ -55,8 +57,8 @@
 	b.sortSteps(p, l.after)
 }
 
-// takes is the type that a step's input has to be linked to; nil: any.
-func (s *Step) takes(in *StepIn) *Type {
+// inputType is the type that the source of a step's input must have; nil: any.
+func (s *Step) inputType(in *StepIn) *Type {
 	if s.Run == nil || in.ValueFrom != "" {
 		return nil
 	}
@@ -74,21 +76,21 @@
 	return t
 }
 
+// optional is a type with null as one of its values.
 func optional(t *Type) *Type {
 	return &Type{Name: "union", Union: append([]*Type{{Name: "null"}}, t.options()...)}
 }
 
-// linker holds the links of a workflow's steps and outputs against what they can
-// be linked to, and notes which steps come after which.
+// linker checks the links of a workflow's steps and outputs, and records which steps depend on which.
 type linker struct {
 	*builder
 	p     *Process
 	steps map[string]*Step
-	after map[*Step][]*Step
+	after map[*Step][]*Step // what a step depends on
 }
 
-// source is the type of what a link names, and the step that gives it, if one
-// does. The type is nil where there is no such thing.
+// source is the type of what a link refers to, and the step that it is an output of, nil for an input of the workflow.
+// The type is nil if there is no such source.
 func (l *linker) source(name string) (*Type, *Step) {
 	parts := strings.Split(name, "/")
 	last := parts[len(parts)-1]
@@ -110,11 +112,11 @@
 		}
 		t = o.Type
 	}
-	return s.gives(t), s
+	return s.outputType(t), s
 }
 
-// gives is the type of a step's output, where what it runs gives this one.
-func (s *Step) gives(t *Type) *Type {
+// outputType is the type of a step's output, from the type of that output of the process that the step runs.
+func (s *Step) outputType(t *Type) *Type {
 	if s.When != "" {
 		t = optional(t)
 	}
@@ -122,7 +124,7 @@
 	if len(s.Scatter) > 0 {
 		depth = 1
 	}
-	if s.Method == "nested_crossproduct" {
+	if s.Method == nestedProduct {
 		depth = len(s.Scatter)
 	}
 	for range depth {
@@ -131,8 +133,8 @@
 	return t
 }
 
-// connect settles what a link names, checks it against the type that is to take it
-// (nil: any), and notes what the step that takes it has to wait for.
+// connect resolves a link, checks the type of its sources against the type that takes it (nil: any), and records what
+// the step that takes it (nil: the workflow) depends on.
 func (l *linker) connect(at Pos, field string, link *Link, to *Type, s *Step) {
 	for i, src := range link.Source {
 		t, from := l.source(src)
@@ -154,26 +156,35 @@
 	}
 }
 
-// plain tells whether a link hands on the value of one source as it is.
+// plain reports whether a link passes the value of a single source unchanged.
 func (l *Link) plain() bool {
 	return l.Merge == "" && l.Pick == "" && len(l.Source) == 1 && !l.Listed
 }
 
-// sortSteps puts steps behind what they depend on; a circle is an error.
+// visitState is how far the depth-first search of sortSteps has come with a step.
+type visitState int
+
+const (
+	unvisited visitState = iota
+	onPath
+	visited
+)
+
+// sortSteps puts steps behind what they depend on; a cycle is an error.
 func (b *builder) sortSteps(p *Process, after map[*Step][]*Step) {
-	state := map[*Step]int{}
+	state := map[*Step]visitState{}
 	var out []*Step
 	var path []string
 	var visit func(*Step) bool
 	visit = func(s *Step) bool {
 		switch state[s] {
-		case 2:
+		case visited:
 			return true
-		case 1:
+		case onPath:
 			b.fail(s.Pos, "steps."+s.ID, "depends on itself: %s", strings.Join(append(path, s.ID), ", "))
 			return false
 		}
-		state[s] = 1
+		state[s] = onPath
 		path = append(path, s.ID)
 		for _, d := range after[s] {
 			if !visit(d) {
@@ -181,7 +192,7 @@
 			}
 		}
 		path = path[:len(path)-1]
-		state[s] = 2
+		state[s] = visited
 		out = append(out, s)
 		return true
 	}
@@ -193,11 +204,11 @@
 	p.Steps = out
 }
 
-// step builds a step of a workflow.
+// step reads a step of a workflow. name is that of the workflow.
 func (b *builder) step(p *Process, e entry, name string) *Step {
 	at := "steps." + e.id
 	s := &Step{Pos: e.at, ID: e.id, Out: []string{}}
-	b.check(e.v, at, "step")
+	b.check(e.v, at, stepObject)
 	s.Req = b.requirements(e.v, p.Req)
 	s.Run = b.stepProcess(e, at, name, s.Req)
 	b.stepInputs(s, e, at)
@@ -211,8 +222,7 @@
 	return s
 }
 
-// stepProcess is what a step runs: written out, a part of the same file, or
-// another file.
+// stepProcess reads the process that a step runs: written out, a part of the same file, or another file.
 func (b *builder) stepProcess(e entry, at, name string, req Requirements) *Process {
 	r := e.v.get("run")
 	switch {
@@ -247,11 +257,17 @@
 	return p
 }
 
+// stepInputs reads the inputs of a step.
 func (b *builder) stepInputs(s *Step, e entry, at string) {
 	for _, x := range b.idMap(e.v.get("in"), at+".in", "id", "source") {
 		iat := at + ".in." + x.id
-		b.check(x.v, iat, "stepin")
-		in := StepIn{Pos: x.at, ID: x.id, Link: b.link(x.v, "source", iat), LoadContents: flag(x.v.get("loadContents"))}
+		b.check(x.v, iat, stepInputObject)
+		in := StepIn{
+			Pos:          x.at,
+			ID:           x.id,
+			Link:         b.link(x.v, "source", iat),
+			LoadContents: flag(x.v.get("loadContents")),
+		}
 		if d := x.v.get("default"); d != nil {
 			in.Default, in.HasDefault = d.plain(), true
 		}
@@ -263,6 +279,7 @@
 	}
 }
 
+// stepOutputs reads the outputs of a step.
 func (b *builder) stepOutputs(s *Step, e entry, at string) {
 	for _, x := range b.idMap(e.v.get("out"), at+".out", "id", "") {
 		s.Out = append(s.Out, x.id)
@@ -272,7 +289,7 @@
 	}
 }
 
-// checkGiven holds a step's inputs against what the process that it runs needs.
+// checkGiven checks that a step gives a value to each input that the process it runs needs.
 func (b *builder) checkGiven(s *Step, at string) {
 	if s.Run == nil {
 		return
@@ -281,31 +298,32 @@
 		if in.HasDefault || in.Type.Optional() {
 			continue
 		}
-		if !s.has(in.ID) {
+		if !s.hasInput(in.ID) {
 			b.fail(s.Pos, at+".in", "the input %q of what the step runs gets no value", in.ID)
 		}
 	}
 }
 
-// has tells whether a step has an input of this name.
-func (s *Step) has(input string) bool {
+// hasInput reports whether a step has an input of this name.
+func (s *Step) hasInput(input string) bool {
 	return slices.ContainsFunc(s.In, func(in StepIn) bool { return in.ID == input })
 }
 
+// stepScatter reads over which inputs a step is scattered, and how.
 func (b *builder) stepScatter(s *Step, e entry, at string) {
 	s.Scatter = texts(e.v.get("scatter"))
 	for i, x := range s.Scatter {
 		s.Scatter[i] = shortID(x)
-		if !s.has(s.Scatter[i]) {
+		if !s.hasInput(s.Scatter[i]) {
 			b.fail(e.v.get("scatter").Pos, at+".scatter", "%q is no input of the step", x)
 		}
 	}
 	s.Method, _ = textOf(e.v.get("scatterMethod"))
 	if len(s.Scatter) == 1 {
-		s.Method = "dotproduct"
+		s.Method = dotProduct
 	}
-	if len(s.Scatter) > 1 &&
-		!slices.Contains([]string{"dotproduct", "nested_crossproduct", "flat_crossproduct"}, s.Method) {
+	isKnown := slices.Contains([]string{dotProduct, nestedProduct, flatProduct}, s.Method)
+	if len(s.Scatter) > 1 && !isKnown {
 		b.fail(e.at, at+".scatterMethod", "must be one of dotproduct, nested_crossproduct, flat_crossproduct")
 	}
 }
--- a/cwl/tree.go
+++ b/cwl/tree.go
@@ -10,8 +10,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// value is a document's value with its place. Its content is one of data (a
-// scalar, nil for null), fields or items.
+// value is a document's value with its position. Its content is one of data (a scalar, nil for null), fields or items.
 type value struct {
 	Pos
 	data   any
@@ -20,6 +19,7 @@
 	kind   valueKind
 }
 
+// valueKind says which of a value's contents it has.
 type valueKind uint8
 
 const (
@@ -28,12 +28,14 @@
 	array
 )
 
+// field is a field of an object; at is the position of its key.
 type field struct {
 	key string
 	at  Pos
 	v   *value
 }
 
+// get is the value of an object's field, nil if there is none.
 func (v *value) get(key string) *value {
 	for _, f := range v.fields {
 		if f.key == key {
@@ -43,12 +45,13 @@
 	return nil
 }
 
+// text is the text that a value is; ok is false if it is none.
 func (v *value) text() (string, bool) {
 	s, ok := v.data.(string)
 	return s, ok && v.kind == scalar
 }
 
-// plain turns a value into what encoding/json would give.
+// plain turns a value into what encoding/json would decode, but for whole numbers, which are int64.
 func (v *value) plain() any {
 	switch v.kind {
 	case object:
@@ -67,7 +70,7 @@
 	return v.data
 }
 
-// Open returns the content of a file that a document names.
+// Open returns the content of a file that a document refers to. Its error becomes part of the text of an Error.
 type Open func(name string) ([]byte, error)
 
 // loader reads files into values, following $import and $include.
@@ -75,18 +78,19 @@
 	open   Open
 	limits Limits
 	nodes  int
-	files  map[string]*value
-	now    []string // files that are being read
+	files  map[string]*value // by name, each read once
+	now    []string          // names of the files that are being read, outermost first
 	errs   Errors
 }
 
+// fail records a problem, up to maxErrors.
 func (l *loader) fail(p Pos, field, format string, a ...any) {
 	if len(l.errs) < maxErrors {
 		l.errs = append(l.errs, Error{p, field, fmt.Sprintf(format, a...)})
 	}
 }
 
-// file reads a file once.
+// file reads a file that is referred to from a position, or returns what it read before; nil after an error.
 func (l *loader) file(name string, from Pos) *value {
 	if v, ok := l.files[name]; ok {
 		return v
@@ -121,7 +125,7 @@
 	return v
 }
 
-// yamlPos finds the line that the parser's message names.
+// yamlPos finds the line in the message of the parser, whose errors have no fields.
 func yamlPos(file string, err error) Pos {
 	p := Pos{file, 1, 1}
 	if _, rest, ok := strings.Cut(err.Error(), "line "); ok {
@@ -130,71 +134,93 @@
 	return p
 }
 
+// value converts a node of a file, and what it contains, within the limits.
 func (l *loader) value(file string, n *yaml.Node, depth int) *value {
 	at := Pos{file, max(1, n.Line), max(1, n.Column)}
-	if l.nodes++; l.nodes > l.limits.Nodes {
-		if l.nodes == l.limits.Nodes+1 {
-			l.fail(at, "", "the document has more than %d values once its aliases are followed", l.limits.Nodes)
-		}
-		return &value{Pos: at}
-	}
-	if depth > l.limits.Depth {
-		l.fail(at, "", "values are nested more than %d deep", l.limits.Depth)
+	if !l.isWithinLimits(at, depth) {
 		return &value{Pos: at}
 	}
-	v := &value{Pos: at}
 	switch n.Kind {
 	case yaml.DocumentNode:
 		return l.value(file, n.Content[0], depth)
 	case yaml.AliasNode:
 		return l.value(file, n.Alias, depth+1)
 	case yaml.SequenceNode:
-		v.kind, v.items = array, []*value{}
+		v := &value{Pos: at, kind: array, items: []*value{}}
 		for _, c := range n.Content {
 			v.items = append(v.items, l.value(file, c, depth+1))
 		}
+		return v
 	case yaml.MappingNode:
-		v.kind = object
-		seen := map[string]bool{}
-		for i := 0; i+1 < len(n.Content); i += 2 {
-			k := n.Content[i]
-			kp := Pos{file, k.Line, k.Column}
-			switch {
-			case k.Kind != yaml.ScalarNode:
-				l.fail(kp, "", "a key must be a text")
-				continue
-			case k.Tag == "!!merge":
-				l.fail(kp, "<<", "merge keys are not taken")
-				continue
-			case seen[k.Value]:
-				l.fail(kp, k.Value, "the key stands here twice")
-				continue
-			}
-			seen[k.Value] = true
-			v.fields = append(v.fields, field{k.Value, kp, l.value(file, n.Content[i+1], depth+1)})
-		}
+		v := &value{Pos: at, kind: object, fields: l.mappingFields(file, n, depth)}
 		return l.directive(file, v)
 	case yaml.ScalarNode:
-		switch n.Tag {
-		case "!!null":
-		case "!!bool", "!!int", "!!float":
-			if err := n.Decode(&v.data); err != nil {
-				l.fail(at, "", "%q is no number", n.Value)
-			}
-			switch x := v.data.(type) {
-			case int:
-				v.data = int64(x)
-			case uint64:
-				v.data = float64(x)
-			}
-		default:
-			v.data = n.Value
+		return &value{Pos: at, data: l.scalarData(n, at)}
+	}
+	return &value{Pos: at}
+}
+
+// isWithinLimits counts a value, and reports whether it is within the limits.
+func (l *loader) isWithinLimits(at Pos, depth int) bool {
+	l.nodes++
+	if l.nodes == l.limits.Nodes+1 {
+		l.fail(at, "", "the document has more than %d values once its aliases are followed", l.limits.Nodes)
+	}
+	if l.nodes > l.limits.Nodes {
+		return false
+	}
+	if depth > l.limits.Depth {
+		l.fail(at, "", "values are nested more than %d deep", l.limits.Depth)
+		return false
+	}
+	return true
+}
+
+// mappingFields reads the fields of an object. Keys that are wrong are left out.
+func (l *loader) mappingFields(file string, n *yaml.Node, depth int) (fields []field) {
+	seen := map[string]bool{}
+	for i := 0; i+1 < len(n.Content); i += 2 {
+		key := n.Content[i]
+		at := Pos{file, key.Line, key.Column}
+		switch {
+		case key.Kind != yaml.ScalarNode:
+			l.fail(at, "", "a key must be a text")
+			continue
+		case key.Tag == "!!merge":
+			l.fail(at, "<<", "merge keys are not taken")
+			continue
+		case seen[key.Value]:
+			l.fail(at, key.Value, "the key stands here twice")
+			continue
 		}
+		seen[key.Value] = true
+		fields = append(fields, field{key.Value, at, l.value(file, n.Content[i+1], depth+1)})
 	}
-	return v
+	return fields
+}
+
+// scalarData is the content of a scalar. Whole numbers beyond int64 become float64.
+func (l *loader) scalarData(n *yaml.Node, at Pos) (data any) {
+	switch n.Tag {
+	case "!!null":
+		return nil
+	case "!!bool", "!!int", "!!float":
+	default:
+		return n.Value
+	}
+	if err := n.Decode(&data); err != nil {
+		l.fail(at, "", "%q is no number", n.Value)
+	}
+	switch x := data.(type) {
+	case int:
+		return int64(x)
+	case uint64:
+		return float64(x)
+	}
+	return data
 }
 
-// directive replaces $import and $include by what they name.
+// directive replaces an object that is $import or $include by what it refers to.
 func (l *loader) directive(file string, v *value) *value {
 	if len(v.fields) != 1 {
 		return v
@@ -216,21 +242,21 @@
 	if name == "" {
 		return v
 	}
-	if f.key == "$include" {
-		b, err := l.open(name)
-		if err != nil {
-			l.fail(f.at, f.key, "cannot read %s: %v", name, err)
-			return v
+	if f.key == "$import" {
+		if imported := l.file(name, f.at); imported != nil {
+			return imported
 		}
-		return &value{Pos: v.Pos, data: string(b)}
+		return v
 	}
-	if got := l.file(name, f.at); got != nil {
-		return got
+	b, err := l.open(name)
+	if err != nil {
+		l.fail(f.at, f.key, "cannot read %s: %v", name, err)
+		return v
 	}
-	return v
+	return &value{Pos: v.Pos, data: string(b)}
 }
 
-// name is a file's name seen from another file.
+// name is the name of a file that another file refers to; "" after an error.
 func (l *loader) name(from, name string, at Pos) string {
 	if strings.Contains(name, "://") {
 		l.fail(at, "", "%s: documents are not fetched from the network", name)
--- a/cwl/types.go
+++ b/cwl/types.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Type is a type of the language.
+// Type is a type of the language. Name is one of primitives, or array, record, enum or union.
 type Type struct {
-	Name    string // null, boolean, int, long, float, double, string, File, Directory, Any, array, record, enum, union
-	Items   *Type
-	Fields  []TypeField
-	Symbols []string
-	Union   []*Type
-	Binding *Binding // of an array's items or a record's fields
+	Name    string
+	Items   *Type       // of an array
+	Fields  []TypeField // of a record
+	Symbols []string    // of an enum
+	Union   []*Type     // of a union: none of them is one
+	Binding *Binding    // of an array's items or a record's fields
 }
 
 // TypeField is a field of a record.
@@ -24,6 +24,7 @@
 	Binding *Binding
 }
 
+// primitives are the types without parts, Any among them.
 var primitives = []string{"null", "boolean", "int", "long", "float", "double", "string", "File", "Directory", "Any"}
 
 func (t *Type) String() string {
@@ -40,12 +41,13 @@
 	return t.Name
 }
 
-// Optional tells whether a value may be missing.
+// Optional reports whether a value may be missing.
 func (t *Type) Optional() bool {
 	return t.Name == "null" ||
 		t.Name == "union" && slices.ContainsFunc(t.Union, func(u *Type) bool { return u.Name == "null" })
 }
 
+// options are the types of a union, or the type itself.
 func (t *Type) options() []*Type {
 	if t.Name == "union" {
 		return t.Union
@@ -53,8 +55,8 @@
 	return []*Type{t}
 }
 
-// feeds tells whether some value of type t may be one of type u: a link between
-// types that share nothing is a mistake.
+// feeds reports whether some value of type t may be one of type u: a link between types that share nothing is a
+// mistake.
 func (t *Type) feeds(u *Type) bool {
 	for _, a := range t.options() {
 		for _, b := range u.options() {
@@ -66,13 +68,17 @@
 	return false
 }
 
+// numberTypes are the types of numbers, each of which takes the values of those before it.
+var numberTypes = []string{"int", "long", "float", "double"}
+
+// feedsOne is feeds for types that are no unions.
 func (t *Type) feedsOne(u *Type) bool {
-	number := func(n string) int { return slices.Index([]string{"int", "long", "float", "double"}, n) }
+	from, to := slices.Index(numberTypes, t.Name), slices.Index(numberTypes, u.Name)
 	switch {
 	case t.Name == "Any" || u.Name == "Any":
 		return t.Name != "null" && u.Name != "null"
-	case number(t.Name) >= 0 && number(u.Name) >= 0:
-		return number(t.Name) <= number(u.Name) || number(u.Name) >= 2
+	case from >= 0 && to >= 0:
+		return from <= to || u.Name == "float" || u.Name == "double"
 	case t.Name == "enum" && u.Name == "string" || t.Name == "string" && u.Name == "enum":
 		return true
 	case t.Name != u.Name:
@@ -85,55 +91,72 @@
 	return true
 }
 
-// schema is the JSON schema of a type's values. Keys that CWL adds to files are
-// let be.
+// schema is the JSON schema of a type's values. It allows fields of files that it does not know.
 func (t *Type) schema() map[string]any {
-	str := func(k, v string) map[string]any { return map[string]any{k: v} }
 	switch t.Name {
 	case "Any":
-		return map[string]any{"not": str("type", "null")}
+		return map[string]any{"not": typeSchema("null")}
 	case "int":
 		return map[string]any{"type": "integer", "minimum": math.MinInt32, "maximum": math.MaxInt32}
 	case "long":
-		return str("type", "integer")
+		return typeSchema("integer")
 	case "float", "double":
-		return str("type", "number")
+		return typeSchema("number")
 	case "null", "boolean", "string":
-		return str("type", t.Name)
+		return typeSchema(t.Name)
 	case "File", "Directory":
-		return map[string]any{"type": "object", "required": []any{"class"}, "properties": map[string]any{
-			"class": map[string]any{"const": t.Name}, "path": str("type", "string"), "location": str("type", "string"),
-			"basename": str(
-				"type",
-				"string",
-			), "contents": str("type", "string"), "secondaryFiles": str("type", "array"), "listing": str("type", "array"),
-		}}
+		return fileSchema(t.Name)
 	case "array":
 		return map[string]any{"type": "array", "items": t.Items.schema()}
 	case "enum":
-		l := make([]any, len(t.Symbols))
+		symbols := make([]any, len(t.Symbols))
 		for i, s := range t.Symbols {
-			l[i] = s
+			symbols[i] = s
 		}
-		return map[string]any{"enum": l}
+		return map[string]any{"enum": symbols}
 	case "record":
-		props, req := map[string]any{}, []any{}
-		for _, f := range t.Fields {
-			props[f.Name] = f.Type.schema()
-			if !f.Type.Optional() {
-				req = append(req, f.Name)
-			}
-		}
-		return map[string]any{"type": "object", "properties": props, "required": req, "additionalProperties": false}
+		return t.recordSchema()
 	}
-	l := make([]any, len(t.Union))
+	options := make([]any, len(t.Union))
 	for i, u := range t.Union {
-		l[i] = u.schema()
+		options[i] = u.schema()
+	}
+	return map[string]any{"anyOf": options}
+}
+
+// typeSchema is the JSON schema of all values of one of JSON's types.
+func typeSchema(name string) map[string]any { return map[string]any{"type": name} }
+
+// fileSchema is the JSON schema of files or directories.
+func fileSchema(class string) map[string]any {
+	return map[string]any{"type": "object", "required": []any{"class"}, "properties": map[string]any{
+		"class":          map[string]any{"const": class},
+		"path":           typeSchema("string"),
+		"location":       typeSchema("string"),
+		"basename":       typeSchema("string"),
+		"contents":       typeSchema("string"),
+		"secondaryFiles": typeSchema("array"),
+		"listing":        typeSchema("array"),
+	}}
+}
+
+func (t *Type) recordSchema() map[string]any {
+	properties, required := map[string]any{}, []any{}
+	for _, f := range t.Fields {
+		properties[f.Name] = f.Type.schema()
+		if !f.Type.Optional() {
+			required = append(required, f.Name)
+		}
+	}
+	return map[string]any{
+		"type":                 "object",
+		"properties":           properties,
+		"required":             required,
+		"additionalProperties": false,
 	}
-	return map[string]any{"anyOf": l}
 }
 
-// parseType reads a type. defs are those that SchemaDefRequirement names.
+// parseType reads a type. defs are the types that SchemaDefRequirement defines, by name. A wrong type reads as Any.
 func (b *builder) parseType(v *value, at string, defs map[string]*Type) *Type {
 	bad := &Type{Name: "Any"}
 	if v == nil {
@@ -169,53 +192,75 @@
 
 // objectType reads a type that is written out.
 func (b *builder) objectType(v *value, at string, defs map[string]*Type) *Type {
-	bad := &Type{Name: "Any"}
 	name, _ := textOf(v.get("type"))
-	var bind *Binding
-	if x := v.get("inputBinding"); x != nil {
-		bind = b.binding(x, at+".inputBinding")
-	}
 	switch name {
 	case "array":
-		if v.get("items") == nil {
-			b.fail(v.Pos, at, "an array needs items")
-			return bad
-		}
-		return &Type{Name: "array", Items: b.parseType(v.get("items"), at+".items", defs), Binding: bind}
+		return b.arrayType(v, at, defs)
 	case "enum":
-		t := &Type{Name: "enum"}
-		if x := v.get("symbols"); x != nil {
-			for _, s := range x.items {
-				if str, ok := s.text(); ok {
-					t.Symbols = append(t.Symbols, shortID(str))
-				}
-			}
-		}
-		if len(t.Symbols) == 0 {
-			b.fail(v.Pos, at, "an enum needs symbols")
-		}
-		return t
+		return b.enumType(v, at)
 	case "record":
-		t := &Type{Name: "record", Binding: bind}
-		for _, e := range b.idMap(v.get("fields"), at+".fields", "name", "type") {
-			f := TypeField{Name: e.id, Type: b.parseType(e.v.get("type"), at+"."+e.id, defs)}
-			if x := e.v.get("inputBinding"); x != nil {
-				f.Binding = b.binding(x, at+"."+e.id+".inputBinding")
-			}
-			t.Fields = append(t.Fields, f)
-		}
-		return t
+		return b.recordType(v, at, defs)
 	}
+	b.itemBinding(v, at)
 	if x := v.get("type"); x != nil {
 		return b.parseType(x, at, defs)
 	}
 	b.fail(v.Pos, at, "a type needs type")
-	return bad
+	return &Type{Name: "Any"}
+}
+
+// itemBinding reads the binding of what is at a path; nil: it has none.
+func (b *builder) itemBinding(v *value, at string) *Binding {
+	x := v.get("inputBinding")
+	if x == nil {
+		return nil
+	}
+	return b.binding(x, at+".inputBinding")
+}
+
+func (b *builder) arrayType(v *value, at string, defs map[string]*Type) *Type {
+	binding := b.itemBinding(v, at)
+	items := v.get("items")
+	if items == nil {
+		b.fail(v.Pos, at, "an array needs items")
+		return &Type{Name: "Any"}
+	}
+	return &Type{Name: "array", Items: b.parseType(items, at+".items", defs), Binding: binding}
+}
+
+func (b *builder) enumType(v *value, at string) *Type {
+	b.itemBinding(v, at)
+	t := &Type{Name: "enum"}
+	if x := v.get("symbols"); x != nil {
+		for _, s := range x.items {
+			if symbol, ok := s.text(); ok {
+				t.Symbols = append(t.Symbols, shortID(symbol))
+			}
+		}
+	}
+	if len(t.Symbols) == 0 {
+		b.fail(v.Pos, at, "an enum needs symbols")
+	}
+	return t
+}
+
+func (b *builder) recordType(v *value, at string, defs map[string]*Type) *Type {
+	t := &Type{Name: "record", Binding: b.itemBinding(v, at)}
+	for _, e := range b.idMap(v.get("fields"), at+".fields", "name", "type") {
+		fieldAt := at + "." + e.id
+		t.Fields = append(t.Fields, TypeField{
+			Name:    e.id,
+			Type:    b.parseType(e.v.get("type"), fieldAt, defs),
+			Binding: b.itemBinding(e.v, fieldAt),
+		})
+	}
+	return t
 }
 
+// namedType reads a type by its name, with ? behind an optional one and [] behind the items of an array.
 func (b *builder) namedType(v *value, at, s string, defs map[string]*Type) *Type {
 	if t, ok := strings.CutSuffix(s, "?"); ok {
-		return &Type{Name: "union", Union: append([]*Type{{Name: "null"}}, b.namedType(v, at, t, defs).options()...)}
+		return optional(b.namedType(v, at, t, defs))
 	}
 	if t, ok := strings.CutSuffix(s, "[]"); ok {
 		return &Type{Name: "array", Items: b.namedType(v, at, t, defs)}
@@ -230,7 +275,7 @@
 	return &Type{Name: "Any"}
 }
 
-// shortID is the last part of an identifier.
+// shortID is the last part of an identifier: what is behind its last # or /.
 func shortID(s string) string {
 	if i := strings.LastIndexAny(s, "#/"); i >= 0 {
 		return s[i+1:]
@@ -238,6 +283,7 @@
 	return s
 }
 
+// textOf is the text of a value that may be missing.
 func textOf(v *value) (string, bool) {
 	if v == nil {
 		return "", false
@@ -245,6 +291,7 @@
 	return v.text()
 }
 
+// typeName is what error texts call the type of a value.
 func typeName(x any) string {
 	switch x := x.(type) {
 	case nil:
