--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -50,14 +50,15 @@
 }
 
 func TestStoreKeysKeepTheirForm(t *testing.T) {
-	m := &Controller{params: Params{MaxValueBytes: 1024}}
+	shards := newShardManager(&environment{params: Params{MaxValueBytes: 1024}})
 	small := &taskRange{
 		job:       &job{rec: jobRecord{Job: Job{ID: "job-7"}}},
 		shardName: "m0",
 		bounds:    Range{Lo: 3, Hi: 5},
-		done:      newBitset(2),
 	}
-	large := &taskRange{job: small.job, shardName: "m0", bounds: Range{Lo: 3, Hi: 1003}, done: newBitset(1000)}
+	small.done = newBitset(2)
+	large := &taskRange{job: small.job, shardName: "m0", bounds: Range{Lo: 3, Hi: 1003}}
+	large.done = newBitset(1000)
 	for _, k := range []struct{ got, want string }{
 		{livePrefix, "l/"},
 		{jobKey("job-7"), "l/j/job-7"},
@@ -76,8 +77,8 @@
 		{ExtensionPrefix, "l/x/"},
 		{progressPrefix, "p/"},
 		{recoveryKey("m0"), "p/m0/memory"},
-		{m.progressKey(small), "p/m0/2"},
-		{m.progressKey(large), "p/m0/job-7/3"},
+		{shards.progressKey(small), "p/m0/2"},
+		{shards.progressKey(large), "p/m0/job-7/3"},
 		{terminalKey("job-7"), "f/job-7"},
 		{TaskName("job-7", 3), "job-7/3"},
 	} {
