--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -9,14 +9,14 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// Status is what the administration API shows of a member.
+// Status is a member's view of the cluster, as the administration API shows it.
 type Status struct {
 	Member    string          `json:"member"`
 	Authority bool            `json:"authority"`
 	Leading   bool            `json:"leading"`
 	Leader    string          `json:"lead"`
 	Revision  uint64          `json:"revision"`
-	StoreLink string          `json:"link"` // with the state service: up, doubtful, refused or silent
+	StoreLink string          `json:"link"` // to the state service: up, doubtful, refused or silent
 	Jobs      int             `json:"jobs"`
 	Shards    []ShardStatus   `json:"shards"`
 	Machines  []MachineStatus `json:"machines"`
@@ -24,7 +24,7 @@
 	Counters  Counters        `json:"counters"`
 }
 
-// ShardStatus is a shard in a Status.
+// ShardStatus is a shard in a Status. Only the owner knows more than Shard and Owner.
 type ShardStatus struct {
 	Shard       string `json:"shard"`
 	Owner       string `json:"holder"`
@@ -33,13 +33,15 @@
 	Token       uint64 `json:"token,omitempty"`
 	QueuedTasks int    `json:"queued"`
 	Demands     int    `json:"needs"`
-	// PlanIntervalS is how long the cost of the last plan asks to wait for the next.
+	// PlanIntervalS is the shortest time to the next plan, by the cost of the last one.
 	PlanIntervalS float64 `json:"plan_gap_s"`
-	// Machines that may run tasks of earlier claims without our knowing it, those
-	// of which the store says what they hold, and whether orders are paced.
-	Unreported          int  `json:"unseen"`
+	// Unreported is the number of machines that may run tasks of earlier claims and sent
+	// no heartbeat under this one.
+	Unreported int `json:"unseen"`
+	// RecordedUnreachable is the number of unreachable machines whose tasks are recorded in
+	// the store.
 	RecordedUnreachable int  `json:"noted"`
-	Paced               bool `json:"paced"`
+	Paced               bool `json:"paced"` // commands are paced
 }
 
 // MachineStatus is a machine in a Status.
@@ -50,14 +52,14 @@
 	Zone        string `json:"zone"`
 	Spot        bool   `json:"spot"`
 	Up          bool   `json:"up"`
-	Releasing   bool   `json:"draining"` // the lead is asked to return it; nothing undoes that
-	Cordoned    bool   `json:"aside"`    // takes no starts, by an operator's wish
+	Releasing   bool   `json:"draining"` // the leader is to release it; this cannot be undone
+	Cordoned    bool   `json:"aside"`    // takes no starts, by an operator's setting or a rollout
 	Unreachable bool   `json:"silent"`
 	Tasks       int    `json:"tasks"`
 }
 
-// TeamStatus is a team in a Status: its guarantee and limit, and what its tasks
-// use and wait for in this member's shards and in all.
+// TeamStatus is a team in a Status: its guarantee and limit, and the resources that its
+// tasks use and wait for, in this member's shards and in all.
 type TeamStatus struct {
 	Team        string  `json:"team"`
 	CPUs        float64 `json:"cpus"`
@@ -67,20 +69,21 @@
 
 	Guarantee quota.Amounts `json:"guarantee"`
 	Limit     quota.Amounts `json:"limit"`
-	// Over all members that were heard lately, and how old the oldest of their figures is.
+	// Over all members with fresh messages, and the age of the oldest of their figures.
 	TotalUsage      quota.Amounts `json:"use"`
 	TotalWaiting    quota.Amounts `json:"wait"`
 	OldestUsageAgeS float64       `json:"age_s"`
-	// GuaranteedDemand is what unfinished jobs within the guarantee ask for, Below how far the team
-	// is below its guarantee while as much of them waits.
-	GuaranteedDemand   quota.Amounts `json:"within"`
+	// GuaranteedDemand is what unfinished jobs within the guarantee request.
+	GuaranteedDemand quota.Amounts `json:"within"`
+	// GuaranteeShortfall is how far the team's use is below its guarantee while as much of
+	// its demand waits.
 	GuaranteeShortfall quota.Amounts `json:"below"`
-	// By shard, of a team with a limit.
+	// By shard, for a team with a limit.
 	Allocations map[string]quota.Amounts `json:"parts,omitempty"`
 	Requests    map[string]quota.Request `json:"wants,omitempty"`
 }
 
-// Status tells how the member stands.
+// Status returns this member's view of the cluster.
 func (c *Controller) Status(now Now) Status {
 	c.now = now
 	status := Status{
@@ -94,39 +97,53 @@
 		Counters:  c.Counters,
 	}
 	for _, shardName := range c.memberIDs() {
-		shardStatus := ShardStatus{Shard: shardName, Owner: c.cache.shardClaims[shardName].Owner}
-		if s := c.shards.ownedShards[shardName]; s != nil {
-			shardStatus.Owned, shardStatus.Ready, shardStatus.Token, shardStatus.Demands, shardStatus.PlanIntervalS = true, s.ready, s.token, len(
-				s.demand,
-			), c.planInterval(
-				s,
-			)/1000
-			shardStatus.Unreported, shardStatus.RecordedUnreachable, shardStatus.Paced = len(
-				s.reconciler.Unreported(),
-			), s.reconciler.Ledger.Len(), s.reconciler.Pacer.IsActive(
-				now.MonotonicMS,
-			)
-			for _, g := range c.placer.waitingTaskGroups(s) {
-				shardStatus.QueuedTasks += g.Remaining
-			}
-		}
-		status.Shards = append(status.Shards, shardStatus)
+		status.Shards = append(status.Shards, c.shardStatus(shardName))
 	}
 	usageByTeam, waitingByTeam := c.quotas.localUsageByTeam()
 	for name, team := range sortedByKey(c.params.Teams) {
 		status.Teams = append(status.Teams, c.quotas.teamStatus(name, team, usageByTeam[name], waitingByTeam[name]))
 	}
 	for id, mc := range c.registry.machines {
-		status.Machines = append(
-			status.Machines,
-			MachineStatus{ID: id, Shard: mc.rec.Shard, Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot,
-				Up: mc.Up, Releasing: mc.releasing, Cordoned: mc.cordoned || slices.Contains(c.cache.settings.Drain, id), Unreachable: mc.State() == reconcile.LeaseExpired, Tasks: mc.liveAttemptCount},
-		)
+		status.Machines = append(status.Machines, c.machineStatus(id, mc))
 	}
 	slices.SortFunc(status.Machines, func(a, b MachineStatus) int { return strings.Compare(a.ID, b.ID) })
 	return status
 }
 
+func (c *Controller) shardStatus(name string) ShardStatus {
+	status := ShardStatus{Shard: name, Owner: c.cache.shardClaims[name].Owner}
+	s := c.shards.ownedShards[name]
+	if s == nil {
+		return status
+	}
+	status.Owned, status.Ready, status.Token = true, s.ready, s.token
+	status.Demands = len(s.demand)
+	status.PlanIntervalS = c.planInterval(s) / 1000
+	status.Unreported = len(s.reconciler.Unreported())
+	status.RecordedUnreachable = s.reconciler.Ledger.Len()
+	status.Paced = s.reconciler.Pacer.IsActive(c.now.MonotonicMS)
+	for _, g := range c.placer.waitingTaskGroups(s) {
+		status.QueuedTasks += g.Remaining
+	}
+	return status
+}
+
+func (c *Controller) machineStatus(id string, mc *machine) MachineStatus {
+	return MachineStatus{
+		ID:          id,
+		Shard:       mc.rec.Shard,
+		Type:        mc.rec.Type,
+		Zone:        mc.rec.Zone,
+		Spot:        mc.rec.Spot,
+		Up:          mc.Up,
+		Releasing:   mc.releasing,
+		Cordoned:    mc.cordoned || slices.Contains(c.cache.settings.Drain, id),
+		Unreachable: mc.State() == reconcile.LeaseExpired,
+		Tasks:       mc.liveAttemptCount,
+	}
+}
+
+// teamStatus is a team's status, given what its tasks use and wait for in this member's shards.
 func (qm *quotaManager) teamStatus(name string, team Team, usage, waiting quota.Amounts) TeamStatus {
 	status := TeamStatus{
 		Team:        name,
@@ -137,33 +154,17 @@
 		Guarantee:   guaranteeOf(team),
 		Limit:       quota.Amounts{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs},
 	}
-	var ageMS int64
-	status.TotalUsage, status.TotalWaiting, ageMS = qm.usageMonitor.PeerUsage(
-		name,
-		qm.now.MonotonicMS,
-		qm.now.MonotonicMS-qm.cache.maxMessageAgeMS(),
-	)
-	status.TotalUsage, status.TotalWaiting, status.OldestUsageAgeS = status.TotalUsage.Add(
-		usage,
-	), status.TotalWaiting.Add(
-		waiting,
-	), float64(
-		ageMS,
-	)/1000
-	for _, j := range sortedByKey(qm.cache.jobs) { // the same sum every time
+	now := qm.now.MonotonicMS
+	peerUsage, peerWaiting, ageMS := qm.usageMonitor.PeerUsage(name, now, now-qm.cache.maxMessageAgeMS())
+	status.TotalUsage, status.TotalWaiting = peerUsage.Add(usage), peerWaiting.Add(waiting)
+	status.OldestUsageAgeS = float64(ageMS) / 1000
+	for _, j := range sortedByKey(qm.cache.jobs) { // in order: the same floating-point sum every time
 		if j.rec.Job.Team == name && qm.isWithinGuarantee(&j.rec.Job) {
 			status.GuaranteedDemand = status.GuaranteedDemand.Add(totalRequest(&j.rec.Job))
 		}
 	}
-	status.GuaranteeShortfall = status.GuaranteedDemand.Min(
-		status.Guarantee,
-	).Sub(
-		status.TotalUsage,
-	).Min(
-		status.TotalWaiting,
-	).Max(
-		quota.Amounts{},
-	)
+	shortfall := status.GuaranteedDemand.Min(status.Guarantee).Sub(status.TotalUsage)
+	status.GuaranteeShortfall = shortfall.Min(status.TotalWaiting).Max(quota.Amounts{})
 	if ledger := qm.quotaLedgers[name]; ledger != nil {
 		status.Allocations = ledger.Allocations()
 		if rec := ledger.Record(); rec != nil {
@@ -173,23 +174,24 @@
 	return status
 }
 
-// Settings returns the operators' settings that are in force.
+// Settings returns a copy of the operators' settings that are in force.
 func (c *Controller) Settings() Settings {
 	s := c.cache.settings
 	s.Drain, s.Disruption = slices.Clone(s.Drain), maps.Clone(s.Disruption)
 	return s
 }
 
-// ChangeSettings stores new settings, which all members take up from the store;
-// reply names the answer among the users'.
+// ChangeSettings stores new settings, which all members take from the store. The response is
+// among the users' under replyID: 400 with the text of Validate's error, 409 after a
+// concurrent change, 503 without the state service.
 func (c *Controller) ChangeSettings(now Now, replyID uint64, s Settings) {
 	c.now = now
 	c.requests.pendingRequests[replyID] = &pendingRequest{
 		replyID:        replyID,
 		receivedAtMS:   now.MonotonicMS,
 		pendingLocally: true,
-		relayed:        true,
-	} // this member's to answer
+		relayed:        true, // peers must not answer it
+	}
 	if err := s.Validate(); err != nil {
 		c.requests.completeRequest(replyID, UserResponse{Status: 400, Error: err.Error()})
 		return
@@ -198,23 +200,22 @@
 		c.requests.completeRequest(replyID, unavailableResponse("", storeUnavailableMessage))
 		return
 	}
-	c.store.sendTxn(
-		UrgencyUser,
-		[]Precondition{{settingsKey, c.cache.keyRevisions[settingsKey]}},
-		[]Change{{Key: settingsKey, Value: mustEncode(s)}},
-		func(result StoreResult) {
-			switch result.Outcome {
-			case OK:
-				c.log(Info, "settings changed")
-				c.requests.completeRequest(replyID, UserResponse{Status: 200})
-			case Conflict:
-				c.requests.completeRequest(
-					replyID,
-					UserResponse{Status: 409, Error: "changed by somebody else meanwhile; read and try again"},
-				)
-			default:
-				c.requests.completeRequest(replyID, unavailableResponse("", storeUnavailableMessage))
-			}
-		},
-	)
+	preconditions := []Precondition{{settingsKey, c.cache.keyRevisions[settingsKey]}}
+	changes := []Change{{Key: settingsKey, Value: mustEncode(s)}}
+	c.store.sendTxn(UrgencyUser, preconditions, changes, func(result StoreResult) {
+		c.requests.completeRequest(replyID, c.settingsResponse(result.Outcome))
+	})
+}
+
+// settingsResponse is the response to a change of settings whose write ended so.
+func (c *Controller) settingsResponse(outcome Outcome) UserResponse {
+	switch outcome {
+	case OK:
+		c.log(Info, "settings changed")
+		return UserResponse{Status: 200}
+	case Conflict:
+		return UserResponse{Status: 409, Error: "changed by somebody else meanwhile; read and try again"}
+	default:
+		return unavailableResponse("", storeUnavailableMessage)
+	}
 }
--- a/scheduler/peer_messages.go
+++ b/scheduler/peer_messages.go
@@ -1,10 +1,8 @@
 package scheduler
 
-import (
-	"slices"
-)
+import "slices"
 
-// peerTable owns what the members last told each other, by message or by status
+// peerTable owns what this member last received from each member, by message or by status
 // record, and decides which tasks go to which peer's shards.
 type peerTable struct {
 	*environment
@@ -16,18 +14,19 @@
 	store    *storeClient
 
 	peers                    map[string]*peerState // by member ID, this one among them
-	statusRecords            map[string]*peerState // of members that the leader may not receive messages from
+	statusRecords            map[string]*peerState // by member ID, from the cache; used without fresh messages
 	writingStatusRecord      bool
 	lastStatusRecordNonEmpty bool
-	nextStatusRecordAtMS     int64
-	nextPeerMessageAtMS      int64
-	summaryTurn              int // which peers get the summaries next
+	nextStatusRecordAtMS     int64 // monotonic time
+	nextPeerMessageAtMS      int64 // monotonic time
+	summaryTurn              int   // which peers get the summaries next
 }
 
 func newPeerTable(env *environment) *peerTable {
 	return &peerTable{environment: env, peers: map[string]*peerState{}, statusRecords: map[string]*peerState{}}
 }
 
+// sendPeerMessage sends this member's state to all peers, once per SummaryS.
 func (pt *peerTable) sendPeerMessage() {
 	if !pt.store.storeAccess.IsSynced() || pt.now.MonotonicMS < pt.nextPeerMessageAtMS {
 		return
@@ -41,29 +40,10 @@
 		TeamUsage:     pt.quotas.usageSnapshot(),
 	}
 	if pt.store.hasAuthority() {
-		for _, s := range sortedByKey(pt.shards.ownedShards) {
-			if s.ready && !s.releasing {
-				pt.moveUnplaceableTasks(s)
-				peerShard := PeerShard{
-					Shard:             s.name,
-					Summary:           pt.placer.availabilitySummary(s),
-					TaskCounts:        pt.shards.taskCounts(s),
-					DisruptionDemands: s.disruption.demands,
-				}
-				peerShard.Demands = append(append(peerShard.Demands, s.demand...), s.forecastDemand...)
-				for _, mc := range s.machines {
-					if mc.releasing {
-						peerShard.MachinesToRelease = append(peerShard.MachinesToRelease, mc.id)
-					}
-				}
-				msg.OwnedShards = append(msg.OwnedShards, peerShard)
-				if pt.params.Debug {
-					pt.logShardLoad(s)
-				}
-			}
-		}
+		msg.OwnedShards = pt.reportOwnedShards()
 	}
-	if owner := pt.cache.shardClaims[pt.params.MemberID].Owner; owner != pt.params.MemberID && pt.store.storeAccess.LeaseID() != 0 {
+	owner := pt.cache.shardClaims[pt.params.MemberID].Owner
+	if owner != pt.params.MemberID && pt.store.storeAccess.LeaseID() != 0 {
 		msg.ShardRequestedFrom = owner
 	}
 	pt.publishStatusRecord(&msg)
@@ -71,12 +51,42 @@
 	pt.peers[pt.params.MemberID] = &peerState{receivedAtMS: pt.now.MonotonicMS, sentWallMS: pt.now.WallMS, message: msg}
 }
 
-// maxSummaryRecipients is how many peers get a member's summaries with each message, by far its
-// largest part. Beyond that they take turns: with a hundred peers, whole messages were 1.7 MB a
-// second out and in. What decides at once, needs, returns, teams' figures, goes to all each time.
+// reportOwnedShards describes each ready shard for peers, after the tasks that it cannot
+// place were moved.
+func (pt *peerTable) reportOwnedShards() []PeerShard {
+	var reports []PeerShard
+	for _, s := range sortedByKey(pt.shards.ownedShards) {
+		if !s.ready || s.releasing {
+			continue
+		}
+		pt.moveUnplaceableTasks(s)
+		peerShard := PeerShard{
+			Shard:             s.name,
+			Summary:           pt.placer.availabilitySummary(s),
+			TaskCounts:        pt.shards.taskCounts(s),
+			DisruptionDemands: s.disruption.demands,
+		}
+		peerShard.Demands = append(append(peerShard.Demands, s.demand...), s.forecastDemand...)
+		for _, mc := range s.machines {
+			if mc.releasing {
+				peerShard.MachinesToRelease = append(peerShard.MachinesToRelease, mc.id)
+			}
+		}
+		reports = append(reports, peerShard)
+		if pt.params.Debug {
+			pt.logShardLoad(s)
+		}
+	}
+	return reports
+}
+
+// maxSummaryRecipients is how many peers get a member's summaries, by far the largest part of
+// its message, each time. Beyond that they take turns: with a hundred peers, whole messages
+// were 1.7 MB a second out and in. What decisions need at once (demands, machines to release,
+// teams' usage) goes to all peers each time.
 const maxSummaryRecipients = 16
 
-// summaryRecipients is which peers get the summaries this time; nil: all.
+// summaryRecipients is the peers that get the summaries this time; nil: all.
 func (pt *peerTable) summaryRecipients() []string {
 	turns := (len(pt.params.PeerIDs) + maxSummaryRecipients - 1) / maxSummaryRecipients
 	if turns <= 1 {
@@ -92,25 +102,27 @@
 	return recipients
 }
 
-// copyLastSummaries puts the last summaries of a peer's shards into a message that has none. What
-// was taken of them stays taken.
+// copyLastSummaries puts the last summaries of a peer's shards into a message that has none.
+// Capacity that was reserved in them stays reserved.
 func copyLastSummaries(msg *PeerMessage, last *peerState) {
 	if last == nil {
 		return
 	}
 	for i := range msg.OwnedShards {
 		peerShard := &msg.OwnedShards[i]
-		if index := slices.IndexFunc(last.message.OwnedShards, func(o PeerShard) bool { return o.Shard == peerShard.Shard }); index >= 0 {
+		sameShard := func(other PeerShard) bool { return other.Shard == peerShard.Shard }
+		if index := slices.IndexFunc(last.message.OwnedShards, sameShard); index >= 0 {
 			peerShard.Summary = last.message.OwnedShards[index].Summary
 		}
 	}
 }
 
-// HandlePeerMessage takes a peer's message.
+// HandlePeerMessage takes a peer's message. One that was sent before the last one received is
+// ignored.
 func (c *Controller) HandlePeerMessage(now Now, msg PeerMessage) {
 	c.now = now
 	if last := c.peers.peers[msg.From]; last != nil && last.sentWallMS > msg.WallMS {
-		return // overtaken by a newer one
+		return // a newer one overtook it
 	}
 	if msg.OmitsSummaries {
 		copyLastSummaries(&msg, c.peers.peers[msg.From])
@@ -124,24 +136,13 @@
 	}
 }
 
-// isFresh is how long a peer's summary may guide a decision.
+// isFresh reports whether a peer's state is recent enough to guide decisions; peer may be nil.
 func (pt *peerTable) isFresh(peer *peerState) bool {
 	return peer != nil && pt.now.MonotonicMS-peer.receivedAtMS < pt.cache.maxMessageAgeMS()
 }
 
-// minMoveDivisor is how small a share of what waits may go by a move of its own:
-// each costs a write now and one at its end.
-const minMoveDivisor = 8
-
-// isAwaitingRestart tells whether a task was stopped to empty its machine and does not run
-// again yet: that it does is seen here alone.
-func (s *shard) isAwaitingRestart(tr *taskRange, index int) bool {
-	account := s.disruption.account
-	return account != nil && account.IsReserved(taskName(tr.job.rec.Job.ID, tr.bounds.Lo+index))
-}
-
-// logShardLoad tells, for those who read debug logs, how full a shard's machines
-// are.
+// logShardLoad writes to the debug log how a shard's processors are used: by kind of
+// machine and by state of tasks.
 func (pt *peerTable) logShardLoad(s *shard) {
 	var spot, onDemand, booting, running, fetching float64
 	for _, mc := range s.machines {
@@ -169,30 +170,15 @@
 	for _, group := range pt.placer.waitingTaskGroups(s) {
 		waiting += float64(group.Remaining) * group.job.Request.CPUs
 	}
-	pt.log(
-		Debug,
-		"load",
-		"shard",
-		s.name,
-		"spot",
-		spot,
-		"ordinary",
-		onDemand,
-		"booting",
-		booting,
-		"running",
-		running,
-		"fetching",
-		fetching,
-		"waiting",
-		waiting,
-		"needs",
-		len(s.demand),
-	)
+	pt.log(Debug, "load", "shard", s.name,
+		"spot", spot, "on_demand", onDemand, "booting", booting,
+		"running", running, "fetching", fetching, "waiting", waiting,
+		"demands", len(s.demand))
 }
 
+// peerState is the last message from a member.
 type peerState struct {
-	receivedAtMS int64 // steady time of the last message
-	sentWallMS   int64 // its own time of day
+	receivedAtMS int64 // monotonic time of this member
+	sentWallMS   int64 // time of day of the sender
 	message      PeerMessage
 }
--- a/scheduler/range_assignment.go
+++ b/scheduler/range_assignment.go
@@ -8,9 +8,9 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// peerTaskCapacity is how many tasks of a job a peer's shard says that it can end by
-// deadline, the least leftover first being the peer's own business. What is
-// taken is used up until the peer speaks again.
+// peerTaskCapacity is how many of a job's tasks, up to limit, the last summary of a peer's shard
+// lets it finish by deadline (time of day, ms). Which of its machines takes them is the peer's
+// decision. With reserve, what is used is subtracted from the summary, until the next one.
 func (pt *peerTable) peerTaskCapacity(
 	peerShard *PeerShard,
 	j *Job,
@@ -36,17 +36,9 @@
 		taskRuntimeMS := runtimeMS + pt.cache.placementCatalog.FetchMS(&resourceRequest, offering.Type)
 		fitting := function.TaskCapacity(resources, deadline, taskRuntimeMS, limit-tasks)
 		if reserve && fitting > 0 {
-			tasksPerQueue := max(
-				1,
-				function.TaskCapacity(
-					resources,
-					deadline,
-					taskRuntimeMS,
-					int(min(function.Count, 1<<20))*j.Tasks,
-				)/int(
-					function.Count,
-				),
-			)
+			maxInAllQueues := int(min(function.Count, 1<<20)) * j.Tasks
+			inAllQueues := function.TaskCapacity(resources, deadline, taskRuntimeMS, maxInAllQueues)
+			tasksPerQueue := max(1, inAllQueues/int(function.Count))
 			function.Count -= int64((fitting + tasksPerQueue - 1) / tasksPerQueue)
 		}
 		tasks += fitting
@@ -54,18 +46,19 @@
 	return tasks
 }
 
-// peerCapacity is room that a peer's shard has for a job.
+// peerCapacity is the number of a job's tasks that a peer's shard can take.
 type peerCapacity struct {
 	peerShard *PeerShard
 	tasks     int
 }
 
-// peerCapacities lists the peers' shards with room for a job, the one that is left
-// with least first. All members see the same room and none hands back what it
-// got, so each takes its part only: when four took all of it at once, the peer
-// that had been idle was left with the longest queue.
+// peerCapacities lists the peers' shards with capacity for a job, the one with the least
+// first. All members see the same capacity, and none moves tasks on that it got from a
+// peer, so each uses its share only: when four used all of it at once, the peer that had
+// been idle was left with the longest queue.
 func (pt *peerTable) peerCapacities(j *Job, runtimeMS, deadline int64, limit int) []peerCapacity {
 	var capacities []peerCapacity
+	sharers := len(pt.params.PeerIDs)
 	for memberID, peer := range sortedByKey(pt.peers) {
 		if memberID == pt.params.MemberID || !pt.isFresh(peer) {
 			continue
@@ -75,8 +68,8 @@
 			if pt.cache.shardClaims[peerShard.Shard].Owner != memberID {
 				continue
 			}
-			tasks := pt.peerTaskCapacity(peerShard, j, runtimeMS, deadline, limit*len(pt.params.PeerIDs), false)
-			if tasks = (tasks + len(pt.params.PeerIDs) - 1) / len(pt.params.PeerIDs); tasks > 0 {
+			tasks := pt.peerTaskCapacity(peerShard, j, runtimeMS, deadline, limit*sharers, false)
+			if tasks = (tasks + sharers - 1) / sharers; tasks > 0 {
 				capacities = append(capacities, peerCapacity{peerShard, tasks})
 			}
 		}
@@ -85,61 +78,101 @@
 	return capacities
 }
 
-// assignRanges decides where the tasks of a new job go: own machines before peers'.
-// Room that is free now goes before a place in a queue, here or there: a task
-// that waits while a peer's machine is idle only risks its deadline. What
-// neither can end in time is held by this member.
+// shardShare is a number of a job's tasks for a shard.
+type shardShare struct {
+	shard string
+	tasks int
+}
+
+// rangeAssignment is the assignment of a new job's tasks to shards while it is made. What is
+// unassigned at its end goes to the home shard.
+type rangeAssignment struct {
+	peers      *peerTable
+	job        *Job
+	group      *taskGroup
+	search     *planner.CandidateSearch // in this member's own shard; nil: not used
+	runtimeMS  int64
+	deadline   int64 // of the job's objective, time of day, ms
+	movable    bool  // tasks may go to peers
+	unassigned int
+	peerShares []shardShare
+}
+
+// assignRanges decides which shards get the tasks of a new job: this member's before peers'.
+// Capacity that is free now precedes a place in a queue, here or at a peer: a task that
+// waits while a peer's machine is idle only risks its deadline. Tasks that neither can
+// finish in time stay at the home shard.
 func (pt *peerTable) assignRanges(j *Job) []Range {
-	ownShard := pt.params.MemberID
-	homeShard, limited := pt.quotas.homeShard(j), pt.quotas.homeShards[j.Team] != ""
+	homeShard := pt.quotas.homeShard(j)
+	a := pt.newRangeAssignment(j, homeShard)
+	a.placeHere(planner.NewSlotsInTime)
+	a.placeAtPeers(min(a.deadline, pt.cache.immediateDeadline(j, a.runtimeMS)))
+	a.placeHere(planner.ExistingQueues)
+	a.placeAtPeers(a.deadline)
 	remaining := j.Tasks
-	type shardShare struct {
-		shard string
-		tasks int
+	for _, share := range a.peerShares {
+		remaining -= share.tasks
 	}
-	var shares []shardShare
-	unassigned := remaining
-	var search *planner.CandidateSearch
+	shares := append([]shardShare{{homeShard, remaining}}, a.peerShares...)
+	return pt.splitIntoRanges(shares, homeShard)
+}
+
+func (pt *peerTable) newRangeAssignment(j *Job, homeShard string) *rangeAssignment {
+	ownShard := pt.params.MemberID
+	limited := pt.quotas.homeShards[j.Team] != ""
 	provisional := &job{rec: jobRecord{Job: *j, AcceptedAtMS: pt.now.WallMS}}
 	provisionalRange := &taskRange{job: provisional, bounds: Range{0, j.Tasks, ownShard, false}, shardName: ownShard}
 	group := pt.placer.newTaskGroup(provisionalRange, 0)
-	runtimeMS, deadline := group.LengthMS, group.ObjectiveDeadlineMS
+	a := &rangeAssignment{
+		peers:      pt,
+		job:        j,
+		group:      group,
+		runtimeMS:  group.LengthMS,
+		deadline:   group.ObjectiveDeadlineMS,
+		movable:    !limited && !j.requiresOneShard(),
+		unassigned: j.Tasks,
+	}
 	s := pt.shards.ownedShards[ownShard]
-	if s != nil && s.ready && pt.store.hasAuthority() && homeShard == ownShard {
-		// The last plan is asked, and keeps what it promises here until the
-		// next one: a burst of submissions must not cost a plan each.
-		group.Remaining = min(remaining, pt.quotas.tasksWithinTeamLimit(s, j, availability.Resources{}))
-		search = s.clusterView.StartSearch(&group.Group)
+	if s == nil || !s.ready || !pt.store.hasAuthority() || homeShard != ownShard {
+		return a
 	}
-	placeHere := func(mode planner.QueueMode) {
-		if search != nil {
-			leftBefore := group.Remaining
-			search.Admit(deadline, mode)
-			unassigned -= leftBefore - group.Remaining
-		}
+	// The search reserves in the last plan, until the next one: a burst of submissions
+	// must not cost a plan each.
+	group.Remaining = min(j.Tasks, pt.quotas.tasksWithinTeamLimit(s, j, availability.Resources{}))
+	a.search = s.clusterView.StartSearch(&group.Group)
+	return a
+}
+
+// placeHere assigns tasks to this member's own shard, if it is the home shard.
+func (a *rangeAssignment) placeHere(mode planner.QueueMode) {
+	if a.search == nil {
+		return
 	}
-	placeAtPeers := func(deadline int64) {
-		if unassigned <= 0 || limited || j.requiresOneShard() {
-			return
+	remainingBefore := a.group.Remaining
+	a.search.Admit(a.deadline, mode)
+	a.unassigned -= remainingBefore - a.group.Remaining
+}
+
+// placeAtPeers assigns tasks to peers' shards that can finish them by deadline.
+func (a *rangeAssignment) placeAtPeers(deadline int64) {
+	if a.unassigned <= 0 || !a.movable {
+		return
+	}
+	for _, capacity := range a.peers.peerCapacities(a.job, a.runtimeMS, deadline, a.unassigned) {
+		limit := min(capacity.tasks, a.unassigned)
+		tasks := a.peers.peerTaskCapacity(capacity.peerShard, a.job, a.runtimeMS, deadline, limit, true)
+		if tasks > 0 {
+			a.peerShares = append(a.peerShares, shardShare{capacity.peerShard.Shard, tasks})
+			a.unassigned -= tasks
 		}
-		for _, capacity := range pt.peerCapacities(j, runtimeMS, deadline, unassigned) {
-			if tasks := pt.peerTaskCapacity(capacity.peerShard, j, runtimeMS, deadline, min(capacity.tasks, unassigned), true); tasks > 0 {
-				shares = append(shares, shardShare{capacity.peerShard.Shard, tasks})
-				unassigned -= tasks
-			}
-			if unassigned <= 0 {
-				return
-			}
+		if a.unassigned <= 0 {
+			return
 		}
 	}
-	placeHere(planner.NewSlotsInTime)
-	placeAtPeers(min(deadline, pt.cache.immediateDeadline(j, runtimeMS)))
-	placeHere(planner.ExistingQueues)
-	placeAtPeers(deadline)
-	for _, share := range shares {
-		remaining -= share.tasks
-	}
-	shares = append([]shardShare{{homeShard, remaining}}, shares...)
+}
+
+// splitIntoRanges is the ranges of a job whose tasks are shared among shards so.
+func (pt *peerTable) splitIntoRanges(shares []shardShare, homeShard string) []Range {
 	var ranges []Range
 	lo := 0
 	for _, share := range shares {
@@ -153,27 +186,49 @@
 	return ranges
 }
 
-// moveUnplaceableTasks hands tasks that no machine here can end in time to a peer
-// with room, by a conditional write of the job's record. What came from a peer
-// stays, and so does a job whose tasks begin once and may have begun: after a
-// claim some of them may be lost, which only the range that had them knows.
-// Moved before all machines had spoken, a lost task began again at the peer.
-func (pt *peerTable) moveUnplaceableTasks(s *shard) {
-	movable := func(tr *taskRange) bool {
-		j := tr.job
-		return pt.cache.jobs[j.rec.Job.ID] == j && !j.recordWritePending && !j.rec.Job.requiresOneShard() && len(j.rec.Ranges) < pt.maxJobRanges() &&
-			!(j.rec.Job.AtMostOnce && j.rec.MayHaveBegun) && !tr.bounds.MovedFromPeer && !tr.moving &&
-			!tr.writing &&
-			pt.quotas.fitsTeamAllocation(s, j.rec.Job.Team)
+// minMoveDivisor limits how small a share of a range's waiting tasks is moved: each move
+// costs a write now and one at its end.
+const minMoveDivisor = 8
+
+// isAwaitingRestart reports whether a task was stopped to drain its machine and does not run
+// again yet: only this member sees when it does.
+func (s *shard) isAwaitingRestart(tr *taskRange, index int) bool {
+	account := s.disruption.account
+	return account != nil && account.IsReserved(taskName(tr.job.rec.Job.ID, tr.bounds.Lo+index))
+}
+
+// isMovable reports whether tasks of a range may move to a peer's shard. Those that came from
+// a peer stay, and so do those of a job with AtMostOnce that may have begun: after a
+// takeover some of them may be lost, which only the range that had them knows. Moved before
+// all machines had sent heartbeats, a lost task began again at the peer.
+func (pt *peerTable) isMovable(s *shard, tr *taskRange) bool {
+	j := tr.job
+	if pt.cache.jobs[j.rec.Job.ID] != j || j.recordWritePending || len(j.rec.Ranges) >= pt.maxJobRanges() {
+		return false
+	}
+	mayNotRestart := j.rec.Job.AtMostOnce && j.rec.MayHaveBegun
+	if mayNotRestart || j.rec.Job.requiresOneShard() {
+		return false
+	}
+	if tr.bounds.MovedFromPeer || tr.moving || tr.writing {
+		return false
 	}
+	return pt.quotas.fitsTeamAllocation(s, j.rec.Job.Team)
+}
+
+// moveUnplaceableTasks moves tasks that no machine of the shard can finish in time to a peer
+// with capacity, by a conditional write of the job's record.
+func (pt *peerTable) moveUnplaceableTasks(s *shard) {
 	for _, group := range s.queue {
-		// What waits in a queue here may start at once there, but for what others are
-		// stopped for here. A first task that goes ahead moves with the rest of its job.
+		// What waits in a queue here may start at once there, except what others are
+		// stopped for here. A first task that precedes others moves with the rest of its job.
 		if group.IsFirstTask && group.taskRange.pending() > 1 {
 			continue
 		}
-		if waiting := group.Waiting - s.reservedTasks[group.taskRange]; waiting > 0 && movable(group.taskRange) {
-			pt.moveTasksToPeer(s, group.taskRange, waiting, group.LengthMS, pt.cache.immediateDeadline(group.job, group.LengthMS))
+		waiting := group.Waiting - s.reservedTasks[group.taskRange]
+		if waiting > 0 && pt.isMovable(s, group.taskRange) {
+			deadline := pt.cache.immediateDeadline(group.job, group.LengthMS)
+			pt.moveTasksToPeer(s, group.taskRange, waiting, group.LengthMS, deadline)
 		}
 	}
 	for _, demand := range s.demand {
@@ -182,7 +237,7 @@
 			continue
 		}
 		for _, tr := range sortedByKey(j.taskRanges) {
-			if tr.shardName == s.name && movable(tr) {
+			if tr.shardName == s.name && pt.isMovable(s, tr) {
 				pt.moveTasksToPeer(s, tr, demand.Tasks, demand.TaskRuntimeMS, demand.DeadlineMS)
 				break
 			}
@@ -190,11 +245,23 @@
 	}
 }
 
-func (pt *peerTable) moveTasksToPeer(s *shard, tr *taskRange, maxTasks int, runtimeMS, deadline int64) {
-	movable := 0
-	for index := tr.size() - 1; index >= 0 && movable < maxTasks && !tr.done.has(index) && !tr.assigned.has(index) && !s.isAwaitingRestart(tr, index); index-- {
-		movable++
+// movableTail is how many tasks at the end of a range, up to limit, are neither done nor
+// assigned to a machine.
+func (s *shard) movableTail(tr *taskRange, limit int) int {
+	tasks := 0
+	for index := tr.size() - 1; index >= 0 && tasks < limit; index-- {
+		if tr.done.has(index) || tr.assigned.has(index) || s.isAwaitingRestart(tr, index) {
+			break
+		}
+		tasks++
 	}
+	return tasks
+}
+
+// moveTasksToPeer moves up to maxTasks of a range's last tasks to the peer's shard that can
+// finish most of them by deadline (time of day, ms).
+func (pt *peerTable) moveTasksToPeer(s *shard, tr *taskRange, maxTasks int, runtimeMS, deadline int64) {
+	movable := s.movableTail(tr, maxTasks)
 	if movable == 0 {
 		return
 	}
@@ -208,28 +275,35 @@
 	if best.tasks == 0 || best.tasks < movable/minMoveDivisor {
 		return
 	}
-	tasks := pt.peerTaskCapacity(best.peerShard, &j.rec.Job, runtimeMS, deadline, min(best.tasks, movable), true)
+	limit := min(best.tasks, movable)
+	tasks := pt.peerTaskCapacity(best.peerShard, &j.rec.Job, runtimeMS, deadline, limit, true)
 	targetShard := best.peerShard.Shard
 	rec := j.rec
-	rec.Ranges = nil
-	for _, bounds := range j.rec.Ranges {
+	rec.Ranges = rangesAfterMove(j.rec.Ranges, tr, tasks, targetShard)
+	pt.log(Debug, "tasks moved", "job", j.rec.Job.ID, "tasks", tasks, "shard", targetShard)
+	pt.writeMove(s, tr, j, rec, j.rev)
+}
+
+// rangesAfterMove is a job's ranges after the last tasks of one moved to another shard.
+func rangesAfterMove(ranges []Range, tr *taskRange, tasks int, targetShard string) []Range {
+	var after []Range
+	for _, bounds := range ranges {
 		if bounds.Lo != tr.bounds.Lo {
-			rec.Ranges = append(rec.Ranges, bounds)
+			after = append(after, bounds)
 			continue
 		}
 		if tasks < tr.size() {
-			rec.Ranges = append(rec.Ranges, Range{bounds.Lo, bounds.Hi - tasks, bounds.Shard, bounds.MovedFromPeer})
+			after = append(after, Range{bounds.Lo, bounds.Hi - tasks, bounds.Shard, bounds.MovedFromPeer})
 		}
-		rec.Ranges = append(rec.Ranges, Range{bounds.Hi - tasks, bounds.Hi, targetShard, true})
+		after = append(after, Range{bounds.Hi - tasks, bounds.Hi, targetShard, true})
 	}
-	pt.log(Debug, "tasks moved", "job", j.rec.Job.ID, "tasks", tasks, "to", targetShard)
-	pt.writeMove(s, tr, j, rec, j.rev)
+	return after
 }
 
-// writeMove writes the move until its outcome is certain. While it is not, none
-// of the range starts here: the tail may be the peer's already. A further try that
-// was refused, or a conflict that could not be read back, once counted as the end
-// of it; the first try was carried out after that, and the tail ran in both places.
+// writeMove writes a move until its outcome is certain. While it is not, no task of the
+// range starts here: the tail may be the peer's already. A retry that was refused, or a
+// conflict that could not be read back, once counted as the end of it; the first attempt
+// was carried out after that, and the tail ran in both places.
 func (pt *peerTable) writeMove(s *shard, tr *taskRange, j *job, rec jobRecord, jobRevision uint64) {
 	id := j.rec.Job.ID
 	key := jobKey(id)
@@ -243,17 +317,13 @@
 	pt.store.sendUntilSettled(key, inDoubtWrite{
 		isClaimValid: func() bool { return pt.cache.jobs[id] == j && pt.shards.ownedShards[s.name] == s },
 		send: func(onResult func(StoreResult)) {
-			pt.store.sendTxn(
-				UrgencyUser,
-				[]Precondition{{claimKey(s.name), s.token}, {key, jobRevision}},
-				changes,
-				func(result StoreResult) {
-					if result.Outcome == OK {
-						pt.Counters.MovedTasks++
-					}
-					onResult(result)
-				},
-			)
+			preconditions := []Precondition{{claimKey(s.name), s.token}, {key, jobRevision}}
+			pt.store.sendTxn(UrgencyUser, preconditions, changes, func(result StoreResult) {
+				if result.Outcome == OK {
+					pt.Counters.MovedTasks++
+				}
+				onResult(result)
+			})
 		},
 		onSent: write.CompleteAttempt,
 		onRead: func(result StoreResult) indoubt.NextStep {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -11,7 +11,7 @@
 type Settings struct {
 	Functions int      `json:"functions"`       // availability functions per summary
 	Samples   int      `json:"samples"`         // samples per availability function
-	LateShare float64  `json:"late_share"`      // of a job's span from acceptance to deadline: one step of extending a late deadline
+	LateShare float64  `json:"late_share"`      // of a job's span: one step of extending a late deadline
 	SummaryS  float64  `json:"summary_s"`       // seconds between two peer messages
 	IdleBoots float64  `json:"idle_boots"`      // idle time before release, in boot times of the machine's type
 	Drain     []string `json:"drain,omitempty"` // IDs of cordoned machines
--- a/scheduler/user_request_relay.go
+++ b/scheduler/user_request_relay.go
@@ -65,7 +65,7 @@
 	c.requests.requestsByArrival = append(c.requests.requestsByArrival, pending)
 	c.requests.expediteBudget = min(expediteBurst, c.requests.expediteBudget+expediteShare)
 	needsStore := request.Kind != SubmitJob || request.ID != ""
-	if needsStore && c.store.isStoreUnreachable() {
+	if c.store.isStoreUnreachable() && needsStore { // in this order: the first also starts probes
 		c.requests.completeRequest(replyID, unavailableResponse(request.ID, storeUnreachableMessage))
 		return
 	}
