--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -1,25 +1,22 @@
 package scheduler
 
-import "slices"
+import (
+	"slices"
+	"strings"
+)
 
-func (as *autoscaler) sendCloud(op CloudOp, onResult func(CloudResult)) {
-	as.lastRequestID++
-	op.ID = as.lastRequestID
-	as.cloudCallbacks[op.ID] = onResult
-	as.outputs.CloudOps = append(as.outputs.CloudOps, op)
-}
-
-// HandleCloudResult takes the cloud's answer to a request.
-func (c *Controller) HandleCloudResult(now Now, id uint64, result CloudResult) {
-	c.now = now
-	if onResult := c.scaler.cloudCallbacks[id]; onResult != nil {
-		delete(c.scaler.cloudCallbacks, id)
-		onResult(result)
-	}
-}
-
-// autoscaler is what the member that leads the fleet keeps: it alone rents and
-// returns machines. The lead is a record that hangs on the member's hold.
+// autoscaler owns what the leader of the fleet keeps: its leadership, the calls to
+// the cloud, and what is to be written to the machine registry. The leader alone
+// provisions, records and releases machines; members that do not lead only read
+// the catalog of machine types, while they have none.
+//
+// It may assume that a change whose precondition is the leader record's revision is
+// refused once another member leads. It promises that each machine that the cloud
+// lists for long enough is either in the registry or released, and that no call to
+// the cloud that is sent again provisions twice. It is built for a cloud that is
+// slow, refuses, answers late or not at all, and whose list lags, and for a leader
+// that is replaced at any time: what is only in memory here is found again by the
+// cloud's list.
 type autoscaler struct {
 	*environment
 	cache    *stateCache
@@ -29,65 +26,99 @@
 	shards   *shardManager
 	store    *storeClient
 
-	cloudCallbacks map[uint64]func(CloudResult) // by request
+	cloudCallbacks  map[uint64]func(CloudResult) // by request
+	nextCatalogAtMS int64                        // monotonic
+	leadership
+	cloudListing
+	provisioningState
+	releaseState
+	registryWrites
+}
 
-	leading           bool
-	nonce             uint64
-	leaderRev         uint64
-	claimPending      bool
-	nextClaimAt       int64
-	provisionRequests uint64
+// cloudListing is the reading of the cloud's list of machines.
+type cloudListing struct {
+	nextListAtMS int64 // monotonic
+	listPending  bool
+	listed       map[string]bool // machines of the last complete list
+}
 
-	nextListAt       int64
-	listPending      bool
-	nextCatalogAt    int64
-	releasePending   bool
-	nextReleaseAt    int64
-	nextProvisionAt  int64
-	provisioning     map[string]int     // shard: requests under way
-	demandValidAfter map[string]int64   // shard: needs told before this are out of date
-	unavailableUntil map[offering]int64 // steady time until which not to ask
-	listed           map[string]bool
-	pendingReleases  map[string]bool  // machines that are to be returned
-	releasedAt       map[string]int64 // machine: when it was returned
+// provisioningState is what was provisioned of late, and what the cloud refused.
+type provisioningState struct {
+	provisionRequests uint64 // numbers the idempotency keys of a leadership
+	nextProvisionAtMS int64  // monotonic
+	provisioning      map[string]int
+	demandValidAfter  map[string]int64   // by shard: demand reported before this wall time is out of date
+	unavailableUntil  map[offering]int64 // monotonic time before which an offering is not asked for
+}
+
+// releaseState is the machines that are to be released, and those that were.
+type releaseState struct {
+	releasePending  bool
+	nextReleaseAtMS int64 // monotonic
+	pendingReleases map[string]bool
+	releasedAt      map[string]int64 // by machine, monotonic ms
+}
 
-	// What is to be written to the rosters.
+// registryWrites is what is to be written to the machine registry.
+type registryWrites struct {
 	lastRegistryPageNumber int
 	pendingAdditions       []*registryAddition
 	pendingRemovals        map[string]bool
-	unrecordedMachines     map[string]bool // machines that were found or rented and have no roster yet
-	unknownMachines        []Heartbeat     // machines that reported and that nobody knows
-	nextFound              int64
+	unrecordedMachines     map[string]bool // found or provisioned machines that are on no registry page yet
+	unknownMachines        []Heartbeat     // of machines that no registry page names
+	nextAssignmentAtMS     int64           // monotonic
 	registryWriting        bool
-	nextRegistryWriteAt    int64
+	nextRegistryWriteAtMS  int64 // monotonic
 }
 
 func newAutoscaler(env *environment) *autoscaler {
 	return &autoscaler{
-		environment:        env,
-		cloudCallbacks:     map[uint64]func(CloudResult){},
-		provisioning:       map[string]int{},
-		demandValidAfter:   map[string]int64{},
-		unavailableUntil:   map[offering]int64{},
-		releasedAt:         map[string]int64{},
-		pendingReleases:    map[string]bool{},
-		pendingRemovals:    map[string]bool{},
-		unrecordedMachines: map[string]bool{},
+		environment:    env,
+		cloudCallbacks: map[uint64]func(CloudResult){},
+		provisioningState: provisioningState{
+			provisioning:     map[string]int{},
+			demandValidAfter: map[string]int64{},
+			unavailableUntil: map[offering]int64{},
+		},
+		releaseState: releaseState{
+			pendingReleases: map[string]bool{},
+			releasedAt:      map[string]int64{},
+		},
+		registryWrites: registryWrites{
+			pendingRemovals:    map[string]bool{},
+			unrecordedMachines: map[string]bool{},
+		},
+	}
+}
+
+func (as *autoscaler) sendCloud(op CloudOp, onResult func(CloudResult)) {
+	as.lastRequestID++
+	op.ID = as.lastRequestID
+	as.cloudCallbacks[op.ID] = onResult
+	as.outputs.CloudOps = append(as.outputs.CloudOps, op)
+}
+
+// HandleCloudResult takes the cloud's response to a request of Outputs.CloudOps.
+// A response to a request that is not pending is ignored.
+func (c *Controller) HandleCloudResult(now Now, id uint64, result CloudResult) {
+	c.now = now
+	if onResult := c.scaler.cloudCallbacks[id]; onResult != nil {
+		delete(c.scaler.cloudCallbacks, id)
+		onResult(result)
 	}
 }
 
 func (as *autoscaler) tickFleet() {
 	now := as.now.MonotonicMS
-	if len(as.cache.machineTypes) == 0 || as.leading {
-		if now >= as.nextCatalogAt {
-			as.nextCatalogAt = now + 5000
-			as.sendCloud(CloudOp{Kind: CloudCatalog}, as.applyCatalog)
-		}
+	needsCatalog := as.leading || len(as.cache.machineTypes) == 0
+	if needsCatalog && now >= as.nextCatalogAtMS {
+		as.nextCatalogAtMS = now + 5000
+		as.sendCloud(CloudOp{Kind: CloudCatalog}, as.applyCatalog)
 	}
 	if !as.store.hasAuthority() {
 		return
 	}
-	if as.cache.leader == "" || as.cache.leader == as.params.MemberID && !as.leading {
+	if as.shouldClaimLeadership() {
 		as.claimLeadership()
 		return
 	}
@@ -96,15 +127,15 @@
 	}
 	as.assignFoundMachines()
 	as.writeRegistry()
-	if now >= as.nextListAt && !as.listPending {
+	if now >= as.nextListAtMS && !as.listPending {
 		as.listPending = true
 		as.listCloudMachines("", nil, now)
 	}
-	if now >= as.nextReleaseAt && !as.releasePending {
+	if now >= as.nextReleaseAtMS && !as.releasePending {
 		as.releaseMachines()
 	}
-	if now >= as.nextProvisionAt {
-		as.nextProvisionAt = now + 500
+	if now >= as.nextProvisionAtMS {
+		as.nextProvisionAtMS = now + 500
 		as.scaleOutForDemand()
 	}
 	as.rollouts.tickRollout()
@@ -112,119 +143,23 @@
 
 func (as *autoscaler) applyCatalog(r CloudResult) {
 	if r.Outcome != OK || len(r.Types) == 0 {
-		as.nextCatalogAt = as.now.MonotonicMS + 2000
+		as.nextCatalogAtMS = as.now.MonotonicMS + 2000
 		return
 	}
-	as.nextCatalogAt = as.now.MonotonicMS + 60_000
+	as.nextCatalogAtMS = as.now.MonotonicMS + 60_000
 	types := slices.Clone(r.Types)
-	slices.SortFunc(types, func(a, b MachineType) int {
-		if a.Name < b.Name {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(types, func(a, b MachineType) int { return strings.Compare(a.Name, b.Name) })
 	first := len(as.cache.machineTypes) == 0
 	as.cache.setMachineTypes(types)
 	if first {
 		as.log(Info, "machine types known", "types", len(types))
 	}
-	// Stored once, without its moving prices, for members that start while
-	// the cloud is away.
-	if as.cache.keyRevisions[catalogKey] == 0 && as.leading && as.store.hasAuthority() {
-		as.store.sendTxn(
-			UrgencyBackground,
-			[]Precondition{{catalogKey, 0}},
-			[]Change{{Key: catalogKey, Value: mustEncode(catalogRecord{types})}},
-			func(StoreResult) {},
-		)
+	// Stored once, without the prices that move, for members that start while the
+	// cloud is unreachable.
+	isStored := as.cache.keyRevisions[catalogKey] != 0
+	if !isStored && as.leading && as.store.hasAuthority() {
+		preconditions := []Precondition{{catalogKey, 0}}
+		changes := []Change{{Key: catalogKey, Value: mustEncode(catalogRecord{types})}}
+		as.store.sendTxn(UrgencyBackground, preconditions, changes, func(StoreResult) {})
 	}
 }
-
-// listCloudMachines reads the cloud's list and compares it with the records.
-func (as *autoscaler) listCloudMachines(from string, all []CloudMachine, sentAt int64) {
-	as.sendCloud(CloudOp{Kind: CloudList, StartAfter: from}, func(r CloudResult) {
-		if r.Outcome != OK {
-			as.listPending = false
-			as.nextListAt = as.now.MonotonicMS + 2000
-			return
-		}
-		all = append(all, r.List...)
-		if r.More && len(r.List) > 0 {
-			as.listCloudMachines(r.List[len(r.List)-1].ID, all, sentAt)
-			return
-		}
-		as.listPending = false
-		as.nextListAt = as.now.MonotonicMS + max(secondsToMS(as.params.CloudListLagS)/listsPerListLag, 1000)
-		if as.leading && as.store.hasAuthority() {
-			as.reconcileCloudList(all, sentAt)
-		}
-	})
-}
-
-// reconcileCloudList holds the cloud's list against the records. The list was asked for at
-// sent and is no evidence of anything later: an answer that came late made
-// machines seem gone that had been rented and were up since.
-func (as *autoscaler) reconcileCloudList(list []CloudMachine, sentAt int64) {
-	sentWall := as.now.WallMS - (as.now.MonotonicMS - sentAt)
-	lag := secondsToMS(as.params.CloudListLagS) * 2
-	as.listed = make(map[string]bool, len(list))
-	loads := as.shardLoads()
-	for _, instance := range list {
-		as.listed[instance.ID] = true
-		mc := as.registry.machines[instance.ID]
-		if releasedAt, ok := as.releasedAt[instance.ID]; ok {
-			// The list lags: what we returned still appears. Taking it
-			// for a machine that nobody expected gave it a record and an
-			// owner again, for nothing to come up.
-			if as.now.MonotonicMS-releasedAt > releasedRetentionLags*lag {
-				delete(as.releasedAt, instance.ID)
-			}
-			continue
-		}
-		if mc == nil {
-			// Nobody expected it. It gets an owner, who uses or returns
-			// it; a rental of ours whose rosters are being written is
-			// given the time to be written.
-			if secondsToMS(instance.AgeS) > lag+5000 && !as.unrecordedMachines[instance.ID] && instance.State != "failed" &&
-				as.cache.machineTypes[instance.Type] != nil {
-				as.addMachinesToRegistry(
-					[]string{instance.ID},
-					offering{instance.Type, instance.Zone, instance.Spot},
-					as.assignToLeastLoaded(loads, instance.Type),
-					"",
-					as.now.WallMS-secondsToMS(instance.AgeS),
-					func() {},
-				)
-			}
-			if instance.State == "failed" && !as.unrecordedMachines[instance.ID] {
-				as.markForRelease(instance.ID, "failed")
-			}
-			continue
-		}
-		if instance.State == "failed" {
-			as.markForRelease(instance.ID, "failed")
-		}
-	}
-	for id, releasedAt := range as.releasedAt {
-		if as.now.MonotonicMS-releasedAt > releasedRetentionLags*lag && !as.listed[id] {
-			delete(as.releasedAt, id)
-		}
-	}
-	for id, mc := range sortedByKey(as.registry.machines) {
-		t := as.cache.machineTypes[mc.rec.Type]
-		switch {
-		case mc.Up && !as.listed[id] && sentWall-mc.rec.ProvisionedAtMS > lag+5000 && !as.hasHeartbeatSince(mc, sentAt):
-			// Listed machines stay listed until they are gone, so this one
-			// is: its tasks need not wait for its lease, nor a new claim
-			// for a report that never comes. Returning it makes it certain.
-			as.markForRelease(id, "no longer listed")
-		case !mc.Up && t != nil && as.now.WallMS-mc.rec.ProvisionedAtMS > secondsToMS(t.BootS)*bootGracePeriods+lag:
-			as.markForRelease(id, "does not come up")
-		}
-	}
-}
-
-// hasHeartbeatSince tells whether a machine of ours reported after a time.
-func (as *autoscaler) hasHeartbeatSince(mc *machine, since int64) bool {
-	return mc.claim != nil && as.shards.ownedShards[mc.rec.Shard] == mc.claim && mc.IsReconciled() && mc.LastHeartbeatAt > since
-}
--- a/scheduler/evictions.go
+++ b/scheduler/evictions.go
@@ -9,6 +9,31 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
+// shardDisruption is a shard's side of a rollout: the account of what was stopped, and
+// what the shard's owner requests for more.
+type shardDisruption struct {
+	account      *disruption.Account // nil until the first tick of the shard
+	record       recordWriteState
+	demands      map[string]disruption.Demand // by team
+	nextTickAtMS int64                        // monotonic
+}
+
+// addDemand changes a team's demand.
+func (d *shardDisruption) addDemand(team string, change func(*disruption.Demand)) {
+	demand := d.demands[team]
+	change(&demand)
+	d.demands[team] = demand
+}
+
+// eviction is a task that the plan would have stopped.
+type eviction struct {
+	attempt  *attempt
+	lostWork float64 // in processor milliseconds
+}
+
+// disruptionRowBytes is about what a team's tokens for a shard take in the plan's record.
+const disruptionRowBytes = 40
+
 // disruptionBudget is a team's, by the operators' settings; "*" stands for teams without one.
 func (rc *rolloutController) disruptionBudget(team string) disruption.Budget {
 	if b, ok := rc.cache.settings.Disruption[team]; ok {
@@ -17,38 +42,46 @@
 	return rc.cache.settings.Disruption["*"]
 }
 
-// issueDisruptionTokens hands out tokens for what the shards want to stop.
-func (rc *rolloutController) issueDisruptionTokens() (changed bool) {
-	demands := map[string]map[string]disruption.Demand{} // team, shard
+// disruptionDemands is by team and shard what the shards' owners request.
+func (rc *rolloutController) disruptionDemands() map[string]map[string]disruption.Demand {
+	demands := map[string]map[string]disruption.Demand{}
 	rc.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
 		for i := range msg.OwnedShards {
-			if peerShard := &msg.OwnedShards[i]; rc.cache.shardClaims[peerShard.Shard].Owner == from {
-				for team, d := range peerShard.DisruptionDemands {
-					if demands[team] == nil {
-						demands[team] = map[string]disruption.Demand{}
-					}
-					demands[team][peerShard.Shard] = d
+			peerShard := &msg.OwnedShards[i]
+			if rc.cache.shardClaims[peerShard.Shard].Owner != from {
+				continue
+			}
+			for team, demand := range peerShard.DisruptionDemands {
+				if demands[team] == nil {
+					demands[team] = map[string]disruption.Demand{}
 				}
+				demands[team][peerShard.Shard] = demand
 			}
 		}
 	})
-	rows, maxRows := 0, max(16, rc.params.MaxValueBytes/2/40) // a row takes some forty bytes
+	return demands
+}
+
+// issueDisruptionTokens issues tokens for what the shards request, within the teams'
+// budgets, and reports whether the plan's record changes by it.
+func (rc *rolloutController) issueDisruptionTokens() (changed bool) {
+	rows, maxRows := 0, max(16, rc.params.MaxValueBytes/2/disruptionRowBytes)
 	recorded := map[string]bool{}
 	for _, teams := range rc.ledger.Issued() {
 		rows += len(teams)
-		for t := range teams {
-			recorded[t] = true
+		for team := range teams {
+			recorded[team] = true
 		}
 	}
-	for team, shardDemands := range sortedByKey(demands) {
+	for team, shardDemands := range sortedByKey(rc.disruptionDemands()) {
 		if !recorded[team] {
 			if rows += len(shardDemands); rows > maxRows {
 				continue // no room in the record: its machines wait for their tasks to end
 			}
 		}
 		settled := map[string]uint64{}
-		for s, a := range rc.disruptionRecords {
-			settled[s] = a.Settled[team]
+		for shard, record := range rc.disruptionRecords {
+			settled[shard] = record.Settled[team]
 		}
 		if rc.ledger.Issue(rc.now.MonotonicMS, team, rc.disruptionBudget(team), shardDemands, settled) {
 			changed = true
@@ -57,64 +90,78 @@
 	return changed
 }
 
-// tickShardDisruption is a shard's part in each tick: what was stopped and runs again is
-// settled, what is to be stopped is charged, and the account is written.
+// tickShardDisruption is a shard's part in each tick: reservations of tasks that run again
+// are settled, evictions are reserved, and the account is written.
 func (rc *rolloutController) tickShardDisruption(s *shard) {
 	d := &s.disruption
-	if !rc.params.Rollout || rc.now.MonotonicMS < d.nextTickAt {
+	if !rc.params.Rollout || rc.now.MonotonicMS < d.nextTickAtMS {
 		return
 	}
-	d.nextTickAt = rc.now.MonotonicMS + 250
+	d.nextTickAtMS = rc.now.MonotonicMS + 250
 	if d.account == nil {
 		d.account = disruption.OpenAccount(rc.disruptionRecords[s.name], rc.maxOpenCharges())
 		d.record.rev = rc.cache.keyRevisions[disruptionPrefix+s.name]
 	}
-	rc.settleCharges(s)
+	rc.settleReservations(s)
 	rc.requestEvictions(s)
 	rc.writeDisruptionAccount(s)
 }
 
-// settleCharges closes the charges of tasks that run again, are done or are nobody's any
-// more, and of tasks that go on where they are.
-func (rc *rolloutController) settleCharges(s *shard) {
-	d := &s.disruption
-	if d.account.IsEmpty() {
-		return
-	}
-	live := map[string]*attempt{}
+// runningAttempts is by task the attempts that run on a shard's machines.
+func runningAttempts(s *shard) map[string]*attempt {
+	running := map[string]*attempt{}
 	for _, mc := range s.machines {
 		for _, a := range mc.byKey {
 			if !a.exited && a.running {
-				live[a.key.task] = a
+				running[a.key.task] = a
 			}
 		}
 	}
-	d.account.EachLost(func(task, _ string) {
-		if tr, i := rc.shards.taskRangeOf(task); tr == nil || tr.done.has(i) || live[task] != nil {
-			d.account.RecordRecovery(task)
+	return running
+}
+
+// settleReservations closes the reservations of tasks that run again, that are done or no
+// longer this shard's, and of tasks that go on where they are.
+func (rc *rolloutController) settleReservations(s *shard) {
+	account := s.disruption.account
+	if account.IsEmpty() {
+		return
+	}
+	running := runningAttempts(s)
+	account.EachLost(func(task, _ string) {
+		if rc.isTaskOver(task) || running[task] != nil {
+			account.RecordRecovery(task)
 		}
 	})
 	if len(s.reconciler.Unreported()) > 0 {
-		return // what is not heard may be what runs
+		return // a machine that did not report yet may run the task
 	}
-	d.account.EachReserved(func(task string, t disruption.StoppedTask) {
-		tr, i := rc.shards.taskRangeOf(task)
-		a := live[task]
-		switch {
-		case tr == nil, tr.done.has(i):
-			d.account.Release(task)
-		case a != nil && a.key.attempt != t.Attempt:
-			d.account.Release(task)
-		case a != nil && !a.evicted && !rc.isDrainedByRollout(a.machine):
-			d.account.Release(task) // it was never told to stop, and is not to be
+	account.EachReserved(func(task string, stopped disruption.StoppedTask) {
+		if rc.isTaskOver(task) || rc.isReservationOver(running[task], stopped) {
+			account.Release(task)
 		}
 	})
 }
 
-// requestEvictions finds what the plan would have stopped, charges what was issued for, and
-// tells what more it wants. What ends in time is let end.
+// isTaskOver reports whether a task is done, or of no range that this member owns.
+func (rc *rolloutController) isTaskOver(task string) bool {
+	tr, i := rc.shards.taskRangeOf(task)
+	return tr == nil || tr.done.has(i)
+}
+
+// isReservationOver reports whether a task runs again after its eviction, or runs on
+// without one: its stop was never sent and is not wanted any more.
+func (rc *rolloutController) isReservationOver(a *attempt, stopped disruption.StoppedTask) bool {
+	if a == nil {
+		return false
+	}
+	return a.key.attempt != stopped.Attempt || !a.evicted && !rc.isDrainedByRollout(a.machine)
+}
+
+// requestEvictions finds what the plan would have stopped, reserves what tokens were issued
+// for, and requests more for the rest. What ends in time by itself is let end.
 func (rc *rolloutController) requestEvictions(s *shard) {
-	d, rec, wall := &s.disruption, rc.rec, rc.now.WallMS
+	d, rec := &s.disruption, rc.rec
 	d.demands = map[string]disruption.Demand{}
 	if rec == nil || rec.State.IsTerminal() {
 		return
@@ -122,76 +169,97 @@
 	for _, mc := range s.machines {
 		for _, a := range mc.byKey {
 			if !a.exited && a.running {
-				demand := d.demands[a.job.Team]
-				demand.Running++
-				d.demands[a.job.Team] = demand
+				d.addDemand(a.job.Team, func(demand *disruption.Demand) { demand.Running++ })
 			}
 		}
 	}
 	d.account.EachLost(func(_, team string) {
-		demand := d.demands[team]
-		demand.Lost++
-		d.demands[team] = demand
+		d.addDemand(team, func(demand *disruption.Demand) { demand.Lost++ })
 	})
 	if rec.State != rollout.Running || !s.reconciled {
 		return
 	}
-	late, deadline := rec.IsPastDeadline(wall), rec.StepDeadline()
+	for _, e := range rc.evictionCandidates(s) {
+		a := e.attempt
+		tasks := rc.tasksEvictedTogether(s, a)
+		if tasks == nil || d.account.Reserve(a.job.Team, rec.Issued[s.name][a.job.Team], tasks) {
+			continue
+		}
+		d.addDemand(a.job.Team, func(demand *disruption.Demand) { demand.Requested += len(tasks) })
+	}
+	for team, demand := range d.demands {
+		if demand.Requested == 0 {
+			d.account.ReturnUnspent(team, rec.Issued[s.name][team])
+		}
+	}
+}
+
+// evictionCandidates lists the tasks on drained machines that the plan would have stopped
+// now, those that lose least first.
+func (rc *rolloutController) evictionCandidates(s *shard) []eviction {
 	var candidates []eviction
 	for _, mc := range s.machines {
 		if !mc.cordoned || !mc.IsReconciled() || mc.liveAttemptCount == 0 || !rc.isDrainedByRollout(mc) {
 			continue
 		}
 		for _, a := range mc.byKey {
-			if a.exited || a.checkpointing || a.job.AtMostOnce || d.account.IsReserved(a.key.task) {
-				continue
+			if lostWork, evict := rc.evictionCost(s, mc, a); evict {
+				candidates = append(candidates, eviction{a, lostWork})
 			}
-			expectedEnd := a.expectedEnd(wall)
-			endsByItself := expectedEnd-wall <= 2*rc.maxHeartbeatIntervalMS()+secondsToMS(a.job.CheckpointDurationS)
-			e := eviction{attempt: a}
-			switch {
-			case a.job.Kind == Array && endsByItself || deadline > 0 && !late && a.job.Kind == Array && expectedEnd <= deadline && a.running:
-				continue // over by itself in time
-			case !a.running && a.job.Kind == Array:
-				// Nothing is lost.
-			case late:
-				e.lostWork = float64(wall-a.runningSince) * a.job.Request.CPUs
-				if a.job.CheckpointIntervalS > 0 {
-					e.lostWork = min(e.lostWork, a.job.CheckpointDurationS*1000*a.job.Request.CPUs)
-				}
-			case a.job.Kind == Array && a.job.CheckpointIntervalS > 0 && deadline > 0 && !rc.fitsOnlyTypeOf(a.job, mc):
-				e.lostWork = a.job.CheckpointDurationS * 1000 * a.job.Request.CPUs
-			default:
-				continue
-			}
-			candidates = append(candidates, e)
 		}
 	}
 	slices.SortFunc(candidates, func(x, y eviction) int {
 		return cmp.Or(cmp.Compare(x.lostWork, y.lostWork), cmp.Compare(x.attempt.key.task, y.attempt.key.task))
 	})
-	for _, e := range candidates {
-		a := e.attempt
-		tasks := rc.tasksEvictedTogether(s, a)
-		if tasks == nil {
-			continue
-		}
-		team := a.job.Team
-		if d.account.Reserve(team, rec.Issued[s.name][team], tasks) {
-			continue
-		}
-		demand := d.demands[team]
-		demand.Requested += len(tasks)
-		d.demands[team] = demand
+	return candidates
+}
+
+// evictionCost reports whether the plan would have a task on a drained machine stopped now,
+// and what work that loses, in processor milliseconds:
+//
+//	task                                             | stopped                  | lost
+//	reserved, checkpointing, over, at most once      | no                       |
+//	array task that ends by itself in time           | no                       |
+//	array task that does not run yet                 | at once                  | nothing
+//	any other, after the step's deadline             | at once                  | since its start or checkpoint
+//	array task with checkpoints, before a deadline   | if other types take it   | a checkpoint's time
+//	any other                                        | not before the deadline  |
+func (rc *rolloutController) evictionCost(s *shard, mc *machine, a *attempt) (lostWork float64, evict bool) {
+	if a.exited || a.checkpointing || a.job.AtMostOnce || s.disruption.account.IsReserved(a.key.task) {
+		return 0, false
 	}
-	for team := range d.demands {
-		if d.demands[team].Requested == 0 {
-			d.account.ReturnUnspent(team, rec.Issued[s.name][team])
+	isArray, hasCheckpoints := a.job.Kind == Array, a.job.CheckpointIntervalS > 0
+	checkpointWork := a.job.CheckpointDurationS * 1000 * a.job.Request.CPUs
+	isLate, deadline := rc.rec.IsPastDeadline(rc.now.WallMS), rc.rec.StepDeadline()
+	switch {
+	case isArray && rc.endsInTime(a, isLate, deadline):
+		return 0, false
+	case isArray && !a.running:
+		return 0, true
+	case isLate:
+		lostWork = float64(rc.now.WallMS-a.runningSince) * a.job.Request.CPUs
+		if hasCheckpoints {
+			lostWork = min(lostWork, checkpointWork)
 		}
+		return lostWork, true
+	case isArray && hasCheckpoints && deadline > 0 && !rc.fitsOnlyTypeOf(a.job, mc):
+		return checkpointWork, true
 	}
+	return 0, false
 }
 
-// fitsOnlyTypeOf tells whether no other type of machine takes a job.
+// endsInTime reports whether a task is over by itself about as soon as a stop would take, or
+// before the step's deadline (wall time, 0 without one).
+func (rc *rolloutController) endsInTime(a *attempt, isLate bool, deadline int64) bool {
+	expectedEnd := a.expectedEnd(rc.now.WallMS)
+	stopMS := 2*rc.maxHeartbeatIntervalMS() + secondsToMS(a.job.CheckpointDurationS)
+	if expectedEnd-rc.now.WallMS <= stopMS {
+		return true
+	}
+	return a.running && deadline > 0 && !isLate && expectedEnd <= deadline
+}
+
+// fitsOnlyTypeOf reports whether a job fits no other type of machine than this one's.
 func (rc *rolloutController) fitsOnlyTypeOf(j *Job, mc *machine) bool {
 	for _, t := range rc.cache.machineTypes {
 		if t.Name != mc.rec.Type && rc.cache.fitsType(j, t) {
@@ -201,44 +269,59 @@
 	return rc.cache.placementCatalog.IsRequired(mc.rec.Type)
 }
 
-// tasksEvictedTogether is what goes down with a task: a gang all of it; nil if a service would fall
-// under what its team's budget keeps.
+// tasksEvictedTogether is the tasks, by attempt, that stop with one: all of a gang. It is nil
+// if a service would fall under the replicas that its team's budget keeps.
 func (rc *rolloutController) tasksEvictedTogether(s *shard, a *attempt) map[string]uint64 {
 	tasks := map[string]uint64{a.key.task: a.key.attempt}
 	switch a.job.Kind {
 	case Service:
-		down := 0
-		s.disruption.account.EachReserved(func(task string, _ disruption.StoppedTask) {
-			if tr, _ := rc.shards.taskRangeOf(task); tr == a.taskRange {
-				down++
-			}
-		})
-		minRunning := int(math.Ceil(rc.disruptionBudget(a.job.Team).MinReplicaShare * float64(a.taskRange.size())))
-		if min(a.taskRange.runningCount, a.taskRange.size()-down)-1 < minRunning {
+		if !rc.canSpareReplica(s, a) {
 			return nil
 		}
 	case Gang:
 		for _, mc := range s.machines {
-			for _, other := range mc.byKey {
-				if !other.exited && other.taskRange == a.taskRange {
-					tasks[other.key.task] = other.key.attempt
-				}
-			}
+			addGangTasks(tasks, mc, a.taskRange)
 		}
 	}
 	return tasks
 }
 
-// mayEvict tells whether a task's stop may leave: its charge is in the store.
+// canSpareReplica reports whether enough of a service's tasks run without this one.
+func (rc *rolloutController) canSpareReplica(s *shard, a *attempt) bool {
+	reserved := 0
+	s.disruption.account.EachReserved(func(task string, _ disruption.StoppedTask) {
+		if tr, _ := rc.shards.taskRangeOf(task); tr == a.taskRange {
+			reserved++
+		}
+	})
+	size := a.taskRange.size()
+	minRunning := int(math.Ceil(rc.disruptionBudget(a.job.Team).MinReplicaShare * float64(size)))
+	return min(a.taskRange.runningCount, size-reserved)-1 >= minRunning
+}
+
+// addGangTasks adds a gang's live tasks on a machine, with their attempts.
+func addGangTasks(tasks map[string]uint64, mc *machine, gang *taskRange) {
+	for _, a := range mc.byKey {
+		if !a.exited && a.taskRange == gang {
+			tasks[a.key.task] = a.key.attempt
+		}
+	}
+}
+
+// mayEvict reports whether a task's stop may be sent: its reservation is in the store.
 func (rc *rolloutController) mayEvict(s *shard, mc *machine, a *attempt) bool {
-	d := &s.disruption
-	if !rc.params.Rollout || d.account == nil || !d.account.CanStop(a.key.task, a.key.attempt) {
+	account := s.disruption.account
+	if !rc.params.Rollout || account == nil || !account.CanStop(a.key.task, a.key.attempt) {
+		return false
+	}
+	if a.evicted {
+		return true
+	}
+	if rc.rec == nil || rc.rec.State != rollout.Running {
 		return false
 	}
-	// A gang goes down whole, wherever its tasks are.
-	return a.evicted ||
-		rc.rec != nil && rc.rec.State == rollout.Running &&
-			(mc.cordoned && rc.isDrainedByRollout(mc) || a.job.Kind == Gang)
+	// A gang stops whole, wherever its tasks are.
+	return a.job.Kind == Gang || mc.cordoned && rc.isDrainedByRollout(mc)
 }
 
 // writeDisruptionAccount stores a shard's account when it changed.
@@ -249,10 +332,10 @@
 	}
 	rec := d.account.BuildRecord()
 	rc.shards.writeShardRecord(s, disruptionPrefix+s.name, &d.record, rec, rc.progressWriteInterval()/2, func(ok bool) {
-		if ok {
-			d.account.ConfirmStored(rec)
-		} else {
+		if !ok {
 			d.account.MarkStoreFailed()
+			return
 		}
+		d.account.ConfirmStored(rec)
 	})
 }
--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -203,7 +203,7 @@
 			})
 			sim.repeatAtRandom(50_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(14_000)) })
 		},
-		minCounts: map[string]int{"machines that never come up": 20, "machines that come up late": 20, "machine leaves": 20},
+		minCounts: map[string]int{"machines that never come up": 20, "machines that come up late": 20, "machine marked for release": 20},
 	},
 	// While members are cut off, stand still or end.
 	"users ask many times as often": {
--- a/scheduler/leadership.go
+++ b/scheduler/leadership.go
@@ -2,6 +2,24 @@
 
 import "encoding/json"
 
+// leadership is this member's part in the choice of the fleet's leader. The leader
+// record is attached to the member's lease, so it ends with it; its revision is the
+// precondition of all that the leader writes.
+//
+//	state                | event                                  | next state
+//	follower             | no leader record, authority held       | claim pending
+//	follower             | record of an earlier life of this one  | claim pending
+//	claim pending        | claim stored                           | leader
+//	claim pending        | conflict, or outcome unknown           | follower, once the record is read
+//	leader               | record with another nonce, or none     | follower
+type leadership struct {
+	leading       bool
+	nonce         uint64 // of the last claim: a record with another one is not of this claim
+	leaderRev     uint64 // revision of the leader record, by this member's last claim
+	claimPending  bool
+	nextClaimAtMS int64 // monotonic
+}
+
 func (as *autoscaler) applyLeaderRecord(kv KeyValue) error {
 	var rec claimRecord
 	if kv.Value != nil {
@@ -16,42 +34,54 @@
 	return nil
 }
 
+// shouldClaimLeadership reports whether nobody leads, or only an earlier life of this
+// member, whose record outlived it.
+func (as *autoscaler) shouldClaimLeadership() bool {
+	return as.cache.leader == "" || as.cache.leader == as.params.MemberID && !as.leading
+}
+
 func (as *autoscaler) claimLeadership() {
 	now := as.now.MonotonicMS
-	if as.claimPending || now < as.nextClaimAt {
+	if as.claimPending || now < as.nextClaimAtMS {
 		return
 	}
 	as.claimPending = true
-	nonce := as.rng.Uint64()
-	as.nonce = nonce
-	rec := claimRecord{as.params.MemberID, nonce}
-	as.store.sendStore(
-		StoreOp{Kind: StoreTxn, Urgency: UrgencyLease, Preconditions: []Precondition{{leaderKey, as.cache.keyRevisions[leaderKey]}},
-			Changes: []Change{{Key: leaderKey, Value: mustEncode(rec), LeaseID: as.store.storeAccess.LeaseID()}}},
-		func(r StoreResult) {
-			as.claimPending = false
-			as.nextClaimAt = as.now.MonotonicMS + 500 + as.rng.Int64N(500)
-			if r.Outcome == OK {
-				as.cache.applyChange(KeyValue{Key: leaderKey, Value: mustEncode(rec), Rev: r.Rev})
-				as.leading, as.leaderRev = true, r.Rev
-				as.nextListAt = as.now.MonotonicMS
-				clear(as.provisioning)
-				as.rollouts.ledger, as.rollouts.provisioning = nil, false
-				// What an earlier lead of ours left is the cloud list's to tell.
-				as.pendingAdditions, as.unknownMachines, as.registryWriting = nil, nil, false
-				clear(as.unrecordedMachines)
-				clear(as.pendingRemovals)
-				clear(as.pendingReleases)
-				as.log(Info, "leading the fleet", "revision", r.Rev)
-			} else {
-				as.store.rereadKey(leaderKey, func(StoreResult) {})
-			}
-		},
-	)
+	as.nonce = as.rng.Uint64()
+	value := mustEncode(claimRecord{as.params.MemberID, as.nonce})
+	op := StoreOp{
+		Kind:          StoreTxn,
+		Urgency:       UrgencyLease,
+		Preconditions: []Precondition{{leaderKey, as.cache.keyRevisions[leaderKey]}},
+		Changes:       []Change{{Key: leaderKey, Value: value, LeaseID: as.store.storeAccess.LeaseID()}},
+	}
+	as.store.sendStore(op, func(r StoreResult) {
+		as.claimPending = false
+		as.nextClaimAtMS = as.now.MonotonicMS + 500 + as.rng.Int64N(500)
+		if r.Outcome != OK {
+			as.store.rereadKey(leaderKey, func(StoreResult) {})
+			return
+		}
+		as.cache.applyChange(KeyValue{Key: leaderKey, Value: value, Rev: r.Rev})
+		as.beginLeadership(r.Rev)
+	})
+}
+
+// beginLeadership drops what an earlier leadership of this member left: the machines
+// that it had not recorded yet are found again by the cloud's list.
+func (as *autoscaler) beginLeadership(leaderRev uint64) {
+	as.leading, as.leaderRev = true, leaderRev
+	as.nextListAtMS = as.now.MonotonicMS
+	clear(as.provisioning)
+	as.rollouts.beginLeadership()
+	as.pendingAdditions, as.unknownMachines, as.registryWriting = nil, nil, false
+	clear(as.unrecordedMachines)
+	clear(as.pendingRemovals)
+	clear(as.pendingReleases)
+	as.log(Info, "leadership acquired", "revision", leaderRev)
 }
 
-// canActAsLeader tells whether this member leads the fleet and has seen all that its
-// predecessors wrote: a machine that it took for unknown would get two owners.
+// canActAsLeader reports whether this member leads the fleet and its cache has all that
+// earlier leaders wrote: a machine that it took for unknown would get two owners.
 func (as *autoscaler) canActAsLeader() bool {
 	return as.leading && as.store.hasAuthority() && as.cache.mirrorRevision >= as.leaderRev
 }
--- a/scheduler/overlapping_faults_test.go
+++ b/scheduler/overlapping_faults_test.go
@@ -155,7 +155,7 @@
 					}
 					counts[event]++
 					if event != "shard adopted" && event != "shard handed back" && event != "shard ready" &&
-						event != "leading the fleet" {
+						event != "leadership acquired" {
 						continue
 					}
 					// A hand-back is rare: each is met.
@@ -180,10 +180,10 @@
 			sim.repeatAtRandom(2000, faultWindowMS, func() { sim.randomMember().ClockOffsetMS = sim.Rand.Int64N(200) - 100 })
 		},
 		minCounts: map[string]int{
-			"ends at shard adopted":     6,
-			"ends at shard handed back": 1,
-			"ends at shard ready":       6,
-			"ends at leading the fleet": 3,
+			"ends at shard adopted":       6,
+			"ends at shard handed back":   1,
+			"ends at shard ready":         6,
+			"ends at leadership acquired": 3,
 		},
 	},
 	// An adopter hands a shard back, nobody answers the removal of its claim, which is carried
--- a/scheduler/registry_writes.go
+++ b/scheduler/registry_writes.go
@@ -3,25 +3,31 @@
 import (
 	"fmt"
 	"slices"
-	"sort"
 )
 
-// registryAddition is a roster that the lead is to write. Its key and contents never
-// change: a write whose outcome is not known is sent again as it was.
+// registryAddition is a registry page that the leader is to write. Its key and contents
+// never change: a write whose outcome is not known is sent again as it was.
 type registryAddition struct {
 	key       string
 	rec       registryRecord
 	onWritten func()
 }
 
-// addMachinesToRegistry gives machines an owner, as soon as the store has them.
-func (as *autoscaler) addMachinesToRegistry(
-	ids []string,
-	offering offering,
-	shard, replacementPlan string,
-	provisionedAtMS int64,
-	onWritten func(),
-) {
+// registryPage is a page for machines of an offering, without their IDs.
+func (o offering) registryPage(shard string, provisionedAtMS int64) registryRecord {
+	return registryRecord{
+		Shard:           shard,
+		Type:            o.machineType,
+		Zone:            o.zone,
+		Spot:            o.spot,
+		ProvisionedAtMS: provisionedAtMS,
+	}
+}
+
+// addMachinesToRegistry gives machines an owner, as soon as the store has them. page
+// says what they have in common. onWritten is called once all of them are stored, at
+// once if none is new.
+func (as *autoscaler) addMachinesToRegistry(ids []string, page registryRecord, onWritten func()) {
 	var newIDs []string
 	for _, id := range ids {
 		if as.registry.machines[id] == nil && !as.unrecordedMachines[id] && as.releasedAt[id] == 0 {
@@ -35,76 +41,36 @@
 	}
 	for chunk := range slices.Chunk(newIDs, as.maxMachinesPerPage()) {
 		as.lastRegistryPageNumber++
-		onChunkWritten := func() {}
+		addition := &registryAddition{
+			key:       fmt.Sprintf("%s%d-%d", registryPrefix, as.leaderRev, as.lastRegistryPageNumber),
+			rec:       page,
+			onWritten: func() {},
+		}
+		addition.rec.MachineIDs = slices.Clone(chunk)
 		if chunk[len(chunk)-1] == newIDs[len(newIDs)-1] {
-			onChunkWritten = onWritten
+			addition.onWritten = onWritten
 		}
-		as.pendingAdditions = append(
-			as.pendingAdditions,
-			&registryAddition{
-				key:       fmt.Sprintf("%s%d-%d", registryPrefix, as.leaderRev, as.lastRegistryPageNumber),
-				onWritten: onChunkWritten,
-				rec: registryRecord{
-					Shard:           shard,
-					Type:            offering.machineType,
-					Zone:            offering.zone,
-					Spot:            offering.spot,
-					ProvisionedAtMS: provisionedAtMS,
-					ReplacementPlan: replacementPlan,
-					MachineIDs:      slices.Clone(chunk),
-				},
-			},
-		)
+		as.pendingAdditions = append(as.pendingAdditions, addition)
 	}
 	as.writeRegistry()
 }
 
-// writeRegistry writes what is to be added to and removed from the rosters, one
+// writeRegistry writes what is to be added to and removed from the registry, one
 // transaction at a time.
 func (as *autoscaler) writeRegistry() {
-	if as.registryWriting || !as.canActAsLeader() || len(as.pendingAdditions)+len(as.pendingRemovals) == 0 ||
-		as.now.MonotonicMS < as.nextRegistryWriteAt {
+	nothingPending := len(as.pendingAdditions)+len(as.pendingRemovals) == 0
+	if nothingPending || as.registryWriting || as.now.MonotonicMS < as.nextRegistryWriteAtMS || !as.canActAsLeader() {
 		return
 	}
-	preconditions := []Precondition{{leaderKey, as.leaderRev}}
-	var changes []Change
-	for _, addition := range as.pendingAdditions[:min(len(as.pendingAdditions), as.maxChangesPerBackgroundTxn())] {
-		preconditions = append(preconditions, Precondition{addition.key, 0})
-		changes = append(changes, Change{Key: addition.key, Value: mustEncode(addition.rec)})
-	}
-	touchedPages := map[string]bool{}
-	for id := range as.pendingRemovals {
-		if mc := as.registry.machines[id]; mc != nil {
-			touchedPages[mc.registryKey] = true
-		} else {
-			delete(as.pendingRemovals, id)
-		}
-	}
-	for key := range sortedByKey(touchedPages) {
-		if len(changes) >= as.maxChangesPerBackgroundTxn() {
-			break
-		}
-		r := as.registry.registryPages[key]
-		rec := r.rec
-		rec.MachineIDs = slices.DeleteFunc(
-			slices.Clone(rec.MachineIDs),
-			func(id string) bool { return as.pendingRemovals[id] },
-		)
-		preconditions = append(preconditions, Precondition{key, r.rev})
-		if len(rec.MachineIDs) == 0 {
-			changes = append(changes, Change{Key: key})
-		} else {
-			changes = append(changes, Change{Key: key, Value: mustEncode(rec)})
-		}
-	}
+	preconditions, changes := as.buildRegistryTxn()
 	if len(changes) == 0 {
 		return
 	}
 	as.registryWriting = true
-	leaderRevision := as.leaderRev
+	leaderRev := as.leaderRev
 	as.store.sendTxn(UrgencyUser, preconditions, changes, func(r StoreResult) {
 		as.registryWriting = false
-		if as.leaderRev != leaderRevision {
+		if as.leaderRev != leaderRev {
 			return
 		}
 		switch r.Outcome {
@@ -112,27 +78,74 @@
 			as.completeRegistryAdditions()
 			as.writeRegistry()
 		case Unknown, Conflict:
-			// Each key is read before anything is written again. An addition
-			// that had worked is in the mirror then.
-			as.registryWriting = true
-			remaining := len(changes)
-			for _, change := range changes {
-				as.store.rereadKey(change.Key, func(StoreResult) {
-					if remaining--; remaining == 0 {
-						as.registryWriting = false
-						as.nextRegistryWriteAt = as.now.MonotonicMS + 300
-						as.completeRegistryAdditions()
-					}
-				})
-			}
-			as.store.rereadKey(leaderKey, func(StoreResult) {})
+			as.rereadRegistryPages(changes)
 		default:
-			as.nextRegistryWriteAt = as.now.MonotonicMS + 500
+			as.nextRegistryWriteAtMS = as.now.MonotonicMS + 500
 		}
 	})
 }
 
-// completeRegistryAdditions drops the additions that the mirror has.
+// buildRegistryTxn makes the next transaction: additions first, then removals, on the
+// condition that this leadership stands.
+func (as *autoscaler) buildRegistryTxn() ([]Precondition, []Change) {
+	maxChanges := as.maxChangesPerBackgroundTxn()
+	preconditions := []Precondition{{leaderKey, as.leaderRev}}
+	var changes []Change
+	for _, addition := range as.pendingAdditions[:min(len(as.pendingAdditions), maxChanges)] {
+		preconditions = append(preconditions, Precondition{addition.key, 0})
+		changes = append(changes, Change{Key: addition.key, Value: mustEncode(addition.rec)})
+	}
+	for key := range sortedByKey(as.pagesOfRemovals()) {
+		if len(changes) >= maxChanges {
+			break
+		}
+		page := as.registry.registryPages[key]
+		rec := page.rec
+		isRemoved := func(id string) bool { return as.pendingRemovals[id] }
+		rec.MachineIDs = slices.DeleteFunc(slices.Clone(rec.MachineIDs), isRemoved)
+		change := Change{Key: key} // a page without machines is deleted
+		if len(rec.MachineIDs) > 0 {
+			change.Value = mustEncode(rec)
+		}
+		preconditions = append(preconditions, Precondition{key, page.rev})
+		changes = append(changes, change)
+	}
+	return preconditions, changes
+}
+
+// pagesOfRemovals is the keys of the pages that name machines to be removed. It drops
+// the removals that are done.
+func (as *autoscaler) pagesOfRemovals() map[string]bool {
+	pages := map[string]bool{}
+	for id := range as.pendingRemovals {
+		if mc := as.registry.machines[id]; mc != nil {
+			pages[mc.registryKey] = true
+		} else {
+			delete(as.pendingRemovals, id)
+		}
+	}
+	return pages
+}
+
+// rereadRegistryPages reads each key of a transaction whose outcome is not known, or that
+// conflicted, before anything is written again. An addition that had worked is in the
+// cache then.
+func (as *autoscaler) rereadRegistryPages(changes []Change) {
+	as.registryWriting = true
+	pending := len(changes)
+	for _, change := range changes {
+		as.store.rereadKey(change.Key, func(StoreResult) {
+			if pending--; pending == 0 {
+				as.registryWriting = false
+				as.nextRegistryWriteAtMS = as.now.MonotonicMS + 300
+				as.completeRegistryAdditions()
+			}
+		})
+	}
+	as.store.rereadKey(leaderKey, func(StoreResult) {})
+}
+
+// completeRegistryAdditions drops the additions that the cache has.
 func (as *autoscaler) completeRegistryAdditions() {
 	var callbacks []func()
 	as.pendingAdditions = slices.DeleteFunc(as.pendingAdditions, func(addition *registryAddition) bool {
@@ -150,68 +163,13 @@
 	}
 }
 
-// markForRelease notes that the lead is to return a machine.
-func (as *autoscaler) markForRelease(id, reason string) {
-	if _, ok := as.pendingReleases[id]; ok || as.releasedAt[id] != 0 {
-		return
-	}
-	as.pendingReleases[id] = true
-	as.log(Info, "machine leaves", "machine", id, "why", reason)
-}
-
-// releaseMachines returns the machines that their owners gave up, as their
-// messages say, and those that the lead itself found gone or never up. By the
-// time of the answer they are gone with everything on them, which their removal
-// from the rosters tells the owners.
-func (as *autoscaler) releaseMachines() {
-	as.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
-		for i := range msg.OwnedShards {
-			peerShard := &msg.OwnedShards[i]
-			if as.cache.shardClaims[peerShard.Shard].Owner != from {
-				continue
-			}
-			for _, id := range peerShard.MachinesToRelease {
-				if mc := as.registry.machines[id]; mc != nil && mc.rec.Shard == peerShard.Shard && as.releasedAt[id] == 0 {
-					as.pendingReleases[id] = true
-				}
-			}
-		}
-	})
-	if len(as.pendingReleases) == 0 {
-		return
-	}
-	var ids []string
-	for id := range as.pendingReleases {
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	ids = ids[:min(len(ids), 100)]
-	as.releasePending = true
-	as.sendCloud(CloudOp{Kind: CloudRelease, Machines: ids}, func(r CloudResult) {
-		as.releasePending = false
-		as.nextReleaseAt = as.now.MonotonicMS + 500
-		if r.Outcome != OK {
-			as.nextReleaseAt = as.now.MonotonicMS + 1000
-			return
-		}
-		as.Counters.Released += uint64(len(ids))
-		for _, id := range ids {
-			delete(as.pendingReleases, id)
-			as.releasedAt[id] = as.now.MonotonicMS
-			as.pendingRemovals[id] = true
-		}
-		as.log(Info, "machines returned", "count", len(ids), "machines", ids)
-		as.writeRegistry()
-	})
-}
-
-// assignFoundMachines gives the machines that were found since the last time to the
-// shards that have least. Those of a kind and a shard share a roster.
+// assignFoundMachines gives the machines that sent heartbeats and are on no registry page
+// to the shards that have least. Those of an offering and a shard share a page.
 func (as *autoscaler) assignFoundMachines() {
-	if len(as.unknownMachines) == 0 || as.now.MonotonicMS < as.nextFound {
+	if len(as.unknownMachines) == 0 || as.now.MonotonicMS < as.nextAssignmentAtMS {
 		return
 	}
-	as.nextFound = as.now.MonotonicMS + 300
+	as.nextAssignmentAtMS = as.now.MonotonicMS + 300
 	type assignment struct {
 		offering offering
 		shard    string
@@ -222,32 +180,34 @@
 	for _, heartbeat := range as.unknownMachines {
 		delete(as.unrecordedMachines, heartbeat.Machine)
 		target := assignment{
-			offering{heartbeat.Type, heartbeat.Zone, heartbeat.Spot},
-			as.assignToLeastLoaded(loads, heartbeat.Type),
+			offering: offering{heartbeat.Type, heartbeat.Zone, heartbeat.Spot},
+			shard:    as.assignToLeastLoaded(loads, heartbeat.Type),
 		}
 		if len(machineIDs[target]) == 0 {
 			targets = append(targets, target)
 		}
 		machineIDs[target] = append(machineIDs[target], heartbeat.Machine)
 	}
-	as.log(Info, "machines found", "count", len(as.unknownMachines))
+	as.log(Info, "unrecorded machines found", "count", len(as.unknownMachines))
 	as.unknownMachines = nil
 	for _, target := range targets {
-		as.addMachinesToRegistry(machineIDs[target], target.offering, target.shard, "", as.now.WallMS, func() {})
+		page := target.offering.registryPage(target.shard, as.now.WallMS)
+		as.addMachinesToRegistry(machineIDs[target], page, func() {})
 	}
 }
 
-// shardLoad is what a shard has of machines.
+// shardLoad is what machines a shard has.
 type shardLoad struct {
 	cpus           float64
 	machinesByType map[string]int
 }
 
+// shardLoads is by shard what machines it has; shards that nobody claims get none.
 func (as *autoscaler) shardLoads() map[string]*shardLoad {
 	loads := map[string]*shardLoad{}
-	for _, shardName := range as.memberIDs() {
-		if _, claimed := as.cache.shardClaims[shardName]; claimed || len(as.cache.shardClaims) == 0 {
-			loads[shardName] = &shardLoad{machinesByType: map[string]int{}}
+	for _, name := range as.memberIDs() {
+		if _, claimed := as.cache.shardClaims[name]; claimed || len(as.cache.shardClaims) == 0 {
+			loads[name] = &shardLoad{machinesByType: map[string]int{}}
 		}
 	}
 	if len(loads) == 0 {
@@ -259,25 +219,30 @@
 		}
 	}
 	for _, load := range loads {
-		for typ, shardName := range sortedByKey(load.machinesByType) { // the same sum every time
-			load.cpus += float64(shardName) * resourcesOf(as.cache.machineTypes[typ]).CPUs
+		for typeName, count := range sortedByKey(load.machinesByType) { // the same sum every time
+			load.cpus += float64(count) * resourcesOf(as.cache.machineTypes[typeName]).CPUs
 		}
 	}
 	return loads
 }
 
-// assignToLeastLoaded is the shard with the least processors, then the least machines of a
-// type; it is taken to get one.
+// assignToLeastLoaded picks the shard with the fewest processors, then the fewest machines
+// of a type, and counts a machine of the type to it.
 func (as *autoscaler) assignToLeastLoaded(loads map[string]*shardLoad, machineType string) string {
 	leastLoaded := ""
-	for shardName, load := range sortedByKey(loads) {
-		if leastLoaded == "" || load.cpus < loads[leastLoaded].cpus ||
-			load.cpus == loads[leastLoaded].cpus &&
-				load.machinesByType[machineType] < loads[leastLoaded].machinesByType[machineType] {
-			leastLoaded = shardName
+	for name, load := range sortedByKey(loads) {
+		if leastLoaded == "" || load.isBelow(loads[leastLoaded], machineType) {
+			leastLoaded = name
 		}
 	}
 	loads[leastLoaded].cpus += resourcesOf(as.cache.machineTypes[machineType]).CPUs
 	loads[leastLoaded].machinesByType[machineType]++
 	return leastLoaded
 }
+
+func (l *shardLoad) isBelow(other *shardLoad, machineType string) bool {
+	if l.cpus != other.cpus {
+		return l.cpus < other.cpus
+	}
+	return l.machinesByType[machineType] < other.machinesByType[machineType]
+}
--- a/scheduler/scale_out.go
+++ b/scheduler/scale_out.go
@@ -2,21 +2,20 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"slices"
-	"sort"
 	"strings"
 
 	"github.com/grebedock/grebedock/planner"
 )
 
-// offering is a kind of machine in a zone, as the cloud rents it.
+// offering is a type of machine in a zone, spot or on-demand, as the cloud provisions it.
 type offering struct {
 	machineType, zone string
 	spot              bool
 }
 
+// compare orders offerings by type and zone, spot before on-demand.
 func (o offering) compare(other offering) int {
 	bySpot := 0
 	if o.spot != other.spot {
@@ -28,38 +27,34 @@
 	return cmp.Or(strings.Compare(o.machineType, other.machineType), strings.Compare(o.zone, other.zone), bySpot)
 }
 
-// listsPerListLag is how often the list is read while it lags once.
-const listsPerListLag = 3
+const (
+	// maxScaleOutPerShard bounds the machines asked for by one shard's demand at a
+	// time; what remains is reported again.
+	maxScaleOutPerShard = 50
 
-// bootGracePeriods is after how many of its type's boot times a machine that has
-// not come up is replaced.
-const bootGracePeriods = 3
+	// onDemandMinFill is how full the waiting tasks of a job must make an on-demand
+	// machine before one is provisioned for a job that may use spot machines.
+	onDemandMinFill = 1.0
 
-// releasedRetentionLags is for how many lags of the list a returned machine is ignored
-// in it. A list may be older than the one before it, so one lag is not enough.
-const releasedRetentionLags = 5
+	// scarceTypeCostFactor multiplies the cost of a type that other jobs cannot do
+	// without.
+	scarceTypeCostFactor = 4
 
-// candidateMachine is a machine that might be rented, while needs are fitted into it.
-type candidateMachine struct {
-	machine  *planner.Machine
-	offering offering
-}
+	// costTolerance is the relative difference within which two costs are the same.
+	costTolerance = 0.001
+)
 
-// scaleOutForDemand rents what the shards say they lack: per shard, machines are
-// added until the needs fit, each time of the kind that costs least for the
-// tasks it takes. One call asks for all machines of a kind and zone, whichever
-// shards they are for, and the largest are asked for first: calls are few.
+// scaleOutForDemand provisions what the shards report that they lack: for each shard,
+// machines are added until its demand fits, each time of the offering that costs
+// least for the tasks it takes. One request asks for all machines of an offering,
+// whichever shards they are for, and the largest are sent first: requests are few.
 func (as *autoscaler) scaleOutForDemand() {
 	requests := map[offering]map[string]int{}
 	total := map[offering]int{}
 	as.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
 		for i := range msg.OwnedShards {
 			peerShard := &msg.OwnedShards[i]
-			if as.provisioning[peerShard.Shard] > 0 || msg.WallMS < as.demandValidAfter[peerShard.Shard] ||
-				len(peerShard.Demands) == 0 {
-				continue
-			}
-			if as.shards.ownedShards[peerShard.Shard] == nil && as.cache.shardClaims[peerShard.Shard].Owner != from {
+			if !as.hasCurrentDemand(from, msg.WallMS, peerShard) {
 				continue
 			}
 			for o, n := range as.planScaleOut(peerShard) {
@@ -71,7 +66,7 @@
 			}
 		}
 	})
-	var order []offering
+	order := make([]offering, 0, len(total))
 	for o := range total {
 		order = append(order, o)
 	}
@@ -81,245 +76,207 @@
 	}
 }
 
-// maxScaleOutPerShard bounds the machines asked for by one shard's needs at a time;
-// needs that remain are told again.
-const maxScaleOutPerShard = 50
+// hasCurrentDemand reports whether a shard's demand comes from the shard's owner and
+// counts the machines that were provisioned for it last.
+func (as *autoscaler) hasCurrentDemand(from string, sentWallMS int64, peerShard *PeerShard) bool {
+	name := peerShard.Shard
+	if as.provisioning[name] > 0 || sentWallMS < as.demandValidAfter[name] || len(peerShard.Demands) == 0 {
+		return false
+	}
+	return as.shards.ownedShards[name] != nil || as.cache.shardClaims[name].Owner == from
+}
+
+// scaleOutPlan collects the machines that one shard's demand asks for.
+type scaleOutPlan struct {
+	candidates []*candidateMachine
+	zones      map[offering]offering // by offering without zone: the one that this plan takes
+}
 
-// planScaleOut is what machines a shard's needs ask for.
+// candidateMachine is a machine that might be provisioned, while tasks are fitted into it.
+type candidateMachine struct {
+	machine  *planner.Machine
+	offering offering
+}
+
+// planScaleOut returns how many machines of each offering a shard's demand asks for.
 func (as *autoscaler) planScaleOut(peerShard *PeerShard) map[offering]int {
-	var candidates []*candidateMachine
-	wall := as.now.WallMS
-	zones := map[offering]offering{} // the zone that this round takes for a kind
+	plan := &scaleOutPlan{zones: map[offering]offering{}}
 	for _, demand := range peerShard.Demands {
 		j := as.cache.jobs[demand.Job]
 		if j == nil {
 			continue
 		}
-		mode := planner.AllQueues
-		if j.rec.Job.Kind == Gang {
-			mode = planner.NewSlotsAnyTime // side by side: none may wait for another
-		}
+		job := &j.rec.Job
 		g := &taskGroup{
-			job: &j.rec.Job,
+			job: job,
 			Group: planner.Group{
-				Request:    j.rec.Job.resourceRequest(),
+				Request:    job.resourceRequest(),
 				Remaining:  demand.Tasks,
 				LengthMS:   demand.TaskRuntimeMS,
 				DeadlineMS: demand.DeadlineMS,
 			},
 		}
-		for _, candidate := range candidates {
-			if g.Remaining > 0 &&
-				as.cache.isOfferingAllowed(g.job, candidate.offering.machineType, candidate.offering.zone, candidate.offering.spot) {
-				n, _, _ := planner.AdmitToMachine(
-					candidate.machine,
-					&g.Group,
-					as.cache.imageFetchMS(g.job, candidate.offering.machineType),
-					as.cache.fillDeadline(g, candidate.machine),
-					g.Remaining,
-					mode,
-				)
-				g.Remaining -= n
-			}
-		}
-		for g.Remaining > 0 && len(candidates) < maxScaleOutPerShard {
-			o, ok := as.cheapestOffering(g, demand.SpotOnly, zones)
-			if !ok {
-				break
-			}
-			t := as.cache.machineTypes[o.machineType]
-			candidate := &candidateMachine{
-				offering: o,
-				machine: &planner.Machine{
-					Offering:  planner.InstanceOffering{Type: o.machineType, Zone: o.zone, Spot: o.spot},
-					ReadyAtMS: wall + secondsToMS(t.BootS),
-					Free:      t.Resources,
-				},
-			}
-			n, _, _ := planner.AdmitToMachine(
-				candidate.machine,
-				&g.Group,
-				as.cache.imageFetchMS(g.job, o.machineType),
-				as.cache.fillDeadline(g, candidate.machine),
-				g.Remaining,
-				mode,
-			)
-			if n == 0 {
-				break
-			}
-			g.Remaining -= n
-			candidates = append(candidates, candidate)
-		}
+		as.fillCandidates(plan, g)
+		as.addCandidates(plan, g, demand.SpotOnly)
 	}
 	counts := map[offering]int{}
-	for _, candidate := range candidates {
+	for _, candidate := range plan.candidates {
 		counts[candidate.offering]++
 	}
 	return counts
 }
 
-// onDemandMinFill is how full the waiting tasks of a job must make an ordinary
-// machine before one is rented for a job that may use spot machines.
-const onDemandMinFill = 1.0
-
-// scarceTypeCostFactor is how much dearer a type counts that others cannot do without.
-const scarceTypeCostFactor = 4
-
-// cheapestOffering picks the kind of machine that costs least for the tasks of the
-// group that it takes, among those the cloud did not refuse of late. Ordinary
-// machines are dearer, so they come up where no spot machine is to be had.
-func (as *autoscaler) cheapestOffering(g *taskGroup, spotOnly bool, zones map[offering]offering) (offering, bool) {
-	var best []offering
-	bestCost := math.Inf(1)
-	names := make([]string, 0, len(as.cache.machineTypes))
-	for n := range as.cache.machineTypes {
-		names = append(names, n)
+// fillCandidates fits tasks of a group into the machines that the plan has already.
+func (as *autoscaler) fillCandidates(plan *scaleOutPlan, g *taskGroup) {
+	for _, candidate := range plan.candidates {
+		o := candidate.offering
+		if g.Remaining > 0 && as.cache.isOfferingAllowed(g.job, o.machineType, o.zone, o.spot) {
+			as.admitToCandidate(candidate, g)
+		}
 	}
-	sort.Strings(names)
-	for _, n := range names {
-		t := as.cache.machineTypes[n]
-		if !as.cache.fitsType(g.job, t) {
-			continue
+}
+
+// addCandidates adds machines to the plan until the group's tasks fit.
+func (as *autoscaler) addCandidates(plan *scaleOutPlan, g *taskGroup, spotOnly bool) {
+	for g.Remaining > 0 && len(plan.candidates) < maxScaleOutPerShard {
+		o, ok := as.cheapestOffering(g, spotOnly, plan.zones)
+		if !ok {
+			return
 		}
-		copies := t.Resources.MaxCopies(withoutDisk(g.job.Request), g.Remaining)
-		readyAt := as.now.WallMS + secondsToMS(t.BootS) + as.cache.imageFetchMS(g.job, n)
-		waves := max(1, int((g.DeadlineMS-readyAt)/max(int64(float64(g.LengthMS)*planner.RuntimePadding), 1)))
-		tasks := min(copies*waves, g.Remaining)
-		if tasks < 1 {
-			continue
+		t := as.cache.machineTypes[o.machineType]
+		candidate := &candidateMachine{
+			offering: o,
+			machine: &planner.Machine{
+				Offering:  planner.InstanceOffering{Type: o.machineType, Zone: o.zone, Spot: o.spot},
+				ReadyAtMS: as.now.WallMS + secondsToMS(t.BootS),
+				Free:      t.Resources,
+			},
 		}
-		for _, z := range t.Zones {
-			for _, spot := range []bool{true, false} {
-				o := offering{n, z, spot}
-				if spotOnly && !spot || !as.cache.isOfferingAllowed(g.job, n, z, spot) || as.now.MonotonicMS < as.unavailableUntil[o] {
-					continue
-				}
-				if !spot && g.job.Spot && readyAt+g.LengthMS > g.DeadlineMS {
-					// It would come too late for the aim it is asked
-					// for: not worth several times the price.
-					continue
-				}
-				price := t.Price
-				if spot {
-					price = t.SpotPrice
-				}
-				cost := price / float64(tasks)
-				if !spot && g.job.Spot &&
-					float64(g.Remaining) < float64(t.Resources.MaxCopies(withoutDisk(g.job.Request), 1000))*onDemandMinFill {
-					continue
-				}
-				if as.cache.isTypeScarce(g.job, t) {
-					cost *= scarceTypeCostFactor
-				}
-				if cost < bestCost*0.999 {
-					bestCost, best = cost, best[:0]
-				}
-				if cost <= bestCost*1.001 {
-					best = append(best, o)
-				}
-			}
+		if as.admitToCandidate(candidate, g) == 0 {
+			return
 		}
+		plan.candidates = append(plan.candidates, candidate)
+	}
+}
+
+// admitToCandidate fits tasks of a group into a machine, and returns how many.
+func (as *autoscaler) admitToCandidate(candidate *candidateMachine, g *taskGroup) int {
+	mode := planner.AllQueues
+	if g.job.Kind == Gang {
+		mode = planner.NewSlotsAnyTime // side by side: none may wait for another
 	}
+	n, _, _ := planner.AdmitToMachine(
+		candidate.machine,
+		&g.Group,
+		as.cache.imageFetchMS(g.job, candidate.offering.machineType),
+		as.cache.fillDeadline(g, candidate.machine),
+		g.Remaining,
+		mode,
+	)
+	g.Remaining -= n
+	return n
+}
+
+// cheapestOffering picks the offering that costs least for the tasks of the group that
+// it takes, among those that the cloud did not refuse of late. On-demand machines cost
+// more, so they come up where no spot machine is available. zones remembers the zone
+// taken for a type: zones that cost the same take turns, a plan for each, so that one
+// request asks for many machines.
+func (as *autoscaler) cheapestOffering(
+	g *taskGroup,
+	spotOnly bool,
+	zones map[offering]offering,
+) (cheapest offering, ok bool) {
+	best := as.cheapestOfferings(g, spotOnly)
 	if len(best) == 0 {
 		return offering{}, false
 	}
-	// Zones that cost the same take turns, a round for each, so that a call
-	// asks for many.
 	o := best[as.rng.IntN(len(best))]
-	kind := offering{machineType: o.machineType, spot: o.spot}
-	if z, ok := zones[kind]; ok && slices.Contains(best, z) {
-		return z, true
+	anyZone := offering{machineType: o.machineType, spot: o.spot}
+	if taken, ok := zones[anyZone]; ok && slices.Contains(best, taken) {
+		return taken, true
 	}
-	zones[kind] = o
+	zones[anyZone] = o
 	return o, true
 }
 
-// provision asks for machines under a name that no one ever uses again: it holds
-// the revision of the lead's claim. What comes is split among the shards as they
-// asked. plan names a rollout that they are for; over is called when the request is.
-func (as *autoscaler) provision(o offering, shards map[string]int, plan string, onEnd func()) {
-	n := 0
-	for s, k := range sortedByKey(shards) {
-		k = min(k, maxInstancesPerRequest-n)
-		shards[s] = k
-		n += k
-		as.provisioning[s]++
-	}
-	as.provisionRequests++
-	name := fmt.Sprintf("r-%d-%d", as.leaderRev, as.provisionRequests)
-	requestedAt, rev, shardsLeft := as.now.WallMS, as.leaderRev, len(shards)
-	endShard := func(s string) {
-		if as.leaderRev == rev {
-			as.provisioning[s]--
-			as.demandValidAfter[s] = as.now.WallMS + 300
-			if shardsLeft--; shardsLeft == 0 {
-				onEnd()
+// cheapestOfferings lists the offerings that cost least, within costTolerance, by type,
+// zone and spot first.
+func (as *autoscaler) cheapestOfferings(g *taskGroup, spotOnly bool) []offering {
+	var best []offering
+	bestCost := math.Inf(1)
+	for _, t := range sortedByKey(as.cache.machineTypes) {
+		tasks := as.tasksForNewMachine(g, t)
+		if tasks < 1 {
+			continue
+		}
+		for _, o := range offeringsOf(t) {
+			if spotOnly && !o.spot || !as.mayProvisionFor(g, t, o) {
+				continue
+			}
+			cost := as.costPerTask(g.job, t, o, tasks)
+			if cost < bestCost*(1-costTolerance) {
+				bestCost, best = cost, best[:0]
+			}
+			if cost <= bestCost*(1+costTolerance) {
+				best = append(best, o)
 			}
 		}
 	}
-	endAll := func() {
-		for s := range shards {
-			endShard(s)
-		}
+	return best
+}
+
+// offeringsOf lists a type's offerings, zone by zone.
+func offeringsOf(t *MachineType) []offering {
+	offerings := make([]offering, 0, 2*len(t.Zones))
+	for _, zone := range t.Zones {
+		offerings = append(offerings, offering{t.Name, zone, true}, offering{t.Name, zone, false})
 	}
-	markUnavailable := func() {
-		as.unavailableUntil[o] = as.now.MonotonicMS + max(secondsToMS(as.cache.machineTypes[o.machineType].BootS), 5000)
+	return offerings
+}
+
+// tasksForNewMachine is how many tasks of a group a machine of a type takes until the
+// group's deadline, at least one wave of them; 0 if the type does not fit.
+func (as *autoscaler) tasksForNewMachine(g *taskGroup, t *MachineType) int {
+	if !as.cache.fitsType(g.job, t) {
+		return 0
 	}
-	var send func(retries int)
-	send = func(retries int) {
-		as.sendCloud(
-			CloudOp{Kind: CloudProvision, IdempotencyKey: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: n},
-			func(r CloudResult) {
-				switch r.Outcome {
-				case OK:
-					if len(r.Machines) < n {
-						markUnavailable()
-					}
-					as.Counters.Provisioned += uint64(len(r.Machines))
-					as.log(
-						Info,
-						"machines rented",
-						"type",
-						o.machineType,
-						"zone",
-						o.zone,
-						"spot",
-						o.spot,
-						"asked",
-						n,
-						"got",
-						len(r.Machines),
-						"machines",
-						r.Machines,
-					)
-					ids := r.Machines
-					for s, k := range sortedByKey(shards) {
-						// What is missing is missing for all in proportion.
-						k = min(len(ids), (k*len(r.Machines)+n-1)/n)
-						as.addMachinesToRegistry(ids[:k], o, s, plan, requestedAt, func() { endShard(s) })
-						ids = ids[k:]
-					}
-				case NotFound:
-					as.log(Debug, "no capacity", "type", o.machineType, "zone", o.zone, "spot", o.spot)
-					markUnavailable()
-					endAll()
-				case Unknown:
-					// The same name gets the same answer, and rents nothing
-					// twice.
-					if retries > 0 {
-						send(retries - 1)
-						return
-					}
-					endAll()
-				default:
-					as.nextProvisionAt = as.now.MonotonicMS + 2000
-					endAll()
-				}
-			},
-		)
+	copies := t.Resources.MaxCopies(withoutDisk(g.job.Request), g.Remaining)
+	paddedRuntimeMS := max(int64(float64(g.LengthMS)*planner.RuntimePadding), 1)
+	waves := max(1, int((g.DeadlineMS-as.newMachineReadyAtMS(g.job, t))/paddedRuntimeMS))
+	return min(copies*waves, g.Remaining)
+}
+
+// newMachineReadyAtMS is the wall time at which a machine that is provisioned now can
+// start tasks of a job.
+func (as *autoscaler) newMachineReadyAtMS(j *Job, t *MachineType) int64 {
+	return as.now.WallMS + secondsToMS(t.BootS) + as.cache.imageFetchMS(j, t.Name)
+}
+
+// mayProvisionFor reports whether an offering is allowed, not refused of late, and, for a
+// job that may use spot machines, worth several times the price.
+func (as *autoscaler) mayProvisionFor(g *taskGroup, t *MachineType, o offering) bool {
+	isAllowed := as.cache.isOfferingAllowed(g.job, o.machineType, o.zone, o.spot)
+	if !isAllowed || as.now.MonotonicMS < as.unavailableUntil[o] {
+		return false
 	}
-	send(3)
+	if o.spot || !g.job.Spot {
+		return true
+	}
+	isTooLate := as.newMachineReadyAtMS(g.job, t)+g.LengthMS > g.DeadlineMS
+	fullMachine := float64(t.Resources.MaxCopies(withoutDisk(g.job.Request), 1000)) * onDemandMinFill
+	return !isTooLate && float64(g.Remaining) >= fullMachine
 }
 
-// maxInstancesPerRequest is the most machines of one request, by the cloud's protocol.
-const maxInstancesPerRequest = 50
+// costPerTask is what an offering counts as, in money an hour and task.
+func (as *autoscaler) costPerTask(j *Job, t *MachineType, o offering, tasks int) float64 {
+	price := t.Price
+	if o.spot {
+		price = t.SpotPrice
+	}
+	cost := price / float64(tasks)
+	if as.cache.isTypeScarce(j, t) {
+		cost *= scarceTypeCostFactor
+	}
+	return cost
+}
