--- a/internal/mesh/admin_golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -1,4 +1,4 @@
-package mesh
+package adminapi
 
 import (
 	"fmt"
@@ -7,18 +7,18 @@
 	"regexp"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/grebedock/grebedock/internal/golden"
+	"github.com/grebedock/grebedock/internal/userapi"
 	"github.com/grebedock/grebedock/rollout"
 	"github.com/grebedock/grebedock/scheduler"
 	"github.com/grebedock/grebedock/schedules"
 )
 
-// filledCore answers with filled values and keeps what it was given.
+// filledCore responds with filled values and records what it receives.
 type filledCore struct{ got []any }
 
 func filled[T any]() (v T) {
@@ -26,12 +26,8 @@
 	return v
 }
 
-var good = scheduler.UserResponse{Status: fiber.StatusOK}
+var accepted = scheduler.UserResponse{Status: fiber.StatusOK}
 
-func (*filledCore) HandlePeerMessage(scheduler.PeerMessage) {}
-func (*filledCore) HandleUserRequest(scheduler.UserRequest, time.Duration) (scheduler.UserResponse, bool) {
-	return good, true
-}
 func (*filledCore) Status() scheduler.Status           { return filled[scheduler.Status]() }
 func (*filledCore) Settings() scheduler.Settings       { return filled[scheduler.Settings]() }
 func (*filledCore) Collectors() []prometheus.Collector { return nil }
@@ -39,7 +35,7 @@
 
 func (c *filledCore) ChangeSettings(s scheduler.Settings) (scheduler.UserResponse, bool) {
 	c.got = append(c.got, s)
-	return good, true
+	return accepted, true
 }
 
 func (c *filledCore) PreviewRollout(p rollout.Plan) scheduler.RolloutPreview {
@@ -51,12 +47,12 @@
 
 func (c *filledCore) ApplyRollout(p rollout.Plan) (scheduler.UserResponse, bool) {
 	c.got = append(c.got, p)
-	return good, true
+	return accepted, true
 }
 
 func (c *filledCore) CommandRollout(command rollout.Command) (scheduler.UserResponse, bool) {
 	c.got = append(c.got, command)
-	return good, true
+	return accepted, true
 }
 
 func (c *filledCore) HandleRequest(r schedules.Request) (schedules.Response, bool) {
@@ -66,15 +62,19 @@
 	return a, true
 }
 
+// maxBody is that of the peer address.
+const maxBody = 1 << 20
+
 func filledServer() (*fiber.App, *filledCore) {
 	core := &filledCore{}
-	app := NewPeerServer(core, 100, false)
+	app := userapi.NewServer(100, maxBody, false)
+	Serve(app, core)
 	ServeSchedules(app, core)
 	return app, core
 }
 
-// ask asks the administration API and gives the status and body of its answer.
-func ask(t *testing.T, app *fiber.App, method, path, body string) string {
+// exchange makes a request and returns the status and the body of the response.
+func exchange(t *testing.T, app *fiber.App, method, path, body string) string {
 	t.Helper()
 	res, err := app.Test(httptest.NewRequest(method, path, strings.NewReader(body)), -1)
 	if err != nil {
@@ -94,8 +94,11 @@
 	golden.JSON[scheduler.Settings](t, "settings.json")
 }
 
-func TestAdministrationAnswersKeepTheirForm(t *testing.T) {
-	for _, v := range []any{scheduler.Status{}, scheduler.Settings{}, scheduler.RolloutStatus{}, scheduler.RolloutPreview{}, schedules.Response{}, rollout.Plan{}} {
+func TestAdministrationResponsesKeepTheirForm(t *testing.T) {
+	for _, v := range []any{
+		scheduler.Status{}, scheduler.Settings{}, scheduler.RolloutStatus{}, scheduler.RolloutPreview{},
+		schedules.Response{}, rollout.Plan{},
+	} {
 		golden.CheckTags(t, "json", v)
 	}
 	plan := string(golden.Read(t, "plan.json"))
@@ -123,7 +126,7 @@
 		{"GET", "/v1/calendars/bank", ""},
 		{"PUT", "/v1/calendars/bank", "text"},
 	} {
-		out = fmt.Appendf(out, "%s %s\n%s\n", q.method, q.path, ask(t, app, q.method, q.path, q.body))
+		out = fmt.Appendf(out, "%s %s\n%s\n", q.method, q.path, exchange(t, app, q.method, q.path, q.body))
 	}
 	golden.Compare(t, "admin.txt", out)
 	var got []byte
@@ -133,20 +136,11 @@
 	golden.Compare(t, "admin_read.jsonl", got)
 }
 
-func TestRoutesKeepTheirForm(t *testing.T) {
-	app, _ := filledServer()
-	var out []byte
-	for _, r := range app.GetRoutes() {
-		out = fmt.Appendf(out, "%s %s\n", r.Method, r.Path)
-	}
-	golden.Compare(t, "routes.txt", out)
-}
-
 var helpLines = regexp.MustCompile(`(?m)^# HELP .*\n`)
 
 // TestMetricsKeepTheirNames holds metrics with their types, labels and values,
 // but not the texts that explain them.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	app, _ := filledServer()
-	golden.Compare(t, "metrics.txt", helpLines.ReplaceAll([]byte(ask(t, app, "GET", "/metrics", "")), nil))
+	golden.Compare(t, "metrics.txt", helpLines.ReplaceAll([]byte(exchange(t, app, "GET", "/metrics", "")), nil))
 }
--- /dev/null
+++ b/internal/adminapi/server.go
@@ -0,0 +1,138 @@
+// Package adminapi serves the administration API at the peer address: the state
+// of a controller, operators' settings, rollouts, schedules and metrics.
+//
+// It owns the routes and the form of requests, responses and metrics; what they
+// mean is the core's and the extension's for schedules. It may assume that the
+// core's reads come from the loop that owns the state, and that whoever reaches
+// the address is an operator: it authenticates nobody.
+//
+// It promises that a request with an unknown field changes nothing, and that a
+// change is stored before its response says so, or may have been if the
+// response is that there was none in time. It is built for operators' mistakes
+// and for a core that is late.
+package adminapi
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+
+	"github.com/gofiber/fiber/v2"
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/grebedock/grebedock/rollout"
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+const (
+	settingsPath = "/v1/settings"
+	rolloutPath  = "/v1/rollout"
+)
+
+// lateError is what an operator receives when there is no response in time.
+const lateError = "no answer in time"
+
+// Core is what the administration API shows and changes. Its methods may be
+// called from any goroutine; false means that there was no response in time.
+type Core interface {
+	Status() scheduler.Status
+	Settings() scheduler.Settings
+	Collectors() []prometheus.Collector
+	ChangeSettings(scheduler.Settings) (scheduler.UserResponse, bool)
+	Rollout() *scheduler.RolloutStatus
+	PreviewRollout(rollout.Plan) scheduler.RolloutPreview
+	ApplyRollout(rollout.Plan) (scheduler.UserResponse, bool)
+	CommandRollout(rollout.Command) (scheduler.UserResponse, bool)
+}
+
+// Serve adds the routes of the administration API but for schedules.
+func Serve(app *fiber.App, core Core) {
+	app.Get("/v1/status", func(c *fiber.Ctx) error { return c.JSON(core.Status()) })
+	app.Get(settingsPath, func(c *fiber.Ctx) error { return c.JSON(core.Settings()) })
+	app.Patch(settingsPath, func(c *fiber.Ctx) error { return patchSettings(c, core) })
+	app.Get(rolloutPath, func(c *fiber.Ctx) error { return sendRollout(c, core) })
+	app.Put(rolloutPath, func(c *fiber.Ctx) error { return putRollout(c, core) })
+	for _, command := range []rollout.Command{rollout.Pause, rollout.Resume, rollout.Abort} {
+		app.Post(rolloutPath+"/"+string(command), func(c *fiber.Ctx) error {
+			if err := responseError(core.CommandRollout(command)); err != nil {
+				return err
+			}
+			return sendRollout(c, core)
+		})
+	}
+	serveMetrics(app, core)
+}
+
+// patchSettings changes the settings that the body has, and responds with all.
+func patchSettings(c *fiber.Ctx, core Core) error {
+	settings := core.Settings()
+	previous := settings.Disruption
+	// A table of disruption budgets replaces the previous one as a whole, so
+	// that a team can be removed.
+	settings.Disruption = nil
+	if err := decodeStrictJSON(c.Body(), &settings); err != nil {
+		return err
+	}
+	if settings.Disruption == nil {
+		settings.Disruption = previous
+	}
+	if err := responseError(core.ChangeSettings(settings)); err != nil {
+		return err
+	}
+	return c.JSON(settings)
+}
+
+// sendRollout responds with the state of the plan that drains or replaces
+// machines.
+func sendRollout(c *fiber.Ctx, core Core) error {
+	status := core.Rollout()
+	if status == nil {
+		return fiber.NewError(fiber.StatusNotFound, "there is no plan")
+	}
+	return c.JSON(status)
+}
+
+// putRollout applies a plan, or with preview responds with what it would do.
+func putRollout(c *fiber.Ctx, core Core) error {
+	var plan rollout.Plan
+	if err := decodeStrictJSON(c.Body(), &plan); err != nil {
+		return err
+	}
+	if c.QueryBool("preview") {
+		preview := core.PreviewRollout(plan)
+		if preview.InvalidReason != "" {
+			return fiber.NewError(fiber.StatusBadRequest, preview.InvalidReason)
+		}
+		return c.JSON(preview)
+	}
+	if err := responseError(core.ApplyRollout(plan)); err != nil {
+		return err
+	}
+	return sendRollout(c, core)
+}
+
+// decodeStrictJSON reads one JSON value into what v points to, and refuses
+// unknown names. Its strings are copies: fiber recycles the body.
+func decodeStrictJSON(body []byte, v any) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
+		return fiber.NewError(fiber.StatusBadRequest, err.Error())
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return fiber.NewError(fiber.StatusBadRequest, "more than one JSON value")
+	}
+	return nil
+}
+
+// responseError returns the core's response as an error unless it is a success.
+func responseError(response scheduler.UserResponse, ok bool) error {
+	switch {
+	case !ok:
+		return fiber.NewError(fiber.StatusServiceUnavailable, lateError)
+	case response.Status != fiber.StatusOK:
+		return fiber.NewError(response.Status, response.Error)
+	}
+	return nil
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,7 +30,7 @@
 	"github.com/grebedock/grebedock/internal/connlimit"
 	"github.com/grebedock/grebedock/internal/features"
 	"github.com/grebedock/grebedock/internal/httpclient"
-	"github.com/grebedock/grebedock/internal/mesh"
+	"github.com/grebedock/grebedock/internal/peer"
 	"github.com/grebedock/grebedock/internal/statestore"
 	"github.com/grebedock/grebedock/scheduler"
 )
@@ -59,7 +59,7 @@
 type clients struct {
 	store   *statestore.Client
 	cloud   *cloud.Client
-	peers   *mesh.Peers
+	peers   *peer.Clients
 	workers *httpclient.MultiHostClient
 }
 
@@ -93,7 +93,7 @@
 	return clients{
 		store:   statestore.New(ctx, n.settings, n.routeStoreResult),
 		cloud:   cloud.New(ctx, n.settings, n.enqueueCloudResult),
-		peers:   mesh.NewPeers(n.settings.Peers, maxRelays),
+		peers:   peer.NewClients(n.settings.Peers, maxRelays),
 		workers: httpclient.NewMultiHostClient(connsPerWorker),
 	}
 }
--- a/internal/node/params.go
+++ b/internal/node/params.go
@@ -6,7 +6,7 @@
 
 	"github.com/grebedock/grebedock/internal/config"
 	"github.com/grebedock/grebedock/internal/features"
-	"github.com/grebedock/grebedock/internal/mesh"
+	"github.com/grebedock/grebedock/internal/peer"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
@@ -31,8 +31,8 @@
 		MaxTxnOps:     cluster.State.TxnOps,
 		CloudListLagS: cluster.Cloud.ListLagS,
 	}
-	for _, peer := range settings.Peers {
-		p.PeerIDs = append(p.PeerIDs, peer.Member)
+	for _, other := range settings.Peers {
+		p.PeerIDs = append(p.PeerIDs, other.Member)
 	}
 	for _, t := range cluster.Teams {
 		p.Teams[t.Name] = scheduler.Team{CPUs: t.CPUs, GPUs: t.GPUs, MaxCPUs: t.CPUsMax, MaxGPUs: t.GPUsMax}
@@ -53,7 +53,7 @@
 func (n *Node) coreParams(enabled features.Set) scheduler.Params {
 	p := Params(n.settings)
 	if enabled.Relay.Enabled {
-		p.MaxPendingRelays = mesh.MaxRelays(n.settings.Cluster.Limits.MaxSockets)
+		p.MaxPendingRelays = peer.MaxRelays(n.settings.Cluster.Limits.MaxSockets)
 	}
 	if enabled.Admission.Enabled {
 		p.StoreChangeRate = writeRateShare(n.settings)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -7,9 +7,12 @@
 	"net"
 	"time"
 
+	"github.com/gofiber/fiber/v2"
+
+	"github.com/grebedock/grebedock/internal/adminapi"
 	"github.com/grebedock/grebedock/internal/connlimit"
 	"github.com/grebedock/grebedock/internal/features"
-	"github.com/grebedock/grebedock/internal/mesh"
+	"github.com/grebedock/grebedock/internal/peer"
 	"github.com/grebedock/grebedock/internal/userapi"
 )
 
@@ -38,16 +41,9 @@
 	sockets, limited := n.settings.Cluster.Limits.MaxSockets, enabled.Connections.Enabled
 	if limited {
 		userConns = n.limitConnections(ctx, userAddressName, userConns, userSocketShare, userapi.ConnectionClasses())
-		peerConns = n.limitConnections(ctx, peerAddressName, peerConns, peerSocketShare, mesh.ConnectionClasses())
-	}
-	userServer := userapi.NewUserServer(n, sockets, limited)
-	if n.workflows != nil {
-		userapi.ServeWorkflows(userServer, n.workflows)
-	}
-	peerServer := mesh.NewPeerServer(n, sockets, limited)
-	if n.schedules != nil {
-		mesh.ServeSchedules(peerServer, n.schedules)
+		peerConns = n.limitConnections(ctx, peerAddressName, peerConns, peerSocketShare, peer.ConnectionClasses())
 	}
+	userServer, peerServer := n.newUserServer(sockets, limited), n.newPeerServer(sockets, limited)
 	failed := make(chan error, 2)
 	go func() { failed <- userServer.Listener(userConns) }()
 	go func() { failed <- peerServer.Listener(peerConns) }()
@@ -64,6 +60,26 @@
 	}
 }
 
+func (n *Node) newUserServer(maxSockets int, limited bool) *fiber.App {
+	server := userapi.NewUserServer(n, maxSockets, limited)
+	if n.workflows != nil {
+		userapi.ServeWorkflows(server, n.workflows)
+	}
+	return server
+}
+
+// newPeerServer returns the server of the peer address, where the administration
+// API is as well.
+func (n *Node) newPeerServer(maxSockets int, limited bool) *fiber.App {
+	server := userapi.NewServer(maxSockets, peer.MaxMessageBytes, limited)
+	adminapi.Serve(server, n)
+	peer.Serve(server, n)
+	if n.schedules != nil {
+		adminapi.ServeSchedules(server, n.schedules)
+	}
+	return server
+}
+
 func (n *Node) logStart(enabled features.Set) {
 	s := n.settings
 	n.logger.Info("controller started",
--- /dev/null
+++ b/internal/peer/clients.go
@@ -0,0 +1,149 @@
+package peer
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/gofiber/fiber/v2"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"github.com/grebedock/grebedock/access"
+	"github.com/grebedock/grebedock/internal/config"
+	"github.com/grebedock/grebedock/internal/httpclient"
+	"github.com/grebedock/grebedock/internal/wire"
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+const (
+	messagePath     = "/peer"
+	relayPath       = "/relay"
+	msgpackType     = "application/msgpack"
+	connsPerPeer    = 2
+	minRelays       = 4
+	socketsPerRelay = 32
+)
+
+// messageTimeout bounds the sending of a message; the next one replaces it.
+const messageTimeout = 2 * time.Second
+
+// relayTimeout bounds a relayed request: half of what the state service has for
+// one, since its user has waited already.
+const relayTimeout = access.RequestTimeout / 2
+
+// MaxRelays returns how many requests a controller of so many sockets may have
+// its peers respond to at once; each peer takes a part of them.
+func MaxRelays(maxSockets int) int { return max(minRelays, maxSockets/socketsPerRelay) }
+
+// Clients sends messages and relayed requests to the other controllers. It is
+// safe for concurrent use.
+type Clients struct {
+	clients map[string]*client // by member; not changed
+
+	mu sync.Mutex // guards the clients' queues
+}
+
+// client sends to one peer, one message at a time.
+type client struct {
+	messages *httpclient.Client
+	relays   *httpclient.Client
+
+	sending          bool
+	nextBody         []byte // nil: no message waits
+	nextHasSummaries bool
+}
+
+// NewClients returns clients of the peers; maxRelays bounds the requests that
+// they are to respond to at once, in all.
+func NewClients(peers []config.Peer, maxRelays int) *Clients {
+	c := &Clients{clients: map[string]*client{}}
+	for _, p := range peers {
+		c.clients[p.Member] = &client{
+			messages: httpclient.NewClient(p.Addr, connsPerPeer),
+			relays:   httpclient.NewClient(p.Addr, max(1, maxRelays/len(peers))),
+		}
+	}
+	return c
+}
+
+// Relay has a peer respond to a user's request. False means that there was no
+// response in time, and that the request may have been executed.
+func (c *Clients) Relay(r scheduler.RelayRequest) (scheduler.UserResponse, bool) {
+	target := c.clients[r.Peer]
+	body, err := msgpack.Marshal(&r.Request)
+	if target == nil || err != nil {
+		return scheduler.UserResponse{}, false
+	}
+	request := wire.Request{Method: fiber.MethodPost, Path: relayPath, Body: body}
+	status, body := target.relays.DoType(request, msgpackType, relayTimeout)
+	if status != fiber.StatusOK {
+		return scheduler.UserResponse{}, false
+	}
+	var response scheduler.UserResponse
+	if msgpack.Unmarshal(body, &response) != nil || response.Status == 0 {
+		return scheduler.UserResponse{}, false
+	}
+	return response, true
+}
+
+// Send sends a message to all peers, with its summaries to summaryPeers alone
+// (nil: to all). A peer that has not taken the last message yet is sent the
+// newest when it has; if a message that it replaces had summaries, so has this
+// one. The message is encoded once, or twice if some get no summaries. Send does
+// not block.
+func (c *Clients) Send(msg *scheduler.PeerMessage, summaryPeers []string) {
+	body, err := encode(msg)
+	if err != nil {
+		return // nothing in a message cannot be encoded
+	}
+	shortBody := body
+	if summaryPeers != nil {
+		if shortBody, err = encode(msg.WithoutSummaries()); err != nil {
+			return
+		}
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for name, target := range c.clients {
+		isRecipient := summaryPeers == nil || slices.Contains(summaryPeers, name)
+		if isRecipient || target.summariesWait() {
+			c.enqueue(target, body, true)
+		} else {
+			c.enqueue(target, shortBody, false)
+		}
+	}
+}
+
+// summariesWait reports whether the message that waits has summaries.
+func (t *client) summariesWait() bool { return t.nextBody != nil && t.nextHasSummaries }
+
+// enqueue sends a message or has it wait for the one under way. The caller holds
+// mu.
+func (c *Clients) enqueue(target *client, body []byte, hasSummaries bool) {
+	if target.sending {
+		target.nextBody, target.nextHasSummaries = body, hasSummaries
+		return
+	}
+	target.sending = true
+	go c.sendLoop(target, body)
+}
+
+// sendLoop sends a message and those that came to wait meanwhile.
+func (c *Clients) sendLoop(target *client, body []byte) {
+	for body != nil {
+		request := wire.Request{Method: fiber.MethodPost, Path: messagePath, Body: body}
+		target.messages.DoType(request, msgpackType, messageTimeout)
+		body = c.dequeue(target)
+	}
+}
+
+// dequeue returns the message that waits, or nil, after which target sends
+// nothing.
+func (c *Clients) dequeue(target *client) []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	body := target.nextBody
+	target.nextBody = nil
+	target.sending = body != nil
+	return body
+}
--- a/internal/mesh/message_benchmark_test.go
+++ b/internal/peer/message_benchmark_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// sampleMessage is what a member of a large fleet says: a summary of the paper's
-// size, and a few needs.
+// sampleMessage returns the message of a controller of a large fleet: a summary of
+// 125 functions of ten samples, and the demands of 30 jobs.
 func sampleMessage() *scheduler.PeerMessage {
 	rng := rand.New(rand.NewPCG(1, 2))
-	sr := scheduler.PeerShard{Shard: "berth-0", TaskCounts: map[string]scheduler.TaskCounts{}}
+	shard := scheduler.PeerShard{Shard: "berth-0", TaskCounts: map[string]scheduler.TaskCounts{}}
 	for i := range 125 {
 		f := availability.Function{
 			Kind:      fmt.Sprintf("s|zone-%d|type-%d", i%4, i%2),
@@ -25,21 +25,15 @@
 			at += rng.Int64N(60_000)
 			f.Samples = append(f.Samples, availability.Sample{TimeMS: at, AvailableMS: rng.Int64N(400_000)})
 		}
-		sr.Summary = append(sr.Summary, f)
+		shard.Summary = append(shard.Summary, f)
 	}
 	for i := range 30 {
-		sr.Demands = append(
-			sr.Demands,
-			scheduler.CapacityDemand{
-				Job:           fmt.Sprintf("job-%06d", i),
-				Tasks:         10,
-				DeadlineMS:    1_790_000_000_000,
-				TaskRuntimeMS: 30_000,
-			},
-		)
-		sr.TaskCounts[fmt.Sprintf("job-%06d", i)] = scheduler.TaskCounts{Running: 4, Done: 3}
+		job := fmt.Sprintf("job-%06d", i)
+		demand := scheduler.CapacityDemand{Job: job, Tasks: 10, DeadlineMS: 1_790_000_000_000, TaskRuntimeMS: 30_000}
+		shard.Demands = append(shard.Demands, demand)
+		shard.TaskCounts[job] = scheduler.TaskCounts{Running: 4, Done: 3}
 	}
-	return &scheduler.PeerMessage{From: "berth-0", WallMS: 1_790_000_000_000, OwnedShards: []scheduler.PeerShard{sr}}
+	return &scheduler.PeerMessage{From: "berth-0", WallMS: 1_790_000_000_000, OwnedShards: []scheduler.PeerShard{shard}}
 }
 
 func BenchmarkEncode(b *testing.B) {
@@ -69,8 +63,9 @@
 	}
 }
 
-// BenchmarkPeers is what a second's messages cost a member: its own written, those of
-// all others read, with whose turn it is to get summaries.
+// BenchmarkPeers measures what a second's messages cost a controller: its own is
+// encoded, those of all others are decoded, of which as many have summaries as
+// have their turn.
 func BenchmarkPeers(b *testing.B) {
 	for _, peers := range []int{4, 19, 99} {
 		b.Run(fmt.Sprint(peers), func(b *testing.B) {
