--- /dev/null
+++ b/scheduler/task_groups.go
@@ -0,0 +1,179 @@
+package scheduler
+
+import (
+	"github.com/grebedock/grebedock/availability"
+	"github.com/grebedock/grebedock/planner"
+)
+
+// noDeadlineSpanLeases is the horizon of a job without any objective, in leases: far enough that
+// any job with a deadline goes first.
+const noDeadlineSpanLeases = 100
+
+// taskDeadlines are the times of day that a job's tasks are admitted for, in milliseconds.
+// startObjectiveEnd is when they must end to have started as their class's objectives
+// ask; deadline is the earliest time that still counts for an objective and can still be
+// met. missed says that none can: deadline is then the last one, and the job is
+// admitted as late.
+func (pp *placementPlanner) taskDeadlines(
+	j *Job,
+	accepted, runtimeMS int64,
+) (startObjectiveEnd, deadline int64, missed bool) {
+	horizon := accepted + noDeadlineSpanLeases*secondsToMS(pp.params.LeaseS)
+	deadline = horizon
+	if deadlines := pp.objectiveDeadlines(j, accepted); len(deadlines) > 0 {
+		deadline, missed = earliestReachable(deadlines, pp.now.WallMS+runtimeMS)
+	}
+	return min(pp.startObjective(j, accepted, horizon)+runtimeMS, deadline), deadline, missed
+}
+
+// earliestReachable returns the first of the deadlines, which ascend, that is not before
+// an expected end; if there is none, the last one, as missed.
+func earliestReachable(deadlines []int64, expectedEnd int64) (deadline int64, missed bool) {
+	for _, t := range deadlines {
+		if expectedEnd <= t {
+			return t, false
+		}
+	}
+	return deadlines[len(deadlines)-1], true
+}
+
+// startObjective is the time of day at which a job's tasks should have started: by its class's
+// objectives on waiting, and by its team's guarantee.
+func (pp *placementPlanner) startObjective(j *Job, accepted, horizon int64) int64 {
+	startBy := horizon
+	for _, o := range pp.params.Objectives[j.Class] {
+		if o.Kind == "wait" {
+			startBy = min(startBy, accepted+secondsToMS(o.WithinS))
+		}
+	}
+	if t := pp.params.Teams[j.Team]; pp.params.GuaranteeWithinS > 0 && (t.CPUs > 0 || t.GPUs > 0) {
+		startBy = min(startBy, accepted+secondsToMS(pp.params.GuaranteeWithinS))
+	}
+	return startBy
+}
+
+// resourceRequest is what placement sees of a job.
+func (j *Job) resourceRequest() planner.ResourceRequest {
+	return planner.ResourceRequest{
+		Resources:  j.Request,
+		Image:      j.Image,
+		Types:      j.Types,
+		Zone:       j.Zone,
+		AllowsSpot: j.Spot,
+	}
+}
+
+// withoutDisk leaves the room for the image out: a machine evicts cached images for it.
+func withoutDisk(r availability.Resources) availability.Resources {
+	r.DiskGB = 0
+	return r
+}
+
+// taskGroup is the tasks of one range that wait for a machine.
+type taskGroup struct {
+	planner.Group
+	taskRange *taskRange
+	job       *Job
+}
+
+// newTaskGroup makes a group of the pending tasks of a range.
+func (pp *placementPlanner) newTaskGroup(tr *taskRange, pending int) *taskGroup {
+	j := &tr.job.rec.Job
+	g := &taskGroup{
+		taskRange: tr,
+		job:       j,
+		Group: planner.Group{
+			Request:            j.resourceRequest(),
+			Priority:           int(j.Priority),
+			Remaining:          pending,
+			JobTasks:           j.Tasks,
+			LengthMS:           pp.estimates.expectedRuntime(j),
+			AcceptedMS:         tr.job.rec.AcceptedAtMS,
+			HasBegun:           tr.hasStarted(),
+			PreviouslyAdmitted: tr.admitted,
+			Name:               j.ID,
+			RangeStart:         tr.bounds.Lo,
+			IsGang:             j.Kind == Gang,
+			SingleZone:         j.OneZone,
+			SpreadZones:        j.Spread,
+			RunningByZone:      tr.attemptsByZone,
+			FailuresByMachine:  tr.errorsByMachine,
+		},
+	}
+	g.ObjectiveDeadlineMS, g.DeadlineMS, g.MissedObjectives = pp.taskDeadlines(j, g.AcceptedMS, g.LengthMS)
+	return g
+}
+
+func sortTaskGroups(groups []*taskGroup) {
+	planner.SortGroups(groups, func(g *taskGroup) *planner.Group { return &g.Group })
+}
+
+// waitingTaskGroups lists a shard's waiting work: higher priority first; within one, what can
+// meet an objective before what cannot, what was admitted keeps its place, then earliest
+// deadline, then arrival.
+func (pp *placementPlanner) waitingTaskGroups(s *shard) []*taskGroup {
+	var out []*taskGroup
+	for _, tr := range s.taskRanges {
+		waiting := pp.agents.schedulableTasks(tr)
+		if waiting <= 0 {
+			continue
+		}
+		g := pp.newTaskGroup(tr, waiting)
+		g.WithinGuarantee = pp.params.Quota && pp.quotas.isWithinGuarantee(g.job)
+		g.HasObjective = g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS-g.LengthMS >= pp.now.WallMS
+		out = append(out, g)
+	}
+	sortTaskGroups(out)
+	if pp.admitToTeamLimits(s, out) {
+		sortTaskGroups(out)
+	}
+	if pp.params.Quota && pp.quotas.assignUsageTiers(out) {
+		sortTaskGroups(out)
+	}
+	return pp.applyAging(out)
+}
+
+// admitToTeamLimits admits groups to their teams' limits as tasks are admitted to
+// machines: a limit is a queue that works at the speed of its processors. A
+// group that would not be done in time there, or would make one late that was
+// admitted, is planned for its next deadline, or goes last. Without it a team
+// over its limit ran the earliest deadlines, which it had missed already, and
+// nothing in time. It reports whether any group changed.
+func (pp *placementPlanner) admitToTeamLimits(s *shard, groups []*taskGroup) (changed bool) {
+	queues := map[string]*availability.Queue{}
+	for _, g := range groups {
+		team := g.job.Team
+		allocation, t, limited := pp.quotas.teamAllocation(s, team)
+		isLimited := limited && t.MaxCPUs > 0 && allocation.CPUs > 0
+		if !isLimited || g.job.Kind != Array || g.MissedObjectives {
+			continue
+		}
+		if queues[team] == nil {
+			backlogMS := int64(s.remainingWork[team] / allocation.CPUs)
+			queues[team] = &availability.Queue{EarliestStart: pp.now.WallMS + backlogMS}
+		}
+		if !pp.admitToQueue(queues[team], g, allocation.CPUs) {
+			changed = true
+		}
+	}
+	return changed
+}
+
+// admitToQueue admits a group to the queue of a limit of so many processors. It reports whether
+// the group's deadline holds there; if not, the next one that does is set, or none.
+func (pp *placementPlanner) admitToQueue(queue *availability.Queue, g *taskGroup, cpus float64) bool {
+	duration := int64(float64(g.Remaining) * g.job.Request.CPUs / cpus * float64(g.LengthMS))
+	// However wide the limit, its last task takes its run time.
+	tail := max(0, g.LengthMS-duration)
+	if queue.Admit(g.DeadlineMS-tail, duration, 1) == 1 {
+		return true
+	}
+	g.MissedObjectives = true
+	for _, deadline := range pp.objectiveDeadlines(g.job, g.taskRange.job.rec.AcceptedAtMS) {
+		if deadline > g.DeadlineMS && queue.Admit(deadline-tail, duration, 1) == 1 {
+			g.DeadlineMS, g.MissedObjectives = deadline, false
+			break
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/scheduler/team_guarantees.go
@@ -0,0 +1,184 @@
+package scheduler
+
+import (
+	"slices"
+
+	"github.com/grebedock/grebedock/availability"
+	"github.com/grebedock/grebedock/quota"
+)
+
+// guaranteeStatus is which live jobs are within their teams' guarantees, and how much all
+// live jobs of each team request. It is computed when it is needed, after live jobs changed.
+type guaranteeStatus struct {
+	valid          bool
+	guaranteedJobs map[string]bool
+	requestsByTeam map[string]quota.Amounts
+}
+
+func guaranteeOf(t Team) quota.Amounts { return quota.Amounts{CPUs: t.CPUs, GPUs: t.GPUs} }
+
+// totalRequest is what all tasks of a job take of limits and guarantees.
+func totalRequest(j *Job) quota.Amounts {
+	return amountsOf(j.Request).Scale(float64(j.Tasks))
+}
+
+// isWithinGuarantee reports whether a job is within its team's guarantee, by the jobs in the
+// cache; one that is not accepted yet would be the team's newest.
+func (qm *quotaManager) isWithinGuarantee(j *Job) bool {
+	guarantee := guaranteeOf(qm.params.Teams[j.Team])
+	if guarantee == (quota.Amounts{}) {
+		return false
+	}
+	if !qm.guaranteeStatus.valid {
+		qm.guaranteeStatus = qm.computeGuaranteeStatus()
+	}
+	status := &qm.guaranteeStatus
+	if qm.cache.jobs[j.ID] != nil {
+		return status.guaranteedJobs[j.ID]
+	}
+	return guarantee.Contains(status.requestsByTeam[j.Team].Add(totalRequest(j)))
+}
+
+func (qm *quotaManager) computeGuaranteeStatus() guaranteeStatus {
+	byTeam := map[string][]quota.Job{}
+	for id, o := range qm.cache.jobs {
+		team := o.rec.Job.Team
+		if guaranteeOf(qm.params.Teams[team]) == (quota.Amounts{}) {
+			continue
+		}
+		job := quota.Job{ID: id, AcceptedMS: o.rec.AcceptedAtMS, Size: totalRequest(&o.rec.Job)}
+		byTeam[team] = append(byTeam[team], job)
+	}
+	status := guaranteeStatus{true, map[string]bool{}, map[string]quota.Amounts{}}
+	for team, jobs := range byTeam {
+		slices.SortFunc(jobs, quota.Job.Compare) // in order: sums of floats depend on it
+		for id := range quota.JobsWithinGuarantee(guaranteeOf(qm.params.Teams[team]), jobs) {
+			status.guaranteedJobs[id] = true
+		}
+		for _, job := range jobs {
+			status.requestsByTeam[team] = status.requestsByTeam[team].Add(job.Size)
+		}
+	}
+	return status
+}
+
+// amountsOf is what a request takes of limits and guarantees.
+func amountsOf(r availability.Resources) quota.Amounts {
+	return quota.Amounts{CPUs: r.CPUs, GPUs: r.GPUs}
+}
+
+// localUsage is what a team uses in this member's shards. What is being stopped for a
+// guarantee does not count any more.
+func (qm *quotaManager) localUsage(team string) (usage quota.Amounts) {
+	for _, s := range sortedByKey(qm.shards.ownedShards) {
+		usage = usage.Add(amountsOf(s.usage[team])).Sub(s.reclaimedUsage[team])
+	}
+	return usage.Max(quota.Amounts{})
+}
+
+// localUsageByTeam is what teams use in this member's shards, and what their waiting tasks
+// there request.
+func (qm *quotaManager) localUsageByTeam() (usage, waiting map[string]quota.Amounts) {
+	usage, waiting = map[string]quota.Amounts{}, map[string]quota.Amounts{}
+	for _, s := range sortedByKey(qm.shards.ownedShards) {
+		for team := range s.usage {
+			if teamUsage := qm.localUsage(team); teamUsage != (quota.Amounts{}) {
+				usage[team] = teamUsage
+			}
+		}
+		for _, tr := range s.taskRanges {
+			n := tr.pending()
+			if n <= 0 {
+				continue
+			}
+			j := &tr.job.rec.Job
+			waiting[j.Team] = waiting[j.Team].Add(amountsOf(j.Request).Scale(float64(n)))
+		}
+	}
+	return usage, waiting
+}
+
+// clusterUsage is what teams with running or waiting work use over all members, as far as
+// their summaries say.
+func (qm *quotaManager) clusterUsage() map[string]quota.Amounts {
+	localUsage, localWaiting := qm.localUsageByTeam()
+	since := qm.peerMessagesSince()
+	usage := map[string]quota.Amounts{}
+	for team := range qm.params.Teams {
+		peerUsage, peerWaiting, _ := qm.usageMonitor.PeerUsage(team, qm.now.MonotonicMS, since)
+		teamUsage, waiting := peerUsage.Add(localUsage[team]), peerWaiting.Add(localWaiting[team])
+		if teamUsage != (quota.Amounts{}) || waiting != (quota.Amounts{}) {
+			usage[team] = teamUsage
+		}
+	}
+	return usage
+}
+
+// peerMessagesSince is the monotonic time since which a peer's messages count.
+func (qm *quotaManager) peerMessagesSince() int64 {
+	return qm.now.MonotonicMS - qm.cache.maxMessageAgeMS()
+}
+
+// assignUsageTiers gives groups the tier that says how far their teams are beyond their guarantees:
+// by what they use over all members, and by what goes before in this shard. So what is free
+// beyond the guarantees goes to who has least, not to who requests first or most. It reports
+// whether any two differ.
+func (qm *quotaManager) assignUsageTiers(groups []*taskGroup) bool {
+	usage := qm.clusterUsage()
+	if len(usage) < 2 {
+		return false
+	}
+	capacity := qm.liveCapacity()
+	differ := false
+	for _, g := range groups {
+		team := g.job.Team
+		if !g.WithinGuarantee {
+			g.QuotaTier = quota.Tier(usage[team], guaranteeOf(qm.params.Teams[team]), capacity, len(usage))
+		}
+		usage[team] = usage[team].Add(amountsOf(g.job.Request).Scale(float64(g.Remaining)))
+		differ = differ || g.QuotaTier != groups[0].QuotaTier
+	}
+	return differ
+}
+
+// capacitySnapshot is the capacity of all live machines, as of a moment.
+type capacitySnapshot struct {
+	takenAt int64 // monotonic milliseconds; 0: never
+	total   quota.Amounts
+}
+
+// liveCapacity is the capacity of all live machines of all members. Computed for each plan, it
+// cost a pass over the whole fleet several times a second; shares of it need be no more exact
+// than the time between two summaries.
+func (qm *quotaManager) liveCapacity() quota.Amounts {
+	takenAt, now := qm.capacitySnapshot.takenAt, qm.now.MonotonicMS
+	if takenAt == 0 || now-takenAt > secondsToMS(qm.cache.settings.SummaryS) {
+		qm.capacitySnapshot = capacitySnapshot{now, qm.computeLiveCapacity()}
+	}
+	return qm.capacitySnapshot.total
+}
+
+func (qm *quotaManager) computeLiveCapacity() (total quota.Amounts) {
+	countByType := map[string]int{}
+	for _, mc := range qm.registry.machines {
+		if mc.Up {
+			countByType[mc.rec.Type]++
+		}
+	}
+	for name, n := range sortedByKey(countByType) { // in order: sums of floats depend on it
+		if t := qm.cache.machineTypes[name]; t != nil {
+			total = total.Add(amountsOf(t.Resources).Scale(float64(n)))
+		}
+	}
+	return total
+}
+
+// usageSnapshot is what peers are sent about the teams of this member's shards; empty without
+// authority, when it may not see all of them.
+func (qm *quotaManager) usageSnapshot() quota.UsageSnapshot {
+	if !qm.store.hasAuthority() {
+		return quota.UsageSnapshot{}
+	}
+	usage, waiting := qm.localUsageByTeam()
+	return qm.usageMonitor.Snapshot(qm.now.WallMS, usage, waiting)
+}
--- a/scheduler/team_limits.go
+++ b/scheduler/team_limits.go
@@ -12,6 +12,13 @@
 
 // quotaManager owns the teams' ledgers: the allocations of their limits to shards,
 // what counts as within their guarantees, and what is reclaimed for those.
+//
+// A team's limit is split among the shards by a record in the store. A start
+// needs room in its shard's allocation, so the limit holds whatever the shards know
+// of each other (package quota). Without a record all of it is allocated to the team's
+// home shard, which the team's jobs go to: in equal parts, a team's jobs waited on one
+// shard for what lay unused on another, and the earliest deadline was the earliest of
+// its shard only.
 type quotaManager struct {
 	*environment
 	agents    *agentManager
@@ -39,31 +46,31 @@
 	return qm
 }
 
-// A team's limit is split among the shards by a record in the store; a start
-// needs room in its shard's part, so the limit holds whatever the shards know
-// of each other (package quota). Without a record all of it is with the team's home, the shard
-// that the team's jobs go to: in equal parts, a team's jobs waited on one shard
-// for what lay unused on another, and the earliest deadline was the earliest of
-// its shard only.
-
-func (qm *quotaManager) teamAllocation(s *shard, team string) (quota.Amounts, Team, bool) {
-	t := qm.params.Teams[team]
+// teamAllocation is the part of a team's limit that a shard has; limited is false for a team
+// without a limit.
+func (qm *quotaManager) teamAllocation(s *shard, team string) (allocation quota.Amounts, settings Team, limited bool) {
+	settings = qm.params.Teams[team]
 	if ledger := qm.quotaLedgers[team]; ledger != nil {
-		return ledger.Allocation(s.name), t, true
+		return ledger.Allocation(s.name), settings, true
 	}
-	return quota.Amounts{}, t, false
+	return quota.Amounts{}, settings, false
 }
 
-// initTeamLedgers gives the teams that have a limit their homes, and opens their books.
+// unlimitedAmount is more of any resource than there is.
+const unlimitedAmount = 1e12
+
+// initTeamLedgers assigns the teams that have a limit their home shards, and makes their ledgers.
 func (qm *quotaManager) initTeamLedgers() {
-	qm.homeShards, qm.quotaLedgers = assignTeamHomes(qm.params.Teams, qm.memberIDs()), map[string]*quota.Ledger{}
+	qm.homeShards = assignTeamHomes(qm.params.Teams, qm.memberIDs())
+	qm.quotaLedgers = map[string]*quota.Ledger{}
 	for name, home := range qm.homeShards {
 		t := qm.params.Teams[name]
 		var others []string
 		if qm.params.Quota {
 			others = slices.DeleteFunc(qm.memberIDs(), func(s string) bool { return s == home })
 		}
-		qm.quotaLedgers[name] = quota.NewLedger(quota.Amounts{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}, home, others...)
+		limit := quota.Amounts{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}
+		qm.quotaLedgers[name] = quota.NewLedger(limit, home, others...)
 	}
 }
 
@@ -81,8 +88,8 @@
 	return homes
 }
 
-// fitsTeamAllocation tells whether all that a shard has of a limited team's work fits its
-// part: then some may go to a peer, which asks for the part that it needs.
+// fitsTeamAllocation reports whether all that a shard has of a limited team's work fits its
+// allocation: then some may go to a peer, which requests the allocation that it needs.
 func (qm *quotaManager) fitsTeamAllocation(s *shard, team string) bool {
 	headroom, limited := qm.teamHeadroom(s, team)
 	if !limited {
@@ -92,21 +99,23 @@
 	return queued.CPUs <= headroom.CPUs && queued.GPUs <= headroom.GPUs
 }
 
-// queuedRequests is what a team's tasks that do not run yet ask for.
+// queuedRequests is what a team's tasks without an attempt request.
 func (s *shard) queuedRequests(team string) availability.Resources {
 	var sum availability.Resources
 	for _, tr := range s.taskRanges {
 		if j := &tr.job.rec.Job; j.Team == team {
-			sum.CPUs += float64(tr.pending()) * j.Request.CPUs
-			sum.GPUs += float64(tr.pending()) * j.Request.GPUs
+			queued := limitedRequest(j, tr.pending())
+			sum.CPUs += queued.CPUs
+			sum.GPUs += queued.GPUs
 		}
 	}
 	return sum
 }
 
-// maxUnreportedUsage is what a team's tasks may use of a shard's machines without our knowing
-// it. A machine that is unseen has at most what its note says, or what it has room
-// for. So does one with tasks that are not ours to keep: whose they are is no
+// maxUnreportedUsage is the most that a team's tasks may use of a shard's machines without the
+// shard knowing it. A machine that has not sent a heartbeat since the claim runs at
+// most what its entry in the ledger of unreachable machines says, or what it has
+// capacity for. One with orphaned tasks may use all its capacity: whose they are is no
 // longer known, and until they are stopped they may be this team's.
 func (qm *quotaManager) maxUnreportedUsage(s *shard, team string) (sum reconcile.ResourceUsage) {
 	for _, unreported := range s.reconciler.Unreported() {
@@ -116,60 +125,66 @@
 		}
 		sum = sum.Add(qm.cache.machineCapacity(qm.registry.machines[unreported.ID]))
 	}
-	if s.machinesWithOrphans > 0 {
-		for _, mc := range s.machines {
-			if mc.orphanedTasks > 0 && mc.IsReconciled() {
-				capacity := qm.cache.machineCapacity(mc)
-				sum = sum.Add(reconcile.ResourceUsage{CPUs: capacity.CPUs - mc.usage.CPUs, GPUs: capacity.GPUs - mc.usage.GPUs})
-			}
+	if s.machinesWithOrphans == 0 {
+		return sum
+	}
+	for _, mc := range s.machines {
+		if mc.orphanedTasks == 0 || !mc.IsReconciled() {
+			continue
 		}
+		capacity := qm.cache.machineCapacity(mc)
+		sum = sum.Add(reconcile.ResourceUsage{
+			CPUs: capacity.CPUs - mc.usage.CPUs,
+			GPUs: capacity.GPUs - mc.usage.GPUs,
+		})
 	}
 	return sum
 }
 
-// teamHeadroom is what a team may still start in a shard.
-func (qm *quotaManager) teamHeadroom(s *shard, team string) (availability.Resources, bool) {
+// teamHeadroom is what a team may still start in a shard; limited is false if no limit says.
+func (qm *quotaManager) teamHeadroom(s *shard, team string) (headroom availability.Resources, limited bool) {
 	allocation, t, limited := qm.teamAllocation(s, team)
 	if !limited {
 		return availability.Resources{}, false
 	}
 	usage, unreported := s.usage[team], qm.maxUnreportedUsage(s, team)
-	headroom := availability.Resources{
+	headroom = availability.Resources{
 		CPUs:     allocation.CPUs - usage.CPUs - unreported.CPUs,
 		GPUs:     allocation.GPUs - usage.GPUs - unreported.GPUs,
-		MemoryGB: 1e12,
+		MemoryGB: unlimitedAmount,
 	}
 	if t.MaxCPUs <= 0 {
-		headroom.CPUs = 1e12
+		headroom.CPUs = unlimitedAmount
 	}
 	if t.MaxGPUs <= 0 {
-		headroom.GPUs = 1e12
+		headroom.GPUs = unlimitedAmount
 	}
 	return headroom, true
 }
 
+// isWithinTeamLimit reports whether a task of a job may start now as far as its team's limit goes.
 func (qm *quotaManager) isWithinTeamLimit(s *shard, j *Job) bool {
 	headroom, limited := qm.teamHeadroom(s, j.Team)
 	return !limited || headroom.Sub(qm.placer.reservedForOthers(s, j)).Contains(withoutDisk(j.Request))
 }
 
-// tasksWithinTeamLimit is how many tasks of a job its team's part takes now, beside what
-// else of the team is about to start.
+// tasksWithinTeamLimit is how many tasks of a job the shard's allocation of its team's limit
+// takes now, beside what else of the team is about to start.
 func (qm *quotaManager) tasksWithinTeamLimit(s *shard, j *Job, started availability.Resources) int {
 	headroom, limited := qm.teamHeadroom(s, j.Team)
 	if !limited {
 		return j.Tasks
 	}
-	return headroom.Sub(started).Sub(qm.placer.reservedForOthers(s, j)).MaxCopies(withoutDisk(j.Request), j.Tasks)
+	available := headroom.Sub(started).Sub(qm.placer.reservedForOthers(s, j))
+	return available.MaxCopies(withoutDisk(j.Request), j.Tasks)
 }
 
-// teamDemands is what a shard has of limited teams' work: what runs and waits now, and
-// what of it had room at the last plan.
+// teamDemands is what a shard has of limited teams' work, by team: what runs and waits now,
+// and what of it had room at the last plan.
 func (qm *quotaManager) teamDemands(s *shard) map[string]quota.Demand {
 	out := make(map[string]quota.Demand, len(qm.quotaLedgers))
 	for name := range qm.quotaLedgers {
-		unreported := qm.maxUnreportedUsage(s, name)
-		usage := s.usage[name]
+		usage, unreported := s.usage[name], qm.maxUnreportedUsage(s, name)
 		out[name] = quota.Demand{
 			Used:           quota.Amounts{CPUs: usage.CPUs + unreported.CPUs, GPUs: usage.GPUs + unreported.GPUs},
 			UsageUncertain: unreported != (reconcile.ResourceUsage{}),
@@ -184,7 +199,8 @@
 		req := amountsOf(j.Request)
 		demand.LargestTask = demand.LargestTask.Max(req)
 		if n := tr.pending(); n > 0 {
-			demand.Pending, demand.LargestPending = demand.Pending.Add(req.Scale(float64(n))), demand.LargestPending.Max(req)
+			demand.Pending = demand.Pending.Add(req.Scale(float64(n)))
+			demand.LargestPending = demand.LargestPending.Max(req)
 		}
 		out[j.Team] = demand
 	}
@@ -197,14 +213,23 @@
 }
 
 // recordPlaceableDemand notes how much of a group that its team's limit holds up has room on
-// machines, up or booting.
+// machines, live or booting.
 func (qm *quotaManager) recordPlaceableDemand(s *shard, g *taskGroup) {
+	team := g.job.Team
 	n := s.clusterView.CountStartable(&g.Group, g.Remaining)
-	s.placeableDemand[g.job.Team] = s.placeableDemand[g.job.Team].Add(amountsOf(g.job.Request).Scale(float64(n)))
+	s.placeableDemand[team] = s.placeableDemand[team].Add(amountsOf(g.job.Request).Scale(float64(n)))
 }
 
-// proposeAllocations writes what the demands of a shard ask of its teams' records: what it
-// lacks, and what it gives to shards that lack more.
+// proposalsPerSummary is how often a shard considers its teams' records in the time between two
+// summaries. A write follows only what changed.
+const proposalsPerSummary = 4
+
+// allocationGraceSummaries is for how many times the time between two summaries a shard keeps an
+// allocation that its next task does not fit in, while others request it.
+const allocationGraceSummaries = 30
+
+// proposeAllocations writes what the demands of a shard change in its teams' records: requests of
+// what it lacks, and grants to shards that lack more.
 func (qm *quotaManager) proposeAllocations(s *shard) {
 	if qm.now.MonotonicMS < s.nextProposalAt || !qm.store.hasAuthority() {
 		return
@@ -220,55 +245,36 @@
 	}
 }
 
-// proposalsPerSummary is how often a shard looks at its teams' records in the time between two
-// summaries. A write follows only what changed.
-const proposalsPerSummary = 4
-
-// allocationGraceSummaries is for how many times the time between two summaries a shard keeps a part of a
-// limit that its next task does not fit in, while others want it.
-const allocationGraceSummaries = 30
-
 // writeTeamRecord writes a team's record until the outcome is certain (package quota).
 func (qm *quotaManager) writeTeamRecord(s *shard, team string, ledger *quota.Ledger, write *quota.Write) {
 	key := teamKey(team)
+	send := func(onResult func(StoreResult)) {
+		preconditions := []Precondition{{claimKey(s.name), s.token}, {key, write.Revision}}
+		changes := []Change{{Key: key, Value: mustEncode(write.Record)}}
+		qm.store.sendTxn(UrgencyUser, preconditions, changes, func(r StoreResult) {
+			qm.log(Debug, "team record written", "team", team, "shard", s.name, "outcome", r.Outcome,
+				"allocations", write.Record.Allocations, "requests", write.Record.Requests)
+			onResult(r)
+		})
+	}
 	qm.store.sendUntilSettled(key, inDoubtWrite{
 		isClaimValid: func() bool { return qm.shards.ownedShards[s.name] == s },
-		send: func(onResult func(StoreResult)) {
-			qm.store.sendTxn(
-				UrgencyUser,
-				[]Precondition{{claimKey(s.name), s.token}, {key, write.Revision}},
-				[]Change{{Key: key, Value: mustEncode(write.Record)}},
-				func(r StoreResult) {
-					qm.log(
-						Debug,
-						"team record written",
-						"team",
-						team,
-						"shard",
-						s.name,
-						"outcome",
-						r.Outcome,
-						"parts",
-						write.Record.Allocations,
-						"wants",
-						write.Record.Requests,
-					)
-					onResult(r)
-				},
-			)
-		},
-		onSent: ledger.RecordOutcome,
-		onRead: func(r StoreResult) indoubt.NextStep {
-			if r.Outcome == OK && len(r.KVs) == 1 {
-				var rec quota.Record
-				if json.Unmarshal(r.KVs[0].Value, &rec) == nil {
-					return ledger.Resolve(OK, &rec, r.KVs[0].Rev)
-				}
-				return ledger.Resolve(Unknown, nil, 0)
-			}
-			return ledger.Resolve(r.Outcome, nil, 0)
-		},
-		onSettled:   qm.shards.markAllShardsDirty,
-		onClaimLost: ledger.Abandon, // the shard went
+		send:         send,
+		onSent:       ledger.RecordOutcome,
+		onRead:       func(r StoreResult) indoubt.NextStep { return resolveTeamRecord(ledger, r) },
+		onSettled:    qm.shards.markAllShardsDirty,
+		onClaimLost:  ledger.Abandon,
 	})
 }
+
+// resolveTeamRecord tells a ledger what the store has after a write with an unknown outcome.
+func resolveTeamRecord(ledger *quota.Ledger, r StoreResult) indoubt.NextStep {
+	if r.Outcome != OK || len(r.KVs) != 1 {
+		return ledger.Resolve(r.Outcome, nil, 0)
+	}
+	var rec quota.Record
+	if json.Unmarshal(r.KVs[0].Value, &rec) != nil {
+		return ledger.Resolve(Unknown, nil, 0)
+	}
+	return ledger.Resolve(OK, &rec, r.KVs[0].Rev)
+}
--- a/scheduler/team_preemption.go
+++ b/scheduler/team_preemption.go
@@ -8,37 +8,47 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// Preemption is the exception for the design's second strain where it is a
-// team's limit that running tasks fill: a queue is not preemptive, and a tight
-// job of a higher priority waited for a wave of long tasks to end. Only tasks
-// that lose nothing by it are stopped: ones that save, and ones that do not run
-// yet. Who waits is told apart from who may go on: what a stopped task gives up
-// is owed to the priority that it was stopped for.
+// Preemption within a team is the exception from queues that are never preempted, for the
+// case that running tasks fill a team's limit: an urgent job of a higher priority
+// waited for a wave of long tasks to end. Only tasks that lose nothing by it are
+// stopped: ones that checkpoint, and ones that do not run yet. What a stopped task
+// gives up of the limit is a debt to the priority that it was stopped for, so that
+// neither its own job nor its equals take it first.
 
 // preemptionDebt is what stopped tasks of a team gave up of its limit for work of at least
-// a priority, until that started or the time is up.
+// a priority. It stands until such work started, or until a time.
 type preemptionDebt struct {
 	cpus, gpus float64
 	priority   Priority
-	until      int64
+	until      int64 // monotonic milliseconds
 }
 
+// entitles reports whether work of a priority may take what was given up.
+func (d *preemptionDebt) entitles(p Priority) bool { return p >= d.priority }
+
+// noDeadlineSlackMS is the slack of a range that has no deadline left to miss: over 30 years.
+const noDeadlineSlackMS = 1 << 40
+
+// withoutMemory keeps what limits and guarantees count.
 func withoutMemory(r availability.Resources) availability.Resources {
 	r.MemoryGB, r.DiskGB = 0, 0
 	return r
 }
 
-// isPreemptibleBy tells whether an attempt may be stopped for work of a priority.
+// isPreemptibleBy reports whether an attempt may be stopped for work of a priority.
 func (a *attempt) isPreemptibleBy(p Priority) bool {
-	return !a.exited && !a.checkpointing && a.job.Priority < p && a.job.Kind == Array &&
-		(!a.running || a.job.CheckpointIntervalS > 0)
+	if a.exited || a.checkpointing {
+		return false
+	}
+	losesNothing := !a.running || a.job.CheckpointIntervalS > 0
+	return a.job.Priority < p && a.job.Kind == Array && losesNothing
 }
 
-// preemptibleRanges are a team's works that may wait while a group uses the team's
-// limit, each with how much time it has beyond that: the rule of admission, every
-// deadline that is held still holds, for what runs. Without it, a burst of short
-// jobs kept long ones from ever ending in time. What must not be started twice is
-// not stopped either.
+// preemptibleRanges are a team's ranges that may wait while a group uses the team's
+// limit, each with the time that it has beyond that, in milliseconds: the rule of
+// admission, that every deadline that holds still does, for what runs. Without it, a
+// burst of short jobs kept long ones from ever ending in time. Tasks of at-most-once
+// jobs are not stopped.
 func (pp *placementPlanner) preemptibleRanges(s *shard, g *taskGroup) map[*taskRange]int64 {
 	allocation, t, limited := pp.quotas.teamAllocation(s, g.job.Team)
 	if !limited || t.MaxCPUs <= 0 || allocation.CPUs <= 0 {
@@ -54,25 +64,42 @@
 	}
 	out := map[*taskRange]int64{}
 	for tr, remaining := range remainingMS {
-		j := &tr.job.rec.Job
-		runtimeMS := pp.estimates.expectedRuntime(j)
-		remaining += float64(tr.pending()) * float64(runtimeMS)
-		// Whether it is late already is told from one task alone, whether it
-		// has time from all of them, padded: both can be wrong by half.
-		duration := max(runtimeMS, int64(remaining*j.Request.CPUs/allocation.CPUs*planner.RuntimePadding))
-		accepted := tr.job.rec.AcceptedAtMS
-		_, deadline, missed := pp.taskDeadlines(j, accepted, runtimeMS/2)
-		if _, delayedDeadline, missedByDelay := pp.taskDeadlines(j, accepted, duration+delay+secondsToMS(j.CheckpointDurationS)); missed {
-			out[tr] = 1 << 40
-		} else if delayedDeadline == deadline && !missedByDelay {
-			out[tr] = deadline - wall - duration
+		if slackMS, ok := pp.slackAfterDelay(tr, remaining, delay, allocation.CPUs); ok {
+			out[tr] = slackMS
 		}
 	}
 	return out
 }
 
-// preemptibleResources is what a team's tasks that may be stopped for a group have of its
-// limit, and what was stopped for its like already and has not been taken yet.
+// slackAfterDelay is the time that a range has beyond a delay, if so many processors of its team's
+// limit serve it; false if the delay would make it miss its deadline. runningMS is what its live
+// attempts have left.
+func (pp *placementPlanner) slackAfterDelay(
+	tr *taskRange,
+	runningMS float64,
+	delay int64,
+	cpus float64,
+) (slackMS int64, ok bool) {
+	j, accepted := &tr.job.rec.Job, tr.job.rec.AcceptedAtMS
+	runtimeMS := pp.estimates.expectedRuntime(j)
+	// Whether it is late already is judged by one task alone, whether it
+	// has time by all of them, padded: both can be wrong by half.
+	_, deadline, missed := pp.taskDeadlines(j, accepted, runtimeMS/2)
+	if missed {
+		return noDeadlineSlackMS, true
+	}
+	remaining := runningMS + float64(tr.pending())*float64(runtimeMS)
+	duration := max(runtimeMS, int64(remaining*j.Request.CPUs/cpus*planner.RuntimePadding))
+	delayed := duration + delay + secondsToMS(j.CheckpointDurationS)
+	_, delayedDeadline, missedByDelay := pp.taskDeadlines(j, accepted, delayed)
+	if delayedDeadline != deadline || missedByDelay {
+		return 0, false
+	}
+	return deadline - pp.now.WallMS - duration, true
+}
+
+// preemptibleResources is what the team's tasks that may be stopped for a group use of its
+// limit, and what is being released to the group's priority already and not taken yet.
 func (pp *placementPlanner) preemptibleResources(
 	s *shard,
 	g *taskGroup,
@@ -88,7 +115,8 @@
 			preemptible = preemptible.Add(a.job.Request)
 		}
 	}
-	if debt, ok := s.debts[g.job.Team]; ok && pp.now.MonotonicMS < debt.until && g.job.Priority >= debt.priority {
+	debt, ok := s.debts[g.job.Team]
+	if ok && pp.now.MonotonicMS < debt.until && debt.entitles(g.job.Priority) {
 		pendingRelease = pendingRelease.Add(availability.Resources{CPUs: debt.cpus, GPUs: debt.gpus, MemoryGB: 1})
 	}
 	return preemptible, pendingRelease
@@ -97,83 +125,100 @@
 // preemptibleTaskCount is how many tasks of a group its team's limit would take beyond
 // now, if tasks of lower priority were stopped.
 func (pp *placementPlanner) preemptibleTaskCount(s *shard, g *taskGroup, limit int) int {
-	if g.MissedObjectives || g.job.Kind != Array || limit <= 0 || len(s.reconciler.Unreported()) > 0 {
-		return 0 // what is unseen may give it room without a stop
+	mayPreempt := !g.MissedObjectives && g.job.Kind == Array && limit > 0
+	if !mayPreempt || len(s.reconciler.Unreported()) > 0 {
+		return 0 // machines that sent no heartbeat yet may give it room without a stop
 	}
-	// No more than its guarantee is taken for a priority: beyond it, in a burst
-	// that no limit holds, work of lower priority would never end.
-	guaranteeLeft := availability.Resources{
-		CPUs:     pp.params.Teams[g.job.Team].CPUs,
-		GPUs:     pp.params.Teams[g.job.Team].GPUs,
-		MemoryGB: 1e12,
+	req := withoutDisk(g.job.Request)
+	limit = pp.guaranteeLeft(s, g).MaxCopies(req, limit)
+	if limit <= 0 {
+		return 0
 	}
+	preemptible, pendingRelease := pp.preemptibleResources(s, g, pp.preemptibleRanges(s, g))
+	total := preemptible.Add(pendingRelease)
+	total.MemoryGB = unlimitedAmount
+	return total.MaxCopies(req, limit)
+}
+
+// guaranteeLeft is what work of at least a group's priority leaves of its team's guarantee. No
+// more is taken for a priority: beyond the guarantee, in a burst that no limit holds,
+// work of lower priority would never end.
+func (pp *placementPlanner) guaranteeLeft(s *shard, g *taskGroup) availability.Resources {
+	guarantee := pp.params.Teams[g.job.Team]
+	left := availability.Resources{CPUs: guarantee.CPUs, GPUs: guarantee.GPUs, MemoryGB: unlimitedAmount}
 	for _, a := range s.liveAttempts[g.job.Team] {
 		if a.job.Priority >= g.job.Priority {
-			guaranteeLeft = guaranteeLeft.Sub(withoutMemory(a.job.Request))
+			left = left.Sub(withoutMemory(a.job.Request))
 		}
 	}
-	limit = guaranteeLeft.MaxCopies(withoutDisk(g.job.Request), limit)
-	if limit <= 0 {
-		return 0
+	return left
+}
+
+// preemptionVictim is an attempt that may be stopped for a higher priority.
+type preemptionVictim struct {
+	attempt *attempt
+	slackMS int64 // time that its range has beyond the delay
+}
+
+func comparePreemptionVictims(x, y preemptionVictim) int {
+	return cmp.Or(
+		cmp.Compare(y.slackMS, x.slackMS),
+		cmp.Compare(x.attempt.key.task, y.attempt.key.task),
+		cmp.Compare(x.attempt.key.attempt, y.attempt.key.attempt),
+	)
+}
+
+// preemptionVictims lists what may be stopped for a group: first those whose ranges have most
+// time, or no deadline left to miss.
+func (pp *placementPlanner) preemptionVictims(
+	s *shard,
+	g *taskGroup,
+	ranges map[*taskRange]int64,
+) (victims []preemptionVictim) {
+	for _, a := range s.liveAttempts[g.job.Team] {
+		slackMS, ok := ranges[a.taskRange]
+		isMachineUsable := a.machine.IsReconciled() && a.machine.terminatesAt == 0
+		if !ok || !isMachineUsable || a.stopRequested || !a.isPreemptibleBy(g.job.Priority) {
+			continue
+		}
+		remaining := a.expectedEnd(pp.now.WallMS) - pp.now.WallMS
+		stopMS := 2*pp.maxHeartbeatIntervalMS() + secondsToMS(a.job.CheckpointDurationS)
+		if remaining > stopMS { // otherwise it ends by itself as soon
+			victims = append(victims, preemptionVictim{a, slackMS})
+		}
 	}
-	preemptible, pendingRelease := pp.preemptibleResources(s, g, pp.preemptibleRanges(s, g))
-	total := preemptible.Add(pendingRelease)
-	total.MemoryGB = 1e12
-	return total.MaxCopies(withoutDisk(g.job.Request), limit)
+	slices.SortFunc(victims, comparePreemptionVictims)
+	return victims
 }
 
-// preempt stops tasks of lower priority so that n tasks of a group, which have
-// room on machines, find it in their team's limit: those first whose
-// jobs have most time, or none to lose.
+// preempt stops tasks of lower priority so that n tasks of a group, which have room on
+// machines, find it in their team's limit. What is being released already counts.
 func (pp *placementPlanner) preempt(s *shard, g *taskGroup, n int) {
 	req := withoutDisk(g.job.Request)
 	ranges := pp.preemptibleRanges(s, g)
 	_, pendingRelease := pp.preemptibleResources(s, g, ranges)
-	pendingRelease.MemoryGB = 1e12
+	pendingRelease.MemoryGB = unlimitedAmount
 	n -= pendingRelease.MaxCopies(req, n)
 	if n <= 0 {
 		return
 	}
-	type victim struct {
-		mc    *machine
-		a     *attempt
-		slack int64
-	}
-	var victims []victim
-	for _, a := range s.liveAttempts[g.job.Team] {
-		slack, ok := ranges[a.taskRange]
-		if !ok || !a.machine.IsReconciled() || a.machine.terminatesAt != 0 || a.stopRequested ||
-			!a.isPreemptibleBy(g.job.Priority) {
-			continue
-		}
-		remaining := a.expectedEnd(pp.now.WallMS) - pp.now.WallMS
-		if remaining <= 2*pp.maxHeartbeatIntervalMS()+secondsToMS(a.job.CheckpointDurationS) {
-			continue // over by itself as soon
-		}
-		victims = append(victims, victim{a.machine, a, slack})
-	}
-	slices.SortFunc(victims, func(x, y victim) int {
-		return cmp.Or(
-			cmp.Compare(y.slack, x.slack),
-			cmp.Compare(x.a.key.task, y.a.key.task),
-			cmp.Compare(x.a.key.attempt, y.a.key.attempt),
-		)
-	})
 	var freed availability.Resources
-	for _, v := range victims {
-		freed.MemoryGB = 1e12
+	for _, victim := range pp.preemptionVictims(s, g, ranges) {
+		freed.MemoryGB = unlimitedAmount
 		if freed.MaxCopies(req, n) >= n {
 			break
 		}
-		freed = freed.Add(v.a.job.Request)
-		v.a.stopRequested, v.a.preemptorPriority = true, g.job.Priority
+		a := victim.attempt
+		freed = freed.Add(a.job.Request)
+		a.stopRequested, a.preemptorPriority = true, g.job.Priority
 		pp.Counters.Preempted++
-		pp.log(Debug, "task stopped for a higher priority", "task", v.a.key.task, "machine", v.mc.id, "for", g.job.ID)
+		pp.log(Debug, "task stopped for a higher priority",
+			"task", a.key.task, "machine", a.machine.id, "job", g.job.ID)
 	}
 }
 
-// recordDebt notes what a stopped task gave up when it is over. Without it, its own
-// job took the room in the limit again at the same report.
+// recordDebt notes what a stopped task gave up, when it is over. Without it, its own
+// job took the room in the limit again at the same heartbeat.
 func (pp *placementPlanner) recordDebt(s *shard, a *attempt) {
 	debt := s.debts[a.job.Team]
 	if pp.now.MonotonicMS >= debt.until {
@@ -186,27 +231,29 @@
 	s.debts[a.job.Team] = debt
 }
 
-// repayDebt takes a start off what its team is owed.
+// repayDebt takes a start off the debt to its priority.
 func (pp *placementPlanner) repayDebt(s *shard, j *Job) {
 	debt, ok := s.debts[j.Team]
-	if !ok || j.Priority < debt.priority {
+	if !ok || !debt.entitles(j.Priority) {
 		return
 	}
 	debt.cpus -= j.Request.CPUs
 	debt.gpus -= j.Request.GPUs
-	if debt.cpus <= 0 && debt.gpus <= 0 || pp.now.MonotonicMS >= debt.until {
+	isRepaid := debt.cpus <= 0 && debt.gpus <= 0
+	if isRepaid || pp.now.MonotonicMS >= debt.until {
 		delete(s.debts, j.Team)
 		return
 	}
 	s.debts[j.Team] = debt
 }
 
-// reservedForOthers is what a job must leave of its team's limit to others: to higher priorities,
-// and to a first task that the limit holds up.
+// reservedForOthers is what a job must leave of its team's limit to others: the debt to
+// higher priorities, and what is reserved for a first task that the limit holds up.
 func (pp *placementPlanner) reservedForOthers(s *shard, j *Job) availability.Resources {
 	reserved := s.reservedForFirstTask(j)
-	if debt, ok := s.debts[j.Team]; ok && j.Priority < debt.priority && pp.now.MonotonicMS < debt.until {
-		return reserved.Add(availability.Resources{CPUs: max(0, debt.cpus), GPUs: max(0, debt.gpus)})
+	debt, ok := s.debts[j.Team]
+	if !ok || debt.entitles(j.Priority) || pp.now.MonotonicMS >= debt.until {
+		return reserved
 	}
-	return reserved
+	return reserved.Add(availability.Resources{CPUs: max(0, debt.cpus), GPUs: max(0, debt.gpus)})
 }
