--- a/cmd/grebedock/lab_load.go
+++ b/cmd/grebedock/lab_load.go
@@ -164,7 +164,8 @@
 		kind, id := r.nextRequest(rng, o)
 		at, addr := scheduledAt, o.addrs[n%len(o.addrs)]
 		r.Sent++
-		wait.Go(func() { r.sendRequest(hosts, addr, o, kind, id, startedAt, at) })
+		request := loadRequest{addr: addr, kind: kind, jobID: id, scheduledAt: at}
+		wait.Go(func() { r.sendRequest(hosts, o, request, startedAt) })
 	}
 	wait.Wait()
 	r.summarize()
@@ -185,14 +186,18 @@
 	return scheduler.QueryJob, r.jobs[max(0, len(r.jobs)-1-int(rng.ExpFloat64()*20))]
 }
 
+// loadRequest is one request of a load.
+type loadRequest struct {
+	addr        string // the member that is asked
+	kind        scheduler.UserRequestKind
+	jobID       string
+	scheduledAt time.Time
+}
+
 func (r *loadResult) sendRequest(
-	hosts *httpclient.MultiHostClient,
-	addr string,
-	o loadOptions,
-	kind scheduler.UserRequestKind,
-	id string,
-	startedAt, scheduledAt time.Time,
+	hosts *httpclient.MultiHostClient, o loadOptions, request loadRequest, startedAt time.Time,
 ) {
+	id, kind := request.jobID, request.kind
 	req := wire.QueryRequest(id)
 	switch kind {
 	case scheduler.SubmitJob:
@@ -211,9 +216,9 @@
 		req = wire.CancelRequest(id)
 	}
 	op := history.Op{Job: id, Kind: kind, Call: time.Since(startedAt).Nanoseconds()}
-	res := hosts.DoWithRetryAfter(addr, req, loadTimeout)
+	res := hosts.DoWithRetryAfter(request.addr, req, loadTimeout)
 	op.Return = time.Since(startedAt).Nanoseconds()
-	took := time.Since(scheduledAt)
+	took := time.Since(request.scheduledAt)
 	if res.Status != 0 && res.Status < 429 {
 		op.Status, op.State = res.Status, wire.ParseUserResponse(res.Status, res.Body).State
 	}
--- a/cmd/grebedock/main.go
+++ b/cmd/grebedock/main.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"runtime"
@@ -52,41 +53,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&configPath, "config", "", "settings file that the platform hands over (TOML)")
-	addFeaturesFlag := func(c *cobra.Command) {
-		c.Flags().StringVar(&featuresPath, "features", "", "file that switches on what is new (TOML); without it, nothing is")
-	}
-	addFeaturesFlag(cmd)
-	check := &cobra.Command{
-		Use:     "check [FILE]",
-		Short:   "Check a settings file, a features file or both, and say what is wrong",
-		Example: "  grebedock check member.toml\n  grebedock check --features deploy/run.toml member.toml",
-		Args:    cobra.MaximumNArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			if len(args) == 0 && featuresPath == "" {
-				return fmt.Errorf("nothing to check: name a settings file, --features or both")
-			}
-			var errs []error
-			if len(args) == 1 {
-				if f, err := config.Load(args[0]); err != nil {
-					errs = append(errs, err)
-				} else {
-					fmt.Fprintf(
-						cmd.OutOrStdout(), "%s: member %s, %d others, %d teams: good\n", args[0], f.Member,
-						len(f.Peers), len(f.Cluster.Teams),
-					)
-				}
-			}
-			if featuresPath != "" {
-				if enabled, err := features.Load(featuresPath); err != nil {
-					errs = append(errs, err)
-				} else {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: on %v: good\n", featuresPath, enabled.EnabledNames())
-				}
-			}
-			return errors.Join(errs...)
-		},
-	}
-	addFeaturesFlag(check)
+	addFeaturesFlag(cmd, &featuresPath)
 	cmd.AddCommand(
 		submitCommand(),
 		jobCommand(),
@@ -101,7 +68,7 @@
 		labCommand(),
 		scheduleCommand(),
 		calendarCommand(),
-		check,
+		checkCommand(),
 		&cobra.Command{
 			Use:   "version",
 			Short: "Print the version",
@@ -112,6 +79,53 @@
 	return cmd
 }
 
+func addFeaturesFlag(c *cobra.Command, path *string) {
+	c.Flags().StringVar(path, "features", "", "file that switches on what is new (TOML); without it, nothing is")
+}
+
+func checkCommand() *cobra.Command {
+	var featuresPath string
+	cmd := &cobra.Command{
+		Use:     "check [FILE]",
+		Short:   "Check a settings file, a features file or both, and say what is wrong",
+		Example: "  grebedock check member.toml\n  grebedock check --features deploy/run.toml member.toml",
+		Args:    cobra.MaximumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if len(args) == 0 && featuresPath == "" {
+				return fmt.Errorf("nothing to check: name a settings file, --features or both")
+			}
+			var errs []error
+			if len(args) == 1 {
+				errs = append(errs, checkSettings(cmd.OutOrStdout(), args[0]))
+			}
+			if featuresPath != "" {
+				errs = append(errs, checkFeatures(cmd.OutOrStdout(), featuresPath))
+			}
+			return errors.Join(errs...)
+		},
+	}
+	addFeaturesFlag(cmd, &featuresPath)
+	return cmd
+}
+
+func checkSettings(out io.Writer, path string) error {
+	f, err := config.Load(path)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s: member %s, %d others, %d teams: good\n", path, f.Member, len(f.Peers), len(f.Cluster.Teams))
+	return nil
+}
+
+func checkFeatures(out io.Writer, path string) error {
+	enabled, err := features.Load(path)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s: on %v: good\n", path, enabled.EnabledNames())
+	return nil
+}
+
 // memoryLimitShare is how much of the memory that it may hold the runtime uses before
 // the collector works harder.
 const memoryLimitShare = 0.9
--- a/cmd/grebedock/user_and_operator.go
+++ b/cmd/grebedock/user_and_operator.go
@@ -149,6 +149,14 @@
 			return nil
 		},
 	})
+	addJobFlags(cmd, &j)
+	cmd.Flags().BoolVar(&wait, "wait", false, "wait until it is over")
+	_ = cmd.MarkFlagRequired("team")
+	return cmd
+}
+
+// addJobFlags adds the flags that describe a job.
+func addJobFlags(cmd *cobra.Command, j *client.Job) {
 	f := cmd.Flags()
 	f.StringVar(&j.ID, "id", "", "id, \"job-\" and digits; default: a new one")
 	f.StringVar(&j.Team, "team", "", "team whose guarantee and limit apply")
@@ -170,9 +178,6 @@
 	f.Float64Var(&j.CheckpointS, "checkpoint", 0, "between two checkpoints of a task, s; 0: it saves nothing")
 	f.Float64Var(&j.CheckpointDurationS, "save", 0, "that a stopped task needs to save, s")
 	f.Float64Var(&j.DeadlineS, "deadline", 0, "when the job is to be complete, s from now; 0: no deadline")
-	f.BoolVar(&wait, "wait", false, "wait until it is over")
-	_ = cmd.MarkFlagRequired("team")
-	return cmd
 }
 
 func jobCommand() *cobra.Command {
--- a/cmd/grebedock/workflow.go
+++ b/cmd/grebedock/workflow.go
@@ -221,34 +221,13 @@
 	f.BoolVar(&asJSON, "json", false, "print the last answer as JSON instead of outputs and progress")
 	f.BoolVar(&detach, "detach", false, "do not wait")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		p, in, err := loadWorkflow(args)
-		if err != nil {
-			return err
-		}
 		if id == "" {
 			id = fmt.Sprintf("run-%x", rand.Uint64())
 		}
-		doc, err := json.Marshal(cwl.Pack(p))
-		if err != nil {
-			return err
-		}
-		body, err := json.Marshal(
-			workflow.Submission{
-				ID:     id,
-				Packed: workflow.Pack(doc),
-				Inputs: in,
-				Job:    &cwl.JobHint{Team: team, Class: class, Priority: priority},
-			},
-		)
+		body, err := workflowSubmission(args, id, &cwl.JobHint{Team: team, Class: class, Priority: priority})
 		if err != nil {
 			return err
 		}
-		if len(body) > wire.MaxBody {
-			return &codedError{
-				fmt.Errorf("document and inputs take %d bytes packed, more than a request may (%d)", len(body), wire.MaxBody),
-				exitInvalid,
-			}
-		}
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		status, a, err := m.request(ctx, wire.Request{Method: "POST", Path: "/v1/workflows", Body: body})
@@ -266,6 +245,30 @@
 	return cmd
 }
 
+// workflowSubmission is the body that submits the document and inputs named by
+// the arguments.
+func workflowSubmission(args []string, id string, hint *cwl.JobHint) ([]byte, error) {
+	p, in, err := loadWorkflow(args)
+	if err != nil {
+		return nil, err
+	}
+	doc, err := json.Marshal(cwl.Pack(p))
+	if err != nil {
+		return nil, err
+	}
+	body, err := json.Marshal(workflow.Submission{ID: id, Packed: workflow.Pack(doc), Inputs: in, Job: hint})
+	if err != nil {
+		return nil, err
+	}
+	if len(body) > wire.MaxBody {
+		return nil, &codedError{
+			fmt.Errorf("document and inputs take %d bytes packed, more than a request may (%d)", len(body), wire.MaxBody),
+			exitInvalid,
+		}
+	}
+	return body, nil
+}
+
 // runPollInterval is how often a run that is followed is asked about.
 const runPollInterval = 500 * time.Millisecond
 
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -98,53 +98,84 @@
 }
 
 func (l *Lab) configure(o Options) error {
+	held, err := l.chooseAddrs(o)
+	defer closeAll(held)
+	if err != nil {
+		return err
+	}
+	if l.Platform, err = platformfake.StartPlatform(l.platformOptions(o)); err != nil {
+		return err
+	}
+	l.enableFeatures()
+	for i := range o.Members {
+		l.settings = append(l.settings, l.memberSettings(o, i))
+		l.members = append(l.members, nil)
+	}
+	return nil
+}
+
+// chooseAddrs takes two free addresses for each member. The listeners hold them
+// until the platform has its own; closed, they are free for the members.
+func (l *Lab) chooseAddrs(o Options) (held []net.Listener, err error) {
 	for i := range o.Members {
-		front := "127.0.0.1:0"
+		userAddr := "127.0.0.1:0"
 		if o.FirstPort != 0 {
-			front = fmt.Sprintf("127.0.0.1:%d", o.FirstPort+i)
+			userAddr = fmt.Sprintf("127.0.0.1:%d", o.FirstPort+i)
 		}
-		addrs := []string{front, "127.0.0.1:0"}
-		for i, a := range addrs {
-			ln, err := net.Listen("tcp4", a)
+		addrs := []string{userAddr, "127.0.0.1:0"}
+		for i, addr := range addrs {
+			listener, err := net.Listen("tcp4", addr)
 			if err != nil {
-				return fmt.Errorf("%w (another lab? --front names other ports)", err)
+				return held, fmt.Errorf("%w (another lab? --front names other ports)", err)
 			}
-			addrs[i] = ln.Addr().String()
-			defer ln.Close() // held until all are known, then free for the members
+			held = append(held, listener)
+			addrs[i] = listener.Addr().String()
 		}
 		l.UserAddrs, l.PeerAddrs = append(l.UserAddrs, addrs[0]), append(l.PeerAddrs, addrs[1])
 	}
+	return held, nil
+}
+
+func closeAll(listeners []net.Listener) {
+	for _, listener := range listeners {
+		_ = listener.Close()
+	}
+}
+
+func (l *Lab) platformOptions(o Options) platformfake.Options {
 	dir := toolrun.Dir(l.DataDir)
-	types := []scheduler.MachineType{
-		{
+	return platformfake.Options{
+		Types: []scheduler.MachineType{{
 			Name:           "small",
 			Resources:      availability.Resources{CPUs: o.MachineCPUs, MemoryGB: 4 * o.MachineCPUs, DiskGB: 50},
 			ImageFetchGBps: 1,
 			Price:          1,
 			SpotPrice:      0.3,
 			BootS:          1,
-			Zones:          []string{"a", "b"},
+			Zones:          labZones,
+		}},
+		Lease:     leaseS * time.Second,
+		Members:   l.UserAddrs,
+		Capacity:  o.MachinesPerType,
+		RunTimeMS: func(j *scheduler.Job) int64 { return int64(j.EstimateS * 1000 / o.SpeedFactor) },
+		Execute: func(t *platformfake.Task) platformfake.Execution {
+			if !dir.HasDescription(t.Job.ID) {
+				return nil
+			}
+			return dir.Start(t.Job.ID, t.Index())
+		},
+		OnTaskStarted: func(_ string, t *platformfake.Task, cpus float64) {
+			if o.OnTaskStarted != nil {
+				o.OnTaskStarted(t.Name, t.Job, cpus)
+			}
 		},
 	}
-	var err error
-	l.Platform, err = platformfake.StartPlatform(
-		platformfake.Options{Types: types, Lease: leaseS * time.Second, Members: l.UserAddrs, Capacity: o.MachinesPerType,
-			RunTimeMS: func(j *scheduler.Job) int64 { return int64(j.EstimateS * 1000 / o.SpeedFactor) },
-			Execute: func(t *platformfake.Task) platformfake.Execution {
-				if !dir.HasDescription(t.Job.ID) {
-					return nil
-				}
-				return dir.Start(t.Job.ID, t.Index())
-			},
-			OnTaskStarted: func(_ string, t *platformfake.Task, cpus float64) {
-				if o.OnTaskStarted != nil {
-					o.OnTaskStarted(t.Name, t.Job, cpus)
-				}
-			}},
-	)
-	if err != nil {
-		return err
-	}
+}
+
+// labZones are the zones of the lab's machines and members.
+var labZones = []string{"a", "b"}
+
+func (l *Lab) enableFeatures() {
 	l.enabled.Connections.Enabled = true
 	l.enabled.Relay.Enabled = true
 	l.enabled.Admission.Enabled = true
@@ -154,34 +185,36 @@
 	l.enabled.Rollout.Enabled = true
 	l.enabled.Schedules.Enabled = true
 	l.enabled.Workflows.Enabled, l.enabled.Workflows.DataDir = true, l.DataDir
-	for i := range o.Members {
-		f := &config.File{
-			Member:      fmt.Sprintf("lab-%d", i),
-			Zone:        []string{"a", "b"}[i%2],
-			UserAPIAddr: l.UserAddrs[i],
-			PeerAPIAddr: l.PeerAddrs[i],
-			External:    config.External{Cloud: l.Platform.CloudAddr, State: l.Platform.StateAddr},
-			Cluster: config.Cluster{InitialSize: o.Members, Zones: []string{"a", "b"}, ClockErrorMS: 5,
-				Teams:   []config.Team{{Name: "ops", CPUsMax: o.TeamCPULimit}},
-				Workers: config.Workers{HeartbeatS: heartbeatS, LeaseS: leaseS, CancelS: cancelS},
-				State:   config.State{RPS: 4000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16},
-				Cloud:   config.Cloud{RPS: 100, ListLagS: 1},
-				Limits:  config.Limits{CPUShare: 4, RAMMB: 1024, MaxSockets: 1000}},
-		}
-		for k := range o.Members {
-			if k != i {
-				f.Peers = append(
-					f.Peers,
-					config.Peer{Member: fmt.Sprintf("lab-%d", k), Zone: []string{"a", "b"}[k%2], Addr: l.PeerAddrs[k]},
-				)
-			}
+}
+
+func (l *Lab) memberSettings(o Options, i int) *config.File {
+	f := &config.File{
+		Member:      memberName(i),
+		Zone:        labZones[i%2],
+		UserAPIAddr: l.UserAddrs[i],
+		PeerAPIAddr: l.PeerAddrs[i],
+		External:    config.External{Cloud: l.Platform.CloudAddr, State: l.Platform.StateAddr},
+		Cluster: config.Cluster{
+			InitialSize:  o.Members,
+			Zones:        labZones,
+			ClockErrorMS: 5,
+			Teams:        []config.Team{{Name: "ops", CPUsMax: o.TeamCPULimit}},
+			Workers:      config.Workers{HeartbeatS: heartbeatS, LeaseS: leaseS, CancelS: cancelS},
+			State:        config.State{RPS: 4000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16},
+			Cloud:        config.Cloud{RPS: 100, ListLagS: 1},
+			Limits:       config.Limits{CPUShare: 4, RAMMB: 1024, MaxSockets: 1000},
+		},
+	}
+	for k := range o.Members {
+		if k != i {
+			f.Peers = append(f.Peers, config.Peer{Member: memberName(k), Zone: labZones[k%2], Addr: l.PeerAddrs[k]})
 		}
-		l.settings = append(l.settings, f)
-		l.members = append(l.members, nil)
 	}
-	return nil
+	return f
 }
 
+func memberName(i int) string { return fmt.Sprintf("lab-%d", i) }
+
 // Start starts a member, and Stop ends it as a crash would, from its own view:
 // it hands nothing over.
 func (l *Lab) Start(i int) {
--- /dev/null
+++ b/internal/platformfake/state_server.go
@@ -0,0 +1,131 @@
+package platformfake
+
+import (
+	"encoding/json"
+	"strconv"
+	"time"
+
+	"github.com/gofiber/fiber/v2"
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+type stateKV struct {
+	K    string          `json:"k"`
+	V    json.RawMessage `json:"v"`
+	Mark uint64          `json:"mark"`
+}
+
+func (s *Platform) applyStoreOp(c *fiber.Ctx, op scheduler.StoreOp) error {
+	s.mu.Lock()
+	r, _ := s.state.Apply(s.now(), op)
+	s.mu.Unlock()
+	switch r.Outcome {
+	case scheduler.NotFound:
+		return c.Status(404).JSON(fiber.Map{"tide": r.Rev})
+	case scheduler.Conflict:
+		return c.Status(409).JSON(fiber.Map{"tide": r.Rev, "failed": r.FailedKeys})
+	case scheduler.Gone:
+		if op.Kind == scheduler.StoreTxn {
+			return c.Status(400).JSON(fiber.Map{"error": "no such lease"})
+		}
+		return c.SendStatus(410)
+	}
+	switch op.Kind {
+	case scheduler.StoreGet:
+		return c.JSON(stateKV{r.KVs[0].Key, r.KVs[0].Value, r.KVs[0].Rev})
+	case scheduler.StoreList:
+		items := []stateKV{}
+		for _, it := range r.KVs {
+			items = append(items, stateKV{it.Key, it.Value, it.Rev})
+		}
+		return c.JSON(fiber.Map{"items": items, "more": r.More, "tide": r.Rev})
+	case scheduler.StoreWatch:
+		log := []fiber.Map{}
+		for _, it := range r.KVs {
+			if it.Value == nil {
+				log = append(log, fiber.Map{"remove": it.Key, "mark": it.Rev})
+			} else {
+				log = append(log, fiber.Map{"put": it.Key, "v": it.Value, "mark": it.Rev})
+			}
+		}
+		return c.JSON(fiber.Map{"tide": r.Rev, "log": log})
+	}
+	return c.JSON(fiber.Map{"tide": r.Rev, "mooring": r.LeaseID})
+}
+
+func (s *Platform) stateServer() *fiber.App {
+	app := newServer()
+	app.Get("/keys", func(c *fiber.Ctx) error {
+		op := scheduler.StoreOp{Kind: scheduler.StoreList, Key: c.Query("prefix"), StartAfter: c.Query("from")}
+		return s.applyStoreOp(c, op)
+	})
+	app.Get("/keys/*", func(c *fiber.Ctx) error {
+		return s.applyStoreOp(c, scheduler.StoreOp{Kind: scheduler.StoreGet, Key: c.Params("*")})
+	})
+	app.Post("/txn", s.serveTxn)
+	app.Post("/holds", s.serveLeaseGrant)
+	app.Post("/holds/:id/extend", func(c *fiber.Ctx) error {
+		id, _ := strconv.ParseUint(c.Params("id"), 10, 64)
+		return s.applyStoreOp(c, scheduler.StoreOp{Kind: scheduler.StoreRenewLease, LeaseID: id})
+	})
+	app.Get("/watch", s.serveWatch)
+	return app
+}
+
+func (s *Platform) serveTxn(c *fiber.Ctx) error {
+	var b struct {
+		Preconditions []stateKV `json:"guards"`
+		Changes       []struct {
+			Put     string          `json:"put"`
+			Remove  string          `json:"remove"`
+			V       json.RawMessage `json:"v"`
+			Mooring uint64          `json:"mooring"`
+		} `json:"then"`
+	}
+	if err := json.Unmarshal(c.Body(), &b); err != nil {
+		return c.SendStatus(400)
+	}
+	op := scheduler.StoreOp{Kind: scheduler.StoreTxn}
+	for _, g := range b.Preconditions {
+		op.Preconditions = append(op.Preconditions, scheduler.Precondition{Key: g.K, Revision: g.Mark})
+	}
+	for _, t := range b.Changes {
+		if t.Remove != "" {
+			op.Changes = append(op.Changes, scheduler.Change{Key: t.Remove})
+		} else {
+			op.Changes = append(op.Changes, scheduler.Change{Key: t.Put, Value: t.V, LeaseID: t.Mooring})
+		}
+	}
+	return s.applyStoreOp(c, op)
+}
+
+func (s *Platform) serveLeaseGrant(c *fiber.Ctx) error {
+	var b struct {
+		TTLMS int64 `json:"life_ms"`
+	}
+	if err := json.Unmarshal(c.Body(), &b); err != nil || b.TTLMS < 100 {
+		return c.SendStatus(400)
+	}
+	return s.applyStoreOp(c, scheduler.StoreOp{Kind: scheduler.StoreGrantLease, DurationMS: b.TTLMS})
+}
+
+// serveWatch answers as soon as there is a change, or when the time to wait is
+// over.
+func (s *Platform) serveWatch(c *fiber.Ctx) error {
+	from, _ := strconv.ParseUint(c.Query("from"), 10, 64)
+	op := scheduler.StoreOp{Kind: scheduler.StoreWatch, Key: c.Query("prefix"), Rev: from}
+	deadline := time.Now().Add(time.Duration(c.QueryInt("hold_ms")) * time.Millisecond)
+	for time.Now().Before(deadline) {
+		s.mu.Lock()
+		_, ready := s.state.Apply(s.now(), op)
+		s.mu.Unlock()
+		if ready {
+			break
+		}
+		time.Sleep(watchPollInterval)
+	}
+	return s.applyStoreOp(c, op)
+}
+
+// watchPollInterval is how often a watch looks for changes.
+const watchPollInterval = 5 * time.Millisecond
