--- a/cmd/grebedock/experiment_page.go
+++ b/cmd/grebedock/experiment_page.go
@@ -19,9 +19,12 @@
 // reportPage is the report as one file that needs nothing else.
 var reportPage = template.Must(template.New("report").Parse(`<!doctype html>
 <meta charset="utf-8"><title>{{.Name}}</title>
-<style>body{font:14px sans-serif;max-width:72em;margin:2em auto}table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:left;border-bottom:1px solid #ccc}.apart{font-weight:bold}figure{display:inline-block;margin:1em}</style>
+<style>body{font:14px sans-serif;max-width:72em;margin:2em auto}` +
+	`table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:left;border-bottom:1px solid #ccc}` +
+	`.apart{font-weight:bold}figure{display:inline-block;margin:1em}</style>
 <h1>{{.Name}}</h1>
-<p>Mean over the seeds, with the 95 % confidence interval; bold where it differs from the first variant's, seed by seed. Simulated machines.</p>
+<p>Mean over the seeds, with the 95 % confidence interval; bold where it differs ` +
+	`from the first variant's, seed by seed. Simulated machines.</p>
 <table><tr><th>figure</th>{{range .Variants}}<th>{{.}}</th>{{end}}</tr>
 {{range .Rows}}<tr><td>{{.Name}}</td>{{range .Cells}}<td{{if .Apart}} class="apart"{{end}}>{{.Text}}</td>{{end}}</tr>
 {{end}}</table>
--- a/cmd/grebedock/lab.go
+++ b/cmd/grebedock/lab.go
@@ -34,8 +34,9 @@
 		Long: "Starts members and stand-ins for all that they need, on loopback, in one process.\n" +
 			"Workers run the tools of workflows as plain processes of this user, isolated from\n" +
 			"nothing; tasks of other jobs are only waited for. Ctrl-C ends everything.",
-		Example: "  grebedock lab up\n  grebedock workflow run docs/examples/cwl/read-batch.cwl docs/examples/cwl/read-batch.json",
-		Args:    cobra.NoArgs,
+		Example: "  grebedock lab up\n  grebedock workflow run docs/examples/cwl/read-batch.cwl " +
+			"docs/examples/cwl/read-batch.json",
+		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			level, err := logLevel(os.Getenv("LOG_LEVEL"))
 			if err != nil {
--- a/cmd/grebedock/lab_experiment.go
+++ b/cmd/grebedock/lab_experiment.go
@@ -228,7 +228,8 @@
 		Short: "Compare the variants of an experiment, or two files of results",
 		Long: "Prints each figure's mean over the seeds with the half-width of its 95 % confidence\n" +
 			"interval, variants side by side. A figure is marked with * if it differs from the\n" +
-			"first variant's: the interval of the differences, seed by seed, leaves out 0. With two files, the first is the one compared against.",
+			"first variant's: the interval of the differences, seed by seed, leaves out 0. With two files, " +
+			"the first is the one compared against.",
 		Args: cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var all []emulator.Result
--- a/cmd/grebedock/program_test.go
+++ b/cmd/grebedock/program_test.go
@@ -164,7 +164,8 @@
 	}
 	jobRequest := func(n int, shape string, tasks int, cpus float64) (string, string) {
 		body := fmt.Sprintf(
-			`{"ref":"job-%06d","flock":"f","crew":"ops","shape":%q,"rank":"standard","chicks":%d,"cpus":%g,"cards":0,"memory_gb":4,"plumage":"i","size_gb":0.1,
+			`{"ref":"job-%06d","flock":"f","crew":"ops","shape":%q,"rank":"standard","chicks":%d,"cpus":%g,`+
+				`"cards":0,"memory_gb":4,"plumage":"i","size_gb":0.1,
 		"same_place":false,"spread":false,"driftwood":true,"swim_s":0.2,"surface_s":0,"preen_s":0}`,
 			n,
 			shape,
@@ -311,8 +312,10 @@
 // A file whose schedules run workflows is applied with them in it.
 func TestScheduledWorkflowsArePackedIntoTheFile(t *testing.T) {
 	dir := t.TempDir()
-	text := "[[calendar]]\nname = \"c\"\nholidays = [{name = \"h\", dates = [\"01-01\"]}]\n[[schedule]]\nname = \"s\"\nzone = \"UTC\"\nrule = \"FREQ=DAILY\"\nfrom = \"2026-01-01\"\n" +
-		"until = \"2028-02-29\"\nat = [\"05:30\", \"05:30:15\"]\ncalendar = \"c\"\n[schedule.job]\nteam = \"ops\"\n[schedule.workflow]\nfile = \"w.cwl\"\ninputs = {n = 1}\n"
+	text := "[[calendar]]\nname = \"c\"\nholidays = [{name = \"h\", dates = [\"01-01\"]}]\n[[schedule]]\n" +
+		"name = \"s\"\nzone = \"UTC\"\nrule = \"FREQ=DAILY\"\nfrom = \"2026-01-01\"\n" +
+		"until = \"2028-02-29\"\nat = [\"05:30\", \"05:30:15\"]\ncalendar = \"c\"\n[schedule.job]\nteam = \"ops\"\n" +
+		"[schedule.workflow]\nfile = \"w.cwl\"\ninputs = {n = 1}\n"
 	cwl := "cwlVersion: v1.2\nclass: CommandLineTool\nbaseCommand: echo\ninputs: {n: int}\noutputs: {}\n"
 	for name, b := range map[string]string{"s.toml": text, "w.cwl": cwl} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(b), 0o600); err != nil {
--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -23,7 +23,8 @@
 		Use: "rollout", Short: "Drain or replace machines in steps, within a budget for each team",
 		Long: "A plan empties machines step by step, and replaces them if it says so, without any team losing\n" +
 			"more tasks at once than its budget (the setting disruption). It goes on whichever member ends.",
-		Example: "  grebedock rollout apply --addr 10.0.0.1:8081 plan.toml\n  grebedock rollout status --addr 10.0.0.1:8081\n" +
+		Example: "  grebedock rollout apply --addr 10.0.0.1:8081 plan.toml\n" +
+			"  grebedock rollout status --addr 10.0.0.1:8081\n" +
 			"  grebedock rollout pause --addr 10.0.0.1:8081",
 	}
 	cmd.AddCommand(applyRolloutCommand())
--- a/cmd/grebedock/stalling_clients_test.go
+++ b/cmd/grebedock/stalling_clients_test.go
@@ -257,7 +257,8 @@
 	})
 
 	front, mesh := startMember(t, attackSockets, connectionsEnabled)
-	body := `{"ref":"job-000001","flock":"f","crew":"ops","shape":"standing","rank":"standard","chicks":1,"cpus":1,"cards":0,"memory_gb":4,"plumage":"i","size_gb":0.1,` +
+	body := `{"ref":"job-000001","flock":"f","crew":"ops","shape":"standing","rank":"standard","chicks":1,` +
+		`"cpus":1,"cards":0,"memory_gb":4,"plumage":"i","size_gb":0.1,` +
 		`"same_place":false,"spread":false,"driftwood":true,"swim_s":0,"surface_s":0,"preen_s":0}`
 	// Workers keep reporting only while they are answered: a service gives
 	// them something to hold.
--- a/cmd/grebedock/user_and_operator.go
+++ b/cmd/grebedock/user_and_operator.go
@@ -185,7 +185,8 @@
 	var wait bool
 	cmd := options.addFlags(&cobra.Command{
 		Use: "job ID", Short: "Ask how far a job is", Args: cobra.ExactArgs(1),
-		Long: "Ask how far a job is. Exit codes: 0 told (with --wait: done), 1 no answer, 2 no such job,\n4 cancelled (with --wait).",
+		Long: "Ask how far a job is. Exit codes: 0 told (with --wait: done), 1 no answer, 2 no such job,\n" +
+			"4 cancelled (with --wait).",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, ctx, stop, err := options.newClient(cmd)
 			if err != nil {
@@ -450,7 +451,8 @@
 	cmd := o.addFlags(&cobra.Command{
 		Use: "drain MACHINE...", Short: "Give machines back once nothing runs on them", Args: cobra.MinimumNArgs(1),
 		Long: "Adds machines to the setting drain: they start nothing new and are given back when they\n" +
-			"are empty. --undo takes them off it: they take work again, unless they are empty and on\ntheir way back already. Prints what is on the list then.",
+			"are empty. --undo takes them off it: they take work again, unless they are empty and on\n" +
+			"their way back already. Prints what is on the list then.",
 		Example: "  grebedock drain --addr 10.0.0.1:8081 i-000231",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var s scheduler.Settings
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -42,7 +42,8 @@
 	var b otherOuter
 	Fill(&a)
 	Fill(&b)
-	if a.A != b.Z || len(a.B) != 2 || a.B[1].A != b.Y[1].Z || *a.B[1].B != *b.Y[1].Y || len(a.C) != 2 || a.C["s6"] != b.X["s6"] ||
+	if a.A != b.Z || len(a.B) != 2 || a.B[1].A != b.Y[1].Z || *a.B[1].B != *b.Y[1].Y ||
+		len(a.C) != 2 || a.C["s6"] != b.X["s6"] ||
 		string(a.D) != string(b.W) || !json.Valid(a.D) || a.E != b.V || !a.F || a.G != nil ||
 		a.H != b.S {
 		t.Errorf("%+v and %+v differ", a, b)
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -120,7 +120,8 @@
 var (
 	ownFailure  = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
 	fatalOutput = regexp.MustCompile(
-		`^(panic: |fatal error: |WARNING: DATA RACE|signal: |exit status [^1])|race detected during execution of test|test timed out after`,
+		`^(panic: |fatal error: |WARNING: DATA RACE|signal: |exit status [^1])|race detected during execution of ` +
+			`test|test timed out after`,
 	)
 )
 
--- a/internal/knownred/verdict_test.go
+++ b/internal/knownred/verdict_test.go
@@ -79,14 +79,16 @@
 			expectedOutput: "passed over: p.TestBad/a",
 		},
 		{
-			name:           "another case",
-			code:           pass + "func TestBad(t *testing.T) {\n\tfor _, n := range []string{\"a\", \"b\"} {\n\t\tt.Run(n, func(t *testing.T) { t.Error(1) })\n\t}\n}\n",
+			name: "another case",
+			code: pass + "func TestBad(t *testing.T) {\n\tfor _, n := range []string{\"a\", \"b\"} {\n" +
+				"\t\tt.Run(n, func(t *testing.T) { t.Error(1) })\n\t}\n}\n",
 			list:           "p.TestBad/a; why; #1",
 			expectedOutput: "FAIL: p.TestBad/b",
 		},
 		{
-			name:           "its parent too",
-			code:           pass + "func TestBad(t *testing.T) {\n\tt.Run(\"a\", func(t *testing.T) { t.Error(1) })\n\tt.Error(2)\n}\n",
+			name: "its parent too",
+			code: pass + "func TestBad(t *testing.T) {\n\tt.Run(\"a\", func(t *testing.T) { t.Error(1) })\n" +
+				"\tt.Error(2)\n}\n",
 			list:           "p.TestBad/a; why; #1",
 			expectedOutput: "FAIL: p.TestBad",
 		},
@@ -110,8 +112,9 @@
 		},
 		{name: "no build", code: pass + "var _ int = \"\"\n", list: "p.TestGood; why; #1", expectedOutput: "does not build"},
 		{
-			name:           "race",
-			code:           pass + "func TestBad(t *testing.T) {\n\tx, c := 0, make(chan int)\n\tgo func() { x++; close(c) }()\n\tx++\n\t<-c\n\t_ = x\n}\n",
+			name: "race",
+			code: pass + "func TestBad(t *testing.T) {\n\tx, c := 0, make(chan int)\n" +
+				"\tgo func() { x++; close(c) }()\n\tx++\n\t<-c\n\t_ = x\n}\n",
 			args:           []string{"-race"},
 			list:           "p.TestBad; why; #1",
 			expectedOutput: "DATA RACE",
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -414,7 +414,8 @@
 	l, c := startLab(t, Options{Members: 2, OnTaskStarted: rec.record})
 	due := time.Now().UTC().Add(4 * time.Second)
 	text := fmt.Sprintf(
-		"[[schedule]]\nname = \"soon\"\nzone = \"UTC\"\nrule = \"FREQ=DAILY\"\nfrom = \"2026-01-01\"\nat = [%q]\n[schedule.job]\nteam = \"ops\"\ncpus = 1.0\nestimate_s = 0.2\ntasks = 3\n",
+		"[[schedule]]\nname = \"soon\"\nzone = \"UTC\"\nrule = \"FREQ=DAILY\"\nfrom = \"2026-01-01\"\nat = [%q]\n"+
+			"[schedule.job]\nteam = \"ops\"\ncpus = 1.0\nestimate_s = 0.2\ntasks = 3\n",
 		due.Format("15:04:05"),
 	)
 	requestAdmin := func(method, path, body string) (int, map[string]any) {
@@ -470,7 +471,8 @@
 		t.Fatal(err)
 	}
 	text = fmt.Sprintf(
-		"[[schedule]]\nname = \"flow\"\nzone = \"UTC\"\nrule = \"FREQ=DAILY\"\nfrom = \"2026-01-01\"\nat = [%q]\n[schedule.job]\nteam = \"ops\"\n[schedule.workflow]\ndocument = '''%s'''\ninputs = {x = 21}\n",
+		"[[schedule]]\nname = \"flow\"\nzone = \"UTC\"\nrule = \"FREQ=DAILY\"\nfrom = \"2026-01-01\"\nat = [%q]\n"+
+			"[schedule.job]\nteam = \"ops\"\n[schedule.workflow]\ndocument = '''%s'''\ninputs = {x = 21}\n",
 		due.Format("15:04:05"),
 		doc,
 	)
--- a/internal/packagegraph/packagegraph.go
+++ b/internal/packagegraph/packagegraph.go
@@ -149,7 +149,8 @@
 	)
 	fmt.Fprintf(&b, "%d packages on %d levels, %d imports.\n", len(g), len(levels), arrows)
 	b.WriteString(
-		"A package imports lower levels only. Arrows that follow from others are left out of the picture; the table has all.\n\n",
+		"A package imports lower levels only. Arrows that follow from others are left out of the picture; the table " +
+			"has all.\n\n",
 	)
 	g.writeGraph(&b, levels)
 	b.WriteString("\n| level | package | imports | what it is |\n| --- | --- | --- | --- |\n")
--- a/workflow/host_test.go
+++ b/workflow/host_test.go
@@ -482,11 +482,13 @@
 // What cannot run is refused with its reason, and nothing of it is stored.
 func TestInvalidSubmissionIsRejectedNamingTheField(t *testing.T) {
 	tool := func(extra string) string {
-		return `{"cwlVersion": "v1.2", "class": "CommandLineTool", "baseCommand": "x", "inputs": {"n": "int"}, "outputs": {}` + extra + `}`
+		return `{"cwlVersion": "v1.2", "class": "CommandLineTool", "baseCommand": "x", "inputs": {"n": "int"}, ` +
+			`"outputs": {}` + extra + `}`
 	}
 	flow := `{"cwlVersion": "v1.2", "class": "Workflow", "inputs": {"n": "int"}, "outputs": {}, "steps": {
 		"a": {"run": {"class": "Workflow", "inputs": {"n": "int"}, "outputs": {}, "steps": {"b": {"run": ` + tool("") +
-		`, "in": {"n": "n"}, "out": []}}}, "scatter": "n", "in": {"n": {"source": ["n"], "linkMerge": "merge_flattened"}}, "out": []}}}`
+		`, "in": {"n": "n"}, "out": []}}}, "scatter": "n", "in": {"n": {"source": ["n"], ` +
+		`"linkMerge": "merge_flattened"}}, "out": []}}}`
 	body := func(doc, rest string) string {
 		return `{"id": "r", "document": ` + doc + `, "inputs": {"n": 1}` + rest + `}`
 	}
@@ -522,7 +524,8 @@
 		{
 			"other files",
 			body(
-				`{"cwlVersion": "v1.2", "class": "Workflow", "inputs": {}, "outputs": {}, "steps": {"a": {"run": "b.cwl", "in": {}, "out": []}}}`,
+				`{"cwlVersion": "v1.2", "class": "Workflow", "inputs": {}, "outputs": {}, "steps": {"a": {"run": "b.cwl", `+
+					`"in": {}, "out": []}}}`,
 				ops,
 			),
 			400, "pack it first",
