--- a/recurrence/schedule.go
+++ b/recurrence/schedule.go
@@ -116,18 +116,19 @@
 }
 
 func (s *Schedule) validatePolicies() error {
-	err := validateChoice("shift", &s.Shift, Run, Skip, Next, Previous, NextInMonth, PreviousInMonth)
+	err := ValidateChoice("shift", &s.Shift, Run, Skip, Next, Previous, NextInMonth, PreviousInMonth)
 	if err != nil {
 		return err
 	}
-	if err := validateChoice("gap", &s.Gap, GapAfter, GapSkip); err != nil {
+	if err := ValidateChoice("gap", &s.Gap, GapAfter, GapSkip); err != nil {
 		return err
 	}
-	return validateChoice("overlap", &s.Overlap, OverlapFirst, OverlapSecond, OverlapBoth)
+	return ValidateChoice("overlap", &s.Overlap, OverlapFirst, OverlapSecond, OverlapBoth)
 }
 
-// validateChoice checks that a value is one of the allowed ones; an empty one becomes the first.
-func validateChoice[T ~string](field string, value *T, allowed ...T) error {
+// ValidateChoice returns an error that names the field unless a value is one of the allowed ones. An
+// empty value becomes the first of them.
+func ValidateChoice[T ~string](field string, value *T, allowed ...T) error {
 	if *value == "" {
 		*value = allowed[0]
 	}
--- /dev/null
+++ b/schedules/calendar_updates.go
@@ -0,0 +1,102 @@
+package schedules
+
+import (
+	"encoding/json"
+	"slices"
+
+	"github.com/grebedock/grebedock/recurrence"
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+// listCalendarUsers reads the schedules whose current version uses a calendar.
+func (h *Host) listCalendarUsers(calendar string, onUsers func(users []definitionRecord, ok bool)) {
+	var users []definitionRecord
+	onPage := func(page []scheduler.KeyValue) bool {
+		for _, kv := range page {
+			var definition definitionRecord
+			if json.Unmarshal(kv.Value, &definition) == nil && definition.uses(calendar) {
+				users = append(users, definition)
+			}
+		}
+		return true
+	}
+	h.List(scheduler.UrgencyRead, definitionPrefix, onPage, func(ok bool) { onUsers(users, ok) })
+}
+
+func (d *definitionRecord) uses(calendar string) bool {
+	return d.Calendar != nil && d.Calendar.Name == calendar
+}
+
+// calendarUpdate gives a calendar to the schedules that use it, one after the other. If it ends early, the
+// operator repeats the request, and finds done what is done.
+type calendarUpdate struct {
+	host     *Host
+	reply    uint64
+	calendar calendar
+	since    int64
+	users    []definitionRecord // not updated yet
+	response Response
+}
+
+// applyCalendar makes a new version of each schedule that uses a calendar.
+func (h *Host) applyCalendar(reply uint64, r Request) {
+	f, err := ParseFile(r.Body)
+	if err != nil {
+		h.Respond(reply, Response{Status: 400, Name: r.Name, Error: err.Error()})
+		return
+	}
+	i := slices.IndexFunc(f.Calendars, func(c *recurrence.Calendar) bool { return c.Name == r.Name })
+	if i < 0 {
+		h.Respond(reply, Response{Status: 400, Name: r.Name, Error: "the file has no calendar of this name"})
+		return
+	}
+	u := &calendarUpdate{
+		host:     h,
+		reply:    reply,
+		calendar: f.Calendars[i],
+		since:    max(r.EffectiveMS, h.Now.WallMS),
+		response: Response{Status: 200, Name: r.Name, State: stateUnchanged, Schedules: []Summary{}},
+	}
+	h.listCalendarUsers(r.Name, func(users []definitionRecord, ok bool) {
+		switch {
+		case !ok:
+			h.Respond(reply, unavailable(r.Name))
+		case len(users) == 0:
+			h.Respond(reply, Response{Status: 404, Name: r.Name, Error: calendarNotUsed})
+		default:
+			u.users = users
+			u.updateNext()
+		}
+	})
+}
+
+// updateNext updates the first of the remaining schedules, or responds if there is none.
+func (u *calendarUpdate) updateNext() {
+	if len(u.users) == 0 {
+		u.host.Respond(u.reply, u.response)
+		return
+	}
+	name := u.users[0].Spec.Name
+	u.users = u.users[1:]
+	u.host.updateDefinition(name, u.change, u.onUpdated)
+}
+
+func (u *calendarUpdate) change(d *definitionRecord) (state string, err error) {
+	if !d.uses(u.calendar.Name) || encodesSame(d.Calendar, u.calendar) {
+		return stateUnchanged, nil
+	}
+	v := version{Spec: d.Spec, Calendar: u.calendar}
+	return stateApplied, d.replace(v, u.since, u.host.params.ValueBytes)
+}
+
+func (u *calendarUpdate) onUpdated(r Response) {
+	if r.Status != 200 {
+		u.host.Respond(u.reply, r)
+		return
+	}
+	if r.State == stateApplied {
+		u.response.State = stateApplied
+		u.response.Schedules = append(u.response.Schedules, Summary{Name: r.Name, Version: r.Version})
+	}
+	u.updateNext()
+}
--- a/schedules/decisions.go
+++ b/schedules/decisions.go
@@ -4,6 +4,7 @@
 	"container/heap"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 
@@ -11,29 +12,22 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// maxMomentsPerDecision bounds what one decision covers: after a long outage a schedule
-// decides in several.
+// maxMomentsPerDecision bounds the moments of one write: after a long outage a schedule needs several.
 const maxMomentsPerDecision = 20
 
+// retryMS is the delay before what could not be done is tried again.
+const retryMS = 1000
+
 // maxPendingRuns bounds the runs of a schedule that are decided and not submitted.
 const maxPendingRuns = 8
 
-// decideDue decides what is due, most urgent and oldest first, several schedules
-// of a shard in one transaction.
+// decideDue decides what is due, the oldest and most urgent first, several schedules of a shard in one
+// transaction.
 func (h *Host) decideDue() {
 	batches := map[*shard][]*entry{}
 	for len(h.due) > 0 && h.due[0].dueAt <= h.certainWallMS() && h.tokens >= 1 {
 		e := heap.Pop(&h.due).(*entry)
-		switch {
-		case e.busy:
-			continue // its answer puts it back
-		case e.definitionRev == 0:
-			h.reloadEntry(e.shard, e.name)
-			continue
-		case len(e.progress.Pending)-len(e.submitted) >= maxPendingRuns:
-			h.enqueueAt(e, h.Now.WallMS+1000) // nobody takes its runs at present
-			continue
-		case !h.isPrecedingRunOver(e):
+		if !h.mayDecide(e) {
 			continue
 		}
 		h.tokens--
@@ -45,87 +39,55 @@
 		}
 		batches[e.shard] = batch
 	}
-	for _, name := range sortedShards(batches) {
-		s := h.shards[name]
-		if s != nil && len(batches[s]) > 0 {
+	for _, s := range sortedShards(batches) {
+		if h.shards[s.name] == s && len(batches[s]) > 0 {
 			h.decideBatch(s, batches[s])
 		}
 	}
 }
 
-func sortedShards(m map[*shard][]*entry) []string {
-	var out []string
-	for s := range m {
-		out = append(out, s.name)
+// mayDecide reports whether a due entry can be decided now. If not, it is queued again by itself or by the
+// answer that it waits for.
+func (h *Host) mayDecide(e *entry) bool {
+	switch {
+	case e.busy:
+		return false
+	case e.definitionRev == 0:
+		h.reloadEntry(e.shard, e.name)
+		return false
+	case len(e.progress.Pending)-len(e.submitted) >= maxPendingRuns: // the core takes no jobs at present
+		h.enqueueAt(e, h.Now.WallMS+retryMS)
+		return false
 	}
-	slices.Sort(out)
-	return out
+	return h.isPrecedingRunOver(e)
 }
 
-// isPrecedingRunOver settles, for schedules whose runs must not overlap, whether the run
-// before is over. It is false while that is asked or waited for.
-func (h *Host) isPrecedingRunOver(e *entry) bool {
-	preceding := e.progress.Last
-	if preceding == "" || e.current.Spec.Busy == "allow" || e.current.Spec.Busy == "forbid" && e.precedingRun != "" ||
-		e.precedingRun == preceding {
-		return true
-	}
-	e.busy = true
-	replace := e.current.Spec.Busy == "replace"
-	onState := func(status int, over bool) {
-		e.busy = false
-		if h.shards[e.shard.name] != e.shard || e.shard.entries[e.name] != e {
-			return
-		}
-		switch {
-		case status == 200 && over:
-			e.precedingRun = preceding
-		case status == 404 && !e.isPending(preceding):
-			e.precedingRun = preceding
-		case status == 200 && e.current.Spec.Busy == "forbid":
-			e.precedingRun = "-" // it runs: this moment is not run
-		default:
-			h.enqueueAt(e, h.Now.WallMS+1000) // queue, or no answer yet
-			return
-		}
-		h.enqueueAt(e, min(e.dueAt, h.certainWallMS()))
-	}
-	if strings.HasPrefix(preceding, "run-") {
-		h.SendRequest(WorkflowRequest{Run: preceding, Abort: replace}, func(r WorkflowResult) { onState(r.Status, r.IsOver) })
-		return false
-	}
-	kind := scheduler.QueryJob
-	if replace {
-		kind = scheduler.CancelJob
-	}
-	h.SendCore(
-		scheduler.UserRequest{Kind: kind, ID: preceding},
-		func(a scheduler.UserResponse) { onState(a.Status, a.State.IsTerminal()) },
-	)
-	return false
+func sortedShards(batches map[*shard][]*entry) []*shard {
+	return slices.SortedFunc(maps.Keys(batches), func(a, b *shard) int { return strings.Compare(a.name, b.name) })
 }
 
 func (e *entry) isPending(job string) bool {
 	return slices.ContainsFunc(e.progress.Pending, func(d Decision) bool { return d.Job == job })
 }
 
-// decideBatch settles the due moments of some schedules of a shard in one write.
+// decideBatch writes the decisions for the due moments of some schedules of a shard.
 func (h *Host) decideBatch(s *shard, batch []*entry) {
 	preconditions := []scheduler.Precondition{{Key: scheduler.ClaimKey(s.name), Revision: s.token}}
 	var changes []scheduler.Change
-	next := make([]progressRecord, len(batch))
+	next := make([]progressRecord, 0, len(batch))
 	size := 0
 	for i, e := range batch {
-		p, page := h.nextProgress(e)
-		value := extension.Encode(p)
+		progress, page := h.nextProgress(e)
+		value := extension.Encode(progress)
 		if size += len(value) + len(page); i > 0 && size > maxTxnBytes {
 			h.decideBatch(s, batch[i:])
-			batch, next = batch[:i], next[:i]
+			batch = batch[:i]
 			break
 		}
-		next[i] = p
+		next = append(next, progress)
 		if page != nil {
-			changes = append(changes, scheduler.Change{Key: historyKey(s.name, e.name, p.Pages-1), Value: page})
+			key := historyKey(s.name, e.name, progress.Pages-1)
+			changes = append(changes, scheduler.Change{Key: key, Value: page})
 		}
 		preconditions = append(
 			preconditions,
@@ -134,47 +96,47 @@
 		)
 		changes = append(changes, scheduler.Change{Key: progressKey(s.name, e.name), Value: value})
 	}
-	h.SendStore(
-		scheduler.StoreOp{
-			Kind:          scheduler.StoreTxn,
-			Urgency:       scheduler.UrgencyBackground,
-			Preconditions: preconditions,
-			Changes:       changes,
-		},
-		func(r scheduler.StoreResult) {
-			if h.shards[s.name] != s {
-				return
-			}
-			for i, e := range batch {
-				if s.entries[e.name] != e {
-					continue
-				}
-				if r.Outcome != scheduler.OK {
-					// Changed by an operator, decided by somebody else, or not
-					// known: the store's word goes.
-					h.reloadEntry(s, e.name)
-					continue
-				}
-				e.busy, e.precedingRun = false, ""
-				h.countDecisions(e.progress, next[i])
-				e.progress, e.progressRev = next[i], r.Rev
-				clear(e.submitted)
-				h.enqueueNext(e)
-				h.submitPending(e)
+	txn := scheduler.StoreOp{
+		Kind:          scheduler.StoreTxn,
+		Urgency:       scheduler.UrgencyBackground,
+		Preconditions: preconditions,
+		Changes:       changes,
+	}
+	h.SendStore(txn, func(r scheduler.StoreResult) {
+		for i, e := range batch {
+			if h.owns(e) {
+				h.onDecided(e, next[i], r)
 			}
-		},
-	)
+		}
+	})
+}
+
+// onDecided takes the result of a decision's write.
+func (h *Host) onDecided(e *entry, progress progressRecord, r scheduler.StoreResult) {
+	if r.Outcome != scheduler.OK {
+		// An operator changed the schedule, another owner decided, or the outcome is unknown: the
+		// stored records are what counts.
+		h.reloadEntry(e.shard, e.name)
+		return
+	}
+	e.busy, e.precedingRun = false, ""
+	h.countDecisions(e.progress, progress)
+	e.progress, e.progressRev = progress, r.Rev
+	clear(e.submitted)
+	h.enqueueNext(e)
+	h.submitPending(e)
 }
 
 func (h *Host) countDecisions(before, after progressRecord) {
 	for _, d := range after.Log {
-		if d.AtMS > before.DecidedUpToMS {
-			h.Counters.Decided++
-			if d.Run {
-				h.Counters.Runs++
-			} else {
-				h.Counters.Skipped++
-			}
+		if d.AtMS <= before.DecidedUpToMS {
+			continue
+		}
+		h.Counters.Decided++
+		if d.Run {
+			h.Counters.Runs++
+		} else {
+			h.Counters.Skipped++
 		}
 	}
 }
@@ -182,27 +144,26 @@
 // lateThresholdMS is how late a moment may be decided and still not count as missed.
 const lateThresholdMS = 30_000
 
-// maxTxnBytes is what the values of one transaction may take: the state service
-// takes 64 KiB with keys and conditions.
+// maxTxnBytes bounds the values of a transaction: the state service allows 64 KiB with keys and
+// preconditions.
 const maxTxnBytes = 48 << 10
 
 // maxReasonBytes bounds a reason in a record: operators write some of them.
 const maxReasonBytes = 120
 
-// nextProgress works out what becomes of a schedule's due moments, as many as its
-// record holds; the rest is due again at once. What was decided earlier moves
-// to a page of history first where it takes a quarter of the record. A record
-// that the state service refuses for its size would stop its schedule for good.
+// nextProgress returns a schedule's progress with its due moments decided, as many as the record
+// holds; the rest is due again at once. Earlier decisions move to a page of history first if they
+// take a quarter of the record. A record that the state service refuses for its size would stop its
+// schedule for good.
 func (h *Host) nextProgress(entry *entry) (progress progressRecord, page json.RawMessage) {
 	progress = entry.progress
 	if previousLog := extension.Encode(progress.Log); len(previousLog) > h.params.ValueBytes/4 {
 		page = previousLog
 		progress.Log, progress.Pages = nil, progress.Pages+1
 	}
-	progress.Pending = slices.DeleteFunc(
-		slices.Clone(progress.Pending),
-		func(decision Decision) bool { return entry.submitted[decision.Job] },
-	)
+	progress.Pending = slices.DeleteFunc(slices.Clone(progress.Pending), func(decision Decision) bool {
+		return entry.submitted[decision.Job]
+	})
 	progress.Log = slices.Clone(progress.Log)
 	due := h.dueMoments(entry)
 	size := len(extension.Encode(progress))
@@ -210,32 +171,30 @@
 		if i > 0 && size > h.params.ValueBytes/2 {
 			break
 		}
-		decision := Decision{
-			AtMS:      moment.at,
-			Run:       true,
-			Reason:    moment.reason,
-			Version:   moment.version.Version,
-			DecidedMS: h.Now.WallMS,
-		}
 		newest := i == len(due)-1 && len(due) < maxMomentsPerDecision
-		decision.applyPolicies(entry, moment, newest, i > 0 && progress.Last != entry.progress.Last)
-		if decision.Run {
-			decision.Job = moment.version.Spec.jobOrRunID(runName(entry.name, moment.at))
-			progress.Pending = append(progress.Pending, decision)
-			progress.Last = decision.Job
-		}
-		progress.Log = append(progress.Log, decision)
-		progress.DecidedUpToMS = moment.at
-		size += 2 * len(extension.Encode(decision)) // as pending, too
-		if decision.Run && (moment.version.Spec.Busy == "queue" || moment.version.Spec.Busy == "replace") {
-			break // the next one waits for this one, or takes its place
+		behind := i > 0 && progress.Last != entry.progress.Last
+		decision := entry.decide(moment, h.Now.WallMS, newest, behind)
+		progress.add(decision)
+		size += 2 * len(extension.Encode(decision)) // in Log and in Pending
+		if decision.Run && moment.version.Spec.Busy.runsOneAtATime() {
+			break
 		}
 	}
 	return progress, page
 }
 
-// dueMoments are the moments of a schedule that have come and are not decided,
-// oldest first.
+// add appends a decision, and its run to those to be submitted.
+func (p *progressRecord) add(d Decision) {
+	if d.Run {
+		p.Pending = append(p.Pending, d)
+		p.Last = d.Job
+	}
+	p.Log = append(p.Log, d)
+	p.DecidedUpToMS = d.AtMS
+}
+
+// dueMoments returns the moments of a schedule that have come and are not decided, the oldest first,
+// maxMomentsPerDecision at most.
 func (h *Host) dueMoments(e *entry) (due []moment) {
 	for after := e.decidedUpTo(); len(due) < maxMomentsPerDecision; {
 		m, ok := e.nextMoment(after)
@@ -248,29 +207,41 @@
 	return due
 }
 
-// applyPolicies decides whether a moment is run, and says why it is late or not run.
-// newest tells that no later moment is due, and behind that the run of an
-// earlier moment is decided together with this one.
-func (d *Decision) applyPolicies(e *entry, m moment, newest, behind bool) {
-	late := d.DecidedMS - m.at
-	skip := func(reason string) { d.Run, d.Reason = false, joinReasons(reason, m.reason) }
-	switch spec := m.version.Spec; {
-	case float64(late) > spec.LateS*1000:
-		skip(fmt.Sprintf("missed: %d s late, %g allowed", late/1000, spec.LateS))
-	case late > lateThresholdMS && spec.Missed == "skip":
-		skip("missed, and missed runs are skipped")
-	case late > lateThresholdMS && spec.Missed == "latest" && !newest:
-		skip("missed, and only the latest missed run is made up for")
-	case spec.Busy == "forbid" && e.precedingRun == "-":
-		skip("the run before is not over")
-	case spec.Busy != "allow" && behind:
-		skip("the run before, due at the same time, is not over")
-	case late > lateThresholdMS:
-		d.Reason = joinReasons(fmt.Sprintf("%d s late", late/1000), m.reason)
-	}
+// decide returns the decision for a moment. newest: no later moment is due; behind: the run of an earlier
+// moment is decided together with this one.
+func (e *entry) decide(m moment, wallMS int64, newest, behind bool) Decision {
+	d := Decision{AtMS: m.at, Version: m.version.Version, DecidedMS: wallMS}
+	skipReason, lateness := e.applyPolicies(m, wallMS, newest, behind)
+	d.Run = skipReason == ""
+	d.Reason = joinReasons(skipReason+lateness, m.reason)
 	if len(d.Reason) > maxReasonBytes {
 		d.Reason = strings.ToValidUTF8(d.Reason[:maxReasonBytes], "")
 	}
+	if d.Run {
+		d.Job = m.version.Spec.jobOrRunID(runName(e.name, m.at))
+	}
+	return d
+}
+
+// applyPolicies returns why a moment is not run, or, if it is run, how late it is; both may be empty.
+func (e *entry) applyPolicies(m moment, wallMS int64, newest, behind bool) (skipReason, lateness string) {
+	spec, lateMS := &m.version.Spec, wallMS-m.at
+	missed := lateMS > lateThresholdMS
+	switch {
+	case float64(lateMS) > spec.LateS*1000:
+		return fmt.Sprintf("missed: %d s late, %g allowed", lateMS/1000, spec.LateS), ""
+	case missed && spec.Missed == MissedSkip:
+		return "missed, and missed runs are skipped", ""
+	case missed && spec.Missed == MissedLatest && !newest:
+		return "missed, and only the latest missed run is made up for", ""
+	case spec.Busy == BusyForbid && e.precedingRun == precedingRunBusy:
+		return "the run before is not over", ""
+	case spec.Busy != BusyAllow && behind:
+		return "the run before, due at the same time, is not over", ""
+	case missed:
+		return "", fmt.Sprintf("%d s late", lateMS/1000)
+	}
+	return "", ""
 }
 
 func joinReasons(a, b string) string {
--- a/schedules/due_queue.go
+++ b/schedules/due_queue.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// dueQueue orders entries by when they are due, so that a tick costs what is due
-// and not what exists.
+// dueQueue is a heap of entries by when they are due, then by priority, so that the cost of a tick follows
+// what is due and not what exists.
 type dueQueue []*entry
 
 func (q dueQueue) Len() int { return len(q) }
@@ -28,18 +28,18 @@
 	q[i].index, q[j].index = i, j
 }
 
-// Push and Pop are the heap's.
+// Push implements heap.Interface.
 func (q *dueQueue) Push(x any) {
 	e := x.(*entry)
 	e.index = len(*q)
 	*q = append(*q, e)
 }
 
-// Pop takes the last.
+// Pop implements heap.Interface.
 func (q *dueQueue) Pop() any {
-	o := *q
-	e := o[len(o)-1]
-	*q = o[:len(o)-1]
+	last := len(*q) - 1
+	e := (*q)[last]
+	*q = (*q)[:last]
 	e.index = -1
 	return e
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// decidedUpTo is the time up to which an entry has decided, or must not.
+// decidedUpTo returns the time of day up to which an entry has decided, or has nothing to decide.
 func (e *entry) decidedUpTo() int64 {
 	since := e.definition.SinceMS
 	if e.previous != nil {
@@ -63,25 +63,29 @@
 	return max(e.progress.DecidedUpToMS, since-1)
 }
 
-// moment is a moment with the version that it goes by.
+// moment is a time of day in milliseconds with the version that it follows.
 type moment struct {
 	at      int64
 	version *version
 	reason  string
 }
 
-// nextMoment is the first moment after a time.
+// nextMoment returns the first moment after a time of day.
 func (e *entry) nextMoment(after int64) (m moment, ok bool) {
 	if e.previous != nil && after < e.current.SinceMS-1 {
-		if x, is := e.previous.Spec.Next(time.UnixMilli(after)); is && x.At.UnixMilli() < e.current.SinceMS {
-			return moment{x.At.UnixMilli(), e.previous, x.Reason}, true
+		if m, ok = e.previous.nextMoment(after); ok && m.at < e.current.SinceMS {
+			return m, true
 		}
 	}
-	x, is := e.current.Spec.Next(time.UnixMilli(max(after, e.current.SinceMS-1)))
-	return moment{x.At.UnixMilli(), e.current, x.Reason}, is
+	return e.current.nextMoment(max(after, e.current.SinceMS-1))
 }
 
-// enqueueNext puts an entry where it is due next.
+func (v *version) nextMoment(after int64) (m moment, ok bool) {
+	next, ok := v.Spec.Next(time.UnixMilli(after))
+	return moment{at: next.At.UnixMilli(), version: v, reason: next.Reason}, ok
+}
+
+// enqueueNext queues an entry for its next moment, unless it is paused or unusable.
 func (h *Host) enqueueNext(e *entry) {
 	h.dequeue(e)
 	if e.current == nil || e.definition.Paused {
@@ -92,8 +96,8 @@
 	}
 }
 
-func (h *Host) enqueueAt(e *entry, at int64) {
+func (h *Host) enqueueAt(e *entry, wallMS int64) {
 	h.dequeue(e)
-	e.dueAt = at
+	e.dueAt = wallMS
 	heap.Push(&h.due, e)
 }
--- a/schedules/golden_test.go
+++ b/schedules/golden_test.go
@@ -17,8 +17,9 @@
 	var v T
 	golden.Fill(&v)
 	golden.CheckTags(t, "json", v)
-	golden.RoundTrip(t, path, v, func(v T) ([]byte, error) { return extension.Encode(v), nil },
-		func(b []byte) (v T, err error) { return v, json.Unmarshal(b, &v) })
+	encode := func(v T) ([]byte, error) { return extension.Encode(v), nil }
+	decode := func(b []byte) (v T, err error) { return v, json.Unmarshal(b, &v) }
+	golden.RoundTrip(t, path, v, encode, decode)
 }
 
 func TestStoredRecordsKeepTheirForm(t *testing.T) {
@@ -37,25 +38,41 @@
 	record[Response](t, "answer.json")
 }
 
-// TestFilesKeepTheirForm holds the operators' file of calendars and schedules.
+// Operators keep files of calendars and schedules.
 func TestFilesKeepTheirForm(t *testing.T) {
 	var f File
 	golden.Fill(&f)
 	golden.CheckTags(t, "toml", f)
-	golden.RoundTrip(t, "file.toml", f, func(f File) ([]byte, error) { return toml.Marshal(f) },
-		func(b []byte) (f File, err error) { return f, strict.Decode(b, &f) })
+	encode := func(f File) ([]byte, error) { return toml.Marshal(f) }
+	decode := func(b []byte) (f File, err error) { return f, strict.Decode(b, &f) }
+	golden.RoundTrip(t, "file.toml", f, encode, decode)
+}
+
+func TestWorkflowSubmissionKeepsItsForm(t *testing.T) {
+	spec := Spec{
+		Job: Job{Team: "ops", Class: "nightly", Priority: "high"},
+		Workflow: &Workflow{
+			Document: `{"class": "Workflow", "steps": []}`,
+			Inputs:   WorkflowInputs{"samples": []any{"a", "b"}, "depth": 3},
+		},
+	}
+	const expected = `{"document":{"class":"Workflow","steps":[]},"id":"run-1",` +
+		`"inputs":{"depth":3,"samples":["a","b"]},"job":{"class":"nightly","priority":"high","team":"ops"}}`
+	if got := string(spec.encodeSubmission("run-1")); got != expected {
+		t.Errorf("got %s, want %s", got, expected)
+	}
 }
 
 func TestStoreKeysKeepTheirForm(t *testing.T) {
-	for _, k := range []struct{ got, want string }{
+	for _, k := range []struct{ got, expected string }{
 		{ChangeIndexPrefix, "l/x/s/"},
 		{changeIndexKey("m0"), "l/x/s/m0"},
 		{definitionKey("m0", "nightly"), "s/m0/nightly"},
 		{progressKey("m0", "nightly"), "sp/m0/nightly"},
 		{historyKey("m0", "nightly", 7), "sh/m0/nightly/000007"},
 	} {
-		if k.got != k.want {
-			t.Errorf("the key is %q, not %q", k.got, k.want)
+		if k.got != k.expected {
+			t.Errorf("got key %q, want %q", k.got, k.expected)
 		}
 	}
 }
--- a/schedules/host.go
+++ b/schedules/host.go
@@ -8,26 +8,25 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Params is what a host needs of the settings.
+// Params are a host's settings.
 type Params struct {
-	Members      []string // in order; each has a shard of its name
+	Members      []string // in order; each gives its name to a shard
 	Teams        map[string]scheduler.Team
-	ValueBytes   int
-	TxnOps       int
+	ValueBytes   int // of a value in the state service
+	TxnOps       int // changes of a transaction
 	ClockErrorMS float64
-	// Rate bounds decisions a second: a part of the member's share of the
-	// state service's changes, so that a full hour leaves interactive jobs
-	// theirs.
+	// Rate bounds decisions per second. It is a part of the member's share of the state service's writes,
+	// so that interactive jobs keep theirs when many schedules are due on the hour.
 	Rate float64
 }
 
-// Outputs is what a host wants done.
+// Outputs are the requests and responses of a host.
 type Outputs = extension.Outputs[WorkflowRequest, Response]
 
-// Counters counts what operators watch.
+// Counters are a host's metrics.
 type Counters struct{ Decided, Runs, Skipped, Loaded uint64 }
 
-// Host keeps the schedules of a member.
+// Host runs the schedules of the shards that a member owns.
 type Host struct {
 	params Params
 	extension.Base[WorkflowRequest, WorkflowResult, Response]
@@ -41,81 +40,95 @@
 	Counters Counters
 }
 
-// shard is a shard that this member holds.
+// shard is a shard that this member owns.
 type shard struct {
 	name     string
-	token    uint64 // of the claim that it was read under
-	sequence int
-	indexRev uint64 // of its mark
+	token    uint64 // fencing token of the claim
+	sequence int    // of the change index that was applied last
+	indexRev uint64 // its revision
 	loading  bool
 	entries  map[string]*entry
 }
 
-// entry is a schedule that this member drives.
+// entry is a schedule of an owned shard.
 type entry struct {
 	shard             *shard
 	name              string
 	definition        definitionRecord
 	definitionRev     uint64
-	current, previous *version // ready for use
+	current, previous *version // validated; nil: none, or unusable
 	progress          progressRecord
 	progressRev       uint64
-	busy              bool  // a read or a write is under way
-	dueAt             int64 // when it is due next, ms of the time of day
-	index             int   // in the queue; -1: not in it
-	submitted         map[string]bool
-	precedingRun      string // the job before, if it is known to be over
+	busy              bool            // a read or a write is pending
+	dueAt             int64           // time of day in milliseconds
+	index             int             // in the due queue; -1: not in it
+	submitted         map[string]bool // pending jobs that the core has taken or refused
+	precedingRun      string          // the preceding job if it is over, or precedingRunBusy
 }
 
-// NewHost returns a host without schedules.
+// precedingRunBusy stands for a preceding run that is not over.
+const precedingRunBusy = "-"
+
+// NewHost returns a host without schedules; Tick has it load those of owned shards.
 func NewHost(p Params) *Host {
 	return &Host{params: p, shards: map[string]*shard{}}
 }
 
-// WatchedJobs lists the jobs whose end is waited for: none, since a schedule asks
-// about the run before only when the next one is due.
+// WatchedJobs returns the jobs whose end the host waits for: none, since it queries a preceding run only
+// when the next moment is due.
 func (h *Host) WatchedJobs() []string { return nil }
 
-// certainWallMS is the time of day that has come on every member's clock: this one may
-// be ahead of others by twice the platform's bound.
+// certainWallMS returns the time of day that has come on every member's clock: this one may be ahead of
+// others by twice the platform's bound.
 func (h *Host) certainWallMS() int64 { return h.Now.WallMS - int64(2*h.params.ClockErrorMS) }
 
-// Tick takes how the core stands and decides what is due.
+// Tick takes the core's view, follows claims and changes, and decides what is due.
 func (h *Host) Tick(now scheduler.Now, v scheduler.ExtensionView) {
 	h.Now, h.view = now, v
-	if h.lastTickMS != 0 {
-		h.tokens = min(h.tokens+h.params.Rate*float64(now.MonotonicMS-h.lastTickMS)/1000, max(1, h.params.Rate))
-	} else {
-		h.tokens = max(1, h.params.Rate)
-	}
-	h.lastTickMS = now.MonotonicMS
+	h.refillTokens()
 	if !v.HasAuthority {
 		return
 	}
 	for name, s := range h.shards {
 		if v.ClaimTokens[name] == 0 {
-			h.dropShard(s) // whoever holds it goes on from the store
+			h.dropShard(s) // its new owner continues from the store
 		} else {
 			s.token = v.ClaimTokens[name]
 		}
 	}
-	for _, it := range v.KVs {
-		name := strings.TrimPrefix(it.Key, ChangeIndexPrefix)
+	for _, kv := range v.KVs {
+		name := strings.TrimPrefix(kv.Key, ChangeIndexPrefix)
 		if v.ClaimTokens[name] == 0 {
 			continue
 		}
-		var rec changeIndexRecord
-		if json.Unmarshal(it.Value, &rec) != nil {
-			continue
+		var index changeIndexRecord
+		if json.Unmarshal(kv.Value, &index) == nil {
+			h.applyChangeIndex(name, index, kv.Rev)
 		}
-		h.applyChangeIndex(name, rec, it.Rev)
 	}
 	h.decideDue()
 }
 
+// refillTokens adds the decisions that the time since the last tick allows, a second's at most.
+func (h *Host) refillTokens() {
+	burst := max(1, h.params.Rate)
+	if h.lastTickMS == 0 {
+		h.tokens = burst
+	} else {
+		elapsedMS := float64(h.Now.MonotonicMS - h.lastTickMS)
+		h.tokens = min(h.tokens+h.params.Rate*elapsedMS/1000, burst)
+	}
+	h.lastTickMS = h.Now.MonotonicMS
+}
+
 func (h *Host) dropShard(s *shard) {
 	delete(h.shards, s.name)
 	for _, e := range s.entries {
 		h.dequeue(e)
 	}
 }
+
+// owns reports whether an entry is still one of this member's: answers may come after it was dropped.
+func (h *Host) owns(e *entry) bool {
+	return h.shards[e.shard.name] == e.shard && e.shard.entries[e.name] == e
+}
--- a/schedules/host_test.go
+++ b/schedules/host_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -14,242 +13,280 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-const calendarText = "[[calendar]]\nname = \"c\"\n[[calendar.holidays]]\nname = \"h\"\ndates = [\"2027-03-15\", \"04-13\", \"12-31\"]\n"
+const calendarText = `[[calendar]]
+name = "c"
+[[calendar.holidays]]
+name = "h"
+dates = ["2027-03-15", "04-13", "12-31"]
+`
 
-func scheduleText(name, rest string) string {
-	return fmt.Sprintf(
-		"[[schedule]]\nname = %q\nfrom = \"2026-01-01\"\n%s\n[schedule.job]\nteam = \"ops\"\ncpus = 1.0\n",
-		name,
-		rest,
-	)
+// scheduleText returns the text of a schedule with the given lines.
+func scheduleText(name, lines string) string {
+	return fmt.Sprintf(`[[schedule]]
+name = %q
+from = "2026-01-01"
+%s
+[schedule.job]
+team = "ops"
+cpus = 1.0
+`, name, strings.TrimSpace(lines))
 }
 
-// simulateYear plays a year, or a quarter with sabotage, and returns what is broken.
-func simulateYear(t testing.TB, seed uint64, faults bool, injectFault func(*simulation)) []string {
-	w := newSimulation(t, seed, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), faults)
-	specs := []*Spec{
-		w.apply(
-			calendarText + scheduleText(
-				"all",
-				"zone = \"America/Los_Angeles\"\nrule = \"FREQ=DAILY\"\nat = [\"02:30\", \"17:00\"]\ncalendar = \"c\"\nshift = \"next\"\nmissed = \"all\"\nlate_s = 1e9",
-			),
-		),
-		w.apply(
-			scheduleText(
-				"latest",
-				"zone = \"Asia/Kathmandu\"\nrule = \"FREQ=DAILY\"\nat = [\"00:00\", \"06:00\", \"12:00\", \"18:00\"]",
-			),
-		),
-		w.apply(
-			scheduleText(
-				"skip",
-				"zone = \"Australia/Lord_Howe\"\nrule = \"FREQ=WEEKLY;BYDAY=SU\"\nat = [\"02:15\"]\noverlap = \"both\"\nmissed = \"skip\"",
-			),
-		),
-		w.apply(
-			scheduleText(
-				"forbid",
-				"zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"forbid\"\nmissed = \"all\"",
-			),
-		),
-		w.apply(
-			scheduleText(
-				"queue",
-				"zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"queue\"\nmissed = \"all\"\nlate_s = 1e9",
-			),
-		),
-		w.apply(
-			scheduleText(
-				"replace",
-				"zone = \"Asia/Bangkok\"\nrule = \"FREQ=DAILY\"\nat = [\"05:30\", \"05:31\"]\nbusy = \"replace\"\nmissed = \"all\"",
-			),
-		),
+// dailyText returns the text of a schedule that is due every day at a time of day in UTC.
+func dailyText(name, at string) string {
+	return scheduleText(name, fmt.Sprintf("zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [%q]", at))
+}
+
+// yearTexts are schedules of each policy, in zones with and without clock changes.
+func yearTexts() []string {
+	return []string{
+		calendarText + scheduleText("all", `
+zone = "America/Los_Angeles"
+rule = "FREQ=DAILY"
+at = ["02:30", "17:00"]
+calendar = "c"
+shift = "next"
+missed = "all"
+late_s = 1e9
+`),
+		scheduleText("latest", `
+zone = "Asia/Kathmandu"
+rule = "FREQ=DAILY"
+at = ["00:00", "06:00", "12:00", "18:00"]
+`),
+		scheduleText("skip", `
+zone = "Australia/Lord_Howe"
+rule = "FREQ=WEEKLY;BYDAY=SU"
+at = ["02:15"]
+overlap = "both"
+missed = "skip"
+`),
+		scheduleText("forbid", `
+zone = "Asia/Bangkok"
+rule = "FREQ=DAILY"
+at = ["05:30", "05:31"]
+busy = "forbid"
+missed = "all"
+`),
+		scheduleText("queue", `
+zone = "Asia/Bangkok"
+rule = "FREQ=DAILY"
+at = ["05:30", "05:31"]
+busy = "queue"
+missed = "all"
+late_s = 1e9
+`),
+		scheduleText("replace", `
+zone = "Asia/Bangkok"
+rule = "FREQ=DAILY"
+at = ["05:30", "05:31"]
+busy = "replace"
+missed = "all"
+`),
+	}
+}
+
+// simulateYear simulates a year, or a quarter with an injected fault, and returns the violations.
+func simulateYear(t testing.TB, seed uint64, faults bool, injectFault func(*simulation)) (violations []string) {
+	t.Helper()
+	sim := newSimulation(t, seed, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), faults)
+	var specs []*Spec
+	for _, text := range yearTexts() {
+		specs = append(specs, sim.apply(text))
 	}
 	since := map[string]int64{}
 	for _, s := range specs {
-		a := w.request(Request{Kind: Show, Name: s.Name})
-		var d definitionRecord
-		_ = json.Unmarshal(w.store.Value(definitionKey(extension.ShardOf(w.members, s.Name), s.Name)), &d)
-		if a.Status != 200 || a.Version != 1 {
-			t.Fatalf("%s is shown as %+v", s.Name, a)
+		response := sim.request(Request{Kind: Show, Name: s.Name})
+		if response.Status != 200 || response.Version != 1 {
+			t.Fatalf("%s: got %+v, want version 1", s.Name, response)
 		}
-		since[s.Name] = d.SinceMS
-	}
-	if injectFault != nil {
-		injectFault(w)
+		var definition definitionRecord
+		key := definitionKey(extension.ShardOf(sim.members, s.Name), s.Name)
+		if err := json.Unmarshal(sim.store.Value(key), &definition); err != nil {
+			t.Fatal(err)
+		}
+		since[s.Name] = definition.SinceMS
 	}
-	end := time.Date(2028, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
+	end := time.Date(2028, 1, 1, 0, 0, 0, 0, time.UTC)
 	if injectFault != nil {
-		end = time.Date(2027, 4, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
-	}
-	for w.now < end {
-		// Mostly hours, now and then the very millisecond at which something
-		// is due, and the seconds round it.
-		d := int64(w.rng.IntN(5 * 3600_000))
-		if m, ok := specs[w.rng.IntN(len(specs))].Next(time.UnixMilli(w.now)); ok && w.rng.IntN(3) > 0 {
-			d = min(d, max(0, m.At.UnixMilli()-w.now+int64(w.rng.IntN(21)-10)))
+		injectFault(sim)
+		end = time.Date(2027, 4, 1, 0, 0, 0, 0, time.UTC)
+	}
+	for sim.now < end.UnixMilli() {
+		// Mostly hours, at times to within 10 ms of a moment, and then some seconds.
+		stepMS := int64(sim.rng.IntN(5 * 3600_000))
+		next, ok := specs[sim.rng.IntN(len(specs))].Next(time.UnixMilli(sim.now))
+		if ok && sim.rng.IntN(3) > 0 {
+			stepMS = min(stepMS, max(0, next.At.UnixMilli()-sim.now+int64(sim.rng.IntN(21)-10)))
 		}
-		w.step(d)
+		sim.step(stepMS)
 		for range 3 {
-			w.step(int64(w.rng.IntN(700)))
+			sim.step(int64(sim.rng.IntN(700)))
 		}
 	}
-	// Then quiet: what is left is decided, what is late arrives.
-	w.faults, w.storeOutageUntil = false, 0
-	for len(w.delayed) > 0 {
-		w.delayed[0]()
-		w.delayed = w.delayed[1:]
+	sim.settle()
+	if faults && injectFault == nil && sim.lostRequests < 100 {
+		t.Errorf("seed %d: %d requests were lost: too few for the test", seed, sim.lostRequests)
 	}
-	for range 600 {
-		w.step(2000)
+	for _, s := range specs {
+		violations = append(violations, sim.violations(s, since[s.Name], sim.now)...)
 	}
-	if faults && injectFault == nil && w.lostRequests < 100 {
-		t.Errorf("seed %d: %d requests were lost: too few to say anything", seed, w.lostRequests)
+	return violations
+}
+
+// settle ends all faults, delivers what is delayed, and lets time pass until all is decided.
+func (sim *simulation) settle() {
+	sim.faults, sim.storeOutageUntil = false, 0
+	for len(sim.delayed) > 0 {
+		sim.delayed[0]()
+		sim.delayed = sim.delayed[1:]
 	}
-	var out []string
-	for _, s := range specs {
-		out = append(out, w.violations(s, since[s.Name], w.now)...)
+	for range 600 {
+		sim.step(2000)
 	}
-	return out
 }
 
-// A year with a clock of its own: every moment is decided once, and run once
-// where it is to be, whatever happens at it.
+// passUntil lets time pass in steps of at most stepMS.
+func (sim *simulation) passUntil(end time.Time, stepMS int64) {
+	for sim.now < end.UnixMilli() {
+		sim.step(min(stepMS, end.UnixMilli()-sim.now))
+	}
+}
+
+// In a year of simulated time every moment is decided once, and run once if it is to be, whatever
+// faults occur at it.
 func TestEachMomentIsDecidedOnceInAYearOfFaults(t *testing.T) {
 	for seed := range uint64(2) {
-		if b := simulateYear(t, seed, seed > 0, nil); len(b) > 0 {
-			t.Fatalf("seed %d: %d faults, the first: %s", seed, len(b), strings.Join(b[:min(5, len(b))], "\n"))
+		violations := simulateYear(t, seed, seed > 0, nil)
+		if n := len(violations); n > 0 {
+			t.Fatalf("seed %d: %d violations, the first: %s", seed, n, strings.Join(violations[:min(5, n)], "\n"))
 		}
 	}
 }
 
-// The check sees a run that is there twice and one that is missing.
+// The violations show runs that exist twice and runs that are missing.
 func TestSimulationDetectsDuplicateAndMissingRuns(t *testing.T) {
-	if b := simulateYear(t, 1, true, func(w *simulation) { w.duplicateSubmissions = true }); !slices.ContainsFunc(
-		b,
-		func(s string) bool { return strings.Contains(s, "times") },
-	) {
-		t.Errorf("runs that are there twice go unseen: %v", b)
-	}
-	if b := simulateYear(t, 1, true, func(w *simulation) { w.dropSubmissions = true }); !slices.ContainsFunc(
-		b,
-		func(s string) bool { return strings.Contains(s, "missing") },
-	) {
-		t.Errorf("missing runs go unseen: %v", b)
+	for _, c := range []struct {
+		name, expected string
+		injectFault    func(*simulation)
+	}{
+		{"duplicate runs", "times", func(sim *simulation) { sim.duplicateSubmissions = true }},
+		{"missing runs", "missing", func(sim *simulation) { sim.dropSubmissions = true }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			violations := simulateYear(t, 1, true, c.injectFault)
+			if !strings.Contains(strings.Join(violations, "\n"), c.expected) {
+				t.Errorf("not detected: %v", violations)
+			}
+		})
 	}
 }
 
-// A new version counts from its moment on; what is decided stays decided.
+// A new version applies from its effective time on; what is decided stays decided.
 func TestChangedScheduleAppliesFromItsEffectiveTime(t *testing.T) {
-	w := newSimulation(t, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
-	daily := func(at string) string {
-		return scheduleText("v", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\""+at+"\"]")
-	}
-	w.apply(daily("06:00"))
-	pass := func(until string) {
-		end, _ := time.Parse(time.RFC3339, until)
-		for w.now < end.UnixMilli() {
-			w.step(min(10_000, end.UnixMilli()-w.now))
+	sim := newSimulation(t, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
+	noonOf := func(day int) time.Time { return time.Date(2027, 1, day, 12, 0, 0, 0, time.UTC) }
+	request := func(r Request, expectedState string) Response {
+		t.Helper()
+		response := sim.request(r)
+		if response.State != expectedState {
+			t.Errorf("request %d: got %+v, want state %s", r.Kind, response, expectedState)
 		}
+		return response
 	}
-	pass("2027-01-02T12:00:00Z")
-	v2 := []byte(daily("18:00"))
+	sim.apply(dailyText("v", "06:00"))
+	sim.passUntil(noonOf(2), 10_000)
+	v2 := []byte(dailyText("v", "18:00"))
 	effective := time.Date(2027, 1, 4, 0, 0, 0, 0, time.UTC).UnixMilli()
-	if a := w.request(Request{Kind: Apply, Name: "v", Body: v2, EffectiveMS: effective}); a.State != "applied" ||
-		a.Version != 2 {
-		t.Fatalf("a new version gets %+v", a)
-	}
-	if a := w.request(Request{Kind: Apply, Name: "v", Body: v2}); a.State != "unchanged" {
-		t.Errorf("the same version again gets %+v", a)
-	}
-	pass("2027-01-06T12:00:00Z")
-	if a := w.request(Request{Kind: Pause, Name: "v"}); a.State != "paused" {
-		t.Errorf("a pause gets %+v", a)
-	}
-	pass("2027-01-08T12:00:00Z")
-	if a := w.request(Request{Kind: Resume, Name: "v"}); a.State != "resumed" {
-		t.Errorf("going on gets %+v", a)
-	}
-	pass("2027-01-09T12:00:00Z")
-	if a := w.request(Request{Kind: Remove, Name: "v"}); a.State != "removed" {
-		t.Errorf("a removal gets %+v", a)
-	}
-	pass("2027-01-12T12:00:00Z")
-	var got []string
-	for _, d := range w.history("v") {
-		got = append(got, fmt.Sprintf("%s/%d", time.UnixMilli(d.AtMS).UTC().Format("02T15"), d.Version))
-	}
-	if want := "01T06/1 02T06/1 03T06/1 04T18/2 05T18/2 08T18/2"; strings.Join(got, " ") != want {
-		t.Errorf("decided %s, not %s", strings.Join(got, " "), want)
-	}
-	for _, k := range []Kind{Pause, Resume, Remove, Show} {
-		if a := w.request(Request{Kind: k, Name: "v"}); a.Status != 404 {
-			t.Errorf("request %d on what is removed gets %+v", k, a)
+	response := request(Request{Kind: Apply, Name: "v", Body: v2, EffectiveMS: effective}, "applied")
+	if response.Version != 2 {
+		t.Fatalf("new version: got %+v, want version 2", response)
+	}
+	request(Request{Kind: Apply, Name: "v", Body: v2}, "unchanged")
+	sim.passUntil(noonOf(6), 10_000)
+	request(Request{Kind: Pause, Name: "v"}, "paused")
+	sim.passUntil(noonOf(8), 10_000)
+	request(Request{Kind: Resume, Name: "v"}, "resumed")
+	sim.passUntil(noonOf(9), 10_000)
+	request(Request{Kind: Remove, Name: "v"}, "removed")
+	sim.passUntil(noonOf(12), 10_000)
+	var decided []string
+	for _, d := range sim.history("v") {
+		at := time.UnixMilli(d.AtMS).UTC().Format("02T15")
+		decided = append(decided, fmt.Sprintf("%s/%d", at, d.Version))
+	}
+	const expected = "01T06/1 02T06/1 03T06/1 04T18/2 05T18/2 08T18/2"
+	if got := strings.Join(decided, " "); got != expected {
+		t.Errorf("decided: got %s, want %s", got, expected)
+	}
+	for _, kind := range []Kind{Pause, Resume, Remove, Show} {
+		if response := sim.request(Request{Kind: kind, Name: "v"}); response.Status != 404 {
+			t.Errorf("request %d for a removed schedule: got %+v, want status 404", kind, response)
 		}
 	}
 }
 
-// A calendar that changes a second before a moment changes that moment, for all
-// schedules that use it, and nothing that was decided.
+// A calendar that changes seconds before a moment changes that moment for all schedules that use it, and
+// nothing that was decided.
 func TestCalendarChangeJustBeforeDueMomentApplies(t *testing.T) {
-	w := newSimulation(t, 1, time.Date(2027, 3, 9, 0, 0, 0, 0, time.UTC), false)
-	text := calendarText + scheduleText(
-		"s",
-		"zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]\ncalendar = \"c\"\nshift = \"skip\"",
-	)
-	w.apply(text)
-	w.apply(scheduleText("other", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]"))
-	pass := func(until time.Time) {
-		for w.now < until.UnixMilli() {
-			w.step(min(5000, until.UnixMilli()-w.now))
-		}
-	}
-	pass(time.Date(2027, 3, 11, 5, 59, 50, 0, time.UTC))
+	sim := newSimulation(t, 1, time.Date(2027, 3, 9, 0, 0, 0, 0, time.UTC), false)
+	sim.apply(calendarText + scheduleText("s", `
+zone = "UTC"
+rule = "FREQ=DAILY"
+at = ["06:00"]
+calendar = "c"
+shift = "skip"
+`))
+	sim.apply(dailyText("other", "06:00"))
+	due := time.Date(2027, 3, 11, 6, 0, 0, 0, time.UTC)
+	sim.passUntil(due.Add(-10*time.Second), 5000)
 	changed := strings.Replace(calendarText, "2027-03-15", "2027-03-11", 1)
-	if a := w.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "applied" ||
-		len(a.Schedules) != 1 ||
-		a.Schedules[0].Version != 2 {
-		t.Fatalf("a changed calendar gets %+v", a)
-	}
-	if w.now >= time.Date(2027, 3, 11, 6, 0, 0, 0, time.UTC).UnixMilli() {
-		t.Fatal("the change came too late for what is tried")
-	}
-	if a := w.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)}); a.State != "unchanged" {
-		t.Errorf("the same calendar again gets %+v", a)
-	}
-	if a := w.request(Request{Kind: ShowCalendar, Name: "c"}); a.Status != 200 ||
-		a.Calendar.Holidays[0].Dates[0] != "2027-03-11" {
-		t.Errorf("the calendar is shown as %+v", a)
-	}
-	if a := w.request(Request{Kind: ApplyCalendar, Name: "d", Body: []byte(strings.Replace(calendarText, `"c"`, `"d"`, 1))}); a.Status != 404 {
-		t.Errorf("a calendar that nobody uses gets %+v", a)
-	}
-	pass(time.Date(2027, 3, 16, 12, 0, 0, 0, time.UTC))
-	for name, want := range map[string]string{"s": "09 10 12 15 16", "other": "09 10 11 12 13 14 15 16"} {
-		var got []string
-		for _, d := range w.history(name) {
-			got = append(got, time.UnixMilli(d.AtMS).UTC().Format("02"))
+	response := sim.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)})
+	if response.State != "applied" || len(response.Schedules) != 1 || response.Schedules[0].Version != 2 {
+		t.Fatalf("changed calendar: got %+v, want version 2 of one schedule", response)
+	}
+	if sim.now >= due.UnixMilli() {
+		t.Fatal("the change came too late for the test")
+	}
+	response = sim.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)})
+	if response.State != "unchanged" {
+		t.Errorf("same calendar again: got %+v, want unchanged", response)
+	}
+	response = sim.request(Request{Kind: ShowCalendar, Name: "c"})
+	if response.Status != 200 || response.Calendar.Holidays[0].Dates[0] != "2027-03-11" {
+		t.Errorf("shown calendar: got %+v, want the changed one", response)
+	}
+	unused := strings.Replace(calendarText, `"c"`, `"d"`, 1)
+	response = sim.request(Request{Kind: ApplyCalendar, Name: "d", Body: []byte(unused)})
+	if response.Status != 404 {
+		t.Errorf("calendar that no schedule uses: got %+v, want status 404", response)
+	}
+	sim.passUntil(time.Date(2027, 3, 16, 12, 0, 0, 0, time.UTC), 5000)
+	for name, expected := range map[string]string{"s": "09 10 12 15 16", "other": "09 10 11 12 13 14 15 16"} {
+		var days []string
+		for _, d := range sim.history(name) {
+			days = append(days, time.UnixMilli(d.AtMS).UTC().Format("02"))
 		}
-		if strings.Join(got, " ") != want {
-			t.Errorf("%s ran on %v, not %s", name, got, want)
+		if got := strings.Join(days, " "); got != expected {
+			t.Errorf("%s: decided for days %s, want %s", name, got, expected)
 		}
 	}
 }
 
-// A tick costs what is due, not what exists.
+// The cost of a tick follows what is due, not what exists.
 func BenchmarkTickWithManySchedules(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			h := NewHost(Params{Members: []string{"m-0"}, TxnOps: 16, Rate: 1000})
 			s := &shard{name: "m-0", token: 1, entries: map[string]*entry{}}
 			h.shards["m-0"] = s
-			f, err := ParseFile([]byte(scheduleText("x", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"06:00\"]")))
+			f, err := ParseFile([]byte(dailyText("x", "06:00")))
 			if err != nil {
 				b.Fatal(err)
 			}
 			for i := range n {
-				e := &entry{shard: s, name: fmt.Sprint("s-", i), index: -1, definition: definitionRecord{Spec: *f.Schedules[0]}}
-				s.entries[e.name] = e
+				e := s.addEntry(fmt.Sprint("s-", i))
+				e.definition.Spec = *f.Schedules[0]
 				h.enqueueAt(e, int64(1e15)+int64(i))
 			}
 			v := scheduler.ExtensionView{HasAuthority: true, ClaimTokens: map[string]uint64{"m-0": 1}}
@@ -262,89 +299,92 @@
 	}
 }
 
-// What 5,000 schedules that fall due at once take at the rates of the fleet
-// sites: a quarter of a member's part of 80 changes a second on three members,
-// of 50 on five.
+// How long 5,000 schedules take that are due at once, at the rates of the fleet sites: a quarter of a
+// member's share of 80 writes per second with three members, and of 50 with five.
 func BenchmarkAllSchedulesDueAtOnce(b *testing.B) {
 	for _, c := range []struct {
 		name string
-		rate float64 // decisions a second, of three members
+		rate float64 // decisions per second of each of three members
 	}{{"siam-meterline-fleet", 80 / 3.0 / 4}, {"cascadia-refund-fleet", 50 / 5.0 / 4 * 5 / 3}} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				w := newSimulation(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
-				for _, h := range w.hosts {
+				sim := newSimulation(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
+				for _, h := range sim.hosts {
 					h.params.Rate = c.rate
 				}
 				const n = 5000
-				w.storeSchedules(n, "06:00")
-				due := time.Date(2027, 1, 1, 6, 0, 0, 0, time.UTC).UnixMilli()
-				for w.now < due {
-					w.step(min(60_000, due-w.now))
-				}
-				for len(w.jobs) < n {
-					w.step(200)
+				sim.storeSchedules(n, "06:00")
+				due := time.Date(2027, 1, 1, 6, 0, 0, 0, time.UTC)
+				sim.passUntil(due, 60_000)
+				for len(sim.jobs) < n {
+					sim.step(200)
 				}
-				b.ReportMetric(float64(w.now-due)/1000, "last-s")
+				b.ReportMetric(float64(sim.now-due.UnixMilli())/1000, "last-s")
 			}
 		})
 	}
 }
 
-// What a member does to go on with 10,000 schedules after it took over all
-// shards.
+// What a member does to continue 10,000 schedules after it claimed all shards.
 func BenchmarkShardLoadOf10000Schedules(b *testing.B) {
 	for b.Loop() {
-		w := newSimulation(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
+		sim := newSimulation(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
 		const n = 10_000
-		w.storeSchedules(n, "06:00")
-		for _, s := range w.members {
-			w.claim(s, "m-0")
+		sim.storeSchedules(n, "06:00")
+		for _, s := range sim.members {
+			sim.claim(s, "m-0")
 		}
-		w.startHost("m-0")
-		h, requests, took := w.hosts["m-0"], 0, time.Duration(0)
+		sim.startHost("m-0")
+		h, requests, took := sim.hosts["m-0"], 0, time.Duration(0)
 		for len(h.due) < n {
-			w.now += 200
-			w.refreshView("m-0")
+			sim.now += 200
+			sim.refreshView("m-0")
 			at := time.Now()
-			h.Tick(w.clock(), w.views["m-0"])
+			h.Tick(sim.clock(), sim.views["m-0"])
 			took += time.Since(at)
 			for ops := h.Take().Store; len(ops) > 0; ops = h.Take().Store {
 				requests += len(ops)
 				for _, op := range ops {
-					r := w.applyStoreOp(op)
+					r := sim.applyStoreOp(op)
 					at := time.Now()
-					h.StoreDone(w.clock(), op.ID, r)
+					h.StoreDone(sim.clock(), op.ID, r)
 					took += time.Since(at)
 				}
 			}
 		}
 		b.ReportMetric(took.Seconds()*1000, "host-ms")
-		b.ReportMetric(float64(requests)*50/500, "requests") // pages of 500, where the stand-in has 50
+		b.ReportMetric(float64(requests)*50/500, "requests") // pages of 500, where the fake has 50
 	}
 }
 
 func TestInvalidFileIsRejectedNamingTheField(t *testing.T) {
-	good := scheduleText("s", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\"01:00\"]")
-	for _, c := range []struct{ text, expectedErr string }{
-		{good, ""},
-		{good + "cpu = 1\n", "line 10 column 1: schedule.job.cpu is no field"},
-		{strings.Replace(good, "cpus = 1.0", "", 1), "schedule[0] s: job.cpus must be above 0"},
-		{strings.Replace(good, `team = "ops"`, "", 1), "job.team is missing"},
-		{strings.Replace(good, `"s"`, `"S s"`, 1), "name must be"},
-		{strings.Replace(good, "rule =", "busy = \"maybe\"\nrule =", 1), `busy: "maybe" is none of`},
-		{strings.Replace(good, "rule =", "late_s = -1.0\nrule =", 1), "late_s must be above 0"},
-		{strings.Replace(good, "UTC", "Mars", 1), "is no time zone"},
+	valid := dailyText("s", "01:00")
+	if _, err := ParseFile([]byte(valid)); err != nil {
+		t.Errorf("valid file: %v", err)
+	}
+	replaced := func(old, with string) string { return strings.Replace(valid, old, with, 1) }
+	for _, c := range []struct{ name, text, expected string }{
+		{"unknown field", valid + "cpu = 1\n", "line 10 column 1: schedule.job.cpu is no field"},
+		{"no CPUs", replaced("cpus = 1.0", ""), "schedule[0] s: job.cpus must be above 0"},
+		{"no team", replaced(`team = "ops"`, ""), "job.team is missing"},
+		{"invalid name", replaced(`"s"`, `"S s"`), "name must be"},
+		{"unknown policy", replaced("rule =", "busy = \"maybe\"\nrule ="), `busy: "maybe" is none of`},
+		{"negative lateness", replaced("rule =", "late_s = -1.0\nrule ="), "late_s must be above 0"},
+		{"unknown zone", replaced("UTC", "Mars"), "is no time zone"},
 	} {
-		_, err := ParseFile([]byte(c.text))
-		if c.expectedErr == "" && err != nil ||
-			c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
-			t.Errorf("%v, not %q", err, c.expectedErr)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := ParseFile([]byte(c.text))
+			if err == nil || !strings.Contains(err.Error(), c.expected) {
+				t.Errorf("got %v, want %q", err, c.expected)
+			}
+		})
 	}
-	files, _ := filepath.Glob("../docs/examples/schedules/*.toml")
-	if len(files) < 2 {
-		t.Errorf("%d examples", len(files))
+}
+
+func TestExampleFilesAreValid(t *testing.T) {
+	files, err := filepath.Glob("../docs/examples/schedules/*.toml")
+	if err != nil || len(files) < 2 {
+		t.Fatalf("got %d examples, %v, want 2 or more", len(files), err)
 	}
 	for _, name := range files {
 		b, err := os.ReadFile(name)
--- a/schedules/load.go
+++ b/schedules/load.go
@@ -7,81 +7,82 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// applyChangeIndex reads what changed of a shard's schedules: by name where its mark
-// tells, else all.
-func (h *Host) applyChangeIndex(name string, rec changeIndexRecord, rev uint64) {
+// applyChangeIndex loads the schedules of a shard that changed: by name if the index has all changes
+// since the last time, otherwise all.
+func (h *Host) applyChangeIndex(name string, index changeIndexRecord, revision uint64) {
 	s := h.shards[name]
 	if s == nil {
 		s = &shard{name: name, token: h.view.ClaimTokens[name], entries: map[string]*entry{}}
 		h.shards[name] = s
-		h.loadShard(s, rec, rev)
+		h.loadShard(s, index, revision)
 		return
 	}
-	if s.loading || rev <= s.indexRev {
+	if s.loading || revision <= s.indexRev {
 		return
 	}
-	if n := rec.Seq - s.sequence; n > 0 && n <= len(rec.Names) {
-		for _, x := range rec.Names[len(rec.Names)-n:] {
-			h.reloadEntry(s, x)
-		}
-		s.sequence, s.indexRev = rec.Seq, rev
+	changed, ok := index.changesSince(s.sequence)
+	if !ok {
+		h.dropShard(s) // the next tick loads it anew
 		return
 	}
-	h.dropShard(s)
+	for _, schedule := range changed {
+		h.reloadEntry(s, schedule)
+	}
+	s.sequence, s.indexRev = index.Seq, revision
 }
 
 // loadShard reads all definitions of a shard and their progress.
-func (h *Host) loadShard(s *shard, rec changeIndexRecord, rev uint64) {
+func (h *Host) loadShard(s *shard, index changeIndexRecord, revision uint64) {
 	s.loading = true
-	h.listRecords(s, definitionPrefix+s.name+"/", func(defs []scheduler.KeyValue) {
-		h.listRecords(s, progressPrefix+s.name+"/", func(progs []scheduler.KeyValue) {
-			h.setEntries(s, defs, progs)
+	h.listRecords(s, definitionPrefix+s.name+"/", func(definitions []scheduler.KeyValue) {
+		h.listRecords(s, progressPrefix+s.name+"/", func(progress []scheduler.KeyValue) {
+			h.setEntries(s, definitions, progress)
 			s.loading = false
-			s.sequence, s.indexRev = rec.Seq, rev
+			s.sequence, s.indexRev = index.Seq, revision
 			h.Counters.Loaded++
 			h.Log("schedules read", "shard", s.name, "schedules", len(s.entries))
 		})
 	})
 }
 
-// listRecords reads all records with a prefix while the shard is ours.
+// listRecords reads all records with a prefix, unless the shard is dropped meanwhile.
 func (h *Host) listRecords(s *shard, prefix string, onRecords func([]scheduler.KeyValue)) {
-	var all []scheduler.KeyValue
-	page := func(batch []scheduler.KeyValue) bool {
-		all = append(all, batch...)
+	var records []scheduler.KeyValue
+	onPage := func(page []scheduler.KeyValue) bool {
+		records = append(records, page...)
 		return h.shards[s.name] == s
 	}
-	h.List(scheduler.UrgencyBackground, prefix, page, func(ok bool) {
+	h.List(scheduler.UrgencyBackground, prefix, onPage, func(ok bool) {
 		switch {
 		case h.shards[s.name] != s:
 		case !ok:
-			h.dropShard(s) // the next tick begins anew
+			h.dropShard(s) // the next tick loads it anew
 		default:
-			onRecords(all)
+			onRecords(records)
 		}
 	})
 }
 
 // setEntries takes all definitions of a shard and their progress.
-func (h *Host) setEntries(s *shard, defs, progs []scheduler.KeyValue) {
-	byName := map[string]scheduler.KeyValue{}
-	for _, it := range progs {
-		byName[strings.TrimPrefix(it.Key, progressPrefix+s.name+"/")] = it
+func (h *Host) setEntries(s *shard, definitions, progress []scheduler.KeyValue) {
+	progressByName := map[string]scheduler.KeyValue{}
+	for _, kv := range progress {
+		progressByName[strings.TrimPrefix(kv.Key, progressPrefix+s.name+"/")] = kv
 	}
-	for _, it := range defs {
-		name := strings.TrimPrefix(it.Key, definitionPrefix+s.name+"/")
-		h.setEntry(s.addEntry(name), it, byName[name])
+	for _, kv := range definitions {
+		name := strings.TrimPrefix(kv.Key, definitionPrefix+s.name+"/")
+		h.setEntry(s.addEntry(name), kv, progressByName[name])
 	}
 }
 
-// addEntry makes the entry of a schedule that was not known.
+// addEntry adds the entry of a schedule that was not known.
 func (s *shard) addEntry(name string) *entry {
 	e := &entry{shard: s, name: name, index: -1, submitted: map[string]bool{}}
 	s.entries[name] = e
 	return e
 }
 
-// reloadEntry reads one schedule.
+// reloadEntry reads one schedule. It is not decided meanwhile.
 func (h *Host) reloadEntry(s *shard, name string) {
 	e := s.entries[name]
 	if e == nil {
@@ -89,43 +90,44 @@
 	}
 	e.busy = true
 	h.dequeue(e)
-	retry := func() {
+	onUnavailable := func() {
 		e.busy = false
 		h.retryLater(e)
 	}
-	h.Get(scheduler.UrgencyBackground, definitionKey(s.name, name), func(def scheduler.KeyValue, ok bool) {
+	h.Get(scheduler.UrgencyBackground, definitionKey(s.name, name), func(definition scheduler.KeyValue, ok bool) {
 		switch {
 		case h.shards[s.name] != s:
 			return
 		case !ok:
-			retry()
+			onUnavailable()
 			return
-		case def.Rev == 0:
+		case definition.Rev == 0:
 			delete(s.entries, name)
 			return
 		}
-		h.Get(scheduler.UrgencyBackground, progressKey(s.name, name), func(prog scheduler.KeyValue, ok bool) {
+		h.Get(scheduler.UrgencyBackground, progressKey(s.name, name), func(progress scheduler.KeyValue, ok bool) {
 			switch {
 			case h.shards[s.name] != s:
 			case ok:
-				h.setEntry(e, def, prog)
+				h.setEntry(e, definition, progress)
 			default:
-				retry()
+				onUnavailable()
 			}
 		})
 	})
 }
 
-// retryLater reads a schedule once more in a second.
+// retryLater has a schedule read again in a second.
 func (h *Host) retryLater(e *entry) {
 	e.definitionRev = 0
-	h.enqueueAt(e, h.Now.WallMS+1000)
+	h.enqueueAt(e, h.Now.WallMS+retryMS)
 }
 
 // setEntry takes a definition and its progress as the store has them.
 func (h *Host) setEntry(e *entry, definition, progress scheduler.KeyValue) {
 	e.busy = false
-	e.definition, e.definitionRev, e.progress, e.progressRev = definitionRecord{}, definition.Rev, progressRecord{}, progress.Rev
+	e.definition, e.definitionRev = definitionRecord{}, definition.Rev
+	e.progress, e.progressRev = progressRecord{}, progress.Rev
 	e.current, e.previous, e.precedingRun = nil, nil, ""
 	if err := json.Unmarshal(definition.Value, &e.definition); err != nil {
 		h.Log("schedule unreadable", "schedule", e.name, "error", err)
@@ -137,14 +139,14 @@
 			return
 		}
 	}
-	e.current = &version{e.definition.Version, e.definition.SinceMS, e.definition.Spec, e.definition.Calendar}
-	if err := e.current.validate(); err != nil {
+	current := e.definition.version()
+	if err := current.validate(); err != nil {
 		h.Log("schedule unreadable", "schedule", e.name, "error", err)
-		e.current = nil
 		return
 	}
-	if e.definition.Previous != nil && e.definition.Previous.validate() == nil {
-		e.previous = e.definition.Previous
+	e.current = current
+	if previous := e.definition.Previous; previous != nil && previous.validate() == nil {
+		e.previous = previous
 	}
 	h.enqueueNext(e)
 	h.submitPending(e)
--- /dev/null
+++ b/schedules/preceding_run.go
@@ -0,0 +1,55 @@
+package schedules
+
+import (
+	"strings"
+
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+// isPrecedingRunOver reports whether the next moment may be decided as far as the preceding run is
+// concerned. If that is not known, it queries (or, for BusyReplace, cancels) the run and returns false;
+// the answer queues the entry again.
+func (h *Host) isPrecedingRunOver(e *entry) bool {
+	preceding, policy := e.progress.Last, e.current.Spec.Busy
+	switch {
+	case preceding == "" || policy == BusyAllow || e.precedingRun == preceding:
+		return true
+	case policy == BusyForbid && e.precedingRun != "":
+		return true
+	}
+	e.busy = true
+	replace := policy == BusyReplace
+	if strings.HasPrefix(preceding, workflowRunPrefix) {
+		h.SendRequest(WorkflowRequest{Run: preceding, Abort: replace}, func(r WorkflowResult) {
+			h.onPrecedingRun(e, preceding, r.Status, r.IsOver)
+		})
+		return false
+	}
+	kind := scheduler.QueryJob
+	if replace {
+		kind = scheduler.CancelJob
+	}
+	h.SendCore(scheduler.UserRequest{Kind: kind, ID: preceding}, func(r scheduler.UserResponse) {
+		h.onPrecedingRun(e, preceding, r.Status, r.State.IsTerminal())
+	})
+	return false
+}
+
+// onPrecedingRun takes the state of the preceding run.
+func (h *Host) onPrecedingRun(e *entry, preceding string, status int, over bool) {
+	e.busy = false
+	if !h.owns(e) {
+		return
+	}
+	neverSubmitted := status == 404 && !e.isPending(preceding)
+	switch {
+	case status == 200 && over, neverSubmitted:
+		e.precedingRun = preceding
+	case status == 200 && e.current.Spec.Busy == BusyForbid:
+		e.precedingRun = precedingRunBusy
+	default: // it is not over, or its state is not known
+		h.enqueueAt(e, h.Now.WallMS+retryMS)
+		return
+	}
+	h.enqueueAt(e, min(e.dueAt, h.certainWallMS()))
+}
--- a/schedules/queries.go
+++ b/schedules/queries.go
@@ -9,7 +9,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// showCalendar shows a calendar as the schedules that use it have it.
+// showCalendar responds with a calendar as it is stored with the schedules that use it.
 func (h *Host) showCalendar(reply uint64, name string) {
 	h.listCalendarUsers(name, func(found []definitionRecord, ok bool) {
 		switch {
@@ -17,74 +17,76 @@
 			h.Respond(reply, unavailable(name))
 			return
 		case len(found) == 0:
-			h.Respond(reply, Response{Status: 404, Name: name, Error: "no schedule uses a calendar of this name"})
+			h.Respond(reply, Response{Status: 404, Name: name, Error: calendarNotUsed})
 			return
 		}
-		a := Response{Status: 200, Name: name, Calendar: found[0].Calendar}
-		for _, d := range found {
-			a.Schedules = append(a.Schedules, d.summary())
+		response := Response{Status: 200, Name: name, Calendar: found[0].Calendar}
+		for _, definition := range found {
+			response.Schedules = append(response.Schedules, definition.summary())
 		}
-		h.Respond(reply, a)
+		h.Respond(reply, response)
 	})
 }
 
-// list reads a page of all schedules, by shard and name.
-func (h *Host) list(reply uint64, from string) {
-	h.SendStore(
-		scheduler.StoreOp{Kind: scheduler.StoreList, Urgency: scheduler.UrgencyRead, Key: definitionPrefix, StartAfter: from},
-		func(r scheduler.StoreResult) {
-			if r.Outcome != scheduler.OK {
-				h.Respond(reply, unavailable(""))
-				return
-			}
-			a := Response{Status: 200, Schedules: []Summary{}}
-			for _, it := range r.KVs {
-				var d definitionRecord
-				if json.Unmarshal(it.Value, &d) == nil {
-					a.Schedules = append(a.Schedules, d.summary())
-				}
-				a.More = it.Key
-			}
-			if !r.More {
-				a.More = ""
+// list responds with a page of all schedules, by shard and name.
+func (h *Host) list(reply uint64, startAfter string) {
+	request := scheduler.StoreOp{
+		Kind:       scheduler.StoreList,
+		Urgency:    scheduler.UrgencyRead,
+		Key:        definitionPrefix,
+		StartAfter: startAfter,
+	}
+	h.SendStore(request, func(r scheduler.StoreResult) {
+		if r.Outcome != scheduler.OK {
+			h.Respond(reply, unavailable(""))
+			return
+		}
+		response := Response{Status: 200, Schedules: []Summary{}}
+		for _, kv := range r.KVs {
+			var definition definitionRecord
+			if json.Unmarshal(kv.Value, &definition) == nil {
+				response.Schedules = append(response.Schedules, definition.summary())
 			}
-			h.Respond(reply, a)
-		},
-	)
+		}
+		if r.More && len(r.KVs) > 0 {
+			response.More = r.KVs[len(r.KVs)-1].Key
+		}
+		h.Respond(reply, response)
+	})
 }
 
-// showDecisions reads a schedule, or a page of what it decided: the oldest pages first,
-// the newest decisions last.
+// showDecisions responds with a schedule, or with a page of what it decided: the oldest page first.
 func (h *Host) showDecisions(reply uint64, r Request) {
-	shard := extension.ShardOf(h.params.Members, r.Name)
-	h.readOrRespond(reply, progressKey(shard, r.Name), func(prog scheduler.KeyValue) {
-		var p progressRecord
+	h.readOrRespond(reply, progressKey(h.shardOf(r.Name), r.Name), func(kv scheduler.KeyValue) {
+		var progress progressRecord
 		switch {
-		case !decode(prog, &p):
+		case !decode(kv, &progress):
 			h.Respond(reply, unavailable(r.Name))
 		case r.Kind == History:
-			h.showHistory(reply, shard, r, p, prog.Rev != 0)
+			h.showHistory(reply, r, progress, kv.Rev != 0)
 		default:
-			h.showSchedule(reply, shard, r.Name, p)
+			h.showSchedule(reply, r.Name, progress)
 		}
 	})
 }
 
-// readOrRespond reads a record for an operator, who is told where the state service
-// cannot say.
+// shardOf returns the shard that runs a schedule.
+func (h *Host) shardOf(name string) string { return extension.ShardOf(h.params.Members, name) }
+
+// readOrRespond reads a record for an operator, and responds itself if the state service is unavailable.
 func (h *Host) readOrRespond(reply uint64, key string, onRecord func(scheduler.KeyValue)) {
-	h.Get(scheduler.UrgencyRead, key, func(it scheduler.KeyValue, ok bool) {
+	h.Get(scheduler.UrgencyRead, key, func(kv scheduler.KeyValue, ok bool) {
 		if !ok {
 			h.Respond(reply, unavailable(""))
 			return
 		}
-		onRecord(it)
+		onRecord(kv)
 	})
 }
 
-// showHistory shows a page of what a schedule decided; decided tells whether it
-// has a record of that.
-func (h *Host) showHistory(reply uint64, shard string, r Request, p progressRecord, decided bool) {
+// showHistory responds with a page of decisions; those in the progress record are the last page. decided:
+// there is a progress record.
+func (h *Host) showHistory(reply uint64, r Request, progress progressRecord, decided bool) {
 	page := 0
 	if r.From != "" {
 		if _, err := fmt.Sscanf(r.From, "%d", &page); err != nil || page < 0 {
@@ -92,46 +94,61 @@
 			return
 		}
 	}
-	if page >= p.Pages {
-		if !decided {
-			h.Respond(reply, Response{Status: 404, Name: r.Name, Error: "nothing was decided"})
-			return
-		}
-		h.Respond(reply, Response{Status: 200, Name: r.Name, Decisions: p.Log})
-		return
+	switch {
+	case page < progress.Pages:
+		h.showHistoryPage(reply, r.Name, page)
+	case !decided:
+		h.Respond(reply, Response{Status: 404, Name: r.Name, Error: "nothing was decided"})
+	default:
+		h.Respond(reply, Response{Status: 200, Name: r.Name, Decisions: progress.Log})
 	}
-	h.readOrRespond(reply, historyKey(shard, r.Name, page), func(it scheduler.KeyValue) {
-		a := Response{Status: 200, Name: r.Name, More: fmt.Sprint(page + 1)}
-		if it.Rev != 0 {
-			_ = json.Unmarshal(it.Value, &a.Decisions)
+}
+
+func (h *Host) showHistoryPage(reply uint64, name string, page int) {
+	h.readOrRespond(reply, historyKey(h.shardOf(name), name, page), func(kv scheduler.KeyValue) {
+		response := Response{Status: 200, Name: name, More: fmt.Sprint(page + 1)}
+		if kv.Rev != 0 {
+			_ = json.Unmarshal(kv.Value, &response.Decisions) // an unreadable page is shown as empty
 		}
-		h.Respond(reply, a)
+		h.Respond(reply, response)
 	})
 }
 
-// showSchedule shows a schedule's definition and what it decided last.
-func (h *Host) showSchedule(reply uint64, shard, name string, p progressRecord) {
-	h.readOrRespond(reply, definitionKey(shard, name), func(def scheduler.KeyValue) {
-		var d definitionRecord
+// showSchedule responds with a schedule's definition and its latest decisions.
+func (h *Host) showSchedule(reply uint64, name string, progress progressRecord) {
+	h.readOrRespond(reply, definitionKey(h.shardOf(name), name), func(kv scheduler.KeyValue) {
+		var definition definitionRecord
 		switch {
-		case def.Rev == 0:
-			h.Respond(reply, Response{Status: 404, Name: name, Error: "no such schedule"})
+		case kv.Rev == 0:
+			h.Respond(reply, Response{Status: 404, Name: name, Error: noSuchSchedule})
 			return
-		case !decode(def, &d):
+		case !decode(kv, &definition):
 			h.Respond(reply, unavailable(name))
 			return
 		}
-		a := Response{Status: 200, Name: name, Version: d.Version, Spec: &d.Spec, Decisions: p.Log}
-		if d.Paused {
-			a.State = "paused"
+		response := Response{
+			Status:    200,
+			Name:      name,
+			Version:   definition.Version,
+			Spec:      &definition.Spec,
+			Decisions: progress.Log,
 		}
-		if p.DecidedUpToMS > 0 {
-			a.UpTo = time.UnixMilli(p.DecidedUpToMS).UTC().Format(time.RFC3339)
+		if definition.Paused {
+			response.State = statePaused
 		}
-		h.Respond(reply, a)
+		if progress.DecidedUpToMS > 0 {
+			response.UpTo = time.UnixMilli(progress.DecidedUpToMS).UTC().Format(time.RFC3339)
+		}
+		h.Respond(reply, response)
 	})
 }
 
 func (d *definitionRecord) summary() Summary {
-	return Summary{d.Spec.Name, d.Version, d.Paused, d.Spec.Zone, d.Spec.Rule}
+	return Summary{
+		Name:    d.Spec.Name,
+		Version: d.Version,
+		Paused:  d.Paused,
+		Zone:    d.Spec.Zone,
+		Rule:    d.Spec.Rule,
+	}
 }
--- a/schedules/records.go
+++ b/schedules/records.go
@@ -7,9 +7,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Keys of the state service. Only one small record a shard is mirrored, whose
-// revision tells its holder that definitions changed; definitions and progress
-// are read by the holder alone, so that their number costs others nothing.
+// Keys of the state service. Only the change index of each shard is replicated to all members; by its
+// revision the owner knows that definitions changed. Definitions and progress are read by the owner
+// alone, so that their number costs others nothing.
 const (
 	ChangeIndexPrefix = scheduler.ExtensionPrefix + "s/"
 	definitionPrefix  = "s/"
@@ -27,28 +27,38 @@
 	return fmt.Sprintf("%s%s/%s/%06d", historyPrefix, shard, name, n)
 }
 
-// changeIndexRecord tells a shard's holder what changed last.
+// changeIndexRecord is the change index of a shard: which schedules changed last.
 type changeIndexRecord struct {
-	Seq   int      `json:"seq"`
-	Names []string `json:"names"` // of the last changes, newest last
+	Seq   int      `json:"seq"`   // rises by 1 with each change
+	Names []string `json:"names"` // of the last changes, the newest last
 }
 
 const maxIndexedChanges = 16
 
 // addChange notes that a schedule changed.
-func (m *changeIndexRecord) addChange(name string) {
-	m.Seq++
-	m.Names = append(m.Names, name)
-	if n := len(m.Names); n > maxIndexedChanges {
-		m.Names = m.Names[n-maxIndexedChanges:]
+func (r *changeIndexRecord) addChange(name string) {
+	r.Seq++
+	r.Names = append(r.Names, name)
+	if n := len(r.Names); n > maxIndexedChanges {
+		r.Names = r.Names[n-maxIndexedChanges:]
 	}
 }
 
-// definitionRecord is a schedule's definition. A version counts from a moment on: what
-// was due before it goes by the one before.
+// changesSince returns the names that changed after a sequence number; ok is false if the index does
+// not go back that far.
+func (r *changeIndexRecord) changesSince(sequence int) (names []string, ok bool) {
+	n := r.Seq - sequence
+	if n <= 0 || n > len(r.Names) {
+		return nil, false
+	}
+	return r.Names[len(r.Names)-n:], true
+}
+
+// definitionRecord is a schedule's definition. A version is in effect from SinceMS on; moments before that
+// follow Previous.
 type definitionRecord struct {
 	Version  int      `json:"version"`
-	SinceMS  int64    `json:"since"` // time of day, ms
+	SinceMS  int64    `json:"since"` // time of day in milliseconds
 	Spec     Spec     `json:"spec"`
 	Calendar calendar `json:"calendar"`
 	Paused   bool     `json:"paused,omitempty"`
@@ -62,39 +72,43 @@
 	Calendar calendar `json:"calendar"`
 }
 
-// calendar is nil where a schedule names none.
+// version returns the version in effect from SinceMS on.
+func (d *definitionRecord) version() *version {
+	return &version{Version: d.Version, SinceMS: d.SinceMS, Spec: d.Spec, Calendar: d.Calendar}
+}
+
+// calendar is nil if a schedule names none.
 type calendar = *recurrence.Calendar
 
-// Decision is what became of a moment.
+// Decision is what was decided for a moment. Times are times of day in milliseconds.
 type Decision struct {
-	AtMS      int64  `json:"at"` // the moment, time of day, ms
+	AtMS      int64  `json:"at"` // the moment
 	Run       bool   `json:"run"`
 	Job       string `json:"job,omitempty"`
-	Reason    string `json:"why,omitempty"` // why it is late, moved or not run
+	Reason    string `json:"why,omitempty"` // why it is late, shifted or not run
 	Version   int    `json:"version"`
 	DecidedMS int64  `json:"decided"`
 }
 
-// progressRecord is what a schedule decided. Pending are runs that may not have been
-// submitted yet.
+// progressRecord is what a schedule decided.
 type progressRecord struct {
-	DecidedUpToMS int64      `json:"upto"` // all moments up to this one are decided
-	Pending       []Decision `json:"pending,omitempty"`
-	Last          string     `json:"last,omitempty"` // the newest run's job
-	Log           []Decision `json:"log,omitempty"`
-	Pages         int        `json:"pages,omitempty"`
+	DecidedUpToMS int64      `json:"upto"`              // all moments up to this time of day are decided
+	Pending       []Decision `json:"pending,omitempty"` // runs that may not be submitted yet
+	Last          string     `json:"last,omitempty"`    // the job of the newest run
+	Log           []Decision `json:"log,omitempty"`     // the newest decisions; earlier ones are in history
+	Pages         int        `json:"pages,omitempty"`   // of history
 }
 
-// validate checks a version that came from the store.
+// validate makes a version that came from the store ready for use.
 func (v *version) validate() error {
-	cals := map[string]*recurrence.Calendar{}
+	calendars := map[string]*recurrence.Calendar{}
 	if v.Calendar != nil {
 		if err := v.Calendar.Validate(); err != nil {
 			return err
 		}
-		cals[v.Calendar.Name] = v.Calendar
+		calendars[v.Calendar.Name] = v.Calendar
 	}
-	if err := v.Spec.Schedule.Validate(cals); err != nil {
+	if err := v.Spec.Schedule.Validate(calendars); err != nil {
 		return err
 	}
 	return v.Spec.validate()
--- a/schedules/simulation_test.go
+++ b/schedules/simulation_test.go
@@ -12,16 +12,16 @@
 
 	"github.com/grebedock/grebedock/extension"
 	"github.com/grebedock/grebedock/internal/platformfake"
+	"github.com/grebedock/grebedock/recurrence"
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// simulation is a year of a state service, a core and members' hosts, whose clocks
-// disagree within the platform's bound, with crashes, hand-overs, outages and
-// lost, late and doubled requests.
+// simulation has a state service, a core and members' hosts whose clocks differ within the platform's
+// bound, with restarts, claims by other members, store outages, and requests that are lost or late.
 type simulation struct {
 	t                    testing.TB
 	rng                  *rand.Rand
-	now                  int64 // true time of day, ms
+	now                  int64 // true time of day in milliseconds
 	store                *platformfake.State
 	members              []string
 	hosts                map[string]*Host
@@ -32,11 +32,11 @@
 	jobs                 map[string]*fakeJob
 	responses            map[uint64]Response
 	nextID               uint64
-	storeOutageUntil     int64 // until then the state service refuses everybody
+	storeOutageUntil     int64 // until then the state service refuses all requests
 	lostRequests         int
 	faults               bool
-	duplicateSubmissions bool // sabotage: a repeated submission makes another job
-	dropSubmissions      bool // sabotage: one submission in fifty is confirmed and forgotten
+	duplicateSubmissions bool // planted: a repeated submission makes another job
+	dropSubmissions      bool // planted: one submission in fifty is confirmed and forgotten
 }
 
 type fakeJob struct {
@@ -51,8 +51,15 @@
 // valueBytes is half of what the smaller deployment allows.
 const valueBytes = 4 << 10
 
+// The state service's bounds of a transaction.
+const (
+	txnOps           = 16
+	maxTxnValueBytes = 60 << 10
+	maxPreconditions = 64
+)
+
 func newSimulation(t testing.TB, seed uint64, at time.Time, faults bool) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t:         t,
 		rng:       rand.New(rand.NewPCG(seed, 5)),
 		now:       at.UnixMilli(),
@@ -66,331 +73,330 @@
 		nextID:    1,
 		faults:    faults,
 	}
-	for _, m := range w.members {
-		w.startHost(m)
-		w.claim(m, m)
+	for _, m := range sim.members {
+		sim.startHost(m)
+		sim.claim(m, m)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) startHost(m string) {
-	w.hosts[m] = NewHost(
-		Params{
-			Members:      w.members,
-			Teams:        map[string]scheduler.Team{"ops": {}},
-			ValueBytes:   valueBytes,
-			TxnOps:       16,
-			ClockErrorMS: clockErrorMS,
-			Rate:         1000,
-		},
-	)
-	w.views[m] = scheduler.ExtensionView{}
+func (sim *simulation) startHost(m string) {
+	sim.hosts[m] = NewHost(Params{
+		Members:      sim.members,
+		Teams:        map[string]scheduler.Team{"ops": {}},
+		ValueBytes:   valueBytes,
+		TxnOps:       txnOps,
+		ClockErrorMS: clockErrorMS,
+		Rate:         1000,
+	})
+	sim.views[m] = scheduler.ExtensionView{}
 }
 
-func (w *simulation) claim(shard, member string) {
+func (sim *simulation) claim(shard, member string) {
 	b, _ := json.Marshal(member)
-	r, _ := w.store.Apply(
-		w.now,
-		scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: scheduler.ClaimKey(shard), Value: b}}},
-	)
-	w.claims[shard] = r.Rev
+	r := sim.put(scheduler.ClaimKey(shard), b)
+	sim.claims[shard] = r.Rev
+}
+
+func (sim *simulation) put(key string, value json.RawMessage) scheduler.StoreResult {
+	changes := []scheduler.Change{{Key: key, Value: value}}
+	r, _ := sim.store.Apply(sim.now, scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: changes})
+	return r
 }
 
-// clock is a member's: within the bound of true time, and moving about in it.
-func (w *simulation) clock() scheduler.Now {
-	return scheduler.Now{MonotonicMS: w.now, WallMS: w.now + int64(w.rng.IntN(2*clockErrorMS+1)-clockErrorMS)}
+// clock returns a member's time: within the bound of true time, at random.
+func (sim *simulation) clock() scheduler.Now {
+	return scheduler.Now{MonotonicMS: sim.now, WallMS: sim.now + int64(sim.rng.IntN(2*clockErrorMS+1)-clockErrorMS)}
 }
 
-func (w *simulation) refreshView(m string) {
+func (sim *simulation) refreshView(m string) {
 	v := scheduler.ExtensionView{HasAuthority: true, ClaimTokens: map[string]uint64{}}
-	for s, rev := range w.claims {
+	for s, rev := range sim.claims {
 		var owner string
-		_ = json.Unmarshal(w.store.Value(scheduler.ClaimKey(s)), &owner)
+		_ = json.Unmarshal(sim.store.Value(scheduler.ClaimKey(s)), &owner)
 		if owner == m {
 			v.ClaimTokens[s] = rev
 		}
 	}
-	for _, s := range w.members {
-		r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreGet, Key: changeIndexKey(s)})
+	for _, s := range sim.members {
+		r, _ := sim.store.Apply(sim.now, scheduler.StoreOp{Kind: scheduler.StoreGet, Key: changeIndexKey(s)})
 		v.KVs = append(v.KVs, r.KVs...)
 	}
-	w.views[m] = v
+	sim.views[m] = v
 }
 
-func (w *simulation) applyStoreOp(op scheduler.StoreOp) scheduler.StoreResult {
-	if w.now < w.storeOutageUntil {
+func (sim *simulation) applyStoreOp(op scheduler.StoreOp) scheduler.StoreResult {
+	if sim.now < sim.storeOutageUntil {
 		return scheduler.StoreResult{Outcome: scheduler.Refused}
 	}
 	total := 0
 	for _, c := range op.Changes {
 		if total += len(c.Value); len(c.Value) > valueBytes {
-			w.t.Errorf("%s takes %d bytes, more than a value may", c.Key, len(c.Value))
+			sim.t.Errorf("%s takes %d bytes, more than the %d of a value", c.Key, len(c.Value), valueBytes)
 		}
 	}
-	if total > 60<<10 || len(op.Changes) > 16 || len(op.Preconditions) > 64 {
-		w.t.Errorf("a transaction has %d bytes, %d changes and %d conditions", total, len(op.Changes), len(op.Preconditions))
+	changes, preconditions := len(op.Changes), len(op.Preconditions)
+	if total > maxTxnValueBytes || changes > txnOps || preconditions > maxPreconditions {
+		sim.t.Errorf("a transaction has %d bytes, %d changes and %d preconditions", total, changes, preconditions)
 	}
-	r, _ := w.store.Apply(w.now, op)
+	r, _ := sim.store.Apply(sim.now, op)
 	return r
 }
 
-func (w *simulation) handleCoreRequest(r scheduler.UserRequest) scheduler.UserResponse {
-	if w.now < w.storeOutageUntil {
+func (sim *simulation) handleCoreRequest(r scheduler.UserRequest) scheduler.UserResponse {
+	if sim.now < sim.storeOutageUntil {
 		return scheduler.UserResponse{Status: 503, RetryAfterS: 1}
 	}
-	j := w.jobs[r.ID]
-	if r.Kind == scheduler.SubmitJob && (j == nil || w.duplicateSubmissions) {
-		if w.dropSubmissions && w.rng.IntN(50) == 0 {
-			return scheduler.UserResponse{Status: 201, ID: r.ID}
-		}
-		res, _ := w.store.Apply(
-			w.now,
-			scheduler.StoreOp{
-				Kind:          scheduler.StoreTxn,
-				Preconditions: r.Preconditions,
-				Changes:       []scheduler.Change{{Key: "jobs/" + r.ID, Value: json.RawMessage("1")}},
-			},
-		)
-		if res.Outcome != scheduler.OK {
-			return scheduler.UserResponse{Status: 409, ID: r.ID}
-		}
-		if j == nil {
-			j = &fakeJob{name: r.Job.WorkflowRun, created: w.now, endsAt: w.now + int64(w.rng.IntN(600_000))}
-			w.jobs[r.ID] = j
-		}
-		j.submissions++
-		return scheduler.UserResponse{Status: 201, ID: r.ID}
+	j := sim.jobs[r.ID]
+	if r.Kind == scheduler.SubmitJob && (j == nil || sim.duplicateSubmissions) {
+		return sim.submitJob(r)
 	}
 	if j == nil {
 		return scheduler.UserResponse{Status: 404, ID: r.ID}
 	}
 	if r.Kind == scheduler.CancelJob {
-		j.endsAt = min(j.endsAt, w.now)
+		j.endsAt = min(j.endsAt, sim.now)
 	}
-	a := scheduler.UserResponse{Status: 200, ID: r.ID, State: scheduler.Running, WorkflowRun: j.name}
-	if j.endsAt <= w.now {
-		a.State = scheduler.Done
+	response := scheduler.UserResponse{Status: 200, ID: r.ID, State: scheduler.Running, WorkflowRun: j.name}
+	if j.endsAt <= sim.now {
+		response.State = scheduler.Done
 	}
-	return a
+	return response
 }
 
-func (w *simulation) dispatchOutputs(m string) {
-	h := w.hosts[m]
-	o := h.Take()
-	chance := func(p float64) bool { return w.faults && w.rng.Float64() < p }
-	for id, a := range o.Responses {
-		w.responses[id] = a
-	}
-	for _, op := range o.Store {
-		w.queue = append(w.queue, func() {
-			if chance(0.03) {
-				w.lostRequests++
-				if w.rng.IntN(2) == 0 {
-					w.applyStoreOp(op) // done, and nobody hears of it
-				} else {
-					w.delayed = append(w.delayed, func() { w.applyStoreOp(op) })
-				}
-				h.StoreDone(w.clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
+// submitJob stores a job under the request's preconditions.
+func (sim *simulation) submitJob(r scheduler.UserRequest) scheduler.UserResponse {
+	created := scheduler.UserResponse{Status: 201, ID: r.ID}
+	if sim.dropSubmissions && sim.rng.IntN(50) == 0 {
+		return created
+	}
+	result, _ := sim.store.Apply(sim.now, scheduler.StoreOp{
+		Kind:          scheduler.StoreTxn,
+		Preconditions: r.Preconditions,
+		Changes:       []scheduler.Change{{Key: "jobs/" + r.ID, Value: json.RawMessage("1")}},
+	})
+	if result.Outcome != scheduler.OK {
+		return scheduler.UserResponse{Status: 409, ID: r.ID}
+	}
+	j := sim.jobs[r.ID]
+	if j == nil {
+		j = &fakeJob{name: r.Job.WorkflowRun, created: sim.now, endsAt: sim.now + int64(sim.rng.IntN(600_000))}
+		sim.jobs[r.ID] = j
+	}
+	j.submissions++
+	return created
+}
+
+// dispatchOutputs queues what a member's host sends.
+func (sim *simulation) dispatchOutputs(m string) {
+	h := sim.hosts[m]
+	outputs := h.Take()
+	for id, response := range outputs.Responses {
+		sim.responses[id] = response
+	}
+	for _, op := range outputs.Store {
+		sim.queue = append(sim.queue, func() {
+			if sim.loseRequest(0.03, func() { sim.applyStoreOp(op) }) {
+				h.StoreDone(sim.clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
 				return
 			}
-			h.StoreDone(w.clock(), op.ID, w.applyStoreOp(op))
+			h.StoreDone(sim.clock(), op.ID, sim.applyStoreOp(op))
 		})
 	}
-	for _, c := range o.Core {
-		w.queue = append(w.queue, func() {
-			if chance(0.05) {
-				w.lostRequests++
-				if w.rng.IntN(2) == 0 {
-					w.handleCoreRequest(c.UserRequest)
-				} else {
-					w.delayed = append(w.delayed, func() { w.handleCoreRequest(c.UserRequest) })
-				}
-				h.CoreDone(w.clock(), c.ID, scheduler.UserResponse{Status: 503, RetryAfterS: 1})
+	for _, request := range outputs.Core {
+		sim.queue = append(sim.queue, func() {
+			if sim.loseRequest(0.05, func() { sim.handleCoreRequest(request.UserRequest) }) {
+				h.CoreDone(sim.clock(), request.ID, scheduler.UserResponse{Status: 503, RetryAfterS: 1})
 				return
 			}
-			h.CoreDone(w.clock(), c.ID, w.handleCoreRequest(c.UserRequest))
+			h.CoreDone(sim.clock(), request.ID, sim.handleCoreRequest(request.UserRequest))
 		})
 	}
 }
 
-// step lets time pass and a little happen.
-func (w *simulation) step(ms int64) {
-	w.now += ms
-	for _, m := range w.members {
-		if !w.faults || w.rng.IntN(5) > 0 {
-			w.refreshView(m)
+// loseRequest reports, with a probability, that a request's answer is lost. The request is performed
+// at once or later.
+func (sim *simulation) loseRequest(probability float64, perform func()) bool {
+	if !sim.faults || sim.rng.Float64() >= probability {
+		return false
+	}
+	sim.lostRequests++
+	if sim.rng.IntN(2) == 0 {
+		perform()
+	} else {
+		sim.delayed = append(sim.delayed, perform)
+	}
+	return true
+}
+
+// takeRandom removes one of some functions at random and returns it.
+func (sim *simulation) takeRandom(functions *[]func()) func() {
+	i := sim.rng.IntN(len(*functions))
+	f := (*functions)[i]
+	*functions = slices.Delete(*functions, i, i+1)
+	return f
+}
+
+// step lets time pass, and performs some requests and faults.
+func (sim *simulation) step(ms int64) {
+	sim.now += ms
+	for _, m := range sim.members {
+		if !sim.faults || sim.rng.IntN(5) > 0 {
+			sim.refreshView(m)
 		}
-		w.hosts[m].Tick(w.clock(), w.views[m])
-		w.dispatchOutputs(m)
-	}
-	for n := 0; len(w.queue) > 0 && n < 40; n++ {
-		i := w.rng.IntN(len(w.queue))
-		f := w.queue[i]
-		w.queue = append(w.queue[:i], w.queue[i+1:]...)
-		f()
-		for _, m := range w.members {
-			w.dispatchOutputs(m)
+		sim.hosts[m].Tick(sim.clock(), sim.views[m])
+		sim.dispatchOutputs(m)
+	}
+	for n := 0; len(sim.queue) > 0 && n < 40; n++ {
+		sim.takeRandom(&sim.queue)()
+		for _, m := range sim.members {
+			sim.dispatchOutputs(m)
 		}
 	}
-	if !w.faults {
+	if !sim.faults {
 		return
 	}
-	if len(w.delayed) > 0 && w.rng.IntN(10) == 0 {
-		i := w.rng.IntN(len(w.delayed))
-		f := w.delayed[i]
-		w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
-		f()
+	if len(sim.delayed) > 0 && sim.rng.IntN(10) == 0 {
+		sim.takeRandom(&sim.delayed)()
 	}
-	if w.rng.IntN(12) == 0 {
-		w.startHost(w.members[w.rng.IntN(3)])
+	if sim.rng.IntN(12) == 0 {
+		sim.startHost(sim.members[sim.rng.IntN(3)])
 	}
-	if w.rng.IntN(20) == 0 {
-		w.claim(w.members[w.rng.IntN(3)], w.members[w.rng.IntN(3)])
+	if sim.rng.IntN(20) == 0 {
+		sim.claim(sim.members[sim.rng.IntN(3)], sim.members[sim.rng.IntN(3)])
 	}
-	if w.rng.IntN(60) == 0 {
-		w.storeOutageUntil = w.now + int64(w.rng.IntN(36*3600_000))
+	if sim.rng.IntN(60) == 0 {
+		sim.storeOutageUntil = sim.now + int64(sim.rng.IntN(36*3600_000))
 	}
 }
 
-func (w *simulation) request(r Request) Response {
+// request sends a request to members at random until one responds other than unavailable; a store outage ends
+// after the first attempt.
+func (sim *simulation) request(r Request) Response {
 	for range 300 {
-		m := w.members[w.rng.IntN(3)]
-		w.nextID++
-		id := w.nextID
-		w.hosts[m].HandleRequest(w.clock(), id, r)
+		m := sim.members[sim.rng.IntN(3)]
+		sim.nextID++
+		id := sim.nextID
+		sim.hosts[m].HandleRequest(sim.clock(), id, r)
 		for range 20 {
-			w.step(200)
-			if a, ok := w.responses[id]; ok {
-				if a.Status == 503 {
-					break
-				}
-				return a
+			sim.step(200)
+			response, responded := sim.responses[id]
+			if responded && response.Status == 503 {
+				break
+			}
+			if responded {
+				return response
 			}
 		}
-		w.storeOutageUntil = 0
+		sim.storeOutageUntil = 0
 	}
-	w.t.Fatal("no answer")
+	sim.t.Fatal("no response")
 	return Response{}
 }
 
-func (w *simulation) apply(text string) *Spec {
+// apply applies the first schedule of a file.
+func (sim *simulation) apply(text string) *Spec {
 	f, err := ParseFile([]byte(text))
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	if a := w.request(Request{Kind: Apply, Name: f.Schedules[0].Name, Body: []byte(text)}); a.Status != 200 {
-		w.t.Fatalf("%s gets %d %s", f.Schedules[0].Name, a.Status, a.Error)
+	spec := f.Schedules[0]
+	response := sim.request(Request{Kind: Apply, Name: spec.Name, Body: []byte(text)})
+	if response.Status != 200 {
+		sim.t.Fatalf("%s: got %d %s, want status 200", spec.Name, response.Status, response.Error)
 	}
-	return f.Schedules[0]
+	return spec
 }
 
-// history reads all that a schedule decided.
-func (w *simulation) history(name string) (out []Decision) {
+// history returns all decisions of a schedule.
+func (sim *simulation) history(name string) (decisions []Decision) {
 	for from := ""; ; {
-		a := w.request(Request{Kind: History, Name: name, From: from})
-		out = append(out, a.Decisions...)
-		if from = a.More; from == "" {
-			return out
+		response := sim.request(Request{Kind: History, Name: name, From: from})
+		decisions = append(decisions, response.Decisions...)
+		if from = response.More; from == "" {
+			return decisions
 		}
 	}
 }
 
-// violations holds what was decided and run against the moments that a schedule has.
-func (w *simulation) violations(s *Spec, since, until int64) (out []string) {
-	ms, err := s.Between(time.UnixMilli(since), time.UnixMilli(until))
-	if err != nil {
-		w.t.Fatal(err)
+// violations compares what was decided and run with the moments of a schedule.
+func (sim *simulation) violations(s *Spec, since, until int64) (violations []string) {
+	report := func(format string, args ...any) {
+		violations = append(violations, s.Name+": "+fmt.Sprintf(format, args...))
 	}
 	decided := map[int64]Decision{}
-	for _, d := range w.history(s.Name) {
-		if _, twice := decided[d.AtMS]; twice {
-			out = append(out, fmt.Sprintf("%s: %s is decided twice", s.Name, time.UnixMilli(d.AtMS).UTC()))
+	runs := 0
+	for _, d := range sim.history(s.Name) {
+		at := time.UnixMilli(d.AtMS).UTC()
+		if _, exists := decided[d.AtMS]; exists {
+			report("%s is decided twice", at)
+		} else if d.Run {
+			runs++
 		}
 		decided[d.AtMS] = d
-		j := w.jobs[d.Job]
+		j := sim.jobs[d.Job]
 		switch {
 		case d.Run && j == nil:
-			out = append(out, fmt.Sprintf("%s: the run of %s is missing", s.Name, time.UnixMilli(d.AtMS).UTC()))
+			report("the run of %s is missing", at)
 		case d.Run && j.submissions != 1:
-			out = append(
-				out,
-				fmt.Sprintf("%s: the run of %s is there %d times", s.Name, time.UnixMilli(d.AtMS).UTC(), j.submissions),
-			)
+			report("the run of %s is there %d times", at, j.submissions)
 		case d.Run && j.created < d.AtMS:
-			out = append(
-				out,
-				fmt.Sprintf("%s: the run of %s came %d ms early", s.Name, time.UnixMilli(d.AtMS).UTC(), d.AtMS-j.created),
-			)
+			report("the run of %s came %d ms early", at, d.AtMS-j.created)
 		case !d.Run && d.Reason == "":
-			out = append(out, fmt.Sprintf("%s: %s is not run for no reason", s.Name, time.UnixMilli(d.AtMS).UTC()))
+			report("%s is not run, without a reason", at)
 		}
 	}
-	n := 0
-	for _, m := range ms {
-		if m.Dropped {
-			continue
-		}
-		n++
-		if _, ok := decided[m.At.UnixMilli()]; !ok {
-			out = append(out, fmt.Sprintf("%s: nothing was decided for %s", s.Name, m.At.UTC()))
+	moments, err := s.Between(time.UnixMilli(since), time.UnixMilli(until))
+	if err != nil {
+		sim.t.Fatal(err)
+	}
+	moments = slices.DeleteFunc(moments, func(m recurrence.Moment) bool { return m.Dropped })
+	for _, m := range moments {
+		if _, exists := decided[m.At.UnixMilli()]; !exists {
+			report("nothing was decided for %s", m.At.UTC())
 		}
 	}
-	if len(decided) != n {
-		out = append(out, fmt.Sprintf("%s: %d decisions for %d moments", s.Name, len(decided), n))
+	if len(decided) != len(moments) {
+		report("%d decisions for %d moments", len(decided), len(moments))
 	}
-	runs := 0
-	for _, d := range decided {
-		if d.Run {
-			runs++
+	jobs := sim.jobsOf(s.Name)
+	submissions := 0
+	for i, j := range jobs {
+		submissions += j.submissions
+		if i > 0 && s.Busy != BusyAllow && j.created < jobs[i-1].endsAt {
+			report("%s begins while %s runs", j.name, jobs[i-1].name)
 		}
 	}
-	createdJobs := 0
-	for _, j := range w.jobs {
-		if strings.HasPrefix(j.name, "schedule/"+s.Name+"@") {
-			createdJobs += j.submissions
-		}
+	if submissions != runs {
+		report("%d jobs for %d runs", submissions, runs)
 	}
-	if s.Busy != "allow" {
-		var scheduledRuns []*fakeJob
-		for _, j := range w.jobs {
-			if strings.HasPrefix(j.name, "schedule/"+s.Name+"@") {
-				scheduledRuns = append(scheduledRuns, j)
-			}
-		}
-		slices.SortFunc(scheduledRuns, func(a, b *fakeJob) int { return cmp.Compare(a.created, b.created) })
-		for i := 1; i < len(scheduledRuns); i++ {
-			if scheduledRuns[i].created < scheduledRuns[i-1].endsAt {
-				out = append(
-					out,
-					fmt.Sprintf("%s: %s begins while %s runs", s.Name, scheduledRuns[i].name, scheduledRuns[i-1].name),
-				)
-			}
+	return violations
+}
+
+// jobsOf returns the jobs of a schedule in the order of creation.
+func (sim *simulation) jobsOf(schedule string) (jobs []*fakeJob) {
+	for _, j := range sim.jobs {
+		if strings.HasPrefix(j.name, "schedule/"+schedule+"@") {
+			jobs = append(jobs, j)
 		}
 	}
-	if createdJobs != runs {
-		out = append(out, fmt.Sprintf("%s: %d jobs for %d runs", s.Name, createdJobs, runs))
-	}
-	return out
+	slices.SortFunc(jobs, func(a, b *fakeJob) int { return cmp.Compare(a.created, b.created) })
+	return jobs
 }
 
-// storeSchedules stores n schedules as operators' requests would.
-func (w *simulation) storeSchedules(n int, at string) {
-	f, err := ParseFile([]byte(scheduleText("x", "zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [\""+at+"\"]")))
+// storeSchedules stores n daily schedules as operators' requests would.
+func (sim *simulation) storeSchedules(n int, at string) {
+	f, err := ParseFile([]byte(dailyText("x", at)))
 	if err != nil {
-		w.t.Fatal(err)
-	}
-	put := func(key string, v any) {
-		w.store.Apply(
-			w.now,
-			scheduler.StoreOp{Kind: scheduler.StoreTxn, Changes: []scheduler.Change{{Key: key, Value: extension.Encode(v)}}},
-		)
+		sim.t.Fatal(err)
 	}
 	for i := range n {
-		d := definitionRecord{Version: 1, SinceMS: w.now, Spec: *f.Schedules[0]}
-		d.Spec.Name = fmt.Sprint("s-", i)
-		put(definitionKey(extension.ShardOf(w.members, d.Spec.Name), d.Spec.Name), d)
+		definition := definitionRecord{Version: 1, SinceMS: sim.now, Spec: *f.Schedules[0]}
+		definition.Spec.Name = fmt.Sprint("s-", i)
+		shard := extension.ShardOf(sim.members, definition.Spec.Name)
+		sim.put(definitionKey(shard, definition.Spec.Name), extension.Encode(definition))
 	}
-	for _, m := range w.members {
-		put(changeIndexKey(m), changeIndexRecord{Seq: n})
+	for _, m := range sim.members {
+		sim.put(changeIndexKey(m), extension.Encode(changeIndexRecord{Seq: n}))
 	}
 }
--- a/schedules/spec.go
+++ b/schedules/spec.go
@@ -1,13 +1,27 @@
-// Package schedules decides which recurring jobs are due and sees to it that
-// each due moment becomes exactly one run, whatever members end, restart or
-// take over. Host is a state machine without input or output: time comes with
-// the inputs, and it talks to the scheduler's core as a user does.
+// Package schedules decides which recurring jobs are due, and has each due moment become exactly one
+// run, whatever members end, restart or take over. Host is a state machine without input or
+// output: time comes with the inputs, and it sends requests to the scheduler's core as a user does.
+// Calls must come from one goroutine at a time.
 //
-// What a schedule decided for a moment (a run, or none and why) is one write
-// under the shard's claim and the revision of the schedule's progress; the
-// run's job has an id that follows from schedule and moment, so that it can be
-// submitted again by whoever comes next. Nothing is decided before a moment has
-// come on every clock within the platform's bound.
+// It owns a shard's definitions, progress and history in the state service (records.go names the keys).
+// What a schedule decided for a moment (a run, or none and why) is one write under the shard's
+// claim and the revision of the schedule's progress. The ID of the run's job follows from
+// schedule and moment, so that any later owner can submit it again. Nothing is decided before a
+// moment has come on every member's clock, within the platform's bound on clock errors.
+//
+//	moment      input                                       to          effect
+//	future      it has come on every clock                  due
+//	due         busy is queue or replace, the preceding     due         asked again in a second; replace
+//	            run is not over                                         cancels it
+//	due         missed, late or busy policies skip it       skipped     the reason is logged with it
+//	due         the write of the decision is stored         pending     its job is submitted
+//	due         the write is refused or in doubt            due         the stored record is read again
+//	pending     submitted, or refused for good              done        left out of the next decision
+//	pending     no answer, or a conflict                    pending     read again and submitted again
+//	any         another member claims the shard             as stored
+//
+// It is built for members that end or lose their claim at any point, clocks that differ within the
+// bound, store outages, and requests that are lost, late or repeated.
 package schedules
 
 import (
@@ -16,9 +30,7 @@
 	"fmt"
 	"hash/fnv"
 	"regexp"
-	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/grebedock/grebedock/availability"
@@ -44,33 +56,56 @@
 	Spot      bool    `toml:"spot"       json:"spot"`
 }
 
+// MissedPolicy is which moments are run that passed while no member could decide.
+type MissedPolicy string
+
+// The policies for missed moments.
+const (
+	MissedLatest MissedPolicy = "latest"
+	MissedAll    MissedPolicy = "all"
+	MissedSkip   MissedPolicy = "skip"
+)
+
+// BusyPolicy is what happens to a moment while the preceding run is not over.
+type BusyPolicy string
+
+// The policies for a preceding run that is not over.
+const (
+	BusyAllow   BusyPolicy = "allow"   // both run
+	BusyForbid  BusyPolicy = "forbid"  // the moment is skipped
+	BusyQueue   BusyPolicy = "queue"   // the moment waits
+	BusyReplace BusyPolicy = "replace" // the preceding run is cancelled
+)
+
+// runsOneAtATime reports whether each run waits for the decision about the one before.
+func (p BusyPolicy) runsOneAtATime() bool { return p == BusyQueue || p == BusyReplace }
+
 // Spec is a schedule with what it runs and its policies.
 type Spec struct {
 	recurrence.Schedule
-	// Missed says what becomes of moments that passed while nobody could
-	// decide: run all, only the latest, or none of them.
-	Missed string `toml:"missed"   json:"missed"` // all, latest, skip
-	// LateS is how late a run may be submitted at most, in seconds; what is
-	// later is skipped, and told. 0: an hour.
-	LateS float64 `toml:"late_s"   json:"late_s"`
-	// Overlap of runs: what happens while the run before is not over.
-	Busy string `toml:"busy"     json:"busy"` // allow, forbid, queue, replace
-	Job  Job    `toml:"job"      json:"job"`
-	// Workflow is run instead of a job; Job then only names team, class and
-	// priority of steps that name none.
+	Missed MissedPolicy `toml:"missed"   json:"missed"`
+	// LateS is how late a moment may be decided and still run, in seconds; 0: an hour.
+	LateS float64    `toml:"late_s"   json:"late_s"`
+	Busy  BusyPolicy `toml:"busy"     json:"busy"`
+	Job   Job        `toml:"job"      json:"job"`
+	// Workflow is run instead of a job; Job then only gives team, class and priority to steps that name
+	// none.
 	Workflow *Workflow `toml:"workflow" json:"workflow,omitempty"`
 }
 
+// WorkflowInputs are the inputs of a workflow by name, of any type that its document declares.
+type WorkflowInputs map[string]any
+
 // Workflow is a workflow that a schedule runs.
 type Workflow struct {
-	// File is the document, seen from the schedules' file; whoever applies it
-	// packs it into Document.
+	// File is the document's path relative to the schedules' file. The command line packs the file into
+	// Document before it applies the schedule.
 	File     string         `toml:"file,omitempty"     json:"file,omitempty"`
 	Document string         `toml:"document,omitempty" json:"document,omitempty"` // as JSON
-	Inputs   map[string]any `toml:"inputs,omitempty"   json:"inputs,omitempty"`
+	Inputs   WorkflowInputs `toml:"inputs,omitempty"   json:"inputs,omitempty"`
 }
 
-// File is calendars and schedules as operators write them, in TOML.
+// File holds calendars and schedules as operators write them in TOML.
 type File struct {
 	Calendars []*recurrence.Calendar `toml:"calendar" json:"calendar"`
 	Schedules []*Spec                `toml:"schedule" json:"schedule"`
@@ -86,8 +121,8 @@
 	}
 )
 
-// ParseFile reads and checks a file. The error names line and field where the
-// text is wrong, and calendar or schedule where its meaning is.
+// ParseFile decodes and validates a file, and sets defaults. Errors of syntax name line and field;
+// errors of meaning name the calendar or schedule and the field.
 func ParseFile(b []byte) (*File, error) {
 	var f File
 	if err := strict.Decode(b, &f); err != nil {
@@ -106,48 +141,59 @@
 	return &f, errors.Join(errs...)
 }
 
-// validate fills in defaults and says what is wrong beside the recurrence.
+// validate sets defaults and returns an error for the first invalid field beside the recurrence.
 func (s *Spec) validate() error {
 	if !namePattern.MatchString(s.Name) {
 		return errors.New("name must be 1 to 63 of a-z, 0-9 and -")
 	}
-	for _, f := range []struct {
-		name string
-		v    *string
-		all  []string
-	}{{"missed", &s.Missed, []string{"latest", "all", "skip"}}, {"busy", &s.Busy, []string{"allow", "forbid", "queue", "replace"}},
-		{"job.priority", &s.Job.Priority, []string{"standard", "low", "high", "production"}}} {
-		if *f.v == "" {
-			*f.v = f.all[0]
-		}
-		if !slices.Contains(f.all, *f.v) {
-			return fmt.Errorf("%s: %q is none of %s", f.name, *f.v, strings.Join(f.all, ", "))
-		}
+	if err := s.validatePolicies(); err != nil {
+		return err
 	}
 	if s.LateS == 0 {
-		s.LateS = 3600
+		s.LateS = defaultLateS
 	}
 	if s.Job.Tasks == 0 {
 		s.Job.Tasks = 1
 	}
-	switch j := s.Job; {
+	switch w := s.Workflow; {
 	case !(s.LateS > 0):
 		return errors.New("late_s must be above 0")
-	case j.Team == "":
+	case s.Job.Team == "":
 		return errors.New("job.team is missing")
-	case s.Workflow != nil && s.Workflow.File == "" && s.Workflow.Document == "":
+	case w != nil && w.File == "" && w.Document == "":
 		return errors.New("workflow.file is missing")
-	case s.Workflow == nil && !(j.CPUs > 0):
+	case w == nil && !(s.Job.CPUs > 0):
 		return errors.New("job.cpus must be above 0")
-	case j.Tasks < 1 || j.Tasks > 100_000:
+	}
+	return s.Job.validateAmounts()
+}
+
+const defaultLateS = 3600
+
+func (s *Spec) validatePolicies() error {
+	if err := recurrence.ValidateChoice("missed", &s.Missed, MissedLatest, MissedAll, MissedSkip); err != nil {
+		return err
+	}
+	err := recurrence.ValidateChoice("busy", &s.Busy, BusyAllow, BusyForbid, BusyQueue, BusyReplace)
+	if err != nil {
+		return err
+	}
+	return recurrence.ValidateChoice("job.priority", &s.Job.Priority, "standard", "low", "high", "production")
+}
+
+func (j *Job) validateAmounts() error {
+	if j.Tasks < 1 || j.Tasks > 100_000 {
 		return errors.New("job.tasks must be from 1 to 100000")
-	case j.MemoryGB < 0 || j.GPUs < 0 || j.ImageGB < 0 || j.EstimateS < 0 || j.DeadlineS < 0:
-		return errors.New("job: amounts and times must not be negative")
+	}
+	for _, amount := range []float64{j.MemoryGB, j.GPUs, j.ImageGB, j.EstimateS, j.DeadlineS} {
+		if amount < 0 {
+			return errors.New("job: amounts and times must not be negative")
+		}
 	}
 	return nil
 }
 
-// buildJob is the run of a moment.
+// buildJob returns the job that runs a moment.
 func (s *Spec) buildJob(id, run string) *scheduler.Job {
 	j := s.Job
 	return &scheduler.Job{
@@ -171,25 +217,47 @@
 	}
 }
 
-// runName names the run of a moment; its job's id follows from it.
+// runName returns the name of the run of a moment (time of day, ms); the ID of its job follows from it.
 func runName(schedule string, at int64) string {
 	return "schedule/" + schedule + "@" + time.UnixMilli(at).UTC().Format("20060102T150405Z")
 }
 
-// jobOrRunID is the id of a moment's job, or of its workflow's run.
+// The prefixes of the IDs of jobs and of workflow runs.
+const (
+	jobPrefix         = "job-"
+	workflowRunPrefix = "run-"
+)
+
+// jobOrRunID returns the ID of the job of a run, or of its workflow's run.
 func (s *Spec) jobOrRunID(run string) string {
 	h := fnv.New64a()
 	h.Write([]byte(run))
-	kind := "job-"
+	prefix := jobPrefix
 	if s.Workflow != nil {
-		kind = "run-"
+		prefix = workflowRunPrefix
 	}
-	return kind + strconv.FormatUint(1e15+h.Sum64()%9e15, 10)
+	return prefix + strconv.FormatUint(1e15+h.Sum64()%9e15, 10) // 16 digits
 }
 
-// encodeSubmission is the run of a workflow.
+// workflowSubmission is the body of a workflow's submission.
+type workflowSubmission struct {
+	Document json.RawMessage `json:"document"`
+	ID       string          `json:"id"`
+	Inputs   WorkflowInputs  `json:"inputs"`
+	Job      struct {
+		Class    string `json:"class"`
+		Priority string `json:"priority"`
+		Team     string `json:"team"`
+	} `json:"job"`
+}
+
+// encodeSubmission returns the body that submits the workflow under a run's ID.
 func (s *Spec) encodeSubmission(id string) []byte {
-	w := s.Workflow
-	return extension.Encode(map[string]any{"id": id, "document": json.RawMessage(w.Document), "inputs": w.Inputs,
-		"job": map[string]any{"team": s.Job.Team, "class": s.Job.Class, "priority": s.Job.Priority}})
+	submission := workflowSubmission{
+		Document: json.RawMessage(s.Workflow.Document),
+		ID:       id,
+		Inputs:   s.Workflow.Inputs,
+	}
+	submission.Job.Class, submission.Job.Priority, submission.Job.Team = s.Job.Class, s.Job.Priority, s.Job.Team
+	return extension.Encode(submission)
 }
--- a/schedules/submissions.go
+++ b/schedules/submissions.go
@@ -8,14 +8,13 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// submitPending submits the runs that are decided. Each may have been before:
-// the id says so.
+// submitPending submits the runs that are decided. A run may have been submitted before: its ID makes the
+// repetition harmless.
 func (h *Host) submitPending(e *entry) {
 	for _, d := range e.progress.Pending {
-		if e.submitted[d.Job] {
-			continue
+		if !e.submitted[d.Job] {
+			h.submitRun(e, d)
 		}
-		h.submitRun(e, d)
 	}
 }
 
@@ -24,70 +23,69 @@
 	if e.previous != nil && d.Version == e.previous.Version {
 		v = e.previous
 	}
-	run := runName(e.name, d.AtMS)
-	if strings.HasPrefix(d.Job, "run-") && v.Spec.Workflow != nil {
-		// No guards: a run that is decided is to be there, whoever submits it.
-		h.SendRequest(WorkflowRequest{Run: d.Job, Body: v.Spec.encodeSubmission(d.Job)}, func(r WorkflowResult) {
-			h.onSubmitted(e, d, r.Status, r.Status == 200 || r.Status == 201, r.Error)
+	if strings.HasPrefix(d.Job, workflowRunPrefix) && v.Spec.Workflow != nil {
+		// Without preconditions: a decided run must exist, whoever submits it.
+		request := WorkflowRequest{Run: d.Job, Body: v.Spec.encodeSubmission(d.Job)}
+		h.SendRequest(request, func(r WorkflowResult) {
+			accepted := r.Status == 200 || r.Status == 201
+			h.onSubmitted(e, d, submissionResult{r.Status, accepted, r.Error})
 		})
 		return
 	}
-	preconditions := []scheduler.Precondition{
-		{Key: scheduler.ClaimKey(e.shard.name), Revision: e.shard.token},
-		{Key: definitionKey(e.shard.name, e.name), Revision: e.definitionRev},
-	}
-	h.SendCore(
-		scheduler.UserRequest{
-			Kind:          scheduler.SubmitJob,
-			ID:            d.Job,
-			Job:           v.Spec.buildJob(d.Job, run),
-			Preconditions: preconditions,
-		},
-		func(a scheduler.UserResponse) {
-			h.onSubmitted(e, d, a.Status, a.Status == 201 || a.Status == 200 && a.WorkflowRun == run, a.Error)
+	run := runName(e.name, d.AtMS)
+	request := scheduler.UserRequest{
+		Kind: scheduler.SubmitJob,
+		ID:   d.Job,
+		Job:  v.Spec.buildJob(d.Job, run),
+		Preconditions: []scheduler.Precondition{
+			{Key: scheduler.ClaimKey(e.shard.name), Revision: e.shard.token},
+			{Key: definitionKey(e.shard.name, e.name), Revision: e.definitionRev},
 		},
-	)
+	}
+	h.SendCore(request, func(r scheduler.UserResponse) {
+		accepted := r.Status == 201 || r.Status == 200 && r.WorkflowRun == run
+		h.onSubmitted(e, d, submissionResult{r.Status, accepted, r.Error})
+	})
+}
+
+// submissionResult is the answer to a submission. A status of 200 that is not accepted means that the ID
+// belongs to another run.
+type submissionResult struct {
+	status   int
+	accepted bool
+	err      string
 }
 
 // onSubmitted takes the answer to a run's submission.
-func (h *Host) onSubmitted(e *entry, d Decision, status int, ok bool, reason string) {
-	if h.shards[e.shard.name] != e.shard || e.shard.entries[e.name] != e || !e.isPending(d.Job) {
+func (h *Host) onSubmitted(e *entry, d Decision, r submissionResult) {
+	if !h.owns(e) || !e.isPending(d.Job) {
 		return
 	}
+	refused := r.status == 200 || r.status == 400 || r.status == 422
 	switch {
-	case ok:
+	case r.accepted:
 		e.submitted[d.Job] = true
-		if status == 201 {
-			h.Log(
-				"run submitted",
-				"schedule",
-				e.name,
-				"at",
-				time.UnixMilli(d.AtMS).UTC().Format(time.RFC3339),
-				"job",
-				d.Job,
-				"why",
-				d.Reason,
-			)
+		if r.status == 201 {
+			at := time.UnixMilli(d.AtMS).UTC().Format(time.RFC3339)
+			h.Log("run submitted", "schedule", e.name, "at", at, "job", d.Job, "why", d.Reason)
 		}
-	case status == 200 || status == 400 || status == 422:
+	case refused:
 		e.submitted[d.Job] = true
-		h.Log("run refused", "schedule", e.name, "job", d.Job, "error", joinReasons(reason, fmt.Sprint(status)))
-	case !e.busy:
-		// No answer, or the claim or the definition changed.
+		h.Log("run refused", "schedule", e.name, "job", d.Job, "error", joinReasons(r.err, fmt.Sprint(r.status)))
+	case !e.busy: // no answer, or the claim or the definition changed
 		h.retryLater(e)
 	}
 }
 
-// WorkflowRequest is a request to whoever runs workflows: to submit a run, to ask about it,
-// or to cancel it.
+// WorkflowRequest is a request to the workflow extension: to submit a run (Body is set), to query it, or to
+// cancel it.
 type WorkflowRequest struct {
 	Run   string
-	Body  []byte // a submission's
+	Body  []byte
 	Abort bool
 }
 
-// WorkflowResult answers a Flow.
+// WorkflowResult answers a WorkflowRequest. Status is as in HTTP.
 type WorkflowResult struct {
 	Status int
 	IsOver bool // the run has ended
