--- /dev/null
+++ b/emulator/workers.go
@@ -0,0 +1,409 @@
+package emulator
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/grebedock/grebedock/internal/platformfake"
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+// Worker is a rented machine.
+type Worker struct {
+	Agent          *platformfake.Worker // nil until it is up
+	Instance       *platformfake.Instance
+	Up, Gone       bool
+	ReleasedAt     int64
+	HangUntil      int64
+	AcknowledgedAt int64 // when a report of it was last taken
+
+	machineType              scheduler.MachineType
+	taskStartedAt            map[string]int64 // when each task last started here
+	memberIndex              int              // member that it reports to
+	heartbeatInFlight        bool
+	nextHeartbeatAt          int64
+	lastHeartbeatAt          int64
+	retryHeartbeat           bool  // the last report had no answer that counts
+	inboundPartitionedUntil  int64 // it hears nothing
+	outboundPartitionedUntil int64 // it can open no connection to a member
+	// Direct commands to it, and their answers, are held up.
+	commandsDelayedUntil, commandResultsDelayedUntil int64
+	heartbeatIntervalMS                              int64 // until the next report if nothing changes
+	clockRate                                        float64
+}
+
+// erringExecution is a task that ends by itself with an error, now and then.
+type erringExecution struct {
+	sim      *Simulation
+	endsAt   int64
+	succeeds bool
+}
+
+func (execution *erringExecution) IsFinished() (bool, error) {
+	if execution.sim.Now < execution.endsAt {
+		return false, nil
+	}
+	if execution.succeeds {
+		return true, nil
+	}
+	return true, errors.New("failed")
+}
+
+func (execution *erringExecution) Stop() {}
+
+// MemberName is the member that the machine reports to.
+func (worker *Worker) MemberName(sim *Simulation) string { return sim.Members[worker.memberIndex].Name }
+
+// Clock is the machine's own steady clock.
+func (worker *Worker) Clock(sim *Simulation) int64 { return int64(float64(sim.Now) * worker.clockRate) }
+
+// neverBootsShare is the share of instances that never come up.
+const neverBootsShare = 0.05
+
+// provisioned takes an instance that the cloud gave out.
+func (sim *Simulation) provisioned(instance *platformfake.Instance) {
+	worker := &Worker{
+		Instance:      instance,
+		taskStartedAt: map[string]int64{},
+		clockRate:     1 + (sim.Rand.Float64()-0.5)*0.001,
+		memberIndex:   sim.Rand.IntN(sim.options.Members),
+	}
+	sim.Workers[instance.ID] = worker
+	sim.WorkerIDs = append(sim.WorkerIDs, instance.ID)
+	for _, candidate := range sim.Cloud.Types {
+		if candidate.Name == instance.Type {
+			worker.machineType = candidate
+		}
+	}
+	speedRatio, fetchRatio := 1.0, 1.0
+	if sim.options.SpeedSpread > 0 {
+		speedRatio = 1 + sim.options.SpeedSpread*(2*sim.Rand.Float64()-1)
+	}
+	if sim.options.FetchSpread > 0 {
+		fetchRatio = 1 + sim.options.FetchSpread*(2*sim.Rand.Float64()-1)
+	}
+	if instance.Spot && sim.options.SpotLossPerHour > 0 {
+		lossAfterMS := int64(sim.Rand.ExpFloat64() * 3_600_000 * 100 / sim.options.SpotLossPerHour)
+		sim.After(max(1, lossAfterMS), func() { sim.interruptSpot(worker) })
+	}
+	bootMS := int64(worker.machineType.BootS * 1000 * (0.6 + 0.9*sim.Rand.Float64()))
+	if sim.Rand.Float64() < neverBootsShare {
+		return
+	}
+	if sim.BootDelay != nil {
+		bootMS = sim.BootDelay(worker, bootMS)
+	}
+	if bootMS < 0 {
+		return
+	}
+	sim.After(bootMS, func() { sim.bootWorker(worker, speedRatio, fetchRatio) })
+}
+
+// bootWorker starts the agent of a machine that has come up, unless it is gone.
+func (sim *Simulation) bootWorker(worker *Worker, speedRatio, fetchRatio float64) {
+	if worker.Gone {
+		return
+	}
+	worker.Up = true
+	worker.Instance.State = "running"
+	worker.Agent = sim.newAgent(worker, speedRatio)
+	if sim.options.GangWaitMS > 0 {
+		worker.Agent.IsGangReady = sim.isGangComplete
+	}
+	if fetchGBps := worker.machineType.ImageFetchGBps; sim.options.FetchSpread > 0 && fetchGBps > 0 {
+		worker.Agent.FetchTimeMS = func(j *scheduler.Job) int64 {
+			return int64(1000 * j.Request.DiskGB / fetchGBps * fetchRatio)
+		}
+	}
+	worker.Agent.StartIncarnation(worker.Clock(sim))
+}
+
+func (sim *Simulation) newAgent(worker *Worker, speedRatio float64) *platformfake.Worker {
+	return &platformfake.Worker{
+		Machine:   worker.Instance.CloudMachine,
+		Resources: worker.machineType.Resources,
+		LeaseMS:   int64(sim.Params.LeaseS * 1000),
+		FetchMS:   300 + sim.Rand.Int64N(900),
+		FindJob: func(id string) *scheduler.Job {
+			if j := sim.Jobs[id]; j != nil {
+				return &j.Spec
+			}
+			return nil
+		},
+		RunTimeMS: func(task string) int64 {
+			j := sim.Jobs[task[:strings.IndexByte(task, '/')]]
+			runMS := sim.options.TaskRunMS(sim, j, task)
+			j.longestRunMS = max(j.longestRunMS, runMS)
+			return runMS * int64(1000*speedRatio) / 1000
+		},
+		GangTimeoutMS: sim.options.GangWaitMS,
+		OnStarted:     func(_ *platformfake.Worker, t *platformfake.Task) { sim.onStart(worker, t) },
+		OnStopping: func(_ *platformfake.Worker, t *platformfake.Task) {
+			sim.discountEarlyStop(worker, t)
+			if sim.OnTaskStop != nil {
+				sim.OnTaskStop(worker, t)
+			}
+		},
+		OnDone:  func(_ *platformfake.Worker, t *platformfake.Task) { sim.onDone(worker, t) },
+		Execute: func(t *platformfake.Task) platformfake.Execution { return sim.execute(worker, t) },
+	}
+}
+
+// onDone counts a task's result, and what of its machine's time was of use.
+func (sim *Simulation) onDone(worker *Worker, t *platformfake.Task) {
+	if sim.OnTaskDone != nil {
+		sim.OnTaskDone(t)
+	}
+	j := sim.Jobs[t.Job.ID]
+	if startedAt, ok := worker.taskStartedAt[t.Name]; ok && !j.DoneTasks[t.Name] {
+		cpuMS := float64(sim.Now-startedAt) * j.Spec.Request.CPUs
+		sim.usefulCPUMS += cpuMS
+		sim.usefulCost += cpuMS / worker.machineType.Resources.CPUs * worker.price()
+	}
+	if j.DoneTasks[t.Name] = true; len(j.DoneTasks) == j.Spec.Tasks && j.DoneAt == 0 {
+		j.DoneAt = sim.Now
+		sim.onJobDone(j)
+	}
+}
+
+// execute is how a task ends that may fail; nil: it runs its time and succeeds.
+func (sim *Simulation) execute(worker *Worker, t *platformfake.Task) platformfake.Execution {
+	if sim.IsFaulty != nil && sim.IsFaulty(worker) ||
+		sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[t.Job.ID]) {
+		return &erringExecution{sim, sim.Now + 1000, false}
+	}
+	if t.Job.MaxTaskErrors == 0 {
+		return nil
+	}
+	return &erringExecution{sim, sim.Now + 1000 + sim.Rand.Int64N(4000), sim.Rand.IntN(4) > 0}
+}
+
+// isGangComplete tells whether all tasks of a gang's try have their images.
+func (sim *Simulation) isGangComplete(t *platformfake.Task) bool {
+	attempt := fmt.Sprintf("%s %d", t.Job.ID, t.Attempt)
+	placed := len(sim.Jobs[t.Job.ID].DoneTasks) // those of an earlier try
+	sim.EachTask(func(_ *Worker, other *platformfake.Task) {
+		if other.Job.ID == t.Job.ID && other.Attempt == t.Attempt {
+			placed++
+		}
+	})
+	sim.completeGangAttempts[attempt] = sim.completeGangAttempts[attempt] || placed >= t.Job.Tasks
+	return sim.completeGangAttempts[attempt]
+}
+
+// interruptSpot takes a spot machine back, after a notice.
+func (sim *Simulation) interruptSpot(worker *Worker) {
+	if worker.Gone {
+		return
+	}
+	noticeS := sim.options.NoticeS * (0.5 + sim.Rand.Float64())
+	if worker.Up {
+		worker.Agent.NoticeS, worker.Agent.HasChanges = &noticeS, true
+	}
+	sim.After(int64(noticeS*1000), func() { sim.Cloud.Reclaim(worker.Instance.ID) })
+}
+
+// ReplaceWorkers takes machines away and brings as many others up that nobody asked for,
+// as when rentals of long ago are carried out late.
+func (sim *Simulation) ReplaceWorkers(workers []*Worker) {
+	for i, worker := range workers {
+		sim.Cloud.Reclaim(worker.Instance.ID)
+		sim.Cloud.Apply(
+			sim.Now,
+			scheduler.CloudOp{
+				Kind:           scheduler.CloudProvision,
+				IdempotencyKey: fmt.Sprintf("late-%d-%d", sim.Now, i),
+				Type:           worker.Instance.Type,
+				Zone:           worker.Instance.Zone,
+				Spot:           worker.Instance.Spot,
+				Count:          1,
+			},
+		)
+	}
+}
+
+// The pace of heartbeats: no two within minHeartbeatIntervalMS, the next member after
+// a refusal in memberRetryMS, and no response waited for longer than
+// heartbeatTimeoutMS.
+const (
+	minHeartbeatIntervalMS  = 500
+	memberRetryMS           = 1000
+	heartbeatTimeoutMS      = 4000
+	duplicateHeartbeatShare = 0.01
+)
+
+// stepWorker lets a worker act.
+func (sim *Simulation) stepWorker(worker *Worker) {
+	if !worker.Up || worker.Gone || worker.HangUntil > sim.Now {
+		return
+	}
+	worker.Agent.Advance(worker.Clock(sim))
+	if worker.heartbeatInFlight || sim.Now < worker.nextHeartbeatAt {
+		return
+	}
+	sinceLastMS := sim.Now - worker.lastHeartbeatAt
+	isDue := worker.Agent.HasChanges || sinceLastMS >= worker.heartbeatIntervalMS
+	if !worker.retryHeartbeat && (sinceLastMS < minHeartbeatIntervalMS || !isDue) {
+		return
+	}
+	sim.sendHeartbeat(worker)
+}
+
+// heartbeatExchange is one heartbeat and its response.
+type heartbeatExchange struct {
+	sim         *Simulation
+	worker      *Worker
+	member      *Member
+	heartbeat   scheduler.Heartbeat
+	sentAt      int64  // by the worker's clock
+	incarnation uint64 // as it was sent
+	finished    bool   // answered, refused or timed out
+	delivered   bool   // a copy has arrived
+}
+
+func (sim *Simulation) sendHeartbeat(worker *Worker) {
+	worker.heartbeatInFlight, worker.lastHeartbeatAt, worker.retryHeartbeat = true, sim.Now, false
+	worker.heartbeatIntervalMS = int64(sim.Params.HeartbeatS * 1000 * (0.75 + sim.Rand.Float64()/2))
+	exchange := &heartbeatExchange{
+		sim:       sim,
+		worker:    worker,
+		member:    sim.Members[worker.memberIndex],
+		sentAt:    worker.Clock(sim),
+		heartbeat: worker.Agent.Heartbeat(),
+	}
+	if sim.options.InjectedFault.Heartbeat != nil {
+		sim.options.InjectedFault.Heartbeat(&exchange.heartbeat)
+	}
+	exchange.incarnation = exchange.heartbeat.Incarnation
+	if worker.outboundPartitionedUntil > sim.Now {
+		sim.FailedConnections++
+		sim.After(connectTimeoutMS, exchange.tryNextMember)
+		return
+	}
+	endpoint := worker.endpoint()
+	sim.sendMessage(endpoint, exchange.member.Name, exchange.deliver)
+	if sim.Rand.Float64() < duplicateHeartbeatShare {
+		sim.sendMessage(endpoint, exchange.member.Name, exchange.deliver)
+	}
+	sim.After(heartbeatTimeoutMS, exchange.fail)
+}
+
+func (worker *Worker) endpoint() string { return "w" + worker.Instance.ID }
+
+// fail ends an exchange without a response.
+func (x *heartbeatExchange) fail() {
+	if !x.finished {
+		x.finished = true
+		x.tryNextMember()
+	}
+}
+
+func (x *heartbeatExchange) tryNextMember() {
+	worker := x.worker
+	worker.heartbeatInFlight = false
+	worker.memberIndex = (worker.memberIndex + 1) % len(x.sim.Members)
+	worker.nextHeartbeatAt, worker.retryHeartbeat = x.sim.Now+memberRetryMS, true
+}
+
+// deliver hands a copy of the heartbeat to the member.
+func (x *heartbeatExchange) deliver() {
+	sim, worker, m := x.sim, x.worker, x.member
+	if worker.outboundPartitionedUntil > sim.Now || sim.captureForNewOwner(worker, x.heartbeat) {
+		return
+	}
+	if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
+		// Refused: nothing listens there, or it has no connection left.
+		sim.sendMessage(m.Name, worker.endpoint(), x.fail)
+		return
+	}
+	m.lastReplyID++
+	replyID := m.lastReplyID
+	if x.delivered { // nobody waits for the response to a copy
+		m.pendingHeartbeats[replyID] = func(scheduler.HeartbeatResponse) {
+			sim.sendMessage(m.Name, worker.endpoint(), func() {})
+		}
+		m.Core.HandleHeartbeat(m.Clock(), replyID, x.heartbeat)
+		m.dispatchOutputs()
+		return
+	}
+	x.delivered = true
+	m.pendingHeartbeats[replyID] = func(resp scheduler.HeartbeatResponse) {
+		if sim.options.InjectedFault.WorkerResponse != nil {
+			sim.options.InjectedFault.WorkerResponse(&resp)
+		}
+		sim.sendMessage(m.Name, worker.endpoint(), func() { x.receiveResponse(resp) })
+	}
+	m.Core.HandleHeartbeat(m.Clock(), replyID, x.heartbeat)
+	m.dispatchOutputs()
+	sim.replayHeartbeat(worker, m, x.heartbeat)
+	sim.captureForClaim(worker, x.heartbeat)
+}
+
+// receiveResponse takes the response at the worker. One that comes while the
+// machine hangs is dropped: responses are never carried out late.
+func (x *heartbeatExchange) receiveResponse(resp scheduler.HeartbeatResponse) {
+	sim, worker := x.sim, x.worker
+	isPartitioned := worker.inboundPartitionedUntil > sim.Now || worker.outboundPartitionedUntil > sim.Now
+	if x.finished || worker.Gone || isPartitioned || worker.HangUntil > sim.Now {
+		return
+	}
+	x.finished = true
+	switch {
+	case resp.Accepted:
+		worker.heartbeatInFlight, worker.AcknowledgedAt = false, sim.Now
+		worker.Agent.ApplyHeartbeatResponse(worker.Clock(sim), x.sentAt, x.incarnation, resp)
+	case resp.RedirectTo != "":
+		worker.heartbeatInFlight = false
+		worker.memberIndex = slices.IndexFunc(sim.Members, func(m *Member) bool { return m.Name == resp.RedirectTo })
+		worker.nextHeartbeatAt, worker.retryHeartbeat = sim.Now+sim.Rand.Int64N(500), true
+	default:
+		x.tryNextMember()
+	}
+}
+
+// EachTask visits every task on every machine that exists.
+func (sim *Simulation) EachTask(visit func(worker *Worker, t *platformfake.Task)) {
+	for _, id := range sim.WorkerIDs {
+		worker := sim.Workers[id]
+		if worker.Gone || !worker.Up || worker.Agent.IsLeaseExpired(worker.Clock(sim)) {
+			continue
+		}
+		worker.Agent.ForEachOnMachine(func(t *platformfake.Task) { visit(worker, t) })
+	}
+}
+
+// price is what the machine costs.
+func (worker *Worker) price() float64 {
+	if worker.Instance.Spot {
+		return worker.machineType.SpotPrice
+	}
+	return worker.machineType.Price
+}
+
+// costs is the share of what was paid that done tasks used, and what was paid
+// against the cost of the same work at the lowest price of a processor. What ran
+// and was lost counts for nothing.
+func (sim *Simulation) costs() (usefulShare, priceRatio float64) {
+	paidCost, lowestPrice := 0.0, 0.0
+	for _, id := range sim.WorkerIDs {
+		worker := sim.Workers[id]
+		endedAt := sim.Now
+		if worker.Gone {
+			endedAt = worker.ReleasedAt
+		}
+		paidCost += float64(endedAt-worker.Instance.StartedAtMS) * worker.price()
+	}
+	for _, t := range sim.options.Types {
+		for _, price := range []float64{t.Price, t.SpotPrice} {
+			if price > 0 && t.Resources.CPUs > 0 && (lowestPrice == 0 || price/t.Resources.CPUs < lowestPrice) {
+				lowestPrice = price / t.Resources.CPUs
+			}
+		}
+	}
+	if paidCost == 0 || sim.usefulCPUMS == 0 {
+		return 0, 0
+	}
+	return sim.usefulCost / paidCost, paidCost / (sim.usefulCPUMS * lowestPrice)
+}
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -5,79 +5,86 @@
 	"github.com/grebedock/grebedock/indoubt"
 )
 
-// inDoubtWrite is a guarded write that is sent until its outcome is certain (package
-// indoubt): how it is sent, what its state makes of a try and of reading the key
-// back, and whom it matters to.
+// inDoubtWrite is a conditional write that is sent until its outcome is certain (package
+// indoubt). onSent and onRead decide the next step after an attempt and after reading the
+// key back:
+//
+//	step            then
+//	indoubt.Settled onSettled; the write is over
+//	indoubt.Resend  send again, then onSent
+//	otherwise       read the key, then onRead
+//
+// Before the second and third, a claim that is not valid any more ends the write with
+// onClaimLost. Exactly one of onSettled and onClaimLost is called, once.
 type inDoubtWrite struct {
-	isClaimValid func() bool // the claim under which it was sent is still ours
+	isClaimValid func() bool // the claim under which it was sent is still this member's
 	send         func(done func(StoreResult))
 	onSent       func(Outcome) indoubt.NextStep
 	onRead       func(StoreResult) indoubt.NextStep
 	onSettled    func()
-	onClaimLost  func() // the claim went: what became of it, the mirror tells
+	onClaimLost  func() // the outcome stays unknown here; the cache shows it in time
 }
 
-// retryPauseDivisor is which part of a request's time passes until a write in doubt goes on
-// that the state service did not answer or refused: asked again at once, an outage would
-// be all requests.
+// retryPauseDivisor divides the request timeout to give the pause before an in-doubt write
+// goes on that the state service refused or did not answer: retried at once, an outage
+// would consist of requests.
 const retryPauseDivisor = 6
 
-// sendUntilSettled sends a write and goes on with it until it is settled.
-func (c *Controller) sendUntilSettled(key string, write inDoubtWrite) {
+// sendUntilSettled sends a write, and repeats or rereads it until it is settled or its
+// claim is lost.
+func (sc *storeClient) sendUntilSettled(key string, write inDoubtWrite) {
 	var proceed func(indoubt.NextStep)
-	proceed = func(action indoubt.NextStep) {
+	proceed = func(step indoubt.NextStep) {
 		switch {
-		case action == indoubt.Settled:
+		case step == indoubt.Settled:
 			write.onSettled()
 		case !write.isClaimValid():
 			write.onClaimLost()
-		case action == indoubt.Resend:
+		case step == indoubt.Resend:
 			write.send(func(result StoreResult) {
-				c.continueAfter(result.Outcome, func() { proceed(write.onSent(result.Outcome)) })
+				sc.continueAfter(result.Outcome, func() { proceed(write.onSent(result.Outcome)) })
 			})
 		default:
-			c.rereadKey(
-				key,
-				func(result StoreResult) { c.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) }) },
-			)
+			sc.rereadKey(key, func(result StoreResult) {
+				sc.continueAfter(result.Outcome, func() { proceed(write.onRead(result)) })
+			})
 		}
 	}
 	write.send(func(result StoreResult) {
 		if result.Outcome == Unknown {
-			c.Counters.InDoubtWrites++
-			c.log(Info, "write in doubt", "key", key)
+			sc.Counters.InDoubtWrites++
+			sc.log(Info, "write in doubt", "key", key)
 		}
 		proceed(write.onSent(result.Outcome))
 	})
 }
 
-// continueAfter goes on at once after an answer, and else in a while.
-func (c *Controller) continueAfter(outcome Outcome, resume func()) {
+// continueAfter resumes at once if the service processed the request, and after a pause
+// otherwise.
+func (sc *storeClient) continueAfter(outcome Outcome, resume func()) {
 	if outcome.ProcessedByService() {
 		resume()
 		return
 	}
-	c.delayedSteps = append(
-		c.delayedSteps,
-		delayedStep{c.now.MonotonicMS + access.RequestTimeout.Milliseconds()/retryPauseDivisor, resume},
-	)
+	pauseMS := access.RequestTimeout.Milliseconds() / retryPauseDivisor
+	sc.delayedSteps = append(sc.delayedSteps, delayedStep{dueAtMS: sc.now.MonotonicMS + pauseMS, resume: resume})
 }
 
-// delayedStep is something that goes on at a time.
+// delayedStep is what resumes at a time.
 type delayedStep struct {
-	dueAtMS int64
+	dueAtMS int64 // monotonic time
 	resume  func()
 }
 
-// runDueSteps goes on with what paused long enough.
-func (c *Controller) runDueSteps() {
-	steps := c.delayedSteps
-	c.delayedSteps = nil
+// runDueSteps resumes the steps whose time has come, in the order in which they paused.
+func (sc *storeClient) runDueSteps() {
+	steps := sc.delayedSteps
+	sc.delayedSteps = nil
 	for _, step := range steps {
-		if c.now.MonotonicMS >= step.dueAtMS {
+		if sc.now.MonotonicMS >= step.dueAtMS {
 			step.resume()
 		} else {
-			c.delayedSteps = append(c.delayedSteps, step)
+			sc.delayedSteps = append(sc.delayedSteps, step)
 		}
 	}
 }
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -4,10 +4,35 @@
 	"encoding/json"
 	"fmt"
 	"slices"
-	"sort"
 	"strings"
+
+	"github.com/grebedock/grebedock/reconcile"
 )
 
+// machineRegistry owns what the member knows of all machines: the pages of the
+// registry that the leader writes, and the lists of live machines that the owners
+// of shards write.
+type machineRegistry struct {
+	*environment
+	agents *agentManager
+	cache  *stateCache
+	shards *shardManager
+	store  *storeClient
+
+	machines      map[string]*machine
+	registryPages map[string]*registryPage // by key
+	liveMachines  map[string][]string      // machine IDs by the key of their list
+}
+
+func newMachineRegistry(env *environment) *machineRegistry {
+	return &machineRegistry{
+		environment:   env,
+		machines:      map[string]*machine{},
+		registryPages: map[string]*registryPage{},
+		liveMachines:  map[string][]string{},
+	}
+}
+
 // Machines are recorded many at a time, since the state service counts the keys
 // that are changed and a fleet of hundreds comes and goes within a minute: one
 // roster for the machines that came together to a shard, written by the member
@@ -37,58 +62,42 @@
 	rev uint64
 }
 
-// registryAddition is a roster that the lead is to write. Its key and contents never
-// change: a write whose outcome is not known is sent again as it was.
-type registryAddition struct {
-	key       string
-	rec       registryRecord
-	onWritten func()
-}
-
-// maxChangesPerBackgroundTxn bounds the changes of one transaction that is not urgent, so
-// that it does not use up a member's part of the store's rate at once.
-func (c *Controller) maxChangesPerBackgroundTxn() int { return max(1, c.params.MaxTxnOps/4) }
-
-// maxMachinesPerPage bounds the machines of a roster, by the bytes that a value takes;
-// names take up to some twenty of them.
-func (c *Controller) maxMachinesPerPage() int { return max(1, c.params.MaxValueBytes/2/24) }
-
-func (c *Controller) applyRegistryPage(key string, rec *registryRecord, rev uint64) {
-	previous := c.registryPages[key]
+func (mr *machineRegistry) applyRegistryPage(key string, rec *registryRecord, rev uint64) {
+	previous := mr.registryPages[key]
 	kept := map[string]bool{}
 	if rec != nil {
-		c.registryPages[key] = &registryPage{*rec, rev}
+		mr.registryPages[key] = &registryPage{*rec, rev}
 		for _, id := range rec.MachineIDs {
 			kept[id] = true
-			c.upsertMachine(id, key, rec)
+			mr.upsertMachine(id, key, rec)
 		}
 	} else {
-		delete(c.registryPages, key)
+		delete(mr.registryPages, key)
 	}
 	if previous == nil {
 		return
 	}
 	for _, id := range previous.rec.MachineIDs {
 		if !kept[id] {
-			c.deleteMachine(id)
+			mr.deleteMachine(id)
 		}
 	}
 }
 
 // applyLiveMachines takes a list of machines that are up. What a list no longer names is
 // gone from the rosters too, or stands in another list.
-func (c *Controller) applyLiveMachines(key string, rec *liveMachinesRecord) {
+func (mr *machineRegistry) applyLiveMachines(key string, rec *liveMachinesRecord) {
 	if rec == nil {
-		delete(c.liveMachines, key)
+		delete(mr.liveMachines, key)
 		return
 	}
-	c.liveMachines[key] = rec.MachineIDs
+	mr.liveMachines[key] = rec.MachineIDs
 	for _, id := range rec.MachineIDs {
-		mc := c.machines[id]
+		mc := mr.machines[id]
 		if mc == nil || mc.Up {
 			continue
 		}
-		s := c.ownedShards[mc.rec.Shard]
+		s := mr.shards.ownedShards[mc.rec.Shard]
 		if s == nil || mc.claim != s {
 			mc.Up = true
 		} else {
@@ -102,8 +111,8 @@
 
 // writeLiveMachines lists the machines of a shard that came up since the last time, and
 // drops those that are gone.
-func (c *Controller) writeLiveMachines(s *shard) {
-	if s.liveListWriting || len(s.newlyLive) == 0 || c.now.MonotonicMS < s.nextLiveListWriteAt {
+func (mr *machineRegistry) writeLiveMachines(s *shard) {
+	if s.liveListWriting || len(s.newlyLive) == 0 || mr.now.MonotonicMS < s.nextLiveListWriteAt {
 		return
 	}
 	prefix := liveMachinesPrefix + s.name + "/"
@@ -112,19 +121,19 @@
 	for index := 0; ; index++ {
 		key = fmt.Sprintf("%s%d", prefix, index)
 		machineIDs = machineIDs[:0]
-		for _, id := range c.liveMachines[key] {
-			if c.machines[id] != nil {
+		for _, id := range mr.liveMachines[key] {
+			if mr.machines[id] != nil {
 				machineIDs = append(machineIDs, id)
 			}
 		}
-		if len(machineIDs) < c.maxMachinesPerPage() {
+		if len(machineIDs) < mr.maxMachinesPerPage() {
 			break
 		}
 	}
 	for _, id := range slices.Clone(s.newlyLive) {
-		if mc := c.machines[id]; mc == nil || mc.Up {
+		if mc := mr.machines[id]; mc == nil || mc.Up {
 			s.newlyLive = slices.DeleteFunc(s.newlyLive, func(x string) bool { return x == id })
-		} else if len(machineIDs) < c.maxMachinesPerPage() {
+		} else if len(machineIDs) < mr.maxMachinesPerPage() {
 			machineIDs = append(machineIDs, id)
 		}
 	}
@@ -133,361 +142,114 @@
 	}
 	s.liveListWriting = true
 	// The next ones share a write.
-	s.nextLiveListWriteAt = c.now.MonotonicMS + max(300, secondsToMS(c.params.HeartbeatS)/8)
+	s.nextLiveListWriteAt = mr.now.MonotonicMS + max(300, secondsToMS(mr.params.HeartbeatS)/8)
 	value := mustEncode(liveMachinesRecord{slices.Clone(machineIDs)})
-	c.sendTxn(
+	mr.store.sendTxn(
 		UrgencyUser,
-		[]Precondition{{claimKey(s.name), s.token}, {key, c.keyRevisions[key]}},
+		[]Precondition{{claimKey(s.name), s.token}, {key, mr.cache.keyRevisions[key]}},
 		[]Change{{Key: key, Value: value}},
 		func(result StoreResult) {
 			s.liveListWriting = false
 			if result.Outcome == Unknown || result.Outcome == Conflict {
 				s.liveListWriting = true
-				c.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
+				mr.store.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
 			}
 		},
 	)
 }
 
-// addMachinesToRegistry gives machines an owner, as soon as the store has them.
-func (c *Controller) addMachinesToRegistry(
-	ids []string,
-	offering offering,
-	shard, replacementPlan string,
-	provisionedAtMS int64,
-	onWritten func(),
-) {
-	fleet := &c.fleet
-	var newIDs []string
-	for _, id := range ids {
-		if c.machines[id] == nil && !fleet.unrecordedMachines[id] && fleet.releasedAt[id] == 0 {
-			fleet.unrecordedMachines[id] = true
-			newIDs = append(newIDs, id)
-		}
-	}
-	if len(newIDs) == 0 {
-		onWritten()
-		return
-	}
-	for chunk := range slices.Chunk(newIDs, c.maxMachinesPerPage()) {
-		fleet.lastRegistryPageNumber++
-		onChunkWritten := func() {}
-		if chunk[len(chunk)-1] == newIDs[len(newIDs)-1] {
-			onChunkWritten = onWritten
-		}
-		fleet.pendingAdditions = append(
-			fleet.pendingAdditions,
-			&registryAddition{
-				key:       fmt.Sprintf("%s%d-%d", registryPrefix, fleet.leaderRev, fleet.lastRegistryPageNumber),
-				onWritten: onChunkWritten,
-				rec: registryRecord{
-					Shard:           shard,
-					Type:            offering.machineType,
-					Zone:            offering.zone,
-					Spot:            offering.spot,
-					ProvisionedAtMS: provisionedAtMS,
-					ReplacementPlan: replacementPlan,
-					MachineIDs:      slices.Clone(chunk),
-				},
-			},
-		)
-	}
-	c.writeRegistry()
-}
-
-// writeRegistry writes what is to be added to and removed from the rosters, one
-// transaction at a time.
-func (c *Controller) writeRegistry() {
-	fleet := &c.fleet
-	if fleet.registryWriting || !c.canActAsLeader() || len(fleet.pendingAdditions)+len(fleet.pendingRemovals) == 0 ||
-		c.now.MonotonicMS < fleet.nextRegistryWriteAt {
-		return
-	}
-	preconditions := []Precondition{{leaderKey, fleet.leaderRev}}
-	var changes []Change
-	for _, addition := range fleet.pendingAdditions[:min(len(fleet.pendingAdditions), c.maxChangesPerBackgroundTxn())] {
-		preconditions = append(preconditions, Precondition{addition.key, 0})
-		changes = append(changes, Change{Key: addition.key, Value: mustEncode(addition.rec)})
-	}
-	touchedPages := map[string]bool{}
-	for id := range fleet.pendingRemovals {
-		if mc := c.machines[id]; mc != nil {
-			touchedPages[mc.registryKey] = true
-		} else {
-			delete(fleet.pendingRemovals, id)
-		}
-	}
-	for key := range sortedByKey(touchedPages) {
-		if len(changes) >= c.maxChangesPerBackgroundTxn() {
-			break
-		}
-		r := c.registryPages[key]
-		rec := r.rec
-		rec.MachineIDs = slices.DeleteFunc(
-			slices.Clone(rec.MachineIDs),
-			func(id string) bool { return fleet.pendingRemovals[id] },
-		)
-		preconditions = append(preconditions, Precondition{key, r.rev})
-		if len(rec.MachineIDs) == 0 {
-			changes = append(changes, Change{Key: key})
-		} else {
-			changes = append(changes, Change{Key: key, Value: mustEncode(rec)})
-		}
-	}
-	if len(changes) == 0 {
-		return
-	}
-	fleet.registryWriting = true
-	leaderRevision := fleet.leaderRev
-	c.sendTxn(UrgencyUser, preconditions, changes, func(r StoreResult) {
-		fleet.registryWriting = false
-		if fleet.leaderRev != leaderRevision {
-			return
+// applyMachineRecord brings the mirror of rosters and lists up to a change.
+func (mr *machineRegistry) applyMachineRecord(kv KeyValue) error {
+	switch {
+	case strings.HasPrefix(kv.Key, registryPrefix):
+		if kv.Value == nil {
+			mr.applyRegistryPage(kv.Key, nil, kv.Rev)
+			return nil
 		}
-		switch r.Outcome {
-		case OK:
-			c.completeRegistryAdditions()
-			c.writeRegistry()
-		case Unknown, Conflict:
-			// Each key is read before anything is written again. An addition
-			// that had worked is in the mirror then.
-			fleet.registryWriting = true
-			remaining := len(changes)
-			for _, change := range changes {
-				c.rereadKey(change.Key, func(StoreResult) {
-					if remaining--; remaining == 0 {
-						fleet.registryWriting = false
-						fleet.nextRegistryWriteAt = c.now.MonotonicMS + 300
-						c.completeRegistryAdditions()
-					}
-				})
-			}
-			c.rereadKey(leaderKey, func(StoreResult) {})
-		default:
-			fleet.nextRegistryWriteAt = c.now.MonotonicMS + 500
+		var rec registryRecord
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
+			return err
 		}
-	})
-}
-
-// completeRegistryAdditions drops the additions that the mirror has.
-func (c *Controller) completeRegistryAdditions() {
-	fleet := &c.fleet
-	var callbacks []func()
-	fleet.pendingAdditions = slices.DeleteFunc(fleet.pendingAdditions, func(addition *registryAddition) bool {
-		if c.keyRevisions[addition.key] == 0 {
-			return false
+		mr.applyRegistryPage(kv.Key, &rec, kv.Rev)
+	case strings.HasPrefix(kv.Key, liveMachinesPrefix):
+		if kv.Value == nil {
+			mr.applyLiveMachines(kv.Key, nil)
+			return nil
 		}
-		for _, id := range addition.rec.MachineIDs {
-			delete(fleet.unrecordedMachines, id)
+		var rec liveMachinesRecord
+		if err := json.Unmarshal(kv.Value, &rec); err != nil {
+			return err
 		}
-		callbacks = append(callbacks, addition.onWritten)
-		return true
-	})
-	for _, onWritten := range callbacks {
-		onWritten()
+		mr.applyLiveMachines(kv.Key, &rec)
 	}
+	return nil
 }
 
-// canActAsLeader tells whether this member leads the fleet and has seen all that its
-// predecessors wrote: a machine that it took for unknown would get two owners.
-func (c *Controller) canActAsLeader() bool {
-	return c.fleet.leading && c.hasAuthority() && c.mirrorRevision >= c.fleet.leaderRev
-}
-
-// markForRelease notes that the lead is to return a machine.
-func (c *Controller) markForRelease(id, reason string) {
-	fleet := &c.fleet
-	if _, ok := fleet.pendingReleases[id]; ok || fleet.releasedAt[id] != 0 {
-		return
-	}
-	fleet.pendingReleases[id] = true
-	c.log(Info, "machine leaves", "machine", id, "why", reason)
-}
-
-// releaseMachines returns the machines that their owners gave up, as their
-// messages say, and those that the lead itself found gone or never up. By the
-// time of the answer they are gone with everything on them, which their removal
-// from the rosters tells the owners.
-func (c *Controller) releaseMachines() {
-	fleet := &c.fleet
-	c.forEachFreshMessage(func(from string, msg *PeerMessage) {
-		for i := range msg.OwnedShards {
-			peerShard := &msg.OwnedShards[i]
-			if c.shardClaims[peerShard.Shard].Owner != from {
-				continue
+// upsertMachine takes in a machine that a roster names.
+func (mr *machineRegistry) upsertMachine(id, key string, rec *registryRecord) {
+	mc := mr.machines[id]
+	if mc == nil {
+		mc = &machine{id: id, rec: rec, registryKey: key, Machine: &reconcile.Machine{ID: id}}
+		for listKey, liveIDs := range mr.liveMachines {
+			if strings.HasPrefix(listKey, liveMachinesPrefix+rec.Shard+"/") && slices.Contains(liveIDs, id) {
+				mc.Up = true
 			}
-			for _, id := range peerShard.MachinesToRelease {
-				if mc := c.machines[id]; mc != nil && mc.rec.Shard == peerShard.Shard && fleet.releasedAt[id] == 0 {
-					fleet.pendingReleases[id] = true
-				}
-			}
-		}
-	})
-	if len(fleet.pendingReleases) == 0 {
-		return
-	}
-	var ids []string
-	for id := range fleet.pendingReleases {
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	ids = ids[:min(len(ids), 100)]
-	fleet.releasePending = true
-	c.sendCloud(CloudOp{Kind: CloudRelease, Machines: ids}, func(r CloudResult) {
-		fleet.releasePending = false
-		fleet.nextReleaseAt = c.now.MonotonicMS + 500
-		if r.Outcome != OK {
-			fleet.nextReleaseAt = c.now.MonotonicMS + 1000
-			return
 		}
-		c.Counters.Released += uint64(len(ids))
-		for _, id := range ids {
-			delete(fleet.pendingReleases, id)
-			fleet.releasedAt[id] = c.now.MonotonicMS
-			fleet.pendingRemovals[id] = true
+		mr.machines[id] = mc
+		mr.resetMachine(mc)
+		if s := mr.shards.ownedShards[rec.Shard]; s != nil {
+			pos, _ := slices.BinarySearchFunc(s.machines, id, (*machine).compare)
+			s.machines = slices.Insert(s.machines, pos, mc)
+			s.dirty = true
 		}
-		c.log(Info, "machines returned", "count", len(ids), "machines", ids)
-		c.writeRegistry()
-	})
-}
-
-// registerUnknownMachine takes in a machine that no roster names: one that was there before
-// us, or a rental that was executed late. Only the lead writes rosters, so
-// other members send the worker there.
-func (c *Controller) registerUnknownMachine(replyID uint64, heartbeat Heartbeat) {
-	fleet := &c.fleet
-	if !fleet.leading {
-		response := HeartbeatResponse{}
-		if c.leader != c.params.MemberID {
-			response.RedirectTo = c.leader
-		}
-		c.respondWorker(replyID, response)
-		return
-	}
-	if !c.canActAsLeader() || c.machineTypes[heartbeat.Type] == nil || fleet.releasedAt[heartbeat.Machine] != 0 {
-		c.respondWorker(replyID, HeartbeatResponse{})
-		return
-	}
-	c.parkedHeartbeats[heartbeat.Machine] = append(
-		c.parkedHeartbeats[heartbeat.Machine],
-		parkedHeartbeat{replyID, heartbeat, c.now.MonotonicMS},
-	)
-	if !fleet.unrecordedMachines[heartbeat.Machine] {
-		fleet.unrecordedMachines[heartbeat.Machine] = true
-		fleet.unknownMachines = append(fleet.unknownMachines, heartbeat)
 	}
+	mc.rec, mc.registryKey = rec, key
+	mr.agents.processParkedHeartbeats(id)
 }
 
-// assignFoundMachines gives the machines that were found since the last time to the
-// shards that have least. Those of a kind and a shard share a roster.
-func (c *Controller) assignFoundMachines() {
-	fleet := &c.fleet
-	if len(fleet.unknownMachines) == 0 || c.now.MonotonicMS < fleet.nextFound {
-		return
+// resetMachine forgets what an earlier claim knew of a machine. Silence counts
+// from here: whoever answered it before did so before this claim.
+func (mr *machineRegistry) resetMachine(mc *machine) {
+	for _, a := range mc.byKey {
+		mr.agents.releaseResources(mc, a)
 	}
-	fleet.nextFound = c.now.MonotonicMS + 300
-	type assignment struct {
-		offering offering
-		shard    string
+	mc.imageCache.Remove()
+	*mc = machine{
+		id:          mc.id,
+		rec:         mc.rec,
+		registryKey: mc.registryKey,
+		Machine:     &reconcile.Machine{ID: mc.id, Up: mc.Up},
+		idleSince:   mr.now.MonotonicMS,
 	}
-	loads := c.shardLoads()
-	machineIDs := map[assignment][]string{}
-	var targets []assignment
-	for _, heartbeat := range fleet.unknownMachines {
-		delete(fleet.unrecordedMachines, heartbeat.Machine)
-		target := assignment{
-			offering{heartbeat.Type, heartbeat.Zone, heartbeat.Spot},
-			c.assignToLeastLoaded(loads, heartbeat.Type),
-		}
-		if len(machineIDs[target]) == 0 {
-			targets = append(targets, target)
-		}
-		machineIDs[target] = append(machineIDs[target], heartbeat.Machine)
+	if s := mr.shards.ownedShards[mc.rec.Shard]; s != nil {
+		mc.claim, mc.Machine, mc.imageCache = s, s.reconciler.AddMachine(
+			mc.id,
+			mc.Up,
+			mr.now.MonotonicMS,
+		), s.clusterView.NewImageCache()
 	}
-	c.log(Info, "machines found", "count", len(fleet.unknownMachines))
-	fleet.unknownMachines = nil
-	for _, target := range targets {
-		c.addMachinesToRegistry(machineIDs[target], target.offering, target.shard, "", c.now.WallMS, func() {})
-	}
-}
-
-// shardLoad is what a shard has of machines.
-type shardLoad struct {
-	cpus           float64
-	machinesByType map[string]int
 }
 
-func (c *Controller) shardLoads() map[string]*shardLoad {
-	loads := map[string]*shardLoad{}
-	for _, shardName := range c.memberIDs() {
-		if _, claimed := c.shardClaims[shardName]; claimed || len(c.shardClaims) == 0 {
-			loads[shardName] = &shardLoad{machinesByType: map[string]int{}}
-		}
-	}
-	if len(loads) == 0 {
-		loads[c.params.MemberID] = &shardLoad{machinesByType: map[string]int{}}
-	}
-	for _, mc := range c.machines {
-		if load := loads[mc.rec.Shard]; load != nil {
-			load.machinesByType[mc.rec.Type]++
-		}
-	}
-	for _, load := range loads {
-		for typ, shardName := range sortedByKey(load.machinesByType) { // the same sum every time
-			load.cpus += float64(shardName) * resourcesOf(c.machineTypes[typ]).CPUs
-		}
-	}
-	return loads
-}
-
-// assignToLeastLoaded is the shard with the least processors, then the least machines of a
-// type; it is taken to get one.
-func (c *Controller) assignToLeastLoaded(loads map[string]*shardLoad, machineType string) string {
-	leastLoaded := ""
-	for shardName, load := range sortedByKey(loads) {
-		if leastLoaded == "" || load.cpus < loads[leastLoaded].cpus ||
-			load.cpus == loads[leastLoaded].cpus &&
-				load.machinesByType[machineType] < loads[leastLoaded].machinesByType[machineType] {
-			leastLoaded = shardName
-		}
+// deleteMachine handles the removal of a machine from its roster, which follows only
+// the cloud's word that the machine is gone with everything on it.
+func (mr *machineRegistry) deleteMachine(id string) {
+	mc := mr.machines[id]
+	if mc == nil {
+		return
 	}
-	loads[leastLoaded].cpus += resourcesOf(c.machineTypes[machineType]).CPUs
-	loads[leastLoaded].machinesByType[machineType]++
-	return leastLoaded
-}
-
-// processParkedHeartbeats answers the reports of a machine that has an owner now.
-func (c *Controller) processParkedHeartbeats(id string) {
-	parkedForMachine := c.parkedHeartbeats[id]
-	delete(c.parkedHeartbeats, id)
-	for _, parked := range parkedForMachine {
-		c.processHeartbeat(parked.replyID, parked.heartbeat)
+	delete(mr.machines, id)
+	mc.imageCache.Remove()
+	for _, a := range slices.Backward(mc.byKey) {
+		mr.agents.removeAttempt(mc, a)
 	}
-}
-
-// applyMachineRecord brings the mirror of rosters and lists up to a change.
-func (c *Controller) applyMachineRecord(kv KeyValue) error {
-	switch {
-	case strings.HasPrefix(kv.Key, registryPrefix):
-		if kv.Value == nil {
-			c.applyRegistryPage(kv.Key, nil, kv.Rev)
-			return nil
+	if s := mr.shards.ownedShards[mc.rec.Shard]; s != nil {
+		s.dirty = true
+		if mc.claim == s {
+			s.reconciler.RemoveMachine(mc.Machine)
+			mr.agents.resetOrphanedTasks(s, mc)
 		}
-		var rec registryRecord
-		if err := json.Unmarshal(kv.Value, &rec); err != nil {
-			return err
+		if pos, ok := slices.BinarySearchFunc(s.machines, id, (*machine).compare); ok {
+			s.machines = slices.Delete(s.machines, pos, pos+1)
 		}
-		c.applyRegistryPage(kv.Key, &rec, kv.Rev)
-	case strings.HasPrefix(kv.Key, liveMachinesPrefix):
-		if kv.Value == nil {
-			c.applyLiveMachines(kv.Key, nil)
-			return nil
-		}
-		var rec liveMachinesRecord
-		if err := json.Unmarshal(kv.Value, &rec); err != nil {
-			return err
-		}
-		c.applyLiveMachines(kv.Key, &rec)
 	}
-	return nil
 }
