--- a/cwl/ports.go
+++ b/cwl/ports.go
@@ -215,17 +215,20 @@
 	defs := map[string]*Type{}
 	for _, list := range []string{"hints", "requirements"} {
 		for _, e := range b.idMap(v.get(list), list, "class", "") {
-			types := e.v.get("types")
-			if e.id != "SchemaDefRequirement" || types == nil {
-				continue
-			}
-			for _, x := range types.items {
-				if name, ok := textOf(x.get("name")); ok {
-					id := shortID(name)
-					defs[id] = b.parseType(x, list+".SchemaDefRequirement."+id, defs)
-				}
+			if types := e.v.get("types"); e.id == "SchemaDefRequirement" && types != nil {
+				b.addSchemaDefs(defs, types.items, list+".SchemaDefRequirement")
 			}
 		}
 	}
 	return defs
 }
+
+// addSchemaDefs reads types that have names. One may refer to those before it.
+func (b *builder) addSchemaDefs(defs map[string]*Type, types []*value, at string) {
+	for _, x := range types {
+		if name, ok := textOf(x.get("name")); ok {
+			id := shortID(name)
+			defs[id] = b.parseType(x, at+"."+id, defs)
+		}
+	}
+}
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -6,8 +6,8 @@
 //
 // A [ClusterView] is one view of a shard's machines: their free resources, a queue for each task that runs on them,
 // and the images in their caches. [ClusterView.Place] takes one group of tasks and returns a [Placement]: which
-// machines start how many of them now, and for which no machine ends them in time. It has no clock and calls nothing else.
-// Its caller orders the groups ([SortGroups]) and applies whatever else bounds them, such as a team's limit; the
+// machines start how many of them now, and for which no machine ends them in time. It has no clock and calls nothing
+// else. Its caller orders the groups ([SortGroups]) and applies whatever else bounds them, such as a team's limit; the
 // caller may also refuse a placement.
 //
 // # What it may assume
