--- a/internal/golden/dump.go
+++ b/internal/golden/dump.go
@@ -8,15 +8,17 @@
 
 // Dump writes a value as JSON without any name of a Go identifier: structs are
 // arrays of their exported fields, in order.
-func Dump(v any) []byte {
-	b, err := json.Marshal(plain(reflect.ValueOf(v)))
+func Dump(v any) []byte { return dump(reflect.ValueOf(v)) }
+
+func dump(v reflect.Value) []byte {
+	b, err := json.Marshal(plain(v))
 	if err != nil {
-		panic(fmt.Sprintf("golden: %T does not encode: %v", v, err))
+		panic(fmt.Sprintf("golden: %v does not encode: %v", v.Type(), err))
 	}
 	return b
 }
 
-// plain is a value made of slices, maps and scalars alone.
+// plain returns a value as slices, maps and scalars alone.
 func plain(v reflect.Value) any {
 	if !v.IsValid() {
 		return nil
@@ -28,13 +30,7 @@
 	case reflect.Pointer, reflect.Interface:
 		return plain(v.Elem())
 	case reflect.Struct:
-		fields := []any{}
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				fields = append(fields, plain(v.Field(i)))
-			}
-		}
-		return fields
+		return plainFields(v)
 	case reflect.Slice, reflect.Array:
 		if v.Kind() == reflect.Slice && v.IsNil() {
 			return nil
@@ -45,11 +41,22 @@
 		}
 		return elements
 	case reflect.Map:
-		entries := map[string]any{}
+		entries := map[string]json.RawMessage{}
 		for iter := v.MapRange(); iter.Next(); {
-			entries[fmt.Sprint(iter.Key())] = plain(iter.Value())
+			entries[fmt.Sprint(iter.Key())] = dump(iter.Value())
 		}
 		return entries
 	}
 	return v.Interface()
 }
+
+// plainFields returns the exported fields of a struct in order.
+func plainFields(v reflect.Value) []any {
+	fields := []any{}
+	for i := range v.NumField() {
+		if v.Type().Field(i).IsExported() {
+			fields = append(fields, plain(v.Field(i)))
+		}
+	}
+	return fields
+}
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -42,18 +42,33 @@
 	var b otherOuter
 	Fill(&a)
 	Fill(&b)
-	if a.A != b.Z || len(a.B) != 2 || a.B[1].A != b.Y[1].Z || *a.B[1].B != *b.Y[1].Y || len(a.C) != 2 || a.C["s6"] != b.X["s6"] ||
-		string(a.D) != string(b.W) || !json.Valid(a.D) || a.E != b.V || !a.F || a.G != nil ||
-		a.H != b.S {
-		t.Errorf("%+v and %+v differ", a, b)
+	if len(a.B) != 2 || len(b.Y) != 2 {
+		t.Fatalf("got slices %+v and %+v, want two elements each", a.B, b.Y)
+	}
+	for name, ok := range map[string]bool{
+		"strings are equal":         a.A == b.Z,
+		"elements are equal":        a.B[1].A == b.Y[1].Z,
+		"pointers' values are":      *a.B[1].B == *b.Y[1].Y,
+		"a map has two keys":        len(a.C) == 2,
+		"maps' values are equal":    a.C["s6"] == b.X["s6"],
+		"raw JSON is equal":         string(a.D) == string(b.W),
+		"raw JSON is valid":         json.Valid(a.D),
+		"durations are equal":       a.E == b.V,
+		"a boolean is true":         a.F,
+		"a recursive pointer stays": a.G == nil,
+		"interfaces are equal":      a.H == b.S,
+	} {
+		if !ok {
+			t.Errorf("not so: %s; got %+v and %+v", name, a, b)
+		}
 	}
 }
 
 func TestDumpHasNoNames(t *testing.T) {
 	var v outer
 	Fill(&v)
-	const want = `["s1",[[2,"s3"],[4,"s5"]],{"s6":7.5,"s8":9.5},{"n":10},11,true,null,"s12"]`
+	want := `["s1",[[2,"s3"],[4,"s5"]],{"s6":7.5,"s8":9.5},{"n":10},11,true,null,"s12"]`
 	if got := string(Dump(v)); got != want {
-		t.Errorf("%s, not %s", got, want)
+		t.Errorf("got %s, want %s", got, want)
 	}
 }
