--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -455,15 +455,12 @@
 			!s.reconciler.Pacer.TryStart(qm.now.MonotonicMS, true) {
 			return
 		}
-		qm.agents.startTask(
-			s,
-			mc,
-			reservation.taskRange,
-			i,
-			qm.estimates.expectedRuntime(j),
-			qm.agents.fetchTime(j, mc, qm.cache.machineTypes[mc.rec.Type]),
-			hb,
-		)
+		qm.agents.startTask(s, mc, hb, taskStart{
+			taskRange: reservation.taskRange,
+			taskIndex: i,
+			runtimeMS: qm.estimates.expectedRuntime(j),
+			fetchMS:   qm.agents.fetchTime(j, mc, qm.cache.machineTypes[mc.rec.Type]),
+		})
 	}
 }
 
--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -94,7 +94,7 @@
 			})
 			sim.cancelPeriodically(9000, counts)
 		},
-		minCounts: map[string]int{"machine silent past its lease": 20, "machine in a new session": 5, "cancellations": 20},
+		minCounts: map[string]int{"machine lease expired": 20, "machine in a new incarnation": 5, "cancellations": 20},
 	},
 	"a member cut from the state service alone": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
@@ -374,9 +374,9 @@
 		sim.observeLogs(func(_ *emulator.Member, line scheduler.LogLine) {
 			duringCut := sim.Now > cutAt && sim.Now < hangAt
 			switch {
-			case line.Message == "machine silent past its lease" && duringCut:
+			case line.Message == "machine lease expired" && duringCut:
 				silent++
-			case line.Message == "machine in a new session" && duringCut:
+			case line.Message == "machine in a new incarnation" && duringCut:
 				returned++
 			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "silent" && duringCut:
 				drained++
--- a/scheduler/indoubt_writes_test.go
+++ b/scheduler/indoubt_writes_test.go
@@ -226,7 +226,7 @@
 		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13},
 	)
 	tr := ctrl.cache.jobs["job-000001"].taskRanges[0]
-	ctrl.agents.startTask(s, mc, tr, 0, 1000, 0, &Heartbeat{Incarnation: 1, Seq: 3})
+	ctrl.agents.startTask(s, mc, &Heartbeat{Incarnation: 1, Seq: 3}, taskStart{taskRange: tr, runtimeMS: 1000})
 	var key attemptKey
 	for key = range mc.attempts {
 	}
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -9,9 +9,14 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// machineRegistry owns what the member knows of all machines: the pages of the
-// registry that the leader writes, and the lists of live machines that the owners
-// of shards write.
+// machineRegistry owns what the member knows of all machines: the pages of the registry that the leader
+// writes, and the lists of live machines that the owners of shards write.
+//
+// Machines are recorded many at a time, since the state service counts the keys that are changed and a fleet
+// of hundreds comes and goes within a minute: one page for the machines that came together to a shard, written
+// by the leader and by no other member, and a few lists for a shard of those that are up, written by its
+// owner. A machine's end is the end of its entry in a page: the leader writes it only on the cloud's word that
+// the machine is gone with everything on it.
 type machineRegistry struct {
 	*environment
 	agents *agentManager
@@ -33,35 +38,62 @@
 	}
 }
 
-// Machines are recorded many at a time, since the state service counts the keys
-// that are changed and a fleet of hundreds comes and goes within a minute: one
-// roster for the machines that came together to a shard, written by the member
-// that leads the fleet and by no other, and a few lists for a shard of those
-// that are up, written by its holder.
-
-// registryRecord is machines of one kind in one shard.
+// registryRecord is a registry page: machines of one kind in one shard.
 type registryRecord struct {
 	Shard           string   `json:"shard"`
 	Type            string   `json:"type"`
 	Zone            string   `json:"zone"`
 	Spot            bool     `json:"spot,omitempty"`
-	ProvisionedAtMS int64    `json:"rented"`        // time of day, ms
-	ReplacementPlan string   `json:"for,omitempty"` // the plan whose machines they replace
+	ProvisionedAtMS int64    `json:"rented"`        // wall time, ms
+	ReplacementPlan string   `json:"for,omitempty"` // the rollout plan whose machines they replace
 	MachineIDs      []string `json:"machines"`
 }
 
-// liveMachinesRecord lists machines of a shard that are up. Nothing starts on a machine
-// before it is listed, so one that is not listed has no tasks.
+// liveMachinesRecord lists machines of a shard that are up. Nothing starts on a machine before it is listed,
+// so one that is not listed has no tasks.
 type liveMachinesRecord struct {
 	MachineIDs []string `json:"up"`
 }
 
-// registryPage is a roster of the mirror.
+// registryPage is a registry page as the cache has it.
 type registryPage struct {
 	rec registryRecord
 	rev uint64
 }
 
+// applyMachineRecord brings pages and lists up to a change in the store. It fails only if the record cannot be
+// decoded.
+func (mr *machineRegistry) applyMachineRecord(kv KeyValue) error {
+	switch {
+	case strings.HasPrefix(kv.Key, registryPrefix):
+		rec, err := decodeRecord[registryRecord](kv.Value)
+		if err != nil {
+			return err
+		}
+		mr.applyRegistryPage(kv.Key, rec, kv.Rev)
+	case strings.HasPrefix(kv.Key, liveMachinesPrefix):
+		rec, err := decodeRecord[liveMachinesRecord](kv.Value)
+		if err != nil {
+			return err
+		}
+		mr.applyLiveMachines(kv.Key, rec)
+	}
+	return nil
+}
+
+// decodeRecord decodes a record's JSON; nil for a key that was deleted.
+func decodeRecord[T any](value []byte) (*T, error) {
+	if value == nil {
+		return nil, nil
+	}
+	rec := new(T)
+	if err := json.Unmarshal(value, rec); err != nil {
+		return nil, err
+	}
+	return rec, nil
+}
+
+// applyRegistryPage takes a page as the store has it now; nil: it was deleted.
 func (mr *machineRegistry) applyRegistryPage(key string, rec *registryRecord, rev uint64) {
 	previous := mr.registryPages[key]
 	kept := map[string]bool{}
@@ -84,8 +116,8 @@
 	}
 }
 
-// applyLiveMachines takes a list of machines that are up. What a list no longer names is
-// gone from the rosters too, or stands in another list.
+// applyLiveMachines takes a list of machines that are up. What a list no longer names is gone from the
+// registry pages too, or stands in another list.
 func (mr *machineRegistry) applyLiveMachines(key string, rec *liveMachinesRecord) {
 	if rec == nil {
 		delete(mr.liveMachines, key)
@@ -93,43 +125,34 @@
 	}
 	mr.liveMachines[key] = rec.MachineIDs
 	for _, id := range rec.MachineIDs {
-		mc := mr.machines[id]
-		if mc == nil || mc.Up {
-			continue
-		}
-		s := mr.shards.ownedShards[mc.rec.Shard]
-		if s == nil || mc.claim != s {
-			mc.Up = true
-		} else {
-			s.reconciler.MarkListed(mc.Machine)
-		}
-		if s != nil {
-			s.dirty, s.planExpedited = true, true
+		if mc := mr.machines[id]; mc != nil && !mc.Up {
+			mr.markListed(mc)
 		}
 	}
 }
 
-// writeLiveMachines lists the machines of a shard that came up since the last time, and
-// drops those that are gone.
+// markListed notes that a machine is listed as up, and may have work.
+func (mr *machineRegistry) markListed(mc *machine) {
+	s := mr.shards.ownedShards[mc.rec.Shard]
+	if s == nil {
+		mc.Up = true
+		return
+	}
+	if mc.claim == s {
+		s.reconciler.MarkListed(mc.Machine)
+	} else {
+		mc.Up = true
+	}
+	s.dirty, s.planExpedited = true, true
+}
+
+// writeLiveMachines lists the machines of a shard that came up since the last time, and drops those that are
+// gone.
 func (mr *machineRegistry) writeLiveMachines(s *shard) {
 	if s.liveListWriting || len(s.newlyLive) == 0 || mr.now.MonotonicMS < s.nextLiveListWriteAt {
 		return
 	}
-	prefix := liveMachinesPrefix + s.name + "/"
-	var key string
-	var machineIDs []string
-	for index := 0; ; index++ {
-		key = fmt.Sprintf("%s%d", prefix, index)
-		machineIDs = machineIDs[:0]
-		for _, id := range mr.liveMachines[key] {
-			if mr.machines[id] != nil {
-				machineIDs = append(machineIDs, id)
-			}
-		}
-		if len(machineIDs) < mr.maxMachinesPerPage() {
-			break
-		}
-	}
+	key, machineIDs := mr.liveListWithRoom(s)
 	for _, id := range slices.Clone(s.newlyLive) {
 		if mc := mr.machines[id]; mc == nil || mc.Up {
 			s.newlyLive = slices.DeleteFunc(s.newlyLive, func(x string) bool { return x == id })
@@ -143,72 +166,62 @@
 	s.liveListWriting = true
 	// The next ones share a write.
 	s.nextLiveListWriteAt = mr.now.MonotonicMS + max(300, secondsToMS(mr.params.HeartbeatS)/8)
-	value := mustEncode(liveMachinesRecord{slices.Clone(machineIDs)})
-	mr.store.sendTxn(
-		UrgencyUser,
-		[]Precondition{{claimKey(s.name), s.token}, {key, mr.cache.keyRevisions[key]}},
-		[]Change{{Key: key, Value: value}},
-		func(result StoreResult) {
-			s.liveListWriting = false
-			if result.Outcome == Unknown || result.Outcome == Conflict {
-				s.liveListWriting = true
-				mr.store.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
-			}
-		},
-	)
+	preconditions := []Precondition{{claimKey(s.name), s.token}, {key, mr.cache.keyRevisions[key]}}
+	changes := []Change{{Key: key, Value: mustEncode(liveMachinesRecord{machineIDs})}}
+	mr.store.sendTxn(UrgencyUser, preconditions, changes, func(result StoreResult) {
+		s.liveListWriting = false
+		if result.Outcome == Unknown || result.Outcome == Conflict {
+			s.liveListWriting = true
+			mr.store.rereadKey(key, func(StoreResult) { s.liveListWriting = false })
+		}
+	})
 }
 
-// applyMachineRecord brings the mirror of rosters and lists up to a change.
-func (mr *machineRegistry) applyMachineRecord(kv KeyValue) error {
-	switch {
-	case strings.HasPrefix(kv.Key, registryPrefix):
-		if kv.Value == nil {
-			mr.applyRegistryPage(kv.Key, nil, kv.Rev)
-			return nil
-		}
-		var rec registryRecord
-		if err := json.Unmarshal(kv.Value, &rec); err != nil {
-			return err
-		}
-		mr.applyRegistryPage(kv.Key, &rec, kv.Rev)
-	case strings.HasPrefix(kv.Key, liveMachinesPrefix):
-		if kv.Value == nil {
-			mr.applyLiveMachines(kv.Key, nil)
-			return nil
+// liveListWithRoom finds the first list of a shard that has room, and what it names that is not gone.
+func (mr *machineRegistry) liveListWithRoom(s *shard) (key string, machineIDs []string) {
+	prefix := liveMachinesPrefix + s.name + "/"
+	for index := 0; ; index++ {
+		key = fmt.Sprintf("%s%d", prefix, index)
+		machineIDs = machineIDs[:0]
+		for _, id := range mr.liveMachines[key] {
+			if mr.machines[id] != nil {
+				machineIDs = append(machineIDs, id)
+			}
 		}
-		var rec liveMachinesRecord
-		if err := json.Unmarshal(kv.Value, &rec); err != nil {
-			return err
+		if len(machineIDs) < mr.maxMachinesPerPage() {
+			return key, machineIDs
 		}
-		mr.applyLiveMachines(kv.Key, &rec)
 	}
-	return nil
 }
 
-// upsertMachine takes in a machine that a roster names.
+// upsertMachine takes in a machine that a registry page names.
 func (mr *machineRegistry) upsertMachine(id, key string, rec *registryRecord) {
-	mc := mr.machines[id]
-	if mc == nil {
-		mc = &machine{id: id, rec: rec, registryKey: key, Machine: &reconcile.Machine{ID: id}}
-		for listKey, liveIDs := range mr.liveMachines {
-			if strings.HasPrefix(listKey, liveMachinesPrefix+rec.Shard+"/") && slices.Contains(liveIDs, id) {
-				mc.Up = true
-			}
-		}
-		mr.machines[id] = mc
-		mr.resetMachine(mc)
-		if s := mr.shards.ownedShards[rec.Shard]; s != nil {
-			pos, _ := slices.BinarySearchFunc(s.machines, id, (*machine).compare)
-			s.machines = slices.Insert(s.machines, pos, mc)
-			s.dirty = true
-		}
+	if mr.machines[id] == nil {
+		mr.insertMachine(id, key, rec)
 	}
+	mc := mr.machines[id]
 	mc.rec, mc.registryKey = rec, key
 	mr.agents.processParkedHeartbeats(id)
 }
 
-// resetMachine forgets what an earlier claim knew of a machine. Silence counts
-// from here: whoever answered it before did so before this claim.
+func (mr *machineRegistry) insertMachine(id, key string, rec *registryRecord) {
+	mc := &machine{id: id, rec: rec, registryKey: key, Machine: &reconcile.Machine{ID: id}}
+	for listKey, liveIDs := range mr.liveMachines {
+		if strings.HasPrefix(listKey, liveMachinesPrefix+rec.Shard+"/") && slices.Contains(liveIDs, id) {
+			mc.Up = true
+		}
+	}
+	mr.machines[id] = mc
+	mr.resetMachine(mc)
+	if s := mr.shards.ownedShards[rec.Shard]; s != nil {
+		pos, _ := slices.BinarySearchFunc(s.machines, id, (*machine).compare)
+		s.machines = slices.Insert(s.machines, pos, mc)
+		s.dirty = true
+	}
+}
+
+// resetMachine forgets what an earlier claim knew of a machine. Silence counts from here: whoever answered it
+// before did so before this claim.
 func (mr *machineRegistry) resetMachine(mc *machine) {
 	for _, a := range mc.byKey {
 		mr.agents.releaseResources(mc, a)
@@ -219,19 +232,17 @@
 		rec:         mc.rec,
 		registryKey: mc.registryKey,
 		Machine:     &reconcile.Machine{ID: mc.id, Up: mc.Up},
-		idleSince:   mr.now.MonotonicMS,
+		machineLoad: machineLoad{idleSince: mr.now.MonotonicMS},
 	}
 	if s := mr.shards.ownedShards[mc.rec.Shard]; s != nil {
-		mc.claim, mc.Machine, mc.imageCache = s, s.reconciler.AddMachine(
-			mc.id,
-			mc.Up,
-			mr.now.MonotonicMS,
-		), s.clusterView.NewImageCache()
+		mc.claim = s
+		mc.Machine = s.reconciler.AddMachine(mc.id, mc.Up, mr.now.MonotonicMS)
+		mc.imageCache = s.clusterView.NewImageCache()
 	}
 }
 
-// deleteMachine handles the removal of a machine from its roster, which follows only
-// the cloud's word that the machine is gone with everything on it.
+// deleteMachine handles the removal of a machine from its registry page, which follows only the cloud's word
+// that the machine is gone with everything on it.
 func (mr *machineRegistry) deleteMachine(id string) {
 	mc := mr.machines[id]
 	if mc == nil {
@@ -239,17 +250,17 @@
 	}
 	delete(mr.machines, id)
 	mc.imageCache.Remove()
-	for _, a := range slices.Backward(mc.byKey) {
-		mr.agents.removeAttempt(mc, a)
+	mr.agents.removeAllAttempts(mc)
+	s := mr.shards.ownedShards[mc.rec.Shard]
+	if s == nil {
+		return
 	}
-	if s := mr.shards.ownedShards[mc.rec.Shard]; s != nil {
-		s.dirty = true
-		if mc.claim == s {
-			s.reconciler.RemoveMachine(mc.Machine)
-			mr.agents.resetOrphanedTasks(s, mc)
-		}
-		if pos, ok := slices.BinarySearchFunc(s.machines, id, (*machine).compare); ok {
-			s.machines = slices.Delete(s.machines, pos, pos+1)
-		}
+	s.dirty = true
+	if mc.claim == s {
+		s.reconciler.RemoveMachine(mc.Machine)
+		s.clearOrphans(mc)
+	}
+	if pos, ok := slices.BinarySearchFunc(s.machines, id, (*machine).compare); ok {
+		s.machines = slices.Delete(s.machines, pos, pos+1)
 	}
 }
--- a/scheduler/overlapping_faults_test.go
+++ b/scheduler/overlapping_faults_test.go
@@ -253,20 +253,20 @@
 					// No machine holds a shard up for much longer than a lease: the four seconds
 					// for which workers wait for an answer, and their round of all members, each
 					// four seconds and one.
-					if l.Message != "shard squared" {
+					if l.Message != "shard reconciled" {
 						continue
 					}
 					if ms := l.Args[3].(int64); float64(ms) > (sim.Params.LeaseS+4+5*float64(len(sim.Members)))*1000+500 {
-						t.Errorf("%v is squared after %d ms", l.Args[1], ms)
+						t.Errorf("%v is reconciled after %d ms", l.Args[1], ms)
 					}
 				}
 			}
 		},
 		minCounts: map[string]int{
-			"machine in a new session":      20,
-			"machine silent past its lease": 4,
-			"cancellations":                 20,
-			"shard claimed":                 20,
+			"machine in a new incarnation": 20,
+			"machine lease expired":        4,
+			"cancellations":                20,
+			"shard claimed":                20,
 		},
 	},
 	// Jobs of two or three tasks that end far apart, across a change of leader.
@@ -393,10 +393,10 @@
 			}
 		},
 		minCounts: map[string]int{
-			"token raised":                  20,
-			"direct commands":               200,
-			"machine silent past its lease": 10,
-			"machine in a new session":      10,
+			"token raised":                 20,
+			"direct commands":              200,
+			"machine lease expired":        10,
+			"machine in a new incarnation": 10,
 		},
 	},
 	"old reports": {
--- a/scheduler/overlapping_machine_faults_test.go
+++ b/scheduler/overlapping_machine_faults_test.go
@@ -199,7 +199,7 @@
 				}
 			}
 		},
-		minCounts: map[string]int{"ended": 3, "stood still": 3, "cut off": 3, "machine in a new session": 10},
+		minCounts: map[string]int{"ended": 3, "stood still": 3, "cut off": 3, "machine in a new incarnation": 10},
 	},
 	// A zone with workers and a controller is cut off for longer than a lease, and jobs are
 	// cancelled through the others.
@@ -227,10 +227,10 @@
 			}
 		},
 		minCounts: map[string]int{
-			"zones cut":                12,
-			"cancelled through others": 40,
-			"machine in a new session": 12,
-			"shard claimed":            30,
+			"zones cut":                    12,
+			"cancelled through others":     40,
+			"machine in a new incarnation": 12,
+			"shard claimed":                30,
 		},
 	},
 	// Leaders change ten times in two minutes, also inside an outage: whoever holds most
@@ -362,9 +362,9 @@
 			}
 		},
 		minCounts: map[string]int{
-			"commands to mute machines":     15,
-			"machine in a new session":      40,
-			"machine silent past its lease": 40,
+			"commands to mute machines":    15,
+			"machine in a new incarnation": 40,
+			"machine lease expired":        40,
 		},
 	},
 	// A command of a leader that has since ended or been deposed arrives after the new
--- a/scheduler/overlapping_request_faults_test.go
+++ b/scheduler/overlapping_request_faults_test.go
@@ -390,12 +390,12 @@
 			})
 		},
 		minCounts: map[string]int{
-			"at a limit":                    10,
-			"cancelled":                     60,
-			"shard claimed":                 40,
-			"machine silent past its lease": 20,
-			"machine in a new session":      20,
-			"tasks of a whole limit":        12,
+			"at a limit":                   10,
+			"cancelled":                    60,
+			"shard claimed":                40,
+			"machine lease expired":        20,
+			"machine in a new incarnation": 20,
+			"tasks of a whole limit":       12,
 		},
 	},
 	// A team is at its limit when the leader changes, some of its machines can't be asked,
@@ -441,7 +441,7 @@
 							}
 						})
 					}
-				case "shard squared":
+				case "shard reconciled":
 					reconciling[l.Args[1].(string)] = false
 				}
 			})
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -2,15 +2,14 @@
 
 import (
 	"encoding/json"
-	"math"
 
 	"github.com/grebedock/grebedock/access"
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// What reports do not say and a claim after ours would miss is kept in one value a
-// shard beside the pages of progress: how long classes of jobs take against their
-// owners' estimates, and what machines hold that went silent (reconcile.Book).
+// What heartbeats do not show and a claim after ours would miss is kept in one value a shard beside the pages
+// of progress: how long classes of jobs take against their owners' estimates, and what runs on machines that
+// went silent (reconcile.UnreachableLedger).
 
 // recoveryRecord is that value.
 type recoveryRecord struct {
@@ -24,26 +23,30 @@
 	Samples int     `json:"n"`
 }
 
-// recoveryState is when a shard's is written and what was.
+// recoveryState is when a shard's recovery record is written and what of it is stored. Times are monotonic.
 type recoveryState struct {
 	writeState           recordWriteState
-	nextRuntimeWriteAtMS int64            // lengths alone are not worth a write before
+	nextRuntimeWriteAtMS int64            // run times alone are not worth a write before
 	writtenRuntimes      map[string]int64 // by class: the ratio that was written, in hundredths
-	quietUntilMS         int64            // no notes before: we stood still ourselves
+	quietUntilMS         int64            // no machine is recorded as unreachable before: this member stood still
 	lastTickMS           int64
 }
 
 // recoveryKey is a shard's value. Pages are digits or hold a slash.
 func recoveryKey(shard string) string { return progressPrefix + shard + "/memory" }
 
-// maxRecoveryClasses bounds the classes that are remembered, and unreachableValueDivisor is which
-// part of a value silent machines' notes may take.
+// maxRecoveryClasses bounds the classes that are recorded, maxRecoveryClassBytes their names, and
+// unreachableValueDivisor is which part of a value the unreachable machines may take.
 const (
 	maxRecoveryClasses      = 64
+	maxRecoveryClassBytes   = 64
 	unreachableValueDivisor = 2
 )
 
-// restoreRecoveryRecord takes what an earlier claim wrote down.
+// paceIntervalMS is how often the pacer's rate follows what runs.
+const paceIntervalMS = 500
+
+// restoreRecoveryRecord takes what an earlier claim wrote. A record that cannot be read is logged and ignored.
 func (am *agentManager) restoreRecoveryRecord(s *shard, kv KeyValue) {
 	s.memory.writeState.rev = kv.Rev
 	var rec recoveryRecord
@@ -51,11 +54,8 @@
 		am.log(Warn, "record unreadable", "key", kv.Key, "error", err)
 		return
 	}
-	for class, runtime := range rec.Runtimes {
-		if known := am.estimates.runtimeCorrections[class]; (known == nil || known.samples < runtime.Samples) && runtime.Ratio > 0 &&
-			runtime.Ratio <= 5 {
-			am.estimates.runtimeCorrections[class] = &runtimeCorrection{ratio: runtime.Ratio, samples: runtime.Samples}
-		}
+	for class, recorded := range rec.Runtimes {
+		am.estimates.restore(class, recorded)
 	}
 	s.reconciler.Ledger.Restore(rec.Unreachable)
 	for id := range rec.Unreachable {
@@ -65,26 +65,22 @@
 	}
 }
 
-// writeRecoveryRecord writes a shard's memory when it has news; with recovery off, when
-// notes that were made while it was on are out of date. What it says of silent
-// machines holds until another record is certain to have taken its place.
+// writeRecoveryRecord writes a shard's recovery record when it has changes; with recovery off, when entries
+// that were made while it was on are out of date. What it says of unreachable machines holds until another
+// record is certain to have taken its place.
 func (am *agentManager) writeRecoveryRecord(s *shard) {
 	recovery, now := &s.memory, am.now.MonotonicMS
-	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt ||
-		!s.reconciler.Ledger.HasUnstoredChanges() &&
-			(!am.params.Recovery || now < recovery.nextRuntimeWriteAtMS || !am.estimates.hasRuntimeUpdates(s)) {
+	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt {
 		return
 	}
-	rec := recoveryRecord{Runtimes: map[string]runtimeRecord{}, Unreachable: s.reconciler.Ledger.BuildRecord()}
-	written := map[string]int64{}
-	for class, correction := range sortedByKey(am.estimates.runtimeCorrections) {
-		if len(rec.Runtimes) < maxRecoveryClasses && len(class) < 64 {
-			rec.Runtimes[class] = runtimeRecord{math.Round(correction.ratio*1000) / 1000, correction.samples}
-		}
-		written[class] = int64(math.Round(correction.ratio * 100))
+	if !s.reconciler.Ledger.HasUnstoredChanges() && !am.areRuntimesDue(recovery) {
+		return
 	}
+	rec := recoveryRecord{Unreachable: s.reconciler.Ledger.BuildRecord()}
+	var written map[string]int64
+	rec.Runtimes, written = am.estimates.buildRecord()
 	recovery.nextRuntimeWriteAtMS = now + secondsToMS(am.params.LeaseS)
-	am.shards.writeShardRecord(s, recoveryKey(s.name), &recovery.writeState, rec, am.progressWriteInterval()/2, func(ok bool) {
+	onResult := func(ok bool) {
 		if !ok {
 			s.reconciler.Ledger.MarkStoreFailed()
 			return
@@ -93,13 +89,22 @@
 		if len(s.reconciler.Ledger.ConfirmStored(rec.Unreachable)) > 0 {
 			s.dirty = true
 		}
-	})
+	}
+	am.shards.writeShardRecord(
+		s, recoveryKey(s.name), &recovery.writeState, rec, am.progressWriteInterval()/2, onResult)
 }
 
-// recordUnreachableMachines writes down what machines hold that missed their reports, so that a
-// claim after ours waits for them with no more than that. It is not done where we
-// may be the silent ones: after standing still, without the store, or when it is
-// more than a few.
+// areRuntimesDue reports whether the run times alone are worth a write now.
+func (am *agentManager) areRuntimesDue(recovery *recoveryState) bool {
+	if !am.params.Recovery || am.now.MonotonicMS < recovery.nextRuntimeWriteAtMS {
+		return false
+	}
+	return am.estimates.hasUpdates(recovery.writtenRuntimes)
+}
+
+// recordUnreachableMachines enters in the ledger what runs on machines that missed their heartbeats, so that a
+// claim after ours waits for them with no more than that. It does not where this member may be the silent one:
+// after it stood still, without the store, or when it is more than a few machines.
 func (am *agentManager) recordUnreachableMachines(s *shard) {
 	recovery, now := &s.memory, am.now.MonotonicMS
 	if now-recovery.lastTickMS > am.maxHeartbeatIntervalMS()/4 {
@@ -109,37 +114,50 @@
 	if !am.params.Recovery || now < recovery.quietUntilMS || am.store.storeAccess.Link(now) != access.LinkUp {
 		return
 	}
-	var unreachable []*machine
-	for _, mc := range s.machines {
-		if mc.Up && mc.everReconciled && now-mc.LastHeartbeatAt > am.maxHeartbeatIntervalMS() {
-			if entry, recorded := s.reconciler.Ledger.Entry(mc.id); !recorded ||
-				mc.State() == reconcile.LeaseExpired && len(entry.Ranges) > 0 {
-				unreachable = append(unreachable, mc)
-			}
-		}
-	}
+	unreachable := am.unreachableMachines(s)
 	if len(unreachable) > len(s.machines)/reconcile.GiveUpDivisor {
 		return
 	}
 	for _, mc := range unreachable {
-		if mc.orphanedTasks > 0 && mc.IsReconciled() {
+		if mc.orphanedTasks == 0 || !mc.IsReconciled() {
+			s.reconciler.Ledger.Put(mc.id, mc.unreachableEntry(), am.params.MaxValueBytes/unreachableValueDivisor)
+		}
+	}
+}
+
+// unreachableMachines lists the machines that missed their heartbeats and whose ledger entry is missing, or
+// out of date since their lease expired.
+func (am *agentManager) unreachableMachines(s *shard) []*machine {
+	var unreachable []*machine
+	for _, mc := range s.machines {
+		if !mc.Up || !mc.everReconciled || am.now.MonotonicMS-mc.LastHeartbeatAt <= am.maxHeartbeatIntervalMS() {
 			continue
 		}
-		entry := reconcile.UnreachableMachine{UsageByTeam: map[string]reconcile.ResourceUsage{}}
-		for _, attempt := range mc.byKey {
-			if !attempt.exited {
-				entry.Ranges = append(entry.Ranges, attempt.taskRange.name())
-				entry.UsageByTeam[attempt.job.Team] = entry.UsageByTeam[attempt.job.Team].Add(
-					reconcile.ResourceUsage{CPUs: attempt.job.Request.CPUs, GPUs: attempt.job.Request.GPUs},
-				)
-			}
+		entry, recorded := s.reconciler.Ledger.Entry(mc.id)
+		outdated := mc.State() == reconcile.LeaseExpired && len(entry.Ranges) > 0
+		if !recorded || outdated {
+			unreachable = append(unreachable, mc)
 		}
-		s.reconciler.Ledger.Put(mc.id, entry, am.params.MaxValueBytes/unreachableValueDivisor)
 	}
+	return unreachable
 }
 
-// tickReconcile lets the squaring of a shard go on: machines that never speak are
-// given up, those that are slow to are asked, and the line's pace follows what runs.
+// unreachableEntry is what a machine's live attempts are, for the ledger.
+func (load *machineLoad) unreachableEntry() reconcile.UnreachableMachine {
+	entry := reconcile.UnreachableMachine{UsageByTeam: map[string]reconcile.ResourceUsage{}}
+	for _, a := range load.byKey {
+		if a.exited {
+			continue
+		}
+		entry.Ranges = append(entry.Ranges, a.taskRange.name())
+		usage := reconcile.ResourceUsage{CPUs: a.job.Request.CPUs, GPUs: a.job.Request.GPUs}
+		entry.UsageByTeam[a.job.Team] = entry.UsageByTeam[a.job.Team].Add(usage)
+	}
+	return entry
+}
+
+// tickReconcile lets the reconciliation of a shard go on: machines that never report are given up, those that
+// are slow to are queried, and the pacer's rate follows what runs.
 func (am *agentManager) tickReconcile(s *shard) {
 	now := am.now.MonotonicMS
 	for _, unreported := range s.reconciler.MachinesToGiveUp(now) {
@@ -159,55 +177,46 @@
 	if !pacer.IsActive(now) {
 		return
 	}
-	if now-s.pacedAt >= 500 {
+	if now-s.pacedAt >= paceIntervalMS {
 		s.pacedAt = now
-		completionRate, reconciledMachines := 0.0, 0
-		for _, mc := range s.machines {
-			if mc.Up && mc.IsReconciled() {
-				reconciledMachines++
-			}
-			for _, attempt := range mc.byKey {
-				if !attempt.exited {
-					completionRate += 1 / float64(max(attempt.expectedRuntimeMS, 1))
-				}
-			}
-		}
-		pacer.SetRate(completionRate * float64(reconciledMachines+unreportedMachines) / float64(max(reconciledMachines, 1)))
+		pacer.SetRate(s.completionRate(unreportedMachines))
 	}
 	if unreportedMachines == 0 && now-s.reconciler.ClaimedAt() > 2*am.maxHeartbeatIntervalMS() && pacer.IsIdle(now) {
 		pacer.Deactivate()
 	}
 }
 
-// logReconciled tells how a claim's squaring went.
+// completionRate is how many tasks of the shard are expected to end in a millisecond: those that are known,
+// and as many on a machine that has not reported as on one that has.
+func (s *shard) completionRate(unreportedMachines int) float64 {
+	rate, reconciledMachines := 0.0, 0
+	for _, mc := range s.machines {
+		if mc.Up && mc.IsReconciled() {
+			reconciledMachines++
+		}
+		for _, a := range mc.byKey {
+			if !a.exited {
+				rate += 1 / float64(max(a.expectedRuntimeMS, 1))
+			}
+		}
+	}
+	return rate * float64(reconciledMachines+unreportedMachines) / float64(max(reconciledMachines, 1))
+}
+
+// logReconciled logs how a claim's reconciliation went: how many running tasks were adopted and how many
+// stopped, and how many results were counted.
 func (am *agentManager) logReconciled(s *shard) {
 	var adopted, stopped, counted uint64
-	for place := range s.reconciler.VerdictCounts {
-		for _, n := range s.reconciler.VerdictCounts[place][reconcile.Active : reconcile.Active+1] {
-			if reconcile.TaskState(place) == reconcile.Unassigned {
-				adopted += n
-			} else {
-				stopped += n
-			}
+	for state, verdicts := range s.reconciler.VerdictCounts {
+		if reconcile.TaskState(state) == reconcile.Unassigned {
+			adopted += verdicts[reconcile.Active]
+		} else {
+			stopped += verdicts[reconcile.Active]
 		}
 	}
-	for _, place := range []reconcile.TaskState{reconcile.Unassigned, reconcile.Assigned, reconcile.Transferring} {
-		counted += s.reconciler.VerdictCounts[place][reconcile.Succeeded]
-	}
-	am.log(
-		Info,
-		"shard squared",
-		"shard",
-		s.name,
-		"ms",
-		am.now.MonotonicMS-s.reconciler.ClaimedAt(),
-		"machines",
-		len(s.machines),
-		"adopted",
-		adopted,
-		"results",
-		counted,
-		"stopped",
-		stopped,
-	)
+	for _, state := range []reconcile.TaskState{reconcile.Unassigned, reconcile.Assigned, reconcile.Transferring} {
+		counted += s.reconciler.VerdictCounts[state][reconcile.Succeeded]
+	}
+	am.log(Info, "shard reconciled", "shard", s.name, "ms", am.now.MonotonicMS-s.reconciler.ClaimedAt(),
+		"machines", len(s.machines), "adopted", adopted, "results", counted, "stopped", stopped)
 }
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -367,7 +367,7 @@
 			interrupted := 0
 			sim.Observer = func(_ *emulator.Member, o *scheduler.Outputs) {
 				for _, line := range o.Logs {
-					if line.Message != "machine set aside" || line.Args[3] != true || interrupted >= 8 {
+					if line.Message != "machine cordon changed" || line.Args[3] != true || interrupted >= 8 {
 						continue
 					}
 					id := fmt.Sprint(line.Args[1])
--- a/scheduler/scale_benchmark_test.go
+++ b/scheduler/scale_benchmark_test.go
@@ -96,7 +96,8 @@
 			}
 			tr := s.taskRanges[(2*i+k)%len(s.taskRanges)]
 			if n := tr.nextTask(); n >= 0 && tr.assignedCount < 20 {
-				ctrl.agents.startTask(s, mc, tr, n, 20_000+rng.Int64N(40_000), 0, &Heartbeat{Incarnation: 1, Seq: 1})
+				start := taskStart{taskRange: tr, taskIndex: n, runtimeMS: 20_000 + rng.Int64N(40_000)}
+				ctrl.agents.startTask(s, mc, &Heartbeat{Incarnation: 1, Seq: 1}, start)
 			}
 		}
 	}
--- a/scheduler/summaries_and_bounds_test.go
+++ b/scheduler/summaries_and_bounds_test.go
@@ -180,7 +180,8 @@
 		})
 		measureGrowth("task", 3*machines, func(i int) {
 			tr := s.taskRanges[i%jobs]
-			ctrl.agents.startTask(s, s.machines[i/3], tr, tr.nextTask(), 20_000, 0, &Heartbeat{Incarnation: 1, Seq: 1})
+			start := taskStart{taskRange: tr, taskIndex: tr.nextTask(), runtimeMS: 20_000}
+			ctrl.agents.startTask(s, s.machines[i/3], &Heartbeat{Incarnation: 1, Seq: 1}, start)
 		})
 	}
 }
@@ -199,7 +200,7 @@
 			ctrl.cache.applyChange(KeyValue{Key: jobKey("job-999999"), Rev: 1 << 30, Value: mustEncode(jobRecord{Job: Job{ID: "job-999999", Class: "batch", Kind: Array, Priority: High, Tasks: 100_000, Spot: true, EstimateS: 30,
 				Request: availability.Resources{CPUs: 4, MemoryGB: 14}}, AcceptedAtMS: 90_000, Ranges: []Range{{Lo: 0, Hi: 100_000, Shard: "m0"}}})})
 		}},
-		"every machine in a new session": {1500, 300, func(ctrl *Controller, s *shard) {
+		"every machine in a new incarnation": {1500, 300, func(ctrl *Controller, s *shard) {
 			for i, mc := range s.machines {
 				ctrl.HandleHeartbeat(ctrl.now, uint64(i), Heartbeat{Machine: mc.id, Addr: "x", Type: mc.rec.Type, Zone: "a", Spot: mc.rec.Spot, Incarnation: 2, Seq: 1, Token: s.token})
 			}
--- a/scheduler/task_status.go
+++ b/scheduler/task_status.go
@@ -1,12 +1,110 @@
 package scheduler
 
-import "github.com/grebedock/grebedock/planner"
+import (
+	"github.com/grebedock/grebedock/planner"
+	"github.com/grebedock/grebedock/reconcile"
+)
 
-// applyTaskStatus takes what a report says of an attempt.
+// The states of a task in a heartbeat, and why it exited.
+const (
+	taskFetching      = "fetching"
+	taskRunning       = "running"
+	taskWaiting       = "waiting"
+	taskCheckpointing = "saving"
+	taskExited        = "exited"
+
+	exitDone    = "done"
+	exitStopped = "stopped"
+	exitError   = "error"
+	exitNoRoom  = "no_room"
+	exitUnknown = "unknown"
+)
+
+// resolveUnknownAttempt takes a task that this claim did not start, by the verdicts of package reconcile. It
+// returns an attempt if the task goes on as ours, else nil.
+func (am *agentManager) resolveUnknownAttempt(s *shard, mc *machine, status TaskStatus) *attempt {
+	tr, i, recorded := am.recordedTaskState(s, status.Task)
+	switch s.reconciler.DecideVerdict(recorded, status.observation()) {
+	case reconcile.Adopt:
+		am.Counters.AdoptedTasks++
+		return am.adoptAttempt(s, mc, status, tr, i)
+	case reconcile.Stop:
+		am.Counters.OrphanedTasks++
+		if mc.orphanedTasks++; mc.orphanedTasks == 1 {
+			s.machinesWithOrphans++
+		}
+		am.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
+	case reconcile.RecordCompletion:
+		tr.markDone(i)
+		tr.dirty = true
+	case reconcile.Clear:
+		am.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
+	}
+	return nil
+}
+
+// observation is what a status shows to package reconcile.
+func (status *TaskStatus) observation() reconcile.Observation {
+	switch {
+	case status.State != taskExited:
+		return reconcile.Active
+	case status.Reason == exitDone:
+		return reconcile.Succeeded
+	}
+	return reconcile.Terminated
+}
+
+// recordedTaskState finds a task's range and its place in it, and which state the cache has for it.
+func (am *agentManager) recordedTaskState(s *shard, task string) (tr *taskRange, i int, state reconcile.TaskState) {
+	tr, i = am.shards.taskRangeOf(task)
+	switch {
+	case tr == nil:
+		return nil, 0, reconcile.Obsolete
+	case tr.storedDone.has(i):
+		return tr, i, reconcile.ResultStored
+	case tr.shardName != s.name && !tr.done.has(i):
+		return tr, i, reconcile.Obsolete // another owned shard's
+	case tr.done.has(i):
+		return tr, i, reconcile.Completed
+	case tr.assigned.has(i):
+		return tr, i, reconcile.Assigned
+	case tr.moving:
+		return tr, i, reconcile.Transferring
+	}
+	return tr, i, reconcile.Unassigned
+}
+
+// adoptAttempt goes on with a task that an earlier claim started. Its attempt ID says when.
+func (am *agentManager) adoptAttempt(s *shard, mc *machine, status TaskStatus, tr *taskRange, i int) *attempt {
+	j := &tr.job.rec.Job
+	a := &attempt{
+		key:       attemptKey{status.Task, status.Attempt},
+		job:       j,
+		taskRange: tr,
+		claim:     s,
+		taskIndex: i,
+		attemptDelivery: attemptDelivery{
+			incarnation: mc.Incarnation,
+		},
+		attemptProgress: attemptProgress{
+			adopted:           true,
+			placedAt:          reconcile.AttemptStartedAt(status.Attempt, am.now.WallMS),
+			expectedRuntimeMS: am.estimates.expectedRuntime(j),
+		},
+	}
+	if status.State == taskFetching {
+		a.expectedFetchMS = am.cache.imageFetchMS(j, mc.rec.Type)
+	}
+	am.allocateResources(mc, a)
+	s.dirty = true
+	return a
+}
+
+// applyTaskStatus takes what a heartbeat, or the answer to a direct command, says of an attempt, and queues
+// what the worker is to do about it.
 func (am *agentManager) applyTaskStatus(s *shard, mc *machine, a *attempt, status TaskStatus, hb *Heartbeat) {
-	tr := a.taskRange
-	current := am.cache.isCurrent(tr)
-	if a.job.Image != "" && status.State != "fetching" {
+	current := am.cache.isCurrent(a.taskRange)
+	if a.job.Image != "" && status.State != taskFetching {
 		mc.imageCache.RecordUse(
 			a.job.Image,
 			planner.Image{LastUsedMS: am.now.WallMS, SizeGB: a.job.Request.DiskGB},
@@ -14,160 +112,120 @@
 		)
 	}
 	switch status.State {
-	case "running", "waiting":
+	case taskRunning, taskWaiting:
 		if !a.running {
-			a.running, a.runningSince = true, am.now.WallMS
-			if a.adopted && a.expectedFetchMS == 0 {
-				// It ran before. Half of a fetch is as near as one can guess:
-				// tasks that came to a machine together share one.
-				a.runningSince = min(am.now.WallMS, a.placedAt+am.cache.imageFetchMS(a.job, mc.rec.Type)/2)
-			} else {
-				a.adopted = false // seen to begin
-			}
-			a.taskRange.runningCount++
+			am.recordRunning(mc, a)
 		}
-	case "saving":
+	case taskCheckpointing:
 		a.checkpointing = true
 	}
-	if status.State != "exited" {
-		if !current {
-			am.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
-			return
-		}
-		if a.stopRequested && (status.State == "running" || status.State == "fetching") {
-			am.queueCommand(
-				s,
-				mc,
-				Command{
-					Kind:    CommandStop,
-					Task:    status.Task,
-					Attempt: status.Attempt,
-					GraceS:  a.job.CheckpointDurationS + am.params.HeartbeatS,
-				},
-			)
-			return
-		}
-		if (status.State == "running" || status.State == "fetching" || status.State == "waiting") && am.rollouts.mayEvict(s, mc, a) {
-			a.evicted = true
-			am.queueCommand(
-				s,
-				mc,
-				Command{
-					Kind:    CommandStop,
-					Task:    status.Task,
-					Attempt: status.Attempt,
-					GraceS:  a.job.CheckpointDurationS + am.params.HeartbeatS,
-				},
-			)
-			return
-		}
-		am.checkpointBeforeTermination(mc, a, status)
+	if status.State != taskExited {
+		am.commandLiveAttempt(s, mc, a, status)
 		return
 	}
 	if !a.exited {
-		am.releaseResources(mc, a)
-		switch status.Reason {
-		case "done":
-			tr.markDone(a.taskIndex)
-			tr.dirty = true
-			delete(mc.failedJobs, a.job.ID)
-			if a.running && !a.adopted {
-				// What an adopted one took is not known well enough: taken
-				// for shorter than it was, it shortened its whole class.
-				am.estimates.updateRuntimeEstimate(a.job, am.now.WallMS-a.runningSince+tr.checkpointedMS[a.taskIndex])
-			}
-		case "stopped":
-			if a.running {
-				am.shards.failJobOnTaskLoss(a)
-			}
-			if status.Checkpointed && a.running {
-				if tr.checkpointedMS == nil {
-					tr.checkpointedMS = map[int]int64{}
-				}
-				tr.checkpointedMS[a.taskIndex] += max(0, am.now.WallMS-a.runningSince-secondsToMS(a.job.CheckpointDurationS))
-			}
-		case "error":
-			am.recordTaskError(mc, tr, a)
-		case "no_room":
-			// The machine has something that we don't count.
-			mc.fullUntil = am.now.MonotonicMS + 2*am.maxHeartbeatIntervalMS()
-		case "unknown":
-			tr.retryAt = am.now.MonotonicMS + 2*am.maxHeartbeatIntervalMS()
-		}
+		am.recordExit(mc, a, status)
 	}
-	if a.directCommandToken != 0 && a.directCommandToken >= hb.Token {
-		// The worker takes a repeated start for the same one only as long
-		// as it holds the attempt: the unanswered command must be void
-		// before the attempt is cleared, or it would run once more.
+	if a.isStartUnanswered(hb.Token) {
+		// The worker takes a repeated start for the same one only as long as it keeps the attempt: the
+		// unanswered command must be void before the attempt is cleared, or it would run once more.
 		return
 	}
-	if status.Reason != "done" || !current || tr.storedDone.has(a.taskIndex) {
+	if status.Reason != exitDone || !current || a.taskRange.storedDone.has(a.taskIndex) {
 		am.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
 	}
 }
 
-// checkpointBeforeTermination stops a task that can save when its machine is about to be
-// taken, so that its progress is not lost.
-func (am *agentManager) checkpointBeforeTermination(mc *machine, a *attempt, status TaskStatus) {
-	if mc.terminatesAt == 0 || status.State != "running" || a.job.CheckpointIntervalS <= 0 || a.checkpointing {
+// recordRunning notes that an attempt began to run, and since when.
+func (am *agentManager) recordRunning(mc *machine, a *attempt) {
+	a.running, a.runningSince = true, am.now.WallMS
+	if a.adopted && a.expectedFetchMS == 0 {
+		// It ran before. Half of a fetch is as near as one can guess: tasks that came to a machine together
+		// share one.
+		a.runningSince = min(am.now.WallMS, a.placedAt+am.cache.imageFetchMS(a.job, mc.rec.Type)/2)
+	} else {
+		a.adopted = false // its beginning was observed
+	}
+	a.taskRange.runningCount++
+}
+
+// commandLiveAttempt stops an attempt that should not go on: its job is over, room is needed, its machine is
+// being emptied, or about to be taken.
+func (am *agentManager) commandLiveAttempt(s *shard, mc *machine, a *attempt, status TaskStatus) {
+	if !am.cache.isCurrent(a.taskRange) {
+		am.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
 		return
 	}
-	remaining := mc.terminatesAt - am.now.MonotonicMS
-	checkpointTime := secondsToMS(a.job.CheckpointDurationS)
-	if remaining > checkpointTime+2*am.maxHeartbeatIntervalMS() || a.expectedEnd(am.now.WallMS)-am.now.WallMS < remaining {
+	begunOrFetching := status.State == taskRunning || status.State == taskFetching
+	if a.stopRequested && begunOrFetching {
+		am.queueCommand(s, mc, am.stopAfterCheckpoint(a))
 		return
 	}
-	mc.commands = append(
-		mc.commands,
-		Command{
-			Kind:    CommandStop,
-			Task:    status.Task,
-			Attempt: status.Attempt,
-			GraceS:  a.job.CheckpointDurationS + am.params.HeartbeatS,
-		},
-	)
+	if (begunOrFetching || status.State == taskWaiting) && am.rollouts.mayEvict(s, mc, a) {
+		a.evicted = true
+		am.queueCommand(s, mc, am.stopAfterCheckpoint(a))
+		return
+	}
+	if status.State == taskRunning && am.isCheckpointDue(mc, a) {
+		// Appended past the pacer, which does not count this stop.
+		mc.commands = append(mc.commands, am.stopAfterCheckpoint(a))
+	}
 }
 
-// discountMachineFailures takes a job's errors off the machines that they were counted against: it is
-// broken, or was cancelled before any of its tasks was done, and nobody knows whose they were.
-func (am *agentManager) discountMachineFailures(tr *taskRange) {
-	for id := range tr.errorsByMachine {
-		if mc := am.registry.machines[id]; mc != nil {
-			delete(mc.failedJobs, tr.job.rec.Job.ID)
-		}
+// isCheckpointDue reports whether a running task that can save its progress must do so now, since its machine
+// is about to be taken and it will not end before.
+func (am *agentManager) isCheckpointDue(mc *machine, a *attempt) bool {
+	if mc.terminatesAt == 0 || a.job.CheckpointIntervalS <= 0 || a.checkpointing {
+		return false
+	}
+	remaining := mc.terminatesAt - am.now.MonotonicMS
+	if remaining > secondsToMS(a.job.CheckpointDurationS)+2*am.maxHeartbeatIntervalMS() {
+		return false
 	}
+	return a.expectedEnd(am.now.WallMS)-am.now.WallMS >= remaining
 }
 
-// recordTaskError counts an error against the machine and the job. Mostly the machine
-// is faulty, so the task goes elsewhere; a job that fails on several machines
-// waits longer each time, so that it does not eat the fleet.
-func (am *agentManager) recordTaskError(mc *machine, tr *taskRange, a *attempt) {
-	am.Counters.Errors++
-	am.rolloutCounts.Errors++
-	if am.rollouts.isRolloutReplacement(mc) {
-		am.rolloutCounts.ReplacementErrors++
-	}
-	if tr.errorsByMachine == nil {
-		tr.errorsByMachine = map[string]int{}
-	}
-	tr.errorsByMachine[mc.id]++
-	tr.errors++
-	am.shards.countTaskError(tr, a)
-	switch {
-	case tr.isJobBroken():
-		am.discountMachineFailures(tr)
-	case len(tr.errorsByMachine) < brokenJobMachines && am.cache.isCurrent(tr):
-		if mc.failedJobs == nil {
-			mc.failedJobs = map[string]bool{}
+// recordExit takes an attempt's first report of its end.
+func (am *agentManager) recordExit(mc *machine, a *attempt, status TaskStatus) {
+	am.releaseResources(mc, a)
+	tr := a.taskRange
+	switch status.Reason {
+	case exitDone:
+		am.recordCompletion(mc, a)
+	case exitStopped:
+		if a.running {
+			am.shards.failJobOnTaskLoss(a)
+		}
+		if status.Checkpointed && a.running {
+			tr.addCheckpoint(a.taskIndex, am.now.WallMS-a.runningSince-secondsToMS(a.job.CheckpointDurationS))
 		}
-		mc.failedJobs[a.job.ID] = true
+	case exitError:
+		am.recordTaskError(mc, tr, a)
+	case exitNoRoom:
+		// The machine has something on it that is not counted here.
+		mc.fullUntil = am.now.MonotonicMS + 2*am.maxHeartbeatIntervalMS()
+	case exitUnknown:
+		tr.retryAt = am.now.MonotonicMS + 2*am.maxHeartbeatIntervalMS()
 	}
-	backoff := secondsToMS(am.params.HeartbeatS)
-	for i := 1; i < min(len(tr.errorsByMachine), 8); i++ {
-		backoff *= 2
+}
+
+// recordCompletion counts a result and learns from its run time.
+func (am *agentManager) recordCompletion(mc *machine, a *attempt) {
+	tr := a.taskRange
+	tr.markDone(a.taskIndex)
+	tr.dirty = true
+	delete(mc.failedJobs, a.job.ID)
+	if a.running && !a.adopted {
+		// The run time of an adopted one is not known well enough: taken for shorter than it was, it
+		// shortened its whole class.
+		am.estimates.updateRuntimeEstimate(a.job, am.now.WallMS-a.runningSince+tr.checkpointedMS[a.taskIndex])
 	}
-	if len(tr.errorsByMachine) > 1 {
-		tr.retryAt = am.now.MonotonicMS + min(backoff, secondsToMS(maxErrorBackoffLeases*am.params.LeaseS))
+}
+
+// addCheckpoint adds run time, in milliseconds, that a task need not repeat.
+func (tr *taskRange) addCheckpoint(taskIndex int, runMS int64) {
+	if tr.checkpointedMS == nil {
+		tr.checkpointedMS = map[int]int64{}
 	}
-	am.log(Info, "task failed", "task", a.key.task, "machine", mc.id, "errors", tr.errors)
+	tr.checkpointedMS[taskIndex] += max(0, runMS)
 }
