--- a/scheduler/machine_reservations.go
+++ b/scheduler/machine_reservations.go
@@ -117,7 +117,8 @@
 			return
 		}
 		fetchMS := qm.agents.fetchTime(j, mc, qm.cache.machineTypes[mc.rec.Type])
-		qm.agents.startTask(s, mc, tr, i, qm.estimates.expectedRuntime(j), fetchMS, hb)
+		start := taskStart{taskRange: tr, taskIndex: i, runtimeMS: qm.estimates.expectedRuntime(j), fetchMS: fetchMS}
+		qm.agents.startTask(s, mc, hb, start)
 	}
 }
 
