--- /dev/null
+++ b/scheduler/fault_scenario_helpers_test.go
@@ -0,0 +1,93 @@
+package scheduler_test
+
+import (
+	"github.com/grebedock/grebedock/emulator"
+	"github.com/grebedock/grebedock/scheduler"
+)
+
+// faultWindowMS is the time of a scenario until which faults are injected.
+const faultWindowMS = 120_000
+
+// repeatAtRandom does something about every intervalMS until a time.
+func (sim *testSimulation) repeatAtRandom(intervalMS, until int64, action func()) {
+	for at := 12_000 + sim.Rand.Int64N(intervalMS); at < until; at += intervalMS/2 + sim.Rand.Int64N(intervalMS) {
+		sim.After(at, action)
+	}
+}
+
+func (sim *testSimulation) randomBetween(from, to int64) int64 {
+	return from + sim.Rand.Int64N(to-from)
+}
+
+func (sim *testSimulation) randomMember() *emulator.Member {
+	return sim.Members[sim.Rand.IntN(len(sim.Members))]
+}
+
+// randomJob is one of the jobs submitted so far; there must be one.
+func (sim *testSimulation) randomJob() *emulator.Job {
+	return sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]]
+}
+
+// crashMembers crashes a random member about every intervalMS, for minDownMS and up to rangeMS more.
+func (sim *testSimulation) crashMembers(intervalMS, minDownMS, rangeMS int64) {
+	sim.repeatAtRandom(intervalMS, faultWindowMS, func() {
+		sim.randomMember().Crash(minDownMS + sim.Rand.Int64N(rangeMS))
+	})
+}
+
+// startMemberOutages has the store refuse a random member about every intervalMS, for minMS and
+// up to rangeMS more.
+func (sim *testSimulation) startMemberOutages(intervalMS, minMS, rangeMS int64) {
+	sim.repeatAtRandom(intervalMS, faultWindowMS, func() {
+		sim.StartOutage(sim.randomMember().Name, minMS+sim.Rand.Int64N(rangeMS))
+	})
+}
+
+func (sim *testSimulation) partition(p emulator.Partition) {
+	sim.Partitions = append(sim.Partitions, p)
+}
+
+// partitionMembersFrom partitions a random member about every intervalMS, for minMS and up to rangeMS
+// more, from a kind of peers ("w" for its workers) or, with "", from all.
+func (sim *testSimulation) partitionMembersFrom(peers string, intervalMS, minMS, rangeMS int64) {
+	sim.repeatAtRandom(intervalMS, faultWindowMS, func() {
+		sim.partition(emulator.Partition{
+			A:             sim.randomMember().Name,
+			B:             peers,
+			Until:         sim.Now + minMS + sim.Rand.Int64N(rangeMS),
+			DropsMessages: sim.Rand.IntN(2) == 0,
+		})
+	})
+}
+
+// sendAndReceive sends a request about a job to a member. A response is given to onResponse, and
+// counts as one that the job's user received.
+func (sim *testSimulation) sendAndReceive(
+	m *emulator.Member,
+	j *emulator.Job,
+	request scheduler.UserRequest,
+	onResponse func(scheduler.UserResponse),
+) {
+	requestedAt := sim.Now
+	sim.SendRequestTo(m, request, func(resp scheduler.UserResponse, ok bool) {
+		if !ok {
+			return
+		}
+		onResponse(resp)
+		sim.ReceiveResponse(j, requestedAt, resp)
+	})
+}
+
+// observeLogs calls onLine for each line that a member logs.
+func (sim *testSimulation) observeLogs(onLine func(m *emulator.Member, line scheduler.LogLine)) {
+	sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
+		for _, line := range outputs.Logs {
+			onLine(m, line)
+		}
+	}
+}
+
+// countLogs counts the lines that members log, by message.
+func (sim *testSimulation) countLogs(counts map[string]int) {
+	sim.observeLogs(func(_ *emulator.Member, line scheduler.LogLine) { counts[line.Message]++ })
+}
--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -10,10 +10,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Days with the troubles of the operations deployments (docs/incidents): members cut from
-// one side only, processes that stand still, long silence, machines that come up late or
-// never, users who ask many times as often, a team without a guarantee, and jobs that
-// fail on every machine.
+// Scenarios with the faults of the operations deployments (docs/incidents): members partitioned
+// from one side only, paused processes, long partitions, machines that boot late or never,
+// query floods, a team without a guarantee, and jobs that fail on every machine.
 
 // Classes of the team without a guarantee.
 const (
@@ -23,7 +22,7 @@
 	singleTaskClass  = "guest-small"
 )
 
-// incidentTaskRunMS is how long tasks run on these days.
+// incidentTaskRunMS is how long tasks run in these scenarios.
 func incidentTaskRunMS(sim *emulator.Simulation, j *emulator.Job, _ string) int64 {
 	switch j.Spec.Class {
 	case idleTimeClass:
@@ -36,11 +35,6 @@
 	return 1000 + sim.Rand.Int64N(20_000)
 }
 
-// countLogs counts what members log, by its text.
-func (sim *testSimulation) countLogs(counts map[string]int) {
-	sim.observeLogs(func(_ *emulator.Member, line scheduler.LogLine) { counts[line.Message]++ })
-}
-
 // submitUnguaranteedJob submits a job of the team without a guarantee at a time.
 func (sim *testSimulation) submitUnguaranteedJob(
 	at int64,
@@ -50,27 +44,29 @@
 	p scheduler.Priority,
 ) {
 	sim.After(at, func() {
-		sim.Submit(
-			emulator.NewJob(
-				scheduler.Job{ID: id, Class: class, Team: unguaranteedTeam, Kind: scheduler.Array, Priority: p, Tasks: tasks,
-					Request: availability.Resources{
-						CPUs:     cpus,
-						MemoryGB: cpus,
-						DiskGB:   0.5,
-					}, Image: "img-" + class, Spot: true, EstimateS: 5},
-			),
-		)
+		sim.Submit(emulator.NewJob(scheduler.Job{
+			ID:        id,
+			Class:     class,
+			Team:      unguaranteedTeam,
+			Kind:      scheduler.Array,
+			Priority:  p,
+			Tasks:     tasks,
+			Request:   availability.Resources{CPUs: cpus, MemoryGB: cpus, DiskGB: 0.5},
+			Image:     "img-" + class,
+			Spot:      true,
+			EstimateS: 5,
+		}))
 	})
 }
 
-// cancelPeriodically has users cancel a random job, now and then.
+// cancelPeriodically has users cancel a random job about every intervalMS.
 func (sim *testSimulation) cancelPeriodically(intervalMS int64, counts map[string]int) {
 	sim.repeatAtRandom(intervalMS, faultWindowMS, func() {
 		if len(sim.JobIDs) == 0 {
 			return
 		}
-		if j := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]]; j.Accepted && !j.CancelRequested &&
-			!j.ObservedState.IsTerminal() {
+		j := sim.randomJob()
+		if j.Accepted && !j.CancelRequested && !j.ObservedState.IsTerminal() {
 			counts["cancellations"]++
 			sim.CancelJob(j)
 		}
@@ -78,57 +74,33 @@
 }
 
 var incidentScenarios = map[string]faultScenario{
-	"a member cut from its workers alone": {
+	"member partitioned from its workers": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
-			sim.repeatAtRandom(40_000, faultWindowMS, func() {
-				sim.Partitions = append(
-					sim.Partitions,
-					emulator.Partition{
-						A:             sim.randomMember().Name,
-						B:             "w",
-						Until:         sim.Now + 15_000 + sim.Rand.Int64N(20_000),
-						DropsMessages: sim.Rand.IntN(2) == 0,
-					},
-				)
-			})
+			sim.partitionMembersFrom("w", 40_000, 15_000, 20_000)
 			sim.cancelPeriodically(9000, counts)
 		},
 		minCounts: map[string]int{"machine silent past its lease": 20, "machine in a new session": 5, "cancellations": 20},
 	},
-	"a member cut from the state service alone": {
+	"member partitioned from the store": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
-			sim.repeatAtRandom(40_000, faultWindowMS, func() {
-				sim.Partitions = append(
-					sim.Partitions,
-					emulator.Partition{
-						A:             sim.randomMember().Name,
-						B:             "store",
-						Until:         sim.Now + 15_000 + sim.Rand.Int64N(20_000),
-						DropsMessages: sim.Rand.IntN(2) == 0,
-					},
-				)
-			})
+			sim.partitionMembersFrom("store", 40_000, 15_000, 20_000)
 			sim.cancelPeriodically(9000, counts)
 		},
 		minCounts: map[string]int{"shard lost": 5, "shard handed back": 3, "relayed": 20, "cancellations": 20},
 	},
-	"a member refused by the state service alone": {
+	"member refused by the store": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
-			sim.repeatAtRandom(
-				40_000,
-				faultWindowMS,
-				func() { sim.StartOutage(sim.randomMember().Name, 15_000+sim.Rand.Int64N(20_000)) },
-			)
+			sim.startMemberOutages(40_000, 15_000, 20_000)
 			sim.cancelPeriodically(9000, counts)
 		},
 		minCounts: map[string]int{"shard lost": 5, "shard handed back": 3, "relayed": 20, "cancellations": 20},
 	},
-	// Its clocks run on: what it decides, answers or starts after its wake must not rest on
+	// Its clocks run on: what it decides, responds or starts after the pause must not rest on
 	// what it knew before.
-	"a process stands still for longer than its hold, and wakes": {
+	"process paused for longer than its lease": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
 			sim.repeatAtRandom(35_000, faultWindowMS, func() {
@@ -138,23 +110,15 @@
 					pauseMS = 6000
 				}
 				sim.PauseMember(m, pauseMS)
-				// Users ask it as it wakes, while others were told of newer states.
+				// Users query it as it resumes, while others were told of newer states.
 				for at := pauseMS - 4000; at < pauseMS+2000; at += 100 {
 					sim.After(at, func() {
 						if len(sim.JobIDs) == 0 {
 							return
 						}
-						j, requestedAt := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]], sim.Now
-						sim.SendRequestTo(
-							m,
-							scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
-							func(resp scheduler.UserResponse, ok bool) {
-								if ok {
-									counts["answers around a wake"]++
-									sim.ReceiveResponse(j, requestedAt, resp)
-								}
-							},
-						)
+						j := sim.randomJob()
+						query := scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}
+						sim.sendAndReceive(m, j, query, func(scheduler.UserResponse) { counts["answers around a wake"]++ })
 					})
 				}
 			})
@@ -162,25 +126,16 @@
 		},
 		minCounts: map[string]int{"shard lost": 5, "shard handed back": 3, "cancellations": 20, "answers around a wake": 100},
 	},
-	// Nobody hears it or is heard by it; what was sent is lost, or arrives when it is over.
-	"a member silent for a minute and longer": {
+	// Nothing reaches it or leaves it; what was sent is lost, or arrives when the partition ends.
+	"member partitioned for over a minute": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
-			sim.repeatAtRandom(60_000, faultWindowMS, func() {
-				sim.Partitions = append(
-					sim.Partitions,
-					emulator.Partition{
-						A:             sim.randomMember().Name,
-						Until:         sim.Now + 60_000 + sim.Rand.Int64N(30_000),
-						DropsMessages: sim.Rand.IntN(2) == 0,
-					},
-				)
-			})
+			sim.partitionMembersFrom("", 60_000, 60_000, 30_000)
 			sim.cancelPeriodically(9000, counts)
 		},
 		minCounts: map[string]int{"shard lost": 5, "shard handed back": 3, "cancellations": 20},
 	},
-	"machines up late or never": {
+	"machines boot late or never": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.countLogs(counts)
 			sim.BootDelay = func(_ *emulator.Worker, usualMS int64) int64 {
@@ -194,19 +149,23 @@
 				}
 				return usualMS
 			}
-			sim.repeatAtRandom(20_000, faultWindowMS, func() { // and those that are there are taken away
+			sim.repeatAtRandom(20_000, faultWindowMS, func() { // and live ones are reclaimed
 				sim.SampleLiveWorkers(0.2, func(worker *emulator.Worker) {
 					if worker.Instance.Spot {
 						sim.Cloud.Reclaim(worker.Instance.ID)
 					}
 				})
 			})
-			sim.repeatAtRandom(50_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(14_000)) })
+			sim.crashMembers(50_000, 300, 14_000)
+		},
+		minCounts: map[string]int{
+			"machines that never come up": 20,
+			"machines that come up late":  20,
+			"machine marked for release":  20,
 		},
-		minCounts: map[string]int{"machines that never come up": 20, "machines that come up late": 20, "machine marked for release": 20},
 	},
-	// While members are cut off, stand still or end.
-	"users ask many times as often": {
+	// While members are partitioned, paused or crash.
+	"query flood during faults": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.StoreRPS, sim.StoreWriteRPS = 90, 40
 			sim.floodWithQueries(sim.Members[0], 25, faultWindowMS)
@@ -223,10 +182,7 @@
 				case 1:
 					sim.StartOutage(m.Name, 4000+sim.Rand.Int64N(16_000))
 				case 2:
-					sim.Partitions = append(
-						sim.Partitions,
-						emulator.Partition{A: m.Name, B: "store", Until: sim.Now + 4000 + sim.Rand.Int64N(16_000)},
-					)
+					sim.partition(emulator.Partition{A: m.Name, B: "store", Until: sim.Now + 4000 + sim.Rand.Int64N(16_000)})
 				default:
 					m.Crash(300 + sim.Rand.Int64N(12_000))
 				}
@@ -235,9 +191,9 @@
 		},
 		minCounts: map[string]int{"answers of 200": 5000, "relayed": 50, "cancellations": 20},
 	},
-	// Idle-time work, one pass of very many tasks, and hundreds of jobs of one task, beside
-	// the teams' own work; each of its classes is served to a half as well.
-	"a team without a guarantee": {
+	// Idle-time jobs, one batch of very many tasks, and hundreds of jobs of one task, beside the
+	// other teams' jobs; half of each of its classes has to be served as well.
+	"team without a guarantee": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.Params.Teams[unguaranteedTeam] = scheduler.Team{}
 			sim.SweepIntervalMS = 500
@@ -247,16 +203,10 @@
 			}
 			sim.submitUnguaranteedJob(40_000, "job-pass", batchPassClass, 1200, 0.5, scheduler.Low)
 			for n := range 250 {
-				sim.submitUnguaranteedJob(
-					50_000+sim.Rand.Int64N(15_000),
-					fmt.Sprintf("job-small-%03d", n),
-					singleTaskClass,
-					1,
-					1,
-					scheduler.Normal,
-				)
+				at := 50_000 + sim.Rand.Int64N(15_000)
+				sim.submitUnguaranteedJob(at, fmt.Sprintf("job-small-%03d", n), singleTaskClass, 1, 1, scheduler.Normal)
 			}
-			sim.repeatAtRandom(45_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
+			sim.crashMembers(45_000, 300, 12_000)
 			sim.OnTaskDone = func(t *platformfake.Task) { counts["tasks of "+t.Job.Class]++ }
 		},
 		minCounts: map[string]int{
@@ -266,7 +216,7 @@
 		},
 	},
 	// They fail everywhere until their users cancel them.
-	"jobs submitted with a mistake": {
+	"misconfigured jobs": {
 		adjustJob: func(_ *testSimulation, j *scheduler.Job, n int) {
 			if n%4 == 0 {
 				j.Class, j.Kind, j.AtMostOnce, j.MaxTaskErrors, j.Tasks = "mistaken", scheduler.Array, false, 0, 6+n%7
@@ -289,7 +239,7 @@
 					}
 				}
 			})
-			sim.repeatAtRandom(45_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
+			sim.crashMembers(45_000, 300, 12_000)
 		},
 		minCounts: map[string]int{"task failed": 200, "mistaken jobs cancelled": 30},
 	},
@@ -299,8 +249,8 @@
 	runFaultScenarios(t, incidentScenarios, 7500, incidentTaskRunMS)
 }
 
-// Jobs that were submitted with a mistake, one after the other, each cancelled before the
-// next: their errors are theirs, and no machine is emptied for them.
+// Misconfigured jobs, one after the other, each cancelled before the next: their errors are
+// their own, and no machine is drained for them.
 func TestMisconfiguredJobsDrainNoMachine(t *testing.T) {
 	t.Parallel()
 	drained, failed := 0, 0
@@ -346,9 +296,9 @@
 	t.Logf("%d tasks failed", failed)
 }
 
-// A member is cut from its workers alone, for longer than their leases and half of one: most
-// of its machines are silent at once, and come back with it. Machines that end by themselves
-// are still returned.
+// A member is partitioned from its workers alone, for longer than one and a half of their leases:
+// most of its machines are silent at once, and come back with it. Machines that hang alone are
+// still released.
 func TestMemberPartitionedFromWorkersKeepsItsMachines(t *testing.T) {
 	t.Parallel()
 	silent, drained, returned, drainedAlone := 0, 0, 0, 0
@@ -357,10 +307,7 @@
 		sim.noRandomFaults = true
 		const cutAt, cutMS = 60_000, 14_000
 		sim.After(cutAt, func() {
-			sim.Partitions = append(
-				sim.Partitions,
-				emulator.Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + cutMS, DropsMessages: true},
-			)
+			sim.partition(emulator.Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + cutMS, DropsMessages: true})
 		})
 		const hangAt = 110_000
 		hangInjected := false
@@ -389,13 +336,8 @@
 		sim.checkServed(t)
 	}
 	if silent < *seedCount/2 || drained*10 > silent || drainedAlone == 0 {
-		t.Errorf(
-			"of %d silent machines %d are drained, %d come back; %d drained that are silent alone",
-			silent,
-			drained,
-			returned,
-			drainedAlone,
-		)
+		t.Errorf("of %d silent machines %d are drained, %d come back; %d drained that are silent alone",
+			silent, drained, returned, drainedAlone)
 	}
 	t.Logf("%d silent, %d drained, %d back, %d alone", silent, drained, returned, drainedAlone)
 }
--- a/scheduler/overlapping_faults_test.go
+++ b/scheduler/overlapping_faults_test.go
@@ -13,10 +13,10 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Troubles that meet (docs/notes/meetings.md): each day has several of them at once,
-// over work that runs long enough to be met.
+// Overlapping faults (docs/notes/meetings.md): each scenario has several of them at once,
+// over tasks that run long enough to be hit.
 
-// runRandomOverlappingFaults plays a day of troubles that overlap.
+// runRandomOverlappingFaults runs a scenario of random faults that overlap.
 func runRandomOverlappingFaults(sim *testSimulation) {
 	for at := int64(10_000); at < 150_000; at += 2000 + sim.Rand.Int64N(9000) {
 		if sim.Rand.IntN(3) == 0 {
@@ -42,32 +42,19 @@
 	}
 }
 
-// repeatAtRandom does something again and again in a day's busy time.
-func (sim *testSimulation) repeatAtRandom(ms, until int64, action func()) {
-	for at := 12_000 + sim.Rand.Int64N(ms); at < until; at += ms/2 + sim.Rand.Int64N(ms) {
-		sim.After(at, action)
-	}
-}
-
-func (sim *testSimulation) randomMember() *emulator.Member {
-	return sim.Members[sim.Rand.IntN(len(sim.Members))]
-}
-
-const faultWindowMS = 120_000
-
-// faultScenario is a kind of day on which certain troubles meet. What its days have to have
-// shown is summed up over the seeds by name, with the least that makes them worth playing.
+// faultScenario is a scenario in which certain faults overlap. What it has to have shown is
+// counted over all seeds by name; minCounts is the least that makes it a test of anything.
 type faultScenario struct {
 	adjustJob func(w *testSimulation, j *scheduler.Job, n int)
 	inject    func(t *testing.T, w *testSimulation, showed map[string]int)
 	minCounts map[string]int
 }
 
-// overlappingFaults are those of the page, one after the other; those in the other files
-// meetings_*_test.go are played with them.
+// overlappingFaults are those of the page, in its order; overlappingRequestFaults and
+// overlappingMachineFaults run with them.
 var overlappingFaults = map[string]faultScenario{
-	"writes carried out late": {
-		// Groups that fill their shard go to peers, and none runs long: many moves.
+	"delayed writes": {
+		// Groups that fill their shard go to peers, and none runs long: many moves of ranges.
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			j.OneZone, j.Spread, j.Zone = false, false, ""
 			if n%2 == 0 && j.Request.CPUs <= 4 {
@@ -76,12 +63,8 @@
 		},
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.DelayWrites(0.35, faultWindowMS)
-			sim.repeatAtRandom(
-				3000,
-				faultWindowMS,
-				func() { sim.StartOutage(sim.randomMember().Name, 300+sim.Rand.Int64N(2500)) },
-			)
-			sim.repeatAtRandom(25_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
+			sim.startMemberOutages(3000, 300, 2500)
+			sim.crashMembers(25_000, 300, 12_000)
 			sim.repeatAtRandom(40_000, faultWindowMS, func() { sim.StartOutage("all", 1000+sim.Rand.Int64N(4000)) })
 		},
 		minCounts: map[string]int{
@@ -93,56 +76,46 @@
 			"late l/u/": 1,
 		},
 	},
-	// The writer ends with its write under way, and is back within moments: its next life
-	// has begun when the write of the last one is carried out.
-	"writers that end": {
+	// The writer crashes while its write is pending, and restarts at once: its next incarnation
+	// has begun when the write of the last one is applied.
+	"writers crash during their writes": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) { j.OneZone, j.Spread, j.Zone = false, false, "" },
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
-			writeCounts, nextFaultAt := map[string]int{
-				"l/s/":        0,
-				"moves, ends": 0,
-				"l/m/":        0,
-				"l/u/":        0,
-				"l/t/":        0,
-				"p/":          0,
-			}, int64(
-				12_000,
-			)
+			writeCounts := map[string]int{"l/s/": 0, "moves, ends": 0, "l/m/": 0, "l/u/": 0, "l/t/": 0, "p/": 0}
+			nextFaultAt := int64(12_000)
+			needsShardClaim := func(precondition scheduler.Precondition) bool {
+				return strings.HasPrefix(precondition.Key, claimKeyPrefix)
+			}
 			sim.DelaysWrite = func(m *emulator.Member, op scheduler.StoreOp) bool {
 				kind := emulator.KeyKind(op.Changes[0].Key)
-				if kind == "l/j/" && op.Changes[0].Value != nil &&
-					slices.ContainsFunc(
-						op.Preconditions,
-						func(precondition scheduler.Precondition) bool { return strings.HasPrefix(precondition.Key, "l/s/") },
-					) {
+				isJobUpdate := kind == jobKeyPrefix && op.Changes[0].Value != nil
+				if isJobUpdate && slices.ContainsFunc(op.Preconditions, needsShardClaim) {
 					kind = "moves, ends"
 				}
 				n, counted := writeCounts[kind]
 				if kind == "moves, ends" {
 					n /= 3
 				}
-				if sim.Now < nextFaultAt || sim.Now > faultWindowMS || !counted ||
-					n > slices.Min(slices.Collect(maps.Values(writeCounts))) {
+				if sim.Now < nextFaultAt || sim.Now > faultWindowMS || !counted {
 					return false
 				}
+				if n > slices.Min(slices.Collect(maps.Values(writeCounts))) {
+					return false // the rarer kinds first
+				}
 				writeCounts[kind]++
 				nextFaultAt = sim.Now + 2500 + sim.Rand.Int64N(4000)
 				counts[kind]++
 				sim.After(sim.Rand.Int64N(400), func() { m.Crash(150 + sim.Rand.Int64N(1500)) })
 				return true
 			}
-			sim.repeatAtRandom(
-				40_000,
-				faultWindowMS,
-				func() { sim.randomMember().Crash(15_000 + sim.Rand.Int64N(8000)) },
-			) // adopted, and handed back
+			sim.crashMembers(40_000, 15_000, 8000) // adopted, and handed back
 		},
 		minCounts: map[string]int{"l/s/": 6, "moves, ends": 12, "l/m/": 4, "l/u/": 4, "l/t/": 2, "p/": 4},
 	},
-	// A member is back before its own hold ended, adopters end in the middle of an adoption
-	// or a hand-back, and late writes and copies of reports come from each earlier life,
-	// while the time of day moves within its bound.
-	"lives within a second": {
+	// A member restarts before its own lease expired, adopters crash in the middle of an adoption
+	// or a hand-back, and late writes and copies of heartbeats come from each earlier
+	// incarnation, while wall clocks drift within their bound.
+	"members restart within a second": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.DelayWrites(0.15, faultWindowMS)
 			sim.ReplayHeartbeats(0.5, faultWindowMS)
@@ -158,21 +131,21 @@
 						event != "leadership acquired" {
 						continue
 					}
-					// A hand-back is rare: each is met.
+					// A hand-back is rare: each is hit.
 					if sim.Now > faultWindowMS || sim.Now < nextFaultAt && event != "shard handed back" {
 						continue
 					}
 					nextFaultAt = sim.Now + 1500 + sim.Rand.Int64N(6000)
 					counts["ends at "+event]++
 					sim.After(sim.Rand.Int64N(60), func() { m.Crash(100 + sim.Rand.Int64N(900)) })
-					if sim.Rand.IntN(3) == 0 { // whoever it is of, or another adopter, too
+					if sim.Rand.IntN(3) == 0 { // the shard's owner, or another adopter, too
 						sim.After(sim.Rand.Int64N(300), func() { sim.randomMember().Crash(100 + sim.Rand.Int64N(900)) })
 					}
 				}
 			}
-			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.randomMember().Crash(15_000 + sim.Rand.Int64N(8000)) })
+			sim.crashMembers(20_000, 15_000, 8000)
 			sim.repeatAtRandom(60_000, faultWindowMS, sim.CrashAll)
-			sim.repeatAtRandom(25_000, faultWindowMS, func() { // a roll while the lead is lost
+			sim.repeatAtRandom(25_000, faultWindowMS, func() { // a rolling restart while the leader is lost
 				for i, m := range sim.Members {
 					sim.After(int64(i)*1500, func() { m.Crash(400) })
 				}
@@ -186,9 +159,9 @@
 			"ends at leadership acquired": 3,
 		},
 	},
-	// An adopter hands a shard back, nobody answers the removal of its claim, which is carried
-	// out late, and the state service refuses it from then on; its workers still report to it.
-	"handed back, and not told": {
+	// An adopter hands a shard back; the removal of its claim gets no response and is applied
+	// late, and the store refuses the adopter from then on. Its workers still send it heartbeats.
+	"unacknowledged hand-back of a shard": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			handedBack := map[*emulator.Member]bool{}
 			sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
@@ -215,20 +188,17 @@
 		},
 		minCounts: map[string]int{"not told": 6},
 	},
-	// A leader ends while machines with long tasks can't be reached, or don't hear the new
-	// leader's answers, for longer than a lease.
-	"a leader ends, machines hear nothing": {
+	// An owner crashes while machines with long tasks are partitioned, or do not receive the
+	// new owner's responses, for longer than a lease.
+	"owner crash with inbound partitions": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
-			// Long enough that a machine that hears nothing reports to each member within it.
+			// Long enough that a machine with an inbound partition tries each member within it.
 			sim.Params.LeaseS, sim.Params.CancelWithinS = 18, 45
 			sim.repeatAtRandom(40_000, faultWindowMS, func() {
 				durationMS := 5000 + sim.Rand.Int64N(55_000)
 				sim.SampleLiveWorkers(0.5, func(worker *emulator.Worker) {
 					if sim.Rand.IntN(4) == 0 {
-						sim.Partitions = append(
-							sim.Partitions,
-							emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + durationMS},
-						)
+						sim.partition(emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + durationMS})
 					} else {
 						sim.PartitionInbound(worker, durationMS)
 					}
@@ -239,7 +209,7 @@
 				}
 				sim.After(sim.Rand.Int64N(durationMS), func() { sim.randomMember().Crash(downMS) })
 			})
-			sim.repeatAtRandom(9000, faultWindowMS, func() { // a cancellation reaches them by silence
+			sim.repeatAtRandom(9000, faultWindowMS, func() { // a cancellation reaches them by lease expiry
 				if n := len(sim.JobIDs); n > 0 {
 					if j := sim.Jobs[sim.JobIDs[sim.Rand.IntN(n)]]; j.Accepted && !j.CancelRequested {
 						counts["cancellations"]++
@@ -250,9 +220,9 @@
 			sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
 				for _, l := range outputs.Logs {
 					counts[l.Message]++
-					// No machine holds a shard up for much longer than a lease: the four seconds
-					// for which workers wait for an answer, and their round of all members, each
-					// four seconds and one.
+					// No machine delays a shard's reconciliation for much longer than a lease: the
+					// four seconds for which workers wait for a response, and their round of all
+					// members, five seconds each.
 					if l.Message != "shard squared" {
 						continue
 					}
@@ -269,8 +239,8 @@
 			"shard claimed":                 20,
 		},
 	},
-	// Jobs of two or three tasks that end far apart, across a change of leader.
-	"few tasks that end far apart": {
+	// Jobs of two or three tasks that end far apart, across a change of owner.
+	"owner crash between the ends of a job's tasks": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			j.Tasks, j.Request.CPUs, j.MaxTaskErrors, j.AtMostOnce = 2+n%2, 4, 0, false
 			switch n % 5 {
@@ -291,7 +261,7 @@
 				if sim.Now < nextFaultAt || sim.Now > faultWindowMS || len(j.DoneTasks) == 0 || len(j.DoneTasks) >= j.Spec.Tasks {
 					return
 				}
-				// The first of its tasks is done: its leader ends before or after that is stored.
+				// The first of its tasks is done: a member crashes before or after that is stored.
 				nextFaultAt = sim.Now + 4000 + sim.Rand.Int64N(6000)
 				counts["ends between"]++
 				downMS := 200 + sim.Rand.Int64N(2000)
@@ -303,10 +273,10 @@
 		},
 		minCounts: map[string]int{"ends between": 20},
 	},
-	// A leader is cut from the state service and from the other members; its workers and
-	// users reach it, and jobs are cancelled through the others. Clocks are at the ends of
-	// their drift: the cut one's may be the slowest.
-	"a leader cut apart": {
+	// An owner is partitioned from the store and from the other members; its workers and
+	// users reach it, and jobs are cancelled through the others. Clocks run at the ends of
+	// their drift: that of the partitioned member may be the slowest.
+	"partitioned owner": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			for i, m := range sim.Members {
 				m.SetClockRate(1 + 0.0005*float64(1-2*((i+int(sim.Rand.IntN(2)))%2)))
@@ -324,52 +294,43 @@
 				if len(sim.JobIDs) == 0 || partitioned == nil || partitioned.Core == nil {
 					return
 				}
-				j := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]]
+				j := sim.randomJob()
 				requestedAt := sim.Now
-				if peer := sim.randomMember(); sim.Rand.IntN(8) == 0 && peer != partitioned && peer.Core != nil && j.Accepted &&
-					!j.CancelRequested {
+				peer := sim.randomMember()
+				isCancellable := j.Accepted && !j.CancelRequested
+				if sim.Rand.IntN(8) == 0 && peer != partitioned && peer.Core != nil && isCancellable {
 					j.CancelRequested = true
 					counts["cancelled through others"]++
-					sim.SendRequestTo(
-						peer,
-						scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID},
-						func(resp scheduler.UserResponse, ok bool) {
-							if ok {
-								sim.ReceiveResponse(j, requestedAt, resp)
-							}
-							if j.CancelConfirmedAt == 0 {
-								sim.CancelJob(j)
-							}
-						},
-					)
-					return
-				}
-				sim.SendRequestTo(
-					partitioned,
-					scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
-					func(resp scheduler.UserResponse, ok bool) {
-						if !ok {
-							return
+					cancellation := scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID}
+					sim.SendRequestTo(peer, cancellation, func(resp scheduler.UserResponse, ok bool) {
+						if ok {
+							sim.ReceiveResponse(j, requestedAt, resp)
 						}
-						if resp.Status == 503 {
-							counts["503 of the one that is cut"]++
-						} else if j.ObservedState.IsTerminal() {
-							counts["final states from the one that is cut"]++
+						if j.CancelConfirmedAt == 0 {
+							sim.CancelJob(j)
 						}
-						sim.ReceiveResponse(j, requestedAt, resp)
-					},
-				)
+					})
+					return
+				}
+				query := scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}
+				sim.sendAndReceive(partitioned, j, query, func(resp scheduler.UserResponse) {
+					if resp.Status == 503 {
+						counts["503 of the partitioned owner"]++
+					} else if j.ObservedState.IsTerminal() {
+						counts["final states from the partitioned owner"]++
+					}
+				})
 			})
 		},
 		minCounts: map[string]int{
-			"cancelled through others":              20,
-			"503 of the one that is cut":            100,
-			"final states from the one that is cut": 20,
+			"cancelled through others":                20,
+			"503 of the partitioned owner":            100,
+			"final states from the partitioned owner": 20,
 		},
 	},
-	"commands held up": {
+	"delayed direct commands": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
-			j.Class, j.Priority, j.DeadlineS = "quick", scheduler.High, 60 // straight to the workers
+			j.Class, j.Priority, j.DeadlineS = "quick", scheduler.High, 60 // started by direct commands
 		},
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.repeatAtRandom(1500, faultWindowMS, func() {
@@ -384,7 +345,7 @@
 					}
 				})
 			})
-			sim.repeatAtRandom(30_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
+			sim.crashMembers(30_000, 300, 12_000)
 			sim.Observer = func(_ *emulator.Member, outputs *scheduler.Outputs) {
 				for _, l := range outputs.Logs {
 					counts[l.Message]++
@@ -399,17 +360,14 @@
 			"machine in a new session":      10,
 		},
 	},
-	"old reports": {
+	"replayed heartbeats": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.ReplayHeartbeats(0.9, faultWindowMS+30_000)
-			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(14_000)) })
+			sim.crashMembers(20_000, 300, 14_000)
 			sim.repeatAtRandom(45_000, faultWindowMS, sim.CrashAll)
 			sim.repeatAtRandom(4000, faultWindowMS, func() {
 				sim.SampleLiveWorkers(0.2, func(worker *emulator.Worker) {
-					sim.Partitions = append(
-						sim.Partitions,
-						emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)},
-					)
+					sim.partition(emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)})
 				})
 			})
 		},
@@ -419,7 +377,7 @@
 			"copies after an end of the member": 200,
 		},
 	},
-	"slow answers, refusals, users who cancel and ask": {
+	"slow store, refusals, cancellations and queries": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.SlowStore(3500, 12_000) })
 			sim.repeatAtRandom(12_000, faultWindowMS, func() {
@@ -431,19 +389,17 @@
 				if len(sim.JobIDs) == 0 {
 					return
 				}
-				j := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]]
+				j := sim.randomJob()
 				switch requestedAt := sim.Now; sim.Rand.IntN(6) {
-				case 0: // a retry, maybe after its end
+				case 0: // a repeated submission, maybe after the job's end
 					if j.Accepted {
 						counts["retries"]++
-						sim.SendRequest(
-							scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &j.Spec},
-							func(resp scheduler.UserResponse, ok bool) {
-								if ok {
-									sim.ReceiveResponse(j, requestedAt, resp)
-								}
-							},
-						)
+						retry := scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &j.Spec}
+						sim.SendRequest(retry, func(resp scheduler.UserResponse, ok bool) {
+							if ok {
+								sim.ReceiveResponse(j, requestedAt, resp)
+							}
+						})
 					}
 				case 1:
 					if j.Accepted && !j.CancelRequested && sim.Rand.IntN(4) == 0 {
@@ -451,15 +407,13 @@
 						sim.CancelJob(j)
 					}
 				default:
-					sim.SendRequest(
-						scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
-						func(resp scheduler.UserResponse, ok bool) {
-							if ok {
-								counts["answers"]++
-								sim.ReceiveResponse(j, requestedAt, resp)
-							}
-						},
-					)
+					query := scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}
+					sim.SendRequest(query, func(resp scheduler.UserResponse, ok bool) {
+						if ok {
+							counts["answers"]++
+							sim.ReceiveResponse(j, requestedAt, resp)
+						}
+					})
 				}
 			})
 		},
@@ -471,16 +425,12 @@
 	scenarios := maps.Clone(overlappingFaults)
 	maps.Copy(scenarios, overlappingRequestFaults)
 	maps.Copy(scenarios, overlappingMachineFaults)
-	runFaultScenarios(
-		t,
-		scenarios,
-		6500,
-		func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(20_000) },
-	)
+	taskRunMS := func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(20_000) }
+	runFaultScenarios(t, scenarios, 6500, taskRunMS)
 }
 
-// runFaultScenarios plays days of each kind, whose seeds begin at first and whose tasks run for
-// so long.
+// runFaultScenarios runs each scenario with several seeds, from firstSeed on. runMS is how long
+// a task runs.
 func runFaultScenarios(
 	t *testing.T,
 	scenarios map[string]faultScenario,
@@ -519,7 +469,7 @@
 			}
 			for _, k := range slices.Sorted(maps.Keys(scenario.minCounts)) {
 				if counts[k] < scenario.minCounts[k] {
-					t.Errorf("%s only %d times", k, counts[k])
+					t.Errorf("%s: got %d times, want at least %d", k, counts[k], scenario.minCounts[k])
 				}
 			}
 			t.Logf("%v", counts)
@@ -527,15 +477,15 @@
 	}
 }
 
-// requiredPreconditions is which guards a change of a kind of key needs beside its own key's: what a
-// late execution of it would undo, were it not refused (docs/notes/meetings.md).
+// requiredPreconditions is, by kind of key, which kinds a change is guarded by beside its own key's
+// revision: what a late execution would undo, were it not refused (docs/notes/meetings.md).
 var requiredPreconditions = map[string][]string{
 	"p/": {"l/s/"}, "l/u/": {"l/s/"}, "l/t/": {"l/s/"}, "l/d/": {"l/s/"}, "l/m/": {"l/lead"},
 	"l/s/": nil, "l/": nil, "l/j/": nil, "f/": {"l/j/"}, "l/r/": nil,
 }
 
-// Every transaction that members send is guarded: by its keys' revisions, and by the claim
-// under which it is decided.
+// Every transaction that members send has preconditions: its keys' revisions, and the claim
+// under which it was decided.
 func TestEveryWriteHasPreconditions(t *testing.T) {
 	t.Parallel()
 	seen := map[string]int{}
@@ -547,35 +497,37 @@
 			preconditions := map[string]bool{} // keys, and kinds of keys
 			creates := map[string]bool{}
 			for _, precondition := range op.Preconditions {
-				preconditions[precondition.Key], preconditions[emulator.KeyKind(precondition.Key)], creates[precondition.Key] = true, true, precondition.Revision == 0
+				preconditions[precondition.Key] = true
+				preconditions[emulator.KeyKind(precondition.Key)] = true
+				creates[precondition.Key] = precondition.Revision == 0
 			}
 			for _, change := range op.Changes {
 				kind := emulator.KeyKind(change.Key)
 				seen[kind]++
 				if kind == "l/n/" {
 					if change.LeaseID == 0 {
-						t.Errorf("%s is no note of a hold", change.Key)
+						t.Errorf("%s is attached to no lease", change.Key)
 					}
 					continue
 				}
 				required, listed := requiredPreconditions[kind]
-				if kind == "l/j/" && !creates[change.Key] &&
-					!(change.Value == nil && !preconditions["l/s/"] && preconditions["f/"]) {
-					required = []string{"l/s/"} // an end or a move; what is left is accepted or cancelled by its user
+				isCancellation := change.Value == nil && !preconditions[claimKeyPrefix] && preconditions["f/"]
+				if kind == jobKeyPrefix && !creates[change.Key] && !isCancellation {
+					required = []string{claimKeyPrefix} // an end or a move; the rest are acceptances and cancellations by users
 				}
-				if kind == "l/j/" && creates[change.Key] {
-					required = []string{"f/" + change.Key[len("l/j/"):]}
+				if kind == jobKeyPrefix && creates[change.Key] {
+					required = []string{"f/" + change.Key[len(jobKeyPrefix):]}
 				}
 				if change.Key == "l/lead" {
 					required = nil
 				}
 				for _, requiredKey := range append([]string{change.Key}, required...) {
 					if !preconditions[requiredKey] {
-						t.Errorf("%s is written under %+v, not under %s", change.Key, op.Preconditions, requiredKey)
+						t.Errorf("%s is written under %+v, want a precondition on %s", change.Key, op.Preconditions, requiredKey)
 					}
 				}
 				if !listed {
-					t.Errorf("%s: nobody says what guards it", change.Key)
+					t.Errorf("%s: requiredPreconditions lacks its kind", change.Key)
 				}
 			}
 		}
@@ -583,7 +535,7 @@
 	for seed := range uint64(2) {
 		sim := newTestSimulation(6600+seed, emulator.InjectedFault{}, smallScale)
 		sim.noRandomFaults, sim.Observer = true, checkWrites
-		sim.repeatAtRandom(15_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(14_000)) })
+		sim.crashMembers(15_000, 300, 14_000)
 		sim.repeatAtRandom(30_000, faultWindowMS, func() { sim.PartitionMember(sim.randomMember(), 9000, false) })
 		sim.runScenario(faultWindowMS, 600_000, 50)
 		sim.checkInvariants(t)
@@ -596,13 +548,13 @@
 	}
 	for kind := range requiredPreconditions {
 		if seen[kind] == 0 {
-			t.Errorf("no write of %s was seen", kind)
+			t.Errorf("no write of kind %s was seen", kind)
 		}
 	}
 	t.Logf("%v", seen)
 }
 
-// A job that nobody can ask about is seen, however the others fare.
+// A job whose queries are all refused is detected, however the others fare.
 func TestForgottenJobIsDetected(t *testing.T) {
 	t.Parallel()
 	fault := emulator.InjectedFault{UserResponse: func(resp *scheduler.UserResponse) {
@@ -615,6 +567,6 @@
 	sim.adjustJob = func(j *scheduler.Job, n int) { j.AtMostOnce, j.MaxTaskErrors = false, 0 }
 	sim.runScenario(30_000, 200_000, 20)
 	if !strings.Contains(sim.Violations["forgotten"], "job-000007") {
-		t.Errorf("broken: %v", sim.Violations)
+		t.Errorf("violations %v, want job-000007 among the forgotten", sim.Violations)
 	}
 }
--- a/scheduler/overlapping_machine_faults_test.go
+++ b/scheduler/overlapping_machine_faults_test.go
@@ -9,17 +9,17 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// quickBootS is how long the machines of "machines up within two seconds" take to boot.
+// quickBootS is the boot time of "fast-booting machines and owner crash".
 const quickBootS = 1.4
 
-// overlappingMachineFaults are the meetings about machines, their reports and commands, and about
-// load, while controllers change (docs/notes/meetings.md).
+// overlappingMachineFaults are overlapping faults of machines, their heartbeats and commands, and
+// overload, while shards change owners (docs/notes/meetings.md).
 var overlappingMachineFaults = map[string]faultScenario{
-	// New machines are up within two seconds and get work at once while writes lag, and the
-	// leader ends: with the write of a roster or of an up list under way, or right after the
-	// start of a task on a machine that is a few seconds old. The largest jobs are of the
-	// team without a limit.
-	"machines up within two seconds, a leader ends": {
+	// New machines are up within two seconds and get tasks at once while writes lag, and a
+	// member crashes: while the write of a registry page or of a list of live machines is
+	// pending, or right after a start on a machine that is a few seconds old. The largest jobs
+	// are of the team without a limit.
+	"fast-booting machines and owner crash": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			j.Spread, j.MaxTaskErrors = false, 0
 			if j.Request.CPUs > 4 {
@@ -43,7 +43,7 @@
 				counts["ends: "+reason]++
 				downMS := 200 + sim.Rand.Int64N(2000)
 				if sim.Rand.IntN(2) == 0 {
-					downMS = 15_000 + sim.Rand.Int64N(5000) // adopted meanwhile
+					downMS = 15_000 + sim.Rand.Int64N(5000) // its shard is adopted meanwhile
 				}
 				sim.After(sim.Rand.Int64N(900), func() { m.Crash(downMS) })
 				return true
@@ -62,7 +62,8 @@
 					}
 				}
 			}
-			// The write of a roster or of an up list is carried out late, and its author ends.
+			// The write of a registry page or of a list of live machines is applied late, and its
+			// writer crashes.
 			sim.DelaysWrite = func(m *emulator.Member, op scheduler.StoreOp) bool {
 				kind := emulator.KeyKind(op.Changes[0].Key)
 				if kind != "l/m/" && kind != "l/u/" || op.Changes[0].Value == nil || sim.Rand.IntN(2) == 0 {
@@ -79,32 +80,29 @@
 			"shard claimed":                  40,
 		},
 	},
-	// An old report reaches every controller just as a new leader begins, up to a spell of
-	// the old one's later: many are of an earlier session, since machines are cut off for
-	// longer than a lease meanwhile.
-	"old reports as a leader begins": {
+	// A stale heartbeat reaches every controller just as a new owner claims a shard, or a little
+	// later: many are of an earlier incarnation, since machines are partitioned for longer than
+	// a lease meanwhile.
+	"heartbeats replayed at a claim": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.ReplayHeartbeatsAtClaim(0.9, faultWindowMS)
-			sim.repeatAtRandom(12_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(16_000)) })
+			sim.crashMembers(12_000, 300, 16_000)
 			sim.repeatAtRandom(45_000, faultWindowMS, sim.CrashAll)
 			sim.repeatAtRandom(5000, faultWindowMS, func() {
 				sim.SampleLiveWorkers(0.2, func(worker *emulator.Worker) {
-					sim.Partitions = append(
-						sim.Partitions,
-						emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)},
-					)
+					sim.partition(emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)})
 				})
 			})
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.interruptMachines(0.2, "") })
 		},
 		minCounts: map[string]int{"copies at a claim": 4000, "copies of an earlier session at a claim": 100},
 	},
-	// A report is held back, unanswered, until a new leader has told a worker to do
-	// something, and then arrives there.
-	"reports held until a new leader acted": {
+	// A heartbeat is delayed, without a response, until a new owner has sent a worker a command,
+	// and then arrives at the new owner.
+	"heartbeats delayed until a new owner acted": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.DelayHeartbeatsUntilNewOwnerActs(0.15, faultWindowMS)
-			sim.repeatAtRandom(12_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(16_000)) })
+			sim.crashMembers(12_000, 300, 16_000)
 			sim.repeatAtRandom(45_000, faultWindowMS, sim.CrashAll)
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.interruptMachines(0.2, "") })
 		},
@@ -113,9 +111,9 @@
 			"copies of an earlier session after a new holder acted": 10,
 		},
 	},
-	// One-task jobs come four a second for two minutes, a quarter of them cancelled. The
-	// state service takes what it does on a small site.
-	"one-task jobs, four a second": {
+	// One-task jobs are submitted, four a second for two minutes, a quarter of them cancelled. The
+	// store has the request rates of a small site.
+	"four one-task jobs a second": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			if n >= firstSmallJob {
 				j.Tasks, j.Request.CPUs, j.MaxTaskErrors, j.AtMostOnce, j.OneZone, j.Spread = 1, 1, 0, false, false, false
@@ -144,7 +142,7 @@
 			}
 			noCrashes := sim.Rand.IntN(2) == 0
 			if !noCrashes {
-				sim.repeatAtRandom(30_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(14_000)) })
+				sim.crashMembers(30_000, 300, 14_000)
 				return
 			}
 			sim.After(faultWindowMS+20_000, func() {
@@ -157,19 +155,19 @@
 				changes := float64(sim.StoreChanges) / float64(len(sim.JobIDs))
 				t.Logf("%d of %d accepted within a second, %.1f changes a job", acceptedInTime, len(sim.JobIDs), changes)
 				if acceptedInTime*100 < 97*len(sim.JobIDs) {
-					t.Errorf("%d of %d accepted within a second", acceptedInTime, len(sim.JobIDs))
+					t.Errorf("%d of %d jobs accepted within a second, want 97 %%", acceptedInTime, len(sim.JobIDs))
 				}
 				if changes > maxChangesPerJob {
-					t.Errorf("%.1f changes a job", changes)
+					t.Errorf("%.1f changes a job, want at most %d", changes, maxChangesPerJob)
 				}
 				counts["calm days"]++
 			})
 		},
 		minCounts: map[string]int{"jobs": 2400, "cancellations": 500, "calm days": 1},
 	},
-	// All controllers are away for longer than a lease: ended, or standing still, or without
-	// the state service and their workers. Jobs are cancelled right before.
-	"all controllers away for longer than a lease": {
+	// All controllers are unavailable for longer than a lease: crashed, paused, or partitioned
+	// from the store and their workers. Jobs are cancelled right before.
+	"all controllers unavailable for longer than a lease": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			kind := sim.Rand.IntN(3)
 			sim.repeatAtRandom(30_000, faultWindowMS, func() {
@@ -185,25 +183,19 @@
 						case 1:
 							sim.PauseMember(m, durationMS())
 						default:
-							sim.Partitions = append(
-								sim.Partitions,
-								emulator.Partition{A: m.Name, Until: sim.Now + durationMS(), DropsMessages: sim.Rand.IntN(2) == 0},
-							)
+							until := sim.Now + durationMS()
+							sim.partition(emulator.Partition{A: m.Name, Until: until, DropsMessages: sim.Rand.IntN(2) == 0})
 						}
 					}
 				})
 			})
-			sim.Observer = func(_ *emulator.Member, outputs *scheduler.Outputs) {
-				for _, l := range outputs.Logs {
-					counts[l.Message]++
-				}
-			}
+			sim.countLogs(counts)
 		},
 		minCounts: map[string]int{"ended": 3, "stood still": 3, "cut off": 3, "machine in a new session": 10},
 	},
-	// A zone with workers and a controller is cut off for longer than a lease, and jobs are
+	// A zone with workers and a controller is partitioned for longer than a lease, and jobs are
 	// cancelled through the others.
-	"a zone with workers and a controller cut off": {
+	"partitioned zone with workers and a controller": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.repeatAtRandom(35_000, faultWindowMS, func() {
 				cutMember := sim.randomMember()
@@ -220,11 +212,7 @@
 					sim.After(sim.Rand.Int64N(durationMS), func() { cutMember.Crash(300 + sim.Rand.Int64N(3000)) })
 				}
 			})
-			sim.Observer = func(_ *emulator.Member, outputs *scheduler.Outputs) {
-				for _, l := range outputs.Logs {
-					counts[l.Message]++
-				}
-			}
+			sim.countLogs(counts)
 		},
 		minCounts: map[string]int{
 			"zones cut":                12,
@@ -233,9 +221,9 @@
 			"shard claimed":            30,
 		},
 	},
-	// Leaders change ten times in two minutes, also inside an outage: whoever holds most
-	// tasks ends, returns within a second or when it has been adopted.
-	"ten changes of leader in two minutes": {
+	// Owners change ten times in two minutes, also during a store outage: whoever has most tasks
+	// crashes, and restarts within a second or once its shard has been adopted.
+	"ten owner changes in two minutes": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			for at := int64(12_000); at < faultWindowMS; at += 11_000 {
 				sim.After(at+sim.Rand.Int64N(3000), func() {
@@ -257,8 +245,8 @@
 		},
 		minCounts: map[string]int{"changes": 60, "changes inside an outage": 10},
 	},
-	// Jobs bound to one zone, arrays too, lose machines there, while their leaders end.
-	"jobs bound to one zone lose machines": {
+	// Jobs bound to one zone, arrays too, lose machines there, while members crash.
+	"zone-bound jobs lose machines": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			j.Kind, j.OneZone, j.Spread, j.Zone = scheduler.Array, false, false, ""
 			switch n % 4 {
@@ -282,7 +270,7 @@
 					counts["machines lost"] += sim.interruptMachines(0.5, zone)
 				}
 			})
-			sim.repeatAtRandom(25_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(16_000)) })
+			sim.crashMembers(25_000, 300, 16_000)
 			sim.OnTaskDone = func(task *platformfake.Task) {
 				if task.Job.OneZone {
 					counts["ended in one zone"]++
@@ -291,9 +279,9 @@
 		},
 		minCounts: map[string]int{"machines lost": 60, "ended in one zone": 200},
 	},
-	// There is more work than room, urgent and not, over slow links, and members end. It is
-	// room that lacks, not a team's limit: the largest jobs are of the team without one.
-	"more work than room, over slow links": {
+	// There are more tasks than capacity, urgent and not, over slow links, and members crash.
+	// Capacity lacks, not a team's limit: the largest jobs are of the team without one.
+	"overload over slow links": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			j.AtMostOnce, j.MaxTaskErrors = false, 0
 			if j.Request.CPUs > 4 {
@@ -314,12 +302,8 @@
 			for range 4 {
 				sim.After(5000+sim.Rand.Int64N(60_000), sim.submitBurst)
 			}
-			sim.repeatAtRandom(30_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(14_000)) })
-			sim.Observer = func(_ *emulator.Member, outputs *scheduler.Outputs) {
-				for _, l := range outputs.Logs {
-					counts[l.Message]++
-				}
-			}
+			sim.crashMembers(30_000, 300, 14_000)
+			sim.countLogs(counts)
 			sim.After(faultWindowMS, func() {
 				for _, id := range sim.JobIDs {
 					if j := sim.Jobs[id]; j.Accepted && j.FirstStartAt == 0 && !j.CancelRequested {
@@ -334,20 +318,19 @@
 			"start":                              2000,
 		},
 	},
-	// Workers can't open connections to any controller, for longer than a lease too, while
-	// direct commands still reach them.
-	"mute machines": {
+	// Workers cannot connect to any controller, for longer than a lease too, while direct
+	// commands still reach them.
+	"outbound partitions": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
-			j.Class, j.Priority, j.DeadlineS = "quick", scheduler.High, 60 // straight to the workers
+			j.Class, j.Priority, j.DeadlineS = "quick", scheduler.High, 60 // started by direct commands
 		},
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.repeatAtRandom(5000, faultWindowMS, func() {
-				sim.SampleLiveWorkers(
-					0.4,
-					func(worker *emulator.Worker) { sim.PartitionOutbound(worker, 1000+sim.Rand.Int64N(12_000)) },
-				)
+				sim.SampleLiveWorkers(0.4, func(worker *emulator.Worker) {
+					sim.PartitionOutbound(worker, 1000+sim.Rand.Int64N(12_000))
+				})
 			})
-			sim.repeatAtRandom(30_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(12_000)) })
+			sim.crashMembers(30_000, 300, 12_000)
 			sim.repeatAtRandom(9000, faultWindowMS, func() { sim.CancelRunningJobs(1, 0) })
 			sim.Observer = func(_ *emulator.Member, outputs *scheduler.Outputs) {
 				for _, l := range outputs.Logs {
@@ -367,11 +350,11 @@
 			"machine silent past its lease": 40,
 		},
 	},
-	// A command of a leader that has since ended or been deposed arrives after the new
-	// leader's.
-	"commands of earlier leaders": {
+	// A command of an owner that has crashed or lost its shard since arrives after the new
+	// owner's.
+	"delayed commands of earlier owners": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
-			j.Class, j.Priority, j.DeadlineS = "quick", scheduler.High, 60 // straight to the workers
+			j.Class, j.Priority, j.DeadlineS = "quick", scheduler.High, 60 // started by direct commands
 		},
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.DelayCommands(0.5, faultWindowMS)
@@ -382,17 +365,13 @@
 					sim.PartitionMember(m, 14_000+sim.Rand.Int64N(4000), sim.Rand.IntN(2) == 0)
 				}
 			})
-			sim.Observer = func(_ *emulator.Member, outputs *scheduler.Outputs) {
-				for _, l := range outputs.Logs {
-					counts[l.Message]++
-				}
-			}
+			sim.countLogs(counts)
 		},
 		minCounts: map[string]int{"copies late commands": 300, "token raised": 30, "shard claimed": 40},
 	},
-	// The state service refuses the leader alone and then everybody for longer than
-	// cancel_s, while users cancel and ask.
-	"refused alone, then everybody, users cancel and ask": {
+	// The store refuses one owner and then everybody for longer than cancel_s, while users cancel
+	// and query.
+	"store outage of one member, then of all": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			for _, at := range []int64{15_000, 70_000} {
 				sim.After(at+sim.Rand.Int64N(10_000), func() {
@@ -416,14 +395,14 @@
 }
 
 // firstSmallJob is the number of the first of many one-task jobs, and maxChangesPerJob how many
-// changes of the state service each may cost with all that happens beside it.
+// changes in the store each may cost with all that happens beside it.
 const (
 	firstSmallJob    = 100_000
 	maxChangesPerJob = 6
 )
 
-// interruptMachines has the cloud take a share of the machines back, of one zone or, without
-// one, of all, and tells how many.
+// interruptMachines has the cloud reclaim a share of the machines, of one zone or, without one,
+// of all, and returns how many.
 func (sim *testSimulation) interruptMachines(share float64, zone string) int {
 	interrupted := 0
 	sim.SampleLiveWorkers(share, func(worker *emulator.Worker) {
@@ -435,7 +414,7 @@
 	return interrupted
 }
 
-// busiestMember is the member to which most machines with tasks report, of those that run.
+// busiestMember is the running member with most tasks on the machines that it owns.
 func (sim *testSimulation) busiestMember() *emulator.Member {
 	tasks := map[string]int{}
 	sim.EachTask(func(worker *emulator.Worker, _ *platformfake.Task) { tasks[worker.MemberName(sim.Simulation)]++ })
@@ -448,55 +427,46 @@
 	return busiest
 }
 
-// cancelThroughOther cancels a job at a member that is not the one named.
+// cancelThroughOther cancels a random job through a random member, unless that is the excluded one.
 func (sim *testSimulation) cancelThroughOther(excluded *emulator.Member, counts map[string]int) {
 	if len(sim.JobIDs) == 0 {
 		return
 	}
-	j, m := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]], sim.randomMember()
+	j, m := sim.randomJob(), sim.randomMember()
 	if m == excluded || m.Core == nil || !j.Accepted || j.CancelRequested || j.ObservedState.IsTerminal() {
 		return
 	}
 	j.CancelRequested = true
 	counts["cancelled through others"]++
 	requestedAt := sim.Now
-	sim.SendRequestTo(
-		m,
-		scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID},
-		func(resp scheduler.UserResponse, ok bool) {
-			if ok {
-				sim.ReceiveResponse(j, requestedAt, resp)
-			}
-			if ok && resp.Status == 200 && resp.State == scheduler.Cancelled {
-				j.CancelConfirmedAt = sim.Now
-			} else if !ok || resp.Status != 200 {
-				sim.CancelJob(j)
-			}
-		},
-	)
+	cancellation := scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID}
+	sim.SendRequestTo(m, cancellation, func(resp scheduler.UserResponse, ok bool) {
+		if ok {
+			sim.ReceiveResponse(j, requestedAt, resp)
+		}
+		if ok && resp.Status == 200 && resp.State == scheduler.Cancelled {
+			j.CancelConfirmedAt = sim.Now
+		} else if !ok || resp.Status != 200 {
+			sim.CancelJob(j)
+		}
+	})
 }
 
-// queryRandomJob asks about a job.
+// queryRandomJob queries a random job.
 func (sim *testSimulation) queryRandomJob(counts map[string]int) {
 	if len(sim.JobIDs) == 0 {
 		return
 	}
-	j, requestedAt := sim.Jobs[sim.JobIDs[sim.Rand.IntN(len(sim.JobIDs))]], sim.Now
-	sim.SendRequest(
-		scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
-		func(resp scheduler.UserResponse, ok bool) {
-			switch {
-			case !ok:
-			case resp.Status == 503:
-				counts["refusals"]++
-			default:
-				counts["answers"]++
-				sim.ReceiveResponse(j, requestedAt, resp)
-			}
-		},
-	)
-}
-
-func (sim *testSimulation) randomBetween(from, to int64) int64 {
-	return from + sim.Rand.Int64N(to-from)
+	j, requestedAt := sim.randomJob(), sim.Now
+	query := scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}
+	sim.SendRequest(query, func(resp scheduler.UserResponse, ok bool) {
+		switch {
+		case !ok:
+		case resp.Status == 503:
+			counts["refusals"]++
+		default:
+			counts["answers"]++
+			sim.ReceiveResponse(j, requestedAt, resp)
+		}
+	})
 }
--- a/scheduler/overlapping_request_faults_test.go
+++ b/scheduler/overlapping_request_faults_test.go
@@ -27,7 +27,7 @@
 	handBackWrite     = "hand-back"
 )
 
-// writeClassifier tells kinds of transactions apart.
+// writeClassifier finds out what a transaction is for.
 type writeClassifier struct {
 	rangeCounts map[string]int // of each job, when its record was last written
 }
@@ -53,20 +53,13 @@
 	}
 	rangesBefore := classifier.rangeCounts[change.Key]
 	classifier.rangeCounts[change.Key] = len(rec.Ranges)
-	preconditionWithPrefix := func(prefix string) *scheduler.Precondition {
-		i := slices.IndexFunc(
-			op.Preconditions,
-			func(precondition scheduler.Precondition) bool { return strings.HasPrefix(precondition.Key, prefix) },
-		)
-		if i < 0 {
-			return nil
-		}
-		return &op.Preconditions[i]
-	}
+	needsShardClaim := slices.ContainsFunc(op.Preconditions, func(precondition scheduler.Precondition) bool {
+		return strings.HasPrefix(precondition.Key, claimKeyPrefix)
+	})
 	switch {
-	case preconditionWithPrefix(claimKeyPrefix) == nil && change.Value == nil:
+	case !needsShardClaim && change.Value == nil:
 		return cancellationWrite
-	case preconditionWithPrefix(claimKeyPrefix) == nil:
+	case !needsShardClaim:
 		return acceptanceWrite
 	case change.Value == nil:
 		return jobEndWrite
@@ -88,7 +81,7 @@
 	return jobs
 }
 
-// observeJobWrites calls f for each transaction about a job that a member is about to send.
+// observeJobWrites calls onWrite for each job that a transaction changes which a member is about to send.
 func (sim *testSimulation) observeJobWrites(onWrite func(m *emulator.Member, kind string, j *emulator.Job)) {
 	classifier := &writeClassifier{map[string]int{}}
 	sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
@@ -104,8 +97,8 @@
 	}
 }
 
-// queryRepeatedly asks about a job at one member after the other, so many times, each time as soon
-// as the last answer is there. Some questions are repeated submissions.
+// queryRepeatedly queries a job at one random member after the other, each as soon as the last
+// response is there. Some are repeated submissions instead.
 func (sim *testSimulation) queryRepeatedly(j *emulator.Job, times int, counts map[string]int) {
 	request := scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}
 	if sim.Rand.IntN(4) == 0 {
@@ -129,7 +122,7 @@
 	})
 }
 
-// queryConcurrently has several users ask about a job at once, each of them again and again.
+// queryConcurrently has several users query a job at once, each of them several times.
 func (sim *testSimulation) queryConcurrently(j *emulator.Job, counts map[string]int) {
 	const users, times, withinMS = 3, 4, 20
 	for range users {
@@ -137,7 +130,7 @@
 	}
 }
 
-// workersByRunningJob tells on which machines tasks of each job are that its user goes on with.
+// workersByRunningJob is the machines with tasks of each job that is neither over nor cancelled.
 func (sim *testSimulation) workersByRunningJob() map[string][]*emulator.Worker {
 	workers := map[string][]*emulator.Worker{}
 	sim.EachTask(func(worker *emulator.Worker, t *platformfake.Task) {
@@ -148,8 +141,8 @@
 	return workers
 }
 
-// cancelRunningJobs cancels up to so many jobs that run, within a fifth of a second, and does
-// something to their machines before. It returns how many.
+// cancelRunningJobs cancels up to count jobs that run, within a fifth of a second, and calls
+// beforeCancel for each of their machines first. It returns how many it cancels.
 func (sim *testSimulation) cancelRunningJobs(count int, beforeCancel func(*emulator.Worker)) int {
 	workers, prepared := sim.workersByRunningJob(), map[*emulator.Worker]bool{}
 	n := 0
@@ -169,11 +162,11 @@
 	return n
 }
 
-// makeUnreachable cuts a machine off, hangs it, or has it hear nothing or reach nobody, for so long.
+// makeUnreachable partitions a machine, in both directions or one, or hangs it.
 func (sim *testSimulation) makeUnreachable(worker *emulator.Worker, durationMS int64) {
 	switch sim.Rand.IntN(4) {
 	case 0:
-		sim.Partitions = append(sim.Partitions, emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + durationMS})
+		sim.partition(emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + durationMS})
 	case 1:
 		worker.HangUntil = sim.Now + durationMS
 	case 2:
@@ -183,8 +176,8 @@
 	}
 }
 
-// limitTeams gives both teams a limit, and tells whether one of them has room for no
-// further task of the usual size.
+// limitTeams gives both teams a limit. atLimit reports whether one of them has no room for
+// another task of the usual size.
 func (sim *testSimulation) limitTeams(cpus float64) (atLimit func() bool) {
 	sim.Params.Teams = map[string]scheduler.Team{"t0": {MaxCPUs: cpus, CPUs: cpus / 3}, "t1": {MaxCPUs: cpus}}
 	const usualTaskCPUs = 4
@@ -195,8 +188,8 @@
 	}
 }
 
-// submitWholeLimitTasks has each team submit, once all troubles are over, one task that takes all
-// of its limit: it never runs if anything that was held of the limit was not given back.
+// submitWholeLimitTasks has each team submit, once all faults are over, one task that takes all
+// of its limit: it never runs if a part of the limit leaked.
 func (sim *testSimulation) submitWholeLimitTasks(cpus float64, counts map[string]int) {
 	const quiescentMS = 60_000
 	for _, team := range []string{"t0", "t1"} {
@@ -220,22 +213,13 @@
 	}
 }
 
-// observeLogs calls f for each line that a member logs.
-func (sim *testSimulation) observeLogs(onLine func(m *emulator.Member, line scheduler.LogLine)) {
-	sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
-		for _, line := range outputs.Logs {
-			onLine(m, line)
-		}
-	}
-}
-
-// overlappingRequestFaults are the meetings about what users ask: answers, cancellations and
-// limits, while controllers change (docs/notes/meetings.md).
+// overlappingRequestFaults are overlapping faults around users' requests: responses, cancellations
+// and limits, while shards change owners (docs/notes/meetings.md).
 var overlappingRequestFaults = map[string]faultScenario{
-	// Users ask at all members, again and again within milliseconds, repeat the submission
-	// and cancel, right after a job was accepted, ended or confirmed as cancelled, while
-	// mirrors are behind, members pass questions on, and some just took over.
-	"close looks at all members": {
+	// Users query all members, again and again within milliseconds, repeat the submission and
+	// cancel, right after a job was accepted, ended or confirmed as cancelled, while caches
+	// lag, members relay requests, and some just took over.
+	"concurrent reads at all members": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.ReadConcurrently(faultWindowMS)
 			reported := map[string]bool{}
@@ -260,31 +244,18 @@
 					}
 					for _, j := range sim.jobsWrittenBy(op) { // the same job at another member: both are about to accept it
 						counts["second acceptances"]++
-						resubmitted, requestedAt := j.Spec, sim.Now
-						sim.SendRequestTo(
-							sim.randomMember(),
-							scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &resubmitted},
-							func(resp scheduler.UserResponse, ok bool) {
-								if ok {
-									sim.ReceiveResponse(j, requestedAt, resp)
-								}
-							},
-						)
+						resubmitted := j.Spec
+						request := scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &resubmitted}
+						sim.sendAndReceive(sim.randomMember(), j, request, func(scheduler.UserResponse) {})
 					}
 				}
 			}
 			sim.repeatAtRandom(15_000, faultWindowMS, func() { sim.SlowStore(1500, 6000) })
-			sim.repeatAtRandom(
-				12_000,
-				faultWindowMS,
-				func() { sim.StartOutage(sim.randomMember().Name, 1000+sim.Rand.Int64N(5000)) },
-			)
-			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.randomMember().Crash(300 + sim.Rand.Int64N(18_000)) })
-			sim.repeatAtRandom(
-				25_000,
-				faultWindowMS,
-				func() { sim.Lags[sim.randomMember().Name] = emulator.Lag{Until: sim.Now + 5000, MaxDelayMS: 1500} },
-			)
+			sim.startMemberOutages(12_000, 1000, 5000)
+			sim.crashMembers(20_000, 300, 18_000)
+			sim.repeatAtRandom(25_000, faultWindowMS, func() {
+				sim.Lags[sim.randomMember().Name] = emulator.Lag{Until: sim.Now + 5000, MaxDelayMS: 1500}
+			})
 		},
 		minCounts: map[string]int{
 			"asked when accepted":  200,
@@ -295,10 +266,10 @@
 			"relayed":              100,
 		},
 	},
-	// A transaction is carried out at once and only its answer is lost, while users ask at
-	// all members; some of its writers end, and the mirrors of others are behind, so that
-	// they give the write up before they see it.
-	"only the answer is lost": {
+	// A transaction is applied at once and only its response is lost, while users query all
+	// members; some of its writers crash, and the caches of others lag, so that they give the
+	// write up before they see it.
+	"lost store responses": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			j.OneZone, j.Spread, j.Zone = false, false, "" // so that tasks move
 			if n%2 == 0 && j.Request.CPUs <= 4 {
@@ -307,7 +278,7 @@
 		},
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			classifier := &writeClassifier{map[string]int{}}
-			mirrorLagUntil := map[string]int64{} // by member, until when
+			mirrorLagUntil := map[string]int64{} // by member
 			sim.ExtraDelay = func(from, to string) int64 {
 				if from == "store" && mirrorLagUntil[to] > sim.Now {
 					return 1500 + sim.Rand.Int64N(2500)
@@ -342,11 +313,7 @@
 				}
 				return true
 			}
-			sim.repeatAtRandom(
-				40_000,
-				faultWindowMS,
-				func() { sim.randomMember().Crash(15_000 + sim.Rand.Int64N(8000)) },
-			) // adopted, and handed back
+			sim.crashMembers(40_000, 15_000, 8000) // adopted, and handed back
 		},
 		minCounts: map[string]int{
 			"mirror of the writer behind": 20,
@@ -364,9 +331,9 @@
 			"lost answer: l/t/":           10,
 		},
 	},
-	// Every team is at its limit while jobs are cancelled whose machines are cut off or
-	// hang, and the leader changes.
-	"at the limit, cancelled on machines out of reach": {
+	// Every team is at its limit while jobs are cancelled whose machines are partitioned or
+	// hang, and shards change owners.
+	"quota exhausted, cancellations on unreachable machines": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) { j.OneZone, j.Spread = false, false },
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			const limit = 64
@@ -378,10 +345,8 @@
 					counts["at a limit"]++
 				}
 				unreachableMS := 2000 + sim.Rand.Int64N(22_000)
-				counts["cancelled"] += sim.cancelRunningJobs(
-					1+sim.Rand.IntN(3),
-					func(worker *emulator.Worker) { sim.makeUnreachable(worker, unreachableMS) },
-				)
+				makeUnreachable := func(worker *emulator.Worker) { sim.makeUnreachable(worker, unreachableMS) }
+				counts["cancelled"] += sim.cancelRunningJobs(1+sim.Rand.IntN(3), makeUnreachable)
 				downMS := 200 + sim.Rand.Int64N(2500)
 				if sim.Rand.IntN(3) == 0 {
 					downMS = 14_000 + sim.Rand.Int64N(6000)
@@ -398,9 +363,9 @@
 			"tasks of a whole limit":        12,
 		},
 	},
-	// A team is at its limit when the leader changes, some of its machines can't be asked,
-	// and a cancellation falls into the time until the new leader has heard them all.
-	"at the limit, cancelled before all machines are heard": {
+	// A team is at its limit when a shard changes owners, some of its machines are unreachable,
+	// and a cancellation falls into the time until the new owner has reconciled them all.
+	"quota exhausted, cancellations before reconciliation": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) { j.OneZone, j.Spread = false, false },
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			const limit = 64
@@ -419,19 +384,17 @@
 					if atLimit() {
 						counts["claimed at a limit"]++
 					}
-					sim.SampleLiveWorkers(
-						0.3,
-						func(worker *emulator.Worker) { sim.makeUnreachable(worker, 1000+sim.Rand.Int64N(15_000)) },
-					)
+					sim.SampleLiveWorkers(0.3, func(worker *emulator.Worker) {
+						sim.makeUnreachable(worker, 1000+sim.Rand.Int64N(15_000))
+					})
 					sim.SampleLiveWorkers(0.3, func(worker *emulator.Worker) {
 						sim.DelayWorkerCommands(worker, 1000+sim.Rand.Int64N(9000), sim.Rand.IntN(2) == 0)
 					})
-					for at := int64(0); at < 5000; at += 300 { // what they are told first is lost to some
+					for at := int64(0); at < 5000; at += 300 { // some lose the first commands
 						sim.After(at, func() {
-							sim.SampleLiveWorkers(
-								0.1,
-								func(worker *emulator.Worker) { sim.PartitionInbound(worker, 300+sim.Rand.Int64N(3000)) },
-							)
+							sim.SampleLiveWorkers(0.1, func(worker *emulator.Worker) {
+								sim.PartitionInbound(worker, 300+sim.Rand.Int64N(3000))
+							})
 						})
 					}
 					for range 3 {
@@ -445,14 +408,14 @@
 					reconciling[l.Args[1].(string)] = false
 				}
 			})
-			sim.repeatAtRandom(15_000, faultWindowMS, func() { sim.randomMember().Crash(200 + sim.Rand.Int64N(2500)) })
-			sim.repeatAtRandom(40_000, faultWindowMS, func() { sim.randomMember().Crash(14_000 + sim.Rand.Int64N(6000)) })
+			sim.crashMembers(15_000, 200, 2500)
+			sim.crashMembers(40_000, 14_000, 6000)
 		},
 		minCounts: map[string]int{"claimed at a limit": 8, "cancelled meanwhile": 30, "tasks of a whole limit": 12},
 	},
-	// Jobs are cancelled in the seconds in which one controller's work changes hands, and
-	// while a range of theirs moves from one shard to another.
-	"cancelled while work changes hands": {
+	// Jobs are cancelled in the seconds in which a shard changes owners, and while a range of
+	// theirs moves from one shard to another.
+	"cancellations while a shard changes owners": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			j.OneZone, j.Spread, j.Zone = false, false, ""
 			if n%2 == 0 && j.Request.CPUs <= 4 {
@@ -488,14 +451,14 @@
 					for _, j := range sim.jobsWrittenBy(op) {
 						counts["cancelled at a move"]++
 						sim.After(sim.Rand.Int64N(60), func() { sim.CancelJob(j) })
-						if sim.Rand.IntN(3) == 0 { // one of both ends
+						if sim.Rand.IntN(3) == 0 { // one of both crashes
 							sim.After(sim.Rand.Int64N(300), func() { sim.randomMember().Crash(200 + sim.Rand.Int64N(2000)) })
 						}
 					}
 				}
 			}
-			sim.repeatAtRandom(14_000, faultWindowMS, func() { sim.randomMember().Crash(14_000 + sim.Rand.Int64N(5000)) })
-			sim.repeatAtRandom(25_000, faultWindowMS, func() { sim.randomMember().Crash(200 + sim.Rand.Int64N(2500)) })
+			sim.crashMembers(14_000, 14_000, 5000)
+			sim.crashMembers(25_000, 200, 2500)
 		},
 		minCounts: map[string]int{
 			"cancelled at shard claimed":     10,
@@ -504,8 +467,8 @@
 			"cancelled at a move":            10,
 		},
 	},
-	// A cancellation, a question or a repeated submission meets the end of a job's last
-	// task, with no other trouble.
+	// A cancellation, a query or a repeated submission coincides with the end of a job's last
+	// task, with no other fault.
 	"requests at the end of the last task": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.MessageLoss = 0
@@ -522,13 +485,13 @@
 					sim.After(sim.Rand.Int64N(25), func() { sim.CancelJob(j) })
 				}
 			})
-			const upMS = 5000 // by then all members can answer
+			const upMS = 5000 // by then all members can respond
 			observeOutputs := sim.Observer
 			sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
 				observeOutputs(m, outputs)
 				for _, resp := range outputs.UserResponses {
 					if resp.Status == 503 && sim.Now > upMS {
-						t.Errorf("%s gets 503 with no trouble: %s", resp.ID, resp.Error)
+						t.Errorf("%s gets 503 without a fault: %s", resp.ID, resp.Error)
 					}
 				}
 			}
