--- a/scheduler/controller_test.go
+++ b/scheduler/controller_test.go
@@ -12,21 +12,56 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
+// testParams are a member's, with limits of the store that are small.
+func testParams(memberID string, peerIDs ...string) Params {
+	return Params{
+		MemberID:      memberID,
+		PeerIDs:       peerIDs,
+		HeartbeatS:    1,
+		LeaseS:        10,
+		CancelWithinS: 30,
+		MaxValueBytes: 8192,
+		MaxTxnOps:     16,
+	}
+}
+
 func newTestController(t *testing.T) *Controller {
 	t.Helper()
-	return New(
-		Params{
-			MemberID:      "m0",
-			PeerIDs:       []string{"m1"},
-			HeartbeatS:    1,
-			LeaseS:        10,
-			CancelWithinS: 30,
-			MaxValueBytes: 8192,
-			MaxTxnOps:     16,
-		},
-		1,
-		Now{1, 1},
-	)
+	return New(testParams("m0", "m1"), 1, Now{1, 1})
+}
+
+// putRecord has the cache see a record of the store.
+func putRecord(ctrl *Controller, key string, rec any, rev uint64) {
+	ctrl.cache.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: rev})
+}
+
+// putTestJob puts the record of newTestJobRecord.
+func putTestJob(ctrl *Controller, rev uint64, ranges ...Range) {
+	putRecord(ctrl, jobKey("job-000001"), newTestJobRecord(ranges...), rev)
+}
+
+// testHeartbeat is a heartbeat of a machine of newControllerWithShard's type.
+func testHeartbeat(machineID string, seq, token uint64, tasks ...TaskStatus) Heartbeat {
+	return Heartbeat{
+		Machine:     machineID,
+		Addr:        "x",
+		Type:        "small",
+		Zone:        "a",
+		Incarnation: 1,
+		Seq:         seq,
+		Token:       token,
+		Tasks:       tasks,
+	}
+}
+
+// smallMachineType is the type of newControllerWithShard's machine.
+func smallMachineType() MachineType {
+	return MachineType{
+		Name:      "small",
+		Resources: availability.Resources{CPUs: 8, MemoryGB: 32},
+		BootS:     10,
+		Zones:     []string{"a"},
+	}
 }
 
 func newTestJobRecord(ranges ...Range) jobRecord {
@@ -40,19 +75,16 @@
 	}
 }
 
-// A read that was under way while the job was cancelled arrives after the
-// watch has told of the cancellation: the job stays gone.
+// A read that was pending while the job was cancelled arrives after the watch has
+// delivered the cancellation: the job stays removed.
 func TestLateReadDoesNotRestoreCancelledJob(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
-	put := KeyValue{
-		Key:   jobKey("job-000001"),
-		Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})),
-		Rev:   5,
-	}
+	rec := newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})
+	put := KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: 5}
 	ctrl.cache.applyChange(put)
 	if ctrl.cache.jobs["job-000001"] == nil {
-		t.Fatal("the job is not in the mirror")
+		t.Fatal("the job is not in the cache")
 	}
 	ctrl.cache.applyChange(KeyValue{Key: put.Key, Rev: 9})
 	ctrl.cache.mirrorRevision = 12
@@ -63,76 +95,68 @@
 	}
 }
 
-// A watch that lags behind our own removal tells of the job's creation last.
+// A watch that lags behind this member's own removal of a job delivers its creation last.
 func TestLaggingWatchDoesNotRestoreRemovedJob(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
 	ctrl.cache.mirrorRevision = 3
-	put := KeyValue{
-		Key:   jobKey("job-000001"),
-		Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})),
-		Rev:   5,
-	}
+	rec := newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})
+	put := KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: 5}
 	ctrl.cache.applyChange(put)
 	ctrl.cache.applyChange(KeyValue{Key: put.Key, Rev: 9})
 	ctrl.cache.applyChange(put)
 	if ctrl.cache.jobs["job-000001"] != nil {
-		t.Error("a lagging watch brought a job back that we had removed")
+		t.Error("a lagging watch brought a job back that this member had removed")
 	}
 }
 
-// A member that adopted a shard, handed it back, and then gets a range of it
-// by a move must run that range: works of an ended claim are no use.
+// A member that adopted a shard, handed it back, and then gets a range of it by a move
+// must run that range: task ranges of an ended claim are replaced.
 func TestRangeOfEndedClaimIsReplaced(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
 	ownShard, adoptedShard := ctrl.shards.newShard("m0", 0, 1), ctrl.shards.newShard("m1", 0, 2)
 	ctrl.shards.ownedShards["m0"], ctrl.shards.ownedShards["m1"] = ownShard, adoptedShard
-	key := jobKey("job-000001")
-	ctrl.cache.applyChange(KeyValue{Key: key, Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m1"})), Rev: 5})
+	putTestJob(ctrl, 5, Range{Lo: 0, Hi: 2, Shard: "m1"})
 	ctrl.shards.dropShard(adoptedShard)
-	ctrl.cache.applyChange(
-		KeyValue{
-			Key:   key,
-			Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0", MovedFromPeer: true})),
-			Rev:   6,
-		},
-	)
+	putTestJob(ctrl, 6, Range{Lo: 0, Hi: 2, Shard: "m0", MovedFromPeer: true})
 	tr := ctrl.cache.jobs["job-000001"].taskRanges[0]
 	if tr == nil || tr.claim != ownShard || tr.shardName != "m0" {
 		t.Errorf("the range is run as %+v", tr)
 	}
 }
 
-// Authority counts from the sending of the last extension and of the last
-// watch that came back, whichever is older, and never outlasts the hold.
+// Authority counts from the sending of the last renewal and of the last watch that
+// returned, whichever is older, and never outlasts the lease.
 func TestAuthorityExpiresWithOlderOfLeaseAndWatch(t *testing.T) {
 	ctrl := newTestController(t)
+	ttl := ctrl.store.leaseTTLMS()
 	for _, c := range []struct {
+		name                          string
 		leaseRenewedAt, watchedAt, at int64
 		expected                      bool
 	}{
-		{1000, 1000, 1000 + ctrl.store.leaseTTLMS()/2, true},
-		{1000, 1000, 1000 + ctrl.store.leaseTTLMS(), false},
-		{1000 + ctrl.store.leaseTTLMS(), 1000, 1000 + ctrl.store.leaseTTLMS(), false}, // the watch is stuck
-		{1000, 1000 + ctrl.store.leaseTTLMS(), 1000 + ctrl.store.leaseTTLMS(), false}, // the hold is not extended
-		{1000 + ctrl.store.leaseTTLMS(), 1000 + ctrl.store.leaseTTLMS(), 1000 + ctrl.store.leaseTTLMS(), true},
+		{"half a lease later", 1000, 1000, 1000 + ttl/2, true},
+		{"a lease later", 1000, 1000, 1000 + ttl, false},
+		{"the watch is stuck", 1000 + ttl, 1000, 1000 + ttl, false},
+		{"the lease is not renewed", 1000, 1000 + ttl, 1000 + ttl, false},
+		{"both just succeeded", 1000 + ttl, 1000 + ttl, 1000 + ttl, true},
 	} {
-		ctrl.now.MonotonicMS = c.at
-		ctrl.store.storeAccess.SetState(1, c.leaseRenewedAt, c.watchedAt)
-		if ctrl.store.hasAuthority() != c.expected {
-			t.Errorf("hold at %d, watch at %d, now %d: %v", c.leaseRenewedAt, c.watchedAt, c.at, !c.expected)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			ctrl.now.MonotonicMS = c.at
+			ctrl.store.storeAccess.SetState(1, c.leaseRenewedAt, c.watchedAt)
+			if got := ctrl.store.hasAuthority(); got != c.expected {
+				t.Errorf("lease renewed at %d, watch at %d, now %d: got %v", c.leaseRenewedAt, c.watchedAt, c.at, got)
+			}
+		})
 	}
-	if lifetime := ctrl.store.leaseTTLMS() + secondsToMS(ctrl.params.LeaseS); lifetime >= secondsToMS(
-		ctrl.params.CancelWithinS,
-	) {
-		t.Errorf("a cut-off owner's tasks live for %d ms", lifetime)
+	if lifetime := ttl + secondsToMS(ctrl.params.LeaseS); lifetime >= secondsToMS(ctrl.params.CancelWithinS) {
+		t.Errorf("tasks of a partitioned owner run for %d ms, want less than cancel_s", lifetime)
 	}
 }
 
-// A shard that gave a part of a team's limit away, and is not told whether the
-// write worked, counts on what the store then says: never on what it had before.
+// A shard that gave a part of a team's limit away by a write whose outcome is unknown uses
+// what the store then has, never what it had before.
 func TestInDoubtTeamWriteIsResolvedFromStore(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 64}}
@@ -150,7 +174,7 @@
 	)
 	ctrl.quotas.proposeAllocations(s)
 	if allocation := ctrl.quotas.quotaLedgers["ops"].Allocation("m0"); allocation.CPUs != 0 {
-		t.Fatalf("counts on %v while the write is under way", allocation)
+		t.Fatalf("uses an allocation of %v while the write is pending, want none", allocation)
 	}
 	write := ctrl.TakeOutputs().StoreOps[0]
 	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Outcome: Unknown})
@@ -161,96 +185,76 @@
 		read.ID,
 		StoreResult{Rev: 30, KVs: []KeyValue{{Key: teamKey("ops"), Value: write.Changes[0].Value, Rev: 25}}},
 	)
-	if allocation := ctrl.quotas.quotaLedgers["ops"].Allocations(); allocation["m0"].CPUs != 0 || allocation["m1"].CPUs != 64 {
-		t.Errorf("counts on %v after the write had worked", allocation)
+	allocations := ctrl.quotas.quotaLedgers["ops"].Allocations()
+	if allocations["m0"].CPUs != 0 || allocations["m1"].CPUs != 64 {
+		t.Errorf("allocations %v after the write had succeeded, want all 64 at m1", allocations)
 	}
 }
 
-// A member without the store steps aside only for one that has it.
+// A member without the store refuses users only while a peer has the store.
 func TestMemberStaysUsableUnlessPeerHasStore(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.now.MonotonicMS = 10_000
 	if !ctrl.IsReadyForUsers() {
-		t.Error("steps aside while no member is known to be better off")
+		t.Error("refuses users while no peer is known to have the store")
 	}
 	ctrl.peers.peers["m1"] = &peerState{receivedAtMS: 9_500, message: PeerMessage{From: "m1"}}
 	if !ctrl.IsReadyForUsers() {
-		t.Error("steps aside for a member without authority")
+		t.Error("refuses users in favor of a peer without authority")
 	}
 	ctrl.peers.peers["m1"].message.OwnedShards = []PeerShard{{Shard: "m1"}}
 	if ctrl.IsReadyForUsers() {
-		t.Error("stays in while a peer can take requests")
+		t.Error("accepts users while a peer can take requests")
 	}
 }
 
-// newControllerWithShard makes a member that holds its own shard with one machine on it.
+// newControllerWithShard makes a member that owns its own shard, with one machine of 8 CPUs.
 func newControllerWithShard(t *testing.T) (*Controller, *shard, *machine) {
 	t.Helper()
 	ctrl := newTestController(t)
 	ctrl.cache.mirrorRevision = 10
 	ctrl.now = Now{1000, 1000}
 	ctrl.store.storeAccess.SetState(1, 1000, 1000)
-	ctrl.cache.setMachineTypes(
-		[]MachineType{
-			{Name: "small", Resources: availability.Resources{CPUs: 8, MemoryGB: 32}, BootS: 10, Zones: []string{"a"}},
-		},
-	)
+	ctrl.cache.setMachineTypes([]MachineType{smallMachineType()})
 	s := ctrl.shards.newShard("m0", 7, 11)
 	s.ready = true
 	ctrl.shards.ownedShards["m0"] = s
-	ctrl.cache.applyChange(KeyValue{Key: claimKey("m0"), Value: mustEncode(claimRecord{"m0", 7}), Rev: 11})
-	ctrl.cache.applyChange(
-		KeyValue{
-			Key:   registryPrefix + "1-1",
-			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{"i-1"}}),
-			Rev:   12,
-		},
-	)
-	ctrl.cache.applyChange(
-		KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 12},
-	)
-	ctrl.HandleHeartbeat(
-		ctrl.now,
-		1,
-		Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 3, Token: 11},
-	)
+	putRecord(ctrl, claimKey("m0"), claimRecord{"m0", 7}, 11)
+	page := registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{"i-1"}}
+	putRecord(ctrl, registryPrefix+"1-1", page, 12)
+	putRecord(ctrl, liveMachinesPrefix+"m0/0", liveMachinesRecord{[]string{"i-1"}}, 12)
+	ctrl.HandleHeartbeat(ctrl.now, 1, testHeartbeat("i-1", 3, 11))
 	if resp := ctrl.TakeOutputs().HeartbeatResponses[1]; !resp.Accepted {
-		t.Fatal("a report of our machine is not taken")
+		t.Fatal("a heartbeat of an owned machine is not accepted")
 	}
 	return ctrl, s, ctrl.registry.machines["i-1"]
 }
 
-// The answer to a direct command overtakes a report; answering that report
+// The response to a direct command overtakes a heartbeat; the response to that heartbeat
 // still renews the worker's lease, so silence counts from there.
 func TestOvertakenHeartbeatRenewsWorkerLease(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	mc.Seq = 9 // the direct command's answer
-	ctrl.HandleHeartbeat(
-		Now{2000, 2000},
-		2,
-		Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 8, Token: 11},
-	)
+	mc.Seq = 9 // the direct command's response
+	ctrl.HandleHeartbeat(Now{2000, 2000}, 2, testHeartbeat("i-1", 8, 11))
 	if resp := ctrl.TakeOutputs().HeartbeatResponses[2]; !resp.Accepted || len(resp.Commands) > 0 {
-		t.Fatalf("an overtaken report is answered %+v", resp)
+		t.Fatalf("response to an overtaken heartbeat: %+v", resp)
 	}
 	if leaseEnd := s.reconciler.LeaseExpiresAt(mc.Machine); leaseEnd < 2000+secondsToMS(ctrl.params.LeaseS) {
-		t.Errorf("the lease is taken to end at %d", leaseEnd)
+		t.Errorf("the lease expires at %d, want a full lease from 2000", leaseEnd)
 	}
 }
 
-// A direct start without an answer stays on its machine until a higher token is
-// out, which is asked for until it works.
+// A direct start without a response stays on its machine until a worker has seen a higher
+// token; raising the token is retried until it succeeds.
 func TestUnacknowledgedStartIsFencedByHigherToken(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.cache.applyChange(
-		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})), Rev: 13},
-	)
+	putTestJob(ctrl, 13, Range{Lo: 0, Hi: 1, Shard: "m0"})
 	ctrl.cache.jobs["job-000001"].rec.Job.EstimateS = 1
 	ctrl.placer.planShard(s)
 	ctrl.agents.sendUrgentStarts(s)
 	outputs := ctrl.TakeOutputs()
 	if len(outputs.DirectCommands) != 1 {
-		t.Fatalf("%d direct commands, not one", len(outputs.DirectCommands))
+		t.Fatalf("%d direct commands, want 1", len(outputs.DirectCommands))
 	}
 	ctrl.HandleDirectCommandResult(ctrl.now, outputs.DirectCommands[0].ID, DirectCommandResult{Outcome: Unknown})
 	tokenRaise := ctrl.TakeOutputs().StoreOps
@@ -263,23 +267,19 @@
 	ctrl.shards.tickShard(s)
 	tokenRaise = ctrl.TakeOutputs().StoreOps
 	if len(tokenRaise) == 0 {
-		t.Fatal("a refused raise is not tried again")
+		t.Fatal("a refused raise of the token is not retried")
 	}
 	heartbeat := func(seq, token uint64) {
-		ctrl.HandleHeartbeat(
-			ctrl.now,
-			seq,
-			Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: token},
-		)
+		ctrl.HandleHeartbeat(ctrl.now, seq, testHeartbeat("i-1", seq, token))
 	}
 	heartbeat(20, 11)
 	if mc.liveAttemptCount != 1 {
-		t.Error("an unanswered start is given up while it may still run")
+		t.Error("an unacknowledged start is given up while it may still run")
 	}
 	ctrl.HandleStoreResult(ctrl.now, tokenRaise[0].ID, StoreResult{Rev: 30})
 	heartbeat(21, 11)
 	if mc.liveAttemptCount != 1 {
-		t.Error("an unanswered start is given up before its worker saw the higher token")
+		t.Error("an unacknowledged start is given up before its worker saw the higher token")
 	}
 	attemptsBefore := len(mc.attempts)
 	heartbeat(22, 30)
@@ -290,8 +290,8 @@
 	}
 }
 
-// A job of the largest size fits the store: its record, and the progress of
-// each of its ranges, however scattered.
+// A job of the largest size fits the store's values: its record, and the progress of each
+// of its ranges, however scattered.
 func TestLargestJobFitsStoreValueLimit(t *testing.T) {
 	ctrl := newTestController(t)
 	j := &Job{ID: "job-000001", Kind: Array, Tasks: 100_000}
@@ -323,9 +323,10 @@
 	}{{9, 0}, {8, 8}} {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: c.tasks, Shard: "m0"})
 		rec.Job.Kind, rec.Job.EstimateS = Gang, 1
-		ctrl.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Rev: ctrl.cache.keyRevisions[jobKey("job-000001")] + 1})
+		key := jobKey("job-000001")
+		ctrl.cache.applyChange(KeyValue{Key: key, Rev: ctrl.cache.keyRevisions[key] + 1})
 		clear(ctrl.cache.tombstones)
-		ctrl.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: uint64(100 + c.tasks*c.expected)})
+		putRecord(ctrl, key, rec, uint64(100+c.tasks*c.expected))
 		ctrl.placer.planShard(s)
 		n := 0
 		for _, planned := range mc.plannedStarts {
@@ -337,8 +338,8 @@
 		if n == 0 {
 			continue
 		}
-		// Workers match mates by their attempt: one number for all of a try,
-		// another for the next, and no task twice in one.
+		// Workers match the tasks of a gang by their attempt: one number for all tasks of a
+		// start, another for the next, and no task twice in one.
 		attemptNumbers := map[uint64]int{}
 		for try := range 2 {
 			mc.commands = nil
@@ -353,7 +354,7 @@
 			mc.plannedStarts = []plannedStart{{taskRange: ctrl.cache.jobs["job-000001"].taskRanges[0], count: 1}}
 			mc.commands = nil
 			if ctrl.agents.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 9}); len(mc.commands) > 0 {
-				t.Errorf("a task of a try that failed is told %+v", mc.commands)
+				t.Errorf("commands for a task of a failed gang start: %+v, want none", mc.commands)
 			}
 			for _, att := range mc.attempts {
 				ctrl.agents.removeAttempt(mc, att)
@@ -362,13 +363,13 @@
 			ctrl.placer.planShard(s)
 		}
 		if len(attemptNumbers) != 2 || slices.Max(slices.Collect(maps.Values(attemptNumbers))) != 8 {
-			t.Errorf("attempts of a gang in two tries: %v", attemptNumbers)
+			t.Errorf("starts by attempt, of a gang of 8 started twice: %v, want two attempts, one of 8", attemptNumbers)
 		}
 	}
 }
 
-// While the state service gives no answer at all, users are told at once to come
-// back; its first answer ends that.
+// While the store gives no response at all, users are refused at once with a time to
+// retry; its first response ends that.
 func TestRequestsAreRefusedImmediatelyWhileStoreIsSilent(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
 	query := func(replyID uint64) (UserResponse, bool) {
@@ -377,19 +378,19 @@
 		return resp, ok
 	}
 	if _, ok := query(1); ok {
-		t.Fatal("a question is answered without the store")
+		t.Fatal("a query is answered without the store")
 	}
 	unansweredOps := ctrl.TakeOutputs().StoreOps
 	ctrl.HandleStoreResult(Now{2000, 2000}, unansweredOps[0].ID, StoreResult{Outcome: Unknown})
 	ctrl.now = Now{3000, 3000}
 	if resp, ok := query(2); !ok || resp.Status != 503 || resp.RetryAfterS < 1 {
-		t.Errorf("a question to a silent store gets %+v", resp)
+		t.Errorf("response to a query while the store is silent: %+v, want 503 with a time to retry", resp)
 	}
 	ctrl.outputs = Outputs{}
 	ctrl.store.sendStore(StoreOp{Kind: StoreGet, Key: "x"}, func(StoreResult) {})
 	ctrl.HandleStoreResult(ctrl.now, ctrl.TakeOutputs().StoreOps[0].ID, StoreResult{Outcome: NotFound})
 	if _, ok := query(3); ok {
-		t.Error("users are refused after the store has answered")
+		t.Error("users are refused after the store has responded")
 	}
 }
 
@@ -400,24 +401,16 @@
 	return nil
 }
 
-// A limited team's whole limit is with one shard, the same for every member, and
-// its jobs go there.
+// The whole limit of a team is allocated to one shard, the same for every member, and the
+// team's jobs go there.
 func TestTeamLimitHasOneHomeShard(t *testing.T) {
 	teams := map[string]Team{"a": {MaxCPUs: 64}, "b": {MaxCPUs: 64}, "free": {}}
 	homes := map[string]map[string]string{}
 	for _, memberID := range []string{"m0", "m1"} {
-		cfg := Params{
-			MemberID:      memberID,
-			PeerIDs:       []string{"m0", "m1"},
-			Teams:         teams,
-			HeartbeatS:    1,
-			LeaseS:        10,
-			CancelWithinS: 30,
-			MaxValueBytes: 8192,
-			MaxTxnOps:     16,
-		}
-		cfg.PeerIDs = slices.DeleteFunc(cfg.PeerIDs, func(n string) bool { return n == memberID })
-		ctrl := New(cfg, 1, Now{1, 1})
+		peerID := map[string]string{"m0": "m1", "m1": "m0"}[memberID]
+		params := testParams(memberID, peerID)
+		params.Teams = teams
+		ctrl := New(params, 1, Now{1, 1})
 		homes[memberID] = ctrl.quotas.homeShards
 		for name, limit := range teams {
 			sum := 0.0
@@ -425,13 +418,14 @@
 				sum += allocation.CPUs
 			}
 			if sum != limit.MaxCPUs {
-				t.Errorf("the parts of %s add up to %v of %v", name, sum, limit.MaxCPUs)
+				t.Errorf("the allocations of %s add up to %v, want %v", name, sum, limit.MaxCPUs)
 			}
 		}
 		for _, team := range []string{"a", "b"} {
 			for _, r := range ctrl.peers.assignRanges(&Job{ID: "job-000001", Kind: Array, Team: team, Tasks: 5}) {
 				if r.Shard != ctrl.quotas.homeShards[team] {
-					t.Errorf("tasks of %s go to %s from %s, not to its home %s", team, r.Shard, memberID, ctrl.quotas.homeShards[team])
+					t.Errorf("%s assigns tasks of %s to %s, want its home %s",
+						memberID, team, r.Shard, ctrl.quotas.homeShards[team])
 				}
 			}
 		}
@@ -441,40 +435,32 @@
 	}
 }
 
-// A team's limit admits like a queue: a job that cannot be done in time goes
-// behind one that can, though its deadline is earlier.
+// A team's limit admits jobs in order: one that cannot meet its deadline goes behind one
+// that can, though its deadline is earlier.
 func TestTeamLimitAdmitsJobsThatMeetTheirDeadlines(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 4}}
 	ctrl.quotas.initTeamLedgers()
 	put := func(id string, tasks int, deadline float64, rev uint64) {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: tasks, Shard: "m0"})
-		rec.Job.ID, rec.Job.Team, rec.Job.EstimateS, rec.Job.DeadlineS, rec.AcceptedAtMS = id, "ops", 10, deadline, ctrl.now.WallMS
-		ctrl.cache.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
+		rec.Job.ID, rec.Job.Team, rec.Job.EstimateS, rec.Job.DeadlineS = id, "ops", 10, deadline
+		rec.AcceptedAtMS = ctrl.now.WallMS
+		putRecord(ctrl, jobKey(id), rec, rev)
 	}
 	put("job-000001", 40, 50, 21) // 100 s of the whole limit
 	put("job-000002", 8, 60, 22)  // 20 s
 	gs := ctrl.placer.waitingTaskGroups(s)
 	if len(gs) != 2 || gs[0].job.ID != "job-000002" || !gs[1].MissedObjectives {
-		t.Errorf("%s goes first, the other is lost: %v", gs[0].job.ID, gs[1].MissedObjectives)
+		t.Errorf("%s goes first, the other misses its deadline: %v", gs[0].job.ID, gs[1].MissedObjectives)
 	}
 }
 
-// Ordinary machines are not rented for an aim that they come too late for.
+// On-demand machines are not provisioned for an objective that they come too late for.
 func TestOnDemandMachineIsNotProvisionedTooLate(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
-	ctrl.cache.setMachineTypes(
-		[]MachineType{
-			{
-				Name:      "small",
-				Resources: availability.Resources{CPUs: 8, MemoryGB: 32},
-				BootS:     10,
-				Price:     1,
-				SpotPrice: 0.25,
-				Zones:     []string{"a"},
-			},
-		},
-	)
+	small := smallMachineType()
+	small.Price, small.SpotPrice = 1, 0.25
+	ctrl.cache.setMachineTypes([]MachineType{small})
 	ctrl.scaler.unavailableUntil[offering{"small", "a", true}] = ctrl.now.MonotonicMS + 100_000
 	for dueInMS, expected := range map[int64]bool{15_000: false, 25_000: true} {
 		j := &Job{Spot: true, Request: availability.Resources{CPUs: 1}}
@@ -493,34 +479,22 @@
 	}
 }
 
-// Both the rosters' and the lists' machines come and go with their records, and a
-// machine that is listed as up before its roster is known counts as up.
+// Machines come and go with the records of the registry and of live machines, and one that
+// is listed as live before its registry page is known counts as up.
 func TestMachinesFollowRegistryAndLiveRecords(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
-	ctrl.cache.applyChange(
-		KeyValue{Key: liveMachinesPrefix + "m0/0", Value: mustEncode(liveMachinesRecord{[]string{"i-1"}}), Rev: 4},
-	)
-	ctrl.cache.applyChange(
-		KeyValue{
-			Key:   registryPrefix + "1-1",
-			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-1", "i-2"}}),
-			Rev:   5,
-		},
-	)
+	putRecord(ctrl, liveMachinesPrefix+"m0/0", liveMachinesRecord{[]string{"i-1"}}, 4)
+	page := registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-1", "i-2"}}
+	putRecord(ctrl, registryPrefix+"1-1", page, 5)
 	if len(ctrl.registry.machines) != 2 || !ctrl.registry.machines["i-1"].Up || ctrl.registry.machines["i-2"].Up {
 		t.Fatalf("machines %v", ctrl.registry.machines)
 	}
 	if ctrl.registry.machines["i-1"].IsAccountedFor() || !ctrl.registry.machines["i-2"].IsAccountedFor() {
 		t.Error("only a machine that is up may run what an earlier claim started")
 	}
-	ctrl.cache.applyChange(
-		KeyValue{
-			Key:   registryPrefix + "1-1",
-			Value: mustEncode(registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-2"}}),
-			Rev:   6,
-		},
-	)
+	page.MachineIDs = []string{"i-2"}
+	putRecord(ctrl, registryPrefix+"1-1", page, 6)
 	if len(ctrl.registry.machines) != 1 || ctrl.registry.machines["i-2"] == nil {
 		t.Errorf("machines %v", ctrl.registry.machines)
 	}
@@ -530,15 +504,15 @@
 	}
 }
 
-// A shard is ready only when the mirror has passed its claim: what the earlier
-// claim listed as up last of all may run tasks that would start a second time.
+// A shard is ready only when the cache has passed its claim: machines that the earlier
+// owner listed as live last of all may run tasks that would start a second time.
 func TestShardIsNotReadyBeforeMirrorPassesItsClaim(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready, s.progressRead = false, true
 	ctrl.cache.mirrorRevision = s.claimRev - 1
 	ctrl.shards.tickShard(s)
 	if s.ready {
-		t.Error("ready before the mirror has passed the claim")
+		t.Error("ready before the cache has passed the claim")
 	}
 	ctrl.cache.mirrorRevision = s.claimRev
 	ctrl.shards.tickShard(s)
@@ -547,35 +521,23 @@
 	}
 }
 
-// Each member takes its part of a peer's room only, and uses it up.
+// Each member uses its share of a peer's capacity only, and uses it up.
 func TestPeerCapacityIsSharedAmongMembers(t *testing.T) {
-	ctrl := New(
-		Params{
-			MemberID:      "m0",
-			PeerIDs:       []string{"m1", "m2", "m3"},
-			HeartbeatS:    1,
-			LeaseS:        10,
-			CancelWithinS: 30,
-			MaxValueBytes: 8192,
-			MaxTxnOps:     16,
-		},
-		1,
-		Now{1000, 1000},
-	)
+	ctrl := New(testParams("m0", "m1", "m2", "m3"), 1, Now{1000, 1000})
 	ctrl.store.storeAccess.SetState(0, 0, 0)
-	ctrl.cache.setMachineTypes(
-		[]MachineType{{Name: "small", Resources: availability.Resources{CPUs: 1, MemoryGB: 32}, Zones: []string{"a"}}},
-	)
+	oneCPU := availability.Resources{CPUs: 1, MemoryGB: 32}
+	ctrl.cache.setMachineTypes([]MachineType{{Name: "small", Resources: oneCPU, Zones: []string{"a"}}})
 	ctrl.cache.shardClaims["m1"] = claimRecord{Owner: "m1"}
 	free := availability.Function{
 		Kind:      planner.InstanceOffering{Type: "small", Zone: "a"}.Key(),
 		Count:     30,
-		Resources: availability.Resources{CPUs: 1, MemoryGB: 32},
+		Resources: oneCPU,
 		Samples:   []availability.Sample{{TimeMS: 1000}, {TimeMS: 101_000, AvailableMS: 100_000}},
 	}
+	peerShard := PeerShard{Shard: "m1", Summary: availability.Summary{free}}
 	ctrl.peers.peers["m1"] = &peerState{
 		receivedAtMS: 1000,
-		message:      PeerMessage{From: "m1", OwnedShards: []PeerShard{{Shard: "m1", Summary: availability.Summary{free}}}},
+		message:      PeerMessage{From: "m1", OwnedShards: []PeerShard{peerShard}},
 	}
 	j := &Job{Request: availability.Resources{CPUs: 1}, Tasks: 100}
 	offers := ctrl.peers.peerCapacities(j, 10_000, 12_000, 100)
@@ -590,58 +552,47 @@
 	}
 }
 
-// A machine with room takes a task whose image it has before one that would have
-// to fetch, but not past the start that the latter's class asks for.
+// A machine with capacity takes a task whose image it has before one that would have to
+// fetch its image, but not past the latter's start objective.
 func TestImageLocalityYieldsToStartObjectives(t *testing.T) {
 	for _, c := range []struct {
-		slackMS  int64 // how long until the first job must end to have started in time
+		slackMS  int64 // until the first job must end to have met its start objective
 		expected string
 	}{{40_000, "job-000002/0"}, {13_000, "job-000001/0"}} {
 		ctrl, s, mc := newControllerWithShard(t)
-		ctrl.cache.setMachineTypes(
-			[]MachineType{
-				{
-					Name:           "small",
-					Resources:      availability.Resources{CPUs: 8, MemoryGB: 32},
-					ImageFetchGBps: 1,
-					BootS:          10,
-					Zones:          []string{"a"},
-				},
-			},
-		)
+		small := smallMachineType()
+		small.ImageFetchGBps = 1
+		ctrl.cache.setMachineTypes([]MachineType{small})
 		mc.imageCache.RecordUse("here", planner.Image{LastUsedMS: 1, SizeGB: 2}, 0)
 		s.spareCPUs = 8
 		for i, image := range []string{"away", "here"} {
 			rec := newTestJobRecord(Range{Lo: 0, Hi: 1, Shard: "m0"})
 			rec.Job.ID = []string{"job-000001", "job-000002"}[i]
 			rec.Job.Image, rec.Job.Request = image, availability.Resources{CPUs: 8, DiskGB: 2}
-			ctrl.cache.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(20 + i)})
+			putRecord(ctrl, jobKey(rec.Job.ID), rec, uint64(20+i))
 			tr := ctrl.cache.jobs[rec.Job.ID].taskRanges[0]
-			s.queue = append(
-				s.queue,
-				&taskGroup{
-					taskRange: tr,
-					job:       &tr.job.rec.Job,
-					Group: planner.Group{
-						Request:             tr.job.rec.Job.resourceRequest(),
-						LengthMS:            10_000,
-						ObjectiveDeadlineMS: ctrl.now.WallMS + c.slackMS,
-						DeadlineMS:          ctrl.now.WallMS + 100_000,
-					},
+			s.queue = append(s.queue, &taskGroup{
+				taskRange: tr,
+				job:       &tr.job.rec.Job,
+				Group: planner.Group{
+					Request:             tr.job.rec.Job.resourceRequest(),
+					LengthMS:            10_000,
+					ObjectiveDeadlineMS: ctrl.now.WallMS + c.slackMS,
+					DeadlineMS:          ctrl.now.WallMS + 100_000,
 				},
-			)
+			})
 		}
 		mc.commands = nil
 		ctrl.agents.startFromQueue(s, mc, &Heartbeat{Incarnation: 1, Seq: 4})
 		if len(mc.commands) != 1 || mc.commands[0].Task != c.expected {
-			t.Errorf("with %d ms to the aim: %+v, not %s", c.slackMS, mc.commands, c.expected)
+			t.Errorf("with %d ms to the objective: commands %+v, want a start of %s", c.slackMS, mc.commands, c.expected)
 		}
 	}
 }
 
-// A team whose limit a lower priority fills gets its guarantee for a higher one
-// by stopping tasks that lose nothing: saving ones, or ones whose image is not
-// there. What they give up goes to whom they were stopped for.
+// A team whose limit is filled by a lower priority gets its guarantee for a higher one by
+// stopping tasks that lose nothing: those with checkpoints, and those that still fetch their
+// image. What they free goes to the job that they were stopped for.
 func TestCheckpointedTasksAreStoppedForGuarantee(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -650,123 +601,122 @@
 		guarantee, overdue float64
 		stops              bool
 	}{
-		{"saves", 1, "running", 4, 0, true},
-		{"loses its work", 0, "running", 4, 0, false},
-		{"does not run yet", 0, "fetching", 4, 0, true},
+		{"checkpointed task", 1, "running", 4, 0, true},
+		{"task without checkpoints", 0, "running", 4, 0, false},
+		{"task that does not run yet", 0, "fetching", 4, 0, true},
 		{"no guarantee", 1, "running", 0, 0, false},
-		{"would be late by it", 1, "running", 4, 25, false},
+		{"task that would miss its deadline", 1, "running", 4, 25, false},
 	} {
-		ctrl, s, mc := newControllerWithShard(t)
-		ctrl.params.Teams = map[string]Team{"ops": {CPUs: c.guarantee, MaxCPUs: 4}}
-		ctrl.params.GuaranteeWithinS = 10
-		ctrl.quotas.initTeamLedgers()
-		put := func(id string, p Priority, tasks int, cpus, checkpoint, deadline float64, rev uint64) {
-			rec := newTestJobRecord(Range{Lo: 0, Hi: tasks, Shard: "m0"})
-			j := &rec.Job
-			j.ID, j.Team, j.Priority, j.EstimateS, j.DeadlineS, rec.AcceptedAtMS = id, "ops", p, 20, deadline, ctrl.now.WallMS
-			j.Request.CPUs, j.CheckpointIntervalS, j.CheckpointDurationS = cpus, checkpoint, checkpoint
-			ctrl.cache.applyChange(KeyValue{Key: jobKey(id), Value: mustEncode(rec), Rev: rev})
-		}
-		seq := uint64(3)
-		heartbeat := func(tasks ...TaskStatus) []Command {
-			seq++
-			ctrl.HandleHeartbeat(
-				ctrl.now,
-				seq,
-				Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11, Tasks: tasks},
-			)
-			return ctrl.TakeOutputs().HeartbeatResponses[seq].Commands
-		}
-		put("job-000001", Normal, 1, 4, c.checkpoint, c.overdue, 21)
-		ctrl.placer.planShard(s)
-		commands := heartbeat()
-		if len(commands) != 1 {
-			t.Fatalf("%s: the first job is told %+v", c.name, commands)
-		}
-		task := TaskStatus{Task: commands[0].Task, Attempt: commands[0].Attempt, State: c.state}
-		heartbeat(task)
-		put("job-000002", High, 2, 2, 0, 60, 22)
-		ctrl.placer.planShard(s)
-		commands = heartbeat(task)
-		if stopped := len(commands) == 1 && commands[0].Kind == CommandStop && commands[0].GraceS >= c.checkpoint; stopped != c.stops ||
-			!stopped && len(commands) > 0 {
-			t.Errorf("%s: told %+v", c.name, commands)
-			continue
-		}
-		if !c.stops {
-			continue
-		}
-		if usedCPUs := s.usage["ops"].CPUs; usedCPUs != 4 {
-			t.Errorf("%s: a task that was told to stop no longer counts: %g in use", c.name, usedCPUs)
-		}
-		ctrl.now = Now{ctrl.now.MonotonicMS + 2000, ctrl.now.WallMS + 2000}
-		ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
-		task.State, task.Reason, task.Checkpointed = "exited", "stopped", c.checkpoint > 0
-		ctrl.placer.planShard(s)
-		var started []string
-		for _, cmd := range heartbeat(task) {
-			if cmd.Kind == CommandStart {
-				started = append(started, cmd.Task)
+		t.Run(c.name, func(t *testing.T) {
+			ctrl, s, mc := newControllerWithShard(t)
+			ctrl.params.Teams = map[string]Team{"ops": {CPUs: c.guarantee, MaxCPUs: 4}}
+			ctrl.params.GuaranteeWithinS = 10
+			ctrl.quotas.initTeamLedgers()
+			put := func(id string, p Priority, tasks int, cpus, checkpoint, deadline float64, rev uint64) {
+				rec := newTestJobRecord(Range{Lo: 0, Hi: tasks, Shard: "m0"})
+				j := &rec.Job
+				j.ID, j.Team, j.Priority, j.EstimateS, j.DeadlineS = id, "ops", p, 20, deadline
+				j.Request.CPUs, j.CheckpointIntervalS, j.CheckpointDurationS = cpus, checkpoint, checkpoint
+				rec.AcceptedAtMS = ctrl.now.WallMS
+				putRecord(ctrl, jobKey(id), rec, rev)
 			}
-		}
-		if !slices.Equal(started, []string{"job-000002/0", "job-000002/1"}) {
-			t.Errorf("%s: %v start when it is over", c.name, started)
-		}
-		if mc.liveAttemptCount != 2 {
-			t.Errorf("%s: %d attempts on the machine", c.name, mc.liveAttemptCount)
-		}
+			seq := uint64(3)
+			heartbeat := func(tasks ...TaskStatus) []Command {
+				seq++
+				ctrl.HandleHeartbeat(ctrl.now, seq, testHeartbeat("i-1", seq, 11, tasks...))
+				return ctrl.TakeOutputs().HeartbeatResponses[seq].Commands
+			}
+			put("job-000001", Normal, 1, 4, c.checkpoint, c.overdue, 21)
+			ctrl.placer.planShard(s)
+			commands := heartbeat()
+			if len(commands) != 1 {
+				t.Fatalf("commands for the first job: %+v, want one start", commands)
+			}
+			task := TaskStatus{Task: commands[0].Task, Attempt: commands[0].Attempt, State: c.state}
+			heartbeat(task)
+			put("job-000002", High, 2, 2, 0, 60, 22)
+			ctrl.placer.planShard(s)
+			commands = heartbeat(task)
+			if !c.stops {
+				if len(commands) > 0 {
+					t.Errorf("commands %+v, want none", commands)
+				}
+				return
+			}
+			if len(commands) != 1 || commands[0].Kind != CommandStop || commands[0].GraceS < c.checkpoint {
+				t.Fatalf("commands %+v, want a stop with time for a checkpoint", commands)
+			}
+			if usedCPUs := s.usage["ops"].CPUs; usedCPUs != 4 {
+				t.Errorf("a task that is being stopped no longer counts: %g CPUs in use, want 4", usedCPUs)
+			}
+			ctrl.now = Now{ctrl.now.MonotonicMS + 2000, ctrl.now.WallMS + 2000}
+			ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
+			task.State, task.Reason, task.Checkpointed = "exited", "stopped", c.checkpoint > 0
+			ctrl.placer.planShard(s)
+			var started []string
+			for _, cmd := range heartbeat(task) {
+				if cmd.Kind == CommandStart {
+					started = append(started, cmd.Task)
+				}
+			}
+			if want := []string{"job-000002/0", "job-000002/1"}; !slices.Equal(started, want) {
+				t.Errorf("%v start once it has stopped, want %v", started, want)
+			}
+			if mc.liveAttemptCount != 2 {
+				t.Errorf("%d attempts on the machine, want 2", mc.liveAttemptCount)
+			}
+		})
 	}
 }
 
-// A machine that was thought lost tells of a result while the tail that it
-// belongs to goes to a peer. What is left still ends.
+// A machine that was taken for lost sends a result while the range that the task belongs to
+// is moving to a peer. What remains of the range still ends.
 func TestResultsOfMovedRangeDoNotCount(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	put := func(rev uint64, ranges ...Range) {
 		rec := newTestJobRecord(ranges...)
 		rec.Job.Tasks = 4
-		ctrl.cache.applyChange(KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: rev})
+		putRecord(ctrl, jobKey("job-000001"), rec, rev)
 	}
 	put(21, Range{Lo: 0, Hi: 4, Shard: "m0"})
 	tr := ctrl.cache.jobs["job-000001"].taskRanges[0]
 	tr.markDone(0)
 	tr.moving = true
-	ctrl.agents.reconcileTasks(s, mc, &Heartbeat{Machine: "i-1", Incarnation: 1, Seq: 9, Tasks: []TaskStatus{
-		{
-			Task:    "job-000001/3",
-			Attempt: 1,
-			State:   "exited",
-			Reason:  "done",
-		}, {Task: "job-000001/2", Attempt: 2, State: "running"}}})
-	if tr.doneCount != 2 || tr.assignedCount != 0 || len(mc.commands) != 1 || mc.commands[0].Kind != CommandStop ||
-		mc.commands[0].Task != "job-000001/2" {
-		t.Fatalf("while moving: %d done, %d busy, told %+v", tr.doneCount, tr.assignedCount, mc.commands)
+	statuses := []TaskStatus{
+		{Task: "job-000001/3", Attempt: 1, State: "exited", Reason: "done"},
+		{Task: "job-000001/2", Attempt: 2, State: "running"},
+	}
+	ctrl.agents.reconcileTasks(s, mc, &Heartbeat{Machine: "i-1", Incarnation: 1, Seq: 9, Tasks: statuses})
+	isStopped := len(mc.commands) == 1 && mc.commands[0].Kind == CommandStop && mc.commands[0].Task == "job-000001/2"
+	if tr.doneCount != 2 || tr.assignedCount != 0 || !isStopped {
+		t.Fatalf("while moving: %d done, %d assigned, commands %+v", tr.doneCount, tr.assignedCount, mc.commands)
 	}
 	put(22, Range{Lo: 0, Hi: 2, Shard: "m0"}, Range{Lo: 2, Hi: 4, Shard: "m1", MovedFromPeer: true})
 	tr.moving = false
 	if tr.size() != 2 || tr.doneCount != 1 || tr.pending() != 1 {
-		t.Fatalf("%d tasks, %d done, %d wait", tr.size(), tr.doneCount, tr.pending())
+		t.Fatalf("after the move: %d tasks, %d done, %d pending; want 2, 1, 1", tr.size(), tr.doneCount, tr.pending())
 	}
 	tr.markDone(1)
 	ctrl.TakeOutputs()
 	ctrl.shards.tickShard(s)
-	if ops := ctrl.TakeOutputs().StoreOps; !slices.ContainsFunc(ops, func(op StoreOp) bool {
-		return op.Kind == StoreTxn &&
-			slices.ContainsFunc(op.Changes, func(c Change) bool { return c.Key == jobKey("job-000001") })
-	}) {
-		t.Errorf("its end is not written: %+v", ops)
+	writesJob := func(op StoreOp) bool {
+		changesJob := func(c Change) bool { return c.Key == jobKey("job-000001") }
+		return op.Kind == StoreTxn && slices.ContainsFunc(op.Changes, changesJob)
+	}
+	if ops := ctrl.TakeOutputs().StoreOps; !slices.ContainsFunc(ops, writesJob) {
+		t.Errorf("the end of the job is not written: %+v", ops)
 	}
 }
 
-// A notice asks for what the tasks will need that the machine does not end,
-// beyond the room that other machines have.
+// A termination notice forecasts demand for the tasks that the machine will not finish,
+// beyond the capacity of other machines.
 func TestTerminationNoticeForecastsDemand(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	for i, length := range []float64{5, 60} {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})
 		rec.Job.ID, rec.Job.EstimateS, rec.Job.Spot = fmt.Sprintf("job-%06d", i+1), length, true
 		rec.Job.Request.CPUs = 2
-		ctrl.cache.applyChange(KeyValue{Key: jobKey(rec.Job.ID), Value: mustEncode(rec), Rev: uint64(21 + i)})
+		putRecord(ctrl, jobKey(rec.Job.ID), rec, uint64(21+i))
 	}
 	ctrl.placer.planShard(s)
 	ctrl.agents.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 3})
@@ -779,52 +729,35 @@
 	}
 	mc.terminatesAt = ctrl.now.MonotonicMS + 20_000
 	ctrl.placer.planShard(s)
-	if len(s.forecastDemand) != 1 || s.forecastDemand[0].Tasks != 2 || s.forecastDemand[0].TaskRuntimeMS != 60_000 ||
-		!s.forecastDemand[0].SpotOnly {
-		t.Fatalf("with a notice of 20 s: %+v", s.forecastDemand)
+	if len(s.forecastDemand) != 1 {
+		t.Fatalf("with a notice of 20 s: %+v, want one demand", s.forecastDemand)
 	}
-	ctrl.cache.applyChange(
-		KeyValue{
-			Key: registryPrefix + "1-2",
-			Value: mustEncode(
-				registryRecord{
-					Shard:           "m0",
-					Type:            "small",
-					Zone:            "a",
-					Spot:            true,
-					MachineIDs:      []string{"i-2"},
-					ProvisionedAtMS: ctrl.now.WallMS,
-				},
-			),
-			Rev: 30,
-		},
-	)
+	if got := s.forecastDemand[0]; got.Tasks != 2 || got.TaskRuntimeMS != 60_000 || !got.SpotOnly {
+		t.Fatalf("with a notice of 20 s: %+v, want spot machines for 2 tasks of 60 s", got)
+	}
+	page := offering{"small", "a", true}.registryPage("m0", ctrl.now.WallMS)
+	page.MachineIDs = []string{"i-2"}
+	putRecord(ctrl, registryPrefix+"1-2", page, 30)
 	if ctrl.placer.planShard(s); len(s.forecastDemand) != 0 {
 		t.Errorf("with a machine that boots: %+v", s.forecastDemand)
 	}
 }
 
-// A claim whose progress is not read renews no lease: it could not stop a task whose
-// job was cancelled while its shard had no holder.
+// A claim whose progress is not read renews no worker's lease: it could not stop a task whose
+// job was cancelled while its shard had no owner.
 func TestWorkerLeaseIsNotRenewedBeforeShardIsReady(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready = false
-	ctrl.HandleHeartbeat(
-		ctrl.now,
-		5,
-		Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 4, Token: 11},
-	)
+	ctrl.HandleHeartbeat(ctrl.now, 5, testHeartbeat("i-1", 4, 11))
 	if a := ctrl.TakeOutputs().HeartbeatResponses[5]; a.Accepted || a.RedirectTo != "" {
-		t.Errorf("answered %+v", a)
+		t.Errorf("response %+v, want neither accepted nor redirected", a)
 	}
 }
 
-// A machine that an operator drains starts nothing; taken off the list, it does.
+// A machine that an operator drains starts nothing; once off the drain list, it does again.
 func TestUndrainedMachineStartsTasksAgain(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	ctrl.cache.applyChange(
-		KeyValue{Key: jobKey("job-000001"), Value: mustEncode(newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})), Rev: 13},
-	)
+	putTestJob(ctrl, 13, Range{Lo: 0, Hi: 2, Shard: "m0"})
 	running := TaskStatus{Task: "job-000001/0", Attempt: 7 << 28, State: "running"}
 	seq := uint64(3)
 	heartbeatAndTick := func(drainList ...string) {
@@ -832,24 +765,11 @@
 		ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
 		ctrl.cache.settings.Drain = drainList
 		seq++
-		ctrl.HandleHeartbeat(
-			ctrl.now,
-			seq,
-			Heartbeat{
-				Machine:     "i-1",
-				Addr:        "x",
-				Type:        "small",
-				Zone:        "a",
-				Incarnation: 1,
-				Seq:         seq,
-				Token:       11,
-				Tasks:       []TaskStatus{running},
-			},
-		)
+		ctrl.HandleHeartbeat(ctrl.now, seq, testHeartbeat("i-1", seq, 11, running))
 		ctrl.shards.tickShard(s)
 	}
 	heartbeatAndTick("i-1")
-	startsBefore := ctrl.Counters.Starts // the first report came before the list
+	startsBefore := ctrl.Counters.Starts // the first heartbeat came before the list
 	heartbeatAndTick("i-1")
 	if !mc.cordoned || ctrl.Counters.Starts != startsBefore || mc.releasing {
 		t.Errorf("drained: %+v, %d starts", mc, ctrl.Counters.Starts-startsBefore)
@@ -857,30 +777,21 @@
 	heartbeatAndTick()
 	heartbeatAndTick()
 	if mc.cordoned || ctrl.Counters.Starts == startsBefore || mc.releasing {
-		t.Errorf("undone: aside %v, returning %v", mc.cordoned, mc.releasing)
+		t.Errorf("undrained: cordoned %v, releasing %v, %d starts", mc.cordoned, mc.releasing, ctrl.Counters.Starts-startsBefore)
 	}
 }
 
-// After a claim, a few machines that stay silent are given up after half a lease;
-// where most are, it is the network, and they are waited for.
+// After a claim, a few machines that stay silent are released after half a lease; where most
+// are silent, the network is suspected, and they are waited for.
 func TestFewSilentMachinesAreReleasedAfterHalfALease(t *testing.T) {
 	for _, silent := range []int{1, 3} {
 		ctrl, s, _ := newControllerWithShard(t)
 		ids := []string{"i-2", "i-3", "i-4"}
-		ctrl.cache.applyChange(
-			KeyValue{
-				Key:   registryPrefix + "1-2",
-				Value: mustEncode(registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: ids}),
-				Rev:   30,
-			},
-		)
-		ctrl.cache.applyChange(KeyValue{Key: liveMachinesPrefix + "m0/1", Value: mustEncode(liveMachinesRecord{ids}), Rev: 31})
+		page := registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: ids}
+		putRecord(ctrl, registryPrefix+"1-2", page, 30)
+		putRecord(ctrl, liveMachinesPrefix+"m0/1", liveMachinesRecord{ids}, 31)
 		for _, id := range ids[silent:] {
-			ctrl.HandleHeartbeat(
-				ctrl.now,
-				7,
-				Heartbeat{Machine: id, Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: 3, Token: 11},
-			)
+			ctrl.HandleHeartbeat(ctrl.now, 7, testHeartbeat(id, 3, 11))
 		}
 		for _, halfLeasePassed := range []bool{false, true} {
 			if halfLeasePassed {
@@ -893,8 +804,13 @@
 					released++
 				}
 			}
-			if expected := map[bool]int{true: 1}[halfLeasePassed && silent == 1]; released != expected {
-				t.Errorf("%d of 4 silent, half a lease passed %v: %d given up", silent, halfLeasePassed, released)
+			want := 0
+			if halfLeasePassed && silent == 1 {
+				want = 1
+			}
+			if released != want {
+				t.Errorf("%d of 4 silent, half a lease passed %v: %d released, want %d",
+					silent, halfLeasePassed, released, want)
 			}
 		}
 	}
