--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -80,7 +80,7 @@
 			sim.partitionMembersFrom("w", 40_000, 15_000, 20_000)
 			sim.cancelPeriodically(9000, counts)
 		},
-		minCounts: map[string]int{"machine silent past its lease": 20, "machine in a new session": 5, "cancellations": 20},
+		minCounts: map[string]int{"machine lease expired": 20, "machine in a new incarnation": 5, "cancellations": 20},
 	},
 	"member partitioned from the store": {
 		inject: func(_ *testing.T, sim *testSimulation, counts map[string]int) {
@@ -321,9 +321,9 @@
 		sim.observeLogs(func(_ *emulator.Member, line scheduler.LogLine) {
 			duringCut := sim.Now > cutAt && sim.Now < hangAt
 			switch {
-			case line.Message == "machine silent past its lease" && duringCut:
+			case line.Message == "machine lease expired" && duringCut:
 				silent++
-			case line.Message == "machine in a new session" && duringCut:
+			case line.Message == "machine in a new incarnation" && duringCut:
 				returned++
 			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "silent" && duringCut:
 				drained++
