--- a/scheduler/machine_lifecycle.go
+++ b/scheduler/machine_lifecycle.go
@@ -184,5 +184,5 @@
 		return
 	}
 	mc.releasing = true
-	am.log(Info, "machine draining", "machine", mc.id, "type", mc.rec.Type, "why", reason)
+	am.log(Info, "machine draining", "machine", mc.id, "type", mc.rec.Type, "reason", reason)
 }
--- a/scheduler/machine_release.go
+++ b/scheduler/machine_release.go
@@ -14,7 +14,7 @@
 		return
 	}
 	as.pendingReleases[id] = true
-	as.log(Info, "machine marked for release", "machine", id, "why", reason)
+	as.log(Info, "machine marked for release", "machine", id, "reason", reason)
 }
 
 // releaseMachines releases the machines that their owners gave up, as their messages
