--- a/scheduler/machine_reservations.go
+++ b/scheduler/machine_reservations.go
@@ -22,14 +22,14 @@
 }
 
 // reservedResources is the free capacity of a machine that its reservation holds: what is reserved,
-// less what the tasks use that are being stopped for it. A reservation that does not stand any
+// less what the tasks use that are being stopped for it. A reservation that is not valid any
 // more is removed.
 func (qm *quotaManager) reservedResources(mc *machine) availability.Resources {
 	reservation := mc.reservation
 	if reservation == nil {
 		return availability.Resources{}
 	}
-	if !qm.stands(reservation, mc) {
+	if !qm.isReservationValid(mc) {
 		mc.reservation = nil
 		return availability.Resources{}
 	}
@@ -47,10 +47,10 @@
 	return availability.Resources{CPUs: max(0, sum.CPUs), GPUs: max(0, sum.GPUs), MemoryGB: max(0, sum.MemoryGB)}
 }
 
-// stands reports whether a machine's reservation still holds.
-func (qm *quotaManager) stands(reservation *reservation, mc *machine) bool {
-	tr := reservation.taskRange
-	if qm.now.MonotonicMS > reservation.expiresAt || tr.claim != mc.claim {
+// isReservationValid reports whether a machine's reservation still applies.
+func (qm *quotaManager) isReservationValid(mc *machine) bool {
+	tr := mc.reservation.taskRange
+	if qm.now.MonotonicMS > mc.reservation.expiresAt || tr.claim != mc.claim {
 		return false
 	}
 	return qm.cache.isCurrent(tr) && tr.pending() != 0
@@ -101,7 +101,7 @@
 
 // startReserved starts the tasks that a machine's capacity is reserved for, as far as it is free.
 func (qm *quotaManager) startReserved(s *shard, mc *machine, hb *Heartbeat) {
-	qm.reservedResources(mc) // removes a reservation that does not stand any more
+	qm.reservedResources(mc) // removes a reservation that is not valid any more
 	if mc.reservation == nil || !qm.agents.isSchedulable(mc) {
 		return
 	}
--- a/scheduler/progress_records.go
+++ b/scheduler/progress_records.go
@@ -31,7 +31,7 @@
 	sm.store.listAll(progressPrefix+s.name+"/", func(kvs []KeyValue, _ uint64, outcome Outcome) {
 		s.requestPending = false
 		if outcome != OK || sm.ownedShards[s.name] != s {
-			s.plannedAt = sm.now.MonotonicMS
+			s.requestFailedAt = sm.now.MonotonicMS
 			return
 		}
 		done := sm.restoreProgressRecords(s, kvs)
--- a/scheduler/shard.go
+++ b/scheduler/shard.go
@@ -58,12 +58,13 @@
 
 // shardState is how far the shard is on its way from claim to release.
 type shardState struct {
-	progressRead   bool
-	requestPending bool // the read of the progress or the removal of the claim is in flight
-	ready          bool
-	reconciled     bool
-	releasing      bool
-	pacedAt        int64 // when the pacer of starts was last updated
+	progressRead    bool
+	requestPending  bool  // the read of the progress or the removal of the claim is in flight
+	requestFailedAt int64 // when such a request last failed
+	ready           bool
+	reconciled      bool
+	releasing       bool
+	pacedAt         int64 // when the pacer of starts was last updated
 }
 
 // shardMachines are the shard's machines and what is counted over them.
@@ -98,7 +99,7 @@
 type planSchedule struct {
 	dirty         bool  // something changed since the last plan
 	planExpedited bool  // a job arrived: plan sooner
-	plannedAt     int64 // time of the last plan; before the first, of the last try to read the progress
+	plannedAt     int64 // time of the last plan
 	planSteps     int   // cost of the last plan, in planner steps
 }
 
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -245,16 +245,19 @@
 	sm.removeClaim(s)
 }
 
+// removeClaim removes a shard's claim from the store. A failure is retried by the tick; on a
+// conflict the claim is another's already.
 func (sm *shardManager) removeClaim(s *shard) {
 	key := claimKey(s.name)
 	s.requestPending = true
 	sm.store.sendTxn(UrgencyLease, []Precondition{{key, s.token}}, []Change{{Key: key}}, func(r StoreResult) {
 		s.requestPending = false
-		s.plannedAt = sm.now.MonotonicMS
-		if r.Outcome == OK || r.Outcome == Conflict {
-			sm.dropShard(s)
-			sm.ownerlessSinceMS[s.name] = sm.now.MonotonicMS
+		if r.Outcome != OK && r.Outcome != Conflict {
+			s.requestFailedAt = sm.now.MonotonicMS
+			return
 		}
+		sm.dropShard(s)
+		sm.ownerlessSinceMS[s.name] = sm.now.MonotonicMS
 	})
 }
 
--- a/scheduler/shard_tick.go
+++ b/scheduler/shard_tick.go
@@ -45,7 +45,7 @@
 // mayRetryRequest reports whether the read of a shard's progress, or the removal of its
 // claim, is due again.
 func (sm *shardManager) mayRetryRequest(s *shard) bool {
-	return !s.requestPending && sm.now.MonotonicMS-s.plannedAt > shardRetryDelayMS
+	return !s.requestPending && sm.now.MonotonicMS-s.requestFailedAt > shardRetryDelayMS
 }
 
 // tickReadiness makes a shard ready once its progress is read and the cache has passed
