--- a/cmd/grebedock/user_and_operator.go
+++ b/cmd/grebedock/user_and_operator.go
@@ -149,6 +149,14 @@
 			return nil
 		},
 	})
+	addJobFlags(cmd, &j)
+	cmd.Flags().BoolVar(&wait, "wait", false, "wait until it is over")
+	_ = cmd.MarkFlagRequired("team")
+	return cmd
+}
+
+// addJobFlags adds the flags that describe a job.
+func addJobFlags(cmd *cobra.Command, j *client.Job) {
 	f := cmd.Flags()
 	f.StringVar(&j.ID, "id", "", "id, \"job-\" and digits; default: a new one")
 	f.StringVar(&j.Team, "team", "", "team whose guarantee and limit apply")
@@ -170,9 +178,6 @@
 	f.Float64Var(&j.CheckpointS, "checkpoint", 0, "between two checkpoints of a task, s; 0: it saves nothing")
 	f.Float64Var(&j.CheckpointDurationS, "save", 0, "that a stopped task needs to save, s")
 	f.Float64Var(&j.DeadlineS, "deadline", 0, "when the job is to be complete, s from now; 0: no deadline")
-	f.BoolVar(&wait, "wait", false, "wait until it is over")
-	_ = cmd.MarkFlagRequired("team")
-	return cmd
 }
 
 func jobCommand() *cobra.Command {
@@ -180,7 +185,8 @@
 	var wait bool
 	cmd := options.addFlags(&cobra.Command{
 		Use: "job ID", Short: "Ask how far a job is", Args: cobra.ExactArgs(1),
-		Long: "Ask how far a job is. Exit codes: 0 told (with --wait: done), 1 no answer, 2 no such job,\n4 cancelled (with --wait).",
+		Long: "Ask how far a job is. Exit codes: 0 told (with --wait: done), 1 no answer, 2 no such job,\n" +
+			"4 cancelled (with --wait).",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, ctx, stop, err := options.newClient(cmd)
 			if err != nil {
@@ -445,7 +451,8 @@
 	cmd := o.addFlags(&cobra.Command{
 		Use: "drain MACHINE...", Short: "Give machines back once nothing runs on them", Args: cobra.MinimumNArgs(1),
 		Long: "Adds machines to the setting drain: they start nothing new and are given back when they\n" +
-			"are empty. --undo takes them off it: they take work again, unless they are empty and on\ntheir way back already. Prints what is on the list then.",
+			"are empty. --undo takes them off it: they take work again, unless they are empty and on\n" +
+			"their way back already. Prints what is on the list then.",
 		Example: "  grebedock drain --addr 10.0.0.1:8081 i-000231",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var s scheduler.Settings
