--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -185,7 +185,7 @@
 	c.scaler.tickFleet()
 	c.requests.writeQueuedSubmissions()
 	c.requests.sendQueryBatch()
-	c.requests.confirmMirroredSubmissions()
+	c.requests.confirmCachedSubmissions()
 	c.requests.expediteSlowRequests()
 }
 
--- a/scheduler/params.go
+++ b/scheduler/params.go
@@ -32,21 +32,21 @@
 	Teams            map[string]Team
 	Objectives       map[string][]Objective // by class of jobs
 	GuaranteeWithinS float64                // work within a guarantee starts this soon; 0: no such objective
-	HeartbeatS       float64
-	LeaseS           float64
-	CancelWithinS    float64
-	CPUShare         float64 // of one core; 0: not limited
-	Debug            bool    // debug log lines are wanted
-	MaxValueBytes    int
-	MaxTxnOps        int
-	CloudListLagS    float64
-	StoreChangeRate  float64 // store changes per second for this member; 0: submissions are written one by one
-	MaxPendingRelays int     // users' requests relayed to peers at the same time; 0: none
-	Aging            bool    // first tasks of jobs that waited too long precede others of their priority
-	Quota            bool    // tasks beyond their team's guarantee are stopped for the guarantees of others
-	Rollout          bool    // machines are drained and replaced in steps, by rollout plans
-	Recovery         bool    // commands after a claim are paced, and the state of unreachable machines is recorded
-	LeaseTTLRatio    float64 // of the longest safe lease TTL, in (0,1]; 0: 1
+	HeartbeatS       float64                // interval of workers' heartbeats
+	LeaseS           float64                // of workers: without a response, they stop their tasks after it
+	CancelWithinS    float64                // a cancelled job's tasks are stopped within it, in any outage
+	CPUShare         float64                // of one core; 0: not limited
+	Debug            bool                   // debug log lines are wanted
+	MaxValueBytes    int                    // of a value of the store
+	MaxTxnOps        int                    // changes in a transaction of the store
+	CloudListLagS    float64                // how old the list of the cloud may be
+	StoreChangeRate  float64                // store changes per second for this member; 0: submissions are written one by one
+	MaxPendingRelays int                    // users' requests relayed to peers at the same time; 0: none
+	Aging            bool                   // first tasks of jobs that waited too long precede others of their priority
+	Quota            bool                   // tasks beyond their team's guarantee are stopped for the guarantees of others
+	Rollout          bool                   // machines are drained and replaced in steps, by rollout plans
+	Recovery         bool                   // commands after a claim are paced, and the state of unreachable machines is recorded
+	LeaseTTLRatio    float64                // of the longest safe lease TTL, in (0,1]; 0: 1
 }
 
 // MemberIDs lists all members, sorted. Shards have the same names.
--- a/scheduler/query_batches.go
+++ b/scheduler/query_batches.go
@@ -45,7 +45,7 @@
 	}
 	batches.batchInFlight = true
 	rh.Counters.QueryBatches++
-	rh.cache.syncMirror(func(outcome Outcome) {
+	rh.cache.syncNow(func(outcome Outcome) {
 		batches.batchInFlight = false
 		rh.completeBatch(batch, outcome)
 		rh.sendQueryBatch()
@@ -64,14 +64,14 @@
 		}
 	default:
 		for _, pending := range batch {
-			rh.completeFromMirror(pending)
+			rh.completeFromCache(pending)
 		}
 	}
 }
 
-// completeFromMirror answers a query from the cache, which is as new as the query. A job
+// completeFromCache answers a query from the cache, which is as new as the query. A job
 // that is not live is over, or was never accepted.
-func (rh *requestHandler) completeFromMirror(pending *pendingRequest) {
+func (rh *requestHandler) completeFromCache(pending *pendingRequest) {
 	id := pending.request.ID
 	j := rh.cache.jobs[id]
 	switch {
--- a/scheduler/state_cache.go
+++ b/scheduler/state_cache.go
@@ -255,9 +255,9 @@
 	return cache.placementCatalog.ShouldAvoid(&request, t.Name)
 }
 
-// syncMirror brings the cache up to everything that was written before the call, by a
+// syncNow brings the cache up to everything that was written before the call, by a
 // watch that does not wait.
-func (cache *stateCache) syncMirror(onResult func(Outcome)) {
+func (cache *stateCache) syncNow(onResult func(Outcome)) {
 	cache.store.sendStore(
 		StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: cache.mirrorRevision},
 		func(result StoreResult) {
--- a/scheduler/submission_random_test.go
+++ b/scheduler/submission_random_test.go
@@ -171,7 +171,7 @@
 				elapsedMS := rapid.Int64Range(1, 800).Draw(t, "ms")
 				ctrl.now.MonotonicMS, ctrl.now.WallMS = ctrl.now.MonotonicMS+elapsedMS, ctrl.now.WallMS+elapsedMS
 			}
-			ctrl.requests.confirmMirroredSubmissions()
+			ctrl.requests.confirmCachedSubmissions()
 			collect()
 		}
 		for len(openOps) > 0 {
--- a/scheduler/submission_test.go
+++ b/scheduler/submission_test.go
@@ -228,7 +228,7 @@
 		t.Fatalf("a submission asks %+v", ops)
 	}
 	ctrl.now.MonotonicMS += ctrl.store.storeAccess.OverdueAfterMS() / 2
-	ctrl.requests.confirmMirroredSubmissions()
+	ctrl.requests.confirmCachedSubmissions()
 	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps)+len(outputs.UserResponses) > 0 {
 		t.Fatalf("a record that nobody saw is asked for: %+v", outputs)
 	}
@@ -240,8 +240,8 @@
 func TestSubmissionWithLostResponseIsConfirmedByItsRecord(t *testing.T) {
 	ctrl, write, record := submitWithoutStoreResponse(t)
 	ctrl.cache.applyChange(record)
-	ctrl.requests.confirmMirroredSubmissions()
-	ctrl.requests.confirmMirroredSubmissions()
+	ctrl.requests.confirmCachedSubmissions()
+	ctrl.requests.confirmCachedSubmissions()
 	ops := ctrl.TakeOutputs().StoreOps
 	if len(ops) != 1 || ops[0].Kind != StoreGet || ops[0].Key != record.Key {
 		t.Fatalf("asks %+v", ops)
@@ -251,7 +251,7 @@
 		t.Fatalf("answered %+v", resp)
 	}
 	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Outcome: Unknown})
-	ctrl.requests.confirmMirroredSubmissions()
+	ctrl.requests.confirmCachedSubmissions()
 	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps)+len(outputs.UserResponses) > 0 {
 		t.Errorf("after the answer %+v", outputs)
 	}
@@ -262,7 +262,7 @@
 	for _, outcome := range []Outcome{Unknown, Refused, Throttled} {
 		ctrl, write, record := submitWithoutStoreResponse(t)
 		ctrl.cache.applyChange(record)
-		ctrl.requests.confirmMirroredSubmissions()
+		ctrl.requests.confirmCachedSubmissions()
 		ops := ctrl.TakeOutputs().StoreOps
 		if len(ops) != 1 {
 			t.Fatalf("%v: asks %+v", outcome, ops)
--- a/scheduler/submissions.go
+++ b/scheduler/submissions.go
@@ -88,7 +88,9 @@
 	}
 	if rh.store.isStoreUnreachable() {
 		for _, queued := range rh.submissionQueue.Drain() {
-			rh.completeRequest(queued.Value.replyID, unavailableResponse(queued.Value.request.ID, storeUnreachableMessage))
+			submission := queued.Value
+			response := unavailableResponse(submission.request.ID, storeUnreachableMessage)
+			rh.completeRequest(submission.replyID, response)
 		}
 		return
 	}
@@ -237,12 +239,12 @@
 	}
 }
 
-// confirmMirroredSubmissions answers submissions whose write takes longer than is typical,
+// confirmCachedSubmissions answers submissions whose write takes longer than is typical,
 // if the cache has their record: the result of the write may be lost. The record is read
 // from the store, since it may have changed. Its absence from the cache proves nothing,
 // so a write that may still be carried out is settled only by its own end. Each costs one
 // read, in place of the one that follows a write without a result.
-func (rh *requestHandler) confirmMirroredSubmissions() {
+func (rh *requestHandler) confirmCachedSubmissions() {
 	for _, pending := range rh.requestsByArrival {
 		if rh.now.MonotonicMS-pending.receivedAtMS <= rh.store.storeAccess.TypicalLatencyMS() {
 			break
