--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -55,7 +55,7 @@
 
 // attemptStop is why an attempt is to be stopped.
 type attemptStop struct {
-	evicted           bool // the worker was told to stop it, for its machine to be emptied
+	evicted           bool // its stop was sent, for its machine to be emptied
 	reclaimed         bool // for another team's guarantee
 	stopRequested     bool // for that, or for a higher priority
 	preemptorPriority Priority
@@ -116,7 +116,7 @@
 	am.releaseResources(mc, a)
 }
 
-// recordLoss accounts for an attempt that is over without the worker's word.
+// recordLoss accounts for an attempt that is over though the worker did not report its end.
 func (am *agentManager) recordLoss(a *attempt) {
 	am.shards.failJobOnTaskLoss(a)
 	if a.evicted {
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -149,7 +149,10 @@
 // sendUrgentStarts sends planned starts that should not wait for a heartbeat as direct commands.
 func (am *agentManager) sendUrgentStarts(s *shard) {
 	for _, mc := range s.machines {
-		if !am.canSendUrgentStarts(mc) {
+		if len(mc.plannedStarts) == 0 || !am.acceptsDirectCommand(mc) {
+			continue
+		}
+		if !slices.ContainsFunc(mc.plannedStarts, am.isUrgent) {
 			continue
 		}
 		mc.commands = mc.commands[:0]
@@ -172,17 +175,13 @@
 	}
 }
 
-// canSendUrgentStarts reports whether a machine has urgent starts and its worker can be sent a direct
-// command. A start to one that is silent would only be one more thing unknown.
-func (am *agentManager) canSendUrgentStarts(mc *machine) bool {
-	if len(mc.plannedStarts) == 0 || mc.directCommandPending || mc.directCommandRefused {
-		return false
-	}
-	if !mc.IsReconciled() || mc.addr == "" {
-		return false
-	}
-	if am.now.MonotonicMS-mc.LastHeartbeatAt > am.maxHeartbeatIntervalMS() {
+// acceptsDirectCommand reports whether a direct command may be sent to a machine's worker now: it is reconciled,
+// no other command is unanswered or was refused, and it sent a heartbeat lately. A start to a silent one would
+// only be one more thing unknown.
+func (am *agentManager) acceptsDirectCommand(mc *machine) bool {
+	if mc.directCommandPending || mc.directCommandRefused {
 		return false
 	}
-	return slices.ContainsFunc(mc.plannedStarts, am.isUrgent)
+	isSilent := am.now.MonotonicMS-mc.LastHeartbeatAt > am.maxHeartbeatIntervalMS()
+	return mc.IsReconciled() && mc.addr != "" && !isSilent
 }
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -48,7 +48,7 @@
 
 // restoreRecoveryRecord takes what an earlier claim wrote. A record that cannot be read is logged and ignored.
 func (am *agentManager) restoreRecoveryRecord(s *shard, kv KeyValue) {
-	s.memory.writeState.rev = kv.Rev
+	s.recovery.writeState.rev = kv.Rev
 	var rec recoveryRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
 		am.log(Warn, "record unreadable", "key", kv.Key, "error", err)
@@ -66,10 +66,10 @@
 }
 
 // writeRecoveryRecord writes a shard's recovery record when it has changes; with recovery off, when entries
-// that were made while it was on are out of date. What it says of unreachable machines holds until another
+// that were made while it was on are out of date. Its entries of unreachable machines stand until another
 // record is certain to have taken its place.
 func (am *agentManager) writeRecoveryRecord(s *shard) {
-	recovery, now := &s.memory, am.now.MonotonicMS
+	recovery, now := &s.recovery, am.now.MonotonicMS
 	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt {
 		return
 	}
@@ -106,7 +106,7 @@
 // claim after ours waits for them with no more than that. It does not where this member may be the silent one:
 // after it stood still, without the store, or when it is more than a few machines.
 func (am *agentManager) recordUnreachableMachines(s *shard) {
-	recovery, now := &s.memory, am.now.MonotonicMS
+	recovery, now := &s.recovery, am.now.MonotonicMS
 	if now-recovery.lastTickMS > am.maxHeartbeatIntervalMS()/4 {
 		recovery.quietUntilMS = now + am.maxHeartbeatIntervalMS()
 	}
