--- a/scheduler/machine_lifecycle.go
+++ b/scheduler/machine_lifecycle.go
@@ -6,8 +6,8 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// A machine's way out. Each step is taken by tickMachine, and asks nothing that a later claim would have to
-// know:
+// The way of a machine out of the fleet. Each step is taken by tickMachine, and no later claim needs to know
+// of it:
 //
 //	from       event                                            to
 //	in use     lease expired                                    its attempts are lost; in use again with a heartbeat
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -15,8 +15,8 @@
 // Machines are recorded many at a time, since the state service counts the keys that are changed and a fleet
 // of hundreds comes and goes within a minute: one page for the machines that came together to a shard, written
 // by the leader and by no other member, and a few lists for a shard of those that are up, written by its
-// owner. A machine's end is the end of its entry in a page: the leader writes it only on the cloud's word that
-// the machine is gone with everything on it.
+// owner. A machine is gone when no page names it: the leader removes it only once the cloud confirms that the
+// machine is gone with everything on it.
 type machineRegistry struct {
 	*environment
 	agents *agentManager
@@ -241,8 +241,8 @@
 	}
 }
 
-// deleteMachine handles the removal of a machine from its registry page, which follows only the cloud's word
-// that the machine is gone with everything on it.
+// deleteMachine handles the removal of a machine from its registry page, which follows only once the cloud
+// confirms that the machine is gone with everything on it.
 func (mr *machineRegistry) deleteMachine(id string) {
 	mc := mr.machines[id]
 	if mc == nil {
--- a/scheduler/machine_reservations.go
+++ b/scheduler/machine_reservations.go
@@ -61,7 +61,7 @@
 // fails goes with the response to the next heartbeat.
 func (qm *quotaManager) sendReclaimStops(s *shard) {
 	for _, mc := range s.machines {
-		if mc.reservation == nil || mc.reservation.stopsSent || !qm.acceptsDirectCommand(mc) {
+		if mc.reservation == nil || mc.reservation.stopsSent || !qm.agents.acceptsDirectCommand(mc) {
 			continue
 		}
 		mc.reservation.stopsSent = true
@@ -73,39 +73,20 @@
 	}
 }
 
-// acceptsDirectCommand reports whether a command may be sent to a machine's worker now: it is
-// reconciled, sent a heartbeat lately, and no other command is in flight or was refused.
-func (qm *quotaManager) acceptsDirectCommand(mc *machine) bool {
-	if mc.directCommandPending || mc.directCommandRefused {
-		return false
-	}
-	isLive := qm.now.MonotonicMS-mc.LastHeartbeatAt <= qm.maxHeartbeatIntervalMS()
-	return isLive && mc.IsReconciled() && mc.addr != ""
-}
-
 // queueReclaimStops makes a machine's commands the stops of its reclaimed tasks.
 func (qm *quotaManager) queueReclaimStops(s *shard, mc *machine) {
 	mc.commands = mc.commands[:0]
 	for _, a := range mc.byKey {
-		if !a.reclaimed || a.exited || a.checkpointing {
-			continue
+		if a.reclaimed && !a.exited && !a.checkpointing {
+			qm.agents.queueCommand(s, mc, qm.stopAfterCheckpoint(a))
 		}
-		qm.agents.queueCommand(s, mc, Command{
-			Kind:    CommandStop,
-			Task:    a.key.task,
-			Attempt: a.key.attempt,
-			GraceS:  a.job.CheckpointDurationS + qm.params.HeartbeatS,
-		})
 	}
 }
 
 // startReserved starts the tasks that a machine's capacity is reserved for, as far as it is free.
 func (qm *quotaManager) startReserved(s *shard, mc *machine, hb *Heartbeat) {
-	qm.reservedResources(mc) // removes a reservation that is not valid any more
-	if mc.reservation == nil || !qm.agents.isSchedulable(mc) {
-		return
-	}
-	if !mc.Up || !mc.IsReconciled() || !qm.store.hasAuthority() {
+	qm.reservedResources(mc) // removes a reservation that does not stand any more
+	if mc.reservation == nil || !qm.agents.canStartOn(mc) {
 		return
 	}
 	reservation := mc.reservation
@@ -116,9 +97,12 @@
 		if i < 0 || !qm.mayStartReserved(s, tr, mc) {
 			return
 		}
-		fetchMS := qm.agents.fetchTime(j, mc, qm.cache.machineTypes[mc.rec.Type])
-		start := taskStart{taskRange: tr, taskIndex: i, runtimeMS: qm.estimates.expectedRuntime(j), fetchMS: fetchMS}
-		qm.agents.startTask(s, mc, hb, start)
+		qm.agents.startTask(s, mc, hb, taskStart{
+			taskRange: tr,
+			taskIndex: i,
+			runtimeMS: qm.estimates.expectedRuntime(j),
+			fetchMS:   qm.agents.fetchTime(j, mc, qm.cache.machineTypes[mc.rec.Type]),
+		})
 	}
 }
 
--- a/scheduler/runtime_estimator.go
+++ b/scheduler/runtime_estimator.go
@@ -68,7 +68,7 @@
 	return false
 }
 
-// buildRecord is what a recovery record says of run times, and each class's ratio in hundredths, also of those
+// buildRecord makes the run times of a recovery record, and each class's ratio in hundredths, also of those
 // for which it has no room.
 func (re *runtimeEstimator) buildRecord() (runtimes map[string]runtimeRecord, hundredths map[string]int64) {
 	runtimes, hundredths = map[string]runtimeRecord{}, map[string]int64{}
--- a/scheduler/shard.go
+++ b/scheduler/shard.go
@@ -36,7 +36,7 @@
 
 	attemptIDs reconcile.AttemptIDs
 	reconciler *reconcile.Claim // what is known about its machines since the claim
-	memory     recoveryState
+	recovery   recoveryState
 	disruption shardDisruption
 
 	taskRanges      []*taskRange // sorted by taskRange.compare
--- a/scheduler/task_status.go
+++ b/scheduler/task_status.go
@@ -74,7 +74,7 @@
 	return tr, i, reconcile.Unassigned
 }
 
-// adoptAttempt goes on with a task that an earlier claim started. Its attempt ID says when.
+// adoptAttempt goes on with a task that an earlier claim started. Its attempt ID has the time of the start.
 func (am *agentManager) adoptAttempt(s *shard, mc *machine, status TaskStatus, tr *taskRange, i int) *attempt {
 	j := &tr.job.rec.Job
 	a := &attempt{
@@ -100,8 +100,8 @@
 	return a
 }
 
-// applyTaskStatus takes what a heartbeat, or the answer to a direct command, says of an attempt, and queues
-// what the worker is to do about it.
+// applyTaskStatus takes the status of an attempt in a heartbeat, or in the answer to a direct command, and
+// queues the commands that follow from it.
 func (am *agentManager) applyTaskStatus(s *shard, mc *machine, a *attempt, status TaskStatus, hb *Heartbeat) {
 	current := am.cache.isCurrent(a.taskRange)
 	if a.job.Image != "" && status.State != taskFetching {
