--- a/cmd/grebedock/lab_load.go
+++ b/cmd/grebedock/lab_load.go
@@ -39,6 +39,18 @@
 	json               bool
 }
 
+func (o *loadOptions) validate() error {
+	invalidRate := !(o.rate > 0) || o.duration <= 0 || o.pollsPerSubmission < 0
+	invalidShare := o.cancelShare < 0 || o.cancelShare > 1
+	if !invalidRate && !invalidShare && o.tasks >= 1 && len(o.addrs) > 0 {
+		return nil
+	}
+	return &codedError{
+		errors.New("--rate, --for and --tasks must be above 0, --cancels from 0 to 1, --polls not negative"),
+		exitInvalid,
+	}
+}
+
 func loadCommand() *cobra.Command {
 	var o loadOptions
 	cmd := &cobra.Command{
@@ -52,15 +64,8 @@
 		Example: "  grebedock lab load --rate 200 --for 30s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if !(o.rate > 0) || o.duration <= 0 || o.pollsPerSubmission < 0 || o.cancelShare < 0 || o.cancelShare > 1 ||
-				o.tasks < 1 ||
-				len(o.addrs) == 0 {
-				return &codedError{
-					errors.New(
-						"--rate, --for and --tasks must be above 0, --cancels from 0 to 1, --polls not negative",
-					),
-					exitInvalid,
-				}
+			if err := o.validate(); err != nil {
+				return err
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -73,10 +78,8 @@
 				return errors.New("nothing was sent")
 			case len(r.HistoryViolations) > 0:
 				return &codedError{
-					fmt.Errorf(
-						"no order of events explains %d jobs, the first: %s", len(r.HistoryViolations),
-						r.HistoryViolations[0],
-					),
+					fmt.Errorf("no order of events explains %d jobs, the first: %s",
+						len(r.HistoryViolations), r.HistoryViolations[0]),
 					exitFailed,
 				}
 			}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -98,8 +98,8 @@
 }
 
 func (l *Lab) configure(o Options) error {
-	held, err := l.chooseAddrs(o)
-	defer closeAll(held)
+	listeners, err := l.chooseAddrs(o)
+	defer closeAll(listeners)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 
 // chooseAddrs takes two free addresses for each member. The listeners hold them
 // until the platform has its own; closed, they are free for the members.
-func (l *Lab) chooseAddrs(o Options) (held []net.Listener, err error) {
+func (l *Lab) chooseAddrs(o Options) (listeners []net.Listener, err error) {
 	for i := range o.Members {
 		userAddr := "127.0.0.1:0"
 		if o.FirstPort != 0 {
@@ -126,14 +126,14 @@
 		for i, addr := range addrs {
 			listener, err := net.Listen("tcp4", addr)
 			if err != nil {
-				return held, fmt.Errorf("%w (another lab? --front names other ports)", err)
+				return listeners, fmt.Errorf("%w (another lab? --front names other ports)", err)
 			}
-			held = append(held, listener)
+			listeners = append(listeners, listener)
 			addrs[i] = listener.Addr().String()
 		}
 		l.UserAddrs, l.PeerAddrs = append(l.UserAddrs, addrs[0]), append(l.PeerAddrs, addrs[1])
 	}
-	return held, nil
+	return listeners, nil
 }
 
 func closeAll(listeners []net.Listener) {
--- a/workflow/golden_test.go
+++ b/workflow/golden_test.go
@@ -73,7 +73,7 @@
 }
 
 func TestStoreKeysKeepTheirForm(t *testing.T) {
-	for _, k := range []struct{ got, want string }{
+	for _, k := range []struct{ key, expected string }{
 		{LivePrefix, "l/x/w/"},
 		{liveKey("run"), "l/x/w/run"},
 		{pageKey("run", "d", 0), "w/run/d0"},
@@ -82,8 +82,8 @@
 		{jobIDOf("run", "step/tool", 0, nil), "job-3199551016688555"},
 		{jobIDOf("run", "step/tool", 100, map[string]int{"step/tool": 2}), "job-102"},
 	} {
-		if k.got != k.want {
-			t.Errorf("the key is %q, not %q", k.got, k.want)
+		if k.key != k.expected {
+			t.Errorf("the key is %q, not %q", k.key, k.expected)
 		}
 	}
 }
