--- a/schedules/spec.go
+++ b/schedules/spec.go
@@ -11,9 +11,9 @@
 //
 //	moment      input                                       to          effect
 //	future      it has come on every clock                  due
-//	due         busy is queue or replace, the preceding     due         asked again in a second; replace
+//	due         busy is queue or replace, the preceding     due         queried again in a second; replace
 //	            run is not over                                         cancels it
-//	due         missed, late or busy policies skip it       skipped     the reason is logged with it
+//	due         missed, late or busy policies skip it       skipped     the decision has the reason
 //	due         the write of the decision is stored         pending     its job is submitted
 //	due         the write is refused or in doubt            due         the stored record is read again
 //	pending     submitted, or refused for good              done        left out of the next decision
