--- a/scheduler/params.go
+++ b/scheduler/params.go
@@ -33,19 +33,19 @@
 	Objectives       map[string][]Objective // by class of jobs
 	GuaranteeWithinS float64                // work within a guarantee starts this soon; 0: no such objective
 	HeartbeatS       float64                // interval of workers' heartbeats
-	LeaseS           float64                // of workers: without a response, they stop their tasks after it
+	LeaseS           float64                // workers stop their tasks so long after the last response
 	CancelWithinS    float64                // a cancelled job's tasks are stopped within it, in any outage
 	CPUShare         float64                // of one core; 0: not limited
 	Debug            bool                   // debug log lines are wanted
 	MaxValueBytes    int                    // of a value of the store
 	MaxTxnOps        int                    // changes in a transaction of the store
 	CloudListLagS    float64                // how old the list of the cloud may be
-	StoreChangeRate  float64                // store changes per second for this member; 0: submissions are written one by one
+	StoreChangeRate  float64                // store changes per second; 0: submissions are written one by one
 	MaxPendingRelays int                    // users' requests relayed to peers at the same time; 0: none
 	Aging            bool                   // first tasks of jobs that waited too long precede others of their priority
 	Quota            bool                   // tasks beyond their team's guarantee are stopped for the guarantees of others
 	Rollout          bool                   // machines are drained and replaced in steps, by rollout plans
-	Recovery         bool                   // commands after a claim are paced, and the state of unreachable machines is recorded
+	Recovery         bool                   // commands after a claim are paced, and unreachable machines are recorded
 	LeaseTTLRatio    float64                // of the longest safe lease TTL, in (0,1]; 0: 1
 }
 
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -16,10 +16,10 @@
 		manyTeams[TaskName("team", i)] = disruption.Budget{}
 	}
 	for _, tc := range []struct {
-		name      string
-		change    func(*Settings)
-		wantField string
-		wantText  string
+		name   string
+		change func(*Settings)
+		field  string
+		text   string
 	}{
 		{"no functions", func(s *Settings) { s.Functions = 0 }, "functions", "functions must be from 1 to 1000"},
 		{"one sample", func(s *Settings) { s.Samples = 1 }, "samples", "samples must be from 2 to 100"},
@@ -44,8 +44,8 @@
 			if !errors.As(err, &fieldError) {
 				t.Fatalf("got %v, want a FieldError", err)
 			}
-			if fieldError.Field != tc.wantField || err.Error() != tc.wantText {
-				t.Errorf("got field %q, text %q; want %q, %q", fieldError.Field, err, tc.wantField, tc.wantText)
+			if fieldError.Field != tc.field || err.Error() != tc.text {
+				t.Errorf("got field %q, text %q; want %q, %q", fieldError.Field, err, tc.field, tc.text)
 			}
 		})
 	}
