--- a/scheduler/controller_test.go
+++ b/scheduler/controller_test.go
@@ -306,7 +306,8 @@
 		for i := 0; i < r.Hi-r.Lo; i += 2 {
 			done.set(i)
 		}
-		if n := len(mustEncode(progressRecord{map[string][]byte{"job-000001/100000": done}})); n > ctrl.params.MaxValueBytes {
+		progress := progressRecord{map[string][]byte{"job-000001/100000": done}}
+		if n := len(mustEncode(progress)); n > ctrl.params.MaxValueBytes {
 			t.Errorf("progress of %v takes %d bytes", r, n)
 		}
 	}
@@ -585,7 +586,8 @@
 		mc.commands = nil
 		ctrl.agents.startFromQueue(s, mc, &Heartbeat{Incarnation: 1, Seq: 4})
 		if len(mc.commands) != 1 || mc.commands[0].Task != c.expected {
-			t.Errorf("with %d ms to the objective: commands %+v, want a start of %s", c.slackMS, mc.commands, c.expected)
+			t.Errorf("with %d ms to the objective: commands %+v, want a start of %s",
+				c.slackMS, mc.commands, c.expected)
 		}
 	}
 }
--- a/scheduler/crash_of_all_members_test.go
+++ b/scheduler/crash_of_all_members_test.go
@@ -84,7 +84,7 @@
 ) func(*testSimulation) outcomeCheck {
 	return func(sim *testSimulation) outcomeCheck {
 		crashes := 0
-		sim.crashAllWhen(&crashes, func(_ *emulator.Member, outputs *scheduler.Outputs) bool { return trigger(outputs) })
+		sim.crashAllWhen(&crashes, func(_ *emulator.Member, o *scheduler.Outputs) bool { return trigger(o) })
 		return requireAtLeast(n, description, &crashes)
 	}
 }
--- a/scheduler/fault_pairs_test.go
+++ b/scheduler/fault_pairs_test.go
@@ -22,7 +22,7 @@
 func TestInvariantsSurvivePairsOfFaults(t *testing.T) {
 	// A burst is of this test's jobs: the emulator does not know it.
 	faults := append(slices.Clone(emulator.Faults), emulator.Fault{Name: "a burst"})
-	taskRunMS := func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(15_000) }
+	taskRunMS := taskRunsFor(1000, 15_000)
 	inject := func(sim *testSimulation, fault emulator.Fault) {
 		if fault.Inject == nil {
 			sim.submitBurst()
--- a/scheduler/fault_scenario_helpers_test.go
+++ b/scheduler/fault_scenario_helpers_test.go
@@ -15,6 +15,13 @@
 	}
 }
 
+// taskRunsFor has each task run for minMS and up to rangeMS more.
+func taskRunsFor(minMS, rangeMS int64) func(*emulator.Simulation, *emulator.Job, string) int64 {
+	return func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
+		return minMS + sim.Rand.Int64N(rangeMS)
+	}
+}
+
 func (sim *testSimulation) randomBetween(from, to int64) int64 {
 	return from + sim.Rand.Int64N(to-from)
 }
@@ -47,6 +54,11 @@
 	sim.Partitions = append(sim.Partitions, p)
 }
 
+// partitionWorker partitions a machine from all members for minMS and up to rangeMS more.
+func (sim *testSimulation) partitionWorker(worker *emulator.Worker, minMS, rangeMS int64) {
+	sim.partition(emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + minMS + sim.Rand.Int64N(rangeMS)})
+}
+
 // partitionMembersFrom partitions a random member about every intervalMS, for minMS and up to rangeMS
 // more, from a kind of peers ("w" for its workers) or, with "", from all.
 func (sim *testSimulation) partitionMembersFrom(peers string, intervalMS, minMS, rangeMS int64) {
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -20,6 +20,7 @@
 	checkpointing := func(j *Job) { j.CheckpointIntervalS, j.CheckpointDurationS = 5, 1 }
 	atMostOnce := func(j *Job) { checkpointing(j); j.AtMostOnce = true }
 	threeTasks := func(j *Job) { checkpointing(j); j.Tasks = 3 }
+	shortTask := func(j *Job) { checkpointing(j); j.EstimateS = 31 }
 	unchanged := func(*Job) {}
 	for _, c := range []guaranteeCase{
 		{"checkpointed task", checkpointing, 30_000, 0, 8, "", true},
@@ -29,7 +30,7 @@
 		{"replica of a service", func(j *Job) { j.Kind = Service }, 5_000, 0, 8, "", false},
 		{"task within its own team's guarantee", checkpointing, 30_000, 8, 8, "", false},
 		{"job beyond its team's guarantee, team within", threeTasks, 30_000, 8, 8, "", false},
-		{"task that ends as soon by itself", func(j *Job) { checkpointing(j); j.EstimateS = 31 }, 30_000, 0, 8, "", false},
+		{"task that ends as soon by itself", shortTask, 30_000, 0, 8, "", false},
 		{"task stopped for that team before", checkpointing, 30_000, 0, 8, "ops", false},
 		{"task stopped for another team before", checkpointing, 30_000, 0, 8, "third", true},
 		{"requesting team beyond its guarantee", checkpointing, 30_000, 0, 7, "", false},
--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -118,13 +118,19 @@
 						}
 						j := sim.randomJob()
 						query := scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}
-						sim.sendAndReceive(m, j, query, func(scheduler.UserResponse) { counts["answers around a wake"]++ })
+						countResponse := func(scheduler.UserResponse) { counts["responses around a resume"]++ }
+						sim.sendAndReceive(m, j, query, countResponse)
 					})
 				}
 			})
 			sim.cancelPeriodically(6000, counts)
 		},
-		minCounts: map[string]int{"shard lost": 5, "shard handed back": 3, "cancellations": 20, "answers around a wake": 100},
+		minCounts: map[string]int{
+			"shard lost":                5,
+			"shard handed back":         3,
+			"cancellations":             20,
+			"responses around a resume": 100,
+		},
 	},
 	// Nothing reaches it or leaves it; what was sent is lost, or arrives when the partition ends.
 	"member partitioned for over a minute": {
@@ -182,7 +188,8 @@
 				case 1:
 					sim.StartOutage(m.Name, 4000+sim.Rand.Int64N(16_000))
 				case 2:
-					sim.partition(emulator.Partition{A: m.Name, B: "store", Until: sim.Now + 4000 + sim.Rand.Int64N(16_000)})
+					until := sim.Now + 4000 + sim.Rand.Int64N(16_000)
+					sim.partition(emulator.Partition{A: m.Name, B: "store", Until: until})
 				default:
 					m.Crash(300 + sim.Rand.Int64N(12_000))
 				}
@@ -307,7 +314,8 @@
 		sim.noRandomFaults = true
 		const cutAt, cutMS = 60_000, 14_000
 		sim.After(cutAt, func() {
-			sim.partition(emulator.Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + cutMS, DropsMessages: true})
+			name := sim.randomMember().Name
+			sim.partition(emulator.Partition{A: name, B: "w", Until: sim.Now + cutMS, DropsMessages: true})
 		})
 		const hangAt = 110_000
 		hangInjected := false
--- a/scheduler/indoubt_writes_test.go
+++ b/scheduler/indoubt_writes_test.go
@@ -50,7 +50,8 @@
 			return 0
 		}
 		read := func(outcome Outcome) {
-			ctrl.HandleStoreResult(ctrl.now, next(StoreGet), StoreResult{Outcome: outcome, KVs: []KeyValue{put}, Rev: 30})
+			result := StoreResult{Outcome: outcome, KVs: []KeyValue{put}, Rev: 30}
+			ctrl.HandleStoreResult(ctrl.now, next(StoreGet), result)
 		}
 		try := func(outcome Outcome) {
 			ctrl.HandleStoreResult(ctrl.now, next(StoreTxn), StoreResult{Outcome: outcome, Rev: 31})
@@ -70,7 +71,8 @@
 		put = KeyValue{Key: key, Value: mustEncode(rec), Rev: 29}
 		read(OK)
 		if tr.moving || j.recordWritePending || tr.size() != 2 {
-			t.Errorf("resolved: moving %v, write pending %v, %d tasks here; want 2", tr.moving, j.recordWritePending, tr.size())
+			t.Errorf("resolved: moving %v, write pending %v, %d tasks here; want 2",
+				tr.moving, j.recordWritePending, tr.size())
 		}
 	}
 }
--- a/scheduler/large_fleet_benchmark_test.go
+++ b/scheduler/large_fleet_benchmark_test.go
@@ -28,9 +28,7 @@
 
 func runLargeFleet(b *testing.B, machines int) {
 	b.Helper()
-	taskRunMS := func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
-		return 15_000 + sim.Rand.Int64N(20_000)
-	}
+	taskRunMS := taskRunsFor(15_000, 20_000)
 	size := simScale{members: 20, capacityPerOffering: 2 * machines}
 	sim := newTestSimulationWith(size, emulator.Options{Seed: 7, TaskRunMS: taskRunMS})
 	sim.noRandomFaults, sim.SweepIntervalMS, sim.MessageLoss = true, 1000, 0
--- a/scheduler/lost_store_responses_test.go
+++ b/scheduler/lost_store_responses_test.go
@@ -61,9 +61,11 @@
 			confirmed += m.Core.Status(m.Clock()).Counters.ConfirmedSubmissions
 		}
 		share := shareWithin(waits, 1000)
-		t.Logf("seed %d: %.3f of %d are accepted within a second, %d by their records", seed, share, len(waits), confirmed)
+		t.Logf("seed %d: %.3f of %d are accepted within a second, %d by their records",
+			seed, share, len(waits), confirmed)
 		if share < 0.98 || confirmed < 20 {
-			t.Errorf("seed %d: %.3f of %d are accepted within a second, %d by their records", seed, share, len(waits), confirmed)
+			t.Errorf("seed %d: %.3f accepted within a second, want 0.98; %d by their records, want 20",
+				seed, share, confirmed)
 		}
 	}
 }
--- a/scheduler/overlapping_faults_test.go
+++ b/scheduler/overlapping_faults_test.go
@@ -79,7 +79,7 @@
 	// The writer crashes while its write is pending, and restarts at once: its next incarnation
 	// has begun when the write of the last one is applied.
 	"writers crash during their writes": {
-		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) { j.OneZone, j.Spread, j.Zone = false, false, "" },
+		adjustJob: func(_ *testSimulation, j *scheduler.Job, _ int) { j.OneZone, j.Spread, j.Zone = false, false, "" },
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			writeCounts := map[string]int{"l/s/": 0, "moves, ends": 0, "l/m/": 0, "l/u/": 0, "l/t/": 0, "p/": 0}
 			nextFaultAt := int64(12_000)
@@ -150,7 +150,9 @@
 					sim.After(int64(i)*1500, func() { m.Crash(400) })
 				}
 			})
-			sim.repeatAtRandom(2000, faultWindowMS, func() { sim.randomMember().ClockOffsetMS = sim.Rand.Int64N(200) - 100 })
+			sim.repeatAtRandom(2000, faultWindowMS, func() {
+				sim.randomMember().ClockOffsetMS = sim.Rand.Int64N(200) - 100
+			})
 		},
 		minCounts: map[string]int{
 			"ends at shard adopted":       6,
@@ -226,7 +228,8 @@
 					if l.Message != "shard reconciled" {
 						continue
 					}
-					if ms := l.Args[3].(int64); float64(ms) > (sim.Params.LeaseS+4+5*float64(len(sim.Members)))*1000+500 {
+					maxMS := (sim.Params.LeaseS+4+5*float64(len(sim.Members)))*1000 + 500
+					if ms := l.Args[3].(int64); float64(ms) > maxMS {
 						t.Errorf("%v is reconciled after %d ms", l.Args[1], ms)
 					}
 				}
@@ -258,7 +261,10 @@
 			nextFaultAt := int64(12_000)
 			sim.OnTaskDone = func(task *platformfake.Task) {
 				j := sim.Jobs[task.Job.ID]
-				if sim.Now < nextFaultAt || sim.Now > faultWindowMS || len(j.DoneTasks) == 0 || len(j.DoneTasks) >= j.Spec.Tasks {
+				if sim.Now < nextFaultAt || sim.Now > faultWindowMS {
+					return
+				}
+				if done := len(j.DoneTasks); done == 0 || done >= j.Spec.Tasks {
 					return
 				}
 				// The first of its tasks is done: a member crashes before or after that is stored.
@@ -367,7 +373,7 @@
 			sim.repeatAtRandom(45_000, faultWindowMS, sim.CrashAll)
 			sim.repeatAtRandom(4000, faultWindowMS, func() {
 				sim.SampleLiveWorkers(0.2, func(worker *emulator.Worker) {
-					sim.partition(emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)})
+					sim.partitionWorker(worker, 4000, 9000)
 				})
 			})
 		},
@@ -425,7 +431,7 @@
 	scenarios := maps.Clone(overlappingFaults)
 	maps.Copy(scenarios, overlappingRequestFaults)
 	maps.Copy(scenarios, overlappingMachineFaults)
-	taskRunMS := func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 1000 + sim.Rand.Int64N(20_000) }
+	taskRunMS := taskRunsFor(1000, 20_000)
 	runFaultScenarios(t, scenarios, 6500, taskRunMS)
 }
 
@@ -513,7 +519,7 @@
 				required, listed := requiredPreconditions[kind]
 				isCancellation := change.Value == nil && !preconditions[claimKeyPrefix] && preconditions["f/"]
 				if kind == jobKeyPrefix && !creates[change.Key] && !isCancellation {
-					required = []string{claimKeyPrefix} // an end or a move; the rest are acceptances and cancellations by users
+					required = []string{claimKeyPrefix} // an end or a move
 				}
 				if kind == jobKeyPrefix && creates[change.Key] {
 					required = []string{"f/" + change.Key[len(jobKeyPrefix):]}
@@ -523,7 +529,8 @@
 				}
 				for _, requiredKey := range append([]string{change.Key}, required...) {
 					if !preconditions[requiredKey] {
-						t.Errorf("%s is written under %+v, want a precondition on %s", change.Key, op.Preconditions, requiredKey)
+						t.Errorf("%s is written under %+v, want a precondition on %s",
+							change.Key, op.Preconditions, requiredKey)
 					}
 				}
 				if !listed {
--- a/scheduler/overlapping_machine_faults_test.go
+++ b/scheduler/overlapping_machine_faults_test.go
@@ -54,7 +54,8 @@
 					if l.Message != "start" {
 						continue
 					}
-					if worker := sim.Workers[l.Args[5].(string)]; worker != nil && sim.Now-worker.Instance.StartedAtMS < 5000 {
+					worker := sim.Workers[l.Args[5].(string)]
+					if worker != nil && sim.Now-worker.Instance.StartedAtMS < 5000 {
 						counts["starts on new machines"]++
 						if sim.Rand.IntN(3) == 0 {
 							crashSoon(m, "a start on a new machine")
@@ -90,7 +91,7 @@
 			sim.repeatAtRandom(45_000, faultWindowMS, sim.CrashAll)
 			sim.repeatAtRandom(5000, faultWindowMS, func() {
 				sim.SampleLiveWorkers(0.2, func(worker *emulator.Worker) {
-					sim.partition(emulator.Partition{A: "w" + worker.Instance.ID, Until: sim.Now + 4000 + sim.Rand.Int64N(9000)})
+					sim.partitionWorker(worker, 4000, 9000)
 				})
 			})
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.interruptMachines(0.2, "") })
@@ -116,7 +117,8 @@
 	"four one-task jobs a second": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			if n >= firstSmallJob {
-				j.Tasks, j.Request.CPUs, j.MaxTaskErrors, j.AtMostOnce, j.OneZone, j.Spread = 1, 1, 0, false, false, false
+				j.Tasks, j.Request.CPUs, j.MaxTaskErrors = 1, 1, 0
+				j.AtMostOnce, j.OneZone, j.Spread = false, false, false
 				j.Kind, j.Team = scheduler.Array, "t1"
 			}
 		},
@@ -153,7 +155,8 @@
 					}
 				}
 				changes := float64(sim.StoreChanges) / float64(len(sim.JobIDs))
-				t.Logf("%d of %d accepted within a second, %.1f changes a job", acceptedInTime, len(sim.JobIDs), changes)
+				t.Logf("%d of %d accepted within a second, %.1f changes a job",
+					acceptedInTime, len(sim.JobIDs), changes)
 				if acceptedInTime*100 < 97*len(sim.JobIDs) {
 					t.Errorf("%d of %d jobs accepted within a second, want 97 %%", acceptedInTime, len(sim.JobIDs))
 				}
@@ -183,8 +186,11 @@
 						case 1:
 							sim.PauseMember(m, durationMS())
 						default:
-							until := sim.Now + durationMS()
-							sim.partition(emulator.Partition{A: m.Name, Until: until, DropsMessages: sim.Rand.IntN(2) == 0})
+							sim.partition(emulator.Partition{
+								A:             m.Name,
+								Until:         sim.Now + durationMS(),
+								DropsMessages: sim.Rand.IntN(2) == 0,
+							})
 						}
 					}
 				})
@@ -200,13 +206,16 @@
 			sim.repeatAtRandom(35_000, faultWindowMS, func() {
 				cutMember := sim.randomMember()
 				durationMS := int64(sim.Params.LeaseS*1000) + 1000 + sim.Rand.Int64N(20_000)
-				sim.PartitionZoneWithMember([]string{"a", "b"}[sim.Rand.IntN(2)], cutMember, durationMS, sim.Rand.IntN(2) == 0)
+				zone := []string{"a", "b"}[sim.Rand.IntN(2)]
+				sim.PartitionZoneWithMember(zone, cutMember, durationMS, sim.Rand.IntN(2) == 0)
 				counts["zones cut"]++
 				for at := int64(500); at < durationMS; at += 1500 {
 					sim.After(at, func() { sim.cancelThroughOther(cutMember, counts) })
 				}
 				if sim.Rand.IntN(3) == 0 {
-					sim.After(sim.Rand.Int64N(durationMS), func() { sim.StartOutage("all", 1000+sim.Rand.Int64N(9000)) })
+					sim.After(sim.Rand.Int64N(durationMS), func() {
+						sim.StartOutage("all", 1000+sim.Rand.Int64N(9000))
+					})
 				}
 				if sim.Rand.IntN(3) == 0 {
 					sim.After(sim.Rand.Int64N(durationMS), func() { cutMember.Crash(300 + sim.Rand.Int64N(3000)) })
@@ -255,7 +264,8 @@
 			case 1:
 				j.Zone, j.Request.CPUs = []string{"a", "b"}[n/4%2], 4
 			case 2:
-				j.Kind, j.OneZone, j.Tasks, j.Request.CPUs, j.AtMostOnce, j.MaxTaskErrors = scheduler.Gang, true, 2+n%3, 4, false, 0
+				j.Kind, j.OneZone, j.Tasks, j.Request.CPUs = scheduler.Gang, true, 2+n%3, 4
+				j.AtMostOnce, j.MaxTaskErrors = false, 0
 			case 3:
 				j.Spread = true
 			}
--- a/scheduler/overlapping_request_faults_test.go
+++ b/scheduler/overlapping_request_faults_test.go
@@ -239,10 +239,12 @@
 					}
 				}
 				for _, op := range outputs.StoreOps {
-					if op.Kind != scheduler.StoreTxn || classifier.classify(op) != acceptanceWrite || sim.Rand.IntN(2) == 0 {
+					isAcceptance := op.Kind == scheduler.StoreTxn && classifier.classify(op) == acceptanceWrite
+					if !isAcceptance || sim.Rand.IntN(2) == 0 {
 						continue
 					}
-					for _, j := range sim.jobsWrittenBy(op) { // the same job at another member: both are about to accept it
+					// The same job is submitted to another member: both are about to accept it.
+					for _, j := range sim.jobsWrittenBy(op) {
 						counts["second acceptances"]++
 						resubmitted := j.Spec
 						request := scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &resubmitted}
@@ -438,11 +440,15 @@
 					if event == "shard claimed" && l.Args[1] != m.Name {
 						event = "shard adopted"
 					}
-					if event != "shard claimed" && event != "shard adopted" && event != "shard handed back" && event != "shard ready" {
+					switch event {
+					case "shard claimed", "shard adopted", "shard handed back", "shard ready":
+					default:
 						continue
 					}
 					counts[event]++
-					sim.After(sim.Rand.Int64N(2500), func() { counts["cancelled at "+event] += sim.cancelRunningJobs(1, mayHang) })
+					sim.After(sim.Rand.Int64N(2500), func() {
+						counts["cancelled at "+event] += sim.cancelRunningJobs(1, mayHang)
+					})
 				}
 				for _, op := range outputs.StoreOps {
 					if op.Kind != scheduler.StoreTxn || classifier.classify(op) != moveWrite || sim.Rand.IntN(3) > 0 {
@@ -452,7 +458,9 @@
 						counts["cancelled at a move"]++
 						sim.After(sim.Rand.Int64N(60), func() { sim.CancelJob(j) })
 						if sim.Rand.IntN(3) == 0 { // one of both crashes
-							sim.After(sim.Rand.Int64N(300), func() { sim.randomMember().Crash(200 + sim.Rand.Int64N(2000)) })
+							sim.After(sim.Rand.Int64N(300), func() {
+								sim.randomMember().Crash(200 + sim.Rand.Int64N(2000))
+							})
 						}
 					}
 				}
--- a/scheduler/query_flood_test.go
+++ b/scheduler/query_flood_test.go
@@ -41,18 +41,21 @@
 func TestQueryFloodIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(max(1, *seedCount/12)) {
-		taskRunMS := func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 5000 + sim.Rand.Int64N(30_000) }
+		taskRunMS := taskRunsFor(5000, 30_000)
 		sim := newTestSimulationWith(smallScale, emulator.Options{Seed: 7000 + seed, TaskRunMS: taskRunMS})
 		sim.noRandomFaults, sim.StoreRPS, sim.StoreWriteRPS = true, 90, 40
 		queries, timelyAnswers := sim.floodWithQueries(sim.Members[0], 8, 150_000)
 		sim.ReadConcurrently(120_000)
 		batches := uint64(0)
-		sim.Observer = func(m *emulator.Member, _ *scheduler.Outputs) { batches = max(batches, m.Core.Counters.QueryBatches) }
+		sim.Observer = func(m *emulator.Member, _ *scheduler.Outputs) {
+			batches = max(batches, m.Core.Counters.QueryBatches)
+		}
 		sim.runScenario(120_000, 600_000, 60)
 		sim.checkInvariants(t)
 		sim.checkServed(t)
 		if *queries < 10_000 || *timelyAnswers < *queries*19/20 || batches < 200 {
-			t.Errorf("seed %d: %d of %d queries get a timely response, %d batches", seed, *timelyAnswers, *queries, batches)
+			t.Errorf("seed %d: %d of %d queries get a timely response, %d batches",
+				seed, *timelyAnswers, *queries, batches)
 		}
 	}
 }
--- a/scheduler/quota_faults_test.go
+++ b/scheduler/quota_faults_test.go
@@ -189,7 +189,9 @@
 			hasOpenRequest := func(c scheduler.Change) bool {
 				return strings.HasPrefix(c.Key, "l/t/") && strings.Contains(string(c.Value), `"wants":{"`)
 			}
-			writesOpenRequest := func(op scheduler.StoreOp) bool { return slices.ContainsFunc(op.Changes, hasOpenRequest) }
+			writesOpenRequest := func(op scheduler.StoreOp) bool {
+				return slices.ContainsFunc(op.Changes, hasOpenRequest)
+			}
 			sim.Observer = func(m *emulator.Member, outputs *scheduler.Outputs) {
 				if sim.Now > nextCrashAt && crashes < 4 && slices.ContainsFunc(outputs.StoreOps, writesOpenRequest) {
 					crashes++
@@ -212,7 +214,7 @@
 		BootS:          10,
 		Zones:          []string{"a", "b"},
 	})
-	taskRunMS := func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 2000 + sim.Rand.Int64N(15_000) }
+	taskRunMS := taskRunsFor(2000, 15_000)
 	for name, scenario := range quotaScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/scheduler/recovery_benchmark_test.go
+++ b/scheduler/recovery_benchmark_test.go
@@ -40,9 +40,7 @@
 	tb.Helper()
 	// Tasks end all the time, after very different runtimes, and more wait. Each job fills a
 	// fiftieth of the fleet.
-	taskRunMS := func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
-		return 30_000 + sim.Rand.Int64N(90_000)
-	}
+	taskRunMS := taskRunsFor(30_000, 90_000)
 	size := simScale{members: 3, capacityPerOffering: machines * 3 / 4}
 	sim := newTestSimulationWith(size, emulator.Options{Seed: 5, TaskRunMS: taskRunMS})
 	sim.ChecksDisabled, sim.noRandomFaults, sim.MessageLoss = true, true, 0
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -67,7 +67,7 @@
 }
 
 func newRolloutSimulation(seed uint64) *testSimulation {
-	taskRunMS := func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 { return 2000 + sim.Rand.Int64N(30_000) }
+	taskRunMS := taskRunsFor(2000, 30_000)
 	options := emulator.Options{Seed: seed, GangWaitMS: 6000, TaskRunMS: taskRunMS}
 	sim := newTestSimulationWith(simScale{members: 3, capacityPerOffering: 10, maxTasks: 30}, options)
 	sim.Params.Teams = map[string]scheduler.Team{"t0": {}, "t1": {}}
@@ -384,7 +384,8 @@
 			})
 			return func(t *testing.T, sim *testSimulation) {
 				if status := sim.rolloutStatus(); refused == 0 || status == nil || status.Plan.ID != "p1" {
-					t.Errorf("a second plan got %d responses, and %+v goes on; want one response, and p1", refused, status)
+					t.Errorf("a second plan got %d responses, and %+v goes on; want one response, and p1",
+						refused, status)
 				}
 			}
 		},
@@ -408,7 +409,9 @@
 		"tasks that are long, begin once, or form a gang": func(sim *testSimulation) outcomeCheck {
 			submitLongJob(sim, "job-810000", func(j *scheduler.Job) { j.AtMostOnce = true })
 			submitLongJob(sim, "job-820000", func(j *scheduler.Job) { j.Kind, j.Tasks = scheduler.Gang, 3 })
-			submitLongJob(sim, "job-830000", func(j *scheduler.Job) { j.CheckpointIntervalS, j.CheckpointDurationS = 2, 1 })
+			submitLongJob(sim, "job-830000", func(j *scheduler.Job) {
+				j.CheckpointIntervalS, j.CheckpointDurationS = 2, 1
+			})
 			submitLongJob(sim, "job-840000", func(j *scheduler.Job) { j.EstimateS, j.Tasks = 60, 40 })
 			return func(t *testing.T, sim *testSimulation) {
 				if j := sim.Jobs["job-810000"]; sim.FailureReasons["job-810000"] != "" && len(j.DoneTasks) == 0 {
--- a/scheduler/scale_benchmark_test.go
+++ b/scheduler/scale_benchmark_test.go
@@ -177,7 +177,8 @@
 					ctrl.cache.settings.Functions, ctrl.cache.settings.Samples = functions, samples
 					n := 0
 					for _, f := range ctrl.placer.availabilitySummary(s) {
-						n += f.TaskCapacity(availability.Resources{CPUs: 4, MemoryGB: 14}, ctrl.now.WallMS+withinMS, 20_000, 1<<30)
+						request := availability.Resources{CPUs: 4, MemoryGB: 14}
+						n += f.TaskCapacity(request, ctrl.now.WallMS+withinMS, 20_000, 1<<30)
 					}
 					return float64(n)
 				}
--- a/scheduler/shared_reads_test.go
+++ b/scheduler/shared_reads_test.go
@@ -36,7 +36,8 @@
 	ctrl := newControllerWithJobs(t, jobs)
 	queryAll(ctrl, jobs)
 	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps) > 0 || len(outputs.UserResponses) > 0 {
-		t.Fatalf("%d store operations and %d responses before the batch", len(outputs.StoreOps), len(outputs.UserResponses))
+		t.Fatalf("%d store operations and %d responses before the batch",
+			len(outputs.StoreOps), len(outputs.UserResponses))
 	}
 	ctrl.now.MonotonicMS = ctrl.requests.queryBatcher.nextBatchAtMS
 	ctrl.requests.sendQueryBatch()
--- a/scheduler/simulation_checks_test.go
+++ b/scheduler/simulation_checks_test.go
@@ -236,7 +236,8 @@
 		// Its starts never leave the members.
 		withoutStarts := func(commands []scheduler.Command) []scheduler.Command {
 			return slices.DeleteFunc(commands, func(cmd scheduler.Command) bool {
-				return cmd.Kind == scheduler.CommandStart && strings.HasPrefix(cmd.Task, starvedJob+"/") && sim.Now < dropUntil
+				isOfJob := strings.HasPrefix(cmd.Task, starvedJob+"/")
+				return isOfJob && cmd.Kind == scheduler.CommandStart && sim.Now < dropUntil
 			})
 		}
 		sim.Observer = func(_ *emulator.Member, outputs *scheduler.Outputs) {
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -156,7 +156,7 @@
 	var priorityStops, failedAfterErrors, failedOnce atomic.Int64
 	t.Cleanup(func() {
 		if *traceSeed < 0 && (priorityStops.Load() == 0 || failedAfterErrors.Load() == 0 || failedOnce.Load() == 0) {
-			t.Errorf("%d tasks were stopped for a higher priority, %d jobs failed after errors, %d because they begin once",
+			t.Errorf("%d tasks stopped for a higher priority, %d jobs failed after errors, %d because they begin once",
 				priorityStops.Load(), failedAfterErrors.Load(), failedOnce.Load())
 		}
 	})
--- a/scheduler/store_outage_cancellation_test.go
+++ b/scheduler/store_outage_cancellation_test.go
@@ -68,9 +68,7 @@
 		CapacityPerOffering: 6,
 		Params:              cfg,
 		MessageLoss:         0.002,
-		TaskRunMS: func(sim *emulator.Simulation, _ *emulator.Job, _ string) int64 {
-			return 70_000 + sim.Rand.Int64N(60_000)
-		},
+		TaskRunMS:           taskRunsFor(70_000, 60_000),
 	}
 	var sim *testSimulation
 	options.InjectedFault.Params = func(cfg *scheduler.Params) { cfg.CancelWithinS += extraCancelS }
@@ -103,7 +101,9 @@
 	const refusedAtMS = 40_000
 	sim.After(refusedAtMS-1500, func() {
 		running := map[string]int{}
-		sim.EachTask(func(worker *emulator.Worker, _ *platformfake.Task) { running[worker.MemberName(sim.Simulation)]++ })
+		sim.EachTask(func(worker *emulator.Worker, _ *platformfake.Task) {
+			running[worker.MemberName(sim.Simulation)]++
+		})
 		for _, m := range sim.Members {
 			if owner == nil || running[m.Name] > running[owner.Name] {
 				owner = m
--- a/scheduler/submission_random_test.go
+++ b/scheduler/submission_random_test.go
@@ -48,7 +48,8 @@
 		store.change(op.Changes[0].Value)
 		return StoreResult{Rev: store.revision}
 	case op.Key == jobKey(store.id) && store.live != nil:
-		return StoreResult{Rev: store.revision, KVs: []KeyValue{{Key: op.Key, Value: store.live, Rev: store.liveRevision}}}
+		live := KeyValue{Key: op.Key, Value: store.live, Rev: store.liveRevision}
+		return StoreResult{Rev: store.revision, KVs: []KeyValue{live}}
 	case op.Key == terminalKey(store.id) && store.final != nil:
 		return StoreResult{Rev: store.revision, KVs: []KeyValue{{Key: op.Key, Value: store.final, Rev: store.revision}}}
 	}
--- a/scheduler/submission_test.go
+++ b/scheduler/submission_test.go
@@ -51,7 +51,8 @@
 	ctrl.HandleStoreResult(ctrl.now, ops[0].ID, StoreResult{Rev: 100})
 	outputs := ctrl.TakeOutputs()
 	if outputs.UserResponses[0].Status != 201 || len(outputs.StoreOps) != 1 || len(outputs.StoreOps[0].Changes) != 8 {
-		t.Fatalf("responses %+v, store operations %+v; want 201 and one write of 8", outputs.UserResponses, outputs.StoreOps)
+		t.Fatalf("responses %+v, store operations %+v; want 201 and one write of 8",
+			outputs.UserResponses, outputs.StoreOps)
 	}
 	conflict := StoreResult{Outcome: Conflict, FailedKeys: []string{terminalKey("job-000007")}}
 	ctrl.HandleStoreResult(ctrl.now, outputs.StoreOps[0].ID, conflict)
--- a/scheduler/takeover_state_test.go
+++ b/scheduler/takeover_state_test.go
@@ -41,7 +41,8 @@
 	}
 	for _, ranges := range [][]string{{"job-000009/0"}, {spotRange.name()}} {
 		usage := map[string]reconcile.ResourceUsage{"ops": {CPUs: 2}}
-		s.reconciler.Ledger.Restore(map[string]reconcile.UnreachableMachine{"i-2": {Ranges: ranges, UsageByTeam: usage}})
+		entry := reconcile.UnreachableMachine{Ranges: ranges, UsageByTeam: usage}
+		s.reconciler.Ledger.Restore(map[string]reconcile.UnreachableMachine{"i-2": entry})
 		spotRange.recovered = true
 		blocked, expected := ctrl.agents.isBlockedByUnreported(s, spotRange), ranges[0] == spotRange.name()
 		if blocked != expected {
@@ -171,21 +172,20 @@
 		t.Errorf("an estimate of 10 s is corrected to %d ms, want 25000", estimateMS)
 	}
 	heartbeat := func(seq uint64, state string) {
-		successor.HandleHeartbeat(
-			successor.now,
-			9,
-			Heartbeat{Machine: "i-1", Addr: "x", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, Token: 11,
-				Tasks: []TaskStatus{{Task: "job-000001/0", Attempt: attemptNumber, State: state, Reason: "done"}}},
-		)
+		status := TaskStatus{Task: "job-000001/0", Attempt: attemptNumber, State: state, Reason: "done"}
+		successor.HandleHeartbeat(successor.now, 9, testHeartbeat("i-1", seq, 11, status))
 	}
 	heartbeat(10, "running")
 	attempt := successorShard.machines[0].attempts[attemptKey{"job-000001/0", attemptNumber}]
-	if attempt == nil || successor.now.WallMS-attempt.placedAt < 19_000 || successor.now.WallMS-attempt.placedAt > 21_000 {
-		t.Fatalf("a task that was started 20 s ago: %+v", attempt)
+	if attempt == nil {
+		t.Fatal("the running task has no attempt")
 	}
-	if remainingMS := attempt.expectedEnd(successor.now.WallMS) - successor.now.WallMS; remainingMS > 6500 ||
-		remainingMS < 3500 {
-		t.Errorf("it is expected to go on for %d ms", remainingMS)
+	if ageMS := successor.now.WallMS - attempt.placedAt; ageMS < 19_000 || ageMS > 21_000 {
+		t.Fatalf("a task that was started 20 s ago counts as started %d ms ago: %+v", ageMS, attempt)
+	}
+	remainingMS := attempt.expectedEnd(successor.now.WallMS) - successor.now.WallMS
+	if remainingMS < 3500 || remainingMS > 6500 {
+		t.Errorf("the task is expected to go on for %d ms, want 3500 to 6500", remainingMS)
 	}
 	successor.now.WallMS += 1000
 	heartbeat(11, "exited")
@@ -199,7 +199,8 @@
 func TestTenThousandHeartbeatsInOneIntervalArePaced(t *testing.T) {
 	const machines = 10_000
 	ctrl, oldShard := newControllerWithFleet(t, machines, 300)
-	ctrl.params.Objectives, ctrl.params.HeartbeatS, ctrl.params.Recovery = nil, 3, true // no start that bypasses the pacer
+	// Without objectives no start bypasses the pacer.
+	ctrl.params.Objectives, ctrl.params.HeartbeatS, ctrl.params.Recovery = nil, 3, true
 	tasks := map[string][]TaskStatus{}
 	for _, mc := range oldShard.machines {
 		for k := range mc.attempts {
