--- a/emulator/checks.go
+++ b/emulator/checks.go
@@ -8,18 +8,19 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Checks of what users are told, of what starts, and of which jobs are accepted. Each is
-// made from the world's side: by what users asked and heard, and by what the machines did.
+// Checks of what users are told, of what starts, and of which jobs are accepted. Each relies only
+// on what the simulation observes, requests and responses of users and actions of machines, and
+// never on what a member believes.
 
-// recordRequest adds a request to the history, as one that has no answer yet, and returns its
-// place there. A day may end before the answer comes.
+// recordRequest adds a request to the history, as one without a response yet, and returns its
+// index. A scenario may end before the response arrives.
 func (sim *Simulation) recordRequest(req scheduler.UserRequest) int {
 	sim.historyClock++
 	sim.History = append(sim.History, history.Op{Job: req.ID, Kind: req.Kind, Call: sim.historyClock})
 	return len(sim.History) - 1
 }
 
-// recordResponse adds the answer to a request in the history, or that there was none.
+// recordResponse adds the response to a request to the history; ok is false if there was none.
 func (sim *Simulation) recordResponse(index int, resp scheduler.UserResponse, ok bool) {
 	sim.historyClock++
 	op := &sim.History[index]
@@ -29,8 +30,8 @@
 	}
 }
 
-// checkResponse looks at an answer as it leaves the member, when its job may have tasks left
-// that end before the user hears it.
+// checkResponse checks a response as it leaves the member: tasks that its job still has at that
+// time may end before the user receives it.
 func (sim *Simulation) checkResponse(req scheduler.UserRequest, resp scheduler.UserResponse) {
 	j := sim.Jobs[req.ID]
 	if j != nil && resp.State == scheduler.Done && len(j.DoneTasks) < j.Spec.Tasks {
@@ -41,8 +42,8 @@
 	}
 }
 
-// checkStart looks at a start as it happens: a task may start and end between two looks at
-// what the machines have.
+// checkStart checks a start as it happens, since a task may start and end between two sweeps over
+// the machines.
 func (sim *Simulation) checkStart(worker *Worker, t *platformfake.Task) {
 	j := sim.Jobs[t.Job.ID]
 	if j.CancelConfirmedAt == 0 {
@@ -71,14 +72,15 @@
 	}
 }
 
-// checkRefused looks at an answer by which a job is refused for good.
+// checkRefused checks a response that rejects a job permanently.
 func (sim *Simulation) checkRefused(j *Job, resp scheduler.UserResponse) {
 	if resp.Status != 404 && sim.impossibilityReason(&j.Spec) == "" {
 		sim.recordViolation(wrongResponseRule, "%s gets %d (%s), and is right", j.Spec.ID, resp.Status, resp.Error)
 	}
 }
 
-// impossibilityReason says why a job can never run, by the protocol's words; empty: it can.
+// impossibilityReason returns the protocol's reason why a job can never run, or an empty string if
+// it can.
 func (sim *Simulation) impossibilityReason(j *scheduler.Job) string {
 	team, ok := sim.Params.Teams[j.Team]
 	if !ok {
@@ -105,7 +107,8 @@
 	return ""
 }
 
-// makeImpossible turn a job into one that can never run, each for a reason of its own.
+// makeImpossible are functions that turn a job into one that can never run, each for a different
+// reason.
 var makeImpossible = []func(*scheduler.Job){
 	func(j *scheduler.Job) { j.Request.CPUs = 1e6 },
 	func(j *scheduler.Job) { j.Request.MemoryGB = 1e6 },
--- a/emulator/determinism_test.go
+++ b/emulator/determinism_test.go
@@ -59,8 +59,8 @@
 	return sim
 }
 
-// One seed gives one history, line by line, whatever fails in it; another seed
-// gives another.
+// The same seed gives the same history, line by line, whatever faults are injected; another seed
+// gives a different one.
 func TestSameSeedGivesSameHistory(t *testing.T) {
 	for seed := range uint64(3) {
 		a, b := runRandomScenario(seed), runRandomScenario(seed)
--- a/emulator/events.go
+++ b/emulator/events.go
@@ -27,13 +27,13 @@
 	return last
 }
 
-// After runs f so many milliseconds from now.
+// After schedules run for delayMS milliseconds from now.
 func (sim *Simulation) After(delayMS int64, run func()) {
 	sim.eventSeq++
 	heap.Push(&sim.queue, event{sim.Now + delayMS, sim.eventSeq, run})
 }
 
-// runAt runs f at a time, at once if that has passed.
+// runAt calls run at a simulated time in ms, immediately if that time has passed.
 func (sim *Simulation) runAt(at int64, run func()) {
 	if at <= sim.Now {
 		run()
@@ -42,7 +42,7 @@
 	sim.After(at-sim.Now, run)
 }
 
-// Run plays the world until a time, or until over says so.
+// Run advances the simulation to the time until, in ms, or until isOver returns true.
 func (sim *Simulation) Run(until int64, isOver func() bool) {
 	var tick func()
 	tick = func() {
--- a/emulator/experiment.go
+++ b/emulator/experiment.go
@@ -5,20 +5,20 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// Experiment is a file that says what to play: a platform, its load, what fails
-// when, and the settings that are compared. Each variant is played with each
-// seed.
+// Experiment describes a set of simulations: a platform, its load, the faults and their times, and
+// the settings to compare. Each variant runs with each seed.
 type Experiment struct {
-	Name           string      `toml:"name"`
-	RunS           float64     `toml:"run_s"`    // jobs arrive for so long
-	WarmupS        float64     `toml:"warmup_s"` // what teams get is counted of jobs that come later
-	QuietS         float64     `toml:"quiet_s"`  // and then have so long to end; 0: as long again
-	Seeds          []uint64    `toml:"seeds"`
-	Members        int         `toml:"members"`
-	Machines       int         `toml:"machines"` // of a type, zone and kind that can be rented
-	Loss           float64     `toml:"loss"`     // share of messages that are lost
-	TimelinePoints int         `toml:"moments"`  // of the timeline; 0: 60
-	SweepIntervalS float64     `toml:"check_s"`  // places and limits are checked so often; 0: at each start
+	Name           string   `toml:"name"`
+	RunS           float64  `toml:"run_s"`    // how long jobs arrive
+	WarmupS        float64  `toml:"warmup_s"` // team results count jobs that arrive after it
+	QuietS         float64  `toml:"quiet_s"`  // time to end after that; 0: as long as run_s
+	Seeds          []uint64 `toml:"seeds"`
+	Members        int      `toml:"members"`
+	Machines       int      `toml:"machines"` // available for each type, zone and kind
+	Loss           float64  `toml:"loss"`     // share of messages that are lost
+	TimelinePoints int      `toml:"moments"`  // points of the timeline; 0: 60
+	// Between checks of placements and limits; 0: at each start.
+	SweepIntervalS float64     `toml:"check_s"`
 	Platform       Platform    `toml:"platform"`
 	Types          []Type      `toml:"type"`
 	Teams          []Team      `toml:"team"`
@@ -26,12 +26,12 @@
 	Faults         []FaultSpec `toml:"fault"`
 	Rollouts       []Rollout   `toml:"rollout"`
 
-	// What teams may lose at a time to rollouts; "*" stands for all others.
+	// Disruption budgets of teams for rollouts; "*" applies to all other teams.
 	Disruption map[string]disruption.Budget `toml:"disruption"`
 	Variants   []Variant                    `toml:"variant"`
 }
 
-// Platform holds the intervals of workers and the state service's rates.
+// Platform holds the intervals of workers and the rate limits of the state service.
 type Platform struct {
 	HeartbeatS    float64 `toml:"report_s"`
 	LeaseS        float64 `toml:"lease_s"`
@@ -42,14 +42,15 @@
 	StoreRPS      float64 `toml:"rps"`
 	StoreWriteRPS float64 `toml:"write_rps"`
 	CPUShare      float64 `toml:"cpu_share"`
-	// How far machines of a type differ in speed, and fetches from their nominal
-	// time; without the latter a fetch takes about a second.
+	// Spread of the speed of machines of a type, and of image fetches around their nominal time;
+	// without the latter a fetch takes about a second.
 	SpeedSpread     float64 `toml:"speed_spread"`
 	FetchSpread     float64 `toml:"fetch_spread"`
-	SpotLossPerHour float64 `toml:"spot_loss_per_hour"` // of a hundred spot machines
+	SpotLossPerHour float64 `toml:"spot_loss_per_hour"` // reclaimed of a hundred spot machines
 	NoticeS         float64 `toml:"notice_s"`
 	GangWaitS       float64 `toml:"gang_wait_s"`
-	GuaranteeS      float64 `toml:"guarantee_s"` // work within a guarantee starts this soon; 0: no such aim
+	// Objective for starts of work within a guarantee; 0: none.
+	GuaranteeS float64 `toml:"guarantee_s"`
 }
 
 // Type is a machine type.
@@ -74,28 +75,30 @@
 
 // Class is a class of jobs: its arrivals, sizes and estimates.
 type Class struct {
-	Name                string  `toml:"name"`
-	Team                string  `toml:"team"`
-	Priority            string  `toml:"priority"`
-	PerMinute           float64 `toml:"per_minute"`
-	Tasks               []int   `toml:"tasks"` // smallest and largest
-	CPUs                float64 `toml:"cpus"`
-	MemoryGB            float64 `toml:"memory_gb"`
-	Image               string  `toml:"image"`
-	ImageGB             float64 `toml:"image_gb"`
-	Spot                bool    `toml:"spot"`
-	RunS                float64 `toml:"run_s"`      // of a task, in the middle
-	Spread              float64 `toml:"spread"`     // of tasks' logarithms of run times around a job's
-	EstimateError       float64 `toml:"error"`      // of the owner's estimate: the logarithm's deviation
+	Name      string  `toml:"name"`
+	Team      string  `toml:"team"`
+	Priority  string  `toml:"priority"`
+	PerMinute float64 `toml:"per_minute"`
+	Tasks     []int   `toml:"tasks"` // smallest and largest
+	CPUs      float64 `toml:"cpus"`
+	MemoryGB  float64 `toml:"memory_gb"`
+	Image     string  `toml:"image"`
+	ImageGB   float64 `toml:"image_gb"`
+	Spot      bool    `toml:"spot"`
+	RunS      float64 `toml:"run_s"` // median of a task
+	// Of the logarithms of tasks' run times around their job's.
+	Spread float64 `toml:"spread"`
+	// Of the user's estimate: standard deviation of its logarithm.
+	EstimateError       float64 `toml:"error"`
 	DeadlineS           float64 `toml:"deadline_s"` // 0: none
 	CheckpointS         float64 `toml:"checkpoint_s"`
 	CheckpointDurationS float64 `toml:"save_s"`
-	WaitWithinS         float64 `toml:"wait_within_s"` // an aim for starts; 0: none
-	Gang                bool    `toml:"gang"`          // tasks run only all together
-	Once                bool    `toml:"once"`          // tasks begin once
+	WaitWithinS         float64 `toml:"wait_within_s"` // objective for starts; 0: none
+	Gang                bool    `toml:"gang"`          // all tasks run together or not at all
+	Once                bool    `toml:"once"`          // a task starts at most once
 }
 
-// FaultSpec is something that fails at a time.
+// FaultSpec is a fault and the time at which it is injected.
 type FaultSpec struct {
 	AtS       float64 `toml:"at_s"`
 	DurationS float64 `toml:"for_s"`
@@ -105,11 +108,12 @@
 	Class     string  `toml:"class"`
 	Factor    float64 `toml:"factor"`
 	IntervalS float64 `toml:"every_s"`
-	Zone      string  `toml:"zone"`    // zone: its machines are cut off from everything
-	OtherSide string  `toml:"between"` // cut: the other side, an endpoint's prefix or "all"
+	Zone      string  `toml:"zone"` // the zone whose machines are partitioned from everything
+	// Of a partition: prefix of the endpoints' names on the other side, or "all".
+	OtherSide string `toml:"between"`
 }
 
-// Rollout is a plan that operators apply at a time, in the variants that name it.
+// Rollout is a rollout plan and the time at which operators apply it, in variants that name it.
 type Rollout struct {
 	AtS  float64      `toml:"at_s"`
 	Plan rollout.Plan `toml:"plan"`
@@ -117,15 +121,18 @@
 
 // Variant is a set of settings.
 type Variant struct {
-	Name          string  `toml:"name"`
-	Functions     int     `toml:"functions"`
-	Samples       int     `toml:"samples"`
-	LateShare     float64 `toml:"late_share"`
-	SummaryS      float64 `toml:"summary_s"`
-	IdleBoots     float64 `toml:"idle_boots"`
-	LeaseTTLRatio float64 `toml:"hold_life_times"` // life of holds against the usual; 0: the usual
-	NoQuota       bool    `toml:"no_quota"`        // nothing is stopped for another team's guarantee
-	Rollout       string  `toml:"rollout"`         // the plan that is applied; empty: none
-	// Without names kinds of faults that this variant is spared: a twin.
+	Name      string  `toml:"name"`
+	Functions int     `toml:"functions"`
+	Samples   int     `toml:"samples"`
+	LateShare float64 `toml:"late_share"`
+	SummaryS  float64 `toml:"summary_s"`
+	IdleBoots float64 `toml:"idle_boots"`
+	// Lease TTL relative to the default; 0: the default.
+	LeaseTTLRatio float64 `toml:"hold_life_times"`
+	// Nothing is reclaimed for another team's guarantee.
+	NoQuota bool   `toml:"no_quota"`
+	Rollout string `toml:"rollout"` // name of the plan to apply; empty: none
+	// Without lists kinds of faults that are not injected in this variant, to compare runs with
+	// and without them.
 	Without []string `toml:"without"`
 }
--- a/emulator/experiment_parse.go
+++ b/emulator/experiment_parse.go
@@ -11,7 +11,7 @@
 	"github.com/grebedock/grebedock/strict"
 )
 
-// faultKinds are the faults, with what each needs.
+// faultKinds maps each kind of fault to the validation of its fields.
 var faultKinds = map[string]func(*FaultSpec) string{
 	"crash":  func(spec *FaultSpec) string { return "" },
 	"roll":   func(spec *FaultSpec) string { return requireParameters(spec.IntervalS > 0, "every_s") },
@@ -42,8 +42,8 @@
 	return "needs " + names
 }
 
-// ParseExperiment reads and checks an experiment. Its error names line and field
-// of what is no TOML or no field, and the fault of what contradicts itself.
+// ParseExperiment reads and checks an experiment. Its error gives the line and field of invalid
+// TOML or of an unknown field, and the contradiction of an inconsistent experiment.
 func ParseExperiment(b []byte) (*Experiment, error) {
 	experiment := &Experiment{}
 	if err := strict.Decode(b, experiment); err != nil {
@@ -61,10 +61,10 @@
 	return experiment, errors.Join(v.problems...)
 }
 
-// experimentValidator gathers all that is wrong with an experiment.
+// experimentValidator collects all problems of an experiment, so that users see them at once.
 type experimentValidator struct {
 	experiment *Experiment
-	source     []byte // of the file, for the numbers of lines
+	source     []byte // of the file, for line numbers
 	problems   []error
 }
 
@@ -142,8 +142,8 @@
 		if !v.validateFault(spec, position) {
 			continue
 		}
-		// Two of the same kind on the same target cannot overlap: what would
-		// end first?
+		// Two faults of the same kind on the same target must not overlap: the end of one would
+		// end the other as well.
 		target := spec.Kind + "|" + spec.Member + "|" + spec.Class + "|" + spec.OtherSide
 		for _, other := range spans[target] {
 			if spec.DurationS > 0 && spec.AtS < other.toS && other.fromS < spec.AtS+spec.DurationS {
@@ -209,7 +209,7 @@
 	}
 }
 
-// lineOf is the line of the nth header, from 0, of a list of tables.
+// lineOf returns the line of the nth header, from 0, of an array of tables.
 func lineOf(b []byte, header string, n int) int {
 	for i, line := range bytes.Split(b, []byte("\n")) {
 		if bytes.HasPrefix(bytes.TrimSpace(line), []byte(header)) {
--- a/emulator/experiment_result.go
+++ b/emulator/experiment_result.go
@@ -10,33 +10,37 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Result is what came of one run.
+// Result is the outcome of one run: one variant with one seed.
 type Result struct {
-	Experiment            string           `json:"experiment"`
-	Variant               string           `json:"variant"`
-	VariantIndex          int              `json:"order"` // of the variant in the experiment
-	Seed                  uint64           `json:"seed"`
-	Classes               []ClassResult    `json:"classes"`
-	SubmitMS              Quantiles        `json:"submit_ms"` // from the first try to the acceptance
-	InconclusiveResponses int              `json:"refused"`   // answers that settle nothing
-	Machines              int              `json:"machines"`
-	PriceRatio            float64          `json:"price"` // money against that of the useful work at the lowest price
-	UsefulShare           float64          `json:"useful"`
-	Requests              int              `json:"requests"` // of the state service
-	Changes               int              `json:"changes"`
-	Relayed               int              `json:"relayed"`
-	Teams                 []TeamResult     `json:"teams"`
-	TaskStarts            int              `json:"started"` // tasks
-	RepeatedStarts        int              `json:"again"`   // starts of tasks that had started before
-	CommandCounts         map[string][]int `json:"orders"`  // by kind, for each second
-	Rollout               *RolloutResult   `json:"rollout,omitempty"`
-	Timeline              []TimelinePoint  `json:"timeline"`
-	Faults                []RecordedFault  `json:"faults,omitempty"`
-	RuleViolations        []string         `json:"broken,omitempty"`   // rules
-	OrderViolations       []string         `json:"disorder,omitempty"` // what no order of events explains
+	Experiment   string        `json:"experiment"`
+	Variant      string        `json:"variant"`
+	VariantIndex int           `json:"order"` // of the variant in the experiment
+	Seed         uint64        `json:"seed"`
+	Classes      []ClassResult `json:"classes"`
+	// From the first submission to the acceptance.
+	SubmitMS              Quantiles `json:"submit_ms"`
+	InconclusiveResponses int       `json:"refused"` // responses that decide nothing
+	Machines              int       `json:"machines"`
+	// Cost relative to that of the useful work at the lowest price.
+	PriceRatio  float64      `json:"price"`
+	UsefulShare float64      `json:"useful"`
+	Requests    int          `json:"requests"` // of the state service
+	Changes     int          `json:"changes"`
+	Relayed     int          `json:"relayed"`
+	Teams       []TeamResult `json:"teams"`
+	TaskStarts  int          `json:"started"` // tasks
+	// Starts of tasks that had started before.
+	RepeatedStarts int              `json:"again"`
+	CommandCounts  map[string][]int `json:"orders"` // by kind, for each second
+	Rollout        *RolloutResult   `json:"rollout,omitempty"`
+	Timeline       []TimelinePoint  `json:"timeline"`
+	Faults         []RecordedFault  `json:"faults,omitempty"`
+	RuleViolations []string         `json:"broken,omitempty"` // rules
+	// Responses that no order of events explains.
+	OrderViolations []string `json:"disorder,omitempty"`
 }
 
-// WorstSecond is the most starts, stops and clears of one second.
+// WorstSecond returns the largest number of starts, stops and clears within one second.
 func (result *Result) WorstSecond() (worst int) {
 	var perSecond []int
 	for _, kind := range []scheduler.CommandKind{
@@ -55,7 +59,7 @@
 	return worst
 }
 
-// TimelinePoint is how the world stood at a time.
+// TimelinePoint is the state of the simulated platform at one time.
 type TimelinePoint struct {
 	AtS          float64 `json:"at_s"`
 	Machines     int     `json:"machines"` // up
@@ -64,14 +68,14 @@
 	Jobs         int     `json:"jobs"`     // accepted and not done
 }
 
-// RecordedFault is a fault that happened.
+// RecordedFault is a fault that was injected.
 type RecordedFault struct {
 	AtS       float64 `json:"at_s"`
 	DurationS float64 `json:"for_s,omitempty"`
 	Kind      string  `json:"kind"`
 }
 
-// defaultTimelinePoints is how many there are in a run.
+// defaultTimelinePoints is the number of timeline points of a run that sets none.
 const defaultTimelinePoints = 60
 
 func (sim *Simulation) sampleTimeline(intervalMS int64, timeline *[]TimelinePoint) {
@@ -94,36 +98,37 @@
 	sim.After(intervalMS, func() { sim.sampleTimeline(intervalMS, timeline) })
 }
 
-// ClassResult is a class in a Result. Times are seconds.
+// ClassResult holds the results of one class of jobs. Times are in seconds.
 type ClassResult struct {
-	Class           string    `json:"class"`
-	Jobs            int       `json:"jobs"`
-	Done            int       `json:"done"`
-	InTimeShare     float64   `json:"in_time"` // share of those with a deadline that were done by it
-	WaitWithinShare float64   `json:"within"`  // share that started within the class's aim
-	WaitS           Quantiles `json:"wait_s"`  // until the first task starts
+	Class string `json:"class"`
+	Jobs  int    `json:"jobs"`
+	Done  int    `json:"done"`
+	// Share of those with a deadline that were done by it.
+	InTimeShare     float64   `json:"in_time"`
+	WaitWithinShare float64   `json:"within"` // share that started within the class's objective
+	WaitS           Quantiles `json:"wait_s"` // until the first task starts
 	DoneS           Quantiles `json:"done_s"`
 }
 
-// TeamResult is a team in a Result.
+// TeamResult holds the results of one team.
 type TeamResult struct {
 	Team            string  `json:"team"`
 	Jobs            int     `json:"jobs"`
 	Done            int     `json:"done"`
-	WaitWithinShare float64 `json:"within"` // share that started within its class's aim
-	// Of the tasks of jobs that came within the team's guarantee: those that started as
-	// soon as the platform promises and were not stopped within half a minute, and how
-	// long their first starts took.
-	Guaranteed      int       `json:"guaranteed"`
-	PromptShare     float64   `json:"prompt"`
-	PromptWaitS     Quantiles `json:"prompt_wait_s"`
-	LimitUsedShare  float64   `json:"limit_used"`   // mean share of the limit in use while more than it is asked for
-	LimitContendedS int       `json:"limit_used_s"` // seconds in which that was so
+	WaitWithinShare float64 `json:"within"` // share that started within its class's objective
+	// Tasks of jobs submitted within the team's guarantee: those that started as soon as the
+	// platform promises and were not stopped within 30 s, and how long their first starts took.
+	Guaranteed  int       `json:"guaranteed"`
+	PromptShare float64   `json:"prompt"`
+	PromptWaitS Quantiles `json:"prompt_wait_s"`
+	// Mean share of the limit in use while demand exceeds it.
+	LimitUsedShare  float64 `json:"limit_used"`
+	LimitContendedS int     `json:"limit_used_s"` // seconds in which demand exceeded it
 	// seconds below its guarantee while work within it waited for longer than promised
 	BelowGuaranteeS int `json:"below_guarantee_s"`
 }
 
-// RolloutResult is a plan in a Result.
+// RolloutResult holds the results of a rollout plan.
 type RolloutResult struct {
 	Plan         string        `json:"plan"`
 	State        rollout.State `json:"state"`
@@ -131,11 +136,12 @@
 	Total        int           `json:"total"`
 	DurationS    float64       `json:"took_s"`  // until it was done
 	StoppedTasks int           `json:"stopped"` // tasks
-	// by team: most that were stopped and did not run again yet, by the machines' count
+	// by team: most tasks at a time that were stopped and not running again, counted on the
+	// machines
 	MaxDown map[string]int `json:"down"`
 }
 
-// Quantiles is some quantiles.
+// Quantiles holds quantiles of a sample, in the unit of the field that has them.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -192,8 +198,7 @@
 	return result
 }
 
-// addViolations adds the broken rules, and the responses that fit no order of
-// events.
+// addViolations adds the violated rules, and the responses that no order of events explains.
 func (result *Result) addViolations(sim *Simulation) {
 	for rule, violation := range sim.Violations {
 		result.RuleViolations = append(result.RuleViolations, rule+" "+violation)
@@ -209,8 +214,7 @@
 	}
 }
 
-// classResult is what became of a class's jobs, and how long each took to be
-// accepted, in milliseconds.
+// classResult returns the results of a class's jobs, and the time in ms until each was accepted.
 func (sim *Simulation) classResult(class *Class) (result ClassResult, submitMS []float64) {
 	result.Class = class.Name
 	var waitsS, doneS []float64
@@ -246,7 +250,7 @@
 	return result, submitMS
 }
 
-// teamResult is what became of a team's jobs.
+// teamResult returns the results of a team's jobs.
 func (experiment *Experiment) teamResult(sim *Simulation, team string) TeamResult {
 	result := TeamResult{Team: team}
 	startedInTime := 0
@@ -270,8 +274,8 @@
 	return result
 }
 
-// startedWithin reports whether the job's first task started within so many
-// seconds; 0: at all.
+// startedWithin reports whether the job's first task started within so many seconds of its
+// submission; 0: whether it started at all.
 func (j *Job) startedWithin(seconds float64) bool {
 	return j.FirstStartAt > 0 && (seconds == 0 || float64(j.FirstStartAt-j.SubmittedAt) <= seconds*1000)
 }
--- a/emulator/experiment_run.go
+++ b/emulator/experiment_run.go
@@ -45,7 +45,7 @@
 	return settings
 }
 
-// applyRollout has a plan applied, and tells how it stands.
+// applyRollout applies a plan as operators do, and records its progress in result.
 func (sim *Simulation) applyRollout(plan Rollout, result *RolloutResult) {
 	counter := sim.CountStops(func(*platformfake.Task, int) {})
 	result.MaxDown = counter.MaxDown
@@ -75,7 +75,7 @@
 	})
 }
 
-// Run plays one variant with one seed.
+// Run simulates one variant with one seed.
 func (experiment *Experiment) Run(variant Variant, seed uint64) Result {
 	sim := experiment.newSimulation(variant, seed)
 	quietS := experiment.QuietS
@@ -161,7 +161,7 @@
 // storePageSize bounds the keys in one response of the simulated state service.
 const storePageSize = 500
 
-// params is what the members' cores need of the experiment.
+// params returns the parameters of the members' cores for a variant.
 func (experiment *Experiment) params(variant Variant) scheduler.Params {
 	platform := experiment.Platform
 	params := scheduler.Params{
@@ -221,9 +221,9 @@
 	return types
 }
 
-// scheduleArrivals has a class's jobs come, without memory, more often while a burst lasts.
-// All variants get the same jobs with a seed, and tasks as long: what comes has a
-// random source of its own, so that pairs of runs differ by their settings alone.
+// scheduleArrivals schedules a class's jobs as a Poisson process, with a higher rate during a
+// burst. With one seed all variants get the same jobs with the same run times: arrivals have a
+// random source of their own, so that pairs of runs differ only by their settings.
 func (experiment *Experiment) scheduleArrivals(sim *Simulation, class *Class, seed uint64) {
 	classNumber := 1 + slices.IndexFunc(experiment.Classes, func(other Class) bool { return other.Name == class.Name })
 	rng := rand.New(rand.NewPCG(seed, uint64(classNumber)))
@@ -277,10 +277,10 @@
 	sim.After(3000, next)
 }
 
-// restartDelayMS is how long a member that crashed stays away.
+// restartDelayMS is how long a crashed member stays down.
 const restartDelayMS = 3000
 
-// injectFault makes a fault happen.
+// injectFault injects a fault now.
 func (experiment *Experiment) injectFault(sim *Simulation, fault FaultSpec) {
 	durationMS := int64(fault.DurationS * 1000)
 	var members []*Member
--- a/emulator/experiment_test.go
+++ b/emulator/experiment_test.go
@@ -17,7 +17,7 @@
 	return ParseExperiment([]byte(change(string(data))))
 }
 
-// What is wrong with an experiment is named, with its line.
+// Problems of an experiment are reported with their line.
 func TestInvalidExperimentsAreRefused(t *testing.T) {
 	for name, replacement := range map[string]struct{ from, to, expected string }{
 		"a field that is none": {"run_s = 300.0", "runs_s = 300.0", "runs_s"},
@@ -52,8 +52,8 @@
 	}
 }
 
-// A run says the same again, and what is asked of it shows: jobs arrive at their
-// rate, faults strike, variants differ.
+// A repeated run gives the same result, and the experiment takes effect: jobs arrive at their
+// rate, faults occur, variants differ.
 func TestExperimentIsReproducible(t *testing.T) {
 	experiment, err := loadExperiment(t, func(text string) string {
 		return strings.NewReplacer(
@@ -101,8 +101,8 @@
 	}
 }
 
-// BenchmarkSimulation tells how many simulated seconds a second are played, at a
-// number of machines that are all busy, rules checked.
+// BenchmarkSimulation measures simulated seconds per second with all machines busy and the rules
+// checked.
 func BenchmarkSimulation(b *testing.B) {
 	for _, machines := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
--- a/emulator/golden_test.go
+++ b/emulator/golden_test.go
@@ -19,8 +19,8 @@
 		func(b []byte) (e Experiment, err error) { return e, strict.Decode(b, &e) })
 }
 
-// TestExperimentsAreReadAsBefore holds what is read of each experiment of the
-// documentation.
+// TestExperimentsAreReadAsBefore compares the parsed form of each documented experiment with its
+// golden file.
 func TestExperimentsAreReadAsBefore(t *testing.T) {
 	names, err := filepath.Glob("../docs/experiments/*.toml")
 	if err != nil || len(names) == 0 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestResultLinesKeepTheirForm holds a line of the results of an experiment.
+// TestResultLinesKeepTheirForm compares the JSON form of a result line with its golden file.
 func TestResultLinesKeepTheirForm(t *testing.T) {
 	golden.JSON[Result](t, "result.json")
 }
--- a/emulator/group_progress.go
+++ b/emulator/group_progress.go
@@ -10,7 +10,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// GroupProgress is how many of a group of jobs were done, of those that were not cancelled.
+// GroupProgress counts the jobs of a group that were done, among those not cancelled.
 type GroupProgress struct {
 	Done, Jobs int
 	// LongestWaitMS is the longest time that one of them waited for its first task, after
@@ -18,7 +18,7 @@
 	LongestWaitMS int64
 }
 
-// Groups of jobs that are counted by themselves: their names begin so.
+// Prefixes of the names of job groups that are counted separately.
 const (
 	classGroup   = "class "
 	teamGroup    = "team "
@@ -26,7 +26,7 @@
 	longestGroup = "longest " // quarter of a class, by its tasks' run time
 )
 
-// MaxLargestJobWaitMS is how soon each of a class's largest jobs must begin.
+// MaxLargestJobWaitMS is the longest time until each of a class's largest jobs must start.
 const MaxLargestJobWaitMS = 240_000
 
 // ProgressByGroup counts jobs that were accepted and not cancelled, by group.
@@ -65,18 +65,18 @@
 	return out
 }
 
-// topQuarter is the quarter of some jobs that has the most of something, rounded up.
+// topQuarter returns the quarter of the jobs, rounded up, for which measure is largest.
 func topQuarter(jobs []*Job, measure func(*Job) float64) []*Job {
 	jobs = slices.Clone(jobs)
 	slices.SortStableFunc(jobs, func(a, b *Job) int { return cmp.Compare(measure(b), measure(a)) })
 	return jobs[:(len(jobs)+3)/4]
 }
 
-// totalCPUs is what a job's tasks use together, in processors.
+// totalCPUs returns the processors that all tasks of a job use together.
 func (j *Job) totalCPUs() float64 { return j.Spec.Request.CPUs * float64(j.Spec.Tasks) }
 
-// runTimeMS is how long a job's tasks run, in ms: the longest of those that ran, or else
-// what is known of them before.
+// runTimeMS returns the run time of a job's tasks in ms: the longest of those that ran, or else
+// what the job was submitted with.
 func (j *Job) runTimeMS() float64 {
 	if j.longestRunMS > 0 {
 		return float64(j.longestRunMS)
@@ -84,8 +84,8 @@
 	return 1000 * cmp.Or(j.TaskRunS, j.Spec.EstimateS)
 }
 
-// UnderservedGroups tells in which groups less than half of the jobs were served, and which of the
-// largest began too late.
+// UnderservedGroups lists the groups of which less than half of the jobs were done, and the
+// largest jobs that started too late.
 func (sim *Simulation) UnderservedGroups() []string {
 	var out []string
 	served := sim.ProgressByGroup()
--- a/emulator/group_progress_test.go
+++ b/emulator/group_progress_test.go
@@ -9,7 +9,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// newServedSimulation has eight jobs of one class and two teams: all are done, and began at once.
+// newServedSimulation returns a simulation with eight jobs of one class and two teams: all done,
+// and started at once.
 func newServedSimulation() *Simulation {
 	sim := &Simulation{Jobs: map[string]*Job{}, Now: 1_000_000}
 	for n := range 8 {
@@ -30,7 +31,7 @@
 	return sim
 }
 
-// Each group of which less than half is served is found, and it alone where it is small.
+// Each group of which less than half is done is found, and no other group if it is small.
 func TestUnderservedGroupsAreDetected(t *testing.T) {
 	leaveUnfinished := func(sim *Simulation, jobs ...int) {
 		for _, n := range jobs {
--- a/emulator/heartbeat_faults.go
+++ b/emulator/heartbeat_faults.go
@@ -6,13 +6,13 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// ReplayHeartbeats has a copy of that share of the workers' reports arrive again, from
-// 2 s to well over a lease later.
+// ReplayHeartbeats delivers copies of a share of the workers' heartbeats again, from 2 s to well
+// over a lease later, for ms milliseconds from now.
 func (sim *Simulation) ReplayHeartbeats(probability float64, ms int64) {
 	sim.heartbeatReplays = faultRate{probability, sim.Now + ms}
 }
 
-// replayHeartbeat brings a copy of a report again, to the member that it went to.
+// replayHeartbeat delivers a copy of a heartbeat again to the member that it was sent to.
 func (sim *Simulation) replayHeartbeat(worker *Worker, m *Member, hb scheduler.Heartbeat) {
 	if !sim.heartbeatReplays.occurs(sim) {
 		return
@@ -29,25 +29,25 @@
 		if epoch != m.epoch {
 			sim.DuplicateCounts["after an end of the member"]++
 		}
-		m.lastReplyID++ // nobody waits for the answer
+		m.lastReplyID++ // nobody waits for the response
 		m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, hb)
 		m.dispatchOutputs()
 	})
 }
 
-// capturedHeartbeat is a copy of a worker's report.
+// capturedHeartbeat is a copy of a worker's heartbeat that is delivered later.
 type capturedHeartbeat struct {
 	worker    *Worker
 	heartbeat scheduler.Heartbeat
 }
 
-// ReplayHeartbeatsAtClaim has a copy of that share of the workers' reports kept until a member
-// claims a shard, or the lead, and then arrive at every member.
+// ReplayHeartbeatsAtClaim keeps copies of a share of the workers' heartbeats until a member claims
+// a shard or becomes leader, and then delivers them to every member.
 func (sim *Simulation) ReplayHeartbeatsAtClaim(probability float64, ms int64) {
 	sim.claimReplays = faultRate{probability, sim.Now + ms}
 }
 
-// captureForClaim keeps a copy of a report for the next claim.
+// captureForClaim keeps a copy of a heartbeat for the next claim.
 func (sim *Simulation) captureForClaim(worker *Worker, hb scheduler.Heartbeat) {
 	if !sim.claimReplays.occurs(sim) {
 		return
@@ -58,8 +58,8 @@
 	sim.claimHeartbeats = append(sim.claimHeartbeats, capturedHeartbeat{worker, hb})
 }
 
-// observeClaim sees a claim that the state service has carried out, and lets the kept
-// copies of reports arrive.
+// observeClaim is called with each result of the state service, and delivers the captured
+// heartbeats once a claim was carried out.
 func (sim *Simulation) observeClaim(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) {
 	if len(sim.claimHeartbeats)+len(sim.ownerHeartbeats) == 0 || op.Kind != scheduler.StoreTxn ||
 		result.Outcome != scheduler.OK {
@@ -80,7 +80,7 @@
 	sim.replayToAll(captured, "at a claim")
 }
 
-// replayToAll brings reports to every member within moments.
+// replayToAll delivers heartbeats to every member shortly after each other.
 func (sim *Simulation) replayToAll(captured []capturedHeartbeat, occasion string) {
 	for _, capture := range captured {
 		for _, m := range sim.Members {
@@ -89,14 +89,14 @@
 	}
 }
 
-// DelayHeartbeatsUntilNewOwnerActs has that share of the workers' reports held back, unanswered, until a member
-// that claimed a shard, or the lead, has told a worker to do something. They arrive at every
-// member then.
+// DelayHeartbeatsUntilNewOwnerActs delays a share of the workers' heartbeats, without a response,
+// until a member that claimed a shard or became leader has sent its first command to a worker.
+// They are delivered to every member then.
 func (sim *Simulation) DelayHeartbeatsUntilNewOwnerActs(probability float64, ms int64) {
 	sim.ownerReplays = faultRate{probability, sim.Now + ms}
 }
 
-// captureForNewOwner tells whether a report is held back.
+// captureForNewOwner captures a heartbeat for the next owner, and reports whether it did.
 func (sim *Simulation) captureForNewOwner(worker *Worker, hb scheduler.Heartbeat) bool {
 	if !sim.ownerReplays.occurs(sim) {
 		return false
@@ -108,8 +108,8 @@
 	return true
 }
 
-// observeFirstCommands sees whether a member that claimed something tells workers what to do for the
-// first time, and lets the reports arrive that were held until then.
+// observeFirstCommands delivers the delayed heartbeats once a member that claimed something sends
+// its first command to a worker.
 func (sim *Simulation) observeFirstCommands(m *Member, outputs *scheduler.Outputs) {
 	if !sim.newOwners[m.Name] {
 		return
@@ -130,7 +130,7 @@
 	sim.replayToAll(captured, "after a new holder acted")
 }
 
-// deliverDuplicate brings a report to a member; nobody waits for the answer.
+// deliverDuplicate delivers a heartbeat to a member; nobody waits for the response.
 func (sim *Simulation) deliverDuplicate(m *Member, capture capturedHeartbeat, occasion string) {
 	if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
 		return
@@ -144,5 +144,5 @@
 	m.dispatchOutputs()
 }
 
-// maxCapturedHeartbeats bounds the copies that wait for a claim: later ones replace the oldest.
+// maxCapturedHeartbeats bounds the copies that wait for a claim; later ones replace the oldest.
 const maxCapturedHeartbeats = 60
--- a/emulator/infrastructure_faults.go
+++ b/emulator/infrastructure_faults.go
@@ -1,8 +1,7 @@
 package emulator
 
-// StartOutage takes the state service away from a member, or from "all", for a while.
-// Its watches stay open, and once an outage is over every hold has its full time
-// again.
+// StartOutage makes the state service unavailable to a member, or to "all", for durationMS.
+// Watches stay open, and the end of an outage for all gives every lease its full TTL again.
 func (sim *Simulation) StartOutage(target string, durationMS int64) {
 	sim.OutageUntil[target] = sim.Now + durationMS
 	sim.After(durationMS, func() {
@@ -12,7 +11,7 @@
 	})
 }
 
-// InjectInfrastructureFault makes one thing fail for a while, whichever comes.
+// InjectInfrastructureFault injects one randomly chosen fault of limited duration.
 func (sim *Simulation) InjectInfrastructureFault() {
 	durationMS := 3000 + sim.Rand.Int64N(25000)
 	m := sim.Members[sim.Rand.IntN(len(sim.Members))]
@@ -28,7 +27,7 @@
 	case 0:
 		m.Crash(1000 + sim.Rand.Int64N(4000))
 	case 1:
-		m.Crash(30_000 + sim.Rand.Int64N(30_000)) // long enough to be adopted
+		m.Crash(30_000 + sim.Rand.Int64N(30_000)) // long enough that other members claim its shards
 	case 2:
 		for _, m := range sim.Members {
 			m.Crash(1000 + sim.Rand.Int64N(4000))
@@ -72,7 +71,7 @@
 	}
 }
 
-// PartitionZone cuts the machines of a zone off from everything for a while.
+// PartitionZone partitions the machines of a zone from everything for durationMS.
 func (sim *Simulation) PartitionZone(zone string, durationMS int64) {
 	for _, id := range sim.WorkerIDs {
 		if worker := sim.Workers[id]; !worker.Gone && worker.Instance.Zone == zone {
--- a/emulator/invariants.go
+++ b/emulator/invariants.go
@@ -17,9 +17,10 @@
 	}
 }
 
-// checkCommands counts orders to workers. One that stops an attempt at once, though its job
-// goes on and nobody else has the task, stops what runs well. A stop for another attempt
-// than the one that runs stops nothing: it answers a report that was held for long.
+// checkCommands counts commands to workers, and checks that none stops a healthy attempt: one that
+// is stopped without grace although its job goes on and no other machine has the task. A stop for
+// an attempt other than the running one has no effect: it responds to a heartbeat that was delayed
+// for long.
 func (sim *Simulation) checkCommands(commands []scheduler.Command) {
 	for _, command := range commands {
 		sim.countCommands(string(command.Kind), 1)
@@ -104,7 +105,7 @@
 	}
 }
 
-// sweep checks the rules on places and limits over all tasks.
+// sweep checks the rules on placements and limits over all tasks.
 func (sim *Simulation) sweep() {
 	cpus, gpus := map[string]float64{}, map[string]float64{}
 	zones, workers := map[string]map[string]int{}, map[string]*Worker{}
@@ -120,7 +121,8 @@
 		}
 		zones[t.Job.ID][worker.Instance.Zone]++
 	})
-	for _, team := range slices.Sorted(maps.Keys(cpus)) { // the first that fails is told
+	// Sorted, so that the first violation is the same in every run.
+	for _, team := range slices.Sorted(maps.Keys(cpus)) {
 		sim.checkLimits(team, cpus[team], gpus[team])
 	}
 	sim.EachTask(func(worker *Worker, t *platformfake.Task) { sim.checkPlacement(worker, t, zones[t.Job.ID]) })
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -7,30 +7,30 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// InjectedFault breaks something between the cores and the world, so that a test can
-// see each rule's check fail.
+// InjectedFault alters what passes between the cores and the simulation, so that a test can see
+// the check of each rule fail.
 type InjectedFault struct {
-	WorkerResponse func(*scheduler.HeartbeatResponse) // answers to workers
-	Heartbeat      func(*scheduler.Heartbeat)         // reports of workers
+	WorkerResponse func(*scheduler.HeartbeatResponse) // responses to workers
+	Heartbeat      func(*scheduler.Heartbeat)         // heartbeats of workers
 	Params         func(*scheduler.Params)
-	SubmittedJob   func(*scheduler.Job)          // what the cores are told of a job
-	UserResponse   func(*scheduler.UserResponse) // answers to users
-	// ResponseToRequest changes the answers to users by what they asked.
+	SubmittedJob   func(*scheduler.Job)          // the job as the cores receive it
+	UserResponse   func(*scheduler.UserResponse) // responses to users
+	// ResponseToRequest alters responses to users depending on their request.
 	ResponseToRequest func(scheduler.UserRequest, *scheduler.UserResponse)
 }
 
-// Member is a member's place in the world, and its core while it runs.
+// Member is a simulated member, with its core while it is up.
 type Member struct {
 	Name          string
 	Core          *scheduler.Controller // nil while it is down
-	ClockOffsetMS int64                 // its time of day is off by so many milliseconds
+	ClockOffsetMS int64                 // error of its wall clock in ms
 
 	sim          *Simulation
 	epoch        int
 	clockRate    float64
 	startedAt    int64
-	budgetFreeAt int64 // when its part of the rates has room again
-	// When its process, which stands still, goes on.
+	budgetFreeAt int64 // when its share of the store's rate limits allows the next request
+	// When its paused process resumes.
 	pausedUntil         int64
 	lastReplyID         uint64
 	pendingHeartbeats   map[uint64]func(scheduler.HeartbeatResponse)
@@ -44,7 +44,7 @@
 	respond func(scheduler.StoreResult)
 }
 
-// Clock is the time as the member sees it.
+// Clock returns the member's own monotonic and wall-clock time.
 func (m *Member) Clock() scheduler.Now {
 	return scheduler.Now{
 		MonotonicMS: int64(float64(m.sim.Now-m.startedAt)*m.clockRate) + 1,
@@ -71,7 +71,7 @@
 	m.tick(m.epoch)
 }
 
-// Crash ends a member at once; it starts again after so many milliseconds.
+// Crash ends a member at once; it restarts after downMS.
 func (m *Member) Crash(downMS int64) {
 	if m.Core == nil {
 		return
@@ -94,7 +94,7 @@
 	m.sim.After(50+m.sim.lagDelay(m.Name), func() { m.tick(epoch) })
 }
 
-// inEpoch runs f if the member is still the process that asked.
+// inEpoch wraps callback so that it runs only if the member has not restarted since the request.
 func (m *Member) inEpoch(epoch int, callback func()) func() {
 	var run func()
 	run = func() {
@@ -112,9 +112,8 @@
 
 const requestTimeoutMS = 2000
 
-// sendToStore sends a request to the state service, within the member's part of its
-// rates if the world has any. First come, first served: the real budget lets
-// holds go first.
+// sendToStore sends a request to the state service, within the member's share of its rate limits,
+// if there are any. Requests go in order of arrival; in the real program lease renewals go first.
 func (sim *Simulation) sendToStore(m *Member, op scheduler.StoreOp, send func()) {
 	if sim.StoreRPS == 0 {
 		sim.sendMessage(m.Name, "store", send)
@@ -126,10 +125,10 @@
 	sim.After(max(0, m.budgetFreeAt-sim.Now), func() { sim.sendMessage(m.Name, "store", send) })
 }
 
-// dispatchOutputs carries out what the member's core wants done.
+// dispatchOutputs carries out the outputs of the member's core.
 func (m *Member) dispatchOutputs() {
-	// An observer may end the member: what its core wanted is sent all the same, as
-	// from a process that ends a moment later, but no answer reaches the next one.
+	// An observer may crash the member: its outputs are sent all the same, as by a process that
+	// ends a moment later, but no response reaches its successor.
 	sim, epoch := m.sim, m.epoch
 	outputs := m.Core.TakeOutputs()
 	if sim.Observer != nil {
@@ -301,7 +300,7 @@
 	sim.After(requestTimeoutMS/2, func() { finish(scheduler.UserResponse{}, false) })
 }
 
-// duplicatePeerMessageShare is the share of peers' messages that arrive twice.
+// duplicatePeerMessageShare is the share of messages between members that arrive twice.
 const duplicatePeerMessageShare = 0.02
 
 func (m *Member) sendPeerMessage(peer *Member, outputs *scheduler.Outputs) {
@@ -322,7 +321,7 @@
 	}
 }
 
-// receivePeerMessage hands the core a copy of its own, as the network does.
+// receivePeerMessage gives the core a copy of its own, as a message from a network would be.
 func (m *Member) receivePeerMessage(msg scheduler.PeerMessage) {
 	if m.Core == nil {
 		return
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// Partition holds what goes between two groups of endpoints until it ends. Members
-// have their names, machines "w" and theirs, and there are "store", "cloud" and
+// Partition delays messages between two groups of endpoints until it ends. The endpoint of a
+// member is its name, that of a machine "w" and its name; the others are "store", "cloud" and
 // "users".
 type Partition struct {
 	A, B          string // prefixes of endpoints' names
 	Until         int64
-	DropsMessages bool // what goes between them is lost, not held
+	DropsMessages bool // messages are lost, not delayed
 }
 
-// Lag is how far a member that lacks processor time falls behind: what reaches
-// it waits, what it decided leaves late, and its ticks come seldom.
+// Lag delays a member that lacks processor time: its input waits, its output leaves late, and its
+// ticks are rare.
 type Lag struct{ Until, MaxDelayMS int64 }
 
-// sendMessage carries a message: late, lost, or held by a cut until it ends.
+// sendMessage delivers a message: delayed, lost, or held by a partition until it ends.
 func (sim *Simulation) sendMessage(from, to string, deliver func()) {
 	delay := 1 + sim.Rand.Int64N(12)
 	if sim.Rand.Float64() < 0.01 {
--- a/emulator/operator_requests.go
+++ b/emulator/operator_requests.go
@@ -7,7 +7,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// PickLiveWorkers returns so many machines that are up, whichever.
+// PickLiveWorkers returns up to n machines that are up, chosen at random.
 func (sim *Simulation) PickLiveWorkers(n int) (workers []*Worker) {
 	for _, id := range sim.WorkerIDs {
 		if worker := sim.Workers[id]; worker.Up && !worker.Gone {
@@ -18,8 +18,8 @@
 	return workers[:min(n, len(workers))]
 }
 
-// SendOperatorRequest has an operator's request answered through some member's administration
-// API, again until it is taken (200) or refused for good (409).
+// SendOperatorRequest sends an operator's request to the administration API of some member, and
+// repeats it until it is accepted (200) or rejected permanently (409).
 func (sim *Simulation) SendOperatorRequest(
 	send func(m *scheduler.Controller, now scheduler.Now, replyID uint64),
 	onResponse func(scheduler.UserResponse),
@@ -53,24 +53,24 @@
 	})
 }
 
-// StopCounter counts, from the machines' side, the tasks that were told to stop by will and
-// do not run again: no ledger is asked.
+// StopCounter counts tasks that were stopped voluntarily and are not running again. It observes
+// the machines and not the disruption ledger, which it serves to check.
 type StopCounter struct {
 	Total   int
-	MaxDown map[string]int // by team: at once
+	MaxDown map[string]int // by team: most at a time
 
 	sim         *Simulation
-	startCounts map[string]int // by task: how often it had begun when it was stopped
+	startCounts map[string]int // by task: number of starts when it was stopped
 }
 
-// CountStops counts from now on; over is told of each stop, with how many tasks of its
-// team are down.
+// CountStops counts from now on; onStop is called for each stop with the number of tasks of its
+// team that are down.
 func (sim *Simulation) CountStops(onStop func(t *platformfake.Task, down int)) *StopCounter {
 	counter := &StopCounter{sim: sim, MaxDown: map[string]int{}, startCounts: map[string]int{}}
 	sim.OnTaskStop = func(worker *Worker, t *platformfake.Task) {
 		j := sim.Jobs[t.Job.ID]
 		if worker.Agent.NoticeS != nil || j.DoneTasks[t.Name] {
-			return // the cloud's will, or nothing is lost
+			return // involuntary, by the cloud, or nothing is lost
 		}
 		counter.Total++
 		counter.startCounts[t.Name] = j.StartCounts[t.Name]
--- a/emulator/protocol_faults.go
+++ b/emulator/protocol_faults.go
@@ -6,12 +6,11 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// The troubles that the protocol's page names under "Delayed messages" and
-// "Outages and cuts", one at a time or together: each begins now and lasts for so
-// many milliseconds. What faults.go has beside them is cuts that hold packets,
-// outages, ends of members and lost machines.
+// The faults that the protocol's page names under "Delayed messages" and "Outages and cuts", alone
+// or overlapping: each begins now and lasts for so many milliseconds. infrastructure_faults.go has
+// the others: partitions that delay packets, outages, crashes of members and lost machines.
 
-// faultRate of something, until a time.
+// faultRate is the probability of a fault until a time.
 type faultRate struct {
 	probability float64
 	until       int64
@@ -21,20 +20,19 @@
 	return rate.until > sim.Now && sim.Rand.Float64() < rate.probability
 }
 
-// DelayWrites has that share of transactions get no answer and be carried out 2 to
-// 12 s later, after newer ones.
+// DelayWrites makes a share of transactions get no response and take effect 2 to 12 s later, after
+// newer ones.
 func (sim *Simulation) DelayWrites(probability float64, ms int64) {
 	sim.writeDelays = faultRate{probability, sim.Now + ms}
 }
 
-// LoseResponses has that share of transactions be carried out at once, and only their
-// answer lost.
+// LoseResponses makes a share of transactions take effect at once and loses only their response.
 func (sim *Simulation) LoseResponses(probability float64, ms int64) {
 	sim.responseLosses = faultRate{probability, sim.Now + ms}
 }
 
-// dropsStoreResponse takes the answer to a transaction that was carried out, or refused for its
-// conditions.
+// dropsStoreResponse reports whether to lose the response to a transaction that was carried out or
+// whose precondition failed.
 func (sim *Simulation) dropsStoreResponse(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) bool {
 	succeeded := result.Outcome == scheduler.OK
 	if op.Kind != scheduler.StoreTxn ||
@@ -50,34 +48,35 @@
 	return true
 }
 
-// DelayCommands has that share of direct commands be held up for 2 to 16 s and carried
-// out once, unanswered, if token and session still match.
+// DelayCommands delays a share of direct commands by 2 to 16 s. They are carried out once, without
+// a response, if fencing token and incarnation still match.
 func (sim *Simulation) DelayCommands(probability float64, ms int64) {
 	sim.commandDelays = faultRate{probability, sim.Now + ms}
 }
 
-// connectTimeoutMS is how long a connection attempt takes that fails.
+// connectTimeoutMS is how long a failing connection attempt takes.
 const connectTimeoutMS = 500
 
-// PartitionOutbound has a machine reach no member, while direct commands reach it.
+// PartitionOutbound keeps a machine from reaching any member, while direct commands still reach
+// it.
 func (sim *Simulation) PartitionOutbound(worker *Worker, ms int64) {
 	worker.outboundPartitionedUntil = max(worker.outboundPartitionedUntil, sim.Now+ms)
 }
 
-// IsOutboundPartitioned tells whether the machine can open no connection to a member.
+// IsOutboundPartitioned reports whether the machine can open no connection to a member.
 func (worker *Worker) IsOutboundPartitioned(sim *Simulation) bool {
 	return worker.outboundPartitionedUntil > sim.Now
 }
 
-// PartitionInbound has a machine hear nothing while its reports arrive: answers and direct
-// commands to it are lost.
+// PartitionInbound loses heartbeat responses and direct commands to a machine, while its
+// heartbeats still arrive.
 func (sim *Simulation) PartitionInbound(worker *Worker, ms int64) {
 	worker.inboundPartitionedUntil = max(worker.inboundPartitionedUntil, sim.Now+ms)
 }
 
-// PartitionMember cuts a member off from the state service and from the other members, not
-// from its workers or users. What it sends meanwhile is held, or, with refuse,
-// refused by the state service and lost between members.
+// PartitionMember partitions a member from the state service and the other members, not from its
+// workers or users. Its messages are delayed until the end or, with refused, refused by the state
+// service and lost between members.
 func (sim *Simulation) PartitionMember(m *Member, ms int64, refused bool) {
 	if refused {
 		sim.StartOutage(m.Name, ms)
@@ -94,8 +93,9 @@
 	}
 }
 
-// PartitionZoneWithMember cuts the machines of a zone off together with a member: they reach each
-// other, and nobody else. What is sent meanwhile is held, or, with loses, lost.
+// PartitionZoneWithMember partitions the machines of a zone together with a member: they reach
+// each other and nobody else. Other messages are delayed until the end or, with dropsMessages,
+// lost.
 func (sim *Simulation) PartitionZoneWithMember(zone string, m *Member, ms int64, dropsMessages bool) {
 	partition := func(sideA, sideB string) {
 		sim.Partitions = append(
@@ -127,19 +127,19 @@
 	}
 }
 
-// SlowStore has the state service's messages take up to so much longer, each its
-// own time, so that answers overtake each other.
+// SlowStore delays each message of the state service by a random time up to maxDelayMS, so that
+// responses overtake each other.
 func (sim *Simulation) SlowStore(maxDelayMS, ms int64) {
 	sim.storeDelayMS, sim.storeSlowUntil = maxDelayMS, sim.Now+ms
 }
 
-// PauseMember has a member's process stand still: what it decided last leaves when
-// it goes on, and what came meanwhile is there at once.
+// PauseMember pauses a member's process: its last outputs leave when it resumes, and what arrived
+// meanwhile is delivered at once.
 func (sim *Simulation) PauseMember(m *Member, ms int64) {
 	m.pausedUntil = max(m.pausedUntil, sim.Now+ms)
 }
 
-// DelayWorkerCommands has direct commands to a machine, or their answers, held up.
+// DelayWorkerCommands delays direct commands to a machine or, with delayResults, their responses.
 func (sim *Simulation) DelayWorkerCommands(worker *Worker, ms int64, delayResults bool) {
 	if delayResults {
 		worker.commandResultsDelayedUntil = sim.Now + ms
@@ -148,10 +148,11 @@
 	}
 }
 
-// SetClockRate sets how fast a member's steady clock runs against true time, before it starts.
+// SetClockRate sets the rate of a member's monotonic clock relative to true time; call it before
+// the member starts.
 func (m *Member) SetClockRate(rate float64) { m.clockRate = rate }
 
-// hasActiveFault tells whether something is wrong that keeps members from answering users.
+// hasActiveFault reports whether a fault is active that may keep members from responding to users.
 func (sim *Simulation) hasActiveFault() bool {
 	for _, until := range []int64{
 		sim.writeDelays.until, sim.heartbeatReplays.until, sim.responseLosses.until,
@@ -184,11 +185,11 @@
 	return false
 }
 
-// forgottenMS is for how long, once all troubles are over, a job may be one about which
-// no question is answered.
+// forgottenMS is how long, once all faults are over, queries about a job may remain without a
+// response.
 const forgottenMS = 75_000
 
-// checkForgotten looks at each job by itself, however others fare.
+// checkForgotten checks each job separately, so that progress of others hides nothing.
 func (sim *Simulation) checkForgotten() {
 	if sim.hasActiveFault() {
 		sim.lastFaultAt = sim.Now
@@ -210,8 +211,8 @@
 	}
 }
 
-// pauseDelay is how much longer a message takes for a process that stands still at one
-// of its ends, or for a state service that is slow.
+// pauseDelay returns the additional delay in ms of a message from or to a paused process or a slow
+// state service.
 func (sim *Simulation) pauseDelay(from, to string) int64 {
 	delayMS := int64(0)
 	for _, m := range sim.Members {
@@ -225,7 +226,7 @@
 	return delayMS
 }
 
-// KeyKind is what a key holds: the part of its name that all of its kind share.
+// KeyKind returns the kind of a key: the part of its name that all keys of the kind share.
 func KeyKind(key string) string {
 	parts := strings.SplitAfterN(key, "/", 3)
 	if parts[0] == "l/" && len(parts) == 3 {
@@ -234,14 +235,15 @@
 	return parts[0]
 }
 
-// divertLateWrite takes a transaction that is carried out late and gets no answer.
+// divertLateWrite reports whether it took a transaction over, to carry it out late without a
+// response.
 func (sim *Simulation) divertLateWrite(m *Member, op scheduler.StoreOp) bool {
 	if op.Kind != scheduler.StoreTxn || sim.storeRefuses(m.Name) ||
 		!sim.writeDelays.occurs(sim) && !(sim.DelaysWrite != nil && sim.DelaysWrite(m, op)) {
 		return false
 	}
-	// It has the service already: a refusal of its sender no longer stops it, only an
-	// outage holds it up.
+	// The service already has the request: a later refusal of its sender cannot stop it, and only
+	// an outage delays it.
 	var execute func()
 	execute = func() {
 		if outageLeft := sim.OutageUntil["all"] - sim.Now; outageLeft > 0 {
@@ -259,7 +261,7 @@
 	return true
 }
 
-// runCommandLate carries out commands that were held up on their way; nobody is answered.
+// runCommandLate carries out commands that were delayed on their way, without a response.
 func (sim *Simulation) runCommandLate(worker *Worker, command scheduler.DirectCommand) {
 	var run func()
 	run = func() {
@@ -275,7 +277,7 @@
 	sim.After(2000+sim.Rand.Int64N(14_000), run)
 }
 
-// CrashAll ends every member; they are back some three seconds later, not together.
+// CrashAll crashes every member; they restart about three seconds later, at different times.
 func (sim *Simulation) CrashAll() {
 	for _, m := range sim.Members {
 		m.Crash(2500 + sim.Rand.Int64N(1500))
--- a/emulator/protocol_faults_test.go
+++ b/emulator/protocol_faults_test.go
@@ -8,7 +8,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// runWithFault is a day with one trouble that begins after 20 s, beside members that end.
+// runWithFault runs a scenario with one fault that begins after 20 s, beside crashes of members.
 func runWithFault(seed uint64, inject func(*Simulation)) *Simulation {
 	sim := New(Options{Seed: seed, Members: 3, CapacityPerOffering: 6, MessageLoss: 0.002,
 		Types: []scheduler.MachineType{
@@ -65,7 +65,7 @@
 
 const faultMS = 40_000
 
-// Each trouble of a day comes about, and no rule breaks by it alone.
+// Each fault of a scenario takes effect, and violates no rule by itself.
 func TestFaultsTakeEffectAndBreakNoRule(t *testing.T) {
 	for name, c := range map[string]struct {
 		inject   func(*Simulation)
@@ -156,7 +156,7 @@
 	return n
 }
 
-// A mute machine's reports reach nobody, while commands that are sent to it do.
+// Heartbeats of a machine with an outbound partition reach nobody, while direct commands reach it.
 func TestOutboundPartitionedWorkerTakesCommands(t *testing.T) {
 	const token = 1 << 60
 	var partitioned *Worker
--- a/emulator/random_faults.go
+++ b/emulator/random_faults.go
@@ -1,6 +1,6 @@
 package emulator
 
-// SampleLiveWorkers does something to a share of the machines that are up.
+// SampleLiveWorkers calls action for a random share of the machines that are up.
 func (sim *Simulation) SampleLiveWorkers(probability float64, action func(*Worker)) {
 	for _, id := range sim.WorkerIDs {
 		if worker := sim.Workers[id]; worker.Up && !worker.Gone && sim.Rand.Float64() < probability {
@@ -11,23 +11,23 @@
 
 func (sim *Simulation) randomMember() *Member { return sim.Members[sim.Rand.IntN(len(sim.Members))] }
 
-// randomBetween draws a time of so many milliseconds.
+// randomBetween draws a time in ms, at least from and less than to.
 func (sim *Simulation) randomBetween(from, to int64) int64 { return from + sim.Rand.Int64N(to-from) }
 
-// Fault is something that can go wrong, with lengths of its own.
+// Fault is a kind of fault with a random duration.
 type Fault struct {
 	Name   string
 	Inject func(*Simulation)
 }
 
-// InjectRandomFault begins one of them.
+// InjectRandomFault injects one of Faults.
 func (sim *Simulation) InjectRandomFault() {
 	fault := Faults[sim.Rand.IntN(len(Faults))]
 	sim.Tracef("trouble: %s", fault.Name)
 	fault.Inject(sim)
 }
 
-// Faults are all that can go wrong by themselves, for days that pair them.
+// Faults lists the independent faults, for scenarios with overlapping faults.
 var Faults = []Fault{
 	{
 		"late writes",
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -1,9 +1,8 @@
-// Package emulator is the project's own model of the systems that grebedock
-// serves, in simulated time: a state service, a cloud, workers, a network that
-// delays, loses, doubles and holds packets, clocks that drift, and users who ask,
-// cancel and remember what they were told. It runs real cores of the scheduler.
-// One seed gives one history. The rules are checked from the world's side: by
-// what ran on the machines and by what users heard.
+// Package emulator is the project's own model of the systems that grebedock serves, in simulated
+// time: a state service, a cloud, workers, a network that delays, loses, doubles and holds
+// packets, clocks that drift, and users who ask, cancel and remember what they were told. It runs
+// real cores of the scheduler. One seed gives one history. The rules are checked against what ran
+// on the machines and what users were told, never against the state that a core believes.
 package emulator
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Options are what a world is made of.
+// Options configure a simulation.
 type Options struct {
 	Seed                uint64
 	Members             int
@@ -26,14 +25,15 @@
 	MessageLoss         float64 // share of messages that are lost
 	// TaskRunMS is how long a task runs; nil: some seconds.
 	TaskRunMS func(w *Simulation, j *Job, task string) int64
-	// SpeedSpread is how far machines of a type differ in speed, and FetchSpread how far
-	// images take longer or shorter than their size over the type's rate. Without
-	// the latter each image takes a machine the same time.
+	// SpeedSpread is the spread of the speed of machines of a type, and FetchSpread that of image
+	// fetches around size over the type's rate. Without the latter every fetch takes a machine the
+	// same time.
 	SpeedSpread, FetchSpread float64
-	// SpotLossPerHour is how many spot machines of a hundred are taken back in an hour, with
-	// a notice of so many seconds, give or take a half.
+	// SpotLossPerHour is the number of spot machines of a hundred that the cloud reclaims in an
+	// hour, with a notice of NoticeS seconds, give or take a half.
 	SpotLossPerHour, NoticeS float64
-	GangWaitMS               int64 // gangs wait for their mates as long as this; 0: they need not wait
+	// How long a gang's tasks wait for each other; 0: they need not wait.
+	GangWaitMS int64
 }
 
 // Simulation is a simulated platform with a cluster of cores in it.
@@ -44,110 +44,112 @@
 	Cloud          *platformfake.Cloud
 	Members        []*Member
 	Workers        map[string]*Worker
-	WorkerIDs      []string // of all machines that ever were, in order
+	WorkerIDs      []string // of all machines that ever existed, in order
 	Jobs           map[string]*Job
 	JobIDs         []string // of jobs
 	Partitions     []Partition
-	OutageUntil    map[string]int64 // of the state service, for a member or "all": until when
+	OutageUntil    map[string]int64 // end of the state service's outage, for a member or "all"
 	Lags           map[string]Lag   // by member
 	Params         scheduler.Params
 	MessageLoss    float64
-	Violations     map[string]string // rule: first breach
+	Violations     map[string]string // by rule: first violation
 	TraceEnabled   bool
 	TraceLog       []string
 	PriorityStops  int64             // tasks stopped for a higher priority
 	FailureReasons map[string]string // jobs that failed, and why
-	Relayed        int               // requests that members passed on
-	StoreRPS       float64           // requests and changes a second that the state service allows; 0: any
-	StoreWriteRPS  float64
-	StoreRequests  map[scheduler.StoreOpKind]int
-	StoreChanges   int
-	// commands, questions to workers, machines rented and returned: by kind, for each second
+	Relayed        int               // requests that members forwarded
+	// Requests and writes per second that the state service allows; 0: unlimited.
+	StoreRPS      float64
+	StoreWriteRPS float64
+	StoreRequests map[scheduler.StoreOpKind]int
+	StoreChanges  int
+	// commands, queries to workers, machines provisioned and released: by kind, for each second
 	CommandCounts  map[string][]int
 	RepeatedStarts int // starts of tasks that had started before
 	History        []history.Op
-	// ChecksDisabled leaves out the rules, whose checks look at all tasks at each
-	// start: for measurements at sizes where that takes all the time.
+	// ChecksDisabled turns the rules off. Their checks visit all tasks at each start, which
+	// dominates measurements of large clusters.
 	ChecksDisabled bool
-	// SweepIntervalMS has the rules on places and limits checked over all tasks at once, so often,
-	// instead of over all tasks at each start: at ten thousand machines the latter
-	// takes all the time. 0: at each start.
+	// SweepIntervalMS is the interval between checks of placements and limits over all tasks; 0:
+	// they are checked at each start, which dominates the run time at ten thousand machines.
 	SweepIntervalMS int64
-	// PeerMessages counts what members sent each other, Summaries those that had summaries.
+	// PeerMessages counts messages between members, SummaryMessages those with summaries.
 	PeerMessages, SummaryMessages int
-	// ExtraDelay is how much longer a message from one endpoint to another takes, Refused
-	// whether a member has no connection left for a worker, and Spy sees what a
-	// member wants done before it is: for tests that fail at a certain moment.
+	// Hooks for tests that inject a fault at a certain moment. ExtraDelay returns the additional
+	// delay in ms of a message between two endpoints, RefusesConnection reports whether a member
+	// has no connection left for a worker, and Observer sees a member's outputs before they are
+	// carried out.
 	ExtraDelay        func(from, to string) int64
 	RefusesConnection func(member string) bool
-	// IsFaulty machines fail every task.
+	// IsFaulty selects machines on which every task fails.
 	IsFaulty func(*Worker) bool
-	// IsMisconfigured jobs were submitted with a mistake: their tasks fail on every machine.
+	// IsMisconfigured selects jobs that were submitted with a mistake: their tasks fail on every
+	// machine.
 	IsMisconfigured func(*Job) bool
-	// BootDelay changes how long a machine takes to come up, in ms; below 0 it never does.
+	// BootDelay returns how long a machine takes to boot, in ms; below 0 it never does.
 	BootDelay func(h *Worker, usual int64) int64
 	Observer  func(*Member, *scheduler.Outputs)
-	// OnTaskStop is told of each task that a worker was told to stop though its job goes
-	// on: with some grace. Without any, "stopped_well" is the rule.
+	// OnTaskStop is called for each task that a worker is told to stop with a grace period
+	// although its job goes on. Stops without one are checked by the rule "stopped_well".
 	OnTaskStop func(*Worker, *platformfake.Task)
-	// OnTaskDone is told of each task that is done.
+	// OnTaskDone is called for each task that is done.
 	OnTaskDone func(*platformfake.Task)
 
-	// LateWriteCounts counts changes that were carried out late, by their keys' prefix, Copies
-	// reports that arrived once more.
+	// LateWriteCounts counts writes that were carried out late, by their keys' prefix,
+	// DuplicateCounts heartbeats that arrived again.
 	LateWriteCounts, DuplicateCounts map[string]int
-	// LostResponseCount counts transactions that were carried out and whose answer was lost.
+	// LostResponseCount counts transactions that were carried out and whose response was lost.
 	LostResponseCount int
 	// StartsAfterCancel counts tasks that started after their users were told that they
 	// are cancelled.
 	StartsAfterCancel int
-	// UpdatedTeams are those of settings that members take over one by one, if there are any: a
-	// job over their limits may wait.
+	// UpdatedTeams are the teams of new settings that members adopt one by one, if any: a job over
+	// their limits may wait.
 	UpdatedTeams map[string]scheduler.Team
-	// LongestStarvationMS is the longest time that a job waited though it could start.
+	// LongestStarvationMS is the longest time that a job waited although it could start.
 	LongestStarvationMS int64
-	// LostResponseKinds counts changes of which only the answer was lost, by their keys' prefix.
+	// LostResponseKinds counts writes of which only the response was lost, by their keys' prefix.
 	LostResponseKinds map[string]int
-	// LosesResponse tells of which further transactions that were carried out the answer is lost.
+	// LosesResponse selects further transactions that are carried out and whose response is lost.
 	LosesResponse func(*Member, scheduler.StoreOp) bool
-	// ConcurrentReads counts how often users asked at all members at once.
+	// ConcurrentReads counts how often users queried all members at once.
 	ConcurrentReads int
-	// FailedConnections counts reports of machines that could open no connection.
+	// FailedConnections counts heartbeats of machines that could open no connection.
 	FailedConnections int
-	// DelaysWrite tells which further transactions are carried out late.
+	// DelaysWrite selects further transactions that are carried out late.
 	DelaysWrite func(*Member, scheduler.StoreOp) bool
 
 	options              Options
 	writeDelays          faultRate
 	heartbeatReplays     faultRate
 	responseLosses       faultRate // of transactions that are carried out at once
-	claimReplays         faultRate // of reports of which a copy is kept for the next claim
+	claimReplays         faultRate // of heartbeats of which a copy is kept for the next claim
 	claimHeartbeats      []capturedHeartbeat
-	ownerReplays         faultRate // of reports that are held until a new holder has acted
+	ownerReplays         faultRate // of heartbeats that are delayed until a new owner has acted
 	ownerHeartbeats      []capturedHeartbeat
-	newOwners            map[string]bool // members that claimed something and told no worker anything yet
+	newOwners            map[string]bool // members that claimed something and sent no command yet
 	commandDelays        faultRate       // of direct commands
 	cancelsAtEnd         faultRate       // of jobs that are cancelled as they end
-	concurrentReadsUntil int64           // until when users ask at all members at once
-	invalidRequestsUntil int64           // until when users send what makes no sense
+	concurrentReadsUntil int64           // until when users query all members at once
+	invalidRequestsUntil int64           // until when users send invalid requests
 	invalidJobCount      int             // how many such jobs were sent
 	storeDelayMS         int64
 	storeSlowUntil       int64
-	lastFaultAt          int64 // when the last trouble was over
-	// Since when each job waits though it could start.
+	lastFaultAt          int64 // when the last fault was over
+	// Since when each job waits although it could start.
 	startableSince       map[string]int64
 	eventSeq             int
 	queue                eventQueue
 	parkedWatches        []parkedWatch
-	usefulCPUMS          float64         // of done tasks, ms of a processor
-	usefulCost           float64         // the same at the price of the machines it ran on, by ms
-	completeGangAttempts map[string]bool // of gangs, that had all their tasks on machines
-	historyClock         int64           // orders what users ask and hear
+	usefulCPUMS          float64         // of done tasks, in processor milliseconds
+	usefulCost           float64         // the same times the price of the machines, per ms
+	completeGangAttempts map[string]bool // attempts of gangs that had all their tasks on machines
+	historyClock         int64           // orders requests and responses of users
 	operatorRequests     uint64
 	limitUse             map[string]limitSamples // by team
 }
 
-// New returns a world whose members start within its first tenth of a second.
+// New returns a simulation whose members start within its first 100 ms.
 func New(options Options) *Simulation {
 	if options.TaskRunMS == nil {
 		options.TaskRunMS = func(sim *Simulation, _ *Job, _ string) int64 { return 1000 + sim.Rand.Int64N(9000) }
@@ -188,14 +190,14 @@
 	return sim
 }
 
-// Tracef notes what happened, for whoever looks into a seed with -sim.
+// Tracef adds an event to the trace if TraceEnabled is set, for those who examine a seed.
 func (sim *Simulation) Tracef(format string, a ...any) {
 	if sim.TraceEnabled {
 		sim.TraceLog = append(sim.TraceLog, fmt.Sprintf("%7d ", sim.Now)+fmt.Sprintf(format, a...))
 	}
 }
 
-// countCommands counts orders of a kind in this second.
+// countCommands counts commands of a kind in the current second.
 func (sim *Simulation) countCommands(kind string, n int) {
 	counts := sim.CommandCounts[kind]
 	for len(counts) <= int(sim.Now/1000) {
@@ -205,7 +207,7 @@
 	sim.CommandCounts[kind] = counts
 }
 
-// IsFinished tells whether the users of all jobs know how they ended.
+// IsFinished reports whether the users of all jobs know how they ended.
 func (sim *Simulation) IsFinished() bool {
 	for _, j := range sim.Jobs {
 		if !j.ObservedState.IsTerminal() {
--- a/emulator/starvation.go
+++ b/emulator/starvation.go
@@ -10,37 +10,36 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Once all troubles are over, no job may be left waiting while a machine that fits has
-// room and its team is under its limit. What machines hold decides, not what members
-// believe of them.
+// Once all faults are over, no job may be left waiting while a suitable machine has room and its
+// team is below its limit. The check uses the tasks on the machines, not what members believe.
 
 const (
 	maxStarvationMS         = 90_000
-	progressCheckIntervalMS = 1000 // between two looks
+	progressCheckIntervalMS = 1000 // between two checks
 )
 
-// workerUsage is what a machine has left, and which images its tasks keep there.
+// workerUsage is the free capacity of a machine, and the images that its tasks keep there.
 type workerUsage struct {
 	worker *Worker
 	free   availability.Resources // without the images
 	images map[string]float64
 }
 
-// jobPlacement is what a job has on machines: tasks that wait for their image count too.
+// jobPlacement is where a job's tasks are, including those that wait for their image.
 type jobPlacement struct {
 	tasks map[string]bool
 	zones map[string]int
 }
 
-// clusterUsage is what all machines hold at one moment.
+// clusterUsage is the usage of all machines at one time.
 type clusterUsage struct {
 	machines []workerUsage
 	jobs     map[string]*jobPlacement
 	teams    map[string]availability.Resources
 }
 
-// measureUsage looks at all machines. Those that can take no work, or will be gone soon, are not
-// among its machines, but what they hold counts.
+// measureUsage measures all machines. Those that accept no work, or will be gone soon, are not
+// listed, but their tasks count.
 func (sim *Simulation) measureUsage() *clusterUsage {
 	usage := &clusterUsage{jobs: map[string]*jobPlacement{}, teams: map[string]availability.Resources{}}
 	for _, id := range sim.WorkerIDs {
@@ -66,7 +65,7 @@
 	return usage
 }
 
-// withoutImage leaves the disk out: an image is there once for all tasks that need it.
+// withoutImage drops the disk: an image is stored once for all tasks that need it.
 func withoutImage(r availability.Resources) availability.Resources {
 	r.DiskGB = 0
 	return r
@@ -90,7 +89,7 @@
 	usage.teams[t.Job.Team] = usage.teams[t.Job.Team].Add(t.Job.Request)
 }
 
-// fittingCopies is how many tasks of a job the machine has room for, as many as limit at most.
+// fittingCopies returns how many tasks of a job the machine has room for, at most limit.
 func (usage *workerUsage) fittingCopies(j *scheduler.Job, limit int) int {
 	instance := usage.worker.Instance
 	if instance.Spot && !j.Spot || j.Zone != "" && j.Zone != instance.Zone ||
@@ -99,7 +98,8 @@
 	}
 	if _, cached := usage.images[j.Image]; !cached {
 		cacheGB := j.Request.DiskGB
-		for _, image := range slices.Sorted(maps.Keys(usage.images)) { // the same sum every time
+		// Floating-point sum in a fixed order.
+		for _, image := range slices.Sorted(maps.Keys(usage.images)) {
 			cacheGB += usage.images[image]
 		}
 		if cacheGB > usage.worker.machineType.Resources.DiskGB {
@@ -109,8 +109,8 @@
 	return usage.free.MaxCopies(withoutImage(j.Request), limit)
 }
 
-// findStartWorker tells whether a job's next task, or all tasks that a gang still lacks, could
-// start now, and tells of a machine where it could.
+// findStartWorker reports whether a job's next task, or all tasks that a gang still lacks, could
+// start now, and returns a machine where it could.
 func (usage *clusterUsage) findStartWorker(j *Job, limit scheduler.Team) (machine string, ok bool) {
 	job := &j.Spec
 	placement := usage.jobs[job.ID]
@@ -135,7 +135,7 @@
 		limit.MaxGPUs > 0 && used.GPUs+copies*job.Request.GPUs > limit.MaxGPUs {
 		return "", false
 	}
-	// How many tasks more each zone may have.
+	// zoneLimit returns how many more tasks a zone may have.
 	zoneLimit := func(zone string) int {
 		switch {
 		case job.OneZone && len(placement.zones) > 0 && placement.zones[zone] == 0:
@@ -163,7 +163,7 @@
 	return "", false
 }
 
-// isQuiescent tells whether all troubles are over, those of machines too.
+// isQuiescent reports whether all faults are over, including those of machines.
 func (sim *Simulation) isQuiescent() bool {
 	if sim.hasActiveFault() || sim.commandDelays.until > sim.Now || sim.claimReplays.until > sim.Now {
 		return false
@@ -184,8 +184,8 @@
 	return true
 }
 
-// checkProgress looks at what each unfinished job waits for, again and again. A job that
-// gets a task started, or can't get one, begins to wait anew.
+// checkProgress checks periodically what each unfinished job waits for. The wait of a job begins
+// anew when one of its tasks starts, or when none could start.
 func (sim *Simulation) checkProgress() {
 	sim.After(progressCheckIntervalMS, sim.checkProgress)
 	if !sim.isQuiescent() {
--- a/emulator/starvation_test.go
+++ b/emulator/starvation_test.go
@@ -8,7 +8,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// newWorkerUsage is a machine of 8 processors and a cache of 10 GB, with so much of it in use.
+// newWorkerUsage returns a machine of 8 processors and a cache of 10 GB, partly in use.
 func newWorkerUsage(zone string, spot bool, usedCPUs float64, images map[string]float64) workerUsage {
 	machineType := scheduler.MachineType{
 		Name:      "small",
@@ -23,8 +23,8 @@
 	return workerUsage{worker: worker, free: availability.Resources{CPUs: 8 - usedCPUs, MemoryGB: 32}, images: images}
 }
 
-// What could start is told by room, type, zone, kind of machine, spread, one zone, image
-// cache, the team's limit, and for gangs all at once.
+// Whether a task could start depends on room, type, zone, kind of machine, spread, a single zone,
+// image cache and the team's limit; for a gang, on all its tasks together.
 func TestStartableTasksAreRecognized(t *testing.T) {
 	a, b := newWorkerUsage("a", false, 0, nil), newWorkerUsage("b", false, 0, nil)
 	both := []workerUsage{a, b}
--- a/emulator/team_results.go
+++ b/emulator/team_results.go
@@ -5,18 +5,18 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// What teams get is counted on the machines, not by what members say.
+// Team results are counted on the machines, not taken from what members report.
 
-// minCountedRunMS is how long a task must have run for its start to count, if it is
-// stopped by command, in milliseconds (PROTOCOL).
+// minCountedRunMS is the shortest run time in ms for which the start of a task counts if the task
+// is stopped by command (PROTOCOL).
 const minCountedRunMS = 30_000
 
-// isUnfinished tells whether a job is still to be run.
+// isUnfinished reports whether a job still has tasks to run.
 func (j *Job) isUnfinished() bool {
 	return j.DoneAt == 0 && !j.CancelRequested && !j.ObservedState.IsTerminal()
 }
 
-// isWithinGuarantee tells whether a job fits its team's guarantee together with the team's
+// isWithinGuarantee reports whether a job fits its team's guarantee together with the team's
 // earlier unfinished jobs.
 func (sim *Simulation) isWithinGuarantee(j *Job) bool {
 	team := sim.Params.Teams[j.Spec.Team]
@@ -33,7 +33,7 @@
 	return cpus <= team.CPUs && gpus <= team.GPUs
 }
 
-// discountEarlyStop takes back a start that was stopped by command too soon to count.
+// discountEarlyStop discounts a start that was stopped by command before minCountedRunMS.
 func (sim *Simulation) discountEarlyStop(worker *Worker, t *platformfake.Task) {
 	j := sim.Jobs[t.Job.ID]
 	if at, ok := j.countedStartAt[t.Name]; ok && sim.Now-at < minCountedRunMS && worker.Agent.NoticeS == nil &&
@@ -42,8 +42,8 @@
 	}
 }
 
-// countPromptStarts counts how soon a team's work within its guarantee started, of jobs that came
-// since a time and were not cancelled.
+// countPromptStarts counts how soon a team's work within its guarantee started, for jobs that
+// arrived since sinceMS and were not cancelled.
 func (sim *Simulation) countPromptStarts(result *TeamResult, withinS float64, sinceMS int64) {
 	var waits []float64
 	prompt := 0
@@ -64,7 +64,7 @@
 	if result.Guaranteed > 0 {
 		result.PromptShare = float64(prompt) / float64(result.Guaranteed)
 	}
-	// What never started waits longest.
+	// Tasks that never started count as the longest waits.
 	for len(waits) < result.Guaranteed {
 		waits = append(waits, float64(sim.Now)/1000)
 	}
@@ -76,13 +76,13 @@
 	}
 }
 
-// limitSamples is what was seen of a team's limit and guarantee.
+// limitSamples accumulates samples of a team's use of its limit and guarantee.
 type limitSamples struct {
 	contendedS, belowGuaranteeS int
 	usedShareSum                float64
 }
 
-// sampleLimits looks once a second at what teams use and wait for.
+// sampleLimits samples once a second what teams use and wait for.
 func (sim *Simulation) sampleLimits() {
 	cpus, waitingCPUs := map[string]float64{}, map[string]float64{}
 	placedTasks := map[string]bool{}
--- a/emulator/user_requests.go
+++ b/emulator/user_requests.go
@@ -9,15 +9,14 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// What users do beside submitting jobs and polling them: many cancellations at once,
-// cancellations at a job's end, questions at all members within milliseconds, and
-// requests that make no sense.
+// What users do beside submitting jobs and polling them: many cancellations at once, cancellations
+// at a job's end, concurrent queries to all members, and invalid requests.
 
-// maxHungWorkers is how many machines of jobs that are cancelled together may hang.
+// maxHungWorkers bounds the hanging machines of jobs that are cancelled together.
 const maxHungWorkers = 8
 
-// CancelRunningJobs has users cancel so many jobs that run and have the most left, within a fifth
-// of a second. With hangMS, up to eight of their machines hang that long from then on.
+// CancelRunningJobs cancels, within 200 ms, the count running jobs with the most work left. With
+// hangMS, up to maxHungWorkers of their machines hang that long from then on.
 func (sim *Simulation) CancelRunningJobs(count int, hangMS int64) {
 	workers := map[string][]*Worker{}
 	sim.EachTask(func(worker *Worker, t *platformfake.Task) { workers[t.Job.ID] = append(workers[t.Job.ID], worker) })
@@ -42,7 +41,7 @@
 	}
 }
 
-// CancelAtEnd has users cancel that share of the jobs that end, as their last task ends.
+// CancelAtEnd cancels a share of the jobs as their last task ends, for ms milliseconds from now.
 func (sim *Simulation) CancelAtEnd(probability float64, ms int64) {
 	sim.cancelsAtEnd = faultRate{probability, sim.Now + ms}
 }
@@ -55,17 +54,17 @@
 	sim.readAtAllMembers(j)
 }
 
-// ReadConcurrently has users ask at all members within milliseconds after a job was accepted,
-// ended, or told to be over.
+// ReadConcurrently makes users query all members within milliseconds after a job was accepted,
+// ended, or was reported as over.
 func (sim *Simulation) ReadConcurrently(ms int64) {
 	sim.concurrentReadsUntil = max(sim.concurrentReadsUntil, sim.Now+ms)
 }
 
-// concurrentReadWindowMS is within how many milliseconds of each other close looks are.
+// concurrentReadWindowMS is the time within which concurrent queries are sent.
 const concurrentReadWindowMS = 40
 
-// readAtAllMembers asks twice at each member, repeats the submission at one, and cancels
-// every eighth job.
+// readAtAllMembers queries each member twice, repeats the submission at one, and cancels every
+// eighth job.
 func (sim *Simulation) readAtAllMembers(j *Job) {
 	if sim.concurrentReadsUntil <= sim.Now || !j.Accepted {
 		return
@@ -90,7 +89,7 @@
 	sim.sendAndCheck(m, j, scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: j.Spec.ID, Job: &resubmitted})
 }
 
-// sendAndCheck sends a request about a job and checks the answer.
+// sendAndCheck sends a request about a job and checks the response.
 func (sim *Simulation) sendAndCheck(m *Member, j *Job, req scheduler.UserRequest) {
 	requestedAt := sim.Now
 	sim.SendRequestTo(m, req, func(resp scheduler.UserResponse, ok bool) {
@@ -100,8 +99,8 @@
 	})
 }
 
-// SendInvalidRequests has users, for so long, repeat submissions of unfinished jobs, cancel jobs
-// that are done, and send jobs that fit no machine or lack a field.
+// SendInvalidRequests makes users, for ms milliseconds, resubmit unfinished jobs, cancel jobs that
+// are done, and submit jobs that fit no machine or lack a field.
 func (sim *Simulation) SendInvalidRequests(ms int64) {
 	active := sim.invalidRequestsUntil > sim.Now
 	sim.invalidRequestsUntil = max(sim.invalidRequestsUntil, sim.Now+ms)
@@ -137,8 +136,8 @@
 	}
 }
 
-// submitInvalidJob submits a job that lacks a field, or one that can never run. Both
-// may be answered by 503, or by the status that says why.
+// submitInvalidJob submits a job that lacks a field, or one that can never run. Valid responses
+// are 503 or the status that gives the reason.
 func (sim *Simulation) submitInvalidJob(template scheduler.Job, lacksField bool) {
 	sim.invalidJobCount++
 	id := fmt.Sprintf("job-8%05d", sim.invalidJobCount)
--- a/emulator/users.go
+++ b/emulator/users.go
@@ -6,27 +6,27 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Job is a job with what its user knows of it.
+// Job is a job with what its user was told and what the machines did.
 type Job struct {
 	Spec              scheduler.Job
 	Accepted          bool
 	ObservedState     scheduler.JobState
-	CancelRequested   bool  // its user asked
-	CancelConfirmedAt int64 // when its user was told so
+	CancelRequested   bool  // its user requested it
+	CancelConfirmedAt int64 // when its user was told that it is cancelled
 	DoneTasks         map[string]bool
 	StartCounts       map[string]int // starts by task
-	TaskRunS          float64        // of its tasks, in seconds, for whoever runs them
+	TaskRunS          float64        // of its tasks, in seconds, for runners of real executions
 	SubmittedAt       int64
-	// AcceptedAt is when its user was first told that it is known.
+	// AcceptedAt is when its user was first told that the job is accepted.
 	AcceptedAt   int64
 	FirstStartAt int64 // when its first task started, 0: not yet
 	DoneAt       int64 // when its last task was done, 0: not yet
 
 	finalObservedAt int64 // when its user was told its final state
-	// When its user last had an answer about it.
+	// When its user last got a response about it.
 	lastResponseAt  int64
-	longestRunMS    int64 // of its tasks' run times, of those that ran
-	withinGuarantee bool  // it came within its team's guarantee
+	longestRunMS    int64 // longest run time of its tasks that ran
+	withinGuarantee bool  // submitted within its team's guarantee
 	countedStartAt  map[string]int64
 }
 
@@ -82,8 +82,8 @@
 	sim.After(5000, func() { finish(scheduler.UserResponse{}, false) })
 }
 
-// ReceiveResponse checks an answer to a question that was asked at some time against what
-// the user had been told by then.
+// ReceiveResponse checks a response to a query that was sent at requestedAt against what the user
+// had been told by then.
 func (sim *Simulation) ReceiveResponse(j *Job, requestedAt int64, resp scheduler.UserResponse) {
 	switch resp.Status {
 	case 200, 201:
@@ -118,8 +118,7 @@
 	}
 }
 
-// Submit has a job's user submit it until it is accepted, and ask how it is from
-// then on.
+// Submit makes a job's user submit it until it is accepted, and poll it from then on.
 func (sim *Simulation) Submit(j *Job) {
 	id := j.Spec.ID
 	sim.Jobs[id] = j
@@ -150,7 +149,7 @@
 	sim.Poll(j)
 }
 
-// SendRequestDirect sends a request to a member without a network between.
+// SendRequestDirect sends a request to a member, bypassing the simulated network.
 func (m *Member) SendRequestDirect(req scheduler.UserRequest, onResponse func(scheduler.UserResponse)) {
 	m.lastReplyID++
 	historyIndex := m.sim.recordRequest(req)
@@ -163,7 +162,7 @@
 	m.dispatchOutputs()
 }
 
-// CancelJob has a job's user cancel it, again until it is told the end.
+// CancelJob makes a job's user cancel it, repeatedly until a member responds with status 200.
 func (sim *Simulation) CancelJob(j *Job) {
 	if !j.Accepted {
 		sim.After(1000, func() { sim.CancelJob(j) })
@@ -184,7 +183,7 @@
 	)
 }
 
-// Poll has a job's user ask for it from now on.
+// Poll makes a job's user query it periodically from now on.
 func (sim *Simulation) Poll(j *Job) {
 	sim.After(4000+sim.Rand.Int64N(2000), func() {
 		requestedAt := sim.Now
@@ -200,7 +199,7 @@
 	})
 }
 
-// QueryUnknownJobs asks about jobs that nobody submitted.
+// QueryUnknownJobs queries jobs that nobody submitted.
 func (sim *Simulation) QueryUnknownJobs() {
 	id := fmt.Sprintf("job-9%05d", sim.Rand.IntN(100000))
 	sim.SendRequest(
--- a/emulator/workers.go
+++ b/emulator/workers.go
@@ -10,31 +10,32 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Worker is a rented machine.
+// Worker is a provisioned machine.
 type Worker struct {
 	Agent          *platformfake.Worker // nil until it is up
 	Instance       *platformfake.Instance
 	Up, Gone       bool
 	ReleasedAt     int64
 	HangUntil      int64
-	AcknowledgedAt int64 // when a report of it was last taken
+	AcknowledgedAt int64 // when a heartbeat of it was last accepted
 
 	machineType              scheduler.MachineType
 	taskStartedAt            map[string]int64 // when each task last started here
-	memberIndex              int              // member that it reports to
+	memberIndex              int              // member that it sends heartbeats to
 	heartbeatInFlight        bool
 	nextHeartbeatAt          int64
 	lastHeartbeatAt          int64
-	retryHeartbeat           bool  // the last report had no answer that counts
-	inboundPartitionedUntil  int64 // it hears nothing
+	retryHeartbeat           bool  // the last heartbeat had no valid response
+	inboundPartitionedUntil  int64 // responses and direct commands to it are lost
 	outboundPartitionedUntil int64 // it can open no connection to a member
-	// Direct commands to it, and their answers, are held up.
+	// Until when direct commands to it, and their responses, are delayed.
 	commandsDelayedUntil, commandResultsDelayedUntil int64
-	heartbeatIntervalMS                              int64 // until the next report if nothing changes
-	clockRate                                        float64
+	// Until the next heartbeat if nothing changes.
+	heartbeatIntervalMS int64
+	clockRate           float64
 }
 
-// erringExecution is a task that ends by itself with an error, now and then.
+// erringExecution is a task that sometimes ends by itself with an error.
 type erringExecution struct {
 	sim      *Simulation
 	endsAt   int64
@@ -53,16 +54,16 @@
 
 func (execution *erringExecution) Stop() {}
 
-// MemberName is the member that the machine reports to.
+// MemberName returns the member that the machine sends heartbeats to.
 func (worker *Worker) MemberName(sim *Simulation) string { return sim.Members[worker.memberIndex].Name }
 
-// Clock is the machine's own steady clock.
+// Clock returns the machine's own monotonic time in ms.
 func (worker *Worker) Clock(sim *Simulation) int64 { return int64(float64(sim.Now) * worker.clockRate) }
 
-// neverBootsShare is the share of instances that never come up.
+// neverBootsShare is the share of provisioned instances that never boot.
 const neverBootsShare = 0.05
 
-// provisioned takes an instance that the cloud gave out.
+// provisioned adds an instance that the cloud has provisioned.
 func (sim *Simulation) provisioned(instance *platformfake.Instance) {
 	worker := &Worker{
 		Instance:      instance,
@@ -101,7 +102,7 @@
 	sim.After(bootMS, func() { sim.bootWorker(worker, speedRatio, fetchRatio) })
 }
 
-// bootWorker starts the agent of a machine that has come up, unless it is gone.
+// bootWorker starts the agent of a machine that has booted, unless it was released meanwhile.
 func (sim *Simulation) bootWorker(worker *Worker, speedRatio, fetchRatio float64) {
 	if worker.Gone {
 		return
@@ -151,7 +152,7 @@
 	}
 }
 
-// onDone counts a task's result, and what of its machine's time was of use.
+// onDone counts a task's result, and the useful part of its machine's time.
 func (sim *Simulation) onDone(worker *Worker, t *platformfake.Task) {
 	if sim.OnTaskDone != nil {
 		sim.OnTaskDone(t)
@@ -168,7 +169,7 @@
 	}
 }
 
-// execute is how a task ends that may fail; nil: it runs its time and succeeds.
+// execute returns the execution of a task that may fail, or nil if it runs its time and succeeds.
 func (sim *Simulation) execute(worker *Worker, t *platformfake.Task) platformfake.Execution {
 	if sim.IsFaulty != nil && sim.IsFaulty(worker) ||
 		sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[t.Job.ID]) {
@@ -180,10 +181,10 @@
 	return &erringExecution{sim, sim.Now + 1000 + sim.Rand.Int64N(4000), sim.Rand.IntN(4) > 0}
 }
 
-// isGangComplete tells whether all tasks of a gang's try have their images.
+// isGangComplete reports whether all tasks of a gang's attempt have their images.
 func (sim *Simulation) isGangComplete(t *platformfake.Task) bool {
 	attempt := fmt.Sprintf("%s %d", t.Job.ID, t.Attempt)
-	placed := len(sim.Jobs[t.Job.ID].DoneTasks) // those of an earlier try
+	placed := len(sim.Jobs[t.Job.ID].DoneTasks) // those of an earlier attempt
 	sim.EachTask(func(_ *Worker, other *platformfake.Task) {
 		if other.Job.ID == t.Job.ID && other.Attempt == t.Attempt {
 			placed++
@@ -193,7 +194,7 @@
 	return sim.completeGangAttempts[attempt]
 }
 
-// interruptSpot takes a spot machine back, after a notice.
+// interruptSpot reclaims a spot machine for the cloud, after a notice.
 func (sim *Simulation) interruptSpot(worker *Worker) {
 	if worker.Gone {
 		return
@@ -205,8 +206,8 @@
 	sim.After(int64(noticeS*1000), func() { sim.Cloud.Reclaim(worker.Instance.ID) })
 }
 
-// ReplaceWorkers takes machines away and brings as many others up that nobody asked for,
-// as when rentals of long ago are carried out late.
+// ReplaceWorkers removes machines and starts as many that nobody requested, as when old
+// provisioning requests are carried out late.
 func (sim *Simulation) ReplaceWorkers(workers []*Worker) {
 	for i, worker := range workers {
 		sim.Cloud.Reclaim(worker.Instance.ID)
@@ -224,9 +225,8 @@
 	}
 }
 
-// The pace of heartbeats: no two within minHeartbeatIntervalMS, the next member after
-// a refusal in memberRetryMS, and no response waited for longer than
-// heartbeatTimeoutMS.
+// The pace of heartbeats: no two within minHeartbeatIntervalMS, the next member memberRetryMS
+// after a refusal, and a timeout of heartbeatTimeoutMS for a response.
 const (
 	minHeartbeatIntervalMS  = 500
 	memberRetryMS           = 1000
@@ -259,7 +259,7 @@
 	heartbeat   scheduler.Heartbeat
 	sentAt      int64  // by the worker's clock
 	incarnation uint64 // as it was sent
-	finished    bool   // answered, refused or timed out
+	finished    bool   // responded to, refused or timed out
 	delivered   bool   // a copy has arrived
 }
 
@@ -363,7 +363,7 @@
 	}
 }
 
-// EachTask visits every task on every machine that exists.
+// EachTask calls visit for every task on every existing machine.
 func (sim *Simulation) EachTask(visit func(worker *Worker, t *platformfake.Task)) {
 	for _, id := range sim.WorkerIDs {
 		worker := sim.Workers[id]
@@ -374,7 +374,7 @@
 	}
 }
 
-// price is what the machine costs.
+// price returns the spot or on-demand price of the machine.
 func (worker *Worker) price() float64 {
 	if worker.Instance.Spot {
 		return worker.machineType.SpotPrice
@@ -382,9 +382,8 @@
 	return worker.machineType.Price
 }
 
-// costs is the share of what was paid that done tasks used, and what was paid
-// against the cost of the same work at the lowest price of a processor. What ran
-// and was lost counts for nothing.
+// costs returns the share of the cost that done tasks used, and the cost relative to that of the
+// same work at the lowest price of a processor. Lost work counts as useless.
 func (sim *Simulation) costs() (usefulShare, priceRatio float64) {
 	paidCost, lowestPrice := 0.0, 0.0
 	for _, id := range sim.WorkerIDs {
