--- a/internal/platformfake/cloud.go
+++ b/internal/platformfake/cloud.go
@@ -7,24 +7,24 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Instance is a machine that the cloud has rented out.
+// Instance is a machine that the cloud has provisioned.
 type Instance struct {
 	scheduler.CloudMachine
 	StartedAtMS int64
 }
 
-// Cloud rents machines out.
+// Cloud is a fake cloud that provisions and releases machines.
 type Cloud struct {
 	Types           []scheduler.MachineType
-	Capacity        int // machines of one type, zone and kind
+	Capacity        int // machines available for each type, zone and kind
 	instances       map[string]*Instance
 	resultByRequest map[string][]string
 	nextNumber      int
-	// OnProvisioned and Released are told of each machine.
+	// OnProvisioned and OnReleased are called for each machine.
 	OnProvisioned, OnReleased func(*Instance)
 }
 
-// NewCloud returns a cloud of these types.
+// NewCloud returns a cloud that offers the types, each with capacity machines per zone and kind.
 func NewCloud(types []scheduler.MachineType, capacity int) *Cloud {
 	return &Cloud{
 		Types:           types,
@@ -36,7 +36,7 @@
 	}
 }
 
-// Reclaim ends a rental from the cloud's side, as it does with spot machines.
+// Reclaim takes an instance back, as the cloud does with spot machines.
 func (c *Cloud) Reclaim(id string) {
 	if r := c.instances[id]; r != nil {
 		delete(c.instances, id)
--- a/internal/platformfake/platform.go
+++ b/internal/platformfake/platform.go
@@ -15,8 +15,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Platform serves a state service, a cloud and workers over loopback, by the
-// published protocol, for tests of the real program.
+// Platform serves a fake state service, cloud and workers over loopback, by the published
+// protocol, for tests of the real program.
 type Platform struct {
 	mu        sync.Mutex
 	startedAt time.Time
@@ -31,27 +31,27 @@
 	StateAddr, CloudAddr string
 }
 
-// Options describe a site.
+// Options configure a platform.
 type Options struct {
 	Types    []scheduler.MachineType
 	Lease    time.Duration
-	Members  []string // front addresses, which the workers report to
-	Capacity int      // machines of one type, zone and kind
-	// RunTimeMS is how long a task runs that is only waited for.
+	Members  []string // front addresses, to which the workers send heartbeats
+	Capacity int      // machines available for each type, zone and kind
+	// RunTimeMS returns the run time in ms of a task that is simulated.
 	RunTimeMS func(j *scheduler.Job) int64
-	// Execute begins a task that is really run; nil for the others.
+	// Execute starts a task that is really run; it returns nil for tasks that are simulated.
 	Execute func(*Task) Execution
-	// OnTaskStarted is told of each task that starts, in order, with the processors
-	// that are in use with it.
+	// OnTaskStarted is called for each task that starts, in order, with the processors in use
+	// including its own.
 	OnTaskStarted func(machine string, t *Task, cpus float64)
 }
 
-// NewPlatform starts a site whose machines boot at once.
+// NewPlatform starts a platform with 8 machines for each type, zone and kind, which boot at once.
 func NewPlatform(types []scheduler.MachineType, lease time.Duration, members []string) (*Platform, error) {
 	return StartPlatform(Options{Types: types, Lease: lease, Members: members, Capacity: 8})
 }
 
-// StartPlatform starts a site.
+// StartPlatform starts a platform. The caller must call Close.
 func StartPlatform(o Options) (*Platform, error) {
 	s := &Platform{
 		startedAt: time.Now(),
@@ -87,7 +87,7 @@
 		s.workers[r.ID] = w
 		addr, err := s.serve(r.ID, s.workerServer(w))
 		if err != nil {
-			addr = "127.0.0.1:1" // reports still reach the members
+			addr = "127.0.0.1:1" // heartbeats still reach the members
 		}
 		w.Machine.Addr = addr
 		go s.sendHeartbeats(w)
@@ -110,8 +110,8 @@
 	return s, err
 }
 
-// findJob gives a job that users submitted: as they told the workers, or as the
-// members keep it.
+// findJob returns a job that users submitted, from AddJob or else from the members' record in the
+// state service, or nil.
 func (s *Platform) findJob(id string) *scheduler.Job {
 	if j := s.jobs[id]; j != nil {
 		return j
@@ -126,7 +126,7 @@
 	return &rec.Job
 }
 
-// Close ends the site with all that runs on its machines.
+// Close ends the platform with all that runs on its machines.
 func (s *Platform) Close() {
 	close(s.stop)
 	s.mu.Lock()
@@ -141,10 +141,10 @@
 	}
 }
 
-// shutdownTimeout bounds the end of a server: nobody waits for its answers any more.
+// shutdownTimeout bounds the shutdown of a server: nobody waits for its responses any more.
 const shutdownTimeout = 100 * time.Millisecond
 
-// workerServer takes commands that are sent straight to a worker.
+// workerServer serves direct commands to a worker.
 func (s *Platform) workerServer(w *Worker) *fiber.App {
 	app := newServer()
 	app.Post("/do", func(c *fiber.Ctx) error {
@@ -219,14 +219,14 @@
 		"dive": r.Incarnation, "tally": r.Seq, "baton": r.Token, "ebb_s": nil, "chicks": tasks}
 }
 
-// AddJob tells the workers of a job, as its user's upload does.
+// AddJob makes a job known to the workers, as its user's upload does.
 func (s *Platform) AddJob(j scheduler.Job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.jobs[j.ID] = &j
 }
 
-// cpusInUse is how many processors all tasks on machines have.
+// cpusInUse returns the processors of all tasks on machines. The caller holds mu.
 func (s *Platform) cpusInUse() float64 {
 	sum := 0.0
 	for _, w := range s.workers {
@@ -270,8 +270,8 @@
 	return fiber.New(fiber.Config{DisableStartupMessage: true, Immutable: true})
 }
 
-// The protocol's words for states, causes and commands, written here again so
-// that a mistake in the program's own table is seen.
+// The protocol's words for states, causes and commands, repeated here so that a mistake in the
+// program's own table is detected.
 var (
 	taskStateNames = map[string]string{
 		"fetching": "fetching",
@@ -295,7 +295,7 @@
 	}
 )
 
-// sendHeartbeats lets a worker report until the site or its machine ends.
+// sendHeartbeats sends a worker's heartbeats until the platform or its machine ends.
 func (s *Platform) sendHeartbeats(w *Worker) {
 	memberIndex := 0
 	client := &http.Client{
--- a/internal/platformfake/state_server.go
+++ b/internal/platformfake/state_server.go
@@ -109,8 +109,7 @@
 	return s.applyStoreOp(c, scheduler.StoreOp{Kind: scheduler.StoreGrantLease, DurationMS: b.TTLMS})
 }
 
-// serveWatch answers as soon as there is a change, or when the time to wait is
-// over.
+// serveWatch responds as soon as there is a change, or when the time to wait is over.
 func (s *Platform) serveWatch(c *fiber.Ctx) error {
 	from, _ := strconv.ParseUint(c.Query("from"), 10, 64)
 	op := scheduler.StoreOp{Kind: scheduler.StoreWatch, Key: c.Query("prefix"), Rev: from}
@@ -127,5 +126,5 @@
 	return s.applyStoreOp(c, op)
 }
 
-// watchPollInterval is how often a watch looks for changes.
+// watchPollInterval is the interval at which a watch checks for changes.
 const watchPollInterval = 5 * time.Millisecond
--- a/internal/platformfake/state_service.go
+++ b/internal/platformfake/state_service.go
@@ -1,7 +1,7 @@
-// Package platformfake holds the project's own stand-ins for the systems that a
-// controller meets: the state service, the cloud and the workers, written from
-// their published protocol. They serve tests, in simulated time and over
-// loopback.
+// Package platformfake holds the project's own stand-ins for the systems that a controller meets:
+// the state service, the cloud and the workers, written from their published protocol. They serve
+// tests, in simulated time and over loopback. State, Cloud and Worker are not safe for concurrent
+// use; Platform serializes access to them.
 package platformfake
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// maxEvents is how many changes a watch can go back.
+// maxEvents bounds the changes that are kept for watches.
 const maxEvents = 10_000
 
 type entry struct {
@@ -29,7 +29,7 @@
 
 // State is the state service. Times are milliseconds of any one clock.
 type State struct {
-	PageSize int // items of a list's page; 0: 50, so that small worlds have several
+	PageSize int // items of a list's page; 0: 50, so that small clusters have several pages
 	rev      uint64
 	keys     map[string]entry
 	leases   map[uint64]lease
@@ -42,7 +42,7 @@
 	return &State{keys: map[string]entry{}, leases: map[uint64]lease{}}
 }
 
-// ExpireLeases ends the holds whose time is up and removes what hung on them.
+// ExpireLeases ends the leases whose TTL is over and deletes the keys attached to them.
 func (s *State) ExpireLeases(now int64) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		expiring := s.leases[id]
@@ -58,7 +58,7 @@
 	}
 }
 
-// RenewAllLeases gives every hold its full time again, as the end of an outage does.
+// RenewAllLeases gives every lease its full TTL again, as the end of an outage does.
 func (s *State) RenewAllLeases(now int64) {
 	for id, renewed := range s.leases {
 		renewed.expiresAt = now + renewed.ttl
@@ -97,8 +97,7 @@
 // Value returns a key's value, or nil.
 func (s *State) Value(key string) json.RawMessage { return s.keys[key].value }
 
-// Apply carries out an operation. ready is false for a watch with nothing to tell
-// yet.
+// Apply carries out an operation. ready is false for a watch without changes so far.
 func (s *State) Apply(now int64, op scheduler.StoreOp) (r scheduler.StoreResult, ready bool) {
 	s.ExpireLeases(now)
 	r.Rev = s.rev
--- a/internal/platformfake/worker.go
+++ b/internal/platformfake/worker.go
@@ -18,8 +18,8 @@
 	State        string
 	Reason       string
 	Checkpointed bool
-	stateEndsAt  int64 // when the present state ends
-	waitingSince int64 // when it began to wait for its mates
+	stateEndsAt  int64 // when the current state ends
+	waitingSince int64 // when it began to wait for the other tasks of its gang
 	execution    Execution
 }
 
@@ -29,43 +29,43 @@
 	Stop()
 }
 
-// IsOnMachine tells whether the task counts as being on its machine.
+// IsOnMachine reports whether the task counts as being on its machine.
 func (t *Task) IsOnMachine() bool {
 	return t.State == "running" || t.State == "saving" || t.State == "waiting"
 }
 
-// Worker is a machine's worker. Its times are its own steady clock's.
+// Worker is a machine's worker. Its times are in ms of its own monotonic clock.
 type Worker struct {
 	Machine   scheduler.CloudMachine
 	Resources availability.Resources
 	LeaseMS   int64
 	FetchMS   int64
-	// FetchTimeMS is how long a job's image takes; nil: FetchMS for each.
+	// FetchTimeMS returns the fetch time of a job's image in ms; nil: FetchMS for each.
 	FetchTimeMS func(*scheduler.Job) int64
-	// IsGangReady tells whether all tasks of a gang's try are on their machines; nil:
-	// nobody waits for mates. One that waited for so long gives up.
+	// IsGangReady reports whether all tasks of a gang's attempt are on their machines; nil: tasks
+	// do not wait for each other. A task that waited for GangTimeoutMS gives up.
 	IsGangReady   func(*Task) bool
 	GangTimeoutMS int64
-	// FindJob returns a job that users submitted, RunTimeMS how long a task runs.
+	// FindJob returns a job that users submitted, RunTimeMS the run time of a task in ms.
 	FindJob   func(id string) *scheduler.Job
 	RunTimeMS func(task string) int64
-	// OnStarted is told when a task starts, Ended when it is done.
-	// Stopped is told of a task that is told to stop with some grace; nil: nobody.
+	// OnStarted is called when a task starts, OnDone when it is done, and OnStopping, if not nil,
+	// when it is told to stop with a grace period.
 	OnStarted  func(*Worker, *Task)
 	OnDone     func(*Worker, *Task)
 	OnStopping func(*Worker, *Task)
-	// Execute begins a task that is to be run and not only waited for; nil
-	// for the others.
+	// Execute starts a task that is really run; it returns nil for tasks that are simulated.
 	Execute func(*Task) Execution
 
 	Incarnation, sequence, fencingToken uint64
 	lastResponseAt                      int64
 	tasks                               map[attemptKey]*Task
-	byName                              []*Task // the tasks by name and attempt: sums over them are the same every time
-	completed                           map[string]bool
-	images                              map[string]bool
-	HasChanges                          bool
-	NoticeS                             *float64
+	// Tasks ordered by name and attempt, so that floating-point sums over them are reproducible.
+	byName     []*Task
+	completed  map[string]bool
+	images     map[string]bool
+	HasChanges bool
+	NoticeS    *float64
 }
 
 type attemptKey struct {
@@ -73,7 +73,7 @@
 	number uint64
 }
 
-// StartIncarnation starts the worker's first session.
+// StartIncarnation starts the worker's first incarnation.
 func (w *Worker) StartIncarnation(now int64) {
 	w.Incarnation, w.lastResponseAt = 1, now
 	w.tasks, w.completed, w.images = map[attemptKey]*Task{}, map[string]bool{}, map[string]bool{}
@@ -89,7 +89,7 @@
 	return cmp.Or(strings.Compare(t.Name, key.task), cmp.Compare(t.Attempt, key.number))
 }
 
-// ForEachOnMachine visits the tasks that are on the machine, in a fixed order.
+// ForEachOnMachine calls visit for the tasks that are on the machine, in a fixed order.
 func (w *Worker) ForEachOnMachine(visit func(*Task)) {
 	for _, t := range w.byName {
 		if t.IsOnMachine() {
@@ -98,7 +98,7 @@
 	}
 }
 
-// hasDueTask tells whether a task has something to do.
+// hasDueTask reports whether the current state of a task has ended.
 func (w *Worker) hasDueTask(now int64) bool {
 	for _, t := range w.byName {
 		if t.State != "exited" && now >= t.stateEndsAt {
@@ -108,7 +108,7 @@
 	return false
 }
 
-// Advance lets time pass: the lease may end, and tasks move on.
+// Advance advances the worker to now: the lease may expire, and tasks change state.
 func (w *Worker) Advance(now int64) {
 	if w.IsLeaseExpired(now) {
 		w.Stop()
@@ -162,7 +162,7 @@
 	}
 }
 
-// startExecution begins a task that has its image.
+// startExecution starts a task that has its image.
 func (w *Worker) startExecution(now int64, t *Task) {
 	t.State, t.stateEndsAt = "running", now+w.RunTimeMS(t.Name)
 	if w.completed[t.Name] {
@@ -185,18 +185,18 @@
 	}
 }
 
-// Stop ends whatever runs.
+// Stop stops all executions.
 func (w *Worker) Stop() {
 	for _, t := range w.byName {
 		t.stop()
 	}
 }
 
-// IsLeaseExpired tells whether the lease is over: the tasks are killed whether or not
-// the machine hangs.
+// IsLeaseExpired reports whether the lease has expired: the tasks are killed then, even if the
+// machine hangs.
 func (w *Worker) IsLeaseExpired(now int64) bool { return now-w.lastResponseAt > w.LeaseMS }
 
-// Heartbeat writes a report.
+// Heartbeat returns the worker's next heartbeat.
 func (w *Worker) Heartbeat() scheduler.Heartbeat {
 	w.sequence++
 	w.HasChanges = false
@@ -226,7 +226,8 @@
 	return r
 }
 
-// ApplyHeartbeatResponse takes the answer to a report that was sent at sent.
+// ApplyHeartbeatResponse applies the response to a heartbeat that was sent at sent in incarnation,
+// and reports whether it was valid.
 func (w *Worker) ApplyHeartbeatResponse(now, sent int64, incarnation uint64, a scheduler.HeartbeatResponse) bool {
 	if !a.Accepted || incarnation != w.Incarnation || a.Token < w.fencingToken {
 		return false
@@ -239,7 +240,7 @@
 	return true
 }
 
-// ApplyDirectCommand carries out commands sent straight to the worker.
+// ApplyDirectCommand carries out direct commands to the worker.
 func (w *Worker) ApplyDirectCommand(now int64, d scheduler.DirectCommand) scheduler.DirectCommandResult {
 	w.Advance(now)
 	r := scheduler.DirectCommandResult{}
@@ -335,7 +336,7 @@
 	return name[:i], name[i+1:], true
 }
 
-// Index is the task's number in its job.
+// Index returns the task's number in its job.
 func (t *Task) Index() int {
 	_, n, _ := splitTaskName(t.Name)
 	i, _ := strconv.Atoi(n)
