--- a/workflow/calls.go
+++ b/workflow/calls.go
@@ -8,21 +8,21 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// callPhase is what a call waits for.
+// callPhase is the progress of a call's job.
 type callPhase int
 
-// The phases of a call. A call goes back to pending or running where an answer
-// is missing or says so.
+// The phases of a call. A call returns to pending or running if a response is missing or requires
+// it.
 const (
-	pending    callPhase = iota // to be looked at: submitted, asked about, or read
-	submitting                  // its description, then its submission, is under way
+	pending    callPhase = iota // next to be submitted, queried or read
+	submitting                  // its description, then its submission, is in progress
 	running                     // its job runs
-	querying                    // how its job stands is asked
+	querying                    // the state of its job is queried
 	reading                     // the outputs of its job are read
 	cancelling                  // its job is being cancelled
 )
 
-// callState is a call's job.
+// callState is a call with the progress of its job.
 type callState struct {
 	*Call
 	job     string
@@ -43,8 +43,8 @@
 	}
 }
 
-// advanceCall goes on with a call. Its job may have been submitted before, by this
-// member or another: the id says so, and the answer tells how far it is.
+// advanceCall takes the next step of a call. Its job may have been submitted before, by this
+// member or another: the id is the same, and the response has the job's state.
 func (h *Host) advanceCall(d *activeRun, c *callState) {
 	switch c.phase {
 	case pending:
@@ -61,23 +61,24 @@
 		case d.isEnding():
 			h.cancel(d, c)
 		case h.jobsOver[c.job]:
-			delete(h.jobsOver, c.job) // one question an end
+			delete(h.jobsOver, c.job) // one query for each end
 			h.query(d, c)
 		}
 	}
 }
 
-// isCurrent tells whether an answer that comes now finds what asked for it.
+// isCurrent reports whether the run and the call that sent a request still exist when its response
+// arrives.
 func (h *Host) isCurrent(d *activeRun, c *callState) bool {
 	return h.runs[d.id] == d && d.calls[c.Path] == c
 }
 
-// retryLater has a call looked at again in some seconds.
+// retryLater schedules the next step of a call in delayS seconds, at least one.
 func (h *Host) retryLater(c *callState, next callPhase, delayS int) {
 	c.phase, c.retryAt = next, h.Now.MonotonicMS+int64(max(delayS, 1))*1000
 }
 
-// writeDescription writes what the workers are to run, then submits the job.
+// writeDescription writes the description for the workers, then submits the job.
 func (h *Host) writeDescription(d *activeRun, c *callState) {
 	job, err := h.buildJob(d, c)
 	if err != nil {
@@ -99,9 +100,8 @@
 
 func (h *Host) submit(d *activeRun, c *callState, job *scheduler.Job) {
 	token := h.view.ClaimTokens[d.record.Shard]
-	// Under the run's record and the shard's claim: a submission that the
-	// network delivers late finds that the run was given up, or is driven by
-	// somebody else, and is void.
+	// The run's record and the shard's claim are preconditions: a submission that the network
+	// delivers late fails if the run was given up or another member drives it.
 	preconditions := []scheduler.Precondition{
 		{Key: liveKey(d.id), Revision: d.revision},
 		{Key: scheduler.ClaimKey(d.record.Shard), Revision: token},
@@ -129,7 +129,7 @@
 	)
 }
 
-// query asks how a call's job ended.
+// query queries the state of a call's job.
 func (h *Host) query(d *activeRun, c *callState) {
 	c.phase = querying
 	h.SendCore(scheduler.UserRequest{Kind: scheduler.QueryJob, ID: c.job}, func(a scheduler.UserResponse) {
@@ -151,7 +151,7 @@
 	})
 }
 
-// applyJobState takes what is known of a call's job.
+// applyJobState applies a response about a call's job.
 func (h *Host) applyJobState(d *activeRun, c *callState, a scheduler.UserResponse) {
 	switch {
 	case a.State == scheduler.Done:
@@ -219,7 +219,7 @@
 	d.evaluation.FailCall(c.Path, err)
 }
 
-// defaults of jobs whose hints are silent.
+// Defaults of jobs without hints.
 const (
 	defaultRetries   = 2
 	defaultEstimateS = 60
@@ -233,7 +233,7 @@
 	"production": scheduler.Production,
 }
 
-// buildJob is the job that a call becomes.
+// buildJob returns the job that runs a call.
 func (h *Host) buildJob(d *activeRun, c *callState) (*scheduler.Job, error) {
 	hint := c.Tool.Req.Job
 	if hint == nil {
--- a/workflow/description.go
+++ b/workflow/description.go
@@ -7,16 +7,16 @@
 	"github.com/grebedock/grebedock/extension"
 )
 
-// Data is a request to wherever descriptions of jobs and their outputs lie. With
-// a Description it is written, else the outputs of all tasks are read.
+// Data is a request to the storage of job descriptions and outputs. With a Description it is
+// written, otherwise the outputs of all tasks are read.
 type Data struct {
 	Job         string
 	Description []byte
 	Tasks       int
 }
 
-// DataResult answers a Data. Missing tells that there is none, which asking
-// again does not change.
+// DataResult is the response to a Data request. Missing reports that there is no such data, which
+// a retry does not change.
 type DataResult struct {
 	Outputs []map[string]any
 	Missing string
@@ -29,12 +29,12 @@
 	Inputs []map[string]any `json:"inputs"`
 }
 
-// EncodeDescription writes a call for the workers.
+// EncodeDescription encodes a call for the workers.
 func EncodeDescription(c *Call) []byte {
 	return extension.Encode(description{cwl.Pack(c.Tool), c.Inputs})
 }
 
-// DecodeDescription reads it back.
+// DecodeDescription decodes what EncodeDescription wrote.
 func DecodeDescription(b []byte) (*cwl.Process, []map[string]any, error) {
 	var d struct {
 		Tool   json.RawMessage `json:"tool"`
--- a/workflow/evaluation.go
+++ b/workflow/evaluation.go
@@ -1,17 +1,15 @@
 // Package workflow runs workflows of the Common Workflow Language as jobs.
 //
-// Run is one workflow's evaluation: given what its steps' jobs gave, it says
-// which jobs come next, and in the end what the workflow gave or why it failed.
-// Host keeps the runs of a member: where they are in the state service, which
-// of them this member drives, what is sent to the core. Both are state machines
-// without input or output; time comes with the inputs, and only the bounds on
-// expressions look at a clock.
+// Run is the evaluation of one workflow: from the outputs of its steps' jobs it derives which jobs
+// come next, and in the end the workflow's outputs or its failure. Host keeps the runs of a
+// member: their records in the state service, which of them this member drives, and the requests
+// to the core. Both are state machines without input or output; time comes with the inputs, and
+// only the bounds on expressions read a clock.
 //
-// A run's state is its document, its inputs and what its jobs ended as, and
-// nothing else: a job's id follows from the run and the step, its submission
-// can be repeated, its end is in the state service. So whoever holds the run's
-// shard can go on from the document alone, however its predecessor ended, and
-// starts no step twice.
+// The state of a run is its document, its inputs and the results of its jobs, and nothing else: a
+// job's id follows from the run and the step, its submission is idempotent, and its result is in
+// the state service. So the owner of the run's shard can continue from the document alone, however
+// the previous owner ended, and starts no step twice.
 package workflow
 
 import (
@@ -25,16 +23,16 @@
 
 // Call is a tool that a step runs: one job, with a task for each of Inputs.
 type Call struct {
-	Path   string // of steps, down to this one: "outer[3]/inner"
+	Path   string // of steps, from the outermost to this one: "outer[3]/inner"
 	Tool   *cwl.Process
 	Inputs []map[string]any
 
 	step   *stepState
-	slots  []int // task: which of the scattered values it gives
+	slots  []int // by task: index of the scattered value that it computes
 	isOver bool
 }
 
-// frame is a workflow that runs, the whole or one that a step runs.
+// frame is a running workflow: the run's own or one that a step runs.
 type frame struct {
 	process        *cwl.Process
 	path           string
@@ -42,11 +40,11 @@
 	steps          map[string]*stepState
 	remainingSteps int // steps that are not over
 
-	parent *stepState // whose value at slot it gives
+	parent *stepState // step whose value at slot the frame computes
 	slot   int
 }
 
-// stepState is a step that has begun.
+// stepState is a step that has started.
 type stepState struct {
 	frame         *frame
 	step          *cwl.Step
@@ -61,7 +59,7 @@
 // Run is a workflow's evaluation.
 type Run struct {
 	root          *frame
-	calls         map[string]*Call // begun and not over
+	calls         map[string]*Call // started and not over
 	finishedCalls int              // calls that are over
 	newCalls      []*Call
 	err           error
@@ -71,12 +69,12 @@
 	exploring bool
 }
 
-// New begins a run. A process that is no workflow runs as the one step of one.
+// New starts a run. A process that is not a workflow runs as the only step of one.
 func New(p *cwl.Process, inputs map[string]any) (*Run, error) { return newRun(p, inputs, false) }
 
-// Explore begins a run that goes on past failures and is never over, for whoever
-// has to find every call that may have been started before a run was given up:
-// what does not depend on a failure is begun all the same.
+// Explore starts a run that continues past failures and is never over. It serves to find every
+// call that may have been started before a run was given up: calls that do not depend on a failed
+// one are started all the same.
 func Explore(p *cwl.Process, inputs map[string]any) (*Run, error) { return newRun(p, inputs, true) }
 
 func newRun(p *cwl.Process, inputs map[string]any, exploring bool) (*Run, error) {
@@ -93,7 +91,7 @@
 	return r, nil
 }
 
-// singleStepWorkflow is a workflow of one step.
+// singleStepWorkflow returns a workflow with p as its only step.
 func singleStepWorkflow(p *cwl.Process) *cwl.Process {
 	id := p.ID
 	if id == "" {
@@ -114,24 +112,24 @@
 	return w
 }
 
-// TakeNewCalls gives the calls that are to be started, each once.
+// TakeNewCalls returns the calls to start, each only once.
 func (r *Run) TakeNewCalls() []*Call {
 	f := r.newCalls
 	r.newCalls = nil
 	return f
 }
 
-// IsOver tells whether the run has ended; then Outputs or Err say how. Calls may
-// still be under way when it failed.
+// IsOver reports whether the run has ended, with Outputs or Err. Calls may still be in progress if
+// it failed.
 func (r *Run) IsOver() bool { return r.isOver }
 
-// Outputs gives what the workflow gave.
+// Outputs returns the outputs of the workflow.
 func (r *Run) Outputs() map[string]any { return r.outputs }
 
-// Err says why the workflow failed, or nothing.
+// Err returns why the workflow failed, or nil.
 func (r *Run) Err() error { return r.err }
 
-// OpenCalls lists the calls that have begun and are not over, by path.
+// OpenCalls lists the calls that have started and are not over, by path.
 func (r *Run) OpenCalls() []*Call {
 	out := slices.Collect(maps.Values(r.calls))
 	slices.SortFunc(out, func(a, b *Call) int {
@@ -143,8 +141,7 @@
 	return out
 }
 
-// CompleteCall takes the outputs of a call's tasks, in their order. It may be called
-// again: a call is over once.
+// CompleteCall applies the outputs of a call's tasks, in task order. It is idempotent.
 func (r *Run) CompleteCall(path string, outputs []map[string]any) {
 	c := r.calls[path]
 	if c == nil || c.isOver {
@@ -171,7 +168,7 @@
 	r.finishStepIfComplete(c.step)
 }
 
-// FailCall takes the failure of a call: the run fails, and starts nothing more.
+// FailCall applies the failure of a call: the run fails, and starts nothing more.
 func (r *Run) FailCall(path string, err error) {
 	if c := r.calls[path]; c != nil && !c.isOver {
 		c.isOver = true
@@ -191,8 +188,8 @@
 	r.err, r.isOver, r.newCalls = err, true, nil
 }
 
-// advance begins the steps of a frame whose sources are all there, and ends the
-// frame after the last.
+// advance starts the steps of a frame whose sources are all available, and ends the frame after
+// the last step.
 func (r *Run) advance(f *frame) {
 	for _, s := range f.process.Steps {
 		if r.isOver || f.steps == nil {
@@ -235,9 +232,9 @@
 	return f.inputs[src]
 }
 
-// maxStepEvaluation bounds the evaluation of one step's expressions, all its tasks
-// together: each is bounded by itself, but a step may have 100,000 tasks, and
-// other runs of the member wait.
+// maxStepEvaluation bounds the evaluation of one step's expressions for all its tasks together:
+// each expression has a bound of its own, but a step may have 100,000 tasks, and other runs of the
+// member wait meanwhile.
 const maxStepEvaluation = 30 * time.Second
 
 func (r *Run) beginStep(f *frame, s *cwl.Step) {
@@ -291,9 +288,8 @@
 	r.finishStepIfComplete(st)
 }
 
-// addSlot takes one set of a step's inputs: into the call of a tool, as the value of
-// an expression, or as the frame of a workflow, which is returned. A step whose
-// condition does not hold is not run.
+// addSlot processes one set of a step's inputs: it adds them to the call of a tool, evaluates an
+// expression, or returns the frame of a workflow. A step whose condition is false does not run.
 func (c *Call) addSlot(slot int, path string, inputs map[string]any) (*frame, error) {
 	st := c.step
 	s := st.step
@@ -333,7 +329,7 @@
 	return nil, nil
 }
 
-// finishStepIfComplete ends a step that has all its values, and goes on with its frame.
+// finishStepIfComplete ends a step that has all its values, and advances its frame.
 func (r *Run) finishStepIfComplete(st *stepState) {
 	if st.missingValues > 0 || st.isOver || r.isOver {
 		return
--- a/workflow/evaluation_test.go
+++ b/workflow/evaluation_test.go
@@ -11,8 +11,8 @@
 	"github.com/grebedock/grebedock/cwl"
 )
 
-// workflowGenerator writes a random workflow. Values are whole numbers and lists of them;
-// its tools add and sum, so that a plain evaluation gives the same.
+// workflowGenerator generates random workflows. Values are integers and lists of them; its tools
+// add and sum, so that direct evaluation gives the same result.
 type workflowGenerator struct {
 	rng   *rand.Rand
 	depth int
@@ -217,8 +217,8 @@
 	return p, doc, map[string]any{"a": rng.Int64N(20), "b": rng.Int64N(20), "l": []any{rng.Int64N(9), rng.Int64N(9)}}
 }
 
-// Whatever the order in which jobs end, a run gives what a plain evaluation
-// does, and fails where that fails.
+// Whatever the order in which jobs end, a run has the same outputs as direct evaluation, and fails
+// if that fails.
 func TestRunEqualsDirectEvaluation(t *testing.T) {
 	failed, tasks := 0, 0
 	for seed := range uint64(250) {
--- a/workflow/golden_test.go
+++ b/workflow/golden_test.go
@@ -39,8 +39,8 @@
 		func(b []byte) (s Submission, err error) { return s, decodeSubmission(b, &s) })
 }
 
-// TestStoredSubmissionsKeepTheirForm holds the pages of a stored submission. What
-// the compressor makes of it may change with the compressor's version alone.
+// TestStoredSubmissionsKeepTheirForm compares the pages of a stored submission with a golden file.
+// The compressed form may change only with the compressor's version.
 func TestStoredSubmissionsKeepTheirForm(t *testing.T) {
 	var s Submission
 	golden.Fill(&s)
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestDescriptionsKeepTheirForm holds what workers read of a call.
+// TestDescriptionsKeepTheirForm compares the description of a call that workers read with a golden
+// file.
 func TestDescriptionsKeepTheirForm(t *testing.T) {
 	golden.JSON[description](t, "description.json")
 }
--- a/workflow/host.go
+++ b/workflow/host.go
@@ -10,19 +10,18 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Params is what a host needs of the settings.
+// Params are the settings that a host needs.
 type Params struct {
 	Members    []string // in order; each has a shard of its name
 	Teams      map[string]scheduler.Team
 	ValueBytes int
 	TxnOps     int
 	HeartbeatS float64
-	// Limits bound the documents of runs: a member holds those that it drives.
+	// Limits bound the documents of runs, because a member keeps those that it drives in memory.
 	Limits cwl.Limits
 }
 
-// Outputs is what a host wants done. The caller takes all of it after each
-// input.
+// Outputs are the requests and responses of a host. The caller takes all of them after each input.
 type Outputs = extension.Outputs[Data, Response]
 
 // Host keeps the runs of a member.
@@ -31,13 +30,13 @@
 	extension.Base[Data, DataResult, Response]
 
 	view     scheduler.ExtensionView
-	jobsOver map[string]bool // of the jobs that were asked about
+	jobsOver map[string]bool // ended jobs among the watched ones
 	runs     map[string]*activeRun
 	loading  int
 	Counters Counters
 }
 
-// Counters counts what operators watch.
+// Counters are counts for operators' metrics.
 type Counters struct{ Accepted, Finished, Failed, Cancelled, JobsSubmitted, Loaded uint64 }
 
 // activeRun is a run that this member drives.
@@ -48,13 +47,13 @@
 	evaluation   *Run
 	submission   *Submission
 	jobNumbers   map[string]int
-	calls        map[string]*callState // begun and not over
-	recordedDone map[string]bool       // over, as the store's pages say
-	busy         bool                  // a load or a write on its record is under way
+	calls        map[string]*callState // started and not over
+	recordedDone map[string]bool       // over, according to the store's pages
+	busy         bool                  // a load or a write of its record is in progress
 	retryAt      int64
 
-	donePaths       []string // paths of calls that are over, in the order noted
-	storedCount     int      // of them, how many the store has for certain
+	donePaths       []string // paths of calls that are over, in the order recorded
+	storedCount     int      // how many of them are certainly in the store
 	donePages       []pageState
 	writing         bool
 	nextDoneWriteAt int64
@@ -63,7 +62,7 @@
 
 type pageState struct {
 	revision uint64
-	upTo     int // calls up to this one are in it or before it
+	upTo     int // calls before this index are in it or in earlier pages
 }
 
 // NewHost returns a host without runs.
@@ -71,8 +70,7 @@
 	return &Host{params: p, jobsOver: map[string]bool{}, runs: map[string]*activeRun{}}
 }
 
-// WatchedJobs lists the jobs whose end is waited for; the next View is to be asked
-// about them.
+// WatchedJobs lists the jobs whose end the runs wait for; the next ExtensionView must cover them.
 func (h *Host) WatchedJobs() []string {
 	var out []string
 	for _, d := range h.runs {
@@ -85,12 +83,12 @@
 	return out
 }
 
-// maxConcurrentLoads bounds how many runs are read at the same time after a claim:
-// their reads share the member's part of the store's rate with everything else.
+// maxConcurrentLoads bounds the runs that are read concurrently after a claim: their reads share
+// the member's share of the store's rate limit with everything else.
 const maxConcurrentLoads = 8
 
-// Tick takes how the core stands, and goes on with all runs of the shards that
-// this member holds.
+// Tick takes a view of the core's state, and advances all runs of the shards that this member
+// owns.
 func (h *Host) Tick(now scheduler.Now, v scheduler.ExtensionView) {
 	h.Now, h.view = now, v
 	clear(h.jobsOver)
@@ -119,8 +117,8 @@
 			h.loadRun(d)
 		} else if kv.Rev > d.revision {
 			if rec.State != d.record.State {
-				// Given up: what was started is looked for from the
-				// beginning, by whoever drives the run now.
+				// Given up: the member that drives the run now searches from the beginning for
+				// what was started.
 				delete(h.runs, id)
 				continue
 			}
@@ -130,8 +128,7 @@
 	for _, id := range sortedKeys(h.runs) {
 		d := h.runs[id]
 		if !liveRuns[id] {
-			// Over, or no longer ours: whoever holds the shard goes on from
-			// the store.
+			// Over, or no longer ours: the owner of the shard continues from the store.
 			delete(h.runs, id)
 			continue
 		}
@@ -148,10 +145,10 @@
 	return out
 }
 
-// isEnding tells whether the run is given up and only stops what it started.
+// isEnding reports whether the run was given up and only stops what it started.
 func (d *activeRun) isEnding() bool { return d.record.State != Running }
 
-// advanceRun goes on with a run as far as it can.
+// advanceRun advances a run as far as possible.
 func (h *Host) advanceRun(d *activeRun) {
 	if d.busy || h.Now.MonotonicMS < d.retryAt {
 		return
@@ -165,7 +162,7 @@
 		}
 	}
 	if d.evaluation != nil {
-		// What a call's end made ready at once.
+		// Calls that became ready by the end of another one.
 		d.addCalls(d.evaluation.TakeNewCalls())
 	}
 	switch {
--- a/workflow/host_benchmark_test.go
+++ b/workflow/host_benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// chainWorkflow is a workflow of steps that follow each other; wide scatters one step.
+// chainWorkflow returns a workflow of n steps that follow each other.
 func chainWorkflow(n int) object {
 	steps, last := object{}, "a"
 	for i := range n {
@@ -33,8 +33,8 @@
 	}
 }
 
-// runToEnd plays a world without faults until its runs are over; the time that its
-// hosts take is what is measured.
+// runToEnd advances a simulation without faults until its runs are over, and returns the time that
+// its hosts took.
 func runToEnd(t testing.TB, w *simulation, ids []string) (hostTime time.Duration) {
 	remaining := map[string]bool{}
 	for _, id := range ids {
@@ -72,8 +72,8 @@
 	return hostTime
 }
 
-// What a step costs: the host's time, and changes and bytes in the state service
-// beside those of its job.
+// The cost of a step: the host's time, and writes and bytes in the state service beside those of
+// its job.
 func BenchmarkChainOf1000(b *testing.B) {
 	_, doc := loadDocument(b, chainWorkflow(1000))
 	for b.Loop() {
@@ -115,7 +115,7 @@
 	}
 }
 
-// dispatchAll answers one host's requests until it has none.
+// dispatchAll responds to one host's requests until it has none.
 func (w *simulation) dispatchAll(m string) (requests int, host time.Duration) {
 	h := w.hosts[m]
 	for {
@@ -148,9 +148,8 @@
 	}
 }
 
-// What a member does to go on with 1,000 live runs after it took over all
-// shards: the time of its host, its requests, and how long that takes at ten
-// views for a claim's worth of loads.
+// The cost for a member to continue 1,000 live runs after it claimed all shards: the time of its
+// host, its requests, and how long that takes at ten views for a claim's worth of loads.
 func BenchmarkRecoveryOf1000Runs(b *testing.B) {
 	const runs = 1000
 	_, doc := loadDocument(b, chainWorkflow(10))
--- a/workflow/host_test.go
+++ b/workflow/host_test.go
@@ -15,8 +15,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// simulation is a state service, a core that runs jobs, and members' hosts, with all
-// that can go wrong between them.
+// simulation is a state service, a core that runs jobs, and members' hosts, with all faults that
+// can occur between them.
 type simulation struct {
 	t                   testing.TB
 	rng                 *rand.Rand
@@ -24,16 +24,16 @@
 	store               *platformfake.State
 	members             []string
 	hosts               map[string]*Host
-	views               map[string]scheduler.ExtensionView // as each last saw it
-	queue               []func()                           // under way, in any order
-	delayed             []func()                           // held by the network, for long
+	views               map[string]scheduler.ExtensionView // the last view of each member
+	queue               []func()                           // in progress, delivered in any order
+	delayed             []func()                           // delayed by the network for long
 	jobs                map[string]*fakeJob
 	descriptions        map[string][]byte // descriptions of jobs
 	responses           map[uint64]Response
 	nextID              uint64
-	claims              map[string]uint64 // claims, as the store has them
+	claims              map[string]uint64 // by shard, as stored
 	created             int
-	lostRequests        int // requests whose answer or effect was lost
+	lostRequests        int // requests whose response or effect was lost
 	ignorePreconditions bool
 	faults              bool
 	writes, bytes       int
@@ -98,14 +98,14 @@
 	return r
 }
 
-// claim gives a shard to a member; its earlier holder learns of it only with its
-// next view.
+// claim makes a member the owner of a shard; the previous owner learns of it only with its next
+// view.
 func (w *simulation) claim(shard, member string) {
 	r := w.applyTxn(nil, scheduler.Change{Key: scheduler.ClaimKey(shard), Value: extension.Encode(member)})
 	w.claims[shard] = r.Rev
 }
 
-// refreshView lets a member see how things stand.
+// refreshView gives a member a view of the current state.
 func (w *simulation) refreshView(m string) {
 	v := scheduler.ExtensionView{HasAuthority: true, ClaimTokens: map[string]uint64{}}
 	for s, rev := range w.claims {
@@ -131,7 +131,7 @@
 	w.views[m] = v
 }
 
-// dispatchOutputs carries out what a host wants done, now or later, once or not at all.
+// dispatchOutputs carries out a host's requests, now or later, once or not at all.
 func (w *simulation) dispatchOutputs(m string) {
 	h := w.hosts[m]
 	o := h.Take()
@@ -143,7 +143,7 @@
 		w.queue = append(w.queue, func() {
 			if chance(0.03) {
 				w.lostRequests++
-				do() // done, and nobody hears of it at once
+				do() // carried out, but the response is lost
 				return
 			}
 			answer := do()
@@ -157,7 +157,7 @@
 	for _, op := range o.Store {
 		unknown := chance(0.03)
 		if unknown {
-			// The caller gives up on it; it is applied later, or never.
+			// The caller gives up on the request; it takes effect later, or never.
 			w.queue = append(w.queue, func() {
 				if w.hosts[m] == h {
 					h.StoreDone(w.clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
@@ -267,7 +267,7 @@
 	return DataResult{Outputs: w.jobs[d.Job].outputs}
 }
 
-// finishRandomJob runs one of the jobs that live.
+// finishRandomJob runs one of the live jobs.
 func (w *simulation) finishRandomJob() {
 	var live []string
 	for id, j := range w.jobs {
@@ -294,7 +294,7 @@
 	}
 }
 
-// request asks a member and waits for the answer, asking again as users do.
+// request sends a request to a member and waits for the response, with retries as users do.
 func (w *simulation) request(m string, r Request) Response {
 	for range 200 {
 		w.nextID++
@@ -315,12 +315,12 @@
 	return Response{}
 }
 
-// step lets a little happen.
+// step advances the simulation by a few random events.
 func (w *simulation) step() {
 	w.now += int64(w.rng.IntN(120))
 	for _, m := range w.members {
 		if w.rng.IntN(4) > 0 || !w.faults {
-			w.refreshView(m) // else it acts on what it saw before
+			w.refreshView(m) // otherwise it acts on an outdated view
 		}
 		w.hosts[m].Tick(w.clock(), w.views[m])
 		w.dispatchOutputs(m)
@@ -365,7 +365,7 @@
 	)
 }
 
-// simulateRuns runs some workflows in a world and checks how they end.
+// simulateRuns runs some workflows in a simulation and checks their results.
 func simulateRuns(t testing.TB, seed uint64, faults, ignorePreconditions bool) *simulation {
 	w := newSimulation(t, seed, faults)
 	w.ignorePreconditions = ignorePreconditions
@@ -387,7 +387,7 @@
 			a.Status != 200 {
 			t.Fatalf("seed %d: a submission gets %d %s", seed, a.Status, a.Error)
 		}
-		// The same at another member.
+		// The same submission at another member.
 		if a := w.request(w.members[w.rng.IntN(3)], Request{
 			Kind: Submit,
 			Body: submission(id, doc, in),
@@ -456,8 +456,8 @@
 	return w
 }
 
-// Whatever fails on the way, a run ends in one answer, that of a plain
-// evaluation; no step is started twice, and nothing outlives its run.
+// Whatever faults occur, a run has one final result, that of direct evaluation; no step is started
+// twice, and nothing outlives its run.
 func TestEachRunEndsOnceUnderInjectedFaults(t *testing.T) {
 	lost, created := 0, 0
 	for seed := range uint64(30) {
@@ -473,7 +473,7 @@
 	}
 }
 
-// recorder takes errors for a test that wants some.
+// recorder records errors for a test that expects some.
 type recorder struct {
 	testing.TB
 	errs []string
@@ -482,8 +482,8 @@
 func (r *recorder) Errorf(f string, a ...any) { r.errs = append(r.errs, fmt.Sprintf(f, a...)) }
 func (r *recorder) Helper()                   {}
 
-// Without the guards on submissions, jobs start after their runs are over: the
-// check above sees that.
+// Without the preconditions of submissions, jobs start after their runs are over: the check above
+// detects that.
 func TestSimulationDetectsLateSubmissionWithoutPreconditions(t *testing.T) {
 	r := &recorder{TB: t}
 	for seed := uint64(0); seed < 60 && len(r.errs) == 0; seed++ {
@@ -496,7 +496,7 @@
 	}
 }
 
-// What cannot run is refused with its reason, and nothing of it is stored.
+// An invalid submission is refused with the reason, and nothing of it is stored.
 func TestInvalidSubmissionIsRejectedNamingTheField(t *testing.T) {
 	tool := func(extra string) string {
 		return `{"cwlVersion": "v1.2", "class": "CommandLineTool", "baseCommand": "x", "inputs": {"n": "int"}, ` +
@@ -567,7 +567,7 @@
 	}
 }
 
-// Reserved ids are used in the order of the steps, and no other.
+// Only reserved ids are used, in the order of the steps.
 func TestRunUsesReservedJobIDs(t *testing.T) {
 	_, doc := loadDocument(t, chainWorkflow(3))
 	w := newSimulation(t, 1, false)
@@ -589,8 +589,8 @@
 	}
 }
 
-// A run of many steps with long names is shown within a line's bound, its newest
-// steps last.
+// The response for a run of many steps with long names stays within the limit of a line, with the
+// newest steps last.
 func TestStepsOfAResponseStayWithinLineLimit(t *testing.T) {
 	w := newSimulation(t, 1, false)
 	h := w.hosts["m-0"]
--- a/workflow/record_writes.go
+++ b/workflow/record_writes.go
@@ -8,18 +8,18 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// failRun records that a run ends without its outputs, before anything of it is
-// stopped: from then on nothing of it is submitted, by anybody.
+// failRun records that a run ends without outputs, before any of its jobs is stopped: from then on
+// no member submits a job of it.
 func (h *Host) failRun(d *activeRun, state State, reason string) {
 	rec := d.record
 	rec.State, rec.Error = state, truncateReason(reason)
 	h.writeRun(d, []scheduler.Change{{Key: liveKey(d.id), Value: extension.Encode(rec)}}, nil, func(uint64) {
-		delete(h.runs, d.id) // looked at anew, as after a claim
+		delete(h.runs, d.id) // loaded again, as after a claim
 		h.Log("run given up", "run", d.id, "state", state, "why", rec.Error)
 	})
 }
 
-// truncateReason bounds a reason: it goes into records and lines.
+// truncateReason bounds the length of a reason, which goes into records and lines.
 func truncateReason(s string) string {
 	if len(s) > 1000 {
 		return s[:1000] + "..."
@@ -27,7 +27,7 @@
 	return s
 }
 
-// finishRun writes the run's one answer and removes what lives of it.
+// finishRun writes the run's final result and deletes its live records.
 func (h *Host) finishRun(d *activeRun) {
 	final := finalRecord{State: Done, AcceptedMS: d.record.AcceptedMS, EndedMS: h.Now.WallMS, Jobs: d.finishedCalls}
 	switch d.record.State {
@@ -47,8 +47,8 @@
 		)
 		return
 	}
-	// Pages of what is over go first where all do not fit one transaction:
-	// without them a successor only asks more.
+	// Pages of finished calls are deleted first if one transaction cannot hold all: without them a
+	// successor only sends more queries.
 	if n := len(d.donePages); n > 0 && d.record.Pages+2+n > h.params.TxnOps {
 		removable := min(n, h.params.TxnOps-1)
 		var changes []scheduler.Change
@@ -79,9 +79,9 @@
 	})
 }
 
-// writeRun changes what the store has of a run, under its record and the claim. A
-// write of unknown outcome is settled by the next view: a record that changed
-// has another revision, and one that is gone ends the run here.
+// writeRun changes the stored records of a run, with its live record and the claim as
+// preconditions. The next view settles a write of unknown outcome: a changed record has another
+// revision, and a missing one ends the run here.
 func (h *Host) writeRun(
 	d *activeRun,
 	changes []scheduler.Change,
@@ -115,8 +115,8 @@
 	)
 }
 
-// doneWriteHeartbeats is how often what is over is noted, in reports of the workers: it
-// only saves a successor questions.
+// doneWriteHeartbeats is the interval, in heartbeat intervals of the workers, between writes of
+// finished calls. They only save a successor queries.
 const doneWriteHeartbeats = 2
 
 // writeDonePaths writes the paths of calls that are over.
@@ -158,7 +158,7 @@
 	})
 }
 
-// rereadDonePage reads a page of which nobody said what it has now.
+// rereadDonePage reads a page after a write of unknown outcome or a conflict.
 func (h *Host) rereadDonePage(d *activeRun, key string, n, from int) {
 	d.writing = true
 	h.Get(scheduler.UrgencyBackground, key, func(it scheduler.KeyValue, ok bool) {
@@ -170,8 +170,8 @@
 	})
 }
 
-// nextDonePage is the page that is written next and which calls it gets. The last
-// page is filled up; a full one is never written again.
+// nextDonePage returns the page to write next and the range of calls in it. The last page is
+// filled up; a full one is never written again.
 func (d *activeRun) nextDonePage(valueBytes int) (n, from, upTo int) {
 	n = len(d.donePages)
 	if n > 0 {
@@ -188,7 +188,7 @@
 	return n, from, upTo
 }
 
-// fillPage is up to which call a page holds what is over, from a call on.
+// fillPage returns the end of the range of finished calls, beginning with from, that fits a page.
 func (d *activeRun) fillPage(from, valueBytes int) (upTo int) {
 	size := len("[]")
 	upTo = from
--- a/workflow/records.go
+++ b/workflow/records.go
@@ -17,14 +17,13 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Keys of the state service. What lives is small and in the mirror of every
-// member; documents and what is done are read by whoever drives the run; final
-// answers stay.
+// Keys of the state service. Live records are small and in the state cache of every member;
+// documents and finished calls are read by the member that drives the run; final results are kept.
 //
 //	l/x/w/ID   that the run lives: its shard, its state
 //	w/ID/d0    its document and inputs, compressed, in pages
 //	w/ID/s0    paths of calls that are over, in pages
-//	wf/ID      its final answer
+//	wf/ID      its final result
 const (
 	LivePrefix  = scheduler.ExtensionPrefix + "w/"
 	pagesPrefix = "w/"
@@ -39,11 +38,11 @@
 
 var runIDPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// State is what users are told of a run.
+// State is the state of a run as users see it.
 type State string
 
-// The states of a run. Failing and Cancelling runs start nothing more and stop
-// what still runs of them; how they end is decided.
+// The states of a run. Failing and Cancelling runs start nothing more and stop what still runs of
+// them; their final state is decided.
 const (
 	Running    State = "running"
 	Failing    State = "failing"
@@ -53,20 +52,20 @@
 	Cancelled  State = "cancelled"
 )
 
-// IsFinal tells whether a run in this state never changes again.
+// IsFinal reports whether a run in this state never changes again.
 func (s State) IsFinal() bool { return s == Done || s == Failed || s == Cancelled }
 
-// liveRecord is a run that lives.
+// liveRecord is the record of a run that is not over.
 type liveRecord struct {
 	Shard      string `json:"shard"`
 	State      State  `json:"state"`
 	Error      string `json:"error,omitempty"`
 	AcceptedMS int64  `json:"at"` // time of day, ms
 	Pages      int    `json:"pages"`
-	FirstJobID int64  `json:"first,omitempty"` // of the job ids that its submitter reserved
+	FirstJobID int64  `json:"first,omitempty"` // first of the job ids that its submitter reserved
 }
 
-// finalRecord is a run's one answer.
+// finalRecord is a run's final result.
 type finalRecord struct {
 	State      State          `json:"state"`
 	Error      string         `json:"error,omitempty"`
@@ -76,14 +75,14 @@
 	Jobs       int            `json:"jobs"`
 }
 
-// Submission is a run as its user asks for it. The document is one of Document,
-// in JSON, or Packed, the same compressed: a request has at most 64 KiB.
+// Submission is a user's request for a run. The document is one of Document, in JSON, or Packed,
+// the same compressed: a request has at most 64 KiB.
 type Submission struct {
 	ID       string          `json:"id"`
 	Document json.RawMessage `json:"document,omitempty"`
 	Packed   []byte          `json:"packed,omitempty"` // zstd; base64 in JSON
 	Inputs   map[string]any  `json:"inputs"`
-	// Job is what holds for every step that does not say otherwise.
+	// Job has the defaults for steps whose hints do not set them.
 	Job *cwl.JobHint `json:"job,omitempty"`
 	// Jobs reserves the ids job-First to job-(First+Count-1) for the run's
 	// steps; without it the run derives its own.
@@ -105,7 +104,7 @@
 // Pack compresses a document for a submission.
 func Pack(document []byte) []byte { return compressor.EncodeAll(document, nil) }
 
-// decompress undoes Pack, for no more than so many bytes.
+// decompress reverses Pack; it returns an error if the document has more than limit bytes.
 func decompress(b []byte, limit int) ([]byte, error) {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(limit)))
 	if err != nil {
@@ -122,11 +121,11 @@
 	return out, nil
 }
 
-// maxStoredChars is how many characters a run's document and inputs may take in the
-// store once compressed: they go in one transaction of 64 KiB.
+// maxStoredChars bounds the characters of a run's compressed document and inputs in the store:
+// they go in one transaction of 64 KiB.
 const maxStoredChars = 48 << 10
 
-// encodePages writes a submission as values of the store.
+// encodePages encodes a submission as values of the store.
 func encodePages(s *Submission, valueBytes int) ([]json.RawMessage, error) {
 	text := base64.StdEncoding.EncodeToString(compressor.EncodeAll(extension.Encode(s), nil))
 	if len(text) > maxStoredChars {
@@ -141,7 +140,7 @@
 	return out, nil
 }
 
-// decodePages reads them back.
+// decodePages decodes what encodePages wrote.
 func decodePages(values []json.RawMessage) (*Submission, error) {
 	var text strings.Builder
 	for _, v := range values {
@@ -162,7 +161,7 @@
 	return &s, decodeSubmission(b, &s)
 }
 
-// decodeSubmission reads JSON whose inputs' whole numbers stay whole.
+// decodeSubmission decodes JSON and keeps integers of the inputs as integers.
 func decodeSubmission(b []byte, s *Submission) error {
 	if err := json.Unmarshal(b, s); err != nil {
 		return err
@@ -200,8 +199,8 @@
 	})
 }
 
-// jobIDOf is the id of a call's job: derived from the run and the path, or the
-// call's place among the reserved ones.
+// jobIDOf returns the id of a call's job: derived from the run and the path, or the reserved id at
+// the call's number.
 func jobIDOf(run, path string, first int64, numbers map[string]int) string {
 	if first > 0 {
 		return "job-" + strconv.FormatInt(first+int64(numbers[path]), 10)
@@ -213,8 +212,8 @@
 	return "job-" + strconv.FormatUint(1e15+h.Sum64()%9e15, 10)
 }
 
-// numberTools counts the tools that a process's steps run, by path. A scattered
-// workflow has as many as its inputs say, so it has no such numbers.
+// numberTools numbers the tools that a process's steps run, by path. In a scattered workflow their
+// number depends on its inputs, so they have no such numbers.
 func numberTools(p *cwl.Process, path string, numbers map[string]int) error {
 	if p.Class != cwl.Flow {
 		p = singleStepWorkflow(p)
--- a/workflow/requests.go
+++ b/workflow/requests.go
@@ -9,7 +9,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Kind is what a user asks for.
+// Kind is the kind of a user's request.
 type Kind int
 
 // The requests of users.
@@ -26,10 +26,10 @@
 	Body []byte
 }
 
-// Response answers a user.
+// Response is the response to a user.
 type Response struct {
 	Status      int            `json:"-"`
-	RetryAfterS int            `json:"-"` // >0: when to come back
+	RetryAfterS int            `json:"-"` // seconds until a retry, if >0
 	ID          string         `json:"id,omitempty"`
 	State       State          `json:"state,omitempty"`
 	Error       string         `json:"error,omitempty"`
@@ -37,7 +37,7 @@
 	Steps       []Step         `json:"steps,omitempty"`
 }
 
-// Step is how far a call of a run is.
+// Step is the progress of a call of a run.
 type Step struct {
 	Step  string `json:"step"`
 	State string `json:"state"`
@@ -45,15 +45,15 @@
 	Tasks int    `json:"tasks,omitempty"`
 }
 
-// maxStepsBytes bounds the steps of an answer: a line to users has at most 64 KiB,
-// and a run's error and outputs take some of it.
+// maxStepsBytes bounds the steps of a response: a line to users has at most 64 KiB, and a run's
+// error and outputs take some of it.
 const maxStepsBytes = 32 << 10
 
 func unavailable(id, reason string) Response {
 	return Response{Status: 503, ID: id, Error: reason, RetryAfterS: 1}
 }
 
-// HandleRequest takes a user's request; reply names it in the outputs' answers.
+// HandleRequest handles a user's request; replyID identifies it in the responses of the outputs.
 func (h *Host) HandleRequest(now scheduler.Now, replyID uint64, r Request) {
 	h.Now = now
 	if r.Kind != Submit && !runIDPattern.MatchString(r.ID) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// readRun asks the store for a run: the live record first, then the final one, in
-// the order in which a run moves. The live record is handed on where it is one.
+// readRun reads a run from the store: the live record first, then the final one, in the order in
+// which a run moves. A live record is passed to onResponse.
 func (h *Host) readRun(id string, steps bool, onResponse func(Response, *scheduler.KeyValue)) {
 	h.Get(scheduler.UrgencyRead, liveKey(id), func(it scheduler.KeyValue, ok bool) {
 		var rec liveRecord
@@ -92,7 +92,7 @@
 	})
 }
 
-// readFinalRecord asks the store for the final answer of a run.
+// readFinalRecord reads the final result of a run from the store.
 func (h *Host) readFinalRecord(id string, onResponse func(Response)) {
 	h.Get(scheduler.UrgencyRead, finalKey(id), func(it scheduler.KeyValue, ok bool) {
 		var f finalRecord
@@ -109,8 +109,8 @@
 	})
 }
 
-// addSteps tells of the steps of a run that this member drives; others know only
-// that it lives.
+// addSteps adds the steps of a run that this member drives; other members know only that it is
+// live.
 func (h *Host) addSteps(a *Response) {
 	d := h.runs[a.ID]
 	if d == nil {
@@ -134,7 +134,7 @@
 		}
 		a.Steps = append(a.Steps, Step{Step: p, State: state, Job: c.job, Tasks: len(c.Inputs)})
 	}
-	// The newest that fit: a line to users has a bound, and paths may be long.
+	// The newest that fit: a line to users is bounded, and paths may be long.
 	first, size := len(a.Steps), 0
 	for first > 0 && size+len(extension.Encode(a.Steps[first-1])) < maxStepsBytes {
 		first--
@@ -143,8 +143,7 @@
 	a.Steps = a.Steps[first:]
 }
 
-// accept takes a submission: everything about it is checked before anything is
-// stored.
+// accept handles a submission: it is validated completely before anything is stored.
 func (h *Host) accept(replyID uint64, body []byte) {
 	var s Submission
 	if err := decodeSubmission(body, &s); err != nil {
@@ -156,8 +155,7 @@
 		return
 	}
 	rejectUnlessKnown := func(a Response) {
-		// A repeated submission of a known run is welcome whatever its body
-		// says now.
+		// A repeated submission of a known run succeeds whatever its body is now.
 		h.readRun(s.ID, false, func(known Response, _ *scheduler.KeyValue) {
 			if known.Status == 404 {
 				known = a
@@ -215,7 +213,7 @@
 	})
 }
 
-// validate reads a submission's document and inputs as a run of it would.
+// validate parses a submission's document and inputs as a run of it would.
 func (h *Host) validate(s *Submission, rec *liveRecord) (status int, err error) {
 	p, err := s.loadDocument(h.params.Limits)
 	if err != nil {
@@ -267,8 +265,7 @@
 	return 0, nil
 }
 
-// abortRun decides that a run ends as cancelled. Its jobs are stopped by whoever
-// drives it.
+// abortRun records that a run ends as cancelled. The member that drives it stops its jobs.
 func (h *Host) abortRun(replyID uint64, id string, attempts int) {
 	h.readRun(id, false, func(a Response, it *scheduler.KeyValue) {
 		if it == nil || a.State != Running {
--- a/workflow/restore.go
+++ b/workflow/restore.go
@@ -9,7 +9,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// loadRun reads a run's document and what is known to be over.
+// loadRun reads a run's document and its finished calls.
 func (h *Host) loadRun(d *activeRun) {
 	d.busy = true
 	h.loading++
@@ -21,7 +21,7 @@
 	h.List(scheduler.UrgencyBackground, pagesPrefix+d.id+"/", page, func(ok bool) {
 		h.loading--
 		if !ok {
-			delete(h.runs, d.id) // the next tick begins anew
+			delete(h.runs, d.id) // the next tick loads it again
 			return
 		}
 		h.Counters.Loaded++
@@ -29,12 +29,11 @@
 	})
 }
 
-// onRunLoaded goes on with a run whose records were read.
+// onRunLoaded continues a run whose records were read.
 func (h *Host) onRunLoaded(d *activeRun, items []scheduler.KeyValue) {
 	d.busy = false
 	if err := d.restore(items, h.params.Limits); err != nil {
-		// Checked when it was submitted: only a change of the program's own
-		// reading brings it here.
+		// It was validated when submitted: only a change of the program's own parser leads here.
 		h.Log("run unreadable", "run", d.id, "error", err)
 		d.record.State, d.record.Error = Failing, err.Error()
 	}
@@ -43,7 +42,7 @@
 	}
 }
 
-// restore takes a run up from its records.
+// restore rebuilds a run from its records.
 func (d *activeRun) restore(items []scheduler.KeyValue, limits cwl.Limits) error {
 	values := make([]json.RawMessage, d.record.Pages)
 	donePages := map[int]scheduler.KeyValue{}
