--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -1,6 +1,6 @@
-// Package knownred holds a run of the tests against the list of those that are
-// known to fail (KNOWN-RED.txt at the root). It is pure: the list's text and the
-// events of `go test -json` come in, a verdict and what is to be printed go out.
+// Package knownred holds a run of the tests against the list of those that are known to fail
+// (KNOWN-RED.txt at the root). It starts no processes and reads no files: the input is the list's
+// text and the events of `go test -json`, the output a verdict and the text to print.
 //
 // A line of the list names a test, its cause and its issue:
 //
@@ -28,18 +28,18 @@
 	"strings"
 )
 
-// MaxEntries is how many tests may be listed.
+// MaxEntries is the largest number of tests that may be listed.
 const MaxEntries = 3
 
 // Entry is a line of the list.
 type Entry struct {
-	Package string // below the module's path
+	Package string // path relative to the module's
 	Test    string
 	Cause   string
 	Issue   string
 }
 
-// Name is the entry's test as the list writes it.
+// Name returns the entry's test in the form of the list.
 func (e Entry) Name() string { return e.Package + "." + e.Test }
 
 var (
@@ -47,7 +47,8 @@
 	issuePattern = regexp.MustCompile(`^#[1-9][0-9]*$`)
 )
 
-// Parse reads a list. An empty one lists nothing.
+// Parse parses a list, which may be empty. It returns an error for a malformed line or more than
+// MaxEntries entries.
 func Parse(text string) ([]Entry, error) {
 	var out []Entry
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
@@ -82,7 +83,7 @@
 	return out, nil
 }
 
-// event is one of `go test -json`.
+// event is an event of `go test -json`.
 type event struct {
 	Action      string
 	Package     string
@@ -95,8 +96,8 @@
 type testID struct{ pkg, test string }
 
 type result struct {
-	action string   // pass, fail, skip; empty: it began and never ended
-	output []string // what it printed itself
+	action string   // pass, fail, skip; empty: it started and never ended
+	output []string // its own output
 }
 
 // Run is a run of the tests.
@@ -106,17 +107,17 @@
 	results        map[testID]*result
 	order          []testID
 	failedPackages []string            // packages
-	fatalOutputs   map[string][]string // package: what no list excuses
+	fatalOutputs   map[string][]string // by package: output that no list excuses
 	failedBuilds   []string
 }
 
-// NewRun begins a run of a module's tests against a list.
+// NewRun starts the evaluation of a run of a module's tests against a list.
 func NewRun(module string, list []Entry) *Run {
 	return &Run{entries: list, module: module, results: map[testID]*result{}, fatalOutputs: map[string][]string{}}
 }
 
-// ownFailure is how a test's own complaint looks; fatal is what ends a process or
-// shows memory to be shared badly, which no list excuses.
+// ownFailure matches a failure that a test reports itself; fatal matches the end of a process or a
+// data race, which no list excuses.
 var (
 	ownFailure  = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
 	fatalOutput = regexp.MustCompile(
@@ -132,7 +133,7 @@
 	for sc.Scan() {
 		var e event
 		if json.Unmarshal(sc.Bytes(), &e) != nil || e.Action == "" {
-			// Not an event: go test's own word, such as a package that cannot be loaded.
+			// Not an event: go test's own message, such as a package that cannot be loaded.
 			fmt.Fprintln(out, sc.Text())
 			continue
 		}
@@ -190,8 +191,7 @@
 	return nil
 }
 
-// isExcused tells whether a failing test is listed, or fails only because listed
-// cases of it do.
+// isExcused reports whether a failing test is listed, or fails only because listed cases of it do.
 func (r *Run) isExcused(id testID) bool {
 	if r.findEntry(id) != nil {
 		return true
@@ -212,8 +212,8 @@
 	return cases > 0
 }
 
-// Verdict prints what became of the listed tests and of the run, and tells whether
-// it passes. exited is whether go test itself ended with 0.
+// Verdict prints the results of the listed tests and of the run, and reports whether the run
+// passes. exitedOK is whether go test itself exited with 0.
 func (r *Run) Verdict(out io.Writer, exitedOK bool) bool {
 	passes := true
 	fail := func(format string, a ...any) {
