--- a/internal/packagegraph/architecture_test.go
+++ b/internal/packagegraph/architecture_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// root is the module's directory, seen from this package.
+// root is the module's directory, relative to this package.
 const root = "../.."
 
 var (
@@ -22,8 +22,8 @@
 	directory = regexp.MustCompile(`^(internal|cmd|scripts|docs)/[a-z/]+$`)
 )
 
-// TestArchitecturePageNamesWhatExists holds docs/architecture.md to the sources:
-// each type, method, function and folder that it names in code quotes is there.
+// TestArchitecturePageNamesWhatExists checks that each type, method, function and folder that
+// docs/architecture.md names in code quotes exists in the sources.
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs/architecture.md"))
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// declaredNames are all names of the module's sources: Name, package.Name,
+// declaredNames returns all names declared in the module's sources: Name, package.Name,
 // Type.Member and package.Type.Member.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
@@ -101,7 +101,7 @@
 	}
 }
 
-// receiverType is the name of a method's type, empty for a function.
+// receiverType returns the name of a method's receiver type, or an empty string for a function.
 func receiverType(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
--- a/internal/packagegraph/packagegraph.go
+++ b/internal/packagegraph/packagegraph.go
@@ -2,8 +2,8 @@
 // them as a page: a Mermaid graph by levels and a table. A package's level is one
 // above the highest of what it imports, so arrows lead downward only.
 //
-// It reads source text alone, without the Go command: files for other systems
-// count, tests do not. The same sources give the same page.
+// It reads only source text, without the Go command: files for other operating systems count,
+// tests do not. The same sources give the same page.
 package packagegraph
 
 import (
@@ -21,7 +21,7 @@
 
 // Package is a package of the module.
 type Package struct {
-	Path     string // below the module's
+	Path     string // path relative to the module's
 	Synopsis string // the first sentence of its comment
 	Imports  []string
 	Level    int // 0: imports nothing of the module
@@ -30,8 +30,8 @@
 // Graph is a module's packages by path.
 type Graph map[string]*Package
 
-// Read reads the packages of a module below a directory. Packages outside of
-// the module are left out.
+// Read reads the packages of a module below a directory. Imports from outside the module are left
+// out.
 func Read(dir fs.FS, module string) (Graph, error) {
 	g := Graph{}
 	err := fs.WalkDir(dir, ".", func(name string, d fs.DirEntry, err error) error {
@@ -54,13 +54,13 @@
 	return g, nil
 }
 
-// skipped tells which directories have no packages, as for the Go command, and
-// target, which has what is built.
+// skipped reports whether a directory has no packages: those that the Go command ignores, and
+// target, which has build output.
 func skipped(dir string) bool {
 	return dir == "testdata" || dir == "vendor" || dir == "target" || dir[0] == '.' || dir[0] == '_'
 }
 
-// add takes a source file.
+// add adds a source file to its package.
 func (g Graph) add(dir fs.FS, module, name string) error {
 	text, err := fs.ReadFile(dir, name)
 	if err != nil {
@@ -95,11 +95,12 @@
 
 const unknownLevel = -1
 
-// setLevel works out a package's level. The compiler takes no circles.
+// setLevel computes and returns a package's level. It terminates because the compiler refuses
+// import cycles.
 func (g Graph) setLevel(name string) int {
 	p := g[name]
 	if p == nil {
-		return unknownLevel // imported, and not there: the build fails for it
+		return unknownLevel // imported but missing: the build fails for it
 	}
 	if p.Level == unknownLevel {
 		p.Level = 0
@@ -110,21 +111,21 @@
 	return p.Level
 }
 
-// Reaches tells whether a package imports another one, itself or through others.
+// Reaches reports whether a package imports another one, directly or through others.
 func (g Graph) Reaches(from, to string) bool {
 	p := g[from]
 	return p != nil && slices.ContainsFunc(p.Imports, func(i string) bool { return i == to || g.Reaches(i, to) })
 }
 
-// direct are the imports of a package that it does not reach through another of
-// its imports: the arrows that a picture needs.
+// direct returns the imports of a package that it does not reach through another of its imports:
+// the arrows that the graph needs.
 func (g Graph) direct(p *Package) []string {
 	return slices.DeleteFunc(slices.Clone(p.Imports), func(to string) bool {
 		return slices.ContainsFunc(p.Imports, func(by string) bool { return g.Reaches(by, to) })
 	})
 }
 
-// levels are the packages by level, in order of their paths.
+// levels returns the packages by level, ordered by path.
 func (g Graph) levels() (out [][]*Package) {
 	for _, name := range slices.Sorted(maps.Keys(g)) {
 		p := g[name]
@@ -136,7 +137,7 @@
 	return out
 }
 
-// Markdown writes the page.
+// Markdown returns the page.
 func (g Graph) Markdown() string {
 	var b strings.Builder
 	levels := g.levels()
@@ -190,5 +191,6 @@
 	b.WriteString("```\n")
 }
 
-// node names a package in Mermaid, where some plain words have a meaning.
+// node returns the Mermaid name of a package, with a prefix because some plain words are keywords
+// there.
 func node(p *Package) string { return "p_" + strings.NewReplacer("/", "_", "-", "_").Replace(p.Path) }
--- a/internal/packagegraph/packagegraph_test.go
+++ b/internal/packagegraph/packagegraph_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// The core and its extensions are importable by others and have no input or
-// output, so nothing that they import is internal.
+// The core and its extensions can be imported by others and do no input or output, so nothing that
+// they import is internal.
 func TestCoreImportsNothingInternal(t *testing.T) {
 	g := read(t)
 	for _, core := range []string{"scheduler", "workflow", "schedules", "extension"} {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Every package says in a comment what it is.
+// Every package has a comment that describes it.
 func TestPackagesAreDescribed(t *testing.T) {
 	for name, p := range read(t) {
 		if p.Synopsis == "" {
