--- a/cmd/grebedock/operator.go
+++ b/cmd/grebedock/operator.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// operatorOptions is what the commands of operators share.
+// operatorOptions are the options that the commands of operators share.
 type operatorOptions struct {
 	addr string
 	json bool
@@ -39,7 +39,8 @@
 	return json.Unmarshal(body, into)
 }
 
-// statusCommand prints part of a member's status as JSON or as a table.
+// statusCommand returns a command that prints part of a member's status as JSON or
+// as a table.
 func (o *operatorOptions) statusCommand(
 	use, short string,
 	selectJSON func(*scheduler.Status) any,
@@ -145,7 +146,7 @@
 					return s.Shard == m.Shard &&
 						s.Owned
 				}) {
-					tasks = fmt.Sprint(m.Tasks) // others' are theirs to tell
+					tasks = fmt.Sprint(m.Tasks) // only the owner of a shard knows its tasks
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.ID, typ, m.Zone, m.Shard, state, tasks)
 			}
@@ -195,7 +196,7 @@
 	)
 }
 
-// amounts prints processors, and accelerators if there are any.
+// amounts formats processors, and accelerators if there are any.
 func amounts(a quota.Amounts) string {
 	switch {
 	case a.GPUs == 0 && a.CPUs == 0:
@@ -206,7 +207,7 @@
 	return fmt.Sprintf("%.4g+%.4g GPUs", a.CPUs, a.GPUs)
 }
 
-// warnIfTooLateToUndo says which machines it is too late for.
+// warnIfTooLateToUndo prints for which machines it is too late to undo a drain.
 func (o *operatorOptions) warnIfTooLateToUndo(cmd *cobra.Command, ids []string) error {
 	var st scheduler.Status
 	if err := o.request(wire.Request{Method: "GET", Path: "/v1/status"}, &st); err != nil {
@@ -248,7 +249,7 @@
 			if err != nil {
 				return err
 			}
-			s = scheduler.Settings{} // an empty list is left out of the answer
+			s = scheduler.Settings{} // an empty list is omitted from the response
 			if err := o.request(wire.Request{Method: "PATCH", Path: "/v1/settings", Body: body}, &s); err != nil {
 				return err
 			}
