--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -1,6 +1,6 @@
 // Package emulator is the project's own model of the systems that grebedock serves, in simulated
-// time: a state service, a cloud, workers, a network that delays, loses, doubles and holds
-// packets, clocks that drift, and users who ask, cancel and remember what they were told. It runs
+// time: a state service, a cloud, workers, a network that loses, duplicates and
+// delays packets, clocks that drift, and users who submit, query, cancel and check the responses. It runs
 // real cores of the scheduler. One seed gives one history. The rules are checked against what ran
 // on the machines and what users were told, never against the state that a core believes.
 package emulator
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -1,4 +1,4 @@
-// Package knownred holds a run of the tests against the list of those that are known to fail
+// Package knownred compares a run of the tests with the list of those that are known to fail
 // (KNOWN-RED.txt at the root). It starts no processes and reads no files: the input is the list's
 // text and the events of `go test -json`, the output a verdict and the text to print.
 //
--- a/internal/platformfake/state_service.go
+++ b/internal/platformfake/state_service.go
@@ -1,6 +1,5 @@
-// Package platformfake holds the project's own stand-ins for the systems that a controller meets:
-// the state service, the cloud and the workers, written from their published protocol. They serve
-// tests, in simulated time and over loopback. State, Cloud and Worker are not safe for concurrent
+// Package platformfake has fakes of the systems that a controller meets: the state service, the
+// cloud and the workers, written from their published protocol. They serve tests, in simulated time and over loopback. State, Cloud and Worker are not safe for concurrent
 // use; Platform serializes access to them.
 package platformfake
 
