--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,6 @@
 // Package lab starts all that grebedock needs on one machine: members, and fakes of
-// the state service, the cloud and the workers, on loopback, in one process. Workers run the tools of workflows as plain processes; tasks of other jobs are simulated and only take
+// the state service, the cloud and the workers, on loopback, in one process. Workers run the tools
+// of workflows as plain processes; tasks of other jobs are simulated and only take
 // time.
 package lab
 
--- a/internal/platformfake/state_service.go
+++ b/internal/platformfake/state_service.go
@@ -1,5 +1,6 @@
 // Package platformfake has fakes of the systems that a controller meets: the state service, the
-// cloud and the workers, written from their published protocol. They serve tests, in simulated time and over loopback. State, Cloud and Worker are not safe for concurrent
+// cloud and the workers, written from their published protocol. They serve tests, in simulated time
+// and over loopback. State, Cloud and Worker are not safe for concurrent
 // use; Platform serializes access to them.
 package platformfake
 
--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -91,7 +91,7 @@
 		Authority: c.store.hasAuthority(),
 		Leading:   c.scaler.leading,
 		Leader:    c.cache.leader,
-		Revision:  c.cache.mirrorRevision,
+		Revision:  c.cache.appliedRevision,
 		StoreLink: c.store.storeAccess.Link(now.MonotonicMS).String(),
 		Jobs:      len(c.cache.jobs),
 		Counters:  c.Counters,
--- a/scheduler/controller_test.go
+++ b/scheduler/controller_test.go
@@ -87,7 +87,7 @@
 		t.Fatal("the job is not in the cache")
 	}
 	ctrl.cache.applyChange(KeyValue{Key: put.Key, Rev: 9})
-	ctrl.cache.mirrorRevision = 12
+	ctrl.cache.appliedRevision = 12
 	clear(ctrl.cache.tombstones) // the watch has passed the removal
 	ctrl.cache.applyChange(put)
 	if ctrl.cache.jobs["job-000001"] != nil {
@@ -99,7 +99,7 @@
 func TestLaggingWatchDoesNotRestoreRemovedJob(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
-	ctrl.cache.mirrorRevision = 3
+	ctrl.cache.appliedRevision = 3
 	rec := newTestJobRecord(Range{Lo: 0, Hi: 2, Shard: "m0"})
 	put := KeyValue{Key: jobKey("job-000001"), Value: mustEncode(rec), Rev: 5}
 	ctrl.cache.applyChange(put)
@@ -162,7 +162,7 @@
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 64}}
 	ctrl.quotas.initTeamLedgers()
 	ctrl.store.storeAccess.SetState(1, 1, 1)
-	ctrl.cache.mirrorRevision = 20
+	ctrl.cache.appliedRevision = 20
 	s := ctrl.shards.newShard("m0", 0, 1)
 	ctrl.shards.ownedShards["m0"] = s
 	ctrl.cache.applyChange(
@@ -179,7 +179,7 @@
 	write := ctrl.TakeOutputs().StoreOps[0]
 	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Outcome: Unknown})
 	read := ctrl.TakeOutputs().StoreOps[0]
-	ctrl.cache.mirrorRevision = 30 // the watch has passed by then
+	ctrl.cache.appliedRevision = 30 // the watch has passed by then
 	ctrl.HandleStoreResult(
 		ctrl.now,
 		read.ID,
@@ -212,7 +212,7 @@
 func newControllerWithShard(t *testing.T) (*Controller, *shard, *machine) {
 	t.Helper()
 	ctrl := newTestController(t)
-	ctrl.cache.mirrorRevision = 10
+	ctrl.cache.appliedRevision = 10
 	ctrl.now = Now{1000, 1000}
 	ctrl.store.storeAccess.SetState(1, 1000, 1000)
 	ctrl.cache.setMachineTypes([]MachineType{smallMachineType()})
@@ -510,12 +510,12 @@
 func TestShardIsNotReadyBeforeMirrorPassesItsClaim(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready, s.progressRead = false, true
-	ctrl.cache.mirrorRevision = s.claimRev - 1
+	ctrl.cache.appliedRevision = s.claimRev - 1
 	ctrl.shards.tickShard(s)
 	if s.ready {
 		t.Error("ready before the cache has passed the claim")
 	}
-	ctrl.cache.mirrorRevision = s.claimRev
+	ctrl.cache.appliedRevision = s.claimRev
 	ctrl.shards.tickShard(s)
 	if !s.ready {
 		t.Error("not ready though everything is known")
--- a/scheduler/indoubt_writes_test.go
+++ b/scheduler/indoubt_writes_test.go
@@ -147,7 +147,7 @@
 func TestInDoubtClaimIsIdentifiedByItsNonce(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(9, 1, 1)
-	ctrl.cache.mirrorRevision = 20
+	ctrl.cache.appliedRevision = 20
 	key := claimKey("m0")
 	earlierClaim := mustEncode(claimRecord{"m0", 4711})
 	for _, c := range []struct {
@@ -174,7 +174,7 @@
 func TestClaimUnderExpiredLeaseIsDiscarded(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(9, 1, 1)
-	ctrl.cache.mirrorRevision = 20
+	ctrl.cache.appliedRevision = 20
 	ctrl.shards.claimShard("m0")
 	op := findTxn(t, ctrl, claimKey("m0"))
 	ctrl.store.storeAccess.SetState(10, 2, 2) // the lease expired meanwhile, and there is another one
@@ -305,7 +305,7 @@
 func TestShardIsNotReadyBeforeItsProgressIsRead(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready, s.progressRead, s.requestPending = false, false, true
-	ctrl.cache.mirrorRevision = s.claimRev + 1
+	ctrl.cache.appliedRevision = s.claimRev + 1
 	ctrl.shards.tickShard(s)
 	if s.ready {
 		t.Error("ready before its progress is read")
--- a/scheduler/leadership.go
+++ b/scheduler/leadership.go
@@ -83,5 +83,5 @@
 // canActAsLeader reports whether this member leads the fleet and its cache has all that
 // earlier leaders wrote: a machine that it took for unknown would get two owners.
 func (as *autoscaler) canActAsLeader() bool {
-	return as.leading && as.store.hasAuthority() && as.cache.mirrorRevision >= as.leaderRev
+	return as.leading && as.store.hasAuthority() && as.cache.appliedRevision >= as.leaderRev
 }
--- a/scheduler/params.go
+++ b/scheduler/params.go
@@ -43,7 +43,7 @@
 	StoreChangeRate  float64                // store changes per second; 0: submissions are written one by one
 	MaxPendingRelays int                    // users' requests relayed to peers at the same time; 0: none
 	Aging            bool                   // first tasks of jobs that waited too long precede others of their priority
-	Quota            bool                   // tasks beyond their team's guarantee are stopped for the guarantees of others
+	Quota            bool                   // tasks beyond their team's guarantee yield to others' guarantees
 	Rollout          bool                   // machines are drained and replaced in steps, by rollout plans
 	Recovery         bool                   // commands after a claim are paced, and unreachable machines are recorded
 	LeaseTTLRatio    float64                // of the longest safe lease TTL, in (0,1]; 0: 1
--- a/scheduler/range_assignment.go
+++ b/scheduler/range_assignment.go
@@ -194,7 +194,7 @@
 // again yet: only this member sees when it does.
 func (s *shard) isAwaitingRestart(tr *taskRange, index int) bool {
 	account := s.disruption.account
-	return account != nil && account.IsReserved(taskName(tr.job.rec.Job.ID, tr.bounds.Lo+index))
+	return account != nil && account.IsReserved(TaskName(tr.job.rec.Job.ID, tr.bounds.Lo+index))
 }
 
 // isMovable reports whether tasks of a range may move to a peer's shard. Those that came from
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -176,9 +176,7 @@
 // TaskName is the name of a job's nth task, from 0, on the workers.
 func TaskName(job string, n int) string { return fmt.Sprintf("%s/%d", job, n) }
 
-func taskName(job string, n int) string { return TaskName(job, n) }
-
-// parseTaskName is the inverse of taskName. It accepts at most eight digits.
+// parseTaskName is the inverse of TaskName. It accepts at most eight digits.
 func parseTaskName(s string) (job string, n int, ok bool) {
 	i := strings.LastIndexByte(s, '/')
 	if i < 1 || i == len(s)-1 || len(s)-i > 9 {
--- a/scheduler/scale_benchmark_test.go
+++ b/scheduler/scale_benchmark_test.go
@@ -20,7 +20,7 @@
 		"batch": {{Kind: "finished", WithinS: 300}},
 	}
 	ctrl := New(params, 1, Now{1, 1})
-	ctrl.cache.mirrorRevision, ctrl.now = 10, Now{100_000, 100_000}
+	ctrl.cache.appliedRevision, ctrl.now = 10, Now{100_000, 100_000}
 	ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
 	ctrl.cache.setMachineTypes([]MachineType{
 		{
--- a/scheduler/shard_tick.go
+++ b/scheduler/shard_tick.go
@@ -58,7 +58,7 @@
 		}
 		return
 	}
-	if sm.cache.mirrorRevision < s.claimRev {
+	if sm.cache.appliedRevision < s.claimRev {
 		return
 	}
 	s.ready, s.dirty = true, true
--- a/scheduler/shared_reads_test.go
+++ b/scheduler/shared_reads_test.go
@@ -23,7 +23,7 @@
 		rec.Job.ID = fmt.Sprintf("job-%06d", n)
 		putRecord(ctrl, jobKey(rec.Job.ID), rec, uint64(20+n))
 	}
-	ctrl.cache.mirrorRevision = 20 + uint64(jobs)
+	ctrl.cache.appliedRevision = 20 + uint64(jobs)
 	batchIntervalMS := access.RequestTimeout.Milliseconds() / batchIntervalDivisor
 	ctrl.requests.queryBatcher.nextBatchAtMS = ctrl.now.MonotonicMS + batchIntervalMS
 	return ctrl
@@ -46,7 +46,7 @@
 		t.Fatalf("store operations %+v, %d responses; want one read", outputs.StoreOps, len(outputs.UserResponses))
 	}
 	read := outputs.StoreOps[0]
-	if read.Kind != StoreWatch || read.DurationMS != 0 || read.Rev != ctrl.cache.mirrorRevision {
+	if read.Kind != StoreWatch || read.DurationMS != 0 || read.Rev != ctrl.cache.appliedRevision {
 		t.Fatalf("read %+v, want a watch from the cache's revision that returns at once", read)
 	}
 	// One that comes while the read is pending is not answered by it.
--- a/scheduler/state_cache.go
+++ b/scheduler/state_cache.go
@@ -18,9 +18,9 @@
 	*environment
 	store *storeClient
 
-	keyRevisions   map[string]uint64 // revision of every cached key
-	tombstones     map[string]uint64 // revisions of removals after mirrorRevision
-	mirrorRevision uint64            // all changes up to this one are applied
+	keyRevisions    map[string]uint64 // revision of every cached key
+	tombstones      map[string]uint64 // revisions of removals after appliedRevision
+	appliedRevision uint64            // all changes up to this one are applied
 
 	jobs             map[string]*job
 	shardClaims      map[string]claimRecord
@@ -53,9 +53,9 @@
 	for _, kv := range result.KVs {
 		cache.applyChange(kv)
 	}
-	cache.mirrorRevision = max(cache.mirrorRevision, result.Rev)
+	cache.appliedRevision = max(cache.appliedRevision, result.Rev)
 	for key, removedAt := range cache.tombstones {
-		if removedAt <= cache.mirrorRevision {
+		if removedAt <= cache.appliedRevision {
 			delete(cache.tombstones, key)
 		}
 	}
@@ -79,7 +79,7 @@
 	for _, key := range gone {
 		cache.applyChange(KeyValue{Key: key, Rev: revision})
 	}
-	cache.mirrorRevision = revision
+	cache.appliedRevision = revision
 	cache.log(Info, "state cache loaded", "keys", len(kvs), "revision", revision)
 }
 
@@ -108,9 +108,9 @@
 	if kv.Rev <= keyRevision || kv.Rev <= cache.tombstones[kv.Key] {
 		return true
 	}
-	// The cache has everything up to mirrorRevision. A read that was in flight while
+	// The cache has everything up to appliedRevision. A read that was in flight while
 	// its key was removed is older: applied, it made a cancelled job start again.
-	return !known && cache.store.storeAccess.IsSynced() && kv.Rev <= cache.mirrorRevision
+	return !known && cache.store.storeAccess.IsSynced() && kv.Rev <= cache.appliedRevision
 }
 
 // updateRevision records the revision of a change. It reports whether the change has an
@@ -122,7 +122,7 @@
 	}
 	// A watch that lags behind this member's own removal must not bring the key
 	// back: a job that is over would start again.
-	if kv.Rev > cache.mirrorRevision {
+	if kv.Rev > cache.appliedRevision {
 		cache.tombstones[kv.Key] = kv.Rev
 	}
 	_, known := cache.keyRevisions[kv.Key]
@@ -259,7 +259,7 @@
 // watch that does not wait.
 func (cache *stateCache) syncNow(onResult func(Outcome)) {
 	cache.store.sendStore(
-		StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: cache.mirrorRevision},
+		StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: cache.appliedRevision},
 		func(result StoreResult) {
 			if result.Outcome == OK && cache.store.storeAccess.IsSynced() {
 				cache.applyWatchResult(result)
--- a/scheduler/store_access.go
+++ b/scheduler/store_access.go
@@ -57,7 +57,7 @@
 	op := StoreOp{
 		Kind:       StoreWatch,
 		Key:        livePrefix,
-		Rev:        c.cache.mirrorRevision,
+		Rev:        c.cache.appliedRevision,
 		DurationMS: c.store.leaseRenewalIntervalMS(),
 	}
 	c.store.sendStore(op, func(r StoreResult) {
--- a/scheduler/submission_random_test.go
+++ b/scheduler/submission_random_test.go
@@ -77,7 +77,7 @@
 		ctrl.cache.setMachineTypes([]MachineType{smallMachineType()})
 		ctrl.params.Teams, ctrl.params.StoreChangeRate = map[string]Team{"ops": {}}, 1000
 		ctrl.requests.submissionQueue = newSubmissionQueue(&ctrl.params)
-		store := &singleJobStore{id: "job-000001", revision: ctrl.cache.mirrorRevision}
+		store := &singleJobStore{id: "job-000001", revision: ctrl.cache.appliedRevision}
 		requestedAtStep, answered := map[uint64]int{}, map[uint64]bool{}
 		var openOps []StoreOp               // pending for the member
 		var lateOps []StoreOp               // timed out for it, and yet to be applied
@@ -154,7 +154,7 @@
 			case 6, 7:
 				if len(store.pendingWatchEvents) > 0 {
 					ctrl.cache.applyChange(store.pendingWatchEvents[0])
-					ctrl.cache.mirrorRevision = max(ctrl.cache.mirrorRevision, store.pendingWatchEvents[0].Rev)
+					ctrl.cache.appliedRevision = max(ctrl.cache.appliedRevision, store.pendingWatchEvents[0].Rev)
 					store.pendingWatchEvents = store.pendingWatchEvents[1:]
 				}
 			default:
--- a/scheduler/takeover_state_test.go
+++ b/scheduler/takeover_state_test.go
@@ -212,7 +212,7 @@
 	for _, j := range ctrl.cache.jobs {
 		j.taskRanges = map[int]*taskRange{}
 	}
-	ctrl.cache.mirrorRevision = 90_000
+	ctrl.cache.appliedRevision = 90_000
 	ctrl.now.MonotonicMS += 5000
 	s := ctrl.shards.newShard("m0", 8, 80_000)
 	ctrl.shards.ownedShards["m0"] = s
--- a/scheduler/task_groups.go
+++ b/scheduler/task_groups.go
@@ -42,7 +42,7 @@
 func (pp *placementPlanner) startObjective(j *Job, accepted, horizon int64) int64 {
 	startBy := horizon
 	for _, o := range pp.params.Objectives[j.Class] {
-		if o.Kind == "wait" {
+		if o.Kind == startObjective {
 			startBy = min(startBy, accepted+secondsToMS(o.WithinS))
 		}
 	}
--- a/scheduler/task_ranges.go
+++ b/scheduler/task_ranges.go
@@ -305,7 +305,7 @@
 }
 
 // name is the range's key in its progress record.
-func (tr *taskRange) name() string { return taskName(tr.job.rec.Job.ID, tr.bounds.Lo) }
+func (tr *taskRange) name() string { return TaskName(tr.job.rec.Job.ID, tr.bounds.Lo) }
 
 // finishTaskRange records that all tasks of a range are done. With the last range of a job,
 // the job's final record replaces the live one in the same transaction.
--- a/scheduler/task_starts.go
+++ b/scheduler/task_starts.go
@@ -82,7 +82,7 @@
 		attemptID = s.attemptIDs.Next(am.now.WallMS)
 	}
 	a := &attempt{
-		key:       attemptKey{taskName(j.ID, tr.bounds.Lo+i), attemptID},
+		key:       attemptKey{TaskName(j.ID, tr.bounds.Lo+i), attemptID},
 		job:       j,
 		taskRange: tr,
 		claim:     s,
@@ -120,7 +120,7 @@
 func (am *agentManager) countStart(tr *taskRange) {
 	am.Counters.Starts++
 	for _, o := range am.params.Objectives[tr.job.rec.Job.Class] {
-		if o.Kind == "wait" && am.now.WallMS > tr.job.rec.AcceptedAtMS+secondsToMS(o.WithinS) {
+		if o.Kind == startObjective && am.now.WallMS > tr.job.rec.AcceptedAtMS+secondsToMS(o.WithinS) {
 			am.rolloutCounts.LateStarts++
 		}
 	}
