--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -25,8 +25,14 @@
 		{"one sample", func(s *Settings) { s.Samples = 1 }, "samples", "samples must be from 2 to 100"},
 		{"late share is no number", func(s *Settings) { s.LateShare = math.NaN() },
 			"late_share", "late_share must be above 0 and at most 10"},
-		{"summaries too often", func(s *Settings) { s.SummaryS = 0.05 }, "summary_s", "summary_s must be from 0.1 to 60"},
-		{"negative idle time", func(s *Settings) { s.IdleBoots = -1 }, "idle_boots", "idle_boots must be from 0 to 1000"},
+		{
+			"summaries too often", func(s *Settings) { s.SummaryS = 0.05 }, "summary_s",
+			"summary_s must be from 0.1 to 60",
+		},
+		{
+			"negative idle time", func(s *Settings) { s.IdleBoots = -1 }, "idle_boots",
+			"idle_boots must be from 0 to 1000",
+		},
 		{"begins too soon", func(s *Settings) { s.BeginWithinS = 0.5 },
 			"begin_within_s", "begin_within_s must be from 1 to 1000000"},
 		{"too many machines", func(s *Settings) { s.Drain = make([]string, 101) },
