--- a/access/access.go
+++ b/access/access.go
@@ -59,43 +59,43 @@
 	Unknown
 )
 
-// Answered tells whether the service itself dealt with the request.
-func (o Outcome) Answered() bool { return o <= Gone }
+// ProcessedByService tells whether the service itself dealt with the request.
+func (o Outcome) ProcessedByService() bool { return o <= Gone }
 
 // Settings are a member's times, in milliseconds.
 type Settings struct {
-	Life    int64   // of a hold
-	Drift   float64 // bound on how far two steady clocks part
-	Slack   int64   // taken off the authority, for a tick's length
-	Timeout int64   // after which a request without an answer is Unknown
+	LeaseTTLMS       int64   // of a hold
+	MaxClockDrift    float64 // bound on how far two steady clocks part
+	AuthoritySlackMS int64   // taken off the authority, for a tick's length
+	RequestTimeoutMS int64   // after which a request without an answer is Unknown
 }
 
 // Parts of a hold's life, and of a request's timeout.
 const (
-	stepPart   = 8   // an extension and a watch's length
-	pausePart  = 100 // between two watches: several changes share an answer
-	retryPart  = 4   // of the timeout: until what failed is asked again
-	probePart  = 20  // of the timeout: until the link is probed after its first failure
-	floorPart  = 5   // of the timeout: no answer is overdue sooner
-	spreadPart = 10  // of the timeout: watches that failed together come back apart
+	renewDivisor        = 8   // an extension and a watch's length
+	watchPauseDivisor   = 100 // between two watches: several changes share an answer
+	retryDivisor        = 4   // of the timeout: until what failed is asked again
+	probeDivisor        = 20  // of the timeout: until the link is probed after its first failure
+	overdueFloorDivisor = 5   // of the timeout: no answer is overdue sooner
+	watchJitterDivisor  = 10  // of the timeout: watches that failed together come back apart
 )
 
-// Drift bounds how far two steady clocks part: the platform says 0.05 %, and this is
+// MaxClockDrift bounds how far two steady clocks part: the platform says 0.05 %, and this is
 // four times as much, for both ends and some slack.
-const Drift = 0.002
+const MaxClockDrift = 0.002
 
 // Of what a cancellation leaves beyond a lease, and of the whole, what a hold may not
 // take: for clocks, a tick, a worker that looks at its lease now and then, the kill.
 const (
-	lifeShare  = 0.9
-	lifeMargin = 100 // ms
+	ttlShare    = 0.9
+	ttlMarginMS = 100 // ms
 	// Holds of other lives are no use: the state service takes at most ten minutes,
 	// and within less than a second nothing can be extended.
-	MinLife = 1000
-	MaxLife = 600_000
+	MinLeaseTTLMS = 1000
+	MaxLeaseTTLMS = 600_000
 )
 
-// Life is how long a hold, and with it the authority of its holder, may last where a
+// LeaseTTLMS is how long a hold, and with it the authority of its holder, may last where a
 // cancelled task must be gone within cancelMS and a lease is leaseMS. The bound, for a
 // leader that a peer's confirmed cancellation does not reach, from the confirmation:
 //
@@ -106,320 +106,328 @@
 //	the worker notices, and kills                   + a tick of the worker's
 //
 // Without a share for the rest, a cancel_s close above a large lease_s left the drift of
-// the lease's own clock nothing (0.3 s of 600). Below MinLife there is none.
-func Life(cancelMS, leaseMS int64) int64 {
-	over := float64(cancelMS - leaseMS)
-	return int64(min(over*lifeShare, over-float64(cancelMS)*Drift-lifeMargin, MaxLife))
+// the lease's own clock nothing (0.3 s of 600). Below MinLeaseTTLMS there is none.
+func LeaseTTLMS(cancelMS, leaseMS int64) int64 {
+	remainingMS := float64(cancelMS - leaseMS)
+	return int64(min(remainingMS*ttlShare, remainingMS-float64(cancelMS)*MaxClockDrift-ttlMarginMS, MaxLeaseTTLMS))
 }
 
-// LeastCancel is the least time for cancellations beside a lease, in milliseconds: with
+// MinCancelMS is the least time for cancellations beside a lease, in milliseconds: with
 // less there is no Life.
-func LeastCancel(leaseMS int64) int64 {
+func MinCancelMS(leaseMS int64) int64 {
 	lease := float64(leaseMS)
-	return int64(math.Ceil(max(lease+MinLife/lifeShare, (lease+MinLife+lifeMargin)/(1-Drift))))
+	return int64(math.Ceil(max(lease+MinLeaseTTLMS/ttlShare, (lease+MinLeaseTTLMS+ttlMarginMS)/(1-MaxClockDrift))))
 }
 
-// Hold is a state of the hold.
-type Hold int
+// LeaseState is a state of the hold.
+type LeaseState int
 
 // The states of the hold.
 const (
-	NoHold Hold = iota
-	Asking
-	Kept
-	Extending
+	LeaseAbsent LeaseState = iota
+	LeaseRequested
+	LeaseGranted
+	LeaseRenewing
 )
 
-// Mirror is a state of the mirror.
-type Mirror int
+// MirrorState is a state of the mirror.
+type MirrorState int
 
 // The states of the mirror.
 const (
-	Unread Mirror = iota
-	Reading
-	Read
-	Watching
+	MirrorUnsynced MirrorState = iota
+	MirrorListing
+	MirrorSynced
+	MirrorWatching
 )
 
-// Link is a state of the link.
-type Link int
+// LinkState is a state of the link.
+type LinkState int
 
 // The states of the link.
 const (
-	Up Link = iota
-	Doubtful
-	RefusedHere
-	Silent
+	LinkUp LinkState = iota
+	LinkDoubtful
+	LinkRefused
+	LinkSilent
 )
 
-func (l Link) String() string { return [...]string{"up", "doubtful", "refused", "silent"}[l] }
-
-// Access is a member's standing. The zero value is not ready; use New.
-type Access struct {
-	s Settings
-
-	hold     Hold
-	id       uint64 // of the hold, 0: none
-	holdSent int64  // when the request that keeps it was sent
-	asked    int64  // when the one under way was
-	holdAt   int64  // when to ask next
-
-	mirror    Mirror
-	fresh     int64 // when the last list or watch that came back was sent
-	looked    int64 // when the one under way was
-	look      uint64
-	mirrorAt  int64
-	link      Link
-	since     int64 // when the first request failed that had no answer; 0: the last had one
-	answered  int64 // when the last answer came
-	smooth    float64
-	deviation float64
-	open      queue // of requests under way, by when they were sent
+func (l LinkState) String() string { return [...]string{"up", "doubtful", "refused", "silent"}[l] }
+
+// LeaseKeeper is a member's standing. The zero value is not ready; use New.
+type LeaseKeeper struct {
+	settings Settings
+
+	leaseState         LeaseState
+	leaseID            uint64 // of the hold, 0: none
+	renewalSentAt      int64  // when the request that keeps it was sent
+	leaseRequestSentAt int64  // when the one under way was
+	nextLeaseRequestAt int64  // when to ask next
+
+	mirrorState        MirrorState
+	mirrorReadSentAt   int64 // when the last list or watch that came back was sent
+	pendingReadSentAt  int64 // when the one under way was
+	readID             uint64
+	nextReadAt         int64
+	linkState          LinkState
+	unansweredSince    int64 // when the first request failed that had no answer; 0: the last had one
+	lastResponseAt     int64 // when the last answer came
+	smoothedLatencyMS  float64
+	latencyDeviationMS float64
+	inFlight           inFlightRequests // of requests under way, by when they were sent
 }
 
-// New returns the standing of a member that has just started.
-func New(s Settings) *Access { return &Access{s: s} }
+// NewLeaseKeeper returns the standing of a member that has just started.
+func NewLeaseKeeper(settings Settings) *LeaseKeeper { return &LeaseKeeper{settings: settings} }
 
-// Step is how often a hold is extended and how long a watch waits.
-func (a *Access) Step() int64 { return a.s.Life / stepPart }
+// RenewIntervalMS is how often a hold is extended and how long a watch waits.
+func (k *LeaseKeeper) RenewIntervalMS() int64 { return k.settings.LeaseTTLMS / renewDivisor }
 
-func (a *Access) retry() int64 { return max(1, min(a.Step(), a.s.Timeout/retryPart)) }
+func (k *LeaseKeeper) retryIntervalMS() int64 {
+	return max(1, min(k.RenewIntervalMS(), k.settings.RequestTimeoutMS/retryDivisor))
+}
 
-// Hold is the hold's name, 0 without one.
-func (a *Access) Hold() uint64 { return a.id }
+// LeaseID is the hold's name, 0 without one.
+func (k *LeaseKeeper) LeaseID() uint64 { return k.leaseID }
 
-// Synced tells whether the mirror has been read.
-func (a *Access) Synced() bool { return a.mirror >= Read }
+// IsSynced tells whether the mirror has been read.
+func (k *LeaseKeeper) IsSynced() bool { return k.mirrorState >= MirrorSynced }
 
-// Fresh is when the last look at the mirror that came back was sent.
-func (a *Access) Fresh() int64 { return a.fresh }
+// MirrorReadSentAt is when the last look at the mirror that came back was sent.
+func (k *LeaseKeeper) MirrorReadSentAt() int64 { return k.mirrorReadSentAt }
 
 // Link is how requests fare by now.
-func (a *Access) Link(now int64) Link {
-	if a.link == Up && a.overdue(now) {
-		a.link = Doubtful
+func (k *LeaseKeeper) Link(now int64) LinkState {
+	if k.linkState == LinkUp && k.hasOverdueRequest(now) {
+		k.linkState = LinkDoubtful
 	}
-	sent, open := a.open.oldest(0)
-	if a.link != Silent && a.since != 0 && now-a.since > a.retry() || a.link == Doubtful && open && a.answered < sent && now-sent > 2*a.Late() {
-		a.link = Silent
-		a.probe(now)
+	oldestSentAt, hasInFlight := k.inFlight.oldest(0)
+	if k.linkState != LinkSilent && k.unansweredSince != 0 && now-k.unansweredSince > k.retryIntervalMS() || k.linkState == LinkDoubtful && hasInFlight && k.lastResponseAt < oldestSentAt && now-oldestSentAt > 2*k.OverdueAfterMS() {
+		k.linkState = LinkSilent
+		k.scheduleProbe(now)
 	}
-	return a.link
+	return k.linkState
 }
 
-// Authority tells whether the member may act for its shards: counted from the
+// HasAuthority tells whether the member may act for its shards: counted from the
 // sending of the last extension and of the last look that came back, since
 // either may be stuck while the other works.
-func (a *Access) Authority(now int64) bool {
-	if a.id == 0 || !a.Synced() {
+func (k *LeaseKeeper) HasAuthority(now int64) bool {
+	if k.leaseID == 0 || !k.IsSynced() {
 		return false
 	}
-	return now < min(a.holdSent, a.fresh)+a.s.Life-int64(float64(a.s.Life)*a.s.Drift)-a.s.Slack
+	return now < min(k.renewalSentAt, k.mirrorReadSentAt)+k.settings.LeaseTTLMS-int64(float64(k.settings.LeaseTTLMS)*k.settings.MaxClockDrift)-k.settings.AuthoritySlackMS
 }
 
-// Stand sets the standing: a hold, kept since a request that was sent then (none
+// SetState sets the standing: a hold, kept since a request that was sent then (none
 // if it is 0), and a mirror that was looked at then. Tests of what rests on it
 // begin with one.
-func (a *Access) Stand(hold uint64, holdSent, fresh int64) {
-	a.hold, a.id, a.holdSent, a.mirror, a.fresh = NoHold, hold, holdSent, Read, fresh
-	if hold != 0 {
-		a.hold = Kept
+func (k *LeaseKeeper) SetState(leaseID uint64, renewalSentAt, mirrorReadSentAt int64) {
+	k.leaseState, k.leaseID, k.renewalSentAt, k.mirrorState, k.mirrorReadSentAt = LeaseAbsent, leaseID, renewalSentAt, MirrorSynced, mirrorReadSentAt
+	if leaseID != 0 {
+		k.leaseState = LeaseGranted
 	}
 }
 
-// Ask is what a tick wants asked of the service.
-type Ask struct {
-	Hold   bool   // a new hold
-	Extend uint64 // this hold
-	List   bool
-	Watch  bool
-	Look   uint64 // names the list or watch
+// Action is what a tick wants asked of the service.
+type Action struct {
+	GrantLease  bool   // a new hold
+	RenewLease  uint64 // this hold
+	ListMirror  bool
+	WatchMirror bool
+	ReadID      uint64 // names the list or watch
 }
 
 // Tick lets time pass.
-func (a *Access) Tick(now int64) (ask Ask) {
-	if now >= a.holdAt {
-		switch a.hold {
-		case NoHold:
-			a.hold, a.asked, ask.Hold = Asking, now, true
-		case Kept:
-			a.hold, a.asked, ask.Extend = Extending, now, a.id
+func (k *LeaseKeeper) Tick(now int64) (action Action) {
+	if now >= k.nextLeaseRequestAt {
+		switch k.leaseState {
+		case LeaseAbsent:
+			k.leaseState, k.leaseRequestSentAt, action.GrantLease = LeaseRequested, now, true
+		case LeaseGranted:
+			k.leaseState, k.leaseRequestSentAt, action.RenewLease = LeaseRenewing, now, k.leaseID
 		}
 	}
-	if now >= a.mirrorAt {
-		switch a.mirror {
-		case Unread:
-			a.mirror, a.looked, ask.List = Reading, now, true
-			a.look++
-		case Read:
-			a.mirror, a.looked, ask.Watch = Watching, now, true
-			a.look++
+	if now >= k.nextReadAt {
+		switch k.mirrorState {
+		case MirrorUnsynced:
+			k.mirrorState, k.pendingReadSentAt, action.ListMirror = MirrorListing, now, true
+			k.readID++
+		case MirrorSynced:
+			k.mirrorState, k.pendingReadSentAt, action.WatchMirror = MirrorWatching, now, true
+			k.readID++
 		}
 	}
-	ask.Look = a.look
-	return ask
+	action.ReadID = k.readID
+	return action
 }
 
-// Held ends the request for a hold or its extension. id is that of a new hold;
+// CompleteLeaseRequest ends the request for a hold or its extension. id is that of a new hold;
 // lost tells that the old one is over, with all that hung on it.
-func (a *Access) Held(now int64, o Outcome, id uint64) (lost bool) {
-	switch a.hold {
-	case Asking:
-		a.hold, a.holdAt = NoHold, now+a.retry()
-		if o == OK {
-			a.hold, a.id, a.holdSent, a.holdAt = Kept, id, a.asked, now+a.Step()
+func (k *LeaseKeeper) CompleteLeaseRequest(now int64, outcome Outcome, grantedID uint64) (lost bool) {
+	switch k.leaseState {
+	case LeaseRequested:
+		k.leaseState, k.nextLeaseRequestAt = LeaseAbsent, now+k.retryIntervalMS()
+		if outcome == OK {
+			k.leaseState, k.leaseID, k.renewalSentAt, k.nextLeaseRequestAt = LeaseGranted, grantedID, k.leaseRequestSentAt, now+k.RenewIntervalMS()
 		}
-	case Extending:
-		a.hold, a.holdAt = Kept, now+a.retry()
-		switch o {
+	case LeaseRenewing:
+		k.leaseState, k.nextLeaseRequestAt = LeaseGranted, now+k.retryIntervalMS()
+		switch outcome {
 		case OK:
-			a.holdSent, a.holdAt = a.asked, now+a.Step()
+			k.renewalSentAt, k.nextLeaseRequestAt = k.leaseRequestSentAt, now+k.RenewIntervalMS()
 		case NotFound, Gone:
-			a.hold, a.id, a.holdAt = NoHold, 0, now
+			k.leaseState, k.leaseID, k.nextLeaseRequestAt = LeaseAbsent, 0, now
 			return true
 		}
 	}
 	return false
 }
 
-// Looked ends a list or a watch. One that Reread has overtaken is not current:
+// CompleteMirrorRead ends a list or a watch. One that Reread has overtaken is not current:
 // what it brings is to be dropped. spread, in [0,1), keeps members apart that
 // failed together.
-func (a *Access) Looked(now int64, look uint64, o Outcome, spread float64) (current bool) {
+func (k *LeaseKeeper) CompleteMirrorRead(now int64, readID uint64, outcome Outcome, jitter float64) (current bool) {
 	switch {
-	case look != a.look || a.mirror != Reading && a.mirror != Watching:
+	case readID != k.readID || k.mirrorState != MirrorListing && k.mirrorState != MirrorWatching:
 		return false
-	case a.mirror == Reading && o == OK:
-		a.mirror, a.fresh, a.mirrorAt = Read, a.looked, now
-	case a.mirror == Reading:
-		a.mirror, a.mirrorAt = Unread, now+a.retry()
-	case o == OK:
-		a.mirror, a.fresh, a.mirrorAt = Read, max(a.fresh, a.looked), now+a.s.Life/pausePart
-	case o == Gone:
-		a.mirror, a.mirrorAt = Unread, now
+	case k.mirrorState == MirrorListing && outcome == OK:
+		k.mirrorState, k.mirrorReadSentAt, k.nextReadAt = MirrorSynced, k.pendingReadSentAt, now
+	case k.mirrorState == MirrorListing:
+		k.mirrorState, k.nextReadAt = MirrorUnsynced, now+k.retryIntervalMS()
+	case outcome == OK:
+		k.mirrorState, k.mirrorReadSentAt, k.nextReadAt = MirrorSynced, max(k.mirrorReadSentAt, k.pendingReadSentAt), now+k.settings.LeaseTTLMS/watchPauseDivisor
+	case outcome == Gone:
+		k.mirrorState, k.nextReadAt = MirrorUnsynced, now
 	default:
-		a.mirror, a.mirrorAt = Read, now+a.retry()*3/5+int64(spread*float64(a.s.Timeout/spreadPart))
+		k.mirrorState, k.nextReadAt = MirrorSynced, now+k.retryIntervalMS()*3/5+int64(jitter*float64(k.settings.RequestTimeoutMS/watchJitterDivisor))
 	}
 	return true
 }
 
-// Reread has the mirror read anew: something in it cannot be so.
-func (a *Access) Reread(now int64) {
-	if a.mirror >= Read {
-		a.mirror, a.mirrorAt = Unread, now
+// ResyncMirror has the mirror read anew: something in it cannot be so.
+func (k *LeaseKeeper) ResyncMirror(now int64) {
+	if k.mirrorState >= MirrorSynced {
+		k.mirrorState, k.nextReadAt = MirrorUnsynced, now
 	}
 }
 
-// Sent notes a request whose answer is waited for. The caller gives it back to
+// BeginRequest notes a request whose answer is waited for. The caller gives it back to
 // Ended.
-func (a *Access) Sent(now int64) (ticket Ticket) { return a.open.push(now) }
+func (k *LeaseKeeper) BeginRequest(now int64) (id RequestID) { return k.inFlight.add(now) }
 
-// Ended notes how such a request ended. What it waited for its turn in the member's own
+// CompleteRequest notes how such a request ended. What it waited for its turn in the member's own
 // rate is not the service's time.
-func (a *Access) Ended(now int64, t Ticket, queued int64, o Outcome) {
-	if sent := a.open.remove(t); o.Answered() {
-		a.took(float64(max(0, now-sent-queued)))
+func (k *LeaseKeeper) CompleteRequest(now int64, id RequestID, queuedMS int64, outcome Outcome) {
+	if sentAt := k.inFlight.remove(id); outcome.ProcessedByService() {
+		k.observeLatency(float64(max(0, now-sentAt-queuedMS)))
 	}
-	a.Heard(now, o)
+	k.ObserveOutcome(now, outcome)
 }
 
-// Heard notes how a request ended whose time says nothing: one that may have
+// ObserveOutcome notes how a request ended whose time says nothing: one that may have
 // waited for its turn for as long as it took.
-func (a *Access) Heard(now int64, o Outcome) {
+func (k *LeaseKeeper) ObserveOutcome(now int64, outcome Outcome) {
 	switch {
-	case o == Unknown:
-		if a.since == 0 {
-			a.since = now
-			a.probe(now)
+	case outcome == Unknown:
+		if k.unansweredSince == 0 {
+			k.unansweredSince = now
+			k.scheduleProbe(now)
 		}
-	case o == Throttled:
+	case outcome == Throttled:
 		// Its own doing; nothing is learned of the service.
-	case o == Refused:
-		a.since = 0
-		if a.link != RefusedHere {
-			a.link = RefusedHere
-			a.probe(now)
+	case outcome == Refused:
+		k.unansweredSince = 0
+		if k.linkState != LinkRefused {
+			k.linkState = LinkRefused
+			k.scheduleProbe(now)
 		}
 	default:
-		a.since, a.link, a.answered = 0, Up, now
+		k.unansweredSince, k.linkState, k.lastResponseAt = 0, LinkUp, now
 	}
 }
 
-// probe has the hold asked for soon: its answer tells that the link is up again,
+// scheduleProbe has the hold asked for soon: its answer tells that the link is up again,
 // whatever else is asked meanwhile.
-func (a *Access) probe(now int64) { a.holdAt = min(a.holdAt, now+a.s.Timeout/probePart) }
+func (k *LeaseKeeper) scheduleProbe(now int64) {
+	k.nextLeaseRequestAt = min(k.nextLeaseRequestAt, now+k.settings.RequestTimeoutMS/probeDivisor)
+}
 
-func (a *Access) took(ms float64) {
-	if a.smooth == 0 {
-		a.smooth, a.deviation = ms, ms/2
+func (k *LeaseKeeper) observeLatency(latencyMS float64) {
+	if k.smoothedLatencyMS == 0 {
+		k.smoothedLatencyMS, k.latencyDeviationMS = latencyMS, latencyMS/2
 		return
 	}
-	d := ms - a.smooth
-	a.smooth += d / 8
-	a.deviation += (max(d, -d) - a.deviation) / 4
+	deltaMS := latencyMS - k.smoothedLatencyMS
+	k.smoothedLatencyMS += deltaMS / 8
+	k.latencyDeviationMS += (max(deltaMS, -deltaMS) - k.latencyDeviationMS) / 4
 }
 
-// Usual is how long answers take, but for few.
-func (a *Access) Usual() int64 { return min(a.s.Timeout, int64(a.smooth+4*a.deviation)) }
+// TypicalLatencyMS is how long answers take, but for few.
+func (k *LeaseKeeper) TypicalLatencyMS() int64 {
+	return min(k.settings.RequestTimeoutMS, int64(k.smoothedLatencyMS+4*k.latencyDeviationMS))
+}
 
-// Late is after how long an answer is overdue.
-func (a *Access) Late() int64 { return max(a.s.Timeout/floorPart, a.Usual()) }
+// OverdueAfterMS is after how long an answer is overdue.
+func (k *LeaseKeeper) OverdueAfterMS() int64 {
+	return max(k.settings.RequestTimeoutMS/overdueFloorDivisor, k.TypicalLatencyMS())
+}
 
-// Answering tells whether the service answers as far as is known: an answer that is lost
+// IsResponsive tells whether the service answers as far as is known: an answer that is lost
 // while others come puts the link in doubt, and is no reason to ask elsewhere.
-func (a *Access) Answering(now int64) bool {
-	switch a.Link(now) {
-	case Up:
+func (k *LeaseKeeper) IsResponsive(now int64) bool {
+	switch k.Link(now) {
+	case LinkUp:
 		return true
-	case Doubtful:
-		sent, open := a.open.oldest(a.answered)
-		return !open || now-sent <= a.Late()
+	case LinkDoubtful:
+		oldestSentAt, hasInFlight := k.inFlight.oldest(k.lastResponseAt)
+		return !hasInFlight || now-oldestSentAt <= k.OverdueAfterMS()
 	}
 	return false
 }
 
-// overdue tells whether a request waits longer than answers take.
-func (a *Access) overdue(now int64) bool {
-	sent, ok := a.open.oldest(0)
-	return ok && now-sent > a.Late()
+// hasOverdueRequest tells whether a request waits longer than answers take.
+func (k *LeaseKeeper) hasOverdueRequest(now int64) bool {
+	oldestSentAt, ok := k.inFlight.oldest(0)
+	return ok && now-oldestSentAt > k.OverdueAfterMS()
 }
 
-// Timeout bounds a request, as the clients of the state service do.
-const Timeout = 2 * time.Second
+// RequestTimeout bounds a request, as the clients of the state service do.
+const RequestTimeout = 2 * time.Second
 
-// Ticket names a request under way.
-type Ticket uint64
+// RequestID names a request under way.
+type RequestID uint64
 
-// queue keeps when the requests under way were sent, in that order.
-type queue struct {
-	first Ticket
-	sent  []int64 // 0: over
+// inFlightRequests keeps when the requests under way were sent, in that order.
+type inFlightRequests struct {
+	firstID RequestID
+	sentAt  []int64 // 0: over
 }
 
-func (q *queue) push(at int64) Ticket {
-	q.sent = append(q.sent, max(at, 1))
-	return q.first + Ticket(len(q.sent)-1)
+func (q *inFlightRequests) add(sentAt int64) RequestID {
+	q.sentAt = append(q.sentAt, max(sentAt, 1))
+	return q.firstID + RequestID(len(q.sentAt)-1)
 }
 
-func (q *queue) remove(t Ticket) int64 {
-	if t < q.first || t >= q.first+Ticket(len(q.sent)) || q.sent[t-q.first] == 0 {
+func (q *inFlightRequests) remove(id RequestID) int64 {
+	if id < q.firstID || id >= q.firstID+RequestID(len(q.sentAt)) || q.sentAt[id-q.firstID] == 0 {
 		return 0
 	}
-	at := q.sent[t-q.first]
-	q.sent[t-q.first] = 0
+	sentAt := q.sentAt[id-q.firstID]
+	q.sentAt[id-q.firstID] = 0
 	n := 0
-	for n < len(q.sent) && q.sent[n] == 0 {
+	for n < len(q.sentAt) && q.sentAt[n] == 0 {
 		n++
 	}
-	q.first, q.sent = q.first+Ticket(n), q.sent[n:]
-	return at
+	q.firstID, q.sentAt = q.firstID+RequestID(n), q.sentAt[n:]
+	return sentAt
 }
 
 // oldest is when the first of those under way was sent that were not sent before a time.
-func (q *queue) oldest(from int64) (int64, bool) {
-	for _, at := range q.sent {
-		if at != 0 && at >= from {
-			return at, true
+func (q *inFlightRequests) oldest(notBefore int64) (int64, bool) {
+	for _, sentAt := range q.sentAt {
+		if sentAt != 0 && sentAt >= notBefore {
+			return sentAt, true
 		}
 	}
 	return 0, false
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -18,234 +18,234 @@
 
 // Limits bound a queue.
 type Limits struct {
-	Rate    float64 // changes a second that the service allows
-	Changes int     // of a transaction
-	Guards  int
-	Bytes   int
-	Ahead   int   // transactions under way at once
-	WaitMS  int64 // the longest wait in line that is worth it
-	RetryS  int   // the longest that anybody is told to stay away
-	Lanes   int   // priorities, 0 the highest
-}
-
-// Item is a submission. Its sizes are upper bounds.
-type Item[T any] struct {
-	Team    string
-	Lane    int
-	Changes int
-	Guards  int
-	Bytes   int
-	Value   T
+	ChangesPerSecond float64 // changes a second that the service allows
+	MaxChanges       int     // of a transaction
+	MaxPreconditions int
+	MaxBytes         int
+	MaxInFlight      int   // transactions under way at once
+	MaxWaitMS        int64 // the longest wait in line that is worth it
+	MaxRetryAfterS   int   // the longest that anybody is told to stay away
+	Priorities       int   // priorities, 0 the highest
+}
+
+// Request is a submission. Its sizes are upper bounds.
+type Request[T any] struct {
+	Team          string
+	Priority      int
+	Changes       int
+	Preconditions int
+	Bytes         int
+	Value         T
 }
 
 // Shed is a submission that is refused, and when to come back.
 type Shed[T any] struct {
-	Item   Item[T]
-	RetryS int
+	Request     Request[T]
+	RetryAfterS int
 }
 
 // Queue is a line of submissions.
 type Queue[T any] struct {
-	l       Limits
-	lanes   []lane[T]
-	changes int // that wait
-	under   int // transactions under way
-	ahead   int // changes under way
-	took    float64
-	coming  []int // changes that were told to come, by second from base on
-	base    int64
+	limits            Limits
+	priorities        []priorityQueue[T]
+	queuedChanges     int // that wait
+	inFlight          int // transactions under way
+	inFlightChanges   int // changes under way
+	meanTransactionMS float64
+	promisedChanges   []int // changes that were told to come, by second from base on
+	promisedFromS     int64
 }
 
-type lane[T any] struct {
-	teams []*line[T] // those that wait, the next first
+type priorityQueue[T any] struct {
+	teams []*teamQueue[T] // those that wait, the next first
 }
 
-type line[T any] struct {
-	team  string
-	items []Item[T]
+type teamQueue[T any] struct {
+	team     string
+	requests []Request[T]
 }
 
-// New returns an empty queue.
-func New[T any](l Limits) *Queue[T] {
-	l.Lanes, l.Ahead, l.RetryS = max(1, l.Lanes), max(1, l.Ahead), max(1, l.RetryS)
-	return &Queue[T]{l: l, lanes: make([]lane[T], l.Lanes), coming: make([]int, l.RetryS+1)}
+// NewQueue returns an empty queue.
+func NewQueue[T any](limits Limits) *Queue[T] {
+	limits.Priorities, limits.MaxInFlight, limits.MaxRetryAfterS = max(1, limits.Priorities), max(1, limits.MaxInFlight), max(1, limits.MaxRetryAfterS)
+	return &Queue[T]{limits: limits, priorities: make([]priorityQueue[T], limits.Priorities), promisedChanges: make([]int, limits.MaxRetryAfterS+1)}
 }
 
-// rate is what the service allows, or answers, if that is less.
-func (q *Queue[T]) rate() float64 {
-	r := q.l.Rate
-	if q.took > 0 {
-		r = min(r, float64(q.l.Ahead*q.l.Changes)*1000/q.took)
+// effectiveRate is what the service allows, or answers, if that is less.
+func (q *Queue[T]) effectiveRate() float64 {
+	rate := q.limits.ChangesPerSecond
+	if q.meanTransactionMS > 0 {
+		rate = min(rate, float64(q.limits.MaxInFlight*q.limits.MaxChanges)*1000/q.meanTransactionMS)
 	}
-	return max(r, 1e-3)
+	return max(rate, 1e-3)
 }
 
-// bound is how many changes may wait.
-func (q *Queue[T]) bound() int {
-	return max(q.l.Changes, int(q.rate()*float64(q.l.WaitMS)/1000))
+// maxQueuedChanges is how many changes may wait.
+func (q *Queue[T]) maxQueuedChanges() int {
+	return max(q.limits.MaxChanges, int(q.effectiveRate()*float64(q.limits.MaxWaitMS)/1000))
 }
 
-// Offer puts a submission in line. spread, in [0,1), keeps apart those who come
+// Enqueue puts a submission in line. spread, in [0,1), keeps apart those who come
 // back. What is shed by it is returned.
-func (q *Queue[T]) Offer(now int64, it Item[T], spread float64) []Shed[T] {
-	it.Lane = min(max(it.Lane, 0), len(q.lanes)-1)
-	it.Changes = max(1, it.Changes)
-	q.push(it, false)
-	var out []Shed[T]
-	for q.changes > q.bound() {
-		v := q.victim()
-		out = append(out, Shed[T]{v, q.advise(now, v.Changes, spread)})
-	}
-	return out
-}
-
-func (q *Queue[T]) push(it Item[T], front bool) {
-	q.changes += it.Changes
-	ln := &q.lanes[it.Lane]
-	i := slices.IndexFunc(ln.teams, func(l *line[T]) bool { return l.team == it.Team })
+func (q *Queue[T]) Enqueue(now int64, request Request[T], jitter float64) []Shed[T] {
+	request.Priority = min(max(request.Priority, 0), len(q.priorities)-1)
+	request.Changes = max(1, request.Changes)
+	q.push(request, false)
+	var shed []Shed[T]
+	for q.queuedChanges > q.maxQueuedChanges() {
+		victim := q.removeVictim()
+		shed = append(shed, Shed[T]{victim, q.reserveRetryAfterS(now, victim.Changes, jitter)})
+	}
+	return shed
+}
+
+func (q *Queue[T]) push(request Request[T], front bool) {
+	q.queuedChanges += request.Changes
+	priority := &q.priorities[request.Priority]
+	i := slices.IndexFunc(priority.teams, func(queue *teamQueue[T]) bool { return queue.team == request.Team })
 	if i < 0 {
-		i = len(ln.teams)
-		l := &line[T]{team: it.Team}
-		ln.teams = append(ln.teams, l)
+		i = len(priority.teams)
+		queue := &teamQueue[T]{team: request.Team}
+		priority.teams = append(priority.teams, queue)
 		if front {
-			copy(ln.teams[1:], ln.teams)
-			ln.teams[0], i = l, 0
+			copy(priority.teams[1:], priority.teams)
+			priority.teams[0], i = queue, 0
 		}
 	}
-	l := ln.teams[i]
+	queue := priority.teams[i]
 	if front {
-		l.items = slices.Insert(l.items, 0, it)
+		queue.requests = slices.Insert(queue.requests, 0, request)
 	} else {
-		l.items = append(l.items, it)
+		queue.requests = append(queue.requests, request)
 	}
 }
 
-// victim takes out what would wait longest.
-func (q *Queue[T]) victim() Item[T] {
-	k := len(q.lanes) - 1
-	for len(q.lanes[k].teams) == 0 {
-		k--
+// removeVictim takes out what would wait longest.
+func (q *Queue[T]) removeVictim() Request[T] {
+	lowest := len(q.priorities) - 1
+	for len(q.priorities[lowest].teams) == 0 {
+		lowest--
 	}
-	ln := &q.lanes[k]
-	most := 0
-	for i, l := range ln.teams {
-		if len(l.items) > len(ln.teams[most].items) {
-			most = i
+	priority := &q.priorities[lowest]
+	longest := 0
+	for i, queue := range priority.teams {
+		if len(queue.requests) > len(priority.teams[longest].requests) {
+			longest = i
 		}
 	}
-	l := ln.teams[most]
-	it := l.items[len(l.items)-1]
-	l.items = l.items[:len(l.items)-1]
-	if len(l.items) == 0 {
-		ln.teams = slices.Delete(ln.teams, most, most+1)
+	queue := priority.teams[longest]
+	request := queue.requests[len(queue.requests)-1]
+	queue.requests = queue.requests[:len(queue.requests)-1]
+	if len(queue.requests) == 0 {
+		priority.teams = slices.Delete(priority.teams, longest, longest+1)
 	}
-	q.changes -= it.Changes
-	return it
+	q.queuedChanges -= request.Changes
+	return request
 }
 
-// advise finds a second with room for what is shed: behind what waits, and
+// reserveRetryAfterS finds a second with room for what is shed: behind what waits, and
 // behind those who were told to come before it.
-func (q *Queue[T]) advise(now int64, changes int, spread float64) int {
-	if d := now/1000 - q.base; d > 0 {
-		if d >= int64(len(q.coming)) {
-			clear(q.coming)
+func (q *Queue[T]) reserveRetryAfterS(now int64, changes int, jitter float64) int {
+	if elapsedS := now/1000 - q.promisedFromS; elapsedS > 0 {
+		if elapsedS >= int64(len(q.promisedChanges)) {
+			clear(q.promisedChanges)
 		} else {
-			copy(q.coming, q.coming[d:])
-			clear(q.coming[len(q.coming)-int(d):])
+			copy(q.promisedChanges, q.promisedChanges[elapsedS:])
+			clear(q.promisedChanges[len(q.promisedChanges)-int(elapsedS):])
 		}
-		q.base = now / 1000
-	}
-	rate := q.rate()
-	first := min(q.l.RetryS, 1+int(float64(q.changes+q.ahead)/rate))
-	for s := first; s < q.l.RetryS; s++ {
-		if float64(q.coming[s]+changes) <= max(rate, float64(changes)) {
-			q.coming[s] += changes
-			return s
+		q.promisedFromS = now / 1000
+	}
+	rate := q.effectiveRate()
+	first := min(q.limits.MaxRetryAfterS, 1+int(float64(q.queuedChanges+q.inFlightChanges)/rate))
+	for second := first; second < q.limits.MaxRetryAfterS; second++ {
+		if float64(q.promisedChanges[second]+changes) <= max(rate, float64(changes)) {
+			q.promisedChanges[second] += changes
+			return second
 		}
 	}
 	// All seconds are promised: spread over the later half, so that not all
 	// come at the end.
-	s := q.l.RetryS - int(spread*float64(q.l.RetryS)/2)
-	q.coming[s] += changes
-	return s
+	second := q.limits.MaxRetryAfterS - int(jitter*float64(q.limits.MaxRetryAfterS)/2)
+	q.promisedChanges[second] += changes
+	return second
 }
 
-// RetryS is when somebody who is refused for another reason should come back,
+// RetryAfterS is when somebody who is refused for another reason should come back,
 // without a place being kept.
-func (q *Queue[T]) RetryS() int {
-	return min(q.l.RetryS, 1+int(float64(q.changes+q.ahead)/q.rate()))
+func (q *Queue[T]) RetryAfterS() int {
+	return min(q.limits.MaxRetryAfterS, 1+int(float64(q.queuedChanges+q.inFlightChanges)/q.effectiveRate()))
 }
 
-// Next takes a transaction's worth, or nothing while enough is under way. The
+// NextBatch takes a transaction's worth, or nothing while enough is under way. The
 // caller gives the same items to Done.
-func (q *Queue[T]) Next() []Item[T] {
-	if q.under >= q.l.Ahead || q.under > 0 && float64(q.ahead) >= q.rate()*float64(q.l.WaitMS)/1000/2 {
+func (q *Queue[T]) NextBatch() []Request[T] {
+	if q.inFlight >= q.limits.MaxInFlight || q.inFlight > 0 && float64(q.inFlightChanges) >= q.effectiveRate()*float64(q.limits.MaxWaitMS)/1000/2 {
 		return nil
 	}
-	var out []Item[T]
-	changes, guards, bytes := 0, 0, 0
-	for k := range q.lanes {
-		ln := &q.lanes[k]
-		for len(ln.teams) > 0 {
-			l := ln.teams[0]
-			it := l.items[0]
-			if len(out) > 0 && (changes+it.Changes > q.l.Changes || guards+it.Guards > q.l.Guards || bytes+it.Bytes > q.l.Bytes) {
-				return q.sent(out, changes)
+	var batch []Request[T]
+	changes, preconditions, bytes := 0, 0, 0
+	for k := range q.priorities {
+		priority := &q.priorities[k]
+		for len(priority.teams) > 0 {
+			queue := priority.teams[0]
+			request := queue.requests[0]
+			if len(batch) > 0 && (changes+request.Changes > q.limits.MaxChanges || preconditions+request.Preconditions > q.limits.MaxPreconditions || bytes+request.Bytes > q.limits.MaxBytes) {
+				return q.markInFlight(batch, changes)
 			}
-			changes, guards, bytes = changes+it.Changes, guards+it.Guards, bytes+it.Bytes
-			out = append(out, it)
-			q.changes -= it.Changes
-			l.items = l.items[1:]
-			ln.teams = ln.teams[1:]
-			if len(l.items) > 0 {
-				ln.teams = append(ln.teams, l)
+			changes, preconditions, bytes = changes+request.Changes, preconditions+request.Preconditions, bytes+request.Bytes
+			batch = append(batch, request)
+			q.queuedChanges -= request.Changes
+			queue.requests = queue.requests[1:]
+			priority.teams = priority.teams[1:]
+			if len(queue.requests) > 0 {
+				priority.teams = append(priority.teams, queue)
 			}
 		}
 	}
-	return q.sent(out, changes)
+	return q.markInFlight(batch, changes)
 }
 
-func (q *Queue[T]) sent(out []Item[T], changes int) []Item[T] {
-	if len(out) > 0 {
-		q.under++
-		q.ahead += changes
+func (q *Queue[T]) markInFlight(batch []Request[T], changes int) []Request[T] {
+	if len(batch) > 0 {
+		q.inFlight++
+		q.inFlightChanges += changes
 	}
-	return out
+	return batch
 }
 
-// Done ends a transaction that took so long. served tells whether the service
+// Complete ends a transaction that took so long. served tells whether the service
 // dealt with it, so that its time says something.
-func (q *Queue[T]) Done(items []Item[T], tookMS int64, served bool) {
-	q.under--
-	for _, it := range items {
-		q.ahead -= it.Changes
-	}
-	if served {
-		if d := float64(tookMS) - q.took; q.took == 0 {
-			q.took = float64(tookMS)
+func (q *Queue[T]) Complete(batch []Request[T], tookMS int64, processed bool) {
+	q.inFlight--
+	for _, request := range batch {
+		q.inFlightChanges -= request.Changes
+	}
+	if processed {
+		if deltaMS := float64(tookMS) - q.meanTransactionMS; q.meanTransactionMS == 0 {
+			q.meanTransactionMS = float64(tookMS)
 		} else {
-			q.took += d / 8
+			q.meanTransactionMS += deltaMS / 8
 		}
 	}
 }
 
-// Again puts back, at the head of their lines, items of a transaction that was
+// Requeue puts back, at the head of their lines, items of a transaction that was
 // not carried out for a reason that was not theirs.
-func (q *Queue[T]) Again(items []Item[T]) {
-	for _, it := range slices.Backward(items) {
-		q.push(it, true)
+func (q *Queue[T]) Requeue(batch []Request[T]) {
+	for _, request := range slices.Backward(batch) {
+		q.push(request, true)
 	}
 }
 
 // Drain empties the line: nothing can be taken now.
-func (q *Queue[T]) Drain() []Item[T] {
-	var out []Item[T]
-	for k := range q.lanes {
-		for _, l := range q.lanes[k].teams {
-			out = append(out, l.items...)
+func (q *Queue[T]) Drain() []Request[T] {
+	var requests []Request[T]
+	for k := range q.priorities {
+		for _, queue := range q.priorities[k].teams {
+			requests = append(requests, queue.requests...)
 		}
-		q.lanes[k].teams = nil
+		q.priorities[k].teams = nil
 	}
-	q.changes = 0
-	return out
+	q.queuedChanges = 0
+	return requests
 }
--- a/availability/function.go
+++ b/availability/function.go
@@ -4,209 +4,209 @@
 
 // Sample is one point of a sampled l(δ).
 type Sample struct {
-	At   int64
-	Free int64
+	TimeMS      int64
+	AvailableMS int64
 }
 
-// Room is what a queue's tasks may take of their machine. The paper has memory
+// Resources is what a queue's tasks may take of their machine. The paper has memory
 // and disk; processors and accelerators are ours, since the machines here are
 // shared by tasks that ask for different parts of them.
-type Room struct {
+type Resources struct {
 	CPUs     float64 `json:"CPUs" msgpack:"CPUs"`
 	GPUs     float64 `json:"GPUs" msgpack:"GPUs"`
 	MemoryGB float64 `json:"MemoryGB" msgpack:"MemoryGB"`
 	DiskGB   float64 `json:"DiskGB" msgpack:"DiskGB"`
 }
 
-// slack absorbs the rounding of sums of decimal amounts.
-const slack = 1e-6
+// roundingTolerance absorbs the rounding of sums of decimal amounts.
+const roundingTolerance = 1e-6
 
-// Holds tells whether the room takes a request.
-func (r Room) Holds(o Room) bool {
-	return o.CPUs <= r.CPUs+slack && o.GPUs <= r.GPUs+slack && o.MemoryGB <= r.MemoryGB+slack && o.DiskGB <= r.DiskGB+slack
+// Contains tells whether the room takes a request.
+func (r Resources) Contains(request Resources) bool {
+	return request.CPUs <= r.CPUs+roundingTolerance && request.GPUs <= r.GPUs+roundingTolerance && request.MemoryGB <= r.MemoryGB+roundingTolerance && request.DiskGB <= r.DiskGB+roundingTolerance
 }
 
-// Copies is how many requests fit side by side, at most limit. Disk is not
+// MaxCopies is how many requests fit side by side, at most limit. Disk is not
 // divided: tasks on one machine share its images.
-func (r Room) Copies(o Room, limit int) int {
+func (r Resources) MaxCopies(request Resources, limit int) int {
 	n := float64(limit)
-	for _, d := range [][2]float64{{r.CPUs, o.CPUs}, {r.GPUs, o.GPUs}, {r.MemoryGB, o.MemoryGB}} {
-		if d[1] > 0 {
-			n = min(n, math.Floor((d[0]+slack)/d[1]))
+	for _, dimension := range [][2]float64{{r.CPUs, request.CPUs}, {r.GPUs, request.GPUs}, {r.MemoryGB, request.MemoryGB}} {
+		if dimension[1] > 0 {
+			n = min(n, math.Floor((dimension[0]+roundingTolerance)/dimension[1]))
 		}
 	}
 	return max(0, int(n))
 }
 
 // Add and Sub change a room by a request's processors, accelerators and memory.
-func (r Room) Add(o Room) Room {
-	r.CPUs += o.CPUs
-	r.GPUs += o.GPUs
-	r.MemoryGB += o.MemoryGB
+func (r Resources) Add(request Resources) Resources {
+	r.CPUs += request.CPUs
+	r.GPUs += request.GPUs
+	r.MemoryGB += request.MemoryGB
 	return r
 }
 
 // Sub takes a request from the room.
-func (r Room) Sub(o Room) Room {
-	r.CPUs -= o.CPUs
-	r.GPUs -= o.GPUs
-	r.MemoryGB -= o.MemoryGB
+func (r Resources) Sub(request Resources) Resources {
+	r.CPUs -= request.CPUs
+	r.GPUs -= request.GPUs
+	r.MemoryGB -= request.MemoryGB
 	return r
 }
 
-func (r Room) min(o Room) Room {
-	return Room{min(r.CPUs, o.CPUs), min(r.GPUs, o.GPUs), min(r.MemoryGB, o.MemoryGB), min(r.DiskGB, o.DiskGB)}
+func (r Resources) componentMin(other Resources) Resources {
+	return Resources{min(r.CPUs, other.CPUs), min(r.GPUs, other.GPUs), min(r.MemoryGB, other.MemoryGB), min(r.DiskGB, other.DiskGB)}
 }
 
 // Function is a sampled availability function of Count queues with the same
 // Kind. Kind is opaque here; only functions of one kind are merged.
 type Function struct {
-	Kind    string
-	Count   int64
-	Room    Room
-	Samples []Sample
+	Kind      string
+	Count     int64
+	Resources Resources
+	Samples   []Sample
 }
 
-// At interpolates l(δ): nothing before the first sample, constant after the
+// AvailableBy interpolates l(δ): nothing before the first sample, constant after the
 // last one, so that it never promises more than was sampled.
-func (f *Function) At(t int64) float64 {
+func (f *Function) AvailableBy(deadline int64) float64 {
 	s := f.Samples
-	if len(s) == 0 || t < s[0].At {
+	if len(s) == 0 || deadline < s[0].TimeMS {
 		return 0
 	}
 	for i := 1; i < len(s); i++ {
-		if t <= s[i].At {
+		if deadline <= s[i].TimeMS {
 			a, b := s[i-1], s[i]
-			return float64(a.Free) + float64(b.Free-a.Free)*float64(t-a.At)/float64(b.At-a.At)
+			return float64(a.AvailableMS) + float64(b.AvailableMS-a.AvailableMS)*float64(deadline-a.TimeMS)/float64(b.TimeMS-a.TimeMS)
 		}
 	}
-	return float64(s[len(s)-1].Free)
+	return float64(s[len(s)-1].AvailableMS)
 }
 
 // cursor interpolates a function as At does, for times that never go back.
 type cursor struct {
-	s []Sample
-	i int
+	samples []Sample
+	next    int
 }
 
-func (c *cursor) at(t int64) float64 {
-	s := c.s
-	if len(s) == 0 || t < s[0].At {
+func (c *cursor) availableBy(deadline int64) float64 {
+	samples := c.samples
+	if len(samples) == 0 || deadline < samples[0].TimeMS {
 		return 0
 	}
-	for c.i < len(s) && s[c.i].At < t {
-		c.i++
+	for c.next < len(samples) && samples[c.next].TimeMS < deadline {
+		c.next++
 	}
 	switch {
-	case c.i == len(s):
-		return float64(s[len(s)-1].Free)
-	case c.i == 0:
-		return float64(s[0].Free)
+	case c.next == len(samples):
+		return float64(samples[len(samples)-1].AvailableMS)
+	case c.next == 0:
+		return float64(samples[0].AvailableMS)
 	}
-	a, b := s[c.i-1], s[c.i]
-	return float64(a.Free) + float64(b.Free-a.Free)*float64(t-a.At)/float64(b.At-a.At)
+	a, b := samples[c.next-1], samples[c.next]
+	return float64(a.AvailableMS) + float64(b.AvailableMS-a.AvailableMS)*float64(deadline-a.TimeMS)/float64(b.TimeMS-a.TimeMS)
 }
 
-// Tasks is how many tasks of a group the queues of f can end by deadline:
+// TaskCapacity is how many tasks of a group the queues of f can end by deadline:
 // floor(l(δ) / length) in each, times the copies that fit side by side.
-func (f *Function) Tasks(request Room, deadline, length int64, limit int) int {
-	if !f.Room.Holds(request) || length <= 0 {
+func (f *Function) TaskCapacity(request Resources, deadline, length int64, limit int) int {
+	if !f.Resources.Contains(request) || length <= 0 {
 		return 0
 	}
-	n := int64(f.At(deadline)) / length * int64(f.Room.Copies(request, limit)) * f.Count
+	n := int64(f.AvailableBy(deadline)) / length * int64(f.Resources.MaxCopies(request, limit)) * f.Count
 	return int(min(n, int64(limit)))
 }
 
 // Merge is the paper's SUM: counts add up, everything else is the minimum, so
 // that every queue behind the result has at least what it says.
 func Merge(f, g Function) Function {
-	var s scratch
-	return Function{Kind: f.Kind, Count: f.Count + g.Count, Room: f.Room.min(g.Room), Samples: s.minimum(&f, &g)}
+	var s mergeBuffers
+	return Function{Kind: f.Kind, Count: f.Count + g.Count, Resources: f.Resources.componentMin(g.Resources), Samples: s.minimum(&f, &g)}
 }
 
-// scratch is memory that merges use again: they are most of what a summary costs.
-type scratch struct {
-	at  []int64
-	out []Sample
+// mergeBuffers is memory that merges use again: they are most of what a summary costs.
+type mergeBuffers struct {
+	times   []int64
+	samples []Sample
 }
 
-// times returns the sample times of both functions in order, with their
+// mergeTimes returns the sample times of both functions in order, with their
 // crossings.
-func (s *scratch) times(f, g *Function) []int64 {
-	at := s.at[:0]
-	cf, cg := cursor{s: f.Samples}, cursor{s: g.Samples}
-	before := 0.0 // how far f was above g
+func (b *mergeBuffers) mergeTimes(f, g *Function) []int64 {
+	times := b.times[:0]
+	cursorF, cursorG := cursor{samples: f.Samples}, cursor{samples: g.Samples}
+	difference := 0.0 // how far f was above g
 	i, j := 0, 0
 	for i < len(f.Samples) || j < len(g.Samples) {
 		var t int64
 		switch {
-		case j == len(g.Samples) || (i < len(f.Samples) && f.Samples[i].At <= g.Samples[j].At):
-			t = f.Samples[i].At
+		case j == len(g.Samples) || (i < len(f.Samples) && f.Samples[i].TimeMS <= g.Samples[j].TimeMS):
+			t = f.Samples[i].TimeMS
 			i++
 		default:
-			t = g.Samples[j].At
+			t = g.Samples[j].TimeMS
 			j++
 		}
-		if n := len(at); n > 0 {
-			if at[n-1] == t {
+		if n := len(times); n > 0 {
+			if times[n-1] == t {
 				continue
 			}
-			p := at[n-1]
-			d0, d1 := before, cf.at(t)-cg.at(t)
-			before = d1
+			previous := times[n-1]
+			d0, d1 := difference, cursorF.availableBy(t)-cursorG.availableBy(t)
+			difference = d1
 			if d0*d1 < 0 {
 				// Both neighbours of the crossing, which may lie
 				// between two milliseconds.
-				c := p + int64(math.Floor(float64(t-p)*d0/(d0-d1)))
-				for _, x := range []int64{c, c + 1} {
-					if x > at[len(at)-1] && x < t {
-						at = append(at, x)
+				crossing := previous + int64(math.Floor(float64(t-previous)*d0/(d0-d1)))
+				for _, x := range []int64{crossing, crossing + 1} {
+					if x > times[len(times)-1] && x < t {
+						times = append(times, x)
 					}
 				}
 			}
 		} else {
-			before = cf.at(t) - cg.at(t)
+			difference = cursorF.availableBy(t) - cursorG.availableBy(t)
 		}
-		at = append(at, t)
+		times = append(times, t)
 	}
-	s.at = at
-	return at
+	b.times = times
+	return times
 }
 
 // minimum is the lower of two functions, in the scratch's memory.
-func (s *scratch) minimum(f, g *Function) []Sample {
-	at := s.times(f, g)
-	out := s.out[:0]
-	cf, cg := cursor{s: f.Samples}, cursor{s: g.Samples}
-	for _, t := range at {
-		out = append(out, Sample{At: t, Free: int64(min(cf.at(t), cg.at(t)))})
+func (b *mergeBuffers) minimum(f, g *Function) []Sample {
+	times := b.mergeTimes(f, g)
+	samples := b.samples[:0]
+	cursorF, cursorG := cursor{samples: f.Samples}, cursor{samples: g.Samples}
+	for _, t := range times {
+		samples = append(samples, Sample{TimeMS: t, AvailableMS: int64(min(cursorF.availableBy(t), cursorG.availableBy(t)))})
 	}
 	// A function that starts later is nothing until then: interpolating
 	// towards its first sample must not promise more.
-	s.out = out
-	start := max(first(f), first(g))
-	for len(out) > 1 && out[0].At < start {
-		out = out[1:]
+	b.samples = samples
+	start := max(firstSampleTime(f), firstSampleTime(g))
+	for len(samples) > 1 && samples[0].TimeMS < start {
+		samples = samples[1:]
 	}
-	return out
+	return samples
 }
 
-func first(f *Function) int64 {
+func firstSampleTime(f *Function) int64 {
 	if len(f.Samples) == 0 {
 		return math.MaxInt64
 	}
-	return f.Samples[0].At
+	return f.Samples[0].TimeMS
 }
 
 // chordCost is what it costs to draw a line over the ith sample, infinite where that would raise
 // the function.
 func chordCost(s []Sample, i int) float64 {
 	a, b, c := s[i-1], s[i], s[i+1]
-	chord := float64(a.Free) + float64(c.Free-a.Free)*float64(b.At-a.At)/float64(c.At-a.At)
-	if chord > float64(b.Free) {
+	chord := float64(a.AvailableMS) + float64(c.AvailableMS-a.AvailableMS)*float64(b.TimeMS-a.TimeMS)/float64(c.TimeMS-a.TimeMS)
+	if chord > float64(b.AvailableMS) {
 		return math.Inf(1)
 	}
-	return (float64(b.Free) - chord) * float64(c.At-a.At)
+	return (float64(b.AvailableMS) - chord) * float64(c.TimeMS-a.TimeMS)
 }
 
 // Reduce drops samples until at most limit are left, each time the one whose
@@ -216,15 +216,15 @@
 	if len(f.Samples) <= limit {
 		return
 	}
-	var few [64]float64
-	costs := append(few[:0], 0)
+	var buffer [64]float64
+	costs := append(buffer[:0], 0)
 	for i := 1; i < len(f.Samples)-1; i++ {
 		costs = append(costs, chordCost(f.Samples, i))
 	}
 	for len(f.Samples) > limit {
 		best, cost := -1, math.Inf(1)
-		s := f.Samples
-		for i := 1; i < len(s)-1; i++ {
+		samples := f.Samples
+		for i := 1; i < len(samples)-1; i++ {
 			if costs[i] < cost {
 				best, cost = i, costs[i]
 			}
@@ -234,27 +234,27 @@
 			// costs least is drawn on to the next sample, below what
 			// was there.
 			best, cost = 1, math.Inf(1)
-			var low int64
-			for i := 1; i < len(s)-1; i++ {
-				a, b, c := s[i-1], s[i], s[i+1]
-				v := float64(a.Free) + float64(b.Free-a.Free)*float64(c.At-a.At)/float64(b.At-a.At)
-				v = max(0, min(v, float64(c.Free)))
-				if v > float64(c.Free) {
+			var lowered int64
+			for i := 1; i < len(samples)-1; i++ {
+				a, b, c := samples[i-1], samples[i], samples[i+1]
+				extended := float64(a.AvailableMS) + float64(b.AvailableMS-a.AvailableMS)*float64(c.TimeMS-a.TimeMS)/float64(b.TimeMS-a.TimeMS)
+				extended = max(0, min(extended, float64(c.AvailableMS)))
+				if extended > float64(c.AvailableMS) {
 					continue
 				}
-				if e := (float64(c.Free) - v) * float64(c.At-a.At); e < cost {
-					best, cost, low = i, e, int64(v)
+				if loss := (float64(c.AvailableMS) - extended) * float64(c.TimeMS-a.TimeMS); loss < cost {
+					best, cost, lowered = i, loss, int64(extended)
 				}
 			}
-			s[best+1].Free = low
+			samples[best+1].AvailableMS = lowered
 			// Flooring can leave the chord above the bend by a fraction.
-			a, b, c := s[best-1], s[best], s[best+1]
-			for c.Free > 0 && float64(a.Free)+float64(c.Free-a.Free)*float64(b.At-a.At)/float64(c.At-a.At) > float64(b.Free) {
-				c.Free--
+			a, b, c := samples[best-1], samples[best], samples[best+1]
+			for c.AvailableMS > 0 && float64(a.AvailableMS)+float64(c.AvailableMS-a.AvailableMS)*float64(b.TimeMS-a.TimeMS)/float64(c.TimeMS-a.TimeMS) > float64(b.AvailableMS) {
+				c.AvailableMS--
 			}
-			s[best+1] = c
+			samples[best+1] = c
 		}
-		f.Samples = append(s[:best], s[best+1:]...)
+		f.Samples = append(samples[:best], samples[best+1:]...)
 		costs = append(costs[:best], costs[best+1:]...)
 		// What changed is the sample that is gone, and in a bend the one behind it.
 		for i := max(best-1, 1); i <= min(best+1, len(f.Samples)-2); i++ {
--- a/availability/queue.go
+++ b/availability/queue.go
@@ -20,20 +20,20 @@
 	Count    int64
 }
 
-func (e Entry) work() int64 { return e.Length * e.Count }
+func (e Entry) totalLength() int64 { return e.Length * e.Count }
 
 // Queue is a non-preemptive earliest-deadline queue of speed 1. What runs at
 // its head cannot be stopped, so nothing admitted starts before Base.
 type Queue struct {
-	Base    int64
-	entries []Entry
-	work    int64 // of all entries
+	EarliestStart int64
+	entries       []Entry
+	totalLength   int64 // of all entries
 }
 
 // Reset empties the queue for another round with another base. It keeps its
 // memory: a planner that fills a thousand queues a second makes no garbage.
-func (q *Queue) Reset(base int64) {
-	q.Base, q.entries, q.work = base, q.entries[:0], 0
+func (q *Queue) Reset(earliestStart int64) {
+	q.EarliestStart, q.entries, q.totalLength = earliestStart, q.entries[:0], 0
 }
 
 // Entries returns the admitted entries in the order in which they would run.
@@ -41,49 +41,49 @@
 func (q *Queue) Entries() []Entry { return q.entries }
 
 // End is when the last admitted task would end.
-func (q *Queue) End() int64 { return q.Base + q.work }
+func (q *Queue) End() int64 { return q.EarliestStart + q.totalLength }
 
-// Last is the latest deadline that was admitted; ok is false when nothing was.
-func (q *Queue) Last() (deadline int64, ok bool) {
+// LastDeadline is the latest deadline that was admitted; ok is false when nothing was.
+func (q *Queue) LastDeadline() (deadline int64, ok bool) {
 	if n := len(q.entries); n > 0 {
 		return q.entries[n-1].Deadline, true
 	}
 	return 0, false
 }
 
-// May tells, at little cost, whether a task might be admitted: where it says no,
+// MayAdmit tells, at little cost, whether a task might be admitted: where it says no,
 // Admit admits none. l(δ) is at most the time from Base to δ, and at most what the
 // queue has behind its last deadline, or up to it.
-func (q *Queue) May(deadline, length int64) bool {
-	if deadline-q.Base < length {
+func (q *Queue) MayAdmit(deadline, length int64) bool {
+	if deadline-q.EarliestStart < length {
 		return false
 	}
 	n := len(q.entries)
 	return n == 0 || max(deadline, q.entries[n-1].Deadline)-q.End() >= length
 }
 
-// place is where a task with this deadline would be inserted: behind every
+// insertionIndex is where a task with this deadline would be inserted: behind every
 // entry with the same or an earlier deadline.
-func (q *Queue) place(deadline int64) int {
+func (q *Queue) insertionIndex(deadline int64) int {
 	return sort.Search(len(q.entries), func(i int) bool { return q.entries[i].Deadline > deadline })
 }
 
-// window gives e, the time at which the tasks before the insertion point of
+// insertionWindow gives e, the time at which the tasks before the insertion point of
 // deadline have ended, and x, the latest start of the ones behind it that
 // still keeps all their deadlines. ok is false when nothing is behind.
-func (q *Queue) window(deadline int64) (e, x int64, ok bool) {
-	k := q.place(deadline)
-	e = q.Base
-	for _, en := range q.entries[:k] {
-		e += en.work()
+func (q *Queue) insertionWindow(deadline int64) (e, x int64, ok bool) {
+	index := q.insertionIndex(deadline)
+	e = q.EarliestStart
+	for _, entry := range q.entries[:index] {
+		e += entry.totalLength()
 	}
-	for i := len(q.entries) - 1; i >= k; i-- {
-		en := q.entries[i]
-		end := en.Deadline
+	for i := len(q.entries) - 1; i >= index; i-- {
+		entry := q.entries[i]
+		end := entry.Deadline
 		if ok && x < end {
 			end = x
 		}
-		x, ok = end-en.work(), true
+		x, ok = end-entry.totalLength(), true
 	}
 	return e, x, ok
 }
@@ -94,7 +94,7 @@
 	if n := len(q.entries); n == 0 || q.entries[n-1].Deadline <= deadline {
 		return max(0, deadline-q.End()) // nothing stands behind it
 	}
-	e, x, ok := q.window(deadline)
+	e, x, ok := q.insertionWindow(deadline)
 	end := deadline
 	if ok && x < end {
 		end = x
@@ -112,11 +112,11 @@
 	if n <= 0 {
 		return 0
 	}
-	k := q.place(deadline)
+	index := q.insertionIndex(deadline)
 	q.entries = append(q.entries, Entry{})
-	copy(q.entries[k+1:], q.entries[k:])
-	q.entries[k] = Entry{Deadline: deadline, Length: length, Count: n}
-	q.work += n * length
+	copy(q.entries[index+1:], q.entries[index:])
+	q.entries[index] = Entry{Deadline: deadline, Length: length, Count: n}
+	q.totalLength += n * length
 	return n
 }
 
@@ -124,32 +124,32 @@
 // for each entry the latest start x of what is behind an insertion point and
 // the deadline that moves the insertion point.
 func (q *Queue) Samples(horizon int64) []Sample {
-	if q.Base >= horizon {
-		return []Sample{{At: horizon}}
+	if q.EarliestStart >= horizon {
+		return []Sample{{TimeMS: horizon}}
 	}
-	at := make([]int64, 0, 2+6*len(q.entries))
-	at = append(at, q.Base, horizon)
+	times := make([]int64, 0, 2+6*len(q.entries))
+	times = append(times, q.EarliestStart, horizon)
 	for _, e := range q.entries {
 		// l(δ) jumps where δ passes an entry's deadline, unless the entries
 		// leave no slack: a sample just before it keeps the function a
 		// minimum of the true one on both sides.
-		at = append(at, e.Deadline-1, e.Deadline)
-		if ee, x, ok := q.window(e.Deadline - 1); ok {
-			at = append(at, ee, x)
+		times = append(times, e.Deadline-1, e.Deadline)
+		if predecessorsEnd, latestStart, ok := q.insertionWindow(e.Deadline - 1); ok {
+			times = append(times, predecessorsEnd, latestStart)
 		}
-		if ee, x, ok := q.window(e.Deadline); ok {
-			at = append(at, ee, x)
+		if predecessorsEnd, latestStart, ok := q.insertionWindow(e.Deadline); ok {
+			times = append(times, predecessorsEnd, latestStart)
 		} else {
-			at = append(at, ee)
+			times = append(times, predecessorsEnd)
 		}
 	}
-	slices.Sort(at)
-	out := make([]Sample, 0, len(at))
-	for _, t := range at {
-		if t < q.Base || t > horizon || (len(out) > 0 && out[len(out)-1].At == t) {
+	slices.Sort(times)
+	samples := make([]Sample, 0, len(times))
+	for _, t := range times {
+		if t < q.EarliestStart || t > horizon || (len(samples) > 0 && samples[len(samples)-1].TimeMS == t) {
 			continue
 		}
-		out = append(out, Sample{At: t, Free: q.Available(t)})
+		samples = append(samples, Sample{TimeMS: t, AvailableMS: q.Available(t)})
 	}
-	return out
+	return samples
 }
--- a/availability/summary.go
+++ b/availability/summary.go
@@ -21,38 +21,38 @@
 // Samples reach to a horizon that moves in steps: with each round's own, everything
 // would be new each time.
 type Reducer struct {
-	Coarse             bool // see Queue
-	functions, samples int
-	now, horizon       int64
-	norm               norm
+	CoarseStarts             bool // see Queue
+	maxFunctions, maxSamples int
+	now, horizon             int64
+	norm                     distanceNorm
 
-	groups map[groupKey]*group
-	nodes  memo[uint64, *node]  // by hash of what they are
-	queues memo[uint64, *queue] // by hash
-	pairs  memo[[2]*node, *node]
+	groups      map[groupKey]*group
+	nodes       memo[uint64, *node]        // by hash of what they are
+	queues      memo[uint64, *cachedQueue] // by hash
+	mergedPairs memo[[2]*node, *node]
 
-	in      []ranked // of the round, each once
-	scratch scratch
-	round   uint64
-	Changed int // functions and merges that were new in the last round
+	input      []rankedNode // of the round, each once
+	buffers    mergeBuffers
+	round      uint64
+	Recomputed int // functions and merges that were new in the last round
 }
 
 // memo remembers what was asked for in this round or the last one.
-type memo[K comparable, V any] struct{ now, last map[K]V }
+type memo[K comparable, V any] struct{ current, previous map[K]V }
 
-func (m *memo[K, V]) turn() {
-	m.now, m.last = m.last, m.now
-	clear(m.now)
-	if m.now == nil {
-		m.now = map[K]V{}
+func (m *memo[K, V]) nextRound() {
+	m.current, m.previous = m.previous, m.current
+	clear(m.current)
+	if m.current == nil {
+		m.current = map[K]V{}
 	}
 }
 
 func (m *memo[K, V]) get(k K) (V, bool) {
-	v, ok := m.now[k]
+	v, ok := m.current[k]
 	if !ok {
-		if v, ok = m.last[k]; ok {
-			m.now[k] = v
+		if v, ok = m.previous[k]; ok {
+			m.current[k] = v
 		}
 	}
 	return v, ok
@@ -60,165 +60,165 @@
 
 // groupKey is what is of one kind and room.
 type groupKey struct {
-	kind string
-	room Room
+	kind      string
+	resources Resources
 }
 
 // group is what functions of one kind and room share: their place in the order.
 type group struct {
 	groupKey
-	rank  int
-	round uint64
+	rank      int
+	lastRound uint64
 }
 
-// ranked is a function with what it is put in order by.
-type ranked struct {
-	rank int
-	mass float64
+// rankedNode is a function with what it is put in order by.
+type rankedNode struct {
+	rank   int
+	weight float64
 	*node
 }
 
 // node is a function that is kept once for as long as it is in use.
 type node struct {
-	f     Function // its count is nobody's
-	group *group
-	hash  uint64
-	at    points
-	mass  float64 // the weight in the paper's distance
-	now   int64   // for which both are
-	round uint64
-	count int64 // in this round
+	function  Function // its count is nobody's
+	group     *group
+	hash      uint64
+	points    points
+	weight    float64 // the weight in the paper's distance
+	weighedAt int64   // for which both are
+	lastRound uint64
+	count     int64 // in this round
 }
 
-// queue is the function of a queue, and what it follows from.
-type queue struct {
-	base    int64
-	entries []Entry
-	node    *node
+// cachedQueue is the function of a queue, and what it follows from.
+type cachedQueue struct {
+	earliestStart int64
+	entries       []Entry
+	node          *node
 }
 
 // points are a function's values at twice the time each, from a second on.
 type points [24]float64
 
-// place is a function in the order of a round, with the ones that it was merged from.
-type place struct {
-	f          *node
-	parts      []*node
-	counts     []int64 // of queues, by part
-	prev, next int
-	dead       bool // merged away
-	version    int  // a new one with each that it took in
+// cluster is a function in the order of a round, with the ones that it was merged from.
+type cluster struct {
+	merged       *node
+	sources      []*node
+	sourceCounts []int64 // of queues, by part
+	prev, next   int
+	absorbed     bool // merged away
+	version      int  // a new one with each that it took in
 }
 
-// merge is a pair of neighbours that might be merged, as long as neither has
+// mergeCandidate is a pair of neighbours that might be merged, as long as neither has
 // changed since.
-type merge struct {
-	i, j   int
-	vi, vj int
-	lost   float64
+type mergeCandidate struct {
+	left, right               int
+	leftVersion, rightVersion int
+	loss                      float64
 }
 
-type merges []*merge
+type mergeHeap []*mergeCandidate
 
-func (m merges) Len() int { return len(m) }
-func (m merges) Less(i, k int) bool {
-	return m[i].lost < m[k].lost || m[i].lost == m[k].lost && m[i].i < m[k].i
+func (h mergeHeap) Len() int { return len(h) }
+func (h mergeHeap) Less(i, k int) bool {
+	return h[i].loss < h[k].loss || h[i].loss == h[k].loss && h[i].left < h[k].left
 }
-func (m merges) Swap(i, k int) { m[i], m[k] = m[k], m[i] }
-func (m *merges) Push(x any)   { *m = append(*m, x.(*merge)) }
-func (m *merges) Pop() any {
-	o := *m
+func (h mergeHeap) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
+func (h *mergeHeap) Push(x any)   { *h = append(*h, x.(*mergeCandidate)) }
+func (h *mergeHeap) Pop() any {
+	o := *h
 	x := o[len(o)-1]
-	*m = o[:len(o)-1]
+	*h = o[:len(o)-1]
 	return x
 }
 
-// maxParts bounds the functions that a cluster remembers for its distances. The
+// maxSources bounds the functions that a cluster remembers for its distances. The
 // paper remembers all of them; beyond this, the cluster's own minimum stands for
 // the ones that it already lost against.
-const maxParts = 4
+const maxSources = 4
 
-// steps is how many steps of its distance the horizon moves in.
-const steps = 256
+// horizonSteps is how many steps of its distance the horizon moves in.
+const horizonSteps = 256
 
 // Begin starts a round: a summary of at most functions functions of at most samples
 // samples, of what queues do between now and span later.
-func (r *Reducer) Begin(functions, samples int, now, span int64) {
-	functions, samples, span = max(functions, 1), max(samples, 2), max(span, steps)
-	step := span / steps
-	if horizon := now - now%step + span; functions != r.functions || samples != r.samples || horizon != r.horizon {
-		*r = Reducer{Coarse: r.Coarse, functions: functions, samples: samples, horizon: horizon, round: r.round, in: r.in, scratch: r.scratch}
+func (r *Reducer) Begin(maxFunctions, maxSamples int, now, span int64) {
+	maxFunctions, maxSamples, span = max(maxFunctions, 1), max(maxSamples, 2), max(span, horizonSteps)
+	step := span / horizonSteps
+	if horizon := now - now%step + span; maxFunctions != r.maxFunctions || maxSamples != r.maxSamples || horizon != r.horizon {
+		*r = Reducer{CoarseStarts: r.CoarseStarts, maxFunctions: maxFunctions, maxSamples: maxSamples, horizon: horizon, round: r.round, input: r.input, buffers: r.buffers}
 	}
 	r.now = now
 	r.round++
-	r.Changed = 0
-	r.nodes.turn()
-	r.queues.turn()
-	r.pairs.turn()
-	r.in = r.in[:0]
+	r.Recomputed = 0
+	r.nodes.nextRound()
+	r.queues.nextRound()
+	r.mergedPairs.nextRound()
+	r.input = r.input[:0]
 	if r.groups == nil {
 		r.groups = map[groupKey]*group{}
 	}
 }
 
-// grain is what part of its distance from now a queue's start may be put off by.
-const grain = 16
+// startGranularity is what part of its distance from now a queue's start may be put off by.
+const startGranularity = 16
 
-// coarsen puts a start off to the next multiple of a step that grows with its distance. A
+// roundUpStart puts a start off to the next multiple of a step that grows with its distance. A
 // queue that starts later can do no more: l(δ) only falls.
-func (r *Reducer) coarsen(base int64) int64 {
-	ahead := base - r.now
+func (r *Reducer) roundUpStart(start int64) int64 {
+	ahead := start - r.now
 	if ahead <= 0 {
-		return base
+		return start
 	}
-	step := int64(1) << max(0, bits.Len64(uint64(ahead/grain))-1)
-	return (base + step - 1) / step * step
+	step := int64(1) << max(0, bits.Len64(uint64(ahead/startGranularity))-1)
+	return (start + step - 1) / step * step
 }
 
-// Queue adds a queue of a machine of a kind, with room for one task at a time. With Coarse,
+// AddQueue adds a queue of a machine of a kind, with room for one task at a time. With Coarse,
 // a little of its start is given up: what waits in queues comes from the same few groups, so
 // that many are then one and the same.
-func (r *Reducer) Queue(kind string, room Room, q *Queue) {
-	if r.Coarse {
-		q = &Queue{Base: r.coarsen(q.Base), entries: q.entries, work: q.work}
+func (r *Reducer) AddQueue(kind string, resources Resources, q *Queue) {
+	if r.CoarseStarts {
+		q = &Queue{EarliestStart: r.roundUpStart(q.EarliestStart), entries: q.entries, totalLength: q.totalLength}
 	}
-	h := mix(hashOf(kind, room), uint64(q.Base))
+	hash := mixHash(hashKind(kind, resources), uint64(q.EarliestStart))
 	for _, e := range q.entries {
-		h = mix(h, uint64(e.Deadline)*0x9e3779b97f4a7c15+uint64(e.Length)*0xc2b2ae3d27d4eb4f+uint64(e.Count))
+		hash = mixHash(hash, uint64(e.Deadline)*0x9e3779b97f4a7c15+uint64(e.Length)*0xc2b2ae3d27d4eb4f+uint64(e.Count))
 	}
-	k, ok := r.queues.get(h)
-	if !ok || k.base != q.Base || k.node.f.Room != room || k.node.f.Kind != kind || !slices.Equal(k.entries, q.entries) {
-		f := Function{Kind: kind, Room: room, Samples: q.Samples(r.horizon)}
-		f.Reduce(r.samples)
-		k = &queue{q.Base, slices.Clone(q.entries), r.intern(f)}
-		r.queues.now[h] = k
+	cached, ok := r.queues.get(hash)
+	if !ok || cached.earliestStart != q.EarliestStart || cached.node.function.Resources != resources || cached.node.function.Kind != kind || !slices.Equal(cached.entries, q.entries) {
+		f := Function{Kind: kind, Resources: resources, Samples: q.Samples(r.horizon)}
+		f.Reduce(r.maxSamples)
+		cached = &cachedQueue{q.EarliestStart, slices.Clone(q.entries), r.intern(f)}
+		r.queues.current[hash] = cached
 	}
-	r.count(k.node, 1)
+	r.countQueues(cached.node, 1)
 }
 
-// Add adds a function. Its samples are not changed, nor may the caller change them.
-func (r *Reducer) Add(f Function) { r.count(r.intern(f), f.Count) }
+// AddFunction adds a function. Its samples are not changed, nor may the caller change them.
+func (r *Reducer) AddFunction(f Function) { r.countQueues(r.intern(f), f.Count) }
 
-func (r *Reducer) count(n *node, queues int64) {
-	if n.round != r.round {
-		n.round, n.count, n.group.round = r.round, 0, r.round
-		r.in = append(r.in, ranked{node: n})
+func (r *Reducer) countQueues(n *node, queues int64) {
+	if n.lastRound != r.round {
+		n.lastRound, n.count, n.group.lastRound = r.round, 0, r.round
+		r.input = append(r.input, rankedNode{node: n})
 	}
 	n.count += queues
 }
 
-// hashOf is a hash of a kind and a room.
-func hashOf(kind string, room Room) uint64 {
+// hashKind is a hash of a kind and a room.
+func hashKind(kind string, resources Resources) uint64 {
 	h := uint64(len(kind))
 	for i := range len(kind) {
 		h = h*31 + uint64(kind[i])
 	}
-	h = mix(h, math.Float64bits(room.CPUs)+math.Float64bits(room.MemoryGB)*0x9e3779b97f4a7c15)
-	return mix(h, math.Float64bits(room.GPUs)+math.Float64bits(room.DiskGB)*0x9e3779b97f4a7c15)
+	h = mixHash(h, math.Float64bits(resources.CPUs)+math.Float64bits(resources.MemoryGB)*0x9e3779b97f4a7c15)
+	return mixHash(h, math.Float64bits(resources.GPUs)+math.Float64bits(resources.DiskGB)*0x9e3779b97f4a7c15)
 }
 
-// mix folds a number into a hash (Murmur3's finalizer).
-func mix(h, x uint64) uint64 {
+// mixHash folds a number into a hash (Murmur3's finalizer).
+func mixHash(h, x uint64) uint64 {
 	h ^= x
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
@@ -227,86 +227,86 @@
 
 // intern finds the node of a function, reduced to the limit of samples.
 func (r *Reducer) intern(f Function) *node {
-	if len(f.Samples) > r.samples {
+	if len(f.Samples) > r.maxSamples {
 		f.Samples = slices.Clone(f.Samples)
-		f.Reduce(r.samples)
+		f.Reduce(r.maxSamples)
 	}
-	h := hashOf(f.Kind, f.Room)
+	hash := hashKind(f.Kind, f.Resources)
 	for _, s := range f.Samples {
-		h = mix(h, uint64(s.At)*0x9e3779b97f4a7c15+uint64(s.Free))
+		hash = mixHash(hash, uint64(s.TimeMS)*0x9e3779b97f4a7c15+uint64(s.AvailableMS))
 	}
 	for {
-		n, ok := r.nodes.get(h)
+		n, ok := r.nodes.get(hash)
 		if !ok {
 			break
 		}
-		if equal(&n.f, &f) {
+		if equalFunctions(&n.function, &f) {
 			return n
 		}
-		h++ // two functions of one hash
+		hash++ // two functions of one hash
 	}
 	f.Count = 0
-	key := groupKey{f.Kind, f.Room}
+	key := groupKey{f.Kind, f.Resources}
 	g := r.groups[key]
 	if g == nil {
 		g = &group{groupKey: key}
 		r.groups[key] = g
 	}
 	f.Samples = slices.Clone(f.Samples)
-	n := &node{f: f, hash: h, group: g, mass: -1}
-	r.nodes.now[h] = n
-	r.Changed++
+	n := &node{function: f, hash: hash, group: g, weight: -1}
+	r.nodes.current[hash] = n
+	r.Recomputed++
 	return n
 }
 
-// weigh takes a function's points. Its mass is the weight in the paper's distance, the integral of
+// updateWeight takes a function's points. Its mass is the weight in the paper's distance, the integral of
 // f/(δ-now+1)². Neighbours in its order are alike both soon and later: in the
 // order of first samples, and of what is free at the end, a summary of 300 machines kept 0.31 of what
 // their queues end within 100 s, and 0.65 but nothing of what is free at once.
-func (r *Reducer) weigh(n *node) {
-	if n.now == r.now && n.mass >= 0 {
+func (r *Reducer) updateWeight(n *node) {
+	if n.weighedAt == r.now && n.weight >= 0 {
 		return
 	}
-	n.now, n.mass = r.now, 0
-	c := cursor{s: n.f.Samples}
-	for i, t := 0, int64(1000); t < r.horizon-r.now && i < len(n.at); i, t = i+1, t*2 {
-		n.at[i] = c.at(r.now + t)
-		n.mass += n.at[i] / float64(t)
+	n.weighedAt, n.weight = r.now, 0
+	c := cursor{samples: n.function.Samples}
+	for i, t := 0, int64(1000); t < r.horizon-r.now && i < len(n.points); i, t = i+1, t*2 {
+		n.points[i] = c.availableBy(r.now + t)
+		n.weight += n.points[i] / float64(t)
 	}
 }
 
-// merge is the merge of two functions.
-func (r *Reducer) merge(a, b *node) *node {
+// mergeNodes is the merge of two functions.
+func (r *Reducer) mergeNodes(a, b *node) *node {
 	if a == b {
 		return a
 	}
-	k := [2]*node{a, b}
-	n, ok := r.pairs.get(k)
+	pair := [2]*node{a, b}
+	n, ok := r.mergedPairs.get(pair)
 	if !ok {
-		f := Function{Kind: a.f.Kind, Room: a.f.Room.min(b.f.Room), Samples: r.scratch.minimum(&a.f, &b.f)}
-		f.Reduce(r.samples)
+		f := Function{Kind: a.function.Kind, Resources: a.function.Resources.componentMin(b.function.Resources), Samples: r.buffers.minimum(&a.function, &b.function)}
+		f.Reduce(r.maxSamples)
 		n = r.intern(f)
-		r.pairs.now[k] = n
+		r.mergedPairs.current[pair] = n
 	}
-	r.weigh(n)
+	r.updateWeight(n)
 	return n
 }
 
-// lose is what merging two neighbours loses: the sum over their parts of the paper's distance to the
+// mergeLoss is what merging two neighbours loses: the sum over their parts of the paper's distance to the
 // merge, ((f-h)/(δ-now+1))² over δ by the functions' points, and of the rooms, times the queues that a part
 // stands for. The merge itself is made only for those that lose least.
-func (r *Reducer) lose(a, b *place) (lost float64) {
-	h := a.f.at
-	for i := range r.norm.points {
-		h[i] = min(h[i], b.f.at[i])
-	}
-	room := a.f.f.Room.min(b.f.f.Room)
-	for _, p := range [...]*place{a, b} {
-		for k, part := range p.parts {
-			lost += r.norm.distance(part, &h, room) * float64(p.counts[k])
+func (r *Reducer) mergeLoss(a, b *cluster) (loss float64) {
+	minimum := a.merged.points
+	for i := range r.norm.pointCount {
+		minimum[i] = min(minimum[i], b.merged.points[i])
+	}
+	resources := a.merged.function.Resources.componentMin(b.merged.function.Resources)
+	for _, side := range [...]*cluster{a, b} {
+		for index, source := range side.sources {
+			loss += r.norm.distance(source, &minimum, resources) * float64(side.sourceCounts[index])
 		}
 	}
-	return lost
+	return loss
 }
 
 // Summary ends the round: the two functions that lose least by it are merged,
@@ -319,9 +319,9 @@
 // limit, short runs of neighbours are merged first.
 func (r *Reducer) Summary() Summary {
 	var groups []*group
-	for k, g := range r.groups {
-		if g.round < r.round-1 {
-			delete(r.groups, k) // its nodes are forgotten next
+	for key, g := range r.groups {
+		if g.lastRound < r.round-1 {
+			delete(r.groups, key) // its nodes are forgotten next
 		} else {
 			groups = append(groups, g)
 		}
@@ -330,158 +330,158 @@
 	for i, g := range groups {
 		g.rank = i
 	}
-	for i := range r.in {
-		x := &r.in[i]
-		r.weigh(x.node)
-		x.rank, x.mass = x.group.rank, x.node.mass
+	for i := range r.input {
+		entry := &r.input[i]
+		r.updateWeight(entry.node)
+		entry.rank, entry.weight = entry.group.rank, entry.node.weight
 	}
-	slices.SortFunc(r.in, func(a, b ranked) int {
+	slices.SortFunc(r.input, func(a, b rankedNode) int {
 		if a.rank != b.rank {
 			return a.rank - b.rank
 		}
-		if a.mass != b.mass {
-			return cmp.Compare(a.mass, b.mass)
+		if a.weight != b.weight {
+			return cmp.Compare(a.weight, b.weight)
 		}
 		return cmp.Compare(a.hash, b.hash)
 	})
-	r.norm = newNorm(r.in, r.horizon-r.now)
-	ps := r.runs()
-	if len(ps) > r.functions {
-		r.neighbours(ps)
-	}
-	out := make(Summary, 0, min(len(ps), r.functions))
-	for i := range ps {
-		if p := &ps[i]; !p.dead {
-			f := p.f.f
-			for _, n := range p.counts {
+	r.norm = newDistanceNorm(r.input, r.horizon-r.now)
+	clusters := r.mergeRuns()
+	if len(clusters) > r.maxFunctions {
+		r.mergeNeighbours(clusters)
+	}
+	summary := make(Summary, 0, min(len(clusters), r.maxFunctions))
+	for i := range clusters {
+		if p := &clusters[i]; !p.absorbed {
+			f := p.merged.function
+			for _, n := range p.sourceCounts {
 				f.Count += n
 			}
 			f.Samples = slices.Clone(f.Samples) // whoever takes of it may change it
-			out = append(out, f)
+			summary = append(summary, f)
 		}
 	}
-	return out
+	return summary
 }
 
-// coarse is how many times the limit of functions are compared by their
+// preMergeFactor is how many times the limit of functions are compared by their
 // distances. More than that are first merged in short runs.
-const coarse = 8
+const preMergeFactor = 8
 
-// runs merges runs of neighbours of one kind and room, without weighing what is lost. Where a
+// mergeRuns merges runs of neighbours of one kind and room, without weighing what is lost. Where a
 // run ends hangs on the functions near it alone: with runs of one length, each function more would
 // move all that come behind.
-func (r *Reducer) runs() []place {
-	run := (len(r.in) + coarse*r.functions - 1) / (coarse * r.functions)
-	least, most := (run+1)/2, run+run/2
-	out := make([]place, 0, min(len(r.in), 2*coarse*r.functions))
+func (r *Reducer) mergeRuns() []cluster {
+	runLength := (len(r.input) + preMergeFactor*r.maxFunctions - 1) / (preMergeFactor * r.maxFunctions)
+	minLength, maxLength := (runLength+1)/2, runLength+runLength/2
+	clusters := make([]cluster, 0, min(len(r.input), 2*preMergeFactor*r.maxFunctions))
 	n := 0
-	for i := range r.in {
-		x := r.in[i].node
-		if k := len(out) - 1; run > 1 && n > 0 && n < most && (n < least || r.in[i-1].hash%uint64(most-least+1) != 0) && r.in[i-1].rank == r.in[i].rank {
-			out[k].f = r.merge(out[k].f, x)
-			out[k].parts[0] = out[k].f
-			out[k].counts[0] += x.count
+	for i := range r.input {
+		current := r.input[i].node
+		if last := len(clusters) - 1; runLength > 1 && n > 0 && n < maxLength && (n < minLength || r.input[i-1].hash%uint64(maxLength-minLength+1) != 0) && r.input[i-1].rank == r.input[i].rank {
+			clusters[last].merged = r.mergeNodes(clusters[last].merged, current)
+			clusters[last].sources[0] = clusters[last].merged
+			clusters[last].sourceCounts[0] += current.count
 			n++
 			continue
 		}
-		out = append(out, place{f: x, parts: []*node{x}, counts: []int64{x.count}, prev: len(out) - 1, next: len(out) + 1})
+		clusters = append(clusters, cluster{merged: current, sources: []*node{current}, sourceCounts: []int64{current.count}, prev: len(clusters) - 1, next: len(clusters) + 1})
 		n = 1
 	}
-	return out
+	return clusters
 }
 
-func (r *Reducer) neighbours(ps []place) {
-	h := make(merges, 0, 2*len(ps))
-	pool := make([]merge, 0, 3*len(ps)) // each merge offers two more
-	offer := func(i, j int) {
-		if i < 0 || j < 0 || j >= len(ps) || ps[i].f.f.Kind != ps[j].f.f.Kind {
+func (r *Reducer) mergeNeighbours(clusters []cluster) {
+	candidates := make(mergeHeap, 0, 2*len(clusters))
+	pool := make([]mergeCandidate, 0, 3*len(clusters)) // each merge offers two more
+	addCandidate := func(i, j int) {
+		if i < 0 || j < 0 || j >= len(clusters) || clusters[i].merged.function.Kind != clusters[j].merged.function.Kind {
 			return
 		}
-		pool = append(pool, merge{i, j, ps[i].version, ps[j].version, r.lose(&ps[i], &ps[j])})
-		heap.Push(&h, &pool[len(pool)-1])
+		pool = append(pool, mergeCandidate{i, j, clusters[i].version, clusters[j].version, r.mergeLoss(&clusters[i], &clusters[j])})
+		heap.Push(&candidates, &pool[len(pool)-1])
 	}
-	for i := range ps {
-		offer(i, i+1)
+	for i := range clusters {
+		addCandidate(i, i+1)
 	}
-	for left := len(ps); left > r.functions && h.Len() > 0; {
-		x := heap.Pop(&h).(*merge)
-		a, b := &ps[x.i], &ps[x.j]
-		if a.dead || b.dead || a.version != x.vi || b.version != x.vj {
+	for remaining := len(clusters); remaining > r.maxFunctions && candidates.Len() > 0; {
+		candidate := heap.Pop(&candidates).(*mergeCandidate)
+		a, b := &clusters[candidate.left], &clusters[candidate.right]
+		if a.absorbed || b.absorbed || a.version != candidate.leftVersion || b.version != candidate.rightVersion {
 			continue
 		}
-		a.f = r.merge(a.f, b.f)
-		a.parts, a.counts = append(a.parts, b.parts...), append(a.counts, b.counts...)
-		if len(a.parts) > maxParts {
-			all := int64(0)
-			for _, n := range a.counts {
-				all += n
+		a.merged = r.mergeNodes(a.merged, b.merged)
+		a.sources, a.sourceCounts = append(a.sources, b.sources...), append(a.sourceCounts, b.sourceCounts...)
+		if len(a.sources) > maxSources {
+			total := int64(0)
+			for _, n := range a.sourceCounts {
+				total += n
 			}
-			a.parts, a.counts = append(a.parts[:0], a.f), append(a.counts[:0], all)
+			a.sources, a.sourceCounts = append(a.sources[:0], a.merged), append(a.sourceCounts[:0], total)
 		}
 		a.version++
-		b.dead = true
+		b.absorbed = true
 		a.next = b.next
-		if b.next < len(ps) {
-			ps[b.next].prev = x.i
+		if b.next < len(clusters) {
+			clusters[b.next].prev = candidate.left
 		}
-		left--
-		offer(a.prev, x.i)
-		offer(x.i, a.next)
+		remaining--
+		addCandidate(a.prev, candidate.left)
+		addCandidate(candidate.left, a.next)
 	}
 }
 
 // Reduce clusters a summary until it holds at most functions functions of at
 // most samples samples, from nothing.
-func Reduce(in Summary, functions, samples int, now int64) Summary {
-	span := int64(steps)
-	for i := range in {
-		if n := len(in[i].Samples); n > 0 {
-			span = max(span, in[i].Samples[n-1].At-now)
+func Reduce(input Summary, maxFunctions, maxSamples int, now int64) Summary {
+	span := int64(horizonSteps)
+	for i := range input {
+		if n := len(input[i].Samples); n > 0 {
+			span = max(span, input[i].Samples[n-1].TimeMS-now)
 		}
 	}
 	var r Reducer
-	r.Begin(functions, samples, now, span)
-	for _, f := range in {
-		r.Add(f)
+	r.Begin(maxFunctions, maxSamples, now, span)
+	for _, f := range input {
+		r.AddFunction(f)
 	}
 	return r.Summary()
 }
 
 // compare puts functions that lose little by being merged beside each other, by what
 // they are of.
-func (f *groupKey) compare(g *groupKey) int {
-	return cmp.Or(strings.Compare(f.kind, g.kind), cmp.Compare(f.room.CPUs, g.room.CPUs), cmp.Compare(f.room.GPUs, g.room.GPUs),
-		cmp.Compare(f.room.MemoryGB, g.room.MemoryGB), cmp.Compare(f.room.DiskGB, g.room.DiskGB))
+func (k *groupKey) compare(g *groupKey) int {
+	return cmp.Or(strings.Compare(k.kind, g.kind), cmp.Compare(k.resources.CPUs, g.resources.CPUs), cmp.Compare(k.resources.GPUs, g.resources.GPUs),
+		cmp.Compare(k.resources.MemoryGB, g.resources.MemoryGB), cmp.Compare(k.resources.DiskGB, g.resources.DiskGB))
 }
 
-func equal(f, g *Function) bool {
-	return f.Kind == g.Kind && f.Room == g.Room && slices.Equal(f.Samples, g.Samples)
+func equalFunctions(f, g *Function) bool {
+	return f.Kind == g.Kind && f.Resources == g.Resources && slices.Equal(f.Samples, g.Samples)
 }
 
-// norm divides each resource's distance by the square of its range, so that
+// distanceNorm divides each resource's distance by the square of its range, so that
 // none dominates.
-type norm struct {
-	room   Room
-	free   float64 // ms that a queue can be free for
-	points int     // of a function's that are before the horizon
+type distanceNorm struct {
+	resourceRanges Resources
+	timeRange      float64 // ms that a queue can be free for
+	pointCount     int     // of a function's that are before the horizon
 }
 
-func newNorm(in []ranked, span int64) norm {
+func newDistanceNorm(input []rankedNode, span int64) distanceNorm {
 	inf := math.Inf(1)
-	lo, hi := Room{inf, inf, inf, inf}, Room{}
-	for _, n := range in {
-		r := n.f.Room
-		lo = lo.min(r)
-		hi = Room{max(hi.CPUs, r.CPUs), max(hi.GPUs, r.GPUs), max(hi.MemoryGB, r.MemoryGB), max(hi.DiskGB, r.DiskGB)}
+	low, high := Resources{inf, inf, inf, inf}, Resources{}
+	for _, n := range input {
+		r := n.function.Resources
+		low = low.componentMin(r)
+		high = Resources{max(high.CPUs, r.CPUs), max(high.GPUs, r.GPUs), max(high.MemoryGB, r.MemoryGB), max(high.DiskGB, r.DiskGB)}
 	}
-	n := norm{room: Room{hi.CPUs - lo.CPUs, hi.GPUs - lo.GPUs, hi.MemoryGB - lo.MemoryGB, hi.DiskGB - lo.DiskGB}, free: float64(span)}
-	for t := int64(1000); t < span && n.points < len(points{}); t *= 2 {
-		n.points++
+	n := distanceNorm{resourceRanges: Resources{high.CPUs - low.CPUs, high.GPUs - low.GPUs, high.MemoryGB - low.MemoryGB, high.DiskGB - low.DiskGB}, timeRange: float64(span)}
+	for t := int64(1000); t < span && n.pointCount < len(points{}); t *= 2 {
+		n.pointCount++
 	}
 	return n
 }
 
-func square(diff, scale float64) float64 {
+func quadraticTerm(diff, scale float64) float64 {
 	if scale <= 0 {
 		return 0
 	}
@@ -490,14 +490,14 @@
 
 // distance is how far a function is above points and a room that are nowhere above it. In
 // time it is the integral of the square, by one point for each doubling.
-func (n *norm) distance(p *node, h *points, room Room) float64 {
-	d := square(p.f.Room.CPUs-room.CPUs, n.room.CPUs) + square(p.f.Room.GPUs-room.GPUs, n.room.GPUs) +
-		square(p.f.Room.MemoryGB-room.MemoryGB, n.room.MemoryGB) + square(p.f.Room.DiskGB-room.DiskGB, n.room.DiskGB)
-	t, sum := 1000.0, 0.0
-	for i := range n.points {
-		x := p.at[i] - h[i]
-		sum += x * x / t
-		t *= 2
-	}
-	return d + sum/(n.free*n.free)*1000
+func (n *distanceNorm) distance(source *node, minimum *points, resources Resources) float64 {
+	resourceDistance := quadraticTerm(source.function.Resources.CPUs-resources.CPUs, n.resourceRanges.CPUs) + quadraticTerm(source.function.Resources.GPUs-resources.GPUs, n.resourceRanges.GPUs) +
+		quadraticTerm(source.function.Resources.MemoryGB-resources.MemoryGB, n.resourceRanges.MemoryGB) + quadraticTerm(source.function.Resources.DiskGB-resources.DiskGB, n.resourceRanges.DiskGB)
+	timeMS, timeDistance := 1000.0, 0.0
+	for i := range n.pointCount {
+		difference := source.points[i] - minimum[i]
+		timeDistance += difference * difference / timeMS
+		timeMS *= 2
+	}
+	return resourceDistance + timeDistance/(n.timeRange*n.timeRange)*1000
 }
--- a/cmd/grebedock/lab.go
+++ b/cmd/grebedock/lab.go
@@ -21,9 +21,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// labFront is the first port of a lab's members, and where the workflow
+// defaultUserPort is the first port of a lab's members, and where the workflow
 // commands look if they are not told.
-const labFront = 8080
+const defaultUserPort = 8080
 
 func labCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "lab", Short: "Run everything on this machine, to try grebedock out"}
@@ -44,10 +44,10 @@
 			if os.Getenv("LOG_LEVEL") == "" {
 				level = slog.LevelError
 			}
-			if o.Members < 1 || o.Machines < 1 || !(o.CPUs > 0) || !(o.Speed > 0) {
+			if o.Members < 1 || o.MachinesPerType < 1 || !(o.MachineCPUs > 0) || !(o.SpeedFactor > 0) {
 				return fmt.Errorf("--members, --machines, --cpus and --speed must be above 0")
 			}
-			o.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
+			o.Logger = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			return runLab(ctx, cmd, o)
@@ -55,26 +55,26 @@
 	}
 	f := up.Flags()
 	f.IntVar(&o.Members, "members", 2, "how many members")
-	f.IntVar(&o.Front, "front", labFront, "first port of the members' addresses; 0: any free ones")
-	f.IntVar(&o.Machines, "machines", 4, "how many machines of a zone and kind can be rented")
-	f.Float64Var(&o.CPUs, "cpus", 4, "processors of a machine")
-	f.Float64Var(&o.Speed, "speed", 1, "how much faster than their estimates tasks are that are only waited for")
-	f.StringVar(&o.Dir, "dir", "", "directory for the data of workflows; default: one that is removed at the end")
+	f.IntVar(&o.FirstPort, "front", defaultUserPort, "first port of the members' addresses; 0: any free ones")
+	f.IntVar(&o.MachinesPerType, "machines", 4, "how many machines of a zone and kind can be rented")
+	f.Float64Var(&o.MachineCPUs, "cpus", 4, "processors of a machine")
+	f.Float64Var(&o.SpeedFactor, "speed", 1, "how much faster than their estimates tasks are that are only waited for")
+	f.StringVar(&o.DataDir, "dir", "", "directory for the data of workflows; default: one that is removed at the end")
 	cmd.AddCommand(up, loadCommand(), experimentCommand(), reportCommand())
 	return cmd
 }
 
-func isUp(front string) bool {
+func isReady(front string) bool {
 	status, _ := rest.NewClient(front, 1).Do(wire.Request{Method: "GET", Path: "/up"}, time.Second)
 	return status == 200
 }
 
-// labPatience bounds a lab's start.
-const labPatience = 20 * time.Second
+// labStartTimeout bounds a lab's start.
+const labStartTimeout = 20 * time.Second
 
 func runLab(ctx context.Context, cmd *cobra.Command, o lab.Options) (err error) {
-	at := time.Now()
-	l, err := lab.Up(o)
+	startedAt := time.Now()
+	l, err := lab.New(o)
 	if err != nil {
 		return err
 	}
@@ -83,18 +83,18 @@
 			err = e
 		}
 	}()
-	start, cancel := context.WithTimeout(ctx, labPatience)
+	startCtx, cancel := context.WithTimeout(ctx, labStartTimeout)
 	defer cancel()
-	if err := l.StartAll(start, isUp); err != nil {
+	if err := l.StartAll(startCtx, isReady); err != nil {
 		if ctx.Err() != nil {
 			return nil
 		}
 		return err
 	}
 	out := cmd.OutOrStdout()
-	fmt.Fprintf(out, "lab: %d members take users' requests on %s\n", len(l.Fronts), strings.Join(l.Fronts, ", "))
-	fmt.Fprintf(out, "     administration on %s; workflows' data in %s\n", strings.Join(l.Meshes, ", "), l.Dir)
-	fmt.Fprintf(out, "     ready after %.1f s; Ctrl-C ends it\n", time.Since(at).Seconds())
+	fmt.Fprintf(out, "lab: %d members take users' requests on %s\n", len(l.UserAddrs), strings.Join(l.UserAddrs, ", "))
+	fmt.Fprintf(out, "     administration on %s; workflows' data in %s\n", strings.Join(l.PeerAddrs, ", "), l.DataDir)
+	fmt.Fprintf(out, "     ready after %.1f s; Ctrl-C ends it\n", time.Since(startedAt).Seconds())
 	watchLab(ctx, out, l)
 	fmt.Fprintln(out, "lab: ending")
 	return nil
@@ -103,110 +103,110 @@
 // Times of the view: a terminal's is drawn anew, elsewhere a line tells what
 // changed.
 const (
-	viewEvery  = time.Second
-	linesEvery = 5 * time.Second
+	viewInterval = time.Second
+	lineInterval = 5 * time.Second
 )
 
 // watchLab shows how the lab stands until ctx ends.
 func watchLab(ctx context.Context, out io.Writer, l *lab.Lab) {
 	f, ok := out.(*os.File)
 	terminal := ok && isatty.IsTerminal(f.Fd())
-	every := linesEvery
+	interval := lineInterval
 	if terminal {
-		every = viewEvery
+		interval = viewInterval
 	}
-	t := time.NewTicker(every)
+	t := time.NewTicker(interval)
 	defer t.Stop()
-	drawn, last := 0, ""
+	drawnLines, lastLine := 0, ""
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		var sts []scheduler.Status
-		for _, addr := range l.Meshes {
+		var statuses []scheduler.Status
+		for _, addr := range l.PeerAddrs {
 			var st scheduler.Status
-			o := operators{addr: addr}
-			if o.do(wire.Request{Method: "GET", Path: "/v1/status"}, &st) == nil {
-				sts = append(sts, st)
+			o := operatorOptions{addr: addr}
+			if o.request(wire.Request{Method: "GET", Path: "/v1/status"}, &st) == nil {
+				statuses = append(statuses, st)
 			}
 		}
 		if terminal {
-			if drawn > 0 {
-				fmt.Fprintf(out, "\x1b[%dA\x1b[J", drawn)
+			if drawnLines > 0 {
+				fmt.Fprintf(out, "\x1b[%dA\x1b[J", drawnLines)
 			}
-			text := labView(sts)
-			drawn = strings.Count(text, "\n")
+			text := labTable(statuses)
+			drawnLines = strings.Count(text, "\n")
 			fmt.Fprint(out, text)
-		} else if line := labLine(sts); line != last {
+		} else if line := labSummary(statuses); line != lastLine {
 			fmt.Fprintln(out, line)
-			last = line
+			lastLine = line
 		}
 	}
 }
 
-// labLine is a lab in one line.
-func labLine(sts []scheduler.Status) string {
-	if len(sts) == 0 {
+// labSummary is a lab in one line.
+func labSummary(statuses []scheduler.Status) string {
+	if len(statuses) == 0 {
 		return "lab: no member answers"
 	}
-	queued, running, up := 0, 0, 0
+	queued, running, liveMachines := 0, 0, 0
 	var accepted, finished uint64
-	for _, st := range sts {
+	for _, st := range statuses {
 		for _, s := range st.Shards {
-			if s.Mine {
-				queued += s.Queued
+			if s.Owned {
+				queued += s.QueuedTasks
 			}
 		}
 		accepted, finished = accepted+st.Counters.Accepted, finished+st.Counters.Finished
 	}
-	for _, m := range sts[0].Machines {
+	for _, m := range statuses[0].Machines {
 		if m.Up {
-			up++
+			liveMachines++
 		}
 	}
-	for _, st := range sts {
+	for _, st := range statuses {
 		for _, m := range st.Machines {
 			running += m.Tasks // each counts its own shards' alone
 		}
 	}
-	return fmt.Sprintf("lab: %d of %d machines up, %d jobs, %d tasks wait, %d on machines; %d accepted, %d finished", up, len(sts[0].Machines), sts[0].Jobs, queued, running, accepted, finished)
+	return fmt.Sprintf("lab: %d of %d machines up, %d jobs, %d tasks wait, %d on machines; %d accepted, %d finished", liveMachines, len(statuses[0].Machines), statuses[0].Jobs, queued, running, accepted, finished)
 }
 
-// labView is a lab in a few.
-func labView(sts []scheduler.Status) string {
+// labTable is a lab in a few.
+func labTable(statuses []scheduler.Status) string {
 	var b strings.Builder
-	fmt.Fprintln(&b, labLine(sts))
+	fmt.Fprintln(&b, labSummary(statuses))
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tAUTHORITY\tSTATE SERVICE\tLEADS\tSHARDS\tWAIT\tSTARTS\tLOST")
-	for _, st := range sts {
+	for _, st := range statuses {
 		var shards []string
 		queued := 0
 		for _, s := range st.Shards {
-			if s.Mine {
+			if s.Owned {
 				shards = append(shards, s.Shard)
-				queued += s.Queued
+				queued += s.QueuedTasks
 			}
 		}
-		fmt.Fprintf(w, "%s\t%v\t%s\t%v\t%s\t%d\t%d\t%d\n", st.Member, st.Authority, st.Link, st.Leading, strings.Join(shards, " "), queued, st.Counters.Starts, st.Counters.Lost)
+		fmt.Fprintf(w, "%s\t%v\t%s\t%v\t%s\t%d\t%d\t%d\n", st.Member, st.Authority, st.StoreLink, st.Leading, strings.Join(shards, " "), queued, st.Counters.Starts, st.Counters.LostTasks)
 	}
 	fmt.Fprintln(w, "TEAM\tGUARANTEE\tLIMIT\tUSED\tWAITING\t\t\t")
 	type sum struct{ used, waiting float64 }
 	teams := map[string]*sum{}
 	var names []string
-	for _, st := range sts {
+	for _, st := range statuses {
 		for _, t := range st.Teams {
 			if teams[t.Team] == nil {
 				teams[t.Team] = &sum{}
 				names = append(names, t.Team)
 			}
-			teams[t.Team].used += t.Used
-			teams[t.Team].waiting += t.Waiting
+			teams[t.Team].used += t.UsedCPUs
+			teams[t.Team].waiting += t.WaitingCPUs
 		}
 	}
 	for i, name := range names {
-		t := sts[0].Teams[i]
+		t := statuses[0].Teams[i]
 		fmt.Fprintf(w, "%s\t%g\t%g\t%g\t%g\t\t\t\n", name, t.CPUs, t.MaxCPUs, teams[name].used, teams[name].waiting)
 	}
 	_ = w.Flush() // into memory
--- a/cmd/grebedock/main.go
+++ b/cmd/grebedock/main.go
@@ -22,7 +22,7 @@
 var version = "dev"
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "grebedock:", err)
 		code := 1
 		if c := (*codedError)(nil); errors.As(err, &c) {
@@ -32,8 +32,8 @@
 	}
 }
 
-func root() *cobra.Command {
-	var path, with string
+func rootCommand() *cobra.Command {
+	var configPath, featuresPath string
 	cmd := &cobra.Command{
 		Use:   "grebedock --config FILE",
 		Short: "A decentralized scheduler of tasks with deadlines",
@@ -45,45 +45,45 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if path == "" {
+			if configPath == "" {
 				return fmt.Errorf("--config is missing; see grebedock --help")
 			}
-			return run(cmd.Context(), path, with)
+			return run(cmd.Context(), configPath, featuresPath)
 		},
 	}
-	cmd.Flags().StringVar(&path, "config", "", "settings file that the platform hands over (TOML)")
-	withFeatures := func(c *cobra.Command) {
-		c.Flags().StringVar(&with, "features", "", "file that switches on what is new (TOML); without it, nothing is")
+	cmd.Flags().StringVar(&configPath, "config", "", "settings file that the platform hands over (TOML)")
+	addFeaturesFlag := func(c *cobra.Command) {
+		c.Flags().StringVar(&featuresPath, "features", "", "file that switches on what is new (TOML); without it, nothing is")
 	}
-	withFeatures(cmd)
+	addFeaturesFlag(cmd)
 	check := &cobra.Command{
 		Use:     "check [FILE]",
 		Short:   "Check a settings file, a features file or both, and say what is wrong",
 		Example: "  grebedock check member.toml\n  grebedock check --features deploy/run.toml member.toml",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if len(args) == 0 && with == "" {
+			if len(args) == 0 && featuresPath == "" {
 				return fmt.Errorf("nothing to check: name a settings file, --features or both")
 			}
-			var wrong []error
+			var errs []error
 			if len(args) == 1 {
 				if f, err := config.Load(args[0]); err != nil {
-					wrong = append(wrong, err)
+					errs = append(errs, err)
 				} else {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: member %s, %d others, %d teams: good\n", args[0], f.Member, len(f.Others), len(f.Cluster.Teams))
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: member %s, %d others, %d teams: good\n", args[0], f.Member, len(f.Peers), len(f.Cluster.Teams))
 				}
 			}
-			if with != "" {
-				if set, err := features.Load(with); err != nil {
-					wrong = append(wrong, err)
+			if featuresPath != "" {
+				if enabled, err := features.Load(featuresPath); err != nil {
+					errs = append(errs, err)
 				} else {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: on %v: good\n", with, set.On())
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: on %v: good\n", featuresPath, enabled.EnabledNames())
 				}
 			}
-			return errors.Join(wrong...)
+			return errors.Join(errs...)
 		},
 	}
-	withFeatures(check)
+	addFeaturesFlag(check)
 	cmd.AddCommand(submitCommand(), jobCommand(), cancelCommand(), statusCommand(), machinesCommand(), teamsCommand(), drainCommand(), rolloutCommand(),
 		settingsCommand(), workflowCommand(), labCommand(), scheduleCommand(), calendarCommand(), check, &cobra.Command{
 			Use:   "version",
@@ -94,33 +94,33 @@
 	return cmd
 }
 
-// memoryShare is how much of the memory that it may hold the runtime uses before
+// memoryLimitShare is how much of the memory that it may hold the runtime uses before
 // the collector works harder.
-const memoryShare = 0.9
+const memoryLimitShare = 0.9
 
-func run(ctx context.Context, path, with string) error {
+func run(ctx context.Context, configPath, featuresPath string) error {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		return err
 	}
-	f, err := config.Load(path)
+	settings, err := config.Load(configPath)
 	if err != nil {
 		return err
 	}
-	set, err := features.Load(with)
+	enabled, err := features.Load(featuresPath)
 	if err != nil {
 		return err
 	}
 	// Short of that limit the collector may let garbage lie for longer: a
 	// member lives on a part of one core, and its live heap is a few megabytes.
-	debug.SetMemoryLimit(int64(f.Cluster.Limits.Heap() * memoryShare))
+	debug.SetMemoryLimit(int64(settings.Cluster.Limits.HeapBytes() * memoryLimitShare))
 	debug.SetGCPercent(400)
-	if f.Cluster.Limits.CPUShare <= 1 {
+	if settings.Cluster.Limits.CPUShare <= 1 {
 		// Part of one core: more threads would only take turns.
 		runtime.GOMAXPROCS(1)
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	return node.Run(ctx, f, set, log)
+	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
+	return node.Run(ctx, settings, enabled, logger)
 }
 
 func logLevel(s string) (slog.Level, error) {
--- a/cmd/grebedock/page.go
+++ b/cmd/grebedock/page.go
@@ -39,13 +39,13 @@
 }
 
 // html writes the report's page.
-func (t *table) html(all []emulator.Result) ([]byte, error) {
+func (t *comparison) html(all []emulator.Result) ([]byte, error) {
 	var rows []pageRow
 	var plots []template.HTML
 	for i, name := range t.rows {
 		row := pageRow{Name: name}
 		for _, e := range t.cells[i] {
-			row.Cells = append(row.Cells, pageCell{e.text(), e.apart})
+			row.Cells = append(row.Cells, pageCell{e.text(), e.differsFromFirst})
 		}
 		rows = append(rows, row)
 		svg, err := t.plot(name, t.cells[i])
@@ -56,11 +56,11 @@
 	}
 	for _, f := range []struct {
 		name string
-		of   func(emulator.Moment) float64
+		of   func(emulator.TimelinePoint) float64
 	}{
-		{"machines up", func(m emulator.Moment) float64 { return float64(m.Machines) }},
-		{"tasks running", func(m emulator.Moment) float64 { return float64(m.Running) }},
-		{"jobs that are not done", func(m emulator.Moment) float64 { return float64(m.Jobs) }},
+		{"machines up", func(m emulator.TimelinePoint) float64 { return float64(m.Machines) }},
+		{"tasks running", func(m emulator.TimelinePoint) float64 { return float64(m.RunningTasks) }},
+		{"jobs that are not done", func(m emulator.TimelinePoint) float64 { return float64(m.Jobs) }},
 	} {
 		svg, err := t.timeline(all, f.name, f.of)
 		if err != nil {
@@ -75,7 +75,7 @@
 
 // timeline draws a number over the time of one seed's runs, a line a variant,
 // and when what failed.
-func (t *table) timeline(all []emulator.Result, name string, of func(emulator.Moment) float64) ([]byte, error) {
+func (t *comparison) timeline(all []emulator.Result, name string, value func(emulator.TimelinePoint) float64) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, seed %d", name, all[0].Seed)
 	p.X.Label.Text = "s"
@@ -89,8 +89,8 @@
 			}
 			var pts plotter.XYs
 			for _, m := range r.Timeline {
-				pts = append(pts, plotter.XY{X: m.AtS, Y: of(m)})
-				top = max(top, of(m))
+				pts = append(pts, plotter.XY{X: m.AtS, Y: value(m)})
+				top = max(top, value(m))
 			}
 			if len(pts) == 0 {
 				continue
@@ -116,10 +116,10 @@
 		}
 		p.Add(l, label)
 	}
-	return svgOf(p, 16*vg.Centimeter, 8*vg.Centimeter)
+	return renderSVG(p, 16*vg.Centimeter, 8*vg.Centimeter)
 }
 
-func svgOf(p *plot.Plot, w, h vg.Length) ([]byte, error) {
+func renderSVG(p *plot.Plot, w, h vg.Length) ([]byte, error) {
 	c := vgsvg.New(w, h)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
@@ -133,17 +133,17 @@
 }
 
 // plot draws a figure's variants as points with their intervals.
-func (t *table) plot(name string, cells []cell) ([]byte, error) {
+func (t *comparison) plot(name string, cells []cell) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = name
 	var pts errorPoints
-	for k, e := range cells {
-		half := e.half
-		if math.IsInf(half, 0) {
-			half = 0 // of one seed nothing is known
+	for k, estimate := range cells {
+		halfWidth := estimate.halfWidth
+		if math.IsInf(halfWidth, 0) {
+			halfWidth = 0 // of one seed nothing is known
 		}
-		pts.XYs = append(pts.XYs, plotter.XY{X: float64(k), Y: e.mean})
-		pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{half, half})
+		pts.XYs = append(pts.XYs, plotter.XY{X: float64(k), Y: estimate.mean})
+		pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{halfWidth, halfWidth})
 	}
 	bars, err := plotter.NewYErrorBars(pts)
 	if err != nil {
@@ -156,5 +156,5 @@
 	p.Add(plotter.NewGrid(), bars, dots)
 	p.NominalX(t.variants...)
 	p.X.Min, p.X.Max = -0.5, float64(len(cells))-0.5
-	return svgOf(p, 10*vg.Centimeter, 7*vg.Centimeter)
+	return renderSVG(p, 10*vg.Centimeter, 7*vg.Centimeter)
 }
