--- a/extension/extension.go
+++ b/extension/extension.go
@@ -24,8 +24,8 @@
 
 // CoreRequest is a request to the scheduler's core.
 type CoreRequest struct {
-	ID      uint64
-	Request scheduler.UserRequest
+	ID          uint64
+	UserRequest scheduler.UserRequest
 }
 
 // Request is a request of an extension's own kind: to whatever it needs beside
@@ -38,98 +38,98 @@
 // Outputs is what an extension wants done. Q is its own kind of request, A its
 // answer to users, by the number that the caller gave with the user's request.
 type Outputs[Q, A any] struct {
-	Store    []scheduler.StoreOp
-	Core     []CoreRequest
-	Requests []Request[Q]
-	Answers  map[uint64]A
-	Logs     []scheduler.LogLine
+	Store     []scheduler.StoreOp
+	Core      []CoreRequest
+	Requests  []Request[Q]
+	Responses map[uint64]A
+	Logs      []scheduler.LogLine
 }
 
 // Base keeps what an extension asked and gathers what it wants done: requests Q
 // of its own kind with results R, and answers A to users. The zero value is
 // ready for use.
 type Base[Q, R, A any] struct {
-	Now  scheduler.Now // of the last input
-	out  Outputs[Q, A]
-	last uint64
+	Now     scheduler.Now // of the last input
+	outputs Outputs[Q, A]
+	lastID  uint64
 
-	store    waiting[scheduler.StoreResult]
-	core     waiting[scheduler.UserAnswer]
-	requests waiting[R]
+	storeCallbacks   callbacks[scheduler.StoreResult]
+	coreCallbacks    callbacks[scheduler.UserResponse]
+	requestCallbacks callbacks[R]
 }
 
 // Take returns what the inputs since the last call want done.
 func (b *Base[Q, R, A]) Take() Outputs[Q, A] {
-	o := b.out
-	b.out = Outputs[Q, A]{}
+	o := b.outputs
+	b.outputs = Outputs[Q, A]{}
 	return o
 }
 
 // Log notes a line that operators may want to see.
 func (b *Base[Q, R, A]) Log(text string, args ...any) {
-	b.out.Logs = append(b.out.Logs, scheduler.LogLine{Level: scheduler.Info, Text: text, Args: args})
+	b.outputs.Logs = append(b.outputs.Logs, scheduler.LogLine{Level: scheduler.Info, Message: text, Args: args})
 }
 
-// Reply answers a user.
-func (b *Base[Q, R, A]) Reply(id uint64, a A) {
-	if b.out.Answers == nil {
-		b.out.Answers = map[uint64]A{}
+// Respond answers a user.
+func (b *Base[Q, R, A]) Respond(id uint64, a A) {
+	if b.outputs.Responses == nil {
+		b.outputs.Responses = map[uint64]A{}
 	}
-	b.out.Answers[id] = a
+	b.outputs.Responses[id] = a
 }
 
-// Ask asks the state service.
-func (b *Base[Q, R, A]) Ask(op scheduler.StoreOp, done func(scheduler.StoreResult)) {
+// SendStore asks the state service.
+func (b *Base[Q, R, A]) SendStore(op scheduler.StoreOp, onResult func(scheduler.StoreResult)) {
 	op.ID = b.nextID()
-	b.store.add(op.ID, done)
-	b.out.Store = append(b.out.Store, op)
+	b.storeCallbacks.add(op.ID, onResult)
+	b.outputs.Store = append(b.outputs.Store, op)
 }
 
-// AskCore asks the core.
-func (b *Base[Q, R, A]) AskCore(r scheduler.UserRequest, done func(scheduler.UserAnswer)) {
+// SendCore asks the core.
+func (b *Base[Q, R, A]) SendCore(r scheduler.UserRequest, onResult func(scheduler.UserResponse)) {
 	id := b.nextID()
-	b.core.add(id, done)
-	b.out.Core = append(b.out.Core, CoreRequest{id, r})
+	b.coreCallbacks.add(id, onResult)
+	b.outputs.Core = append(b.outputs.Core, CoreRequest{id, r})
 }
 
-// Request makes a request of the extension's own kind.
-func (b *Base[Q, R, A]) Request(q Q, done func(R)) {
+// SendRequest makes a request of the extension's own kind.
+func (b *Base[Q, R, A]) SendRequest(q Q, onResult func(R)) {
 	id := b.nextID()
-	b.requests.add(id, done)
-	b.out.Requests = append(b.out.Requests, Request[Q]{id, q})
+	b.requestCallbacks.add(id, onResult)
+	b.outputs.Requests = append(b.outputs.Requests, Request[Q]{id, q})
 }
 
 // Get reads one record. ok is false where the state service did not say; a
 // record that does not exist has no Value.
-func (b *Base[Q, R, A]) Get(urgency scheduler.Urgency, key string, done func(item scheduler.Item, ok bool)) {
-	b.Ask(scheduler.StoreOp{Kind: scheduler.StoreGet, Urgency: urgency, Key: key}, func(r scheduler.StoreResult) {
+func (b *Base[Q, R, A]) Get(urgency scheduler.Urgency, key string, onResult func(item scheduler.KeyValue, ok bool)) {
+	b.SendStore(scheduler.StoreOp{Kind: scheduler.StoreGet, Urgency: urgency, Key: key}, func(r scheduler.StoreResult) {
 		switch {
-		case r.Outcome == scheduler.OK && len(r.Items) == 1:
-			done(r.Items[0], true)
+		case r.Outcome == scheduler.OK && len(r.KVs) == 1:
+			onResult(r.KVs[0], true)
 		case r.Outcome == scheduler.NotFound:
-			done(scheduler.Item{}, true)
+			onResult(scheduler.KeyValue{}, true)
 		default:
-			done(scheduler.Item{}, false)
+			onResult(scheduler.KeyValue{}, false)
 		}
 	})
 }
 
 // List reads all records with a prefix, page by page. It ends early, and without
 // a word, once page returns false; else done tells whether all was read.
-func (b *Base[Q, R, A]) List(urgency scheduler.Urgency, prefix string, page func([]scheduler.Item) bool, done func(ok bool)) {
-	b.listFrom(urgency, prefix, "", page, done)
+func (b *Base[Q, R, A]) List(urgency scheduler.Urgency, prefix string, onPage func([]scheduler.KeyValue) bool, onDone func(ok bool)) {
+	b.listFrom(urgency, prefix, "", onPage, onDone)
 }
 
-func (b *Base[Q, R, A]) listFrom(urgency scheduler.Urgency, prefix, from string, page func([]scheduler.Item) bool, done func(ok bool)) {
-	b.Ask(scheduler.StoreOp{Kind: scheduler.StoreList, Urgency: urgency, Key: prefix, From: from}, func(r scheduler.StoreResult) {
+func (b *Base[Q, R, A]) listFrom(urgency scheduler.Urgency, prefix, from string, onPage func([]scheduler.KeyValue) bool, onDone func(ok bool)) {
+	b.SendStore(scheduler.StoreOp{Kind: scheduler.StoreList, Urgency: urgency, Key: prefix, StartAfter: from}, func(r scheduler.StoreResult) {
 		switch {
 		case r.Outcome != scheduler.OK:
-			done(false)
-		case !page(r.Items):
-		case r.More && len(r.Items) > 0:
-			b.listFrom(urgency, prefix, r.Items[len(r.Items)-1].Key, page, done)
+			onDone(false)
+		case !onPage(r.KVs):
+		case r.More && len(r.KVs) > 0:
+			b.listFrom(urgency, prefix, r.KVs[len(r.KVs)-1].Key, onPage, onDone)
 		default:
-			done(true)
+			onDone(true)
 		}
 	})
 }
@@ -137,42 +137,42 @@
 // StoreDone takes the answer of the state service to a request.
 func (b *Base[Q, R, A]) StoreDone(now scheduler.Now, id uint64, r scheduler.StoreResult) {
 	b.Now = now
-	b.store.answer(id, r)
+	b.storeCallbacks.resolve(id, r)
 }
 
 // CoreDone takes the core's answer to a request.
-func (b *Base[Q, R, A]) CoreDone(now scheduler.Now, id uint64, r scheduler.UserAnswer) {
+func (b *Base[Q, R, A]) CoreDone(now scheduler.Now, id uint64, r scheduler.UserResponse) {
 	b.Now = now
-	b.core.answer(id, r)
+	b.coreCallbacks.resolve(id, r)
 }
 
 // RequestDone takes the result of a request of the extension's own kind.
 func (b *Base[Q, R, A]) RequestDone(now scheduler.Now, id uint64, r R) {
 	b.Now = now
-	b.requests.answer(id, r)
+	b.requestCallbacks.resolve(id, r)
 }
 
 // nextID is a number that no other request of the extension has.
 func (b *Base[Q, R, A]) nextID() uint64 {
-	b.last++
-	return b.last
+	b.lastID++
+	return b.lastID
 }
 
-// waiting has who waits for the answer to a request, by the request's number.
-type waiting[T any] map[uint64]func(T)
+// callbacks has who waits for the answer to a request, by the request's number.
+type callbacks[T any] map[uint64]func(T)
 
-func (w *waiting[T]) add(id uint64, done func(T)) {
+func (w *callbacks[T]) add(id uint64, onResult func(T)) {
 	if *w == nil {
-		*w = waiting[T]{}
+		*w = callbacks[T]{}
 	}
-	(*w)[id] = done
+	(*w)[id] = onResult
 }
 
-// answer hands an answer to whoever waits for it, once.
-func (w waiting[T]) answer(id uint64, v T) {
-	if done := w[id]; done != nil {
+// resolve hands an answer to whoever waits for it, once.
+func (w callbacks[T]) resolve(id uint64, v T) {
+	if onResult := w[id]; onResult != nil {
 		delete(w, id)
-		done(v)
+		onResult(v)
 	}
 }
 
--- a/indoubt/indoubt.go
+++ b/indoubt/indoubt.go
@@ -13,8 +13,8 @@
 //	doubt    Conflict                               decided  ReadBack      the earlier try worked, or nothing will
 //	doubt    Unknown                                doubt    ReadBack
 //	doubt    read, another revision                 settled  -
-//	doubt    read, the same revision                doubt    SendAgain     one of both tries will be the last
-//	doubt    not read                               doubt    SendAgain
+//	doubt    read, the same revision                doubt    Resend     one of both tries will be the last
+//	doubt    not read                               doubt    Resend
 //	decided  read                                   settled  -
 //	decided  not read                               decided  ReadBack
 //
@@ -25,51 +25,51 @@
 
 import "github.com/grebedock/grebedock/access"
 
-// Next is what is to be done about a write.
-type Next int
+// NextStep is what is to be done about a write.
+type NextStep int
 
 // What is to be done.
 const (
-	Settled Next = iota
+	Settled NextStep = iota
 	ReadBack
-	SendAgain
+	Resend
 )
 
-func (n Next) String() string { return [...]string{"settled", "read back", "send again"}[n] }
+func (s NextStep) String() string { return [...]string{"settled", "read back", "send again"}[s] }
 
-// Write is a write that was sent, guarded by a key's revision.
-type Write struct {
-	Rev     uint64
-	doubt   bool
-	decided bool
+// ConditionalWrite is a write that was sent, guarded by a key's revision.
+type ConditionalWrite struct {
+	Revision uint64
+	inDoubt  bool
+	decided  bool
 }
 
-// Ended tells how a try of the write ended.
-func (w *Write) Ended(o access.Outcome) Next {
+// CompleteAttempt tells how a try of the write ended.
+func (w *ConditionalWrite) CompleteAttempt(outcome access.Outcome) NextStep {
 	switch {
-	case o == access.OK:
+	case outcome == access.OK:
 		return Settled
-	case o == access.Conflict:
+	case outcome == access.Conflict:
 		w.decided = true
 		return ReadBack
-	case o == access.Unknown:
-		w.doubt = true
+	case outcome == access.Unknown:
+		w.inDoubt = true
 		return ReadBack
-	case w.doubt:
+	case w.inDoubt:
 		return ReadBack
 	}
 	return Settled
 }
 
-// Read tells how reading the key ended, and its revision if that is known (0: the key
+// CompleteRead tells how reading the key ended, and its revision if that is known (0: the key
 // does not exist).
-func (w *Write) Read(o access.Outcome, rev uint64) Next {
-	read := o == access.OK || o == access.NotFound
+func (w *ConditionalWrite) CompleteRead(outcome access.Outcome, revision uint64) NextStep {
+	succeeded := outcome == access.OK || outcome == access.NotFound
 	switch {
-	case read && (w.decided || rev != w.Rev):
+	case succeeded && (w.decided || revision != w.Revision):
 		return Settled
 	case w.decided:
 		return ReadBack
 	}
-	return SendAgain
+	return Resend
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -11,30 +11,30 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Cloud is a client of the cloud.
-type Cloud struct {
-	client *rest.Client
-	budget *rest.Budget
-	done   func(uint64, scheduler.CloudResult)
+// Client is a client of the cloud.
+type Client struct {
+	client   *rest.Client
+	budget   *rest.Budget
+	onResult func(uint64, scheduler.CloudResult)
 }
 
 // New returns a client; done is called with each request's result.
-func New(ctx context.Context, f *config.File, done func(uint64, scheduler.CloudResult)) *Cloud {
+func New(ctx context.Context, settings *config.File, onResult func(uint64, scheduler.CloudResult)) *Client {
 	// Nearly all requests are the fleet lead's; the others ask for the machine
 	// types once, and a new lead may follow an old one at once.
-	return &Cloud{client: rest.NewClient(f.External.Cloud, 8), budget: rest.NewBudget(ctx, f.Cluster.Cloud.RPS*leadShare, 0, 0), done: done}
+	return &Client{client: rest.NewClient(settings.External.Cloud, 8), budget: rest.NewBudget(ctx, settings.Cluster.Cloud.RPS*leaderRateShare, 0, 0), onResult: onResult}
 }
 
-// leadShare is how much of the cloud's rate one member may use.
-const leadShare = 0.75
+// leaderRateShare is how much of the cloud's rate one member may use.
+const leaderRateShare = 0.75
 
 // timeout bounds a request.
 const timeout = 4 * time.Second
 
-// Do queues a request within the budget.
-func (c *Cloud) Do(op scheduler.CloudOp) {
-	c.budget.Put(op.Kind.Urgency(), 0, 0, func() {
+// Send queues a request within the budget.
+func (c *Client) Send(op scheduler.CloudOp) {
+	c.budget.Enqueue(op.Kind.Urgency(), 0, 0, func() {
 		status, body := c.client.Do(wire.CloudRequest(op), timeout)
-		c.done(op.ID, wire.CloudResult(op, status, body))
+		c.onResult(op.ID, wire.ParseCloudResult(op, status, body))
 	}, nil)
 }
--- a/internal/front/workflows.go
+++ b/internal/front/workflows.go
@@ -12,33 +12,33 @@
 
 // Workflows is what the front needs of whoever runs workflows.
 type Workflows interface {
-	User(workflow.Request, time.Duration) (workflow.Answer, bool)
+	HandleRequest(workflow.Request, time.Duration) (workflow.Response, bool)
 }
 
 // ServeWorkflows adds the workflows' part of the users' interface.
-func ServeWorkflows(app *fiber.App, core Workflows) {
-	ask := func(c *fiber.Ctx, r workflow.Request, patience time.Duration) error {
-		a, ok := core.User(r, patience)
+func ServeWorkflows(app *fiber.App, host Workflows) {
+	handle := func(c *fiber.Ctx, r workflow.Request, timeout time.Duration) error {
+		a, ok := host.HandleRequest(r, timeout)
 		if !ok {
-			a = workflow.Answer{Status: fiber.StatusServiceUnavailable, ID: r.ID, Error: "no answer in time", RetryS: 1}
+			a = workflow.Response{Status: fiber.StatusServiceUnavailable, ID: r.ID, Error: "no answer in time", RetryAfterS: 1}
 		}
-		if a.RetryS > 0 {
-			c.Set(fiber.HeaderRetryAfter, strconv.Itoa(a.RetryS))
+		if a.RetryAfterS > 0 {
+			c.Set(fiber.HeaderRetryAfter, strconv.Itoa(a.RetryAfterS))
 		}
 		body, err := json.Marshal(a)
 		if err != nil {
 			return err
 		}
-		return send(c, a.Status, body)
+		return sendJSON(c, a.Status, body)
 	}
 	app.Post("/v1/workflows", func(c *fiber.Ctx) error {
 		// fiber uses its buffers again.
-		return ask(c, workflow.Request{Kind: workflow.Submit, Body: append([]byte(nil), c.Body()...)}, submitPatience)
+		return handle(c, workflow.Request{Kind: workflow.Submit, Body: append([]byte(nil), c.Body()...)}, submitTimeout)
 	})
 	app.Get("/v1/workflows/:id", func(c *fiber.Ctx) error {
-		return ask(c, workflow.Request{Kind: workflow.Query, ID: id(c)}, queryPatience)
+		return handle(c, workflow.Request{Kind: workflow.Query, ID: jobIDParam(c)}, queryTimeout)
 	})
 	app.Post("/v1/workflows/:id/abort", func(c *fiber.Ctx) error {
-		return ask(c, workflow.Request{Kind: workflow.Abort, ID: id(c)}, submitPatience)
+		return handle(c, workflow.Request{Kind: workflow.Abort, ID: jobIDParam(c)}, submitTimeout)
 	})
 }
--- a/internal/guard/table.go
+++ b/internal/guard/table.go
@@ -34,33 +34,33 @@
 	Reading State = iota
 	Body
 	Serving
-	Answering
+	Responding
 	Idle
-	states
+	stateCount
 )
 
-var stateNames = [states]string{"reading", "body", "serving", "answering", "idle"}
+var stateNames = [stateCount]string{"reading", "body", "serving", "answering", "idle"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Why tells why a connection was closed.
-type Why uint8
+// CloseReason tells why a connection was closed.
+type CloseReason uint8
 
 // The first three are late, the others make room.
 const (
-	LateHeader  Why = iota // the header took too long
-	LateBody               // the body took too long
-	LateAnswer             // the answer was not taken
-	LateRequest            // no further request came
-	Shed                   // its slot was needed
-	ShedBytes              // half-read bodies held too much
-	Refused                // no slot could be freed for it
-	whys
+	LateHeader   CloseReason = iota // the header took too long
+	LateBody                        // the body took too long
+	LateResponse                    // the answer was not taken
+	LateRequest                     // no further request came
+	Shed                            // its slot was needed
+	ShedBytes                       // half-read bodies held too much
+	Refused                         // no slot could be freed for it
+	closeReasonCount
 )
 
-var whyNames = [whys]string{"late_header", "late_body", "late_answer", "idle", "shed", "shed_bytes", "refused"}
+var closeReasonNames = [closeReasonCount]string{"late_header", "late_body", "late_answer", "idle", "shed", "shed_bytes", "refused"}
 
-func (w Why) String() string { return whyNames[w] }
+func (w CloseReason) String() string { return closeReasonNames[w] }
 
 // Class is a kind of request with slots that others cannot take.
 type Class struct {
@@ -68,49 +68,49 @@
 	// Prefix is how the first line of its requests begins. The last class of
 	// a table takes what fits no other.
 	Prefix string
-	// Kept is its share of the slots: below it, its idle connections are not
+	// ReservedShare is its share of the slots: below it, its idle connections are not
 	// closed for others.
-	Kept float64
+	ReservedShare float64
 }
 
 // Limits bounds a table. Times are from the first byte of a request, from the
 // end of its header, from the start of the answer and from its end.
 type Limits struct {
-	Slots                      int
-	Bytes                      int // of half-read bodies
-	Header, Body, Answer, Idle time.Duration
+	Slots                        int
+	BodyBytes                    int // of half-read bodies
+	Header, Body, Response, Idle time.Duration
 }
 
-func (l Limits) late(s State) (time.Duration, Why) {
+func (l Limits) timeoutFor(s State) (time.Duration, CloseReason) {
 	switch s {
 	case Reading:
 		return l.Header, LateHeader
 	case Body:
 		return l.Body, LateBody
-	case Answering:
-		return l.Answer, LateAnswer
+	case Responding:
+		return l.Response, LateResponse
 	}
 	return l.Idle, LateRequest
 }
 
 // Entry is a connection in a table. Sock is the caller's.
 type Entry struct {
-	Sock  any
-	state State
-	class int
-	fresh bool // nothing of the present request has come
-	gone  bool
-	since time.Duration
-	held  int
-	at    *list.Element
+	Sock            any
+	state           State
+	class           int
+	awaitsFirstByte bool // nothing of the present request has come
+	closed          bool
+	since           time.Duration
+	bodyBytes       int
+	element         *list.Element
 }
 
 // Closed is a connection that the table gave up. Half tells that a request was
 // under way, so that its sender is owed an answer.
 type Closed struct {
 	*Entry
-	Why  Why
-	Half bool
+	Reason     CloseReason
+	MidRequest bool
 }
 
 // Table holds the connections of one address. It is owned by its caller; times
@@ -119,19 +119,19 @@
 	limits  Limits
 	classes []Class
 	// Connections by state, and idle ones by class too, oldest first.
-	stalled [states]*list.List
-	idle    []*list.List
-	open    []int // by class
-	serving int
-	held    int
-	closed  [][whys]uint64 // by class
-
-	last, lost, swept time.Duration
+	stalled   [stateCount]*list.List
+	idle      []*list.List
+	open      []int // by class
+	serving   int
+	bodyBytes int
+	closed    [][closeReasonCount]uint64 // by class
+
+	latest, suspended, lastSweep time.Duration
 }
 
 // New returns an empty table. The last class takes what fits no other.
 func New(l Limits, classes []Class) *Table {
-	t := &Table{limits: l, classes: classes, open: make([]int, len(classes)), closed: make([][whys]uint64, len(classes))}
+	t := &Table{limits: l, classes: classes, open: make([]int, len(classes)), closed: make([][closeReasonCount]uint64, len(classes))}
 	for i := range t.stalled {
 		t.stalled[i] = list.New()
 	}
@@ -144,11 +144,11 @@
 // Interval is how often Sweep wants to be called.
 func (t *Table) Interval() time.Duration { return t.limits.Header / 4 }
 
-// clock is the time that counts: less what the process stood still, and never
+// effectiveTime is the time that counts: less what the process stood still, and never
 // backwards, so that lists stay in order.
-func (t *Table) clock(now time.Duration) time.Duration {
-	t.last = max(t.last, now-t.lost)
-	return t.last
+func (t *Table) effectiveTime(now time.Duration) time.Duration {
+	t.latest = max(t.latest, now-t.suspended)
+	return t.latest
 }
 
 func (t *Table) listOf(e *Entry) *list.List {
@@ -161,19 +161,19 @@
 	return t.stalled[e.state]
 }
 
-func (t *Table) leave(e *Entry) {
-	if e.at != nil {
-		t.listOf(e).Remove(e.at)
-		e.at = nil
+func (t *Table) removeFromState(e *Entry) {
+	if e.element != nil {
+		t.listOf(e).Remove(e.element)
+		e.element = nil
 	} else {
 		t.serving--
 	}
 }
 
-func (t *Table) enter(e *Entry, s State, now time.Duration) {
+func (t *Table) enterState(e *Entry, s State, now time.Duration) {
 	e.state, e.since = s, now
 	if l := t.listOf(e); l != nil {
-		e.at = l.PushBack(e)
+		e.element = l.PushBack(e)
 	} else {
 		t.serving++
 	}
@@ -185,7 +185,7 @@
 // Open asks for a slot. What had to go for it is in closed. Without a slot the
 // entry is nil: wait tells when to ask again, 0 that the connection is refused.
 func (t *Table) Open(now time.Duration, sock any) (e *Entry, closed []Closed, wait time.Duration) {
-	now = t.clock(now)
+	now = t.effectiveTime(now)
 	last := len(t.classes) - 1
 	if t.count() >= t.limits.Slots {
 		v, ok := t.victim()
@@ -196,11 +196,11 @@
 		if rest := t.Grace() - (now - v.since); rest > 0 && v.state != Idle {
 			return nil, nil, rest
 		}
-		closed = append(closed, t.drop(v, Shed))
+		closed = append(closed, t.evict(v, Shed))
 	}
-	e = &Entry{Sock: sock, class: last, fresh: true}
+	e = &Entry{Sock: sock, class: last, awaitsFirstByte: true}
 	t.open[last]++
-	t.enter(e, Reading, now)
+	t.enterState(e, Reading, now)
 	return e, closed, 0
 }
 
@@ -216,58 +216,58 @@
 // longest, whatever it asks for, else the one that has been idle longest of the
 // class that is furthest above its share.
 func (t *Table) victim() (*Entry, bool) {
-	var v *Entry
+	var oldest *Entry
 	for _, l := range t.stalled {
-		if f := l.Front(); f != nil && (v == nil || f.Value.(*Entry).since < v.since) {
-			v = f.Value.(*Entry)
+		if f := l.Front(); f != nil && (oldest == nil || f.Value.(*Entry).since < oldest.since) {
+			oldest = f.Value.(*Entry)
 		}
 	}
-	if v != nil {
-		return v, true
+	if oldest != nil {
+		return oldest, true
 	}
-	most := 0.0
+	largestExcess := 0.0
 	for i, c := range t.classes {
 		f := t.idle[i].Front()
-		if over := float64(t.open[i]) - c.Kept*float64(t.limits.Slots); f != nil && (v == nil || over > most) {
-			v, most = f.Value.(*Entry), over
+		if excess := float64(t.open[i]) - c.ReservedShare*float64(t.limits.Slots); f != nil && (oldest == nil || excess > largestExcess) {
+			oldest, largestExcess = f.Value.(*Entry), excess
 		}
 	}
-	return v, v != nil
+	return oldest, oldest != nil
 }
 
-func (t *Table) drop(e *Entry, why Why) Closed {
-	c := Closed{Entry: e, Why: why, Half: (e.state == Reading && !e.fresh) || e.state == Body}
-	t.closed[e.class][why]++
+func (t *Table) evict(e *Entry, reason CloseReason) Closed {
+	c := Closed{Entry: e, Reason: reason, MidRequest: (e.state == Reading && !e.awaitsFirstByte) || e.state == Body}
+	t.closed[e.class][reason]++
 	t.Close(e)
 	return c
 }
 
 // Close gives a connection's slot back. It may be called again.
 func (t *Table) Close(e *Entry) {
-	if e.gone {
+	if e.closed {
 		return
 	}
-	e.gone = true
-	t.leave(e)
+	e.closed = true
+	t.removeFromState(e)
 	t.open[e.class]--
-	t.held -= e.held
-	e.held = 0
+	t.bodyBytes -= e.bodyBytes
+	e.bodyBytes = 0
 }
 
-// Read is told of the bytes that arrived. The first ones of a request tell its
+// ReceiveBytes is told of the bytes that arrived. The first ones of a request tell its
 // class.
-func (t *Table) Read(now time.Duration, e *Entry, b []byte) {
-	if e.gone || len(b) == 0 || (e.state != Idle && !(e.state == Reading && e.fresh)) {
+func (t *Table) ReceiveBytes(now time.Duration, e *Entry, b []byte) {
+	if e.closed || len(b) == 0 || (e.state != Idle && !(e.state == Reading && e.awaitsFirstByte)) {
 		return
 	}
 	if e.state == Idle {
-		t.leave(e)
+		t.removeFromState(e)
 		t.classify(e, b)
-		t.enter(e, Reading, t.clock(now))
+		t.enterState(e, Reading, t.effectiveTime(now))
 	} else {
 		t.classify(e, b)
 	}
-	e.fresh = false
+	e.awaitsFirstByte = false
 }
 
 func (t *Table) classify(e *Entry, b []byte) {
@@ -282,39 +282,39 @@
 	}
 }
 
-// Begin is told that a request's header is there. A piped one was sent before
+// BeginRequest is told that a request's header is there. A piped one was sent before
 // the last was answered: nothing was read since.
-func (t *Table) Begin(now time.Duration, e *Entry, s State) (ok, piped bool) {
-	piped = e.state != Reading
-	return t.Move(now, e, s), piped
+func (t *Table) BeginRequest(now time.Duration, e *Entry, s State) (ok, pipelined bool) {
+	pipelined = e.state != Reading
+	return t.Transition(now, e, s), pipelined
 }
 
-// Move is told what a connection does now. A connection that was given up has
+// Transition is told what a connection does now. A connection that was given up has
 // ended, whatever it was about to do.
-func (t *Table) Move(now time.Duration, e *Entry, s State) (ok bool) {
-	if e.gone {
+func (t *Table) Transition(now time.Duration, e *Entry, s State) (ok bool) {
+	if e.closed {
 		return false
 	}
-	t.leave(e)
-	t.enter(e, s, t.clock(now))
-	e.fresh = s == Idle
+	t.removeFromState(e)
+	t.enterState(e, s, t.effectiveTime(now))
+	e.awaitsFirstByte = s == Idle
 	if s != Body {
-		t.held -= e.held
-		e.held = 0
+		t.bodyBytes -= e.bodyBytes
+		e.bodyBytes = 0
 	}
 	return true
 }
 
-// Hold is told how many bytes a half-read body takes by now. Beyond the bound,
+// SetBodyBytes is told how many bytes a half-read body takes by now. Beyond the bound,
 // the bodies that have been under way longest are given up.
-func (t *Table) Hold(e *Entry, n int) (closed []Closed) {
-	if e.gone {
+func (t *Table) SetBodyBytes(e *Entry, n int) (closed []Closed) {
+	if e.closed {
 		return nil
 	}
-	t.held += n - e.held
-	e.held = n
-	for l := t.stalled[Body]; t.held > t.limits.Bytes && l.Len() > 0; {
-		closed = append(closed, t.drop(l.Front().Value.(*Entry), ShedBytes))
+	t.bodyBytes += n - e.bodyBytes
+	e.bodyBytes = n
+	for l := t.stalled[Body]; t.bodyBytes > t.limits.BodyBytes && l.Len() > 0; {
+		closed = append(closed, t.evict(l.Front().Value.(*Entry), ShedBytes))
 	}
 	return closed
 }
@@ -322,19 +322,19 @@
 // Sweep gives up what took too long. After a standstill of the process itself
 // nothing is late that was not before: what came meanwhile is still unread.
 func (t *Table) Sweep(now time.Duration) (closed []Closed) {
-	if gap := now - t.swept; t.swept > 0 && gap > 2*t.Interval() {
-		t.lost += gap - t.Interval()
+	if sinceLastSweep := now - t.lastSweep; t.lastSweep > 0 && sinceLastSweep > 2*t.Interval() {
+		t.suspended += sinceLastSweep - t.Interval()
 	}
-	t.swept = now
-	now = t.clock(now)
+	t.lastSweep = now
+	now = t.effectiveTime(now)
 	for _, l := range append(t.stalled[:], t.idle...) {
 		for f := l.Front(); f != nil; f = l.Front() {
 			e := f.Value.(*Entry)
-			after, why := t.limits.late(e.state)
-			if now-e.since <= after {
+			timeout, reason := t.limits.timeoutFor(e.state)
+			if now-e.since <= timeout {
 				break
 			}
-			closed = append(closed, t.drop(e, why))
+			closed = append(closed, t.evict(e, reason))
 		}
 	}
 	return closed
@@ -342,15 +342,15 @@
 
 // Stats is how a table stands.
 type Stats struct {
-	Slots, Held int
-	Open        map[string]int            // by class
-	State       map[string]int            // by state
-	Closed      map[string]map[string]int // by class and cause
+	Slots, BodyBytes int
+	Open             map[string]int            // by class
+	State            map[string]int            // by state
+	Closed           map[string]map[string]int // by class and cause
 }
 
 // Stats counts.
 func (t *Table) Stats() Stats {
-	s := Stats{Slots: t.limits.Slots, Held: t.held, Open: map[string]int{}, State: map[string]int{Serving.String(): t.serving}, Closed: map[string]map[string]int{}}
+	s := Stats{Slots: t.limits.Slots, BodyBytes: t.bodyBytes, Open: map[string]int{}, State: map[string]int{Serving.String(): t.serving}, Closed: map[string]map[string]int{}}
 	for st, l := range t.stalled {
 		if st := State(st); st != Serving && st != Idle {
 			s.State[st.String()] = l.Len()
@@ -361,7 +361,7 @@
 		s.State[Idle.String()] += t.idle[i].Len()
 		s.Closed[c.Name] = map[string]int{}
 		for w, n := range t.closed[i] {
-			s.Closed[c.Name][Why(w).String()] = int(n)
+			s.Closed[c.Name][CloseReason(w).String()] = int(n)
 		}
 	}
 	return s
