--- a/internal/mesh/admin.go
+++ b/internal/mesh/admin.go
@@ -13,32 +13,32 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Admin is what the administration API shows and changes.
-type Admin interface {
+// AdminCore is what the administration API shows and changes.
+type AdminCore interface {
 	Status() scheduler.Status
 	Settings() scheduler.Settings
 	Collectors() []prometheus.Collector
-	ChangeSettings(scheduler.Settings) (scheduler.UserAnswer, bool)
+	ChangeSettings(scheduler.Settings) (scheduler.UserResponse, bool)
 	Rollout() *scheduler.RolloutStatus
 	PreviewRollout(rollout.Plan) scheduler.RolloutPreview
-	ApplyRollout(rollout.Plan) (scheduler.UserAnswer, bool)
-	CommandRollout(rollout.Command) (scheduler.UserAnswer, bool)
+	ApplyRollout(rollout.Plan) (scheduler.UserResponse, bool)
+	CommandRollout(rollout.Command) (scheduler.UserResponse, bool)
 }
 
-func serveAdmin(app *fiber.App, core Admin) {
+func serveAdmin(app *fiber.App, core AdminCore) {
 	app.Get("/v1/status", func(c *fiber.Ctx) error { return c.JSON(core.Status()) })
 	app.Get("/v1/settings", func(c *fiber.Ctx) error { return c.JSON(core.Settings()) })
 	app.Patch("/v1/settings", func(c *fiber.Ctx) error {
 		s := core.Settings()
-		was := s.Disruption
+		previous := s.Disruption
 		s.Disruption = nil // given, it takes the place of the old one: a team can be taken out
-		if err := strictJSON(c.Body(), &s); err != nil {
+		if err := decodeStrictJSON(c.Body(), &s); err != nil {
 			return err
 		}
 		if s.Disruption == nil {
-			s.Disruption = was
+			s.Disruption = previous
 		}
-		if err := answered(core.ChangeSettings(s)); err != nil {
+		if err := responseError(core.ChangeSettings(s)); err != nil {
 			return err
 		}
 		return c.JSON(s)
@@ -48,7 +48,7 @@
 }
 
 // serveRollout serves plans that drain or replace machines.
-func serveRollout(app *fiber.App, core Admin) {
+func serveRollout(app *fiber.App, core AdminCore) {
 	status := func(c *fiber.Ctx) error {
 		st := core.Rollout()
 		if st == nil {
@@ -59,24 +59,24 @@
 	app.Get("/v1/rollout", status)
 	app.Put("/v1/rollout", func(c *fiber.Ctx) error {
 		var p rollout.Plan
-		if err := strictJSON(c.Body(), &p); err != nil {
+		if err := decodeStrictJSON(c.Body(), &p); err != nil {
 			return err
 		}
 		if c.QueryBool("preview") {
-			v := core.PreviewRollout(p)
-			if v.Wrong != "" {
-				return fiber.NewError(fiber.StatusBadRequest, v.Wrong)
+			preview := core.PreviewRollout(p)
+			if preview.InvalidReason != "" {
+				return fiber.NewError(fiber.StatusBadRequest, preview.InvalidReason)
 			}
-			return c.JSON(v)
+			return c.JSON(preview)
 		}
-		if err := answered(core.ApplyRollout(p)); err != nil {
+		if err := responseError(core.ApplyRollout(p)); err != nil {
 			return err
 		}
 		return status(c)
 	})
-	for _, what := range []rollout.Command{rollout.Pause, rollout.Resume, rollout.Abort} {
-		app.Post("/v1/rollout/"+string(what), func(c *fiber.Ctx) error {
-			if err := answered(core.CommandRollout(what)); err != nil {
+	for _, command := range []rollout.Command{rollout.Pause, rollout.Resume, rollout.Abort} {
+		app.Post("/v1/rollout/"+string(command), func(c *fiber.Ctx) error {
+			if err := responseError(core.CommandRollout(command)); err != nil {
 				return err
 			}
 			return status(c)
@@ -85,7 +85,7 @@
 }
 
 // serveMetrics serves the metrics of the core and of the process.
-func serveMetrics(app *fiber.App, core Admin) {
+func serveMetrics(app *fiber.App, core AdminCore) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&collector{core})
 	registry.MustRegister(core.Collectors()...)
@@ -106,9 +106,9 @@
 	})
 }
 
-// strictJSON reads one JSON value into what is there, and refuses names that nobody
+// decodeStrictJSON reads one JSON value into what is there, and refuses names that nobody
 // knows. Its strings are copies: fiber uses the body's memory again.
-func strictJSON(body []byte, into any) error {
+func decodeStrictJSON(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// answered turns the core's answer into an error unless it is good.
-func answered(a scheduler.UserAnswer, ok bool) error {
+// responseError turns the core's answer into an error unless it is good.
+func responseError(a scheduler.UserResponse, ok bool) error {
 	switch {
 	case !ok:
 		return fiber.NewError(fiber.StatusServiceUnavailable, "no answer in time")
@@ -132,36 +132,36 @@
 }
 
 // collector turns a status into metrics when they are asked for.
-type collector struct{ core Admin }
+type collector struct{ core AdminCore }
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("grebedock_"+name, help, labels, nil)
 }
 
 var (
-	descAuthority = desc("authority", "1 while the member may act for its shards.")
-	descLeading   = desc("leading", "1 while the member leads the fleet.")
-	descJobs      = desc("jobs", "Live jobs.")
-	descQueued    = desc("queued_tasks", "Tasks that wait for a machine.", "shard")
-	descPlan      = desc("plan_gap_seconds", "Time between two plans that the last one's cost asks for.", "shard")
-	descUnseen    = desc("unseen_machines", "Machines that may run tasks of earlier claims without this member's knowing it.", "shard")
-	descNoted     = desc("noted_machines", "Silent machines of which the state service says what they hold.", "shard")
-	descPaced     = desc("paced", "1 while the orders that follow a claim are paced.", "shard")
-	descPlanned   = desc("rollout_machines", "Machines of the plan that drains or replaces them, by how far they are: left, emptying, booting replacements, replacements that came up.", "state")
-	descRollout   = desc("rollout", "1 for the plan's state.", "state")
-	descDown      = desc("rollout_stopped_tasks", "Tasks that were stopped to empty machines and do not run again yet.", "team")
-	descTeam      = desc("team", "Processors of a team: used and waited for over all members, below its guarantee while work within that waits, and this member's part of its limit.", "team", "what")
-	descMachines  = desc("machines", "Machines of the fleet.", "shard", "type")
-	descEvents    = desc("events_total", "Events since the member started.", "event")
+	descAuthority           = newDesc("authority", "1 while the member may act for its shards.")
+	descLeading             = newDesc("leading", "1 while the member leads the fleet.")
+	descJobs                = newDesc("jobs", "Live jobs.")
+	descQueued              = newDesc("queued_tasks", "Tasks that wait for a machine.", "shard")
+	descPlanInterval        = newDesc("plan_gap_seconds", "Time between two plans that the last one's cost asks for.", "shard")
+	descUnreported          = newDesc("unseen_machines", "Machines that may run tasks of earlier claims without this member's knowing it.", "shard")
+	descStatusRecords       = newDesc("noted_machines", "Silent machines of which the state service says what they hold.", "shard")
+	descPaced               = newDesc("paced", "1 while the orders that follow a claim are paced.", "shard")
+	descRolloutMachines     = newDesc("rollout_machines", "Machines of the plan that drains or replaces them, by how far they are: left, emptying, booting replacements, replacements that came up.", "state")
+	descRollout             = newDesc("rollout", "1 for the plan's state.", "state")
+	descRolloutStoppedTasks = newDesc("rollout_stopped_tasks", "Tasks that were stopped to empty machines and do not run again yet.", "team")
+	descTeam                = newDesc("team", "Processors of a team: used and waited for over all members, below its guarantee while work within that waits, and this member's part of its limit.", "team", "what")
+	descMachines            = newDesc("machines", "Machines of the fleet.", "shard", "type")
+	descEvents              = newDesc("events_total", "Events since the member started.", "event")
 )
 
 func (c *collector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descAuthority, descLeading, descJobs, descQueued, descPlan, descUnseen, descNoted, descPaced, descPlanned, descRollout, descDown, descTeam, descMachines, descEvents} {
+	for _, d := range []*prometheus.Desc{descAuthority, descLeading, descJobs, descQueued, descPlanInterval, descUnreported, descStatusRecords, descPaced, descRolloutMachines, descRollout, descRolloutStoppedTasks, descTeam, descMachines, descEvents} {
 		ch <- d
 	}
 }
 
-func number(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -173,40 +173,40 @@
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	gauge(descAuthority, number(st.Authority))
-	gauge(descLeading, number(st.Leading))
+	gauge(descAuthority, boolValue(st.Authority))
+	gauge(descLeading, boolValue(st.Leading))
 	gauge(descJobs, float64(st.Jobs))
 	for _, s := range st.Shards {
-		if s.Mine {
-			gauge(descQueued, float64(s.Queued), s.Shard)
-			gauge(descPlan, s.PlanGapS, s.Shard)
-			gauge(descUnseen, float64(s.Unseen), s.Shard)
-			gauge(descNoted, float64(s.Noted), s.Shard)
-			gauge(descPaced, number(s.Paced), s.Shard)
+		if s.Owned {
+			gauge(descQueued, float64(s.QueuedTasks), s.Shard)
+			gauge(descPlanInterval, s.PlanIntervalS, s.Shard)
+			gauge(descUnreported, float64(s.Unreported), s.Shard)
+			gauge(descStatusRecords, float64(s.RecordedUnreachable), s.Shard)
+			gauge(descPaced, boolValue(s.Paced), s.Shard)
 		}
 	}
 	if r := c.core.Rollout(); r != nil {
 		gauge(descRollout, 1, string(r.State))
-		gauge(descPlanned, float64(r.Left), "left")
-		gauge(descPlanned, float64(r.Emptying), "emptying")
-		gauge(descPlanned, float64(r.Booting), "booting")
-		gauge(descPlanned, float64(r.Ready), "ready")
-		for team, n := range r.Down {
-			gauge(descDown, float64(n), team)
+		gauge(descRolloutMachines, float64(r.Remaining), "left")
+		gauge(descRolloutMachines, float64(r.Emptying), "emptying")
+		gauge(descRolloutMachines, float64(r.Booting), "booting")
+		gauge(descRolloutMachines, float64(r.ReadyReplacements), "ready")
+		for team, n := range r.Disrupted {
+			gauge(descRolloutStoppedTasks, float64(n), team)
 		}
 	}
 	for _, t := range st.Teams {
-		part := 0.0
+		allocation := 0.0
 		for _, s := range st.Shards {
-			if s.Mine {
-				part += t.Parts[s.Shard].CPUs
+			if s.Owned {
+				allocation += t.Allocations[s.Shard].CPUs
 			}
 		}
-		gauge(descTeam, t.Use.CPUs, t.Team, "used")
-		gauge(descTeam, t.Wait.CPUs, t.Team, "waiting")
-		gauge(descTeam, t.Below.CPUs, t.Team, "below")
+		gauge(descTeam, t.TotalUsage.CPUs, t.Team, "used")
+		gauge(descTeam, t.TotalWaiting.CPUs, t.Team, "waiting")
+		gauge(descTeam, t.GuaranteeShortfall.CPUs, t.Team, "below")
 		if t.Limit.CPUs > 0 {
-			gauge(descTeam, part, t.Team, "part")
+			gauge(descTeam, allocation, t.Team, "part")
 		}
 	}
 	type group struct{ shard, typ string }
@@ -217,16 +217,16 @@
 	for g, n := range machines {
 		gauge(descMachines, float64(n), g.shard, g.typ)
 	}
-	k := st.Counters
+	counters := st.Counters
 	for _, e := range []struct {
 		name string
 		n    uint64
 	}{
-		{"start", k.Starts}, {"lost_task", k.Lost}, {"task_error", k.Errors}, {"claim", k.Claims}, {"rented", k.Rented},
-		{"returned", k.Returned}, {"moved", k.Moved}, {"replan", k.Replans}, {"accepted", k.Accepted}, {"finished", k.Finished},
-		{"preempted", k.Preempted}, {"refused", k.Refused}, {"relayed", k.Relayed}, {"read_batches", k.Batches}, {"shed", k.Shed},
-		{"adopted", k.Adopted}, {"stray", k.Strays}, {"ceded", k.Ceded},
-		{"in_doubt", k.InDoubt}, {"old_report", k.Old}, {"confirmed", k.Confirmed}, {"unheard", k.Unheard},
+		{"start", counters.Starts}, {"lost_task", counters.LostTasks}, {"task_error", counters.Errors}, {"claim", counters.Claims}, {"rented", counters.Provisioned},
+		{"returned", counters.Released}, {"moved", counters.MovedTasks}, {"replan", counters.Replans}, {"accepted", counters.Accepted}, {"finished", counters.Finished},
+		{"preempted", counters.Preempted}, {"refused", counters.UnavailableResponses}, {"relayed", counters.Relayed}, {"read_batches", counters.QueryBatches}, {"shed", counters.ShedSubmissions},
+		{"adopted", counters.AdoptedTasks}, {"stray", counters.OrphanedTasks}, {"ceded", counters.ReclaimedTasks},
+		{"in_doubt", counters.InDoubtWrites}, {"old_report", counters.StaleHeartbeats}, {"confirmed", counters.ConfirmedSubmissions}, {"unheard", counters.UndeliveredStarts},
 	} {
 		ch <- prometheus.MustNewConstMetric(descEvents, prometheus.CounterValue, float64(e.n), e.name)
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -24,33 +24,33 @@
 
 // Core is what the mesh needs of the node.
 type Core interface {
-	Peer(scheduler.PeerMessage)
-	User(scheduler.UserRequest, time.Duration) (scheduler.UserAnswer, bool)
-	Admin
+	HandlePeerMessage(scheduler.PeerMessage)
+	HandleUserRequest(scheduler.UserRequest, time.Duration) (scheduler.UserResponse, bool)
+	AdminCore
 }
 
-// maxMessage bounds a peer's message. A summary of 125 functions takes some
+// maxMessageBytes bounds a peer's message. A summary of 125 functions takes some
 // 40 KB, and a member that adopted shards sends one for each.
-const maxMessage = 1 << 20
+const maxMessageBytes = 1 << 20
 
-// Classes are the kinds of requests on the mesh address: each peer sends its
+// ConnectionClasses are the kinds of requests on the mesh address: each peer sends its
 // messages on one connection and what it relays on a few, and the rest is
 // operators'.
-func Classes() []guard.Class {
-	return []guard.Class{{Name: "peers", Prefix: "POST /peer ", Kept: 1.0 / 4}, {Name: "relays", Prefix: "POST /relay ", Kept: 1.0 / 2}, {Name: "operators", Kept: 1.0 / 4}}
+func ConnectionClasses() []guard.Class {
+	return []guard.Class{{Name: "peers", Prefix: "POST /peer ", ReservedShare: 1.0 / 4}, {Name: "relays", Prefix: "POST /relay ", ReservedShare: 1.0 / 2}, {Name: "operators", ReservedShare: 1.0 / 4}}
 }
 
-// Server returns the server of the mesh address. Guarded, its listener must be
+// NewPeerServer returns the server of the mesh address. Guarded, its listener must be
 // a guard's.
-func Server(core Core, sockets int, guarded bool) *fiber.App {
-	app := front.NewApp(sockets, maxMessage, guarded)
+func NewPeerServer(core Core, maxSockets int, limited bool) *fiber.App {
+	app := front.NewServer(maxSockets, maxMessageBytes, limited)
 	serveAdmin(app, core)
 	app.Post("/peer", func(c *fiber.Ctx) error {
 		msg, err := decode(c.Body())
 		if err != nil {
 			return fiber.NewError(fiber.StatusBadRequest, "not a peer's message")
 		}
-		core.Peer(msg)
+		core.HandlePeerMessage(msg)
 		return c.SendStatus(fiber.StatusNoContent)
 	})
 	app.Post("/relay", func(c *fiber.Ctx) error {
@@ -58,9 +58,9 @@
 		if err != nil {
 			return fiber.NewError(fiber.StatusBadRequest, err.Error())
 		}
-		a, ok := core.User(r, relayTimeout)
+		a, ok := core.HandleUserRequest(r, relayTimeout)
 		if !ok {
-			a = scheduler.UserAnswer{Status: fiber.StatusServiceUnavailable, ID: r.ID, Error: "no answer in time", RetryS: 1}
+			a = scheduler.UserResponse{Status: fiber.StatusServiceUnavailable, ID: r.ID, Error: "no answer in time", RetryAfterS: 1}
 		}
 		body, err := msgpack.Marshal(&a)
 		if err != nil {
@@ -74,11 +74,11 @@
 
 // relayTimeout bounds a relayed request: half of what the state service has for
 // one, since its user has waited already.
-const relayTimeout = access.Timeout / 2
+const relayTimeout = access.RequestTimeout / 2
 
-// Relays is how many requests a member may have its peers answer at once, by
+// MaxRelays is how many requests a member may have its peers answer at once, by
 // the sockets that it has; each peer takes a part of them.
-func Relays(sockets int) int { return max(4, sockets/32) }
+func MaxRelays(maxSockets int) int { return max(4, maxSockets/32) }
 
 // Peers sends messages to the other members.
 type Peers struct {
@@ -87,37 +87,37 @@
 }
 
 type peer struct {
-	client *rest.Client
-	relays *rest.Client
-	busy   bool
-	next   []byte
-	whole  bool // next has summaries
+	messageClient    *rest.Client
+	relayClient      *rest.Client
+	sending          bool
+	nextBody         []byte
+	nextHasSummaries bool // next has summaries
 }
 
-// timeout bounds the sending of a message; the next one says all anew.
-const timeout = 2 * time.Second
+// messageTimeout bounds the sending of a message; the next one says all anew.
+const messageTimeout = 2 * time.Second
 
 // NewPeers returns a sender to the others; relays bounds the requests that they
 // are to answer at once.
-func NewPeers(others []config.Other, relays int) *Peers {
+func NewPeers(others []config.Peer, maxRelays int) *Peers {
 	p := &Peers{peers: map[string]*peer{}}
 	for _, o := range others {
-		p.peers[o.Member] = &peer{client: rest.NewClient(o.Addr, 2), relays: rest.NewClient(o.Addr, max(1, relays/len(others)))}
+		p.peers[o.Member] = &peer{messageClient: rest.NewClient(o.Addr, 2), relayClient: rest.NewClient(o.Addr, max(1, maxRelays/len(others)))}
 	}
 	return p
 }
 
 // Relay has a peer answer a user's request.
-func (p *Peers) Relay(r scheduler.Relay) (scheduler.UserAnswer, bool) {
-	q := p.peers[r.Peer]
+func (p *Peers) Relay(r scheduler.RelayRequest) (scheduler.UserResponse, bool) {
+	peer := p.peers[r.Peer]
 	body, err := msgpack.Marshal(&r.Request)
-	if q == nil || err != nil {
-		return scheduler.UserAnswer{}, false
+	if peer == nil || err != nil {
+		return scheduler.UserResponse{}, false
 	}
-	status, body := q.relays.DoType(wire.Request{Method: "POST", Path: "/relay", Body: body}, msgpackType, relayTimeout)
-	var a scheduler.UserAnswer
+	status, body := peer.relayClient.DoType(wire.Request{Method: "POST", Path: "/relay", Body: body}, msgpackType, relayTimeout)
+	var a scheduler.UserResponse
 	if status != fiber.StatusOK || msgpack.Unmarshal(body, &a) != nil || a.Status == 0 {
-		return scheduler.UserAnswer{}, false
+		return scheduler.UserResponse{}, false
 	}
 	return a, true
 }
@@ -129,8 +129,8 @@
 	if err := msgpack.Unmarshal(body, &r); err != nil {
 		return r, errors.New("not a relayed request")
 	}
-	if !wire.ValidJobID(r.ID) || r.Kind < scheduler.Submit || r.Kind > scheduler.Cancel ||
-		r.Job != nil && (r.Job.ID != r.ID || r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks) || r.Kind != scheduler.Submit && r.Job != nil {
+	if !wire.IsValidJobID(r.ID) || r.Kind < scheduler.SubmitJob || r.Kind > scheduler.CancelJob ||
+		r.Job != nil && (r.Job.ID != r.ID || r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks) || r.Kind != scheduler.SubmitJob && r.Job != nil {
 		return r, errors.New("no request of a user")
 	}
 	r.Relayed = true
@@ -139,44 +139,44 @@
 
 // Send sends a message to all others, with its summaries to whole alone (nil: to all), or keeps it until the one under way is
 // done: only the newest matters, but summaries that waited go with it. It is encoded once for all.
-func (p *Peers) Send(msg *scheduler.PeerMessage, whole []string) {
+func (p *Peers) Send(msg *scheduler.PeerMessage, summaryPeers []string) {
 	body, err := encode(msg)
 	if err != nil {
 		return // nothing in a message cannot be encoded
 	}
-	brief := body
-	if whole != nil {
-		if brief, err = encode(msg.WithoutSummaries()); err != nil {
+	shortBody := body
+	if summaryPeers != nil {
+		if shortBody, err = encode(msg.WithoutSummaries()); err != nil {
 			return
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, q := range p.peers {
-		all := whole == nil || slices.Contains(whole, name) || q.next != nil && q.whole
+	for name, target := range p.peers {
+		withSummaries := summaryPeers == nil || slices.Contains(summaryPeers, name) || target.nextBody != nil && target.nextHasSummaries
 		body := body
-		if !all {
-			body = brief
+		if !withSummaries {
+			body = shortBody
 		}
-		if q.busy {
-			q.next, q.whole = body, all
+		if target.sending {
+			target.nextBody, target.nextHasSummaries = body, withSummaries
 			continue
 		}
-		q.busy = true
-		go p.run(q, body)
+		target.sending = true
+		go p.sendLoop(target, body)
 	}
 }
 
-func (p *Peers) run(q *peer, body []byte) {
+func (p *Peers) sendLoop(target *peer, body []byte) {
 	for {
-		q.client.DoType(wire.Request{Method: "POST", Path: "/peer", Body: body}, msgpackType, timeout)
+		target.messageClient.DoType(wire.Request{Method: "POST", Path: "/peer", Body: body}, msgpackType, messageTimeout)
 		p.mu.Lock()
-		if q.next == nil {
-			q.busy = false
+		if target.nextBody == nil {
+			target.sending = false
 			p.mu.Unlock()
 			return
 		}
-		body, q.next = q.next, nil
+		body, target.nextBody = target.nextBody, nil
 		p.mu.Unlock()
 	}
 }
--- a/internal/mesh/message.go
+++ b/internal/mesh/message.go
@@ -16,30 +16,30 @@
 // samples, once a second from every peer: field by field they took an eighth of
 // a member's processor. They go as one row of numbers, times as differences.
 type message struct {
-	From   string        `msgpack:"from"`
-	Wall   int64         `msgpack:"wall"`
-	Wants  string        `msgpack:"wants"`
-	Serves bool          `msgpack:"serves"`
-	Tally  rollout.Tally `msgpack:"tally"`
-	Teams  quota.Figures `msgpack:"teams"`
-	Brief  bool          `msgpack:"brief,omitempty"`
-	Shards []shardReport `msgpack:"shards"`
+	From             string               `msgpack:"from"`
+	WallMS           int64                `msgpack:"wall"`
+	ShardRequestTo   string               `msgpack:"wants"`
+	CanRelay         bool                 `msgpack:"serves"`
+	Counts           rollout.HealthCounts `msgpack:"tally"`
+	Teams            quota.UsageSnapshot  `msgpack:"teams"`
+	WithoutSummaries bool                 `msgpack:"brief,omitempty"`
+	Shards           []shardReport        `msgpack:"shards"`
 }
 
 type shardReport struct {
-	Shard   string                      `msgpack:"shard"`
-	Summary summary                     `msgpack:"summary"`
-	Needs   []scheduler.Need            `msgpack:"needs"`
-	Running map[string]scheduler.Counts `msgpack:"running"`
-	Returns []string                    `msgpack:"returns"`
+	Shard     string                          `msgpack:"shard"`
+	Summary   summary                         `msgpack:"summary"`
+	Demands   []scheduler.CapacityDemand      `msgpack:"needs"`
+	Running   map[string]scheduler.TaskCounts `msgpack:"running"`
+	Releasing []string                        `msgpack:"returns"`
 
 	Disruption map[string]disruption.Demand `msgpack:"disruption,omitempty"`
 }
 
 func encode(msg *scheduler.PeerMessage) ([]byte, error) {
-	out := message{From: msg.From, Wall: msg.Wall, Wants: msg.Wants, Serves: msg.Serves, Tally: msg.Tally, Teams: msg.Teams, Brief: msg.Brief, Shards: make([]shardReport, len(msg.Shards))}
-	for i, s := range msg.Shards {
-		out.Shards[i] = shardReport{s.Shard, summary(s.Summary), s.Needs, s.Running, s.Returns, s.Disruption}
+	out := message{From: msg.From, WallMS: msg.WallMS, ShardRequestTo: msg.ShardRequestedFrom, CanRelay: msg.ServesUsers, Counts: msg.RolloutCounts, Teams: msg.TeamUsage, WithoutSummaries: msg.OmitsSummaries, Shards: make([]shardReport, len(msg.OwnedShards))}
+	for i, s := range msg.OwnedShards {
+		out.Shards[i] = shardReport{s.Shard, summary(s.Summary), s.Demands, s.TaskCounts, s.MachinesToRelease, s.DisruptionDemands}
 	}
 	return msgpack.Marshal(&out)
 }
@@ -49,9 +49,9 @@
 	if err := msgpack.Unmarshal(body, &in); err != nil {
 		return scheduler.PeerMessage{}, err
 	}
-	msg := scheduler.PeerMessage{From: in.From, Wall: in.Wall, Wants: in.Wants, Serves: in.Serves, Tally: in.Tally, Teams: in.Teams, Brief: in.Brief}
+	msg := scheduler.PeerMessage{From: in.From, WallMS: in.WallMS, ShardRequestedFrom: in.ShardRequestTo, ServesUsers: in.CanRelay, RolloutCounts: in.Counts, TeamUsage: in.Teams, OmitsSummaries: in.WithoutSummaries}
 	for _, s := range in.Shards {
-		msg.Shards = append(msg.Shards, scheduler.ShardReport{Shard: s.Shard, Summary: availability.Summary(s.Summary), Needs: s.Needs, Running: s.Running, Returns: s.Returns, Disruption: s.Disruption})
+		msg.OwnedShards = append(msg.OwnedShards, scheduler.PeerShard{Shard: s.Shard, Summary: availability.Summary(s.Summary), Demands: s.Demands, TaskCounts: s.Running, MachinesToRelease: s.Releasing, DisruptionDemands: s.Disruption})
 	}
 	return msg, nil
 }
@@ -80,39 +80,39 @@
 	for _, n := range names {
 		err = errors.Join(err, e.EncodeString(n))
 	}
-	put := func(ns ...int64) {
+	encodeInts := func(ns ...int64) {
 		for _, n := range ns {
 			if err == nil {
 				err = e.EncodeInt(n)
 			}
 		}
 	}
-	put(int64(len(s)), int64(samples))
+	encodeInts(int64(len(s)), int64(samples))
 	for _, f := range s {
-		put(int64(kinds[f.Kind]), f.Count)
-		for _, v := range []float64{f.Room.CPUs, f.Room.GPUs, f.Room.MemoryGB, f.Room.DiskGB} {
+		encodeInts(int64(kinds[f.Kind]), f.Count)
+		for _, v := range []float64{f.Resources.CPUs, f.Resources.GPUs, f.Resources.MemoryGB, f.Resources.DiskGB} {
 			if err == nil {
 				err = e.EncodeFloat64(v)
 			}
 		}
-		put(int64(len(f.Samples)))
-		at := int64(0)
+		encodeInts(int64(len(f.Samples)))
+		previous := int64(0)
 		for _, p := range f.Samples {
-			put(p.At-at, p.Free)
-			at = p.At
+			encodeInts(p.TimeMS-previous, p.AvailableMS)
+			previous = p.TimeMS
 		}
 	}
 	return err
 }
 
-var errSummary = errors.New("not a summary")
+var errMalformedSummary = errors.New("not a summary")
 
 // DecodeMsgpack reads a summary. What it claims to hold is bounded by what a
 // message can: each number takes a byte at least.
 func (s *summary) DecodeMsgpack(d *msgpack.Decoder) error {
 	n, err := d.DecodeArrayLen()
-	if err != nil || n > maxMessage {
-		return errors.Join(errSummary, err)
+	if err != nil || n > maxMessageBytes {
+		return errors.Join(errMalformedSummary, err)
 	}
 	var names []string
 	for range n {
@@ -122,38 +122,38 @@
 		}
 		names = append(names, name)
 	}
-	number := func(least, most int64) (v int64) {
+	number := func(minimum, maximum int64) (v int64) {
 		if err == nil {
-			if v, err = d.DecodeInt64(); err == nil && (v < least || v > most) {
-				err = errSummary
+			if v, err = d.DecodeInt64(); err == nil && (v < minimum || v > maximum) {
+				err = errMalformedSummary
 			}
 		}
 		return v
 	}
-	get := func(most int64) int64 { return number(0, most) }
-	functions := get(maxFunctions)
-	left := get(maxFunctions * maxSamples)
+	nonNegative := func(maximum int64) int64 { return number(0, maximum) }
+	functions := nonNegative(maxFunctions)
+	remaining := nonNegative(maxFunctions * maxSamples)
 	if err != nil {
 		return err
 	}
-	all := make([]availability.Sample, 0, min(left, 2048))
+	samples := make([]availability.Sample, 0, min(remaining, 2048))
 	for range functions {
-		kind, count := get(int64(len(names))-1), get(maxTime)
+		kind, count := nonNegative(int64(len(names))-1), nonNegative(maxNumber)
 		if err != nil {
 			return err
 		}
 		f := availability.Function{Kind: names[kind], Count: count}
-		for _, v := range []*float64{&f.Room.CPUs, &f.Room.GPUs, &f.Room.MemoryGB, &f.Room.DiskGB} {
+		for _, v := range []*float64{&f.Resources.CPUs, &f.Resources.GPUs, &f.Resources.MemoryGB, &f.Resources.DiskGB} {
 			if err == nil {
 				*v, err = d.DecodeFloat64()
 			}
 		}
-		k := get(left)
-		left -= k
-		from, at := len(all), int64(0)
+		k := nonNegative(remaining)
+		remaining -= k
+		from, previous := len(samples), int64(0)
 		for range k {
-			at += number(-at, maxTime)
-			all = append(all, availability.Sample{At: at, Free: get(maxTime)})
+			previous += number(-previous, maxNumber)
+			samples = append(samples, availability.Sample{TimeMS: previous, AvailableMS: nonNegative(maxNumber)})
 			if err != nil {
 				return err
 			}
@@ -161,7 +161,7 @@
 		if err != nil {
 			return err
 		}
-		f.Samples = all[from:len(all):len(all)]
+		f.Samples = samples[from:len(samples):len(samples)]
 		*s = append(*s, f)
 	}
 	return nil
@@ -172,5 +172,5 @@
 const (
 	maxFunctions = 4000
 	maxSamples   = 100
-	maxTime      = 1 << 50 // of which that many still add up
+	maxNumber    = 1 << 50 // of which that many still add up
 )
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -13,57 +13,57 @@
 
 // health watches what a small machine runs short of.
 type health struct {
-	limit  uint64 // bytes that the process may hold
-	short  atomic.Bool
-	nextAt time.Time
-	sample []metrics.Sample
-	late   prometheus.Histogram
-	shed   prometheus.Counter
+	memoryLimit   uint64 // bytes that the process may hold
+	memoryShort   atomic.Bool
+	nextSampleAt  time.Time
+	memorySamples []metrics.Sample
+	loopDelay     prometheus.Histogram
+	shedRequests  prometheus.Counter
 }
 
-// shedShare is how much of the memory that it may hold the runtime has when a
+// shedMemoryShare is how much of the memory that it may hold the runtime has when a
 // member takes no new work: one over its limit is killed, and everybody waits
 // for its shard. The collector works towards a lower share, so this is what it
 // cannot free.
-const shedShare = 0.97
+const shedMemoryShare = 0.97
 
-// shedRetryS is when a refused user should come back: the collector needs a
+// shedRetryAfterS is when a refused user should come back: the collector needs a
 // moment, and jobs must end.
-const shedRetryS = 5
+const shedRetryAfterS = 5
 
-func newHealth(heap float64) *health {
+func newHealth(heapBytes float64) *health {
 	return &health{
-		limit:  uint64(heap * shedShare),
-		sample: []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}},
-		late: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "grebedock_loop_delay_seconds",
+		memoryLimit:   uint64(heapBytes * shedMemoryShare),
+		memorySamples: []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}},
+		loopDelay: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "grebedock_loop_delay_seconds",
 			Help:    "How late the loop takes up a tick: how far a member is behind.",
 			Buckets: prometheus.ExponentialBuckets(tick.Seconds()/100, 4, 8)}),
-		shed: prometheus.NewCounter(prometheus.CounterOpts{Name: "grebedock_shed_total", Help: "Requests refused because memory is short or too many wait."}),
+		shedRequests: prometheus.NewCounter(prometheus.CounterOpts{Name: "grebedock_shed_total", Help: "Requests refused because memory is short or too many wait."}),
 	}
 }
 
 func (h *health) collectors() []prometheus.Collector {
-	return []prometheus.Collector{h.late, h.shed, collectors.NewGoCollector()}
+	return []prometheus.Collector{h.loopDelay, h.shedRequests, collectors.NewGoCollector()}
 }
 
-// ticked notes a tick that was due at a time, and once a second what the process
+// observeTick notes a tick that was due at a time, and once a second what the process
 // holds.
-func (h *health) ticked(due, now time.Time) {
-	h.late.Observe(now.Sub(due).Seconds())
-	if now.Before(h.nextAt) {
+func (h *health) observeTick(due, now time.Time) {
+	h.loopDelay.Observe(now.Sub(due).Seconds())
+	if now.Before(h.nextSampleAt) {
 		return
 	}
-	h.nextAt = now.Add(time.Second)
-	metrics.Read(h.sample)
-	h.short.Store(h.sample[0].Value.Uint64()-h.sample[1].Value.Uint64() > h.limit)
+	h.nextSampleAt = now.Add(time.Second)
+	metrics.Read(h.memorySamples)
+	h.memoryShort.Store(h.memorySamples[0].Value.Uint64()-h.memorySamples[1].Value.Uint64() > h.memoryLimit)
 }
 
-// refuses tells whether a request is answered without asking the core, and how.
+// rejectIfMemoryShort tells whether a request is answered without asking the core, and how.
 // Only new work is: questions and cancellations make nothing grow.
-func (h *health) refuses(r scheduler.UserRequest) (scheduler.UserAnswer, bool) {
-	if r.Kind != scheduler.Submit || !h.short.Load() {
-		return scheduler.UserAnswer{}, false
+func (h *health) rejectIfMemoryShort(r scheduler.UserRequest) (scheduler.UserResponse, bool) {
+	if r.Kind != scheduler.SubmitJob || !h.memoryShort.Load() {
+		return scheduler.UserResponse{}, false
 	}
-	h.shed.Inc()
-	return scheduler.UserAnswer{Status: 503, ID: r.ID, Error: "memory is short", RetryS: shedRetryS}, true
+	h.shedRequests.Inc()
+	return scheduler.UserResponse{Status: 503, ID: r.ID, Error: "memory is short", RetryAfterS: shedRetryAfterS}, true
 }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -5,61 +5,61 @@
 	"sync"
 )
 
-// listener ends its connections when it ends. The HTTP library closes those
+// closingListener ends its connections when it ends. The HTTP library closes those
 // that are idle and leaves the rest: after an unfinished request they would be
 // served again, by a member whose core has stopped.
-type listener struct {
+type closingListener struct {
 	net.Listener
-	mu    sync.Mutex
-	open  map[net.Conn]struct{}
-	ended bool
+	mu        sync.Mutex
+	openConns map[net.Conn]struct{}
+	closed    bool
 }
 
-func listen(addr string) (*listener, error) {
+func listen(addr string) (*closingListener, error) {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &listener{Listener: ln, open: map[net.Conn]struct{}{}}, nil
+	return &closingListener{Listener: ln, openConns: map[net.Conn]struct{}{}}, nil
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *closingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		_ = c.Close()
 		return nil, net.ErrClosed
 	}
-	own := &accepted{c, l}
-	l.open[own] = struct{}{}
-	return own, nil
+	tracked := &trackedConn{c, l}
+	l.openConns[tracked] = struct{}{}
+	return tracked, nil
 }
 
-// end closes the listener and all that it accepted.
-func (l *listener) end() {
+// closeAll closes the listener and all that it accepted.
+func (l *closingListener) closeAll() {
 	_ = l.Listener.Close()
 	l.mu.Lock()
-	l.ended = true
-	open := l.open
-	l.open = nil
+	l.closed = true
+	open := l.openConns
+	l.openConns = nil
 	l.mu.Unlock()
 	for c := range open {
 		_ = c.Close()
 	}
 }
 
-type accepted struct {
+type trackedConn struct {
 	net.Conn
-	l *listener
+	listener *closingListener
 }
 
-func (c *accepted) Close() error {
-	c.l.mu.Lock()
-	delete(c.l.open, c)
-	c.l.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.listener.mu.Lock()
+	delete(c.listener.openConns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/node/workflows.go
+++ b/internal/node/workflows.go
@@ -14,7 +14,7 @@
 
 // workflowRunner runs the host of workflows.
 type workflowRunner struct {
-	*runner[workflow.Data, workflow.DataResult, workflow.Answer]
+	*extensionRunner[workflow.Data, workflow.DataResult, workflow.Response]
 	dir  toolrun.Dir
 	host *workflow.Host
 }
@@ -22,63 +22,63 @@
 // Parts of the heap that a document may take: its text, and its values at some
 // 500 bytes each while it is read, a quarter of the heap in all.
 const (
-	documentHeap = 64
-	nodeHeap     = 2048
+	documentHeapDivisor = 64
+	nodeHeapDivisor     = 2048
 )
 
-func newWorkflowRunner(n *Node, f *config.File, dir string) *workflowRunner {
-	p := Params(f)
-	heap := int(f.Cluster.Limits.Heap())
+func newWorkflowRunner(n *Node, settings *config.File, dir string) *workflowRunner {
+	p := Params(settings)
+	heap := int(settings.Cluster.Limits.HeapBytes())
 	host := workflow.NewHost(workflow.Params{
-		Members: p.Members(), Teams: p.Teams, ValueBytes: p.ValueBytes, TxnOps: p.TxnOps, ReportS: p.ReportS,
-		Limits: cwl.Limits{Bytes: heap / documentHeap, Nodes: heap / nodeHeap, Depth: cwl.DefaultLimits.Depth},
+		Members: p.MemberIDs(), Teams: p.Teams, ValueBytes: p.MaxValueBytes, TxnOps: p.MaxTxnOps, HeartbeatS: p.HeartbeatS,
+		Limits: cwl.Limits{Bytes: heap / documentHeapDivisor, Nodes: heap / nodeHeapDivisor, Depth: cwl.DefaultLimits.Depth},
 	})
 	w := &workflowRunner{dir: toolrun.Dir(dir), host: host}
-	w.runner = (&runner[workflow.Data, workflow.DataResult, workflow.Answer]{
-		n: n, machine: host, mark: workflowRequests, prefix: workflow.LivePrefix, perform: w.data, counters: w.counters,
-	}).ready()
+	w.extensionRunner = (&extensionRunner[workflow.Data, workflow.DataResult, workflow.Response]{
+		node: n, machine: host, requestFlag: workflowRequestFlag, prefix: workflow.LivePrefix, perform: w.performDataRequest, counters: w.counters,
+	}).initialize()
 	return w
 }
 
-// data carries out a request to the shared directory. Without one, tools are
+// performDataRequest carries out a request to the shared directory. Without one, tools are
 // described to the workers by whoever submits, and report no outputs.
-func (w *workflowRunner) data(d workflow.Data) workflow.DataResult {
+func (w *workflowRunner) performDataRequest(request workflow.Data) workflow.DataResult {
 	switch {
-	case w.dir == "" && d.Description != nil:
+	case w.dir == "" && request.Description != nil:
 		return workflow.DataResult{}
 	case w.dir == "":
 		r := workflow.DataResult{}
-		for range d.Tasks {
+		for range request.Tasks {
 			r.Outputs = append(r.Outputs, map[string]any{})
 		}
 		return r
-	case d.Description != nil:
-		return workflow.DataResult{Err: w.dir.Describe(d.Job, d.Description)}
+	case request.Description != nil:
+		return workflow.DataResult{Err: w.dir.WriteDescription(request.Job, request.Description)}
 	}
-	return w.dir.Outputs(d.Job, d.Tasks)
+	return w.dir.ReadOutputs(request.Job, request.Tasks)
 }
 
-// User asks the host on a user's behalf.
-func (w *workflowRunner) User(r workflow.Request, patience time.Duration) (workflow.Answer, bool) {
-	if a, ok := w.n.health.refuses(scheduler.UserRequest{Kind: scheduler.Submit}); ok && r.Kind == workflow.Submit {
-		return workflow.Answer{Status: a.Status, Error: a.Error, RetryS: a.RetryS}, true
+// HandleRequest asks the host on a user's behalf.
+func (w *workflowRunner) HandleRequest(r workflow.Request, timeout time.Duration) (workflow.Response, bool) {
+	if a, ok := w.node.health.rejectIfMemoryShort(scheduler.UserRequest{Kind: scheduler.SubmitJob}); ok && r.Kind == workflow.Submit {
+		return workflow.Response{Status: a.Status, Error: a.Error, RetryAfterS: a.RetryAfterS}, true
 	}
-	return w.ask(patience, func(now scheduler.Now, id uint64) { w.host.User(now, id, r) })
+	return w.awaitResponse(timeout, func(now scheduler.Now, id uint64) { w.host.HandleRequest(now, id, r) })
 }
 
 var (
-	descRuns    = prometheus.NewDesc("grebedock_workflow_runs_total", "Workflow runs that this member accepted, loaded or ended.", []string{"event"}, nil)
-	descRunJobs = prometheus.NewDesc("grebedock_workflow_jobs_total", "Jobs that this member submitted for workflow runs.", nil, nil)
+	runEventsDesc = prometheus.NewDesc("grebedock_workflow_runs_total", "Workflow runs that this member accepted, loaded or ended.", []string{"event"}, nil)
+	runJobsDesc   = prometheus.NewDesc("grebedock_workflow_jobs_total", "Jobs that this member submitted for workflow runs.", nil, nil)
 )
 
-func (w *workflowRunner) counters() []counter {
+func (w *workflowRunner) counters() []counterSample {
 	c := w.host.Counters
-	return []counter{
-		{descRuns, "accepted", c.Accepted},
-		{descRuns, "loaded", c.Loaded},
-		{descRuns, "done", c.Finished},
-		{descRuns, "failed", c.Failed},
-		{descRuns, "cancelled", c.Cancelled},
-		{descRunJobs, "", c.Jobs},
+	return []counterSample{
+		{runEventsDesc, "accepted", c.Accepted},
+		{runEventsDesc, "loaded", c.Loaded},
+		{runEventsDesc, "done", c.Finished},
+		{runEventsDesc, "failed", c.Failed},
+		{runEventsDesc, "cancelled", c.Cancelled},
+		{runJobsDesc, "", c.JobsSubmitted},
 	}
 }
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -15,11 +15,11 @@
 )
 
 // Client talks to one service.
-type Client struct{ http *fasthttp.HostClient }
+type Client struct{ host *fasthttp.HostClient }
 
 // NewClient returns a client for the service at addr.
 func NewClient(addr string, conns int) *Client {
-	return &Client{http: &fasthttp.HostClient{
+	return &Client{host: &fasthttp.HostClient{
 		Addr: addr, MaxConns: conns, MaxIdleConnDuration: time.Minute, NoDefaultUserAgentHeader: true,
 		DisablePathNormalizing: true, MaxIdemponentCallAttempts: 1, RetryIfErr: noRetry,
 	}}
@@ -28,57 +28,57 @@
 // Do makes a request. Without an answer in time the status is 0: the request
 // may have been executed.
 func (c *Client) Do(r wire.Request, timeout time.Duration) (int, []byte) {
-	return do(c.http, c.http.Addr, r, "application/json", timeout)
+	return roundTrip(c.host, c.host.Addr, r, "application/json", timeout)
 }
 
 // DoType is Do with a content type.
 func (c *Client) DoType(r wire.Request, contentType string, timeout time.Duration) (int, []byte) {
-	return do(c.http, c.http.Addr, r, contentType, timeout)
+	return roundTrip(c.host, c.host.Addr, r, contentType, timeout)
 }
 
-// Many talks to many hosts, a few requests to each.
-type Many struct{ http *fasthttp.Client }
+// MultiHostClient talks to many hosts, a few requests to each.
+type MultiHostClient struct{ http *fasthttp.Client }
 
-// NewMany returns a client for any address, with so many connections to each.
-func NewMany(conns int) *Many {
-	return &Many{http: &fasthttp.Client{MaxConnsPerHost: conns, MaxIdleConnDuration: 30 * time.Second, NoDefaultUserAgentHeader: true,
+// NewMultiHostClient returns a client for any address, with so many connections to each.
+func NewMultiHostClient(conns int) *MultiHostClient {
+	return &MultiHostClient{http: &fasthttp.Client{MaxConnsPerHost: conns, MaxIdleConnDuration: 30 * time.Second, NoDefaultUserAgentHeader: true,
 		MaxIdemponentCallAttempts: 1, RetryIfErr: noRetry}}
 }
 
 // Do makes a request to a host.
-func (c *Many) Do(addr string, r wire.Request, timeout time.Duration) (int, []byte) {
-	return do(c.http, addr, r, "application/json", timeout)
+func (c *MultiHostClient) Do(addr string, r wire.Request, timeout time.Duration) (int, []byte) {
+	return roundTrip(c.http, addr, r, "application/json", timeout)
 }
 
 // Response is an answer; Status 0 means that there was none in time.
 type Response struct {
-	Status int
-	Body   []byte
-	RetryS int // what Retry-After says, 0 if nothing
+	Status      int
+	Body        []byte
+	RetryAfterS int // what Retry-After says, 0 if nothing
 }
 
-// Ask makes a request to a host and tells when it wants to be asked again.
-func (c *Many) Ask(addr string, r wire.Request, timeout time.Duration) Response {
-	var out Response
-	out.Status, out.Body = doFor(c.http, addr, r, "application/json", timeout, func(res *fasthttp.Response) {
-		out.RetryS, _ = strconv.Atoi(string(res.Header.Peek(fasthttp.HeaderRetryAfter)))
+// DoWithRetryAfter makes a request to a host and tells when it wants to be asked again.
+func (c *MultiHostClient) DoWithRetryAfter(addr string, r wire.Request, timeout time.Duration) Response {
+	var response Response
+	response.Status, response.Body = roundTripInspecting(c.http, addr, r, "application/json", timeout, func(res *fasthttp.Response) {
+		response.RetryAfterS, _ = strconv.Atoi(string(res.Header.Peek(fasthttp.HeaderRetryAfter)))
 	})
-	return out
+	return response
 }
 
 // noRetry: a request that may have been executed is settled by its asker, so
 // none is sent twice on its own.
 func noRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
 
-type doer interface {
+type timeoutDoer interface {
 	DoTimeout(*fasthttp.Request, *fasthttp.Response, time.Duration) error
 }
 
-func do(c doer, addr string, r wire.Request, contentType string, timeout time.Duration) (int, []byte) {
-	return doFor(c, addr, r, contentType, timeout, func(*fasthttp.Response) {})
+func roundTrip(c timeoutDoer, addr string, r wire.Request, contentType string, timeout time.Duration) (int, []byte) {
+	return roundTripInspecting(c, addr, r, contentType, timeout, func(*fasthttp.Response) {})
 }
 
-func doFor(c doer, addr string, r wire.Request, contentType string, timeout time.Duration, look func(*fasthttp.Response)) (int, []byte) {
+func roundTripInspecting(c timeoutDoer, addr string, r wire.Request, contentType string, timeout time.Duration, inspect func(*fasthttp.Response)) (int, []byte) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
@@ -91,59 +91,59 @@
 	if err := c.DoTimeout(req, res, timeout); err != nil {
 		return 0, nil
 	}
-	look(res)
+	inspect(res)
 	// The response's buffer is used again.
 	return res.StatusCode(), append([]byte(nil), res.Body()...)
 }
 
-// job is a request that waits for its turn.
-type job struct {
-	cost int
-	due  time.Time // dropped when it waits past this; zero: never
-	run  func()
-	drop func(time.Duration)
+// queuedRequest is a request that waits for its turn.
+type queuedRequest struct {
+	writeOps  int
+	deadline  time.Time // dropped when it waits past this; zero: never
+	send      func()
+	onDropped func(time.Duration)
 }
 
 // Budget lets requests through at a rate, most urgent first. Each member has
 // its part of a service's limits, so that all together stay within them.
 type Budget struct {
 	mu       sync.Mutex
-	queues   [4][]job
+	queues   [4][]queuedRequest
 	wake     chan struct{}
 	requests *rate.Limiter
 	writes   *rate.Limiter
 }
 
 // NewBudget returns a budget of requests, and of writes if writes is above 0.
-func NewBudget(ctx context.Context, requests, writes float64, largest int) *Budget {
+func NewBudget(ctx context.Context, requests, writes float64, maxWriteBurst int) *Budget {
 	b := &Budget{wake: make(chan struct{}, 1), requests: rate.NewLimiter(rate.Limit(requests), max(1, int(requests)))}
 	if writes > 0 {
-		b.writes = rate.NewLimiter(rate.Limit(writes), max(largest, int(writes)))
+		b.writes = rate.NewLimiter(rate.Limit(writes), max(maxWriteBurst, int(writes)))
 	}
 	go b.loop(ctx)
 	return b
 }
 
-// Put queues a request. run is called on its own goroutine when it may go,
+// Enqueue queues a request. run is called on its own goroutine when it may go,
 // drop when it would wait, or waited, longer than patience: with how long that
 // is, if it is known.
-func (b *Budget) Put(urgency, cost int, patience time.Duration, run func(), drop func(wait time.Duration)) {
-	j := job{cost: cost, run: run, drop: drop}
-	if patience > 0 {
-		j.due = time.Now().Add(patience)
+func (b *Budget) Enqueue(urgency, writeOps int, maxWait time.Duration, send func(), onDropped func(wait time.Duration)) {
+	request := queuedRequest{writeOps: writeOps, send: send, onDropped: onDropped}
+	if maxWait > 0 {
+		request.deadline = time.Now().Add(maxWait)
 	}
 	b.mu.Lock()
 	urgency = min(max(urgency, 0), len(b.queues)-1)
-	if patience > 0 {
-		if wait := b.wait(urgency, cost); wait > patience {
+	if maxWait > 0 {
+		if wait := b.estimateWait(urgency, writeOps); wait > maxWait {
 			// It would be dropped when its time is up; whoever asks is better
 			// told now.
 			b.mu.Unlock()
-			go drop(wait)
+			go onDropped(wait)
 			return
 		}
 	}
-	b.queues[urgency] = append(b.queues[urgency], j)
+	b.queues[urgency] = append(b.queues[urgency], request)
 	b.mu.Unlock()
 	select {
 	case b.wake <- struct{}{}:
@@ -151,77 +151,77 @@
 	}
 }
 
-// wait is how long a request would wait behind those that go before it.
-func (b *Budget) wait(urgency, cost int) time.Duration {
-	requests, writes := 1.0, float64(cost)
+// estimateWait is how long a request would wait behind those that go before it.
+func (b *Budget) estimateWait(urgency, writeOps int) time.Duration {
+	requests, writes := 1.0, float64(writeOps)
 	for _, q := range b.queues[:urgency+1] {
 		for _, j := range q {
 			requests++
-			writes += float64(j.cost)
+			writes += float64(j.writeOps)
 		}
 	}
-	s := (requests - b.requests.Tokens()) / float64(b.requests.Limit())
-	if b.writes != nil && cost > 0 {
-		s = max(s, (writes-b.writes.Tokens())/float64(b.writes.Limit()))
+	waitS := (requests - b.requests.Tokens()) / float64(b.requests.Limit())
+	if b.writes != nil && writeOps > 0 {
+		waitS = max(waitS, (writes-b.writes.Tokens())/float64(b.writes.Limit()))
 	}
-	return time.Duration(max(0, s) * float64(time.Second))
+	return time.Duration(max(0, waitS) * float64(time.Second))
 }
 
-// take removes the most urgent request if there is room for it, or says when
+// dequeue removes the most urgent request if there is room for it, or says when
 // there will be. Nothing is set aside for one that waits: a large write that was
 // first in line once held up holds for longer than they lasted.
-func (b *Budget) take(now time.Time) (j job, ok bool, wait time.Duration) {
+func (b *Budget) dequeue(now time.Time) (request queuedRequest, ok bool, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range b.queues {
-		q := b.queues[i]
-		if len(q) == 0 {
+		queue := b.queues[i]
+		if len(queue) == 0 {
 			continue
 		}
-		j := q[0]
-		late := !j.due.IsZero() && now.After(j.due)
-		if !late {
-			if wait := b.room(now, j.cost); wait > 0 {
-				return job{}, false, wait
+		request := queue[0]
+		expired := !request.deadline.IsZero() && now.After(request.deadline)
+		if !expired {
+			if wait := b.delayUntilAllowed(now, request.writeOps); wait > 0 {
+				return queuedRequest{}, false, wait
 			}
 			b.requests.AllowN(now, 1)
-			if j.cost > 0 && b.writes != nil {
-				b.writes.AllowN(now, min(j.cost, b.writes.Burst()))
+			if request.writeOps > 0 && b.writes != nil {
+				b.writes.AllowN(now, min(request.writeOps, b.writes.Burst()))
 			}
 		}
-		q[0] = job{}
-		b.queues[i] = q[1:]
-		if late {
-			j.run = nil
+		queue[0] = queuedRequest{}
+		b.queues[i] = queue[1:]
+		if expired {
+			request.send = nil
 		}
-		return j, true, 0
+		return request, true, 0
 	}
-	return job{}, false, -1
+	return queuedRequest{}, false, -1
 }
 
-// room is how long it takes until a request may go, 0 if it may now.
-func (b *Budget) room(now time.Time, cost int) time.Duration {
-	s := (1 - b.requests.TokensAt(now)) / float64(b.requests.Limit())
-	if b.writes != nil && cost > 0 {
-		s = max(s, (float64(min(cost, b.writes.Burst()))-b.writes.TokensAt(now))/float64(b.writes.Limit()))
+// delayUntilAllowed is how long it takes until a request may go, 0 if it may now.
+func (b *Budget) delayUntilAllowed(now time.Time, writeOps int) time.Duration {
+	delayS := (1 - b.requests.TokensAt(now)) / float64(b.requests.Limit())
+	if b.writes != nil && writeOps > 0 {
+		delayS = max(delayS, (float64(min(writeOps, b.writes.Burst()))-b.writes.TokensAt(now))/float64(b.writes.Limit()))
 	}
-	if s <= 0 {
+	if delayS <= 0 {
 		return 0
 	}
-	return max(time.Millisecond, time.Duration(s*float64(time.Second)))
+	return max(time.Millisecond, time.Duration(delayS*float64(time.Second)))
 }
 
 func (b *Budget) loop(ctx context.Context) {
 	t := time.NewTimer(time.Hour)
 	defer t.Stop()
 	for {
-		j, ok, wait := b.take(time.Now())
+		request, ok, wait := b.dequeue(time.Now())
 		switch {
-		case ok && j.run != nil:
-			go j.run()
+		case ok && request.send != nil:
+			go request.send()
 			continue
 		case ok:
-			go j.drop(0)
+			go request.onDropped(0)
 			continue
 		case wait > 0:
 			t.Reset(wait)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -12,47 +12,47 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Store is a client of the state service.
-type Store struct {
-	client, watch *rest.Client
-	budget        *rest.Budget
-	done          func(uint64, scheduler.StoreResult)
+// Client is a client of the state service.
+type Client struct {
+	requestClient, watchClient *rest.Client
+	budget                     *rest.Budget
+	onResult                   func(uint64, scheduler.StoreResult)
 }
 
 // New returns a client; done is called with each request's result.
-func New(ctx context.Context, f *config.File, done func(uint64, scheduler.StoreResult)) *Store {
-	members := float64(len(f.Others) + 1)
-	st := f.Cluster.State
-	return &Store{
-		client: rest.NewClient(f.External.State, max(4, f.Cluster.Limits.MaxSockets/10)),
-		watch:  rest.NewClient(f.External.State, 2),
-		budget: rest.NewBudget(ctx, st.RPS/members, st.WriteRPS/members, st.TxnOps),
-		done:   done,
+func New(ctx context.Context, settings *config.File, onResult func(uint64, scheduler.StoreResult)) *Client {
+	controllers := float64(len(settings.Peers) + 1)
+	limits := settings.Cluster.State
+	return &Client{
+		requestClient: rest.NewClient(settings.External.State, max(4, settings.Cluster.Limits.MaxSockets/10)),
+		watchClient:   rest.NewClient(settings.External.State, 2),
+		budget:        rest.NewBudget(ctx, limits.RPS/controllers, limits.WriteRPS/controllers, limits.TxnOps),
+		onResult:      onResult,
 	}
 }
 
 // timeout bounds a request; the service answers in hundredths of a second, now
 // and then in a few tenths.
-const timeout = access.Timeout
+const timeout = access.RequestTimeout
 
-// Do queues a request within the budget.
-func (s *Store) Do(op scheduler.StoreOp) {
-	client, limit := s.client, timeout
+// Send queues a request within the budget.
+func (s *Client) Send(op scheduler.StoreOp) {
+	client, limit := s.requestClient, timeout
 	if op.Kind == scheduler.StoreWatch {
-		client, limit = s.watch, timeout+time.Duration(op.MS)*time.Millisecond
+		client, limit = s.watchClient, timeout+time.Duration(op.DurationMS)*time.Millisecond
 	}
-	patience := time.Duration(0)
-	if op.Urgency == scheduler.Reads || op.Urgency == scheduler.Answers {
-		patience = timeout
+	maxWait := time.Duration(0)
+	if op.Urgency == scheduler.UrgencyRead || op.Urgency == scheduler.UrgencyUser {
+		maxWait = timeout
 	}
-	queued := time.Now()
-	s.budget.Put(int(op.Urgency), len(op.Changes), patience, func() {
-		waited := time.Since(queued)
+	queuedAt := time.Now()
+	s.budget.Enqueue(int(op.Urgency), len(op.Changes), maxWait, func() {
+		queuedFor := time.Since(queuedAt)
 		status, body := client.Do(wire.StoreRequest(op), limit)
-		r := wire.StoreResult(op, status, body)
-		r.QueueMS = waited.Milliseconds()
-		s.done(op.ID, r)
+		r := wire.ParseStoreResult(op, status, body)
+		r.QueuedMS = queuedFor.Milliseconds()
+		s.onResult(op.ID, r)
 	}, func(wait time.Duration) {
-		s.done(op.ID, scheduler.StoreResult{Outcome: scheduler.Throttled, RetryMS: wait.Milliseconds()})
+		s.onResult(op.ID, scheduler.StoreResult{Outcome: scheduler.Throttled, RetryAfterMS: wait.Milliseconds()})
 	})
 }
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -22,30 +22,30 @@
 	Rev   uint64          `json:"mark"`
 }
 
-type guardBody struct {
-	Key string `json:"k"`
-	Rev uint64 `json:"mark"`
+type preconditionBody struct {
+	Key      string `json:"k"`
+	Revision uint64 `json:"mark"`
 }
 
 type changeBody struct {
-	Put    string          `json:"put,omitempty"`
-	Value  json.RawMessage `json:"v,omitempty"`
-	Hold   uint64          `json:"mooring,omitempty"`
-	Remove string          `json:"remove,omitempty"`
+	Put     string          `json:"put,omitempty"`
+	Value   json.RawMessage `json:"v,omitempty"`
+	LeaseID uint64          `json:"mooring,omitempty"`
+	Remove  string          `json:"remove,omitempty"`
 }
 
 type txnBody struct {
-	Guards []guardBody  `json:"guards"`
-	Then   []changeBody `json:"then,omitempty"`
+	Preconditions []preconditionBody `json:"guards"`
+	Changes       []changeBody       `json:"then,omitempty"`
 }
 
 type stateBody struct {
-	Rev    uint64   `json:"tide"`
-	Hold   uint64   `json:"mooring"`
-	More   bool     `json:"more"`
-	Failed []string `json:"failed"`
-	Items  []kvBody `json:"items"`
-	Log    []struct {
+	Rev       uint64   `json:"tide"`
+	LeaseID   uint64   `json:"mooring"`
+	More      bool     `json:"more"`
+	Failed    []string `json:"failed"`
+	KeyValues []kvBody `json:"items"`
+	Events    []struct {
 		Put    string          `json:"put"`
 		Remove string          `json:"remove"`
 		Value  json.RawMessage `json:"v"`
@@ -54,8 +54,8 @@
 	kvBody
 }
 
-type lifeBody struct {
-	LifeMS int64 `json:"life_ms"`
+type leaseTTLBody struct {
+	TTLMS int64 `json:"life_ms"`
 }
 
 // pageSize is how many keys are asked for at a time.
@@ -68,56 +68,56 @@
 		return Request{Method: "GET", Path: "/keys/" + op.Key}
 	case scheduler.StoreList:
 		q := url.Values{"prefix": {op.Key}, "limit": {strconv.Itoa(pageSize)}}
-		if op.From != "" {
-			q.Set("from", op.From)
+		if op.StartAfter != "" {
+			q.Set("from", op.StartAfter)
 		}
 		return Request{Method: "GET", Path: "/keys?" + q.Encode()}
 	case scheduler.StoreWatch:
-		q := url.Values{"prefix": {op.Key}, "from": {strconv.FormatUint(op.Rev, 10)}, "hold_ms": {strconv.FormatInt(op.MS, 10)}}
+		q := url.Values{"prefix": {op.Key}, "from": {strconv.FormatUint(op.Rev, 10)}, "hold_ms": {strconv.FormatInt(op.DurationMS, 10)}}
 		return Request{Method: "GET", Path: "/watch?" + q.Encode()}
-	case scheduler.StoreHold:
-		return Request{Method: "POST", Path: "/holds", Body: must(lifeBody{op.MS})}
-	case scheduler.StoreExtend:
-		return Request{Method: "POST", Path: fmt.Sprintf("/holds/%d/extend", op.Hold)}
+	case scheduler.StoreGrantLease:
+		return Request{Method: "POST", Path: "/holds", Body: mustEncode(leaseTTLBody{op.DurationMS})}
+	case scheduler.StoreRenewLease:
+		return Request{Method: "POST", Path: fmt.Sprintf("/holds/%d/extend", op.LeaseID)}
 	}
-	b := txnBody{Guards: []guardBody{}}
-	for _, g := range op.Guards {
-		b.Guards = append(b.Guards, guardBody(g))
+	b := txnBody{Preconditions: []preconditionBody{}}
+	for _, g := range op.Preconditions {
+		b.Preconditions = append(b.Preconditions, preconditionBody(g))
 	}
 	for _, c := range op.Changes {
 		if c.Value == nil {
-			b.Then = append(b.Then, changeBody{Remove: c.Key})
+			b.Changes = append(b.Changes, changeBody{Remove: c.Key})
 		} else {
-			b.Then = append(b.Then, changeBody{Put: c.Key, Value: c.Value, Hold: c.Hold})
+			b.Changes = append(b.Changes, changeBody{Put: c.Key, Value: c.Value, LeaseID: c.LeaseID})
 		}
 	}
-	return Request{Method: "POST", Path: "/txn", Body: must(b)}
+	return Request{Method: "POST", Path: "/txn", Body: mustEncode(b)}
 }
 
-// StoreResult reads the state service's answer. The body must outlive it.
-func StoreResult(op scheduler.StoreOp, status int, body []byte) scheduler.StoreResult {
+// ParseStoreResult reads the state service's answer. The body must outlive it.
+func ParseStoreResult(op scheduler.StoreOp, status int, body []byte) scheduler.StoreResult {
 	r := scheduler.StoreResult{Outcome: scheduler.Unknown}
 	var b stateBody
 	if status == 200 || status == 404 || status == 409 {
-		if err := unmarshal(body, &b); err != nil {
+		if err := decode(body, &b); err != nil {
 			return r
 		}
 	}
-	r.Rev, r.Hold, r.More, r.Failed = b.Rev, b.Hold, b.More, b.Failed
+	r.Rev, r.LeaseID, r.More, r.FailedKeys = b.Rev, b.LeaseID, b.More, b.Failed
 	switch status {
 	case 200:
 		r.Outcome = scheduler.OK
 		if op.Kind == scheduler.StoreGet {
-			r.Items = []scheduler.Item{{Key: b.Key, Value: b.Value, Rev: b.kvBody.Rev}}
+			r.KVs = []scheduler.KeyValue{{Key: b.Key, Value: b.Value, Rev: b.kvBody.Rev}}
 		}
-		for _, it := range b.Items {
-			r.Items = append(r.Items, scheduler.Item(it))
+		for _, it := range b.KeyValues {
+			r.KVs = append(r.KVs, scheduler.KeyValue(it))
 		}
-		for _, e := range b.Log {
+		for _, e := range b.Events {
 			if e.Remove != "" {
-				r.Items = append(r.Items, scheduler.Item{Key: e.Remove, Rev: e.Rev})
+				r.KVs = append(r.KVs, scheduler.KeyValue{Key: e.Remove, Rev: e.Rev})
 			} else {
-				r.Items = append(r.Items, scheduler.Item{Key: e.Put, Value: e.Value, Rev: e.Rev})
+				r.KVs = append(r.KVs, scheduler.KeyValue{Key: e.Put, Value: e.Value, Rev: e.Rev})
 			}
 		}
 	case 404:
@@ -153,7 +153,7 @@
 	} `json:"hulls"`
 }
 
-type rentBody struct {
+type provisionBody struct {
 	Request string `json:"charter"`
 	Type    string `json:"hull"`
 	Zone    string `json:"marsh"`
@@ -161,11 +161,11 @@
 	Count   int    `json:"how_many"`
 }
 
-type machinesBody struct {
+type machineIDsBody struct {
 	Machines []string `json:"berths"`
 }
 
-type listBody struct {
+type instanceListBody struct {
 	Machines []struct {
 		ID    string  `json:"ref"`
 		Addr  string  `json:"addr"`
@@ -189,25 +189,25 @@
 		return Request{Method: "GET", Path: "/catalog"}
 	case scheduler.CloudList:
 		q := url.Values{"limit": {"500"}}
-		if op.From != "" {
-			q.Set("from", op.From)
+		if op.StartAfter != "" {
+			q.Set("from", op.StartAfter)
 		}
 		return Request{Method: "GET", Path: "/rentals?" + q.Encode()}
-	case scheduler.CloudRent:
-		return Request{Method: "POST", Path: "/rentals", Body: must(rentBody{op.Request, op.Type, op.Zone, op.Spot, op.Count})}
+	case scheduler.CloudProvision:
+		return Request{Method: "POST", Path: "/rentals", Body: mustEncode(provisionBody{op.IdempotencyKey, op.Type, op.Zone, op.Spot, op.Count})}
 	}
-	return Request{Method: "POST", Path: "/rentals/release", Body: must(machinesBody{op.Machines})}
+	return Request{Method: "POST", Path: "/rentals/release", Body: mustEncode(machineIDsBody{op.Machines})}
 }
 
-// CloudResult reads the cloud's answer.
-func CloudResult(op scheduler.CloudOp, status int, body []byte) scheduler.CloudResult {
+// ParseCloudResult reads the cloud's answer.
+func ParseCloudResult(op scheduler.CloudOp, status int, body []byte) scheduler.CloudResult {
 	r := scheduler.CloudResult{Outcome: scheduler.Unknown}
 	switch status {
 	case 200:
 	case 503:
 		var e errorBody
 		r.Outcome = scheduler.Refused
-		if unmarshal(body, &e) == nil && e.Error == "no capacity" {
+		if decode(body, &e) == nil && e.Error == "no capacity" {
 			r.Outcome = scheduler.NotFound
 		}
 		return r
@@ -221,23 +221,23 @@
 	switch op.Kind {
 	case scheduler.CloudCatalog:
 		var b catalogBody
-		err = unmarshal(body, &b)
+		err = decode(body, &b)
 		for _, t := range b.Types {
 			r.Types = append(r.Types, scheduler.MachineType{Name: t.Name,
-				Room:      availability.Room{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, DiskGB: t.CacheGB},
-				FetchGBps: t.FetchGBps, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones})
+				Resources:      availability.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, DiskGB: t.CacheGB},
+				ImageFetchGBps: t.FetchGBps, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones})
 		}
 	case scheduler.CloudList:
-		var b listBody
-		err = unmarshal(body, &b)
+		var b instanceListBody
+		err = decode(body, &b)
 		r.More = b.More
 		for _, l := range b.Machines {
-			r.List = append(r.List, scheduler.Listed{ID: l.ID, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot,
+			r.List = append(r.List, scheduler.CloudMachine{ID: l.ID, Addr: l.Addr, Type: l.Type, Zone: l.Zone, Spot: l.Spot,
 				State: translate(map[string]string{"starting": "booting"}, l.State), AgeS: l.AgeS})
 		}
-	case scheduler.CloudRent:
-		var b machinesBody
-		err = unmarshal(body, &b)
+	case scheduler.CloudProvision:
+		var b machineIDsBody
+		err = decode(body, &b)
 		r.Machines = b.Machines
 	}
 	if err == nil {
