--- a/access/lease_keeper.go
+++ b/access/lease_keeper.go
@@ -202,7 +202,9 @@
 		k.linkState = LinkDoubtful
 	}
 	oldestSentAt, hasInFlight := k.inFlight.oldest(0)
-	if k.linkState != LinkSilent && k.unansweredSince != 0 && now-k.unansweredSince > k.retryIntervalMS() || k.linkState == LinkDoubtful && hasInFlight && k.lastResponseAt < oldestSentAt && now-oldestSentAt > 2*k.OverdueAfterMS() {
+	if k.linkState != LinkSilent && k.unansweredSince != 0 && now-k.unansweredSince > k.retryIntervalMS() ||
+		k.linkState == LinkDoubtful && hasInFlight && k.lastResponseAt < oldestSentAt &&
+			now-oldestSentAt > 2*k.OverdueAfterMS() {
 		k.linkState = LinkSilent
 		k.scheduleProbe(now)
 	}
@@ -216,7 +218,12 @@
 	if k.leaseID == 0 || !k.IsSynced() {
 		return false
 	}
-	return now < min(k.renewalSentAt, k.mirrorReadSentAt)+k.settings.LeaseTTLMS-int64(float64(k.settings.LeaseTTLMS)*k.settings.MaxClockDrift)-k.settings.AuthoritySlackMS
+	return now < min(
+		k.renewalSentAt,
+		k.mirrorReadSentAt,
+	)+k.settings.LeaseTTLMS-int64(
+		float64(k.settings.LeaseTTLMS)*k.settings.MaxClockDrift,
+	)-k.settings.AuthoritySlackMS
 }
 
 // SetState sets the standing: a hold, kept since a request that was sent then (none
@@ -296,11 +303,16 @@
 	case k.mirrorState == MirrorListing:
 		k.mirrorState, k.nextReadAt = MirrorUnsynced, now+k.retryIntervalMS()
 	case outcome == OK:
-		k.mirrorState, k.mirrorReadSentAt, k.nextReadAt = MirrorSynced, max(k.mirrorReadSentAt, k.pendingReadSentAt), now+k.settings.LeaseTTLMS/watchPauseDivisor
+		k.mirrorState, k.mirrorReadSentAt, k.nextReadAt = MirrorSynced, max(
+			k.mirrorReadSentAt,
+			k.pendingReadSentAt,
+		), now+k.settings.LeaseTTLMS/watchPauseDivisor
 	case outcome == Gone:
 		k.mirrorState, k.nextReadAt = MirrorUnsynced, now
 	default:
-		k.mirrorState, k.nextReadAt = MirrorSynced, now+k.retryIntervalMS()*3/5+int64(jitter*float64(k.settings.RequestTimeoutMS/watchJitterDivisor))
+		k.mirrorState, k.nextReadAt = MirrorSynced, now+k.retryIntervalMS()*3/5+int64(
+			jitter*float64(k.settings.RequestTimeoutMS/watchJitterDivisor),
+		)
 	}
 	return true
 }
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -67,8 +67,21 @@
 
 // NewQueue returns an empty queue.
 func NewQueue[T any](limits Limits) *Queue[T] {
-	limits.Priorities, limits.MaxInFlight, limits.MaxRetryAfterS = max(1, limits.Priorities), max(1, limits.MaxInFlight), max(1, limits.MaxRetryAfterS)
-	return &Queue[T]{limits: limits, priorities: make([]priorityQueue[T], limits.Priorities), promisedChanges: make([]int, limits.MaxRetryAfterS+1)}
+	limits.Priorities, limits.MaxInFlight, limits.MaxRetryAfterS = max(
+		1,
+		limits.Priorities,
+	), max(
+		1,
+		limits.MaxInFlight,
+	), max(
+		1,
+		limits.MaxRetryAfterS,
+	)
+	return &Queue[T]{
+		limits:          limits,
+		priorities:      make([]priorityQueue[T], limits.Priorities),
+		promisedChanges: make([]int, limits.MaxRetryAfterS+1),
+	}
 }
 
 // effectiveRate is what the service allows, or answers, if that is less.
@@ -179,7 +192,8 @@
 // NextBatch takes a transaction's worth, or nothing while enough is under way. The
 // caller gives the same items to Done.
 func (q *Queue[T]) NextBatch() []Request[T] {
-	if q.inFlight >= q.limits.MaxInFlight || q.inFlight > 0 && float64(q.inFlightChanges) >= q.effectiveRate()*float64(q.limits.MaxWaitMS)/1000/2 {
+	if q.inFlight >= q.limits.MaxInFlight ||
+		q.inFlight > 0 && float64(q.inFlightChanges) >= q.effectiveRate()*float64(q.limits.MaxWaitMS)/1000/2 {
 		return nil
 	}
 	var batch []Request[T]
@@ -189,7 +203,8 @@
 		for len(priority.teams) > 0 {
 			queue := priority.teams[0]
 			request := queue.requests[0]
-			if len(batch) > 0 && (changes+request.Changes > q.limits.MaxChanges || preconditions+request.Preconditions > q.limits.MaxPreconditions || bytes+request.Bytes > q.limits.MaxBytes) {
+			if len(batch) > 0 &&
+				(changes+request.Changes > q.limits.MaxChanges || preconditions+request.Preconditions > q.limits.MaxPreconditions || bytes+request.Bytes > q.limits.MaxBytes) {
 				return q.markInFlight(batch, changes)
 			}
 			changes, preconditions, bytes = changes+request.Changes, preconditions+request.Preconditions, bytes+request.Bytes
--- a/availability/function.go
+++ b/availability/function.go
@@ -12,10 +12,10 @@
 // and disk; processors and accelerators are ours, since the machines here are
 // shared by tasks that ask for different parts of them.
 type Resources struct {
-	CPUs     float64 `json:"CPUs" msgpack:"CPUs"`
-	GPUs     float64 `json:"GPUs" msgpack:"GPUs"`
+	CPUs     float64 `json:"CPUs"     msgpack:"CPUs"`
+	GPUs     float64 `json:"GPUs"     msgpack:"GPUs"`
 	MemoryGB float64 `json:"MemoryGB" msgpack:"MemoryGB"`
-	DiskGB   float64 `json:"DiskGB" msgpack:"DiskGB"`
+	DiskGB   float64 `json:"DiskGB"   msgpack:"DiskGB"`
 }
 
 // roundingTolerance absorbs the rounding of sums of decimal amounts.
@@ -23,7 +23,9 @@
 
 // Contains tells whether the room takes a request.
 func (r Resources) Contains(request Resources) bool {
-	return request.CPUs <= r.CPUs+roundingTolerance && request.GPUs <= r.GPUs+roundingTolerance && request.MemoryGB <= r.MemoryGB+roundingTolerance && request.DiskGB <= r.DiskGB+roundingTolerance
+	return request.CPUs <= r.CPUs+roundingTolerance && request.GPUs <= r.GPUs+roundingTolerance &&
+		request.MemoryGB <= r.MemoryGB+roundingTolerance &&
+		request.DiskGB <= r.DiskGB+roundingTolerance
 }
 
 // MaxCopies is how many requests fit side by side, at most limit. Disk is not
@@ -55,7 +57,12 @@
 }
 
 func (r Resources) componentMin(other Resources) Resources {
-	return Resources{min(r.CPUs, other.CPUs), min(r.GPUs, other.GPUs), min(r.MemoryGB, other.MemoryGB), min(r.DiskGB, other.DiskGB)}
+	return Resources{
+		min(r.CPUs, other.CPUs),
+		min(r.GPUs, other.GPUs),
+		min(r.MemoryGB, other.MemoryGB),
+		min(r.DiskGB, other.DiskGB),
+	}
 }
 
 // Function is a sampled availability function of Count queues with the same
@@ -77,7 +84,15 @@
 	for i := 1; i < len(s); i++ {
 		if deadline <= s[i].TimeMS {
 			a, b := s[i-1], s[i]
-			return float64(a.AvailableMS) + float64(b.AvailableMS-a.AvailableMS)*float64(deadline-a.TimeMS)/float64(b.TimeMS-a.TimeMS)
+			return float64(
+				a.AvailableMS,
+			) + float64(
+				b.AvailableMS-a.AvailableMS,
+			)*float64(
+				deadline-a.TimeMS,
+			)/float64(
+				b.TimeMS-a.TimeMS,
+			)
 		}
 	}
 	return float64(s[len(s)-1].AvailableMS)
@@ -104,7 +119,15 @@
 		return float64(samples[0].AvailableMS)
 	}
 	a, b := samples[c.next-1], samples[c.next]
-	return float64(a.AvailableMS) + float64(b.AvailableMS-a.AvailableMS)*float64(deadline-a.TimeMS)/float64(b.TimeMS-a.TimeMS)
+	return float64(
+		a.AvailableMS,
+	) + float64(
+		b.AvailableMS-a.AvailableMS,
+	)*float64(
+		deadline-a.TimeMS,
+	)/float64(
+		b.TimeMS-a.TimeMS,
+	)
 }
 
 // TaskCapacity is how many tasks of a group the queues of f can end by deadline:
@@ -121,7 +144,12 @@
 // that every queue behind the result has at least what it says.
 func Merge(f, g Function) Function {
 	var s mergeBuffers
-	return Function{Kind: f.Kind, Count: f.Count + g.Count, Resources: f.Resources.componentMin(g.Resources), Samples: s.minimum(&f, &g)}
+	return Function{
+		Kind:      f.Kind,
+		Count:     f.Count + g.Count,
+		Resources: f.Resources.componentMin(g.Resources),
+		Samples:   s.minimum(&f, &g),
+	}
 }
 
 // mergeBuffers is memory that merges use again: they are most of what a summary costs.
@@ -202,7 +230,15 @@
 // the function.
 func chordCost(s []Sample, i int) float64 {
 	a, b, c := s[i-1], s[i], s[i+1]
-	chord := float64(a.AvailableMS) + float64(c.AvailableMS-a.AvailableMS)*float64(b.TimeMS-a.TimeMS)/float64(c.TimeMS-a.TimeMS)
+	chord := float64(
+		a.AvailableMS,
+	) + float64(
+		c.AvailableMS-a.AvailableMS,
+	)*float64(
+		b.TimeMS-a.TimeMS,
+	)/float64(
+		c.TimeMS-a.TimeMS,
+	)
 	if chord > float64(b.AvailableMS) {
 		return math.Inf(1)
 	}
@@ -237,7 +273,15 @@
 			var lowered int64
 			for i := 1; i < len(samples)-1; i++ {
 				a, b, c := samples[i-1], samples[i], samples[i+1]
-				extended := float64(a.AvailableMS) + float64(b.AvailableMS-a.AvailableMS)*float64(c.TimeMS-a.TimeMS)/float64(b.TimeMS-a.TimeMS)
+				extended := float64(
+					a.AvailableMS,
+				) + float64(
+					b.AvailableMS-a.AvailableMS,
+				)*float64(
+					c.TimeMS-a.TimeMS,
+				)/float64(
+					b.TimeMS-a.TimeMS,
+				)
 				extended = max(0, min(extended, float64(c.AvailableMS)))
 				if extended > float64(c.AvailableMS) {
 					continue
--- a/availability/summary.go
+++ b/availability/summary.go
@@ -146,8 +146,17 @@
 func (r *Reducer) Begin(maxFunctions, maxSamples int, now, span int64) {
 	maxFunctions, maxSamples, span = max(maxFunctions, 1), max(maxSamples, 2), max(span, horizonSteps)
 	step := span / horizonSteps
-	if horizon := now - now%step + span; maxFunctions != r.maxFunctions || maxSamples != r.maxSamples || horizon != r.horizon {
-		*r = Reducer{CoarseStarts: r.CoarseStarts, maxFunctions: maxFunctions, maxSamples: maxSamples, horizon: horizon, round: r.round, input: r.input, buffers: r.buffers}
+	if horizon := now - now%step + span; maxFunctions != r.maxFunctions || maxSamples != r.maxSamples ||
+		horizon != r.horizon {
+		*r = Reducer{
+			CoarseStarts: r.CoarseStarts,
+			maxFunctions: maxFunctions,
+			maxSamples:   maxSamples,
+			horizon:      horizon,
+			round:        r.round,
+			input:        r.input,
+			buffers:      r.buffers,
+		}
 	}
 	r.now = now
 	r.round++
@@ -187,7 +196,9 @@
 		hash = mixHash(hash, uint64(e.Deadline)*0x9e3779b97f4a7c15+uint64(e.Length)*0xc2b2ae3d27d4eb4f+uint64(e.Count))
 	}
 	cached, ok := r.queues.get(hash)
-	if !ok || cached.earliestStart != q.EarliestStart || cached.node.function.Resources != resources || cached.node.function.Kind != kind || !slices.Equal(cached.entries, q.entries) {
+	if !ok || cached.earliestStart != q.EarliestStart || cached.node.function.Resources != resources ||
+		cached.node.function.Kind != kind ||
+		!slices.Equal(cached.entries, q.entries) {
 		f := Function{Kind: kind, Resources: resources, Samples: q.Samples(r.horizon)}
 		f.Reduce(r.maxSamples)
 		cached = &cachedQueue{q.EarliestStart, slices.Clone(q.entries), r.intern(f)}
@@ -283,7 +294,11 @@
 	pair := [2]*node{a, b}
 	n, ok := r.mergedPairs.get(pair)
 	if !ok {
-		f := Function{Kind: a.function.Kind, Resources: a.function.Resources.componentMin(b.function.Resources), Samples: r.buffers.minimum(&a.function, &b.function)}
+		f := Function{
+			Kind:      a.function.Kind,
+			Resources: a.function.Resources.componentMin(b.function.Resources),
+			Samples:   r.buffers.minimum(&a.function, &b.function),
+		}
 		f.Reduce(r.maxSamples)
 		n = r.intern(f)
 		r.mergedPairs.current[pair] = n
@@ -377,14 +392,25 @@
 	n := 0
 	for i := range r.input {
 		current := r.input[i].node
-		if last := len(clusters) - 1; runLength > 1 && n > 0 && n < maxLength && (n < minLength || r.input[i-1].hash%uint64(maxLength-minLength+1) != 0) && r.input[i-1].rank == r.input[i].rank {
+		if last := len(clusters) - 1; runLength > 1 && n > 0 && n < maxLength &&
+			(n < minLength || r.input[i-1].hash%uint64(maxLength-minLength+1) != 0) &&
+			r.input[i-1].rank == r.input[i].rank {
 			clusters[last].merged = r.mergeNodes(clusters[last].merged, current)
 			clusters[last].sources[0] = clusters[last].merged
 			clusters[last].sourceCounts[0] += current.count
 			n++
 			continue
 		}
-		clusters = append(clusters, cluster{merged: current, sources: []*node{current}, sourceCounts: []int64{current.count}, prev: len(clusters) - 1, next: len(clusters) + 1})
+		clusters = append(
+			clusters,
+			cluster{
+				merged:       current,
+				sources:      []*node{current},
+				sourceCounts: []int64{current.count},
+				prev:         len(clusters) - 1,
+				next:         len(clusters) + 1,
+			},
+		)
 		n = 1
 	}
 	return clusters
@@ -397,7 +423,10 @@
 		if i < 0 || j < 0 || j >= len(clusters) || clusters[i].merged.function.Kind != clusters[j].merged.function.Kind {
 			return
 		}
-		pool = append(pool, mergeCandidate{i, j, clusters[i].version, clusters[j].version, r.mergeLoss(&clusters[i], &clusters[j])})
+		pool = append(
+			pool,
+			mergeCandidate{i, j, clusters[i].version, clusters[j].version, r.mergeLoss(&clusters[i], &clusters[j])},
+		)
 		heap.Push(&candidates, &pool[len(pool)-1])
 	}
 	for i := range clusters {
@@ -450,8 +479,13 @@
 // compare puts functions that lose little by being merged beside each other, by what
 // they are of.
 func (k *groupKey) compare(g *groupKey) int {
-	return cmp.Or(strings.Compare(k.kind, g.kind), cmp.Compare(k.resources.CPUs, g.resources.CPUs), cmp.Compare(k.resources.GPUs, g.resources.GPUs),
-		cmp.Compare(k.resources.MemoryGB, g.resources.MemoryGB), cmp.Compare(k.resources.DiskGB, g.resources.DiskGB))
+	return cmp.Or(
+		strings.Compare(k.kind, g.kind),
+		cmp.Compare(k.resources.CPUs, g.resources.CPUs),
+		cmp.Compare(k.resources.GPUs, g.resources.GPUs),
+		cmp.Compare(k.resources.MemoryGB, g.resources.MemoryGB),
+		cmp.Compare(k.resources.DiskGB, g.resources.DiskGB),
+	)
 }
 
 func equalFunctions(f, g *Function) bool {
@@ -472,9 +506,22 @@
 	for _, n := range input {
 		r := n.function.Resources
 		low = low.componentMin(r)
-		high = Resources{max(high.CPUs, r.CPUs), max(high.GPUs, r.GPUs), max(high.MemoryGB, r.MemoryGB), max(high.DiskGB, r.DiskGB)}
+		high = Resources{
+			max(high.CPUs, r.CPUs),
+			max(high.GPUs, r.GPUs),
+			max(high.MemoryGB, r.MemoryGB),
+			max(high.DiskGB, r.DiskGB),
+		}
+	}
+	n := distanceNorm{
+		resourceRanges: Resources{
+			high.CPUs - low.CPUs,
+			high.GPUs - low.GPUs,
+			high.MemoryGB - low.MemoryGB,
+			high.DiskGB - low.DiskGB,
+		},
+		timeRange: float64(span),
 	}
-	n := distanceNorm{resourceRanges: Resources{high.CPUs - low.CPUs, high.GPUs - low.GPUs, high.MemoryGB - low.MemoryGB, high.DiskGB - low.DiskGB}, timeRange: float64(span)}
 	for t := int64(1000); t < span && n.pointCount < len(points{}); t *= 2 {
 		n.pointCount++
 	}
@@ -491,8 +538,20 @@
 // distance is how far a function is above points and a room that are nowhere above it. In
 // time it is the integral of the square, by one point for each doubling.
 func (n *distanceNorm) distance(source *node, minimum *points, resources Resources) float64 {
-	resourceDistance := quadraticTerm(source.function.Resources.CPUs-resources.CPUs, n.resourceRanges.CPUs) + quadraticTerm(source.function.Resources.GPUs-resources.GPUs, n.resourceRanges.GPUs) +
-		quadraticTerm(source.function.Resources.MemoryGB-resources.MemoryGB, n.resourceRanges.MemoryGB) + quadraticTerm(source.function.Resources.DiskGB-resources.DiskGB, n.resourceRanges.DiskGB)
+	resourceDistance := quadraticTerm(
+		source.function.Resources.CPUs-resources.CPUs,
+		n.resourceRanges.CPUs,
+	) + quadraticTerm(
+		source.function.Resources.GPUs-resources.GPUs,
+		n.resourceRanges.GPUs,
+	) +
+		quadraticTerm(
+			source.function.Resources.MemoryGB-resources.MemoryGB,
+			n.resourceRanges.MemoryGB,
+		) + quadraticTerm(
+		source.function.Resources.DiskGB-resources.DiskGB,
+		n.resourceRanges.DiskGB,
+	)
 	timeMS, timeDistance := 1000.0, 0.0
 	for i := range n.pointCount {
 		difference := source.points[i] - minimum[i]
--- a/client/client.go
+++ b/client/client.go
@@ -24,7 +24,13 @@
 	Gang    = string(scheduler.Gang)    // tasks run only all together
 )
 
-var prioritiesByName = map[string]scheduler.Priority{"low": scheduler.Low, "": scheduler.Normal, "standard": scheduler.Normal, "high": scheduler.High, "production": scheduler.Production}
+var prioritiesByName = map[string]scheduler.Priority{
+	"low":        scheduler.Low,
+	"":           scheduler.Normal,
+	"standard":   scheduler.Normal,
+	"high":       scheduler.High,
+	"production": scheduler.Production,
+}
 
 // Job is a job to submit. Times are seconds, sizes gigabytes.
 type Job struct {
@@ -123,9 +129,30 @@
 	if !ok {
 		return nil, &RejectedError{400, fmt.Sprintf("priority %q is none of low, standard, high, production", j.Priority)}
 	}
-	out := &scheduler.Job{ID: j.ID, Class: j.Class, Team: j.Team, Kind: scheduler.JobKind(j.Kind), Priority: p, Tasks: j.Tasks,
-		Request: availability.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, DiskGB: j.ImageGB}, Image: j.Image, Types: j.Types, Zone: j.Zone,
-		OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, EstimateS: j.EstimateS, CheckpointIntervalS: j.CheckpointS, CheckpointDurationS: j.CheckpointDurationS, DeadlineS: j.DeadlineS}
+	out := &scheduler.Job{
+		ID:       j.ID,
+		Class:    j.Class,
+		Team:     j.Team,
+		Kind:     scheduler.JobKind(j.Kind),
+		Priority: p,
+		Tasks:    j.Tasks,
+		Request: availability.Resources{
+			CPUs:     j.CPUs,
+			GPUs:     j.GPUs,
+			MemoryGB: j.MemoryGB,
+			DiskGB:   j.ImageGB,
+		},
+		Image:               j.Image,
+		Types:               j.Types,
+		Zone:                j.Zone,
+		OneZone:             j.OneZone,
+		Spread:              j.Spread,
+		Spot:                j.Spot,
+		EstimateS:           j.EstimateS,
+		CheckpointIntervalS: j.CheckpointS,
+		CheckpointDurationS: j.CheckpointDurationS,
+		DeadlineS:           j.DeadlineS,
+	}
 	if out.Kind == "" {
 		out.Kind = scheduler.Array
 	}
--- a/cmd/grebedock/experiment_page.go
+++ b/cmd/grebedock/experiment_page.go
@@ -69,13 +69,20 @@
 		plots = append(plots, template.HTML(svg))
 	}
 	var b bytes.Buffer
-	err := reportPage.Execute(&b, map[string]any{"Name": all[0].Experiment, "Variants": t.variants, "Rows": rows, "Plots": plots})
+	err := reportPage.Execute(
+		&b,
+		map[string]any{"Name": all[0].Experiment, "Variants": t.variants, "Rows": rows, "Plots": plots},
+	)
 	return b.Bytes(), err
 }
 
 // timeline draws a number over the time of one seed's runs, a line a variant,
 // and when what failed.
-func (t *comparison) timeline(all []emulator.Result, name string, value func(emulator.TimelinePoint) float64) ([]byte, error) {
+func (t *comparison) timeline(
+	all []emulator.Result,
+	name string,
+	value func(emulator.TimelinePoint) float64,
+) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, seed %d", name, all[0].Seed)
 	p.X.Label.Text = "s"
--- a/cmd/grebedock/lab.go
+++ b/cmd/grebedock/lab.go
@@ -171,7 +171,16 @@
 			running += m.Tasks // each counts its own shards' alone
 		}
 	}
-	return fmt.Sprintf("lab: %d of %d machines up, %d jobs, %d tasks wait, %d on machines; %d accepted, %d finished", liveMachines, len(statuses[0].Machines), statuses[0].Jobs, queued, running, accepted, finished)
+	return fmt.Sprintf(
+		"lab: %d of %d machines up, %d jobs, %d tasks wait, %d on machines; %d accepted, %d finished",
+		liveMachines,
+		len(statuses[0].Machines),
+		statuses[0].Jobs,
+		queued,
+		running,
+		accepted,
+		finished,
+	)
 }
 
 // labTable is a lab in a few.
@@ -189,7 +198,18 @@
 				queued += s.QueuedTasks
 			}
 		}
-		fmt.Fprintf(w, "%s\t%v\t%s\t%v\t%s\t%d\t%d\t%d\n", st.Member, st.Authority, st.StoreLink, st.Leading, strings.Join(shards, " "), queued, st.Counters.Starts, st.Counters.LostTasks)
+		fmt.Fprintf(
+			w,
+			"%s\t%v\t%s\t%v\t%s\t%d\t%d\t%d\n",
+			st.Member,
+			st.Authority,
+			st.StoreLink,
+			st.Leading,
+			strings.Join(shards, " "),
+			queued,
+			st.Counters.Starts,
+			st.Counters.LostTasks,
+		)
 	}
 	fmt.Fprintln(w, "TEAM\tGUARANTEE\tLIMIT\tUSED\tWAITING\t\t\t")
 	type sum struct{ used, waiting float64 }
--- a/cmd/grebedock/main.go
+++ b/cmd/grebedock/main.go
@@ -84,13 +84,28 @@
 		},
 	}
 	addFeaturesFlag(check)
-	cmd.AddCommand(submitCommand(), jobCommand(), cancelCommand(), statusCommand(), machinesCommand(), teamsCommand(), drainCommand(), rolloutCommand(),
-		settingsCommand(), workflowCommand(), labCommand(), scheduleCommand(), calendarCommand(), check, &cobra.Command{
+	cmd.AddCommand(
+		submitCommand(),
+		jobCommand(),
+		cancelCommand(),
+		statusCommand(),
+		machinesCommand(),
+		teamsCommand(),
+		drainCommand(),
+		rolloutCommand(),
+		settingsCommand(),
+		workflowCommand(),
+		labCommand(),
+		scheduleCommand(),
+		calendarCommand(),
+		check,
+		&cobra.Command{
 			Use:   "version",
 			Short: "Print the version",
 			Args:  cobra.NoArgs,
 			Run:   func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "grebedock", version) },
-		})
+		},
+	)
 	return cmd
 }
 
--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -105,13 +105,24 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "plan\t%s, %s, not applied\nmachines\t%d in %d steps\n", p.ID, p.Mode, preview.Machines, preview.Steps)
 	if p.Mode == rollout.Replace {
-		fmt.Fprintf(w, "beyond the usual\tup to %d machines, %.2f an hour\n", min(p.Surge, preview.Machines), preview.SurgeCostPerHour)
+		fmt.Fprintf(
+			w,
+			"beyond the usual\tup to %d machines, %.2f an hour\n",
+			min(p.Surge, preview.Machines),
+			preview.SurgeCostPerHour,
+		)
 	}
 	for _, k := range slices.Sorted(maps.Keys(preview.Kinds)) {
 		fmt.Fprintf(w, "  %s\t%d\n", k, preview.Kinds[k])
 	}
 	for _, t := range slices.Sorted(maps.Keys(preview.Tasks)) {
-		fmt.Fprintf(w, "team %s\t%d tasks run on them at this member, %d may be down at once\n", t, preview.Tasks[t], preview.MaxDisrupted[t])
+		fmt.Fprintf(
+			w,
+			"team %s\t%d tasks run on them at this member, %d may be down at once\n",
+			t,
+			preview.Tasks[t],
+			preview.MaxDisrupted[t],
+		)
 	}
 	return w.Flush()
 }
@@ -122,12 +133,25 @@
 	if st.Reason != "" {
 		fmt.Fprintf(w, "why\t%s\n", st.Reason)
 	}
-	fmt.Fprintf(w, "machines\t%d, %d gone, %d being emptied\n", st.TotalMachines, st.TotalMachines-st.Remaining, st.Emptying)
+	fmt.Fprintf(
+		w,
+		"machines\t%d, %d gone, %d being emptied\n",
+		st.TotalMachines,
+		st.TotalMachines-st.Remaining,
+		st.Emptying,
+	)
 	if st.Plan.Mode == rollout.Replace {
 		fmt.Fprintf(w, "replacements\t%d up, %d booting\n", st.LiveReplacements, st.Booting)
 	}
 	if st.Step > 0 {
-		fmt.Fprintf(w, "step\t%d, %d of %d machines, since %s\n", st.Step, st.CoveredMachines, st.CoverLimit, time.UnixMilli(st.StepCoveredAt).UTC().Format(time.RFC3339))
+		fmt.Fprintf(
+			w,
+			"step\t%d, %d of %d machines, since %s\n",
+			st.Step,
+			st.CoveredMachines,
+			st.CoverLimit,
+			time.UnixMilli(st.StepCoveredAt).UTC().Format(time.RFC3339),
+		)
 	}
 	teams := map[string]bool{}
 	for t := range st.Disrupted {
--- a/cmd/grebedock/schedule.go
+++ b/cmd/grebedock/schedule.go
@@ -38,7 +38,8 @@
 
 func calendarCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "calendar", Short: "Calendars of recurring schedules"}
-	cmd.AddCommand(scheduleRequestCommand("show NAME", "Show a calendar, and the schedules that use it", "GET", "/v1/calendars/%s"),
+	cmd.AddCommand(
+		scheduleRequestCommand("show NAME", "Show a calendar, and the schedules that use it", "GET", "/v1/calendars/%s"),
 		applyCommand("calendar", "calendars", "Change the calendars of a file for all schedules that use them",
 			"Each schedule that uses a changed calendar gets a new version that counts from now, or from\n--effective on.",
 			func(f *schedules.File) (names []string) {
@@ -46,7 +47,8 @@
 					names = append(names, c.Name)
 				}
 				return names
-			}))
+			}),
+	)
 	return cmd
 }
 
--- a/cmd/grebedock/user_and_operator.go
+++ b/cmd/grebedock/user_and_operator.go
@@ -35,7 +35,12 @@
 }
 
 func (u *userOptions) addFlags(cmd *cobra.Command) *cobra.Command {
-	cmd.Flags().StringSliceVar(&u.addrs, "addr", []string{fmt.Sprintf("127.0.0.1:%d", defaultUserPort)}, "members' front addresses, host:port; several are tried in turn")
+	cmd.Flags().StringSliceVar(
+		&u.addrs,
+		"addr",
+		[]string{fmt.Sprintf("127.0.0.1:%d", defaultUserPort)},
+		"members' front addresses, host:port; several are tried in turn",
+	)
 	cmd.Flags().BoolVar(&u.json, "json", false, "print JSON")
 	return cmd
 }
@@ -77,7 +82,13 @@
 }
 
 // waitForJob waits for a job, with a line that is written over on a terminal.
-func (u *userOptions) waitForJob(ctx context.Context, cmd *cobra.Command, c *client.Client, id string, tasks int) (client.Status, error) {
+func (u *userOptions) waitForJob(
+	ctx context.Context,
+	cmd *cobra.Command,
+	c *client.Client,
+	id string,
+	tasks int,
+) (client.Status, error) {
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
 	var last client.Status
 	s, err := c.Wait(ctx, id, jobPollInterval, func(s client.Status) {
@@ -247,7 +258,11 @@
 }
 
 // statusCommand prints part of a member's status as JSON or as a table.
-func (o *operatorOptions) statusCommand(use, short string, selectJSON func(*scheduler.Status) any, table func(*scheduler.Status, io.Writer)) *cobra.Command {
+func (o *operatorOptions) statusCommand(
+	use, short string,
+	selectJSON func(*scheduler.Status) any,
+	table func(*scheduler.Status, io.Writer),
+) *cobra.Command {
 	return o.addFlags(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var st scheduler.Status
@@ -265,52 +280,92 @@
 
 func statusCommand() *cobra.Command {
 	var o operatorOptions
-	return o.statusCommand("status", "Show how a member stands", func(st *scheduler.Status) any { return st }, func(st *scheduler.Status, w io.Writer) {
-		liveMachines := 0
-		for _, m := range st.Machines {
-			if m.Up {
-				liveMachines++
+	return o.statusCommand(
+		"status",
+		"Show how a member stands",
+		func(st *scheduler.Status) any { return st },
+		func(st *scheduler.Status, w io.Writer) {
+			liveMachines := 0
+			for _, m := range st.Machines {
+				if m.Up {
+					liveMachines++
+				}
 			}
-		}
-		fmt.Fprintf(w, "member\t%s\nauthority\t%v\nstate service\t%s\nlead\t%s\njobs\t%d\nmachines\t%d, %d up\n", st.Member, st.Authority, st.StoreLink, st.Leader, st.Jobs, len(st.Machines), liveMachines)
-		c := st.Counters
-		fmt.Fprintf(w, "since its start\t%d accepted, %d finished, %d starts, %d lost, %d refused, %d shed, %d relayed\n\n", c.Accepted, c.Finished, c.Starts, c.LostTasks, c.UnavailableResponses, c.ShedSubmissions, c.Relayed)
-		fmt.Fprintln(w, "SHARD\tHOLDER\tREADY\tQUEUED\tNEEDS\tNOT HEARD\tPACED")
-		for _, s := range st.Shards {
-			if s.Owned {
-				fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%d\t%v\n", s.Shard, s.Owner, s.Ready, s.QueuedTasks, s.Demands, s.Unreported, s.Paced)
-			} else {
-				fmt.Fprintf(w, "%s\t%s\t\t\t\t\t\n", s.Shard, s.Owner)
+			fmt.Fprintf(
+				w,
+				"member\t%s\nauthority\t%v\nstate service\t%s\nlead\t%s\njobs\t%d\nmachines\t%d, %d up\n",
+				st.Member,
+				st.Authority,
+				st.StoreLink,
+				st.Leader,
+				st.Jobs,
+				len(st.Machines),
+				liveMachines,
+			)
+			c := st.Counters
+			fmt.Fprintf(
+				w,
+				"since its start\t%d accepted, %d finished, %d starts, %d lost, %d refused, %d shed, %d relayed\n\n",
+				c.Accepted,
+				c.Finished,
+				c.Starts,
+				c.LostTasks,
+				c.UnavailableResponses,
+				c.ShedSubmissions,
+				c.Relayed,
+			)
+			fmt.Fprintln(w, "SHARD\tHOLDER\tREADY\tQUEUED\tNEEDS\tNOT HEARD\tPACED")
+			for _, s := range st.Shards {
+				if s.Owned {
+					fmt.Fprintf(
+						w,
+						"%s\t%s\t%v\t%d\t%d\t%d\t%v\n",
+						s.Shard,
+						s.Owner,
+						s.Ready,
+						s.QueuedTasks,
+						s.Demands,
+						s.Unreported,
+						s.Paced,
+					)
+				} else {
+					fmt.Fprintf(w, "%s\t%s\t\t\t\t\t\n", s.Shard, s.Owner)
+				}
 			}
-		}
-	})
+		},
+	)
 }
 
 func machinesCommand() *cobra.Command {
 	var o operatorOptions
-	return o.statusCommand("machines", "List the machines that a member knows", func(st *scheduler.Status) any { return st.Machines }, func(st *scheduler.Status, w io.Writer) {
-		fmt.Fprintln(w, "MACHINE\tTYPE\tZONE\tSHARD\tSTATE\tTASKS")
-		for _, m := range st.Machines {
-			typ := m.Type
-			if m.Spot {
-				typ += " (spot)"
-			}
-			state := []string{"booting", "up"}[boolToInt(m.Up)]
-			if m.Unreachable {
-				state = "silent"
-			}
-			if m.Releasing {
-				state += ", draining"
-			} else if m.Cordoned {
-				state += ", set aside"
-			}
-			tasks := ""
-			if slices.ContainsFunc(st.Shards, func(s scheduler.ShardStatus) bool { return s.Shard == m.Shard && s.Owned }) {
-				tasks = fmt.Sprint(m.Tasks) // others' are theirs to tell
+	return o.statusCommand(
+		"machines",
+		"List the machines that a member knows",
+		func(st *scheduler.Status) any { return st.Machines },
+		func(st *scheduler.Status, w io.Writer) {
+			fmt.Fprintln(w, "MACHINE\tTYPE\tZONE\tSHARD\tSTATE\tTASKS")
+			for _, m := range st.Machines {
+				typ := m.Type
+				if m.Spot {
+					typ += " (spot)"
+				}
+				state := []string{"booting", "up"}[boolToInt(m.Up)]
+				if m.Unreachable {
+					state = "silent"
+				}
+				if m.Releasing {
+					state += ", draining"
+				} else if m.Cordoned {
+					state += ", set aside"
+				}
+				tasks := ""
+				if slices.ContainsFunc(st.Shards, func(s scheduler.ShardStatus) bool { return s.Shard == m.Shard && s.Owned }) {
+					tasks = fmt.Sprint(m.Tasks) // others' are theirs to tell
+				}
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.ID, typ, m.Zone, m.Shard, state, tasks)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.ID, typ, m.Zone, m.Shard, state, tasks)
-		}
-	})
+		},
+	)
 }
 
 func boolToInt(b bool) int {
@@ -322,20 +377,37 @@
 
 func teamsCommand() *cobra.Command {
 	var o operatorOptions
-	return o.statusCommand("teams", "List the teams: guarantee and limit, and over all members what they use, wait for and lack", func(st *scheduler.Status) any { return st.Teams }, func(st *scheduler.Status, w io.Writer) {
-		fmt.Fprintln(w, "TEAM\tGUARANTEE\tLIMIT\tUSED\tWAITING\tBELOW\tUSED HERE\tPARTS\tWANTED BY\tAGE")
-		for _, t := range st.Teams {
-			allocations, requests := []string{}, []string{}
-			for _, s := range slices.Sorted(maps.Keys(t.Allocations)) {
-				allocations = append(allocations, s+" "+amounts(t.Allocations[s]))
-				if n, isRequested := t.Requests[s]; isRequested {
-					requests = append(requests, s+" "+amounts(n.Amounts))
+	return o.statusCommand(
+		"teams",
+		"List the teams: guarantee and limit, and over all members what they use, wait for and lack",
+		func(st *scheduler.Status) any { return st.Teams },
+		func(st *scheduler.Status, w io.Writer) {
+			fmt.Fprintln(w, "TEAM\tGUARANTEE\tLIMIT\tUSED\tWAITING\tBELOW\tUSED HERE\tPARTS\tWANTED BY\tAGE")
+			for _, t := range st.Teams {
+				allocations, requests := []string{}, []string{}
+				for _, s := range slices.Sorted(maps.Keys(t.Allocations)) {
+					allocations = append(allocations, s+" "+amounts(t.Allocations[s]))
+					if n, isRequested := t.Requests[s]; isRequested {
+						requests = append(requests, s+" "+amounts(n.Amounts))
+					}
 				}
+				fmt.Fprintf(
+					w,
+					"%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%s\t%.1f s\n",
+					t.Team,
+					amounts(t.Guarantee),
+					amounts(t.Limit),
+					amounts(t.TotalUsage),
+					amounts(t.TotalWaiting),
+					amounts(t.GuaranteeShortfall),
+					t.UsedCPUs,
+					cmp.Or(strings.Join(allocations, ", "), "none"),
+					cmp.Or(strings.Join(requests, ", "), "none"),
+					t.OldestUsageAgeS,
+				)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%s\t%.1f s\n", t.Team, amounts(t.Guarantee), amounts(t.Limit), amounts(t.TotalUsage), amounts(t.TotalWaiting), amounts(t.GuaranteeShortfall),
-				t.UsedCPUs, cmp.Or(strings.Join(allocations, ", "), "none"), cmp.Or(strings.Join(requests, ", "), "none"), t.OldestUsageAgeS)
-		}
-	})
+		},
+	)
 }
 
 // amounts prints processors, and accelerators if there are any.
--- a/cwl/expr.go
+++ b/cwl/expr.go
@@ -31,7 +31,9 @@
 	Runtime map[string]any
 }
 
-var paramRef = regexp.MustCompile(`^\s*(inputs|self|runtime|null)((\.[A-Za-z_]\w*)|(\['[^'\\]*'\])|(\["[^"\\]*"\])|(\[\d+\]))*\s*$`)
+var paramRef = regexp.MustCompile(
+	`^\s*(inputs|self|runtime|null)((\.[A-Za-z_]\w*)|(\['[^'\\]*'\])|(\["[^"\\]*"\])|(\[\d+\]))*\s*$`,
+)
 var refPart = regexp.MustCompile(`\.([A-Za-z_]\w*)|\['([^'\\]*)'\]|\["([^"\\]*)"\]|\[(\d+)\]`)
 
 // part is a piece of a text: plain, a reference or code in parentheses, or the
--- a/cwl/ports.go
+++ b/cwl/ports.go
@@ -156,7 +156,10 @@
 		bd.NoQuote = s.data == false
 	}
 	for _, f := range v.fields {
-		if !slices.Contains([]string{"position", "prefix", "separate", "itemSeparator", "valueFrom", "shellQuote", "loadContents"}, f.key) {
+		if !slices.Contains(
+			[]string{"position", "prefix", "separate", "itemSeparator", "valueFrom", "shellQuote", "loadContents"},
+			f.key,
+		) {
 			b.fail(f.at, join(at, f.key), "is no field of %s", Version)
 		}
 	}
--- a/cwl/requirements.go
+++ b/cwl/requirements.go
@@ -46,8 +46,18 @@
 }
 
 // ignored requirements change nothing about how a process runs here.
-var ignored = []string{"SubworkflowFeatureRequirement", "ScatterFeatureRequirement", "MultipleInputFeatureRequirement", "StepInputExpressionRequirement",
-	"SchemaDefRequirement", "SoftwareRequirement", "NetworkAccess", "WorkReuse", "LoadListingRequirement", "InplaceUpdateRequirement"}
+var ignored = []string{
+	"SubworkflowFeatureRequirement",
+	"ScatterFeatureRequirement",
+	"MultipleInputFeatureRequirement",
+	"StepInputExpressionRequirement",
+	"SchemaDefRequirement",
+	"SoftwareRequirement",
+	"NetworkAccess",
+	"WorkReuse",
+	"LoadListingRequirement",
+	"InplaceUpdateRequirement",
+}
 
 func (b *builder) requirements(v *value, outer Requirements) Requirements {
 	r := Requirements{}
@@ -92,7 +102,10 @@
 					if f.key == "class" {
 						continue
 					}
-					if !slices.Contains([]string{"coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax"}, f.key) {
+					if !slices.Contains(
+						[]string{"coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax"},
+						f.key,
+					) {
 						b.fail(f.at, at+"."+f.key, "is no field of %s", Version)
 					}
 					r.Resources[f.key] = f.v.data
--- a/cwl/types.go
+++ b/cwl/types.go
@@ -42,7 +42,8 @@
 
 // Optional tells whether a value may be missing.
 func (t *Type) Optional() bool {
-	return t.Name == "null" || t.Name == "union" && slices.ContainsFunc(t.Union, func(u *Type) bool { return u.Name == "null" })
+	return t.Name == "null" ||
+		t.Name == "union" && slices.ContainsFunc(t.Union, func(u *Type) bool { return u.Name == "null" })
 }
 
 func (t *Type) options() []*Type {
@@ -102,7 +103,10 @@
 	case "File", "Directory":
 		return map[string]any{"type": "object", "required": []any{"class"}, "properties": map[string]any{
 			"class": map[string]any{"const": t.Name}, "path": str("type", "string"), "location": str("type", "string"),
-			"basename": str("type", "string"), "contents": str("type", "string"), "secondaryFiles": str("type", "array"), "listing": str("type", "array"),
+			"basename": str(
+				"type",
+				"string",
+			), "contents": str("type", "string"), "secondaryFiles": str("type", "array"), "listing": str("type", "array"),
 		}}
 	case "array":
 		return map[string]any{"type": "array", "items": t.Items.schema()}
--- a/disruption/disruption.go
+++ b/disruption/disruption.go
@@ -32,11 +32,11 @@
 // Budget is what a team may lose at a time. Zero values mean: no bound in the
 // window, no tasks at all for Tasks and Share together.
 type Budget struct {
-	MaxTasks        int     `json:"tasks,omitempty" toml:"tasks"`         // stopped and not running again at once
-	MaxShare        float64 `json:"share,omitempty" toml:"share"`         // the same, of the tasks that run; the larger counts
-	WindowS         float64 `json:"window_s,omitempty" toml:"window_s"`   // and within so many seconds
+	MaxTasks        int     `json:"tasks,omitempty"     toml:"tasks"`     // stopped and not running again at once
+	MaxShare        float64 `json:"share,omitempty"     toml:"share"`     // the same, of the tasks that run; the larger counts
+	WindowS         float64 `json:"window_s,omitempty"  toml:"window_s"`  // and within so many seconds
 	MaxInWindow     int     `json:"in_window,omitempty" toml:"in_window"` // no more than these
-	MinReplicaShare float64 `json:"keep,omitempty" toml:"keep"`           // of a service's replicas, this share stays
+	MinReplicaShare float64 `json:"keep,omitempty"      toml:"keep"`      // of a service's replicas, this share stays
 }
 
 // Validate says what is wrong with a budget, or nothing, naming the field.
@@ -105,7 +105,13 @@
 // whether any were. settled is the shards' own word, as the store has it: a shard
 // that is not heard has settled nothing. The shards with the least outstanding come
 // first, one token at a time, so that none takes all.
-func (l *Ledger) Issue(now int64, team string, budget Budget, demands map[string]Demand, settled map[string]uint64) bool {
+func (l *Ledger) Issue(
+	now int64,
+	team string,
+	budget Budget,
+	demands map[string]Demand,
+	settled map[string]uint64,
+) bool {
 	running, lost, outstanding := 0, 0, 0
 	outstandingByShard := map[string]int{}
 	for shard, demand := range demands {
@@ -122,7 +128,10 @@
 	available := budget.MaxDown(running+outstanding) - outstanding - lost
 	if budget.MaxInWindow > 0 {
 		issuances := l.recent[team]
-		issuances = slices.DeleteFunc(issuances, func(issued issuance) bool { return now-issued.atMS >= int64(budget.WindowS*1000) })
+		issuances = slices.DeleteFunc(
+			issuances,
+			func(issued issuance) bool { return now-issued.atMS >= int64(budget.WindowS*1000) },
+		)
 		l.recent[team] = issuances
 		n := 0
 		for _, issued := range issuances {
@@ -135,7 +144,8 @@
 	for issuedNow < available {
 		nextShard := ""
 		for _, shard := range shards {
-			if outstandingByShard[shard] < demands[shard].Requested && (nextShard == "" || outstandingByShard[shard] < outstandingByShard[nextShard]) {
+			if outstandingByShard[shard] < demands[shard].Requested &&
+				(nextShard == "" || outstandingByShard[shard] < outstandingByShard[nextShard]) {
 				nextShard = shard
 			}
 		}
@@ -182,7 +192,15 @@
 // OpenAccount goes on with what an earlier holder stored. At most so many tasks are open at
 // once, so that the record stays bounded.
 func OpenAccount(record Record, maxReserved int) *Account {
-	account := &Account{record: Record{Spent: map[string]uint64{}, Settled: map[string]uint64{}, Reserved: map[string]StoppedTask{}}, reservationStored: map[string]bool{}, maxReserved: maxReserved}
+	account := &Account{
+		record: Record{
+			Spent:    map[string]uint64{},
+			Settled:  map[string]uint64{},
+			Reserved: map[string]StoppedTask{},
+		},
+		reservationStored: map[string]bool{},
+		maxReserved:       maxReserved,
+	}
 	account.record.Lost = map[string]string{}
 	maps.Copy(account.record.Lost, record.Lost)
 	maps.Copy(account.record.Spent, record.Spent)
@@ -198,7 +216,8 @@
 // again or need not. What is open already counts as that; beyond the limit losses are
 // not told apart any more, and weigh as the limit.
 func (a *Account) RecordLoss(task, team string) {
-	if _, reserved := a.record.Reserved[task]; !reserved && len(a.record.Lost) < a.maxReserved && a.record.Lost[task] == "" {
+	if _, reserved := a.record.Reserved[task]; !reserved && len(a.record.Lost) < a.maxReserved &&
+		a.record.Lost[task] == "" {
 		a.record.Lost[task] = team
 		a.dirty = true
 	}
@@ -308,7 +327,12 @@
 // BuildRecord is what the store should have.
 func (a *Account) BuildRecord() Record {
 	a.dirty = false
-	return Record{maps.Clone(a.record.Spent), maps.Clone(a.record.Settled), maps.Clone(a.record.Reserved), maps.Clone(a.record.Lost)}
+	return Record{
+		maps.Clone(a.record.Spent),
+		maps.Clone(a.record.Settled),
+		maps.Clone(a.record.Reserved),
+		maps.Clone(a.record.Lost),
+	}
 }
 
 // ConfirmStored tells that a record is in the store: stops that it charges may leave.
--- a/emulator/checks.go
+++ b/emulator/checks.go
@@ -49,7 +49,13 @@
 	sinceCancelMS := sim.Now - j.CancelConfirmedAt
 	sim.Tracef("world: %s starts %d ms after its cancellation", t.Name, sinceCancelMS)
 	if sinceCancelMS > int64(sim.Params.CancelWithinS*1000) {
-		sim.recordViolation("ran_cancelled", "%s starts on %s, %d ms after its cancellation", t.Name, worker.Instance.ID, sinceCancelMS)
+		sim.recordViolation(
+			"ran_cancelled",
+			"%s starts on %s, %d ms after its cancellation",
+			t.Name,
+			worker.Instance.ID,
+			sinceCancelMS,
+		)
 	}
 }
 
@@ -79,13 +85,15 @@
 	if j.Kind != scheduler.Array {
 		concurrentTasks = float64(j.Tasks)
 	}
-	if team.MaxCPUs > 0 && concurrentTasks*j.Request.CPUs > team.MaxCPUs || team.MaxGPUs > 0 && concurrentTasks*j.Request.GPUs > team.MaxGPUs {
+	if team.MaxCPUs > 0 && concurrentTasks*j.Request.CPUs > team.MaxCPUs ||
+		team.MaxGPUs > 0 && concurrentTasks*j.Request.GPUs > team.MaxGPUs {
 		return "more than the team's limit"
 	}
 	fits := func(machineType scheduler.MachineType) bool {
 		request := j.Request
 		request.DiskGB = 0
-		return machineType.Resources.Contains(request) && (len(j.Types) == 0 || slices.Contains(j.Types, machineType.Name)) && (j.Zone == "" || slices.Contains(machineType.Zones, j.Zone))
+		return machineType.Resources.Contains(request) && (len(j.Types) == 0 || slices.Contains(j.Types, machineType.Name)) &&
+			(j.Zone == "" || slices.Contains(machineType.Zones, j.Zone))
 	}
 	if !slices.ContainsFunc(sim.options.Types, fits) {
 		return "a task fits no allowed machine type"
--- a/emulator/operator_requests.go
+++ b/emulator/operator_requests.go
@@ -20,7 +20,10 @@
 
 // SendOperatorRequest has an operator's request answered through some member's administration
 // API, again until it is taken (200) or refused for good (409).
-func (sim *Simulation) SendOperatorRequest(send func(m *scheduler.Controller, now scheduler.Now, replyID uint64), onResponse func(scheduler.UserResponse)) {
+func (sim *Simulation) SendOperatorRequest(
+	send func(m *scheduler.Controller, now scheduler.Now, replyID uint64),
+	onResponse func(scheduler.UserResponse),
+) {
 	m := sim.Members[sim.Rand.IntN(len(sim.Members))]
 	retry := func() { sim.After(1000, func() { sim.SendOperatorRequest(send, onResponse) }) }
 	if m.Core == nil {
@@ -74,7 +77,8 @@
 		down := 0
 		for task, startsAtStop := range counter.startCounts {
 			other := sim.Jobs[task[:strings.IndexByte(task, '/')]]
-			if other.StartCounts[task] > startsAtStop || other.DoneTasks[task] || other.CancelRequested || other.ObservedState.IsTerminal() {
+			if other.StartCounts[task] > startsAtStop || other.DoneTasks[task] || other.CancelRequested ||
+				other.ObservedState.IsTerminal() {
 				delete(counter.startCounts, task)
 			} else if other.Spec.Team == t.Job.Team {
 				down++
--- a/emulator/protocol_faults.go
+++ b/emulator/protocol_faults.go
@@ -44,7 +44,8 @@
 // conditions.
 func (sim *Simulation) dropsStoreResponse(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) bool {
 	succeeded := result.Outcome == scheduler.OK
-	if op.Kind != scheduler.StoreTxn || !sim.responseLosses.occurs(sim) && !(succeeded && sim.LosesResponse != nil && sim.LosesResponse(m, op)) {
+	if op.Kind != scheduler.StoreTxn ||
+		!sim.responseLosses.occurs(sim) && !(succeeded && sim.LosesResponse != nil && sim.LosesResponse(m, op)) {
 		return false
 	}
 	sim.LostResponseCount++
@@ -92,7 +93,10 @@
 	}
 	for _, other := range sim.Members {
 		if other != m {
-			sim.Partitions = append(sim.Partitions, Partition{A: m.Name, B: other.Name, Until: sim.Now + ms, DropsMessages: refused})
+			sim.Partitions = append(
+				sim.Partitions,
+				Partition{A: m.Name, B: other.Name, Until: sim.Now + ms, DropsMessages: refused},
+			)
 		}
 	}
 }
@@ -101,7 +105,10 @@
 // other, and nobody else. What is sent meanwhile is held, or, with loses, lost.
 func (sim *Simulation) PartitionZoneWithMember(zone string, m *Member, ms int64, dropsMessages bool) {
 	partition := func(sideA, sideB string) {
-		sim.Partitions = append(sim.Partitions, Partition{A: sideA, B: sideB, Until: sim.Now + ms, DropsMessages: dropsMessages})
+		sim.Partitions = append(
+			sim.Partitions,
+			Partition{A: sideA, B: sideB, Until: sim.Now + ms, DropsMessages: dropsMessages},
+		)
 	}
 	partition(m.Name, "store")
 	partition(m.Name, "cloud")
@@ -196,7 +203,12 @@
 	}
 	for _, id := range sim.JobIDs {
 		if j := sim.Jobs[id]; j.Accepted && !j.CancelRequested && sim.Now-max(j.lastResponseAt, j.AcceptedAt) > forgottenMS {
-			sim.recordViolation("forgotten", "no question about %s is answered for %d ms", id, sim.Now-max(j.lastResponseAt, j.AcceptedAt))
+			sim.recordViolation(
+				"forgotten",
+				"no question about %s is answered for %d ms",
+				id,
+				sim.Now-max(j.lastResponseAt, j.AcceptedAt),
+			)
 		}
 	}
 }
@@ -227,7 +239,8 @@
 
 // divertLateWrite takes a transaction that is carried out late and gets no answer.
 func (sim *Simulation) divertLateWrite(m *Member, op scheduler.StoreOp) bool {
-	if op.Kind != scheduler.StoreTxn || sim.storeRefuses(m.Name) || !sim.writeDelays.occurs(sim) && !(sim.DelaysWrite != nil && sim.DelaysWrite(m, op)) {
+	if op.Kind != scheduler.StoreTxn || sim.storeRefuses(m.Name) ||
+		!sim.writeDelays.occurs(sim) && !(sim.DelaysWrite != nil && sim.DelaysWrite(m, op)) {
 		return false
 	}
 	// It has the service already: a refusal of its sender no longer stops it, only an
@@ -317,7 +330,8 @@
 // observeClaim sees a claim that the state service has carried out, and lets the kept
 // copies of reports arrive.
 func (sim *Simulation) observeClaim(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) {
-	if len(sim.claimHeartbeats)+len(sim.ownerHeartbeats) == 0 || op.Kind != scheduler.StoreTxn || result.Outcome != scheduler.OK {
+	if len(sim.claimHeartbeats)+len(sim.ownerHeartbeats) == 0 || op.Kind != scheduler.StoreTxn ||
+		result.Outcome != scheduler.OK {
 		return
 	}
 	claims := slices.ContainsFunc(op.Changes, func(c scheduler.Change) bool {
@@ -369,7 +383,10 @@
 	if !sim.newOwners[m.Name] {
 		return
 	}
-	hasCommands := slices.ContainsFunc(outputs.DirectCommands, func(command scheduler.DirectCommand) bool { return len(command.Commands) > 0 })
+	hasCommands := slices.ContainsFunc(
+		outputs.DirectCommands,
+		func(command scheduler.DirectCommand) bool { return len(command.Commands) > 0 },
+	)
 	for _, resp := range outputs.HeartbeatResponses {
 		hasCommands = hasCommands || len(resp.Commands) > 0
 	}
@@ -425,18 +442,27 @@
 
 // Faults are all that can go wrong by themselves, for days that pair them.
 var Faults = []Fault{
-	{"late writes", func(sim *Simulation) { sim.DelayWrites(0.1+0.5*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) }},
+	{
+		"late writes",
+		func(sim *Simulation) { sim.DelayWrites(0.1+0.5*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) },
+	},
 	{"late reports", func(sim *Simulation) {
 		sim.ReplayHeartbeats(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
 	}},
-	{"lost answers", func(sim *Simulation) { sim.LoseResponses(0.1+0.5*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) }},
+	{
+		"lost answers",
+		func(sim *Simulation) { sim.LoseResponses(0.1+0.5*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) },
+	},
 	{"reports kept for the next claim", func(sim *Simulation) {
 		sim.ReplayHeartbeatsAtClaim(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
 	}},
 	{"reports held until a new holder acts", func(sim *Simulation) {
 		sim.DelayHeartbeatsUntilNewOwnerActs(0.1+0.3*sim.Rand.Float64(), sim.randomBetween(3000, 28_000))
 	}},
-	{"commands late", func(sim *Simulation) { sim.DelayCommands(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) }},
+	{
+		"commands late",
+		func(sim *Simulation) { sim.DelayCommands(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) },
+	},
 	{"mute machines", func(sim *Simulation) {
 		sim.SampleLiveWorkers(0.4, func(worker *Worker) { sim.PartitionOutbound(worker, sim.randomBetween(2000, 28_000)) })
 	}},
@@ -449,10 +475,19 @@
 	{"deaf machines", func(sim *Simulation) {
 		sim.SampleLiveWorkers(0.4, func(worker *Worker) { sim.PartitionInbound(worker, sim.randomBetween(2000, 28_000)) })
 	}},
-	{"a member cut from state and peers, held", func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), false) }},
-	{"a member cut from state and peers, refused", func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), true) }},
+	{
+		"a member cut from state and peers, held",
+		func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), false) },
+	},
+	{
+		"a member cut from state and peers, refused",
+		func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), true) },
+	},
 	{"slow state", func(sim *Simulation) { sim.SlowStore(sim.randomBetween(400, 3000), sim.randomBetween(3000, 28_000)) }},
-	{"a member stands still", func(sim *Simulation) { sim.PauseMember(sim.randomMember(), sim.randomBetween(500, 12_000)) }},
+	{
+		"a member stands still",
+		func(sim *Simulation) { sim.PauseMember(sim.randomMember(), sim.randomBetween(500, 12_000)) },
+	},
 	{"commands held", func(sim *Simulation) {
 		sim.SampleLiveWorkers(0.5, func(worker *Worker) {
 			sim.DelayWorkerCommands(worker, sim.randomBetween(1000, 11_000), sim.Rand.IntN(2) == 0)
@@ -464,7 +499,10 @@
 		sim.After(sim.Rand.Int64N(durationMS), func() { sim.StartOutage("all", sim.randomBetween(2000, 56_000)) })
 	}},
 	{"one ends, back within a second", func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(100, 1000)) }},
-	{"one ends, is adopted and comes back", func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(14_000, 20_000)) }},
+	{
+		"one ends, is adopted and comes back",
+		func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(14_000, 20_000)) },
+	},
 	{"all end", (*Simulation).CrashAll},
 	{"a roll", func(sim *Simulation) {
 		for i, m := range sim.Members {
@@ -489,7 +527,10 @@
 		sim.Lags[sim.randomMember().Name] = Lag{Until: sim.Now + 12_000, MaxDelayMS: 3000}
 	}},
 	{"a member cut from its workers", func(sim *Simulation) {
-		sim.Partitions = append(sim.Partitions, Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + sim.randomBetween(2000, 11_000)})
+		sim.Partitions = append(
+			sim.Partitions,
+			Partition{A: sim.randomMember().Name, B: "w", Until: sim.Now + sim.randomBetween(2000, 11_000)},
+		)
 	}},
 }
 
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -303,9 +303,28 @@
 	if options.TaskRunMS == nil {
 		options.TaskRunMS = func(sim *Simulation, _ *Job, _ string) int64 { return 1000 + sim.Rand.Int64N(9000) }
 	}
-	sim := &Simulation{Rand: rand.New(rand.NewPCG(options.Seed, 1)), Store: standin.NewState(), Cloud: standin.NewCloud(options.Types, options.CapacityPerOffering), Workers: map[string]*Worker{},
-		Jobs: map[string]*Job{}, Lags: map[string]Lag{}, OutageUntil: map[string]int64{}, Violations: map[string]string{}, StoreRequests: map[scheduler.StoreOpKind]int{}, CommandCounts: map[string][]int{}, LateWriteCounts: map[string]int{}, LostResponseKinds: map[string]int{}, DuplicateCounts: map[string]int{},
-		FailureReasons: map[string]string{}, completeGangAttempts: map[string]bool{}, limitUse: map[string]limitSamples{}, startableSince: map[string]int64{}, MessageLoss: options.MessageLoss, Params: options.Params, options: options}
+	sim := &Simulation{
+		Rand:                 rand.New(rand.NewPCG(options.Seed, 1)),
+		Store:                standin.NewState(),
+		Cloud:                standin.NewCloud(options.Types, options.CapacityPerOffering),
+		Workers:              map[string]*Worker{},
+		Jobs:                 map[string]*Job{},
+		Lags:                 map[string]Lag{},
+		OutageUntil:          map[string]int64{},
+		Violations:           map[string]string{},
+		StoreRequests:        map[scheduler.StoreOpKind]int{},
+		CommandCounts:        map[string][]int{},
+		LateWriteCounts:      map[string]int{},
+		LostResponseKinds:    map[string]int{},
+		DuplicateCounts:      map[string]int{},
+		FailureReasons:       map[string]string{},
+		completeGangAttempts: map[string]bool{},
+		limitUse:             map[string]limitSamples{},
+		startableSince:       map[string]int64{},
+		MessageLoss:          options.MessageLoss,
+		Params:               options.Params,
+		options:              options,
+	}
 	sim.Cloud.OnProvisioned = func(instance *standin.Instance) { sim.provisioned(instance) }
 	sim.Cloud.OnReleased = func(instance *standin.Instance) {
 		if worker := sim.Workers[instance.ID]; worker != nil {
@@ -366,7 +385,12 @@
 	for _, command := range commands {
 		sim.countCommands(string(command.Kind), 1)
 		j := sim.Jobs[command.Task[:strings.IndexByte(command.Task, '/')]]
-		if command.Kind != scheduler.CommandStop || command.GraceS > 0 || sim.ChecksDisabled || j == nil || j.CancelRequested || j.ObservedState.IsTerminal() || j.DoneTasks[command.Task] || j.Spec.AtMostOnce || j.Spec.MaxTaskErrors > 0 {
+		if command.Kind != scheduler.CommandStop || command.GraceS > 0 || sim.ChecksDisabled || j == nil ||
+			j.CancelRequested ||
+			j.ObservedState.IsTerminal() ||
+			j.DoneTasks[command.Task] ||
+			j.Spec.AtMostOnce ||
+			j.Spec.MaxTaskErrors > 0 {
 			continue
 		}
 		running, isRunningAttempt := 0, false
@@ -389,7 +413,8 @@
 		delay += sim.Rand.Int64N(600)
 	}
 	for _, partition := range sim.Partitions {
-		if partition.Until > sim.Now && (strings.HasPrefix(from, partition.A) && strings.HasPrefix(to, partition.B) || strings.HasPrefix(to, partition.A) && strings.HasPrefix(from, partition.B)) {
+		if partition.Until > sim.Now &&
+			(strings.HasPrefix(from, partition.A) && strings.HasPrefix(to, partition.B) || strings.HasPrefix(to, partition.A) && strings.HasPrefix(from, partition.B)) {
 			if partition.DropsMessages {
 				return
 			}
@@ -418,7 +443,10 @@
 
 // Clock is the time as the member sees it.
 func (m *Member) Clock() scheduler.Now {
-	return scheduler.Now{MonotonicMS: int64(float64(m.sim.Now-m.startedAt)*m.clockRate) + 1, WallMS: 1_700_000_000_000 + m.sim.Now + m.ClockOffsetMS + m.sim.Rand.Int64N(11) - 5}
+	return scheduler.Now{
+		MonotonicMS: int64(float64(m.sim.Now-m.startedAt)*m.clockRate) + 1,
+		WallMS:      1_700_000_000_000 + m.sim.Now + m.ClockOffsetMS + m.sim.Rand.Int64N(11) - 5,
+	}
 }
 
 func (m *Member) start() {
@@ -489,7 +517,12 @@
 		return
 	}
 	memberCount := float64(len(sim.Members))
-	m.budgetFreeAt = max(m.budgetFreeAt, sim.Now-1000) + int64(max(1, memberCount/sim.StoreRPS*1000, memberCount/sim.StoreWriteRPS*1000*float64(len(op.Changes))))
+	m.budgetFreeAt = max(
+		m.budgetFreeAt,
+		sim.Now-1000,
+	) + int64(
+		max(1, memberCount/sim.StoreRPS*1000, memberCount/sim.StoreWriteRPS*1000*float64(len(op.Changes))),
+	)
 	sim.After(max(0, m.budgetFreeAt-sim.Now), func() { sim.sendMessage(m.Name, "store", send) })
 }
 
@@ -550,7 +583,13 @@
 			}
 			respondStore(result)
 		})
-		sim.After(timeoutMS, m.inEpoch(epoch, func() { m.Core.HandleStoreResult(m.Clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown}) }))
+		sim.After(
+			timeoutMS,
+			m.inEpoch(
+				epoch,
+				func() { m.Core.HandleStoreResult(m.Clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown}) },
+			),
+		)
 	}
 	for _, op := range outputs.CloudOps {
 		switch op.Kind {
@@ -563,7 +602,13 @@
 			result := sim.Cloud.Apply(sim.Now, op)
 			sim.sendMessage("cloud", m.Name, m.inEpoch(epoch, func() { m.Core.HandleCloudResult(m.Clock(), op.ID, result) }))
 		})
-		sim.After(2*requestTimeoutMS, m.inEpoch(epoch, func() { m.Core.HandleCloudResult(m.Clock(), op.ID, scheduler.CloudResult{Outcome: scheduler.Unknown}) }))
+		sim.After(
+			2*requestTimeoutMS,
+			m.inEpoch(
+				epoch,
+				func() { m.Core.HandleCloudResult(m.Clock(), op.ID, scheduler.CloudResult{Outcome: scheduler.Unknown}) },
+			),
+		)
 	}
 	for _, command := range outputs.DirectCommands {
 		sim.checkCommands(command.Commands)
@@ -661,7 +706,12 @@
 func (worker *Worker) Clock(sim *Simulation) int64 { return int64(float64(sim.Now) * worker.clockRate) }
 
 func (sim *Simulation) provisioned(instance *standin.Instance) {
-	worker := &Worker{Instance: instance, taskStartedAt: map[string]int64{}, clockRate: 1 + (sim.Rand.Float64()-0.5)*0.001, memberIndex: sim.Rand.IntN(sim.options.Members)}
+	worker := &Worker{
+		Instance:      instance,
+		taskStartedAt: map[string]int64{},
+		clockRate:     1 + (sim.Rand.Float64()-0.5)*0.001,
+		memberIndex:   sim.Rand.IntN(sim.options.Members),
+	}
 	sim.Workers[instance.ID] = worker
 	sim.WorkerIDs = append(sim.WorkerIDs, instance.ID)
 	var machineType scheduler.MachineType
@@ -679,7 +729,10 @@
 		fetchRatio = 1 + sim.options.FetchSpread*(2*sim.Rand.Float64()-1)
 	}
 	if instance.Spot && sim.options.SpotLossPerHour > 0 {
-		sim.After(max(1, int64(sim.Rand.ExpFloat64()*3_600_000*100/sim.options.SpotLossPerHour)), func() { sim.interruptSpot(worker) })
+		sim.After(
+			max(1, int64(sim.Rand.ExpFloat64()*3_600_000*100/sim.options.SpotLossPerHour)),
+			func() { sim.interruptSpot(worker) },
+		)
 	}
 	bootMS := int64(machineType.BootS * 1000 * (0.6 + 0.9*sim.Rand.Float64()))
 	if sim.Rand.Float64() < 0.05 {
@@ -697,7 +750,11 @@
 		}
 		worker.Up = true
 		instance.State = "running"
-		worker.Agent = &standin.Worker{Machine: instance.CloudMachine, Resources: machineType.Resources, LeaseMS: int64(sim.Params.LeaseS * 1000), FetchMS: 300 + sim.Rand.Int64N(900),
+		worker.Agent = &standin.Worker{
+			Machine:   instance.CloudMachine,
+			Resources: machineType.Resources,
+			LeaseMS:   int64(sim.Params.LeaseS * 1000),
+			FetchMS:   300 + sim.Rand.Int64N(900),
 			FindJob: func(id string) *scheduler.Job {
 				if j := sim.Jobs[id]; j != nil {
 					return &j.Spec
@@ -734,7 +791,8 @@
 				}
 			},
 			Execute: func(machineType *standin.Task) standin.Execution {
-				if sim.IsFaulty != nil && sim.IsFaulty(worker) || sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[machineType.Job.ID]) {
+				if sim.IsFaulty != nil && sim.IsFaulty(worker) ||
+					sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[machineType.Job.ID]) {
 					return &erringExecution{sim, sim.Now + 1000, false}
 				}
 				if machineType.Job.MaxTaskErrors == 0 {
@@ -785,7 +843,17 @@
 func (sim *Simulation) ReplaceWorkers(workers []*Worker) {
 	for i, worker := range workers {
 		sim.Cloud.Reclaim(worker.Instance.ID)
-		sim.Cloud.Apply(sim.Now, scheduler.CloudOp{Kind: scheduler.CloudProvision, IdempotencyKey: fmt.Sprintf("late-%d-%d", sim.Now, i), Type: worker.Instance.Type, Zone: worker.Instance.Zone, Spot: worker.Instance.Spot, Count: 1})
+		sim.Cloud.Apply(
+			sim.Now,
+			scheduler.CloudOp{
+				Kind:           scheduler.CloudProvision,
+				IdempotencyKey: fmt.Sprintf("late-%d-%d", sim.Now, i),
+				Type:           worker.Instance.Type,
+				Zone:           worker.Instance.Zone,
+				Spot:           worker.Instance.Spot,
+				Count:          1,
+			},
+		)
 	}
 }
 
@@ -850,7 +918,8 @@
 				sim.options.InjectedFault.WorkerResponse(&resp)
 			}
 			sim.sendMessage(m.Name, endpoint, func() {
-				if finished || worker.Gone || worker.inboundPartitionedUntil > sim.Now || worker.outboundPartitionedUntil > sim.Now {
+				if finished || worker.Gone || worker.inboundPartitionedUntil > sim.Now ||
+					worker.outboundPartitionedUntil > sim.Now {
 					return
 				}
 				if worker.HangUntil > sim.Now {
@@ -947,8 +1016,10 @@
 // checkPlacement checks where a task runs; zones are those of its job's tasks.
 func (sim *Simulation) checkPlacement(worker *Worker, t *standin.Task, zones map[string]int) {
 	job := &sim.Jobs[t.Job.ID].Spec
-	if worker.Instance.Spot && !job.Spot || job.Zone != "" && job.Zone != worker.Instance.Zone || len(job.Types) > 0 && !slices.Contains(job.Types, worker.Instance.Type) ||
-		job.OneZone && len(zones) > 1 || job.Spread && zones[worker.Instance.Zone] > (job.Tasks+1)/2 {
+	if worker.Instance.Spot && !job.Spot || job.Zone != "" && job.Zone != worker.Instance.Zone ||
+		len(job.Types) > 0 && !slices.Contains(job.Types, worker.Instance.Type) ||
+		job.OneZone && len(zones) > 1 ||
+		job.Spread && zones[worker.Instance.Zone] > (job.Tasks+1)/2 {
 		sim.recordViolation("wrong_place", "%s on %s", t.Name, worker.Instance.ID)
 	}
 }
@@ -982,7 +1053,13 @@
 	sim.EachTask(func(worker *Worker, t *standin.Task) {
 		j := sim.Jobs[t.Job.ID]
 		if j.CancelConfirmedAt > 0 && sim.Now-j.CancelConfirmedAt > int64(sim.Params.CancelWithinS*1000) {
-			sim.recordViolation("ran_cancelled", "%s on %s, %d ms after its cancellation", t.Name, worker.Instance.ID, sim.Now-j.CancelConfirmedAt)
+			sim.recordViolation(
+				"ran_cancelled",
+				"%s on %s, %d ms after its cancellation",
+				t.Name,
+				worker.Instance.ID,
+				sim.Now-j.CancelConfirmedAt,
+			)
 		}
 	})
 }
@@ -993,7 +1070,11 @@
 }
 
 // SendRequestTo sends a user's request to a member.
-func (sim *Simulation) SendRequestTo(m *Member, req scheduler.UserRequest, onResponse func(scheduler.UserResponse, bool)) {
+func (sim *Simulation) SendRequestTo(
+	m *Member,
+	req scheduler.UserRequest,
+	onResponse func(scheduler.UserResponse, bool),
+) {
 	finished := false
 	historyIndex := sim.recordRequest(req)
 	finish := func(resp scheduler.UserResponse, ok bool) {
@@ -1076,15 +1157,18 @@
 	var attempt func()
 	attempt = func() {
 		requestedAt := sim.Now
-		sim.SendRequest(scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Job: &submitted}, func(resp scheduler.UserResponse, ok bool) {
-			if ok {
-				sim.ReceiveResponse(j, requestedAt, resp)
-				sim.Tracef("user: %s submitted, gets %d %s", id, resp.Status, resp.Error)
-			}
-			if !j.Accepted {
-				sim.After(1000*int64(max(1, resp.RetryAfterS)), attempt)
-			}
-		})
+		sim.SendRequest(
+			scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Job: &submitted},
+			func(resp scheduler.UserResponse, ok bool) {
+				if ok {
+					sim.ReceiveResponse(j, requestedAt, resp)
+					sim.Tracef("user: %s submitted, gets %d %s", id, resp.Status, resp.Error)
+				}
+				if !j.Accepted {
+					sim.After(1000*int64(max(1, resp.RetryAfterS)), attempt)
+				}
+			},
+		)
 	}
 	attempt()
 	sim.Poll(j)
@@ -1111,25 +1195,31 @@
 	}
 	j.CancelRequested = true
 	requestedAt := sim.Now
-	sim.SendRequest(scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-		if ok {
-			sim.ReceiveResponse(j, requestedAt, resp)
-		}
-		if !ok || resp.Status != 200 {
-			sim.After(1000, func() { sim.CancelJob(j) })
-		}
-	})
+	sim.SendRequest(
+		scheduler.UserRequest{Kind: scheduler.CancelJob, ID: j.Spec.ID},
+		func(resp scheduler.UserResponse, ok bool) {
+			if ok {
+				sim.ReceiveResponse(j, requestedAt, resp)
+			}
+			if !ok || resp.Status != 200 {
+				sim.After(1000, func() { sim.CancelJob(j) })
+			}
+		},
+	)
 }
 
 // Poll has a job's user ask for it from now on.
 func (sim *Simulation) Poll(j *Job) {
 	sim.After(4000+sim.Rand.Int64N(2000), func() {
 		requestedAt := sim.Now
-		sim.SendRequest(scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID}, func(resp scheduler.UserResponse, ok bool) {
-			if ok {
-				sim.ReceiveResponse(j, requestedAt, resp)
-			}
-		})
+		sim.SendRequest(
+			scheduler.UserRequest{Kind: scheduler.QueryJob, ID: j.Spec.ID},
+			func(resp scheduler.UserResponse, ok bool) {
+				if ok {
+					sim.ReceiveResponse(j, requestedAt, resp)
+				}
+			},
+		)
 		sim.Poll(j)
 	})
 }
--- a/emulator/starvation.go
+++ b/emulator/starvation.go
@@ -48,7 +48,11 @@
 		if worker.Gone || !worker.Up || worker.Agent.IsLeaseExpired(worker.Clock(sim)) {
 			continue
 		}
-		occupancy := workerUsage{worker: worker, free: withoutImage(worker.machineType.Resources), images: map[string]float64{}}
+		occupancy := workerUsage{
+			worker: worker,
+			free:   withoutImage(worker.machineType.Resources),
+			images: map[string]float64{},
+		}
 		for _, t := range worker.Agent.Tasks() {
 			if t.State != "exited" {
 				occupancy.addTask(t)
@@ -89,7 +93,8 @@
 // fittingCopies is how many tasks of a job the machine has room for, as many as limit at most.
 func (usage *workerUsage) fittingCopies(j *scheduler.Job, limit int) int {
 	instance := usage.worker.Instance
-	if instance.Spot && !j.Spot || j.Zone != "" && j.Zone != instance.Zone || len(j.Types) > 0 && !slices.Contains(j.Types, instance.Type) {
+	if instance.Spot && !j.Spot || j.Zone != "" && j.Zone != instance.Zone ||
+		len(j.Types) > 0 && !slices.Contains(j.Types, instance.Type) {
 		return 0
 	}
 	if _, cached := usage.images[j.Image]; !cached {
@@ -126,7 +131,8 @@
 		required = waiting
 	}
 	used, copies := usage.teams[job.Team], float64(required)
-	if limit.MaxCPUs > 0 && used.CPUs+copies*job.Request.CPUs > limit.MaxCPUs || limit.MaxGPUs > 0 && used.GPUs+copies*job.Request.GPUs > limit.MaxGPUs {
+	if limit.MaxCPUs > 0 && used.CPUs+copies*job.Request.CPUs > limit.MaxCPUs ||
+		limit.MaxGPUs > 0 && used.GPUs+copies*job.Request.GPUs > limit.MaxGPUs {
 		return "", false
 	}
 	// How many tasks more each zone may have.
@@ -164,7 +170,14 @@
 	}
 	for _, id := range sim.WorkerIDs {
 		worker := sim.Workers[id]
-		if !worker.Gone && max(worker.HangUntil, worker.inboundPartitionedUntil, worker.outboundPartitionedUntil, worker.commandsDelayedUntil, worker.commandResultsDelayedUntil) > sim.Now {
+		if !worker.Gone &&
+			max(
+				worker.HangUntil,
+				worker.inboundPartitionedUntil,
+				worker.outboundPartitionedUntil,
+				worker.commandsDelayedUntil,
+				worker.commandResultsDelayedUntil,
+			) > sim.Now {
 			return false
 		}
 	}
@@ -200,7 +213,15 @@
 		case !isWaiting:
 			sim.startableSince[id] = sim.Now
 		case sim.Now-since > maxStarvationMS:
-			sim.recordViolation("left_waiting", "%s, %d of %d tasks done, waits for %d ms, while %s, for one, has room", id, len(j.DoneTasks), j.Spec.Tasks, sim.Now-since, machine)
+			sim.recordViolation(
+				"left_waiting",
+				"%s, %d of %d tasks done, waits for %d ms, while %s, for one, has room",
+				id,
+				len(j.DoneTasks),
+				j.Spec.Tasks,
+				sim.Now-since,
+				machine,
+			)
 		}
 	}
 }
--- a/emulator/team_results.go
+++ b/emulator/team_results.go
@@ -36,7 +36,8 @@
 // discountEarlyStop takes back a start that was stopped by command too soon to count.
 func (sim *Simulation) discountEarlyStop(worker *Worker, t *standin.Task) {
 	j := sim.Jobs[t.Job.ID]
-	if at, ok := j.countedStartAt[t.Name]; ok && sim.Now-at < minCountedRunMS && worker.Agent.NoticeS == nil && !j.CancelRequested {
+	if at, ok := j.countedStartAt[t.Name]; ok && sim.Now-at < minCountedRunMS && worker.Agent.NoticeS == nil &&
+		!j.CancelRequested {
 		delete(j.countedStartAt, t.Name)
 	}
 }
--- a/extension/extension.go
+++ b/extension/extension.go
@@ -116,22 +116,35 @@
 
 // List reads all records with a prefix, page by page. It ends early, and without
 // a word, once page returns false; else done tells whether all was read.
-func (b *Base[Q, R, A]) List(urgency scheduler.Urgency, prefix string, onPage func([]scheduler.KeyValue) bool, onDone func(ok bool)) {
+func (b *Base[Q, R, A]) List(
+	urgency scheduler.Urgency,
+	prefix string,
+	onPage func([]scheduler.KeyValue) bool,
+	onDone func(ok bool),
+) {
 	b.listFrom(urgency, prefix, "", onPage, onDone)
 }
 
-func (b *Base[Q, R, A]) listFrom(urgency scheduler.Urgency, prefix, from string, onPage func([]scheduler.KeyValue) bool, onDone func(ok bool)) {
-	b.SendStore(scheduler.StoreOp{Kind: scheduler.StoreList, Urgency: urgency, Key: prefix, StartAfter: from}, func(r scheduler.StoreResult) {
-		switch {
-		case r.Outcome != scheduler.OK:
-			onDone(false)
-		case !onPage(r.KVs):
-		case r.More && len(r.KVs) > 0:
-			b.listFrom(urgency, prefix, r.KVs[len(r.KVs)-1].Key, onPage, onDone)
-		default:
-			onDone(true)
-		}
-	})
+func (b *Base[Q, R, A]) listFrom(
+	urgency scheduler.Urgency,
+	prefix, from string,
+	onPage func([]scheduler.KeyValue) bool,
+	onDone func(ok bool),
+) {
+	b.SendStore(
+		scheduler.StoreOp{Kind: scheduler.StoreList, Urgency: urgency, Key: prefix, StartAfter: from},
+		func(r scheduler.StoreResult) {
+			switch {
+			case r.Outcome != scheduler.OK:
+				onDone(false)
+			case !onPage(r.KVs):
+			case r.More && len(r.KVs) > 0:
+				b.listFrom(urgency, prefix, r.KVs[len(r.KVs)-1].Key, onPage, onDone)
+			default:
+				onDone(true)
+			}
+		},
+	)
 }
 
 // StoreDone takes the answer of the state service to a request.
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -22,7 +22,11 @@
 func New(ctx context.Context, settings *config.File, onResult func(uint64, scheduler.CloudResult)) *Client {
 	// Nearly all requests are the fleet lead's; the others ask for the machine
 	// types once, and a new lead may follow an old one at once.
-	return &Client{client: rest.NewClient(settings.External.Cloud, 8), budget: rest.NewBudget(ctx, settings.Cluster.Cloud.RPS*leaderRateShare, 0, 0), onResult: onResult}
+	return &Client{
+		client:   rest.NewClient(settings.External.Cloud, 8),
+		budget:   rest.NewBudget(ctx, settings.Cluster.Cloud.RPS*leaderRateShare, 0, 0),
+		onResult: onResult,
+	}
 }
 
 // leaderRateShare is how much of the cloud's rate one member may use.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -259,8 +259,11 @@
 	c.requirePositive("cluster.workers.lease_s", cl.Workers.LeaseS)
 	c.requirePositive("cluster.workers.cancel_s", cl.Workers.CancelS)
 	if w := cl.Workers; w.LeaseS > 0 && secondsToMS(w.CancelS) < access.MinCancelMS(secondsToMS(w.LeaseS)) {
-		c.addProblem("cluster.workers.cancel_s must be %g or more beside a lease_s of %g: a lost machine's tasks live for a lease, and a controller's holds for what is left",
-			math.Ceil(float64(access.MinCancelMS(secondsToMS(w.LeaseS)))/100)/10, w.LeaseS)
+		c.addProblem(
+			"cluster.workers.cancel_s must be %g or more beside a lease_s of %g: a lost machine's tasks live for a lease, and a controller's holds for what is left",
+			math.Ceil(float64(access.MinCancelMS(secondsToMS(w.LeaseS)))/100)/10,
+			w.LeaseS,
+		)
 	}
 	c.requirePositive("cluster.state.rps", cl.State.RPS)
 	c.requirePositive("cluster.state.write_rps", cl.State.WriteRPS)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -16,8 +16,11 @@
 // one connection at a time; workers may all come to one member when it adopts
 // the others' shards, and then are most of what it has.
 func ConnectionClasses() []guard.Class {
-	return []guard.Class{{Name: "health", Prefix: "GET /up ", ReservedShare: 1.0 / 16}, {Name: "workers", Prefix: "POST /v1/report ", ReservedShare: 3.0 / 4},
-		{Name: "users", ReservedShare: 3.0 / 16}}
+	return []guard.Class{
+		{Name: "health", Prefix: "GET /up ", ReservedShare: 1.0 / 16},
+		{Name: "workers", Prefix: "POST /v1/report ", ReservedShare: 3.0 / 4},
+		{Name: "users", ReservedShare: 3.0 / 16},
+	}
 }
 
 // Core is what the front needs of the node.
@@ -107,7 +110,12 @@
 	}
 	a, ok := core.HandleUserRequest(r, timeout)
 	if !ok {
-		a = scheduler.UserResponse{Status: fiber.StatusServiceUnavailable, ID: r.ID, Error: "no answer in time", RetryAfterS: 1}
+		a = scheduler.UserResponse{
+			Status:      fiber.StatusServiceUnavailable,
+			ID:          r.ID,
+			Error:       "no answer in time",
+			RetryAfterS: 1,
+		}
 	}
 	if a.RetryAfterS > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(a.RetryAfterS))
--- a/internal/guard/connection_table.go
+++ b/internal/guard/connection_table.go
@@ -58,7 +58,15 @@
 	closeReasonCount
 )
 
-var closeReasonNames = [closeReasonCount]string{"late_header", "late_body", "late_answer", "idle", "shed", "shed_bytes", "refused"}
+var closeReasonNames = [closeReasonCount]string{
+	"late_header",
+	"late_body",
+	"late_answer",
+	"idle",
+	"shed",
+	"shed_bytes",
+	"refused",
+}
 
 func (w CloseReason) String() string { return closeReasonNames[w] }
 
@@ -131,7 +139,12 @@
 
 // New returns an empty table. The last class takes what fits no other.
 func New(l Limits, classes []Class) *Table {
-	t := &Table{limits: l, classes: classes, open: make([]int, len(classes)), closed: make([][closeReasonCount]uint64, len(classes))}
+	t := &Table{
+		limits:  l,
+		classes: classes,
+		open:    make([]int, len(classes)),
+		closed:  make([][closeReasonCount]uint64, len(classes)),
+	}
 	for i := range t.stalled {
 		t.stalled[i] = list.New()
 	}
@@ -228,7 +241,8 @@
 	largestExcess := 0.0
 	for i, c := range t.classes {
 		f := t.idle[i].Front()
-		if excess := float64(t.open[i]) - c.ReservedShare*float64(t.limits.Slots); f != nil && (oldest == nil || excess > largestExcess) {
+		if excess := float64(t.open[i]) - c.ReservedShare*float64(t.limits.Slots); f != nil &&
+			(oldest == nil || excess > largestExcess) {
 			oldest, largestExcess = f.Value.(*Entry), excess
 		}
 	}
@@ -350,7 +364,13 @@
 
 // Stats counts.
 func (t *Table) Stats() Stats {
-	s := Stats{Slots: t.limits.Slots, BodyBytes: t.bodyBytes, Open: map[string]int{}, State: map[string]int{Serving.String(): t.serving}, Closed: map[string]map[string]int{}}
+	s := Stats{
+		Slots:     t.limits.Slots,
+		BodyBytes: t.bodyBytes,
+		Open:      map[string]int{},
+		State:     map[string]int{Serving.String(): t.serving},
+		Closed:    map[string]map[string]int{},
+	}
 	for st, l := range t.stalled {
 		if st := State(st); st != Serving && st != Idle {
 			s.State[st.String()] = l.Len()
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -119,7 +119,9 @@
 // shows memory to be shared badly, which no list excuses.
 var (
 	ownFailure  = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
-	fatalOutput = regexp.MustCompile(`^(panic: |fatal error: |WARNING: DATA RACE|signal: |exit status [^1])|race detected during execution of test|test timed out after`)
+	fatalOutput = regexp.MustCompile(
+		`^(panic: |fatal error: |WARNING: DATA RACE|signal: |exit status [^1])|race detected during execution of test|test timed out after`,
+	)
 )
 
 // Read takes the events of a run and prints what go test would.
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -115,21 +115,33 @@
 		l.UserAddrs, l.PeerAddrs = append(l.UserAddrs, addrs[0]), append(l.PeerAddrs, addrs[1])
 	}
 	dir := toolrun.Dir(l.DataDir)
-	types := []scheduler.MachineType{{Name: "small", Resources: availability.Resources{CPUs: o.MachineCPUs, MemoryGB: 4 * o.MachineCPUs, DiskGB: 50}, ImageFetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}}}
-	var err error
-	l.Platform, err = standin.StartPlatform(standin.Options{Types: types, Lease: leaseS * time.Second, Members: l.UserAddrs, Capacity: o.MachinesPerType,
-		RunTimeMS: func(j *scheduler.Job) int64 { return int64(j.EstimateS * 1000 / o.SpeedFactor) },
-		Execute: func(t *standin.Task) standin.Execution {
-			if !dir.HasDescription(t.Job.ID) {
-				return nil
-			}
-			return dir.Start(t.Job.ID, t.Index())
+	types := []scheduler.MachineType{
+		{
+			Name:           "small",
+			Resources:      availability.Resources{CPUs: o.MachineCPUs, MemoryGB: 4 * o.MachineCPUs, DiskGB: 50},
+			ImageFetchGBps: 1,
+			Price:          1,
+			SpotPrice:      0.3,
+			BootS:          1,
+			Zones:          []string{"a", "b"},
 		},
-		OnTaskStarted: func(_ string, t *standin.Task, cpus float64) {
-			if o.OnTaskStarted != nil {
-				o.OnTaskStarted(t.Name, t.Job, cpus)
-			}
-		}})
+	}
+	var err error
+	l.Platform, err = standin.StartPlatform(
+		standin.Options{Types: types, Lease: leaseS * time.Second, Members: l.UserAddrs, Capacity: o.MachinesPerType,
+			RunTimeMS: func(j *scheduler.Job) int64 { return int64(j.EstimateS * 1000 / o.SpeedFactor) },
+			Execute: func(t *standin.Task) standin.Execution {
+				if !dir.HasDescription(t.Job.ID) {
+					return nil
+				}
+				return dir.Start(t.Job.ID, t.Index())
+			},
+			OnTaskStarted: func(_ string, t *standin.Task, cpus float64) {
+				if o.OnTaskStarted != nil {
+					o.OnTaskStarted(t.Name, t.Job, cpus)
+				}
+			}},
+	)
 	if err != nil {
 		return err
 	}
@@ -143,17 +155,25 @@
 	l.enabled.Schedules.Enabled = true
 	l.enabled.Workflows.Enabled, l.enabled.Workflows.DataDir = true, l.DataDir
 	for i := range o.Members {
-		f := &config.File{Member: fmt.Sprintf("lab-%d", i), Zone: []string{"a", "b"}[i%2], UserAPIAddr: l.UserAddrs[i], PeerAPIAddr: l.PeerAddrs[i],
-			External: config.External{Cloud: l.Platform.CloudAddr, State: l.Platform.StateAddr},
+		f := &config.File{
+			Member:      fmt.Sprintf("lab-%d", i),
+			Zone:        []string{"a", "b"}[i%2],
+			UserAPIAddr: l.UserAddrs[i],
+			PeerAPIAddr: l.PeerAddrs[i],
+			External:    config.External{Cloud: l.Platform.CloudAddr, State: l.Platform.StateAddr},
 			Cluster: config.Cluster{InitialSize: o.Members, Zones: []string{"a", "b"}, ClockErrorMS: 5,
 				Teams:   []config.Team{{Name: "ops", CPUsMax: o.TeamCPULimit}},
 				Workers: config.Workers{HeartbeatS: heartbeatS, LeaseS: leaseS, CancelS: cancelS},
 				State:   config.State{RPS: 4000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16},
 				Cloud:   config.Cloud{RPS: 100, ListLagS: 1},
-				Limits:  config.Limits{CPUShare: 4, RAMMB: 1024, MaxSockets: 1000}}}
+				Limits:  config.Limits{CPUShare: 4, RAMMB: 1024, MaxSockets: 1000}},
+		}
 		for k := range o.Members {
 			if k != i {
-				f.Peers = append(f.Peers, config.Peer{Member: fmt.Sprintf("lab-%d", k), Zone: []string{"a", "b"}[k%2], Addr: l.PeerAddrs[k]})
+				f.Peers = append(
+					f.Peers,
+					config.Peer{Member: fmt.Sprintf("lab-%d", k), Zone: []string{"a", "b"}[k%2], Addr: l.PeerAddrs[k]},
+				)
 			}
 		}
 		l.settings = append(l.settings, f)
--- a/internal/mesh/admin.go
+++ b/internal/mesh/admin.go
@@ -139,20 +139,45 @@
 }
 
 var (
-	descAuthority           = newDesc("authority", "1 while the member may act for its shards.")
-	descLeading             = newDesc("leading", "1 while the member leads the fleet.")
-	descJobs                = newDesc("jobs", "Live jobs.")
-	descQueued              = newDesc("queued_tasks", "Tasks that wait for a machine.", "shard")
-	descPlanInterval        = newDesc("plan_gap_seconds", "Time between two plans that the last one's cost asks for.", "shard")
-	descUnreported          = newDesc("unseen_machines", "Machines that may run tasks of earlier claims without this member's knowing it.", "shard")
-	descStatusRecords       = newDesc("noted_machines", "Silent machines of which the state service says what they hold.", "shard")
-	descPaced               = newDesc("paced", "1 while the orders that follow a claim are paced.", "shard")
-	descRolloutMachines     = newDesc("rollout_machines", "Machines of the plan that drains or replaces them, by how far they are: left, emptying, booting replacements, replacements that came up.", "state")
+	descAuthority    = newDesc("authority", "1 while the member may act for its shards.")
+	descLeading      = newDesc("leading", "1 while the member leads the fleet.")
+	descJobs         = newDesc("jobs", "Live jobs.")
+	descQueued       = newDesc("queued_tasks", "Tasks that wait for a machine.", "shard")
+	descPlanInterval = newDesc(
+		"plan_gap_seconds",
+		"Time between two plans that the last one's cost asks for.",
+		"shard",
+	)
+	descUnreported = newDesc(
+		"unseen_machines",
+		"Machines that may run tasks of earlier claims without this member's knowing it.",
+		"shard",
+	)
+	descStatusRecords = newDesc(
+		"noted_machines",
+		"Silent machines of which the state service says what they hold.",
+		"shard",
+	)
+	descPaced           = newDesc("paced", "1 while the orders that follow a claim are paced.", "shard")
+	descRolloutMachines = newDesc(
+		"rollout_machines",
+		"Machines of the plan that drains or replaces them, by how far they are: left, emptying, booting replacements, replacements that came up.",
+		"state",
+	)
 	descRollout             = newDesc("rollout", "1 for the plan's state.", "state")
-	descRolloutStoppedTasks = newDesc("rollout_stopped_tasks", "Tasks that were stopped to empty machines and do not run again yet.", "team")
-	descTeam                = newDesc("team", "Processors of a team: used and waited for over all members, below its guarantee while work within that waits, and this member's part of its limit.", "team", "what")
-	descMachines            = newDesc("machines", "Machines of the fleet.", "shard", "type")
-	descEvents              = newDesc("events_total", "Events since the member started.", "event")
+	descRolloutStoppedTasks = newDesc(
+		"rollout_stopped_tasks",
+		"Tasks that were stopped to empty machines and do not run again yet.",
+		"team",
+	)
+	descTeam = newDesc(
+		"team",
+		"Processors of a team: used and waited for over all members, below its guarantee while work within that waits, and this member's part of its limit.",
+		"team",
+		"what",
+	)
+	descMachines = newDesc("machines", "Machines of the fleet.", "shard", "type")
+	descEvents   = newDesc("events_total", "Events since the member started.", "event")
 )
 
 func (c *collector) Describe(ch chan<- *prometheus.Desc) {
--- a/internal/mesh/message.go
+++ b/internal/mesh/message.go
@@ -37,9 +37,25 @@
 }
 
 func encode(msg *scheduler.PeerMessage) ([]byte, error) {
-	out := message{From: msg.From, WallMS: msg.WallMS, ShardRequestTo: msg.ShardRequestedFrom, CanRelay: msg.ServesUsers, Counts: msg.RolloutCounts, Teams: msg.TeamUsage, WithoutSummaries: msg.OmitsSummaries, Shards: make([]shardReport, len(msg.OwnedShards))}
+	out := message{
+		From:             msg.From,
+		WallMS:           msg.WallMS,
+		ShardRequestTo:   msg.ShardRequestedFrom,
+		CanRelay:         msg.ServesUsers,
+		Counts:           msg.RolloutCounts,
+		Teams:            msg.TeamUsage,
+		WithoutSummaries: msg.OmitsSummaries,
+		Shards:           make([]shardReport, len(msg.OwnedShards)),
+	}
 	for i, s := range msg.OwnedShards {
-		out.Shards[i] = shardReport{s.Shard, summary(s.Summary), s.Demands, s.TaskCounts, s.MachinesToRelease, s.DisruptionDemands}
+		out.Shards[i] = shardReport{
+			s.Shard,
+			summary(s.Summary),
+			s.Demands,
+			s.TaskCounts,
+			s.MachinesToRelease,
+			s.DisruptionDemands,
+		}
 	}
 	return msgpack.Marshal(&out)
 }
@@ -49,9 +65,27 @@
 	if err := msgpack.Unmarshal(body, &in); err != nil {
 		return scheduler.PeerMessage{}, err
 	}
-	msg := scheduler.PeerMessage{From: in.From, WallMS: in.WallMS, ShardRequestedFrom: in.ShardRequestTo, ServesUsers: in.CanRelay, RolloutCounts: in.Counts, TeamUsage: in.Teams, OmitsSummaries: in.WithoutSummaries}
+	msg := scheduler.PeerMessage{
+		From:               in.From,
+		WallMS:             in.WallMS,
+		ShardRequestedFrom: in.ShardRequestTo,
+		ServesUsers:        in.CanRelay,
+		RolloutCounts:      in.Counts,
+		TeamUsage:          in.Teams,
+		OmitsSummaries:     in.WithoutSummaries,
+	}
 	for _, s := range in.Shards {
-		msg.OwnedShards = append(msg.OwnedShards, scheduler.PeerShard{Shard: s.Shard, Summary: availability.Summary(s.Summary), Demands: s.Demands, TaskCounts: s.Running, MachinesToRelease: s.Releasing, DisruptionDemands: s.Disruption})
+		msg.OwnedShards = append(
+			msg.OwnedShards,
+			scheduler.PeerShard{
+				Shard:             s.Shard,
+				Summary:           availability.Summary(s.Summary),
+				Demands:           s.Demands,
+				TaskCounts:        s.Running,
+				MachinesToRelease: s.Releasing,
+				DisruptionDemands: s.Disruption,
+			},
+		)
 	}
 	return msg, nil
 }
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -37,7 +37,11 @@
 // messages on one connection and what it relays on a few, and the rest is
 // operators'.
 func ConnectionClasses() []guard.Class {
-	return []guard.Class{{Name: "peers", Prefix: "POST /peer ", ReservedShare: 1.0 / 4}, {Name: "relays", Prefix: "POST /relay ", ReservedShare: 1.0 / 2}, {Name: "operators", ReservedShare: 1.0 / 4}}
+	return []guard.Class{
+		{Name: "peers", Prefix: "POST /peer ", ReservedShare: 1.0 / 4},
+		{Name: "relays", Prefix: "POST /relay ", ReservedShare: 1.0 / 2},
+		{Name: "operators", ReservedShare: 1.0 / 4},
+	}
 }
 
 // NewPeerServer returns the server of the mesh address. Guarded, its listener must be
@@ -60,7 +64,12 @@
 		}
 		a, ok := core.HandleUserRequest(r, relayTimeout)
 		if !ok {
-			a = scheduler.UserResponse{Status: fiber.StatusServiceUnavailable, ID: r.ID, Error: "no answer in time", RetryAfterS: 1}
+			a = scheduler.UserResponse{
+				Status:      fiber.StatusServiceUnavailable,
+				ID:          r.ID,
+				Error:       "no answer in time",
+				RetryAfterS: 1,
+			}
 		}
 		body, err := msgpack.Marshal(&a)
 		if err != nil {
@@ -102,7 +111,10 @@
 func NewPeers(others []config.Peer, maxRelays int) *Peers {
 	p := &Peers{peers: map[string]*peer{}}
 	for _, o := range others {
-		p.peers[o.Member] = &peer{messageClient: rest.NewClient(o.Addr, 2), relayClient: rest.NewClient(o.Addr, max(1, maxRelays/len(others)))}
+		p.peers[o.Member] = &peer{
+			messageClient: rest.NewClient(o.Addr, 2),
+			relayClient:   rest.NewClient(o.Addr, max(1, maxRelays/len(others))),
+		}
 	}
 	return p
 }
@@ -114,7 +126,11 @@
 	if peer == nil || err != nil {
 		return scheduler.UserResponse{}, false
 	}
-	status, body := peer.relayClient.DoType(wire.Request{Method: "POST", Path: "/relay", Body: body}, msgpackType, relayTimeout)
+	status, body := peer.relayClient.DoType(
+		wire.Request{Method: "POST", Path: "/relay", Body: body},
+		msgpackType,
+		relayTimeout,
+	)
 	var a scheduler.UserResponse
 	if status != fiber.StatusOK || msgpack.Unmarshal(body, &a) != nil || a.Status == 0 {
 		return scheduler.UserResponse{}, false
@@ -130,7 +146,8 @@
 		return r, errors.New("not a relayed request")
 	}
 	if !wire.IsValidJobID(r.ID) || r.Kind < scheduler.SubmitJob || r.Kind > scheduler.CancelJob ||
-		r.Job != nil && (r.Job.ID != r.ID || r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks) || r.Kind != scheduler.SubmitJob && r.Job != nil {
+		r.Job != nil &&
+			(r.Job.ID != r.ID || r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks) || r.Kind != scheduler.SubmitJob && r.Job != nil {
 		return r, errors.New("no request of a user")
 	}
 	r.Relayed = true
@@ -153,7 +170,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, target := range p.peers {
-		withSummaries := summaryPeers == nil || slices.Contains(summaryPeers, name) || target.nextBody != nil && target.nextHasSummaries
+		withSummaries := summaryPeers == nil || slices.Contains(summaryPeers, name) ||
+			target.nextBody != nil && target.nextHasSummaries
 		body := body
 		if !withSummaries {
 			body = shortBody
--- a/internal/node/input_queues.go
+++ b/internal/node/input_queues.go
@@ -29,7 +29,11 @@
 )
 
 func newInputQueues() inputQueues {
-	return inputQueues{make(chan coreInput, responseQueueSize), make(chan coreInput, heartbeatQueueSize), make(chan coreInput, userQueueSize)}
+	return inputQueues{
+		make(chan coreInput, responseQueueSize),
+		make(chan coreInput, heartbeatQueueSize),
+		make(chan coreInput, userQueueSize),
+	}
 }
 
 // next takes what is most urgent, or waits for anything, or for a tick.
--- a/internal/node/load_shedding.go
+++ b/internal/node/load_shedding.go
@@ -38,7 +38,12 @@
 		loopDelay: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "grebedock_loop_delay_seconds",
 			Help:    "How late the loop takes up a tick: how far a member is behind.",
 			Buckets: prometheus.ExponentialBuckets(tick.Seconds()/100, 4, 8)}),
-		shedRequests: prometheus.NewCounter(prometheus.CounterOpts{Name: "grebedock_shed_total", Help: "Requests refused because memory is short or too many wait."}),
+		shedRequests: prometheus.NewCounter(
+			prometheus.CounterOpts{
+				Name: "grebedock_shed_total",
+				Help: "Requests refused because memory is short or too many wait.",
+			},
+		),
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,10 @@
 			p.GuaranteeWithinS = o.WithinS
 		}
 		if o.Class != "" {
-			p.Objectives[o.Class] = append(p.Objectives[o.Class], scheduler.Objective{Kind: o.Kind, WithinS: o.WithinS, DeadlineFactor: o.Times})
+			p.Objectives[o.Class] = append(
+				p.Objectives[o.Class],
+				scheduler.Objective{Kind: o.Kind, WithinS: o.WithinS, DeadlineFactor: o.Times},
+			)
 		}
 	}
 	return p
@@ -82,8 +85,16 @@
 
 // Run runs a controller until ctx ends or a listener fails.
 func Run(ctx context.Context, settings *config.File, enabled features.Set, logger *slog.Logger) error {
-	node := &Node{settings: settings, logger: logger, startedAt: time.Now(), health: newHealth(settings.Cluster.Limits.HeapBytes()), queues: newInputQueues(), stopped: ctx.Done(),
-		pendingUsers: map[uint64]chan scheduler.UserResponse{}, pendingHeartbeats: map[uint64]chan scheduler.HeartbeatResponse{}}
+	node := &Node{
+		settings:          settings,
+		logger:            logger,
+		startedAt:         time.Now(),
+		health:            newHealth(settings.Cluster.Limits.HeapBytes()),
+		queues:            newInputQueues(),
+		stopped:           ctx.Done(),
+		pendingUsers:      map[uint64]chan scheduler.UserResponse{},
+		pendingHeartbeats: map[uint64]chan scheduler.HeartbeatResponse{},
+	}
 	p := node.coreParams(enabled)
 	node.core = scheduler.New(p, rand.Uint64(), node.now())
 	if enabled.Workflows.Enabled {
@@ -165,7 +176,19 @@
 	failed := make(chan error, 2)
 	go func() { failed <- userServer.Listener(userConns) }()
 	go func() { failed <- peerServer.Listener(peerConns) }()
-	n.logger.Info("controller started", "member", settings.Member, "zone", settings.Zone, "front", settings.UserAPIAddr, "mesh", settings.PeerAPIAddr, "on", enabled.EnabledNames())
+	n.logger.Info(
+		"controller started",
+		"member",
+		settings.Member,
+		"zone",
+		settings.Zone,
+		"front",
+		settings.UserAPIAddr,
+		"mesh",
+		settings.PeerAPIAddr,
+		"on",
+		enabled.EnabledNames(),
+	)
 	go n.loop(ctx)
 	if n.workflows != nil {
 		go n.workflows.loop(ctx)
@@ -201,13 +224,25 @@
 	bodyHeapShare         = 1.0 / 16
 )
 
-func (n *Node) limitConnections(ctx context.Context, name string, ln net.Listener, share float64, classes []guard.Class) net.Listener {
+func (n *Node) limitConnections(
+	ctx context.Context,
+	name string,
+	ln net.Listener,
+	share float64,
+	classes []guard.Class,
+) net.Listener {
 	limits := n.settings.Cluster.Limits
 	leases := func(factor float64) time.Duration {
 		return time.Duration(factor * n.settings.Cluster.Workers.LeaseS * float64(time.Second))
 	}
-	limiter := guard.NewLimiter(name, guard.Limits{Slots: max(8, int(share*float64(limits.MaxSockets))), BodyBytes: int(limits.HeapBytes() * bodyHeapShare),
-		Header: leases(headerTimeoutLeases), Body: leases(bodyTimeoutLeases), Response: leases(responseTimeoutLeases), Idle: leases(idleTimeoutLeases)}, classes)
+	limiter := guard.NewLimiter(
+		name,
+		guard.Limits{Slots: max(8, int(share*float64(limits.MaxSockets))), BodyBytes: int(limits.HeapBytes() * bodyHeapShare),
+			Header: leases(
+				headerTimeoutLeases,
+			), Body: leases(bodyTimeoutLeases), Response: leases(responseTimeoutLeases), Idle: leases(idleTimeoutLeases)},
+		classes,
+	)
 	n.connectionLimiters = append(n.connectionLimiters, limiter)
 	go limiter.Run(ctx)
 	return limiter.Listen(ln)
@@ -260,7 +295,11 @@
 	}
 }
 
-var slogLevels = map[scheduler.LogLevel]slog.Level{scheduler.Debug: slog.LevelDebug, scheduler.Info: slog.LevelInfo, scheduler.Warn: slog.LevelWarn}
+var slogLevels = map[scheduler.LogLevel]slog.Level{
+	scheduler.Debug: slog.LevelDebug,
+	scheduler.Info:  slog.LevelInfo,
+	scheduler.Warn:  slog.LevelWarn,
+}
 
 // dispatchOutputs carries out what the core wants done. Nothing in it blocks the loop.
 func (n *Node) dispatchOutputs(o scheduler.Outputs) {
@@ -315,7 +354,14 @@
 
 // awaitResponse asks the core something on somebody's behalf. With full, a lane without
 // room is answered at once.
-func awaitResponse[T any](n *Node, queue chan coreInput, onQueueFull func() T, timeout time.Duration, pending func() map[uint64]chan T, submit func(scheduler.Now, uint64)) (T, bool) {
+func awaitResponse[T any](
+	n *Node,
+	queue chan coreInput,
+	onQueueFull func() T,
+	timeout time.Duration,
+	pending func() map[uint64]chan T,
+	submit func(scheduler.Now, uint64),
+) (T, bool) {
 	ch := make(chan T, 1)
 	var id uint64
 	f := func(now scheduler.Now) {
@@ -355,14 +401,26 @@
 		n.health.shedRequests.Inc()
 		return scheduler.UserResponse{Status: 503, ID: r.ID, Error: "too many requests wait", RetryAfterS: 1}
 	}
-	return awaitResponse(n, n.queues.userRequests, onQueueFull, timeout, func() map[uint64]chan scheduler.UserResponse { return n.pendingUsers },
-		func(now scheduler.Now, id uint64) { n.core.HandleUserRequest(now, id, r) })
+	return awaitResponse(
+		n,
+		n.queues.userRequests,
+		onQueueFull,
+		timeout,
+		func() map[uint64]chan scheduler.UserResponse { return n.pendingUsers },
+		func(now scheduler.Now, id uint64) { n.core.HandleUserRequest(now, id, r) },
+	)
 }
 
 // HandleHeartbeat gives the core a worker's report.
 func (n *Node) HandleHeartbeat(r scheduler.Heartbeat, timeout time.Duration) (scheduler.HeartbeatResponse, bool) {
-	return awaitResponse(n, n.queues.heartbeats, nil, timeout, func() map[uint64]chan scheduler.HeartbeatResponse { return n.pendingHeartbeats },
-		func(now scheduler.Now, id uint64) { n.core.HandleHeartbeat(now, id, r) })
+	return awaitResponse(
+		n,
+		n.queues.heartbeats,
+		nil,
+		timeout,
+		func() map[uint64]chan scheduler.HeartbeatResponse { return n.pendingHeartbeats },
+		func(now scheduler.Now, id uint64) { n.core.HandleHeartbeat(now, id, r) },
+	)
 }
 
 // HandlePeerMessage gives the core a peer's message.
@@ -428,7 +486,14 @@
 }
 
 func (n *Node) submitAdminRequest(submit func(now scheduler.Now, id uint64)) (scheduler.UserResponse, bool) {
-	return awaitResponse(n, n.queues.userRequests, nil, adminTimeout, func() map[uint64]chan scheduler.UserResponse { return n.pendingUsers }, submit)
+	return awaitResponse(
+		n,
+		n.queues.userRequests,
+		nil,
+		adminTimeout,
+		func() map[uint64]chan scheduler.UserResponse { return n.pendingUsers },
+		submit,
+	)
 }
 
 // ChangeSettings stores new settings.
--- a/internal/node/schedule_runner.go
+++ b/internal/node/schedule_runner.go
@@ -57,7 +57,12 @@
 	return s.awaitResponse(adminTimeout, func(now scheduler.Now, id uint64) { s.host.HandleRequest(now, id, q) })
 }
 
-var scheduleEventsDesc = prometheus.NewDesc("grebedock_schedule_events_total", "Moments of schedules that this member decided, runs and skips among them, and shards whose schedules it read.", []string{"event"}, nil)
+var scheduleEventsDesc = prometheus.NewDesc(
+	"grebedock_schedule_events_total",
+	"Moments of schedules that this member decided, runs and skips among them, and shards whose schedules it read.",
+	[]string{"event"},
+	nil,
+)
 
 func (s *scheduleRunner) counters() []counterSample {
 	c := s.host.Counters
--- a/internal/node/workflow_runner.go
+++ b/internal/node/workflow_runner.go
@@ -60,15 +60,26 @@
 
 // HandleRequest asks the host on a user's behalf.
 func (w *workflowRunner) HandleRequest(r workflow.Request, timeout time.Duration) (workflow.Response, bool) {
-	if a, ok := w.node.health.rejectIfMemoryShort(scheduler.UserRequest{Kind: scheduler.SubmitJob}); ok && r.Kind == workflow.Submit {
+	if a, ok := w.node.health.rejectIfMemoryShort(scheduler.UserRequest{Kind: scheduler.SubmitJob}); ok &&
+		r.Kind == workflow.Submit {
 		return workflow.Response{Status: a.Status, Error: a.Error, RetryAfterS: a.RetryAfterS}, true
 	}
 	return w.awaitResponse(timeout, func(now scheduler.Now, id uint64) { w.host.HandleRequest(now, id, r) })
 }
 
 var (
-	runEventsDesc = prometheus.NewDesc("grebedock_workflow_runs_total", "Workflow runs that this member accepted, loaded or ended.", []string{"event"}, nil)
-	runJobsDesc   = prometheus.NewDesc("grebedock_workflow_jobs_total", "Jobs that this member submitted for workflow runs.", nil, nil)
+	runEventsDesc = prometheus.NewDesc(
+		"grebedock_workflow_runs_total",
+		"Workflow runs that this member accepted, loaded or ended.",
+		[]string{"event"},
+		nil,
+	)
+	runJobsDesc = prometheus.NewDesc(
+		"grebedock_workflow_jobs_total",
+		"Jobs that this member submitted for workflow runs.",
+		nil,
+		nil,
+	)
 )
 
 func (w *workflowRunner) counters() []counterSample {
--- a/internal/packagegraph/packagegraph.go
+++ b/internal/packagegraph/packagegraph.go
@@ -144,9 +144,13 @@
 	for _, p := range g {
 		arrows += len(p.Imports)
 	}
-	b.WriteString("# Packages\n\nMade from the imports by `go run ./scripts/packages`; a test fails while it is out of date. ")
+	b.WriteString(
+		"# Packages\n\nMade from the imports by `go run ./scripts/packages`; a test fails while it is out of date. ",
+	)
 	fmt.Fprintf(&b, "%d packages on %d levels, %d imports.\n", len(g), len(levels), arrows)
-	b.WriteString("A package imports lower levels only. Arrows that follow from others are left out of the picture; the table has all.\n\n")
+	b.WriteString(
+		"A package imports lower levels only. Arrows that follow from others are left out of the picture; the table has all.\n\n",
+	)
 	g.writeGraph(&b, levels)
 	b.WriteString("\n| level | package | imports | what it is |\n| --- | --- | --- | --- |\n")
 	for level := len(levels) - 1; level >= 0; level-- {
--- a/internal/rest/budget.go
+++ b/internal/rest/budget.go
@@ -41,8 +41,10 @@
 
 // NewMultiHostClient returns a client for any address, with so many connections to each.
 func NewMultiHostClient(conns int) *MultiHostClient {
-	return &MultiHostClient{http: &fasthttp.Client{MaxConnsPerHost: conns, MaxIdleConnDuration: 30 * time.Second, NoDefaultUserAgentHeader: true,
-		MaxIdemponentCallAttempts: 1, RetryIfErr: noRetry}}
+	return &MultiHostClient{
+		http: &fasthttp.Client{MaxConnsPerHost: conns, MaxIdleConnDuration: 30 * time.Second, NoDefaultUserAgentHeader: true,
+			MaxIdemponentCallAttempts: 1, RetryIfErr: noRetry},
+	}
 }
 
 // Do makes a request to a host.
@@ -60,9 +62,16 @@
 // DoWithRetryAfter makes a request to a host and tells when it wants to be asked again.
 func (c *MultiHostClient) DoWithRetryAfter(addr string, r wire.Request, timeout time.Duration) Response {
 	var response Response
-	response.Status, response.Body = roundTripInspecting(c.http, addr, r, "application/json", timeout, func(res *fasthttp.Response) {
-		response.RetryAfterS, _ = strconv.Atoi(string(res.Header.Peek(fasthttp.HeaderRetryAfter)))
-	})
+	response.Status, response.Body = roundTripInspecting(
+		c.http,
+		addr,
+		r,
+		"application/json",
+		timeout,
+		func(res *fasthttp.Response) {
+			response.RetryAfterS, _ = strconv.Atoi(string(res.Header.Peek(fasthttp.HeaderRetryAfter)))
+		},
+	)
 	return response
 }
 
@@ -78,7 +87,14 @@
 	return roundTripInspecting(c, addr, r, contentType, timeout, func(*fasthttp.Response) {})
 }
 
-func roundTripInspecting(c timeoutDoer, addr string, r wire.Request, contentType string, timeout time.Duration, inspect func(*fasthttp.Response)) (int, []byte) {
+func roundTripInspecting(
+	c timeoutDoer,
+	addr string,
+	r wire.Request,
+	contentType string,
+	timeout time.Duration,
+	inspect func(*fasthttp.Response),
+) (int, []byte) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
@@ -127,7 +143,12 @@
 // Enqueue queues a request. run is called on its own goroutine when it may go,
 // drop when it would wait, or waited, longer than patience: with how long that
 // is, if it is known.
-func (b *Budget) Enqueue(urgency, writeOps int, maxWait time.Duration, send func(), onDropped func(wait time.Duration)) {
+func (b *Budget) Enqueue(
+	urgency, writeOps int,
+	maxWait time.Duration,
+	send func(),
+	onDropped func(wait time.Duration),
+) {
 	request := queuedRequest{writeOps: writeOps, send: send, onDropped: onDropped}
 	if maxWait > 0 {
 		request.deadline = time.Now().Add(maxWait)
--- a/internal/rest/failover.go
+++ b/internal/rest/failover.go
@@ -41,7 +41,11 @@
 // DoUntilFinal makes a request until its answer is final: the next member takes over from
 // one that cannot answer. Without one in time ok is false, with the last answer,
 // who gave it, and how often it was tried.
-func (m *FailoverClient) DoUntilFinal(ctx context.Context, r wire.Request, timeout time.Duration) (res Response, from string, attempts int, ok bool, err error) {
+func (m *FailoverClient) DoUntilFinal(
+	ctx context.Context,
+	r wire.Request,
+	timeout time.Duration,
+) (res Response, from string, attempts int, ok bool, err error) {
 	deadline := time.Now().Add(time.Duration(m.TimeScale * float64(retryTimeout)))
 	for attempts = 1; ; attempts++ {
 		from = m.Addrs[(attempts-1)%len(m.Addrs)]
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -26,8 +26,14 @@
 
 // NewCloud returns a cloud of these types.
 func NewCloud(types []scheduler.MachineType, capacity int) *Cloud {
-	return &Cloud{Types: types, Capacity: capacity, instances: map[string]*Instance{}, resultByRequest: map[string][]string{},
-		OnProvisioned: func(*Instance) {}, OnReleased: func(*Instance) {}}
+	return &Cloud{
+		Types:           types,
+		Capacity:        capacity,
+		instances:       map[string]*Instance{},
+		resultByRequest: map[string][]string{},
+		OnProvisioned:   func(*Instance) {},
+		OnReleased:      func(*Instance) {},
+	}
 }
 
 // Reclaim ends a rental from the cloud's side, as it does with spot machines.
@@ -74,7 +80,17 @@
 		}
 		for range n {
 			id := fmt.Sprintf("i-%06d", c.nextNumber)
-			m := &Instance{StartedAtMS: now, CloudMachine: scheduler.CloudMachine{ID: id, Addr: fmt.Sprintf("10.1.%d.%d:9000", c.nextNumber/250, c.nextNumber%250), Type: op.Type, Zone: op.Zone, Spot: op.Spot, State: "booting"}}
+			m := &Instance{
+				StartedAtMS: now,
+				CloudMachine: scheduler.CloudMachine{
+					ID:    id,
+					Addr:  fmt.Sprintf("10.1.%d.%d:9000", c.nextNumber/250, c.nextNumber%250),
+					Type:  op.Type,
+					Zone:  op.Zone,
+					Spot:  op.Spot,
+					State: "booting",
+				},
+			}
 			c.nextNumber++
 			c.instances[id] = m
 			r.Machines = append(r.Machines, id)
