--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -1,8 +1,21 @@
-// Package userapi serves users, workers and health checks.
+// Package userapi serves users, workers and health checks at a controller's user
+// address: jobs and workflows, heartbeats, and whether the load balancer should
+// send users here.
+//
+// It owns the HTTP server and its routes. Bodies are package wire's, decisions
+// the core's. It may assume that the core responds within the timeout that it is
+// given, if at all, and never blocks beyond it.
+//
+// It promises a response to every request that is complete: the core's, an error
+// in JSON, or 503 with a time to retry. What it hands on never refers to fiber's
+// buffers, which are recycled. It is built for malformed requests and for a core
+// that is late; package connlimit bounds clients that stall.
 package userapi
 
 import (
+	"errors"
 	"strconv"
+	"strings"
 	"time"
 
 	"github.com/gofiber/fiber/v2"
@@ -12,85 +25,85 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// ConnectionClasses are the kinds of requests on the front address. Health checks are
-// one connection at a time; workers may all come to one member when it adopts
-// the others' shards, and then are most of what it has.
-func ConnectionClasses() []connlimit.Class {
-	return []connlimit.Class{
-		{Name: "health", Prefix: "GET /up ", ReservedShare: 1.0 / 16},
-		{Name: "workers", Prefix: "POST /v1/report ", ReservedShare: 3.0 / 4},
-		{Name: "users", ReservedShare: 3.0 / 16},
-	}
-}
+// Timeouts of the core's responses. Users wait five seconds for a submission or
+// a cancellation and two for a query, workers four seconds for a heartbeat.
+const (
+	submitTimeout    = 4500 * time.Millisecond
+	queryTimeout     = 1900 * time.Millisecond
+	heartbeatTimeout = 3500 * time.Millisecond
+)
+
+// Bounds of a server.
+const (
+	bufferBytes    = 4096
+	minConcurrency = 16
+)
+
+// lateError and lateRetryAfterS are what a client receives when the core does
+// not respond in time.
+const (
+	lateError       = "no answer in time"
+	lateRetryAfterS = 1
+)
 
-// Core is what the front needs of the node.
+// Core is what the user address needs of the node. Each method may be called
+// from any goroutine; false means that there was no response in time.
 type Core interface {
 	HandleUserRequest(scheduler.UserRequest, time.Duration) (scheduler.UserResponse, bool)
 	HandleHeartbeat(scheduler.Heartbeat, time.Duration) (scheduler.HeartbeatResponse, bool)
 	IsUsable() bool
 }
 
-// patience is how long an answer is waited for. Users wait five seconds for a
-// submission and two for a question, workers four.
-const (
-	submitTimeout    = 4500 * time.Millisecond
-	queryTimeout     = 1900 * time.Millisecond
-	heartbeatTimeout = 3500 * time.Millisecond
-)
+// ConnectionClasses returns the classes of requests at the user address. Health
+// checks take one connection at a time; workers may all come to one controller
+// when it adopts the others' shards, and then are most of its connections.
+func ConnectionClasses() []connlimit.Class {
+	return []connlimit.Class{
+		{Name: "health", Prefix: "GET /up ", ReservedShare: 1.0 / 16},
+		{Name: "workers", Prefix: "POST /v1/report ", ReservedShare: 3.0 / 4},
+		{Name: "users", ReservedShare: 3.0 / 16},
+	}
+}
 
-// NewUserServer returns the server of the front address. Guarded, its listener must be a
-// guard's.
+// NewUserServer returns the server of the user address. With limited, its
+// listener must be a connlimit.Limiter's.
 func NewUserServer(core Core, maxSockets int, limited bool) *fiber.App {
 	app := NewServer(maxSockets, wire.MaxBody, limited)
-	app.Get("/up", func(c *fiber.Ctx) error {
-		if !core.IsUsable() {
-			return c.SendStatus(fiber.StatusServiceUnavailable)
-		}
-		return c.SendStatus(fiber.StatusOK)
-	})
+	app.Get("/up", func(c *fiber.Ctx) error { return handleHealthCheck(c, core) })
 	app.Post("/work", func(c *fiber.Ctx) error {
 		return handleUserRequest(c, core, wire.ParseJob(c.Body()), submitTimeout)
 	})
 	app.Get("/work/:id", func(c *fiber.Ctx) error {
-		return handleUserRequest(c, core, scheduler.UserRequest{Kind: scheduler.QueryJob, ID: jobIDParam(c)}, queryTimeout)
+		query := scheduler.UserRequest{Kind: scheduler.QueryJob, ID: idParam(c)}
+		return handleUserRequest(c, core, query, queryTimeout)
 	})
 	app.Post("/work/:id/abort", func(c *fiber.Ctx) error {
-		return handleUserRequest(c, core, scheduler.UserRequest{Kind: scheduler.CancelJob, ID: jobIDParam(c)}, submitTimeout)
-	})
-	app.Post("/v1/report", func(c *fiber.Ctx) error {
-		r, err := wire.ParseHeartbeat(c.Body())
-		if err != nil {
-			return fiber.NewError(fiber.StatusBadRequest, err.Error())
-		}
-		a, ok := core.HandleHeartbeat(r, heartbeatTimeout)
-		if !ok {
-			a = scheduler.HeartbeatResponse{}
-		}
-		status, body := wire.EncodeHeartbeatResponse(a)
-		return sendJSON(c, status, body)
+		cancel := scheduler.UserRequest{Kind: scheduler.CancelJob, ID: idParam(c)}
+		return handleUserRequest(c, core, cancel, submitTimeout)
 	})
+	app.Post("/v1/report", func(c *fiber.Ctx) error { return handleHeartbeat(c, core) })
 	return app
 }
 
-// NewServer returns a server with this project's limits and errors in JSON. A
-// guard counts connections itself and reads bodies as they come; the server's
-// own count lags behind it, since it includes what has just been given up.
+// NewServer returns a server without routes, with this project's bounds and
+// errors in JSON; maxBody bounds a body in bytes. With limited, a
+// connlimit.Limiter counts connections and reads bodies as they come; the
+// server's own count lags behind, since it includes those just evicted.
 func NewServer(maxSockets, maxBody int, limited bool) *fiber.App {
-	concurrency := max(16, maxSockets*3/4)
+	concurrency := max(minConcurrency, maxSockets*3/4)
 	if limited {
 		concurrency = 4 * maxSockets
 	}
 	app := fiber.New(fiber.Config{
-		DisableStartupMessage: true, BodyLimit: maxBody, Concurrency: concurrency, ServerHeader: "",
-		StreamRequestBody: limited, DisablePreParseMultipartForm: true,
-		DisableDefaultDate: true, ReadBufferSize: 4096, WriteBufferSize: 4096, ReduceMemoryUsage: false,
-		ErrorHandler: func(c *fiber.Ctx, err error) error {
-			status := fiber.StatusInternalServerError
-			if e, ok := err.(*fiber.Error); ok {
-				status = e.Code
-			}
-			return sendJSON(c, status, wire.EncodeUserResponse(scheduler.UserResponse{Error: err.Error()}))
-		},
+		DisableStartupMessage:        true,
+		BodyLimit:                    maxBody,
+		Concurrency:                  concurrency,
+		StreamRequestBody:            limited,
+		DisablePreParseMultipartForm: true,
+		DisableDefaultDate:           true,
+		ReadBufferSize:               bufferBytes,
+		WriteBufferSize:              bufferBytes,
+		ErrorHandler:                 sendError,
 	})
 	if limited {
 		app.Use(connlimit.LimitBodies(maxBody))
@@ -98,9 +111,38 @@
 	return app
 }
 
-// jobIDParam copies the id out of the path: fiber uses its buffers again.
-func jobIDParam(c *fiber.Ctx) string { return string(append([]byte(nil), c.Params("id")...)) }
+func sendError(c *fiber.Ctx, err error) error {
+	status := fiber.StatusInternalServerError
+	var httpError *fiber.Error
+	if errors.As(err, &httpError) {
+		status = httpError.Code
+	}
+	return sendJSON(c, status, wire.EncodeUserResponse(scheduler.UserResponse{Error: err.Error()}))
+}
+
+func sendJSON(c *fiber.Ctx, status int, body []byte) error {
+	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
+	return c.Status(status).Send(body)
+}
+
+func setRetryAfter(c *fiber.Ctx, seconds int) {
+	if seconds > 0 {
+		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(seconds))
+	}
+}
+
+// idParam returns a copy of the ID in the path.
+func idParam(c *fiber.Ctx) string { return strings.Clone(c.Params("id")) }
+
+func handleHealthCheck(c *fiber.Ctx, core Core) error {
+	if !core.IsUsable() {
+		return c.SendStatus(fiber.StatusServiceUnavailable)
+	}
+	return c.SendStatus(fiber.StatusOK)
+}
 
+// handleUserRequest refuses a request whose job cannot exist, and gives the core
+// the others: one that is malformed may yet be of a job that is known.
 func handleUserRequest(c *fiber.Ctx, core Core, r scheduler.UserRequest, timeout time.Duration) error {
 	if r.Kind != scheduler.SubmitJob && !wire.IsValidJobID(r.ID) {
 		return fiber.NewError(fiber.StatusNotFound, "no such job")
@@ -108,22 +150,28 @@
 	if r.ID == "" {
 		return fiber.NewError(fiber.StatusBadRequest, r.Malformed)
 	}
-	a, ok := core.HandleUserRequest(r, timeout)
+	response, ok := core.HandleUserRequest(r, timeout)
 	if !ok {
-		a = scheduler.UserResponse{
+		response = scheduler.UserResponse{
 			Status:      fiber.StatusServiceUnavailable,
 			ID:          r.ID,
-			Error:       "no answer in time",
-			RetryAfterS: 1,
+			Error:       lateError,
+			RetryAfterS: lateRetryAfterS,
 		}
 	}
-	if a.RetryAfterS > 0 {
-		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(a.RetryAfterS))
-	}
-	return sendJSON(c, a.Status, wire.EncodeUserResponse(a))
+	setRetryAfter(c, response.RetryAfterS)
+	return sendJSON(c, response.Status, wire.EncodeUserResponse(response))
 }
 
-func sendJSON(c *fiber.Ctx, status int, body []byte) error {
-	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
-	return c.Status(status).Send(body)
+func handleHeartbeat(c *fiber.Ctx, core Core) error {
+	r, err := wire.ParseHeartbeat(c.Body())
+	if err != nil {
+		return fiber.NewError(fiber.StatusBadRequest, err.Error())
+	}
+	response, ok := core.HandleHeartbeat(r, heartbeatTimeout)
+	if !ok {
+		response = scheduler.HeartbeatResponse{} // encoded as a refusal
+	}
+	status, body := wire.EncodeHeartbeatResponse(response)
+	return sendJSON(c, status, body)
 }
--- a/internal/userapi/workflows.go
+++ b/internal/userapi/workflows.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"strconv"
 	"time"
 
 	"github.com/gofiber/fiber/v2"
@@ -10,35 +9,40 @@
 	"github.com/grebedock/grebedock/workflow"
 )
 
-// Workflows is what the front needs of whoever runs workflows.
+// Workflows is what the user address needs of the extension for workflows; false
+// means that there was no response in time.
 type Workflows interface {
 	HandleRequest(workflow.Request, time.Duration) (workflow.Response, bool)
 }
 
-// ServeWorkflows adds the workflows' part of the users' interface.
+// ServeWorkflows adds the routes of workflows.
 func ServeWorkflows(app *fiber.App, host Workflows) {
-	handle := func(c *fiber.Ctx, r workflow.Request, timeout time.Duration) error {
-		a, ok := host.HandleRequest(r, timeout)
-		if !ok {
-			a = workflow.Response{Status: fiber.StatusServiceUnavailable, ID: r.ID, Error: "no answer in time", RetryAfterS: 1}
-		}
-		if a.RetryAfterS > 0 {
-			c.Set(fiber.HeaderRetryAfter, strconv.Itoa(a.RetryAfterS))
-		}
-		body, err := json.Marshal(a)
-		if err != nil {
-			return err
-		}
-		return sendJSON(c, a.Status, body)
-	}
 	app.Post("/v1/workflows", func(c *fiber.Ctx) error {
-		// fiber uses its buffers again.
-		return handle(c, workflow.Request{Kind: workflow.Submit, Body: append([]byte(nil), c.Body()...)}, submitTimeout)
+		body := append([]byte(nil), c.Body()...)
+		return handleWorkflowRequest(c, host, workflow.Request{Kind: workflow.Submit, Body: body}, submitTimeout)
 	})
 	app.Get("/v1/workflows/:id", func(c *fiber.Ctx) error {
-		return handle(c, workflow.Request{Kind: workflow.Query, ID: jobIDParam(c)}, queryTimeout)
+		return handleWorkflowRequest(c, host, workflow.Request{Kind: workflow.Query, ID: idParam(c)}, queryTimeout)
 	})
 	app.Post("/v1/workflows/:id/abort", func(c *fiber.Ctx) error {
-		return handle(c, workflow.Request{Kind: workflow.Abort, ID: jobIDParam(c)}, submitTimeout)
+		return handleWorkflowRequest(c, host, workflow.Request{Kind: workflow.Abort, ID: idParam(c)}, submitTimeout)
 	})
 }
+
+func handleWorkflowRequest(c *fiber.Ctx, host Workflows, r workflow.Request, timeout time.Duration) error {
+	response, ok := host.HandleRequest(r, timeout)
+	if !ok {
+		response = workflow.Response{
+			Status:      fiber.StatusServiceUnavailable,
+			ID:          r.ID,
+			Error:       lateError,
+			RetryAfterS: lateRetryAfterS,
+		}
+	}
+	setRetryAfter(c, response.RetryAfterS)
+	body, err := json.Marshal(response)
+	if err != nil {
+		return err
+	}
+	return sendJSON(c, response.Status, body)
+}
