--- a/cmd/grebedock/experiment_page.go
+++ b/cmd/grebedock/experiment_page.go
@@ -120,7 +120,10 @@
 			return nil, err
 		}
 		l.Dashes = plotutil.Dashes(1)
-		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.AtS, Y: top}}, Labels: []string{f.Kind}})
+		label, err := plotter.NewLabels(plotter.XYLabels{
+			XYs:    plotter.XYs{{X: f.AtS, Y: top}},
+			Labels: []string{f.Kind},
+		})
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -89,7 +89,11 @@
 				return showRollout(&o, cmd, wire.Request{Method: "PUT", Path: "/v1/rollout", Body: body})
 			}
 			var result scheduler.RolloutPreview
-			if err := o.request(wire.Request{Method: "PUT", Path: "/v1/rollout?preview=true", Body: body}, &result); err != nil {
+			if err := o.request(wire.Request{
+				Method: "PUT",
+				Path:   "/v1/rollout?preview=true",
+				Body:   body,
+			}, &result); err != nil {
 				return err
 			}
 			if o.json {
@@ -104,7 +108,10 @@
 
 func printPreview(out io.Writer, p *rollout.Plan, preview *scheduler.RolloutPreview) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "plan\t%s, %s, not applied\nmachines\t%d in %d steps\n", p.ID, p.Mode, preview.Machines, preview.Steps)
+	fmt.Fprintf(
+		w, "plan\t%s, %s, not applied\nmachines\t%d in %d steps\n", p.ID, p.Mode, preview.Machines,
+		preview.Steps,
+	)
 	if p.Mode == rollout.Replace {
 		fmt.Fprintf(
 			w,
--- a/cmd/grebedock/schedule.go
+++ b/cmd/grebedock/schedule.go
@@ -39,9 +39,12 @@
 func calendarCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "calendar", Short: "Calendars of recurring schedules"}
 	cmd.AddCommand(
-		scheduleRequestCommand("show NAME", "Show a calendar, and the schedules that use it", "GET", "/v1/calendars/%s"),
+		scheduleRequestCommand(
+			"show NAME", "Show a calendar, and the schedules that use it", "GET", "/v1/calendars/%s",
+		),
 		applyCommand("calendar", "calendars", "Change the calendars of a file for all schedules that use them",
-			"Each schedule that uses a changed calendar gets a new version that counts from now, or from\n--effective on.",
+			"Each schedule that uses a changed calendar gets a new version that counts from now, or from\n"+
+				"--effective on.",
 			func(f *schedules.File) (names []string) {
 				for _, c := range f.Calendars {
 					names = append(names, c.Name)
@@ -197,7 +200,10 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d calendars, %d schedules: good\n", args[0], len(f.Calendars), len(f.Schedules))
+			fmt.Fprintf(
+				cmd.OutOrStdout(), "%s: %d calendars, %d schedules: good\n", args[0], len(f.Calendars),
+				len(f.Schedules),
+			)
 			return nil
 		},
 	}
@@ -218,7 +224,8 @@
 	cmd := &cobra.Command{
 		Use:   "preview FILE",
 		Short: "Show when schedules are due, with each moved or dropped date and its reason",
-		Example: "  grebedock schedule preview --from 2027-01-01 --to 2028-01-01 docs/examples/schedules/provinces.toml\n" +
+		Example: "  grebedock schedule preview --from 2027-01-01 --to 2028-01-01 " +
+			"docs/examples/schedules/provinces.toml\n" +
 			"  grebedock schedule preview --moved --name month-end-reads docs/examples/schedules/provinces.toml",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return p.printSchedules(cmd.OutOrStdout(), args[0]) },
--- a/cmd/grebedock/user_and_operator.go
+++ b/cmd/grebedock/user_and_operator.go
@@ -67,7 +67,12 @@
 
 func (u *userOptions) printStatus(w io.Writer, s client.Status) error {
 	if u.json {
-		return json.NewEncoder(w).Encode(map[string]any{"id": s.ID, "state": s.State, "done": s.Done, "running": s.Running})
+		return json.NewEncoder(w).Encode(map[string]any{
+			"id":      s.ID,
+			"state":   s.State,
+			"done":    s.Done,
+			"running": s.Running,
+		})
 	}
 	_, err := fmt.Fprintf(w, "%s  %s  %d done, %d running\n", s.ID, s.State, s.Done, s.Running)
 	return err
@@ -98,7 +103,10 @@
 		}
 		switch {
 		case terminal:
-			fmt.Fprintf(cmd.ErrOrStderr(), "\r\x1b[K%s  %s  %d%s done, %d running", s.ID, s.State, s.Done, of, s.Running)
+			fmt.Fprintf(
+				cmd.ErrOrStderr(), "\r\x1b[K%s  %s  %d%s done, %d running", s.ID, s.State, s.Done, of,
+				s.Running,
+			)
 		case s != last && !s.State.IsFinal():
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s  %s  %d%s done, %d running\n", s.ID, s.State, s.Done, of, s.Running)
 		}
@@ -219,7 +227,8 @@
 	var options userOptions
 	return options.addFlags(&cobra.Command{
 		Use: "cancel ID...", Short: "Cancel jobs", Args: cobra.MinimumNArgs(1),
-		Long: "Cancel jobs. One that is done stays done. Exit codes: 0 all are over, 1 no answer for one,\n2 no such job.",
+		Long: "Cancel jobs. One that is done stays done. Exit codes: 0 all are over, 1 no answer for one,\n" +
+			"2 no such job.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, ctx, stop, err := options.newClient(cmd)
 			if err != nil {
@@ -365,7 +374,10 @@
 					state += ", set aside"
 				}
 				tasks := ""
-				if slices.ContainsFunc(st.Shards, func(s scheduler.ShardStatus) bool { return s.Shard == m.Shard && s.Owned }) {
+				if slices.ContainsFunc(st.Shards, func(s scheduler.ShardStatus) bool {
+					return s.Shard == m.Shard &&
+						s.Owned
+				}) {
 					tasks = fmt.Sprint(m.Tasks) // others' are theirs to tell
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.ID, typ, m.Zone, m.Shard, state, tasks)
--- a/emulator/checks.go
+++ b/emulator/checks.go
@@ -34,7 +34,10 @@
 func (sim *Simulation) checkResponse(req scheduler.UserRequest, resp scheduler.UserResponse) {
 	j := sim.Jobs[req.ID]
 	if j != nil && resp.State == scheduler.Done && len(j.DoneTasks) < j.Spec.Tasks {
-		sim.recordViolation("not_done", "%s is called done after %d of %d tasks", req.ID, len(j.DoneTasks), j.Spec.Tasks)
+		sim.recordViolation(
+			"not_done", "%s is called done after %d of %d tasks", req.ID, len(j.DoneTasks),
+			j.Spec.Tasks,
+		)
 	}
 }
 
@@ -92,7 +95,8 @@
 	fits := func(machineType scheduler.MachineType) bool {
 		request := j.Request
 		request.DiskGB = 0
-		return machineType.Resources.Contains(request) && (len(j.Types) == 0 || slices.Contains(j.Types, machineType.Name)) &&
+		return machineType.Resources.Contains(request) && (len(j.Types) == 0 ||
+			slices.Contains(j.Types, machineType.Name)) &&
 			(j.Zone == "" || slices.Contains(machineType.Zones, j.Zone))
 	}
 	if !slices.ContainsFunc(sim.options.Types, fits) {
--- a/emulator/infrastructure_faults.go
+++ b/emulator/infrastructure_faults.go
@@ -45,7 +45,11 @@
 		sim.Partitions = append(sim.Partitions, Partition{A: m.Name, B: "", Until: sim.Now + durationMS})
 	case 7:
 		if worker := randomWorker(); worker != nil {
-			sim.Partitions = append(sim.Partitions, Partition{A: "w" + worker.Instance.ID, B: "", Until: sim.Now + durationMS})
+			sim.Partitions = append(sim.Partitions, Partition{
+				A:     "w" + worker.Instance.ID,
+				B:     "",
+				Until: sim.Now + durationMS,
+			})
 		}
 	case 8:
 		if worker := randomWorker(); worker != nil {
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -198,7 +198,10 @@
 		timeoutMS += op.DurationMS
 	}
 	respond := func(result scheduler.StoreResult) {
-		sim.sendMessage("store", m.Name, m.inEpoch(epoch, func() { m.Core.HandleStoreResult(m.Clock(), op.ID, result) }))
+		sim.sendMessage(
+			"store", m.Name,
+			m.inEpoch(epoch, func() { m.Core.HandleStoreResult(m.Clock(), op.ID, result) }),
+		)
 	}
 	sim.StoreRequests[op.Kind]++
 	sim.StoreChanges += len(op.Changes)
@@ -239,7 +242,10 @@
 	}
 	sim.sendMessage(m.Name, "cloud", func() {
 		result := sim.Cloud.Apply(sim.Now, op)
-		sim.sendMessage("cloud", m.Name, m.inEpoch(epoch, func() { m.Core.HandleCloudResult(m.Clock(), op.ID, result) }))
+		sim.sendMessage(
+			"cloud", m.Name,
+			m.inEpoch(epoch, func() { m.Core.HandleCloudResult(m.Clock(), op.ID, result) }),
+		)
 	})
 	sim.After(2*requestTimeoutMS, m.inEpoch(epoch, func() {
 		m.Core.HandleCloudResult(m.Clock(), op.ID, scheduler.CloudResult{Outcome: scheduler.Unknown})
@@ -264,7 +270,9 @@
 		})
 	}
 	sim.After(requestTimeoutMS, m.inEpoch(epoch, func() {
-		m.Core.HandleDirectCommandResult(m.Clock(), command.ID, scheduler.DirectCommandResult{Outcome: scheduler.Unknown})
+		m.Core.HandleDirectCommandResult(
+			m.Clock(), command.ID, scheduler.DirectCommandResult{Outcome: scheduler.Unknown},
+		)
 	}))
 }
 
--- a/emulator/protocol_faults.go
+++ b/emulator/protocol_faults.go
@@ -198,7 +198,8 @@
 		return
 	}
 	for _, id := range sim.JobIDs {
-		if j := sim.Jobs[id]; j.Accepted && !j.CancelRequested && sim.Now-max(j.lastResponseAt, j.AcceptedAt) > forgottenMS {
+		if j := sim.Jobs[id]; j.Accepted && !j.CancelRequested &&
+			sim.Now-max(j.lastResponseAt, j.AcceptedAt) > forgottenMS {
 			sim.recordViolation(
 				"forgotten",
 				"no question about %s is answered for %d ms",
--- a/emulator/random_faults.go
+++ b/emulator/random_faults.go
@@ -51,7 +51,10 @@
 		func(sim *Simulation) { sim.DelayCommands(0.2+0.6*sim.Rand.Float64(), sim.randomBetween(3000, 28_000)) },
 	},
 	{"mute machines", func(sim *Simulation) {
-		sim.SampleLiveWorkers(0.4, func(worker *Worker) { sim.PartitionOutbound(worker, sim.randomBetween(2000, 28_000)) })
+		sim.SampleLiveWorkers(
+			0.4,
+			func(worker *Worker) { sim.PartitionOutbound(worker, sim.randomBetween(2000, 28_000)) },
+		)
 	}},
 	{"jobs cancelled together", func(sim *Simulation) {
 		sim.CancelRunningJobs(1+sim.Rand.IntN(4), sim.randomBetween(0, 2)*sim.randomBetween(2000, 10_000))
@@ -60,7 +63,10 @@
 	{"odd requests", func(sim *Simulation) { sim.SendInvalidRequests(sim.randomBetween(3000, 28_000)) }},
 	{"close looks", func(sim *Simulation) { sim.ReadConcurrently(sim.randomBetween(3000, 28_000)) }},
 	{"deaf machines", func(sim *Simulation) {
-		sim.SampleLiveWorkers(0.4, func(worker *Worker) { sim.PartitionInbound(worker, sim.randomBetween(2000, 28_000)) })
+		sim.SampleLiveWorkers(
+			0.4,
+			func(worker *Worker) { sim.PartitionInbound(worker, sim.randomBetween(2000, 28_000)) },
+		)
 	}},
 	{
 		"a member cut from state and peers, held",
@@ -70,7 +76,10 @@
 		"a member cut from state and peers, refused",
 		func(sim *Simulation) { sim.PartitionMember(sim.randomMember(), sim.randomBetween(3000, 28_000), true) },
 	},
-	{"slow state", func(sim *Simulation) { sim.SlowStore(sim.randomBetween(400, 3000), sim.randomBetween(3000, 28_000)) }},
+	{
+		"slow state",
+		func(sim *Simulation) { sim.SlowStore(sim.randomBetween(400, 3000), sim.randomBetween(3000, 28_000)) },
+	},
 	{
 		"a member stands still",
 		func(sim *Simulation) { sim.PauseMember(sim.randomMember(), sim.randomBetween(500, 12_000)) },
@@ -85,7 +94,10 @@
 		sim.StartOutage(sim.randomMember().Name, durationMS)
 		sim.After(sim.Rand.Int64N(durationMS), func() { sim.StartOutage("all", sim.randomBetween(2000, 56_000)) })
 	}},
-	{"one ends, back within a second", func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(100, 1000)) }},
+	{
+		"one ends, back within a second",
+		func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(100, 1000)) },
+	},
 	{
 		"one ends, is adopted and comes back",
 		func(sim *Simulation) { sim.randomMember().Crash(sim.randomBetween(14_000, 20_000)) },
@@ -108,7 +120,10 @@
 		})
 	}},
 	{"machines hang", func(sim *Simulation) {
-		sim.SampleLiveWorkers(0.4, func(worker *Worker) { worker.HangUntil = sim.Now + sim.randomBetween(1000, 10_000) })
+		sim.SampleLiveWorkers(0.4, func(worker *Worker) {
+			worker.HangUntil = sim.Now +
+				sim.randomBetween(1000, 10_000)
+		})
 	}},
 	{"a member lacks processor time", func(sim *Simulation) {
 		sim.Lags[sim.randomMember().Name] = Lag{Until: sim.Now + 12_000, MaxDelayMS: 3000}
--- a/emulator/user_requests.go
+++ b/emulator/user_requests.go
@@ -23,7 +23,8 @@
 	sim.EachTask(func(worker *Worker, t *platformfake.Task) { workers[t.Job.ID] = append(workers[t.Job.ID], worker) })
 	var running []*Job
 	for _, id := range sim.JobIDs {
-		if j := sim.Jobs[id]; len(workers[id]) > 0 && j.Accepted && !j.CancelRequested && !j.ObservedState.IsTerminal() {
+		if j := sim.Jobs[id]; len(workers[id]) > 0 && j.Accepted && !j.CancelRequested &&
+			!j.ObservedState.IsTerminal() {
 			running = append(running, j)
 		}
 	}
--- a/emulator/users.go
+++ b/emulator/users.go
@@ -32,7 +32,12 @@
 
 // NewJob returns a job that nobody has submitted yet.
 func NewJob(j scheduler.Job) *Job {
-	return &Job{Spec: j, DoneTasks: map[string]bool{}, StartCounts: map[string]int{}, countedStartAt: map[string]int64{}}
+	return &Job{
+		Spec:           j,
+		DoneTasks:      map[string]bool{},
+		StartCounts:    map[string]int{},
+		countedStartAt: map[string]int64{},
+	}
 }
 
 // SendRequest sends a user's request to a random member.
@@ -198,10 +203,13 @@
 // QueryUnknownJobs asks about jobs that nobody submitted.
 func (sim *Simulation) QueryUnknownJobs() {
 	id := fmt.Sprintf("job-9%05d", sim.Rand.IntN(100000))
-	sim.SendRequest(scheduler.UserRequest{Kind: scheduler.QueryJob, ID: id}, func(resp scheduler.UserResponse, ok bool) {
-		if ok && resp.Status == 200 {
-			sim.recordViolation("invented", "%s gets 200", id)
-		}
-	})
+	sim.SendRequest(
+		scheduler.UserRequest{Kind: scheduler.QueryJob, ID: id},
+		func(resp scheduler.UserResponse, ok bool) {
+			if ok && resp.Status == 200 {
+				sim.recordViolation("invented", "%s gets 200", id)
+			}
+		},
+	)
 	sim.After(5000, sim.QueryUnknownJobs)
 }
--- a/internal/packagegraph/packagegraph.go
+++ b/internal/packagegraph/packagegraph.go
@@ -160,7 +160,10 @@
 			if len(p.Imports) > 0 {
 				imports = "`" + strings.Join(p.Imports, "`, `") + "`"
 			}
-			fmt.Fprintf(&b, "| %d | `%s` | %s | %s |\n", level, p.Path, imports, strings.ReplaceAll(p.Synopsis, "|", `\|`))
+			fmt.Fprintf(
+				&b, "| %d | `%s` | %s | %s |\n", level, p.Path, imports,
+				strings.ReplaceAll(p.Synopsis, "|", `\|`),
+			)
 		}
 	}
 	return b.String()
--- a/strict/strict.go
+++ b/strict/strict.go
@@ -24,7 +24,10 @@
 			row, col := unknownFields.Errors[i].Position()
 			problems = append(
 				problems,
-				fmt.Sprintf("line %d column %d: %s is no field", row, col, strings.Join(unknownFields.Errors[i].Key(), ".")),
+				fmt.Sprintf(
+					"line %d column %d: %s is no field", row, col,
+					strings.Join(unknownFields.Errors[i].Key(), "."),
+				),
 			)
 		}
 		return errors.New(strings.Join(problems, "; "))
--- a/workflow/calls.go
+++ b/workflow/calls.go
@@ -34,7 +34,11 @@
 func (d *activeRun) addCalls(calls []*Call) {
 	for _, c := range calls {
 		if d.calls[c.Path] == nil {
-			d.calls[c.Path] = &callState{Call: c, phase: pending, job: jobIDOf(d.id, c.Path, d.record.FirstJobID, d.jobNumbers)}
+			d.calls[c.Path] = &callState{
+				Call:  c,
+				phase: pending,
+				job:   jobIDOf(d.id, c.Path, d.record.FirstJobID, d.jobNumbers),
+			}
 		}
 	}
 }
