--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -23,7 +23,8 @@
 		Use: "rollout", Short: "Drain or replace machines in steps, within a budget for each team",
 		Long: "A plan empties machines step by step, and replaces them if it says so, without any team losing\n" +
 			"more tasks at once than its budget (the setting disruption). It goes on whichever member ends.",
-		Example: "  grebedock rollout apply --addr 10.0.0.1:8081 plan.toml\n  grebedock rollout status --addr 10.0.0.1:8081\n" +
+		Example: "  grebedock rollout apply --addr 10.0.0.1:8081 plan.toml\n" +
+			"  grebedock rollout status --addr 10.0.0.1:8081\n" +
 			"  grebedock rollout pause --addr 10.0.0.1:8081",
 	}
 	cmd.AddCommand(applyRolloutCommand())
@@ -88,7 +89,11 @@
 				return showRollout(&o, cmd, wire.Request{Method: "PUT", Path: "/v1/rollout", Body: body})
 			}
 			var result scheduler.RolloutPreview
-			if err := o.request(wire.Request{Method: "PUT", Path: "/v1/rollout?preview=true", Body: body}, &result); err != nil {
+			if err := o.request(wire.Request{
+				Method: "PUT",
+				Path:   "/v1/rollout?preview=true",
+				Body:   body,
+			}, &result); err != nil {
 				return err
 			}
 			if o.json {
@@ -103,7 +108,10 @@
 
 func printPreview(out io.Writer, p *rollout.Plan, preview *scheduler.RolloutPreview) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "plan\t%s, %s, not applied\nmachines\t%d in %d steps\n", p.ID, p.Mode, preview.Machines, preview.Steps)
+	fmt.Fprintf(
+		w, "plan\t%s, %s, not applied\nmachines\t%d in %d steps\n", p.ID, p.Mode, preview.Machines,
+		preview.Steps,
+	)
 	if p.Mode == rollout.Replace {
 		fmt.Fprintf(
 			w,
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// updateTerminationNotice notes when the cloud takes the machine, as its latest heartbeat says.
+// updateTerminationNotice notes when the cloud takes the machine, by its latest heartbeat.
 func (am *agentManager) updateTerminationNotice(s *shard, mc *machine, hb *Heartbeat) {
 	if hb.TerminationNoticeS == nil {
 		mc.terminatesAt = 0
