--- a/cmd/grebedock/golden_test.go
+++ b/cmd/grebedock/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// TestCommandsKeepTheirForm holds commands and flags: names, shorthands, types
-// and defaults, but not the texts that explain them.
+// TestCommandsKeepTheirForm compares commands and flags with a golden file: names, shorthands,
+// types and defaults, but not the help texts.
 func TestCommandsKeepTheirForm(t *testing.T) {
 	golden.Compare(t, "commands.txt", commandTree(nil, rootCommand()))
 }
@@ -40,20 +40,20 @@
 	return out
 }
 
-// visited is all that a function visits.
+// visited collects all values that visit passes to its callback.
 func visited[T any](visit func(func(T))) (all []T) {
 	visit(func(v T) { all = append(all, v) })
 	return all
 }
 
-// TestPrintedRecordsKeepTheirForm holds what commands print as JSON.
+// TestPrintedRecordsKeepTheirForm compares the JSON output of commands with golden files.
 func TestPrintedRecordsKeepTheirForm(t *testing.T) {
 	golden.JSON[*loadResult](t, "load.json")
 	golden.JSON[previewRow](t, "preview.json")
 }
 
-// TestExamplesAreReadAsBefore holds what is read of the documentation's
-// examples of schedules and plans.
+// TestExamplesAreReadAsBefore compares the parsed form of the documented schedules and rollout
+// plans with golden files.
 func TestExamplesAreReadAsBefore(t *testing.T) {
 	names, err := filepath.Glob("../../docs/examples/schedules/*.toml")
 	if err != nil || len(names) == 0 {
--- a/cmd/grebedock/lab.go
+++ b/cmd/grebedock/lab.go
@@ -21,8 +21,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// defaultUserPort is the first port of a lab's members, and where the workflow
-// commands look if they are not told.
+// defaultUserPort is the first port of a lab's members, and the default port of the workflow
+// commands.
 const defaultUserPort = 8080
 
 func labCommand() *cobra.Command {
@@ -70,7 +70,7 @@
 	return status == 200
 }
 
-// labStartTimeout bounds a lab's start.
+// labStartTimeout bounds the start of a lab.
 const labStartTimeout = 20 * time.Second
 
 func runLab(ctx context.Context, cmd *cobra.Command, o lab.Options) (err error) {
@@ -101,14 +101,14 @@
 	return nil
 }
 
-// Times of the view: a terminal's is drawn anew, elsewhere a line tells what
+// Intervals of the view: on a terminal it is redrawn, elsewhere a line is printed if something
 // changed.
 const (
 	viewInterval = time.Second
 	lineInterval = 5 * time.Second
 )
 
-// watchLab shows how the lab stands until ctx ends.
+// watchLab shows the state of the lab until ctx is cancelled.
 func watchLab(ctx context.Context, out io.Writer, l *lab.Lab) {
 	f, ok := out.(*os.File)
 	terminal := ok && isatty.IsTerminal(f.Fd())
@@ -147,7 +147,7 @@
 	}
 }
 
-// labSummary is a lab in one line.
+// labSummary returns the state of a lab in one line.
 func labSummary(statuses []scheduler.Status) string {
 	if len(statuses) == 0 {
 		return "lab: no member answers"
@@ -169,7 +169,7 @@
 	}
 	for _, st := range statuses {
 		for _, m := range st.Machines {
-			running += m.Tasks // each counts its own shards' alone
+			running += m.Tasks // each member counts only its own shards' tasks
 		}
 	}
 	return fmt.Sprintf(
@@ -184,7 +184,7 @@
 	)
 }
 
-// labTable is a lab in a few.
+// labTable returns the state of a lab in a few lines.
 func labTable(statuses []scheduler.Status) string {
 	var b strings.Builder
 	fmt.Fprintln(&b, labSummary(statuses))
@@ -230,6 +230,6 @@
 		t := statuses[0].Teams[i]
 		fmt.Fprintf(w, "%s\t%g\t%g\t%g\t%g\t\t\t\n", name, t.CPUs, t.MaxCPUs, teams[name].used, teams[name].waiting)
 	}
-	_ = w.Flush() // into memory
+	_ = w.Flush() // writes to memory, which cannot fail
 	return b.String()
 }
--- a/cmd/grebedock/lab_experiment.go
+++ b/cmd/grebedock/lab_experiment.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// pendingRuns are the runs of an experiment that have no result yet.
+// pendingRuns returns the runs of an experiment that have no result yet.
 func pendingRuns(e *emulator.Experiment, finished []emulator.Result) (pending []experimentRun) {
 	for _, seed := range e.Seeds {
 		for _, v := range e.Variants {
@@ -118,12 +118,12 @@
 	return pending
 }
 
-// experimentBatch plays runs of an experiment side by side, and writes each result as it
-// comes.
+// experimentBatch simulates runs of an experiment concurrently, and writes each result once it is
+// there.
 type experimentBatch struct {
 	experiment *emulator.Experiment
 	out        io.Writer
-	terminal   io.Writer // shows how far it is; nil: nobody looks
+	terminal   io.Writer // shows the progress; nil: no terminal
 	total      int
 	startedAt  time.Time
 
@@ -132,7 +132,7 @@
 	writeErr                      error // the first write that failed
 }
 
-// runAll plays runs, so many at once, until all are played or ctx ends.
+// runAll simulates the pending runs, up to jobs at a time, until all are done or ctx is cancelled.
 func (b *experimentBatch) runAll(ctx context.Context, pending []experimentRun, jobs int) {
 	runs := make(chan experimentRun)
 	var wait sync.WaitGroup
@@ -158,7 +158,7 @@
 	}
 }
 
-// record takes a run's result.
+// record writes a run's result and counts it.
 func (b *experimentBatch) record(r emulator.Result) {
 	line, err := json.Marshal(r)
 	b.mu.Lock()
@@ -179,8 +179,8 @@
 	}
 }
 
-// terminateLastLine goes to the end of a file of lines, and ends the last if a kill cut it
-// short: what comes next must not become part of it.
+// terminateLastLine seeks to the end of a file of lines, and terminates the last one if a kill
+// truncated it, so that the next line does not become part of it.
 func terminateLastLine(f *os.File) error {
 	end, err := f.Seek(0, io.SeekEnd)
 	if err != nil || end == 0 {
--- a/cmd/grebedock/lab_load.go
+++ b/cmd/grebedock/lab_load.go
@@ -25,13 +25,13 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// loadOptions describe a load.
+// loadOptions configure a load test.
 type loadOptions struct {
 	addrs              []string
 	team               string
-	rate               float64 // requests a second
+	rate               float64 // requests per second
 	duration           time.Duration
-	pollsPerSubmission float64 // questions for each submission
+	pollsPerSubmission float64 // queries for each submission
 	cancelShare        float64 // share of jobs that are cancelled
 	tasks              int
 	estimateS          float64
@@ -102,25 +102,24 @@
 	return cmd
 }
 
-// loadTimeout bounds a request, as users bound a submission.
+// loadTimeout bounds a request, as users do for a submission.
 const loadTimeout = 5 * time.Second
 
-// loadConns bounds the connections to a member: what waits for one counts as
-// waiting.
+// loadConns bounds the connections to a member; the wait for one counts as latency.
 const loadConns = 512
 
-// Latencies are kept from a tenth of a millisecond to a minute, to three digits.
+// Latencies are recorded from 100 µs to one minute, with three significant digits.
 const (
 	latencyUnit   = 100 * time.Microsecond
 	maxLatency    = int64(time.Minute / latencyUnit)
 	latencyDigits = 3
 )
 
-// loadResult is what came of a load.
+// loadResult is the outcome of a load test.
 type loadResult struct {
 	Sent              int                    `json:"sent"`
 	Kinds             map[string]*kindResult `json:"kinds"`
-	Statuses          map[int]int            `json:"statuses"` // 0: no answer
+	Statuses          map[int]int            `json:"statuses"` // 0: no response
 	HistoryViolations []string               `json:"disorder,omitempty"`
 	mu                sync.Mutex
 	ops               []history.Op
@@ -139,7 +138,7 @@
 	scheduler.CancelJob: "cancel",
 }
 
-// quantiles of the waits that are told.
+// quantiles are the printed percentiles of the latencies.
 var quantiles = []float64{50, 90, 99, 99.9, 100}
 
 func runLoad(ctx context.Context, o loadOptions) *loadResult {
@@ -153,7 +152,7 @@
 	var wait sync.WaitGroup
 	scheduledAt := startedAt
 	for n := 0; ; n++ {
-		// Arrivals without memory: users know nothing of each other.
+		// A Poisson process: users act independently of each other.
 		scheduledAt = scheduledAt.Add(time.Duration(rng.ExpFloat64() / o.rate * float64(time.Second)))
 		if scheduledAt.Sub(startedAt) > o.duration {
 			break
@@ -177,23 +176,23 @@
 	return r
 }
 
-// nextRequest is what is asked next, of which job.
+// nextRequest chooses the kind of the next request and its job.
 func (r *loadResult) nextRequest(rng *rand.Rand, o loadOptions) (scheduler.UserRequestKind, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := rng.Float64() * (1 + o.pollsPerSubmission + o.cancelShare)
 	switch {
 	case len(r.jobs) == 0 || p < 1:
-		return scheduler.SubmitJob, client.NewID() // none of an earlier load
+		return scheduler.SubmitJob, client.NewID() // never an id of an earlier load test
 	case p < 1+o.cancelShare:
 		return scheduler.CancelJob, r.jobs[rng.IntN(len(r.jobs))]
 	}
 	return scheduler.QueryJob, r.jobs[max(0, len(r.jobs)-1-int(rng.ExpFloat64()*20))]
 }
 
-// loadRequest is one request of a load.
+// loadRequest is one request of a load test.
 type loadRequest struct {
-	addr        string // the member that is asked
+	addr        string // the member that it is sent to
 	kind        scheduler.UserRequestKind
 	jobID       string
 	scheduledAt time.Time
--- a/cmd/grebedock/lab_report.go
+++ b/cmd/grebedock/lab_report.go
@@ -17,8 +17,8 @@
 	"github.com/spf13/cobra"
 )
 
-// readResults reads a file of results. Lines that are cut short or no results
-// are left out and named.
+// readResults reads a file of results. Truncated or invalid lines are skipped and returned in
+// malformed.
 func readResults(name string) (out []emulator.Result, malformed []string, err error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -71,7 +71,7 @@
 			if len(all) == 0 {
 				return &codedError{errors.New("no results"), exitInvalid}
 			}
-			// As the experiment lists them, not as they came to their end.
+			// In the order of the experiment, not that in which they finished.
 			slices.SortStableFunc(all, func(a, b emulator.Result) int {
 				return cmp.Or(cmp.Compare(a.VariantIndex, b.VariantIndex), cmp.Compare(a.Seed, b.Seed))
 			})
@@ -130,7 +130,7 @@
 	)
 }
 
-// classMetrics are the figures of a class of jobs, by its place.
+// classMetrics returns the metrics of the class of jobs at index i.
 func classMetrics(i int, class string) []metric {
 	var metrics []metric
 	add := func(name string, value func(*emulator.ClassResult) float64) {
@@ -149,7 +149,7 @@
 	return metrics
 }
 
-// teamMetrics are the figures of a team, by its place.
+// teamMetrics returns the metrics of the team at index i.
 func teamMetrics(i int, team string) []metric {
 	var metrics []metric
 	metrics = append(metrics, metric{"team " + team + ": done", func(r *emulator.Result) float64 {
@@ -158,8 +158,8 @@
 		}
 		return float64(r.Teams[i].Done) / float64(max(1, r.Teams[i].Jobs))
 	}})
-	// In a run where none came within the guarantee, or the limit was never short,
-	// there is nothing to tell.
+	// A run without work within the guarantee, or in which the limit was never contended, has no
+	// value.
 	add := func(name string, count func(*emulator.TeamResult) int, value func(*emulator.TeamResult) float64) {
 		metrics = append(metrics, metric{"team " + team + ": " + name, func(r *emulator.Result) float64 {
 			if i >= len(r.Teams) || count(&r.Teams[i]) == 0 {
@@ -180,7 +180,7 @@
 	return metrics
 }
 
-// rolloutMetrics are the figures of a plan.
+// rolloutMetrics returns the metrics of a rollout plan.
 func rolloutMetrics() []metric {
 	planMetric := func(value func(*emulator.RolloutResult) float64) func(*emulator.Result) float64 {
 		return func(r *emulator.Result) float64 {
@@ -209,7 +209,7 @@
 	n               int
 }
 
-// text is the estimate for a reader; variants without the figure have none.
+// text formats the estimate; variants without the metric have none.
 func (e meanEstimate) text() string {
 	if math.IsNaN(e.mean) {
 		return "-"
@@ -217,8 +217,8 @@
 	return fmt.Sprintf("%.3g ± %.2g", e.mean, e.halfWidth)
 }
 
-// studentT975 has the 97.5 % quantiles of Student's t, by degrees of freedom from 1
-// on; past the end the normal one is near enough.
+// studentT975 has the 97.5 % quantiles of Student's t, by degrees of freedom from 1 on; past the
+// end the normal quantile is close enough.
 var studentT975 = []float64{
 	12.71,
 	4.30,
@@ -242,7 +242,7 @@
 	2.09,
 }
 
-// estimateOf leaves out runs that have nothing to tell.
+// estimateOf estimates the mean of xs, without the runs that have no value (NaN).
 func estimateOf(xs []float64) meanEstimate {
 	xs = slices.DeleteFunc(slices.Clone(xs), math.IsNaN)
 	n := float64(len(xs))
@@ -266,21 +266,22 @@
 	return meanEstimate{mean, t * math.Sqrt(squareSum/(n-1)/n), len(xs)}
 }
 
-// cell is a figure of a variant. It is apart from the first variant's if the
-// differences of the runs with the same seed are on one side of nothing.
+// cell is a metric of a variant. It differs from the first variant's if the confidence interval of
+// the differences between runs with the same seed excludes zero.
 type cell struct {
 	meanEstimate
 	differsFromFirst bool
 }
 
-// comparison has a row a figure and a column a variant.
+// comparison has one row for each metric and one column for each variant.
 type comparison struct {
 	variants []string
 	rows     []string
 	cells    [][]cell
 }
 
-// differsSignificantly tells whether figures that belong together, by seed, differ.
+// differsSignificantly reports whether metrics paired by seed differ: the confidence interval of
+// their differences excludes zero.
 func differsSignificantly(a, b map[uint64]float64) bool {
 	var differences []float64
 	for seed, x := range a {
@@ -307,7 +308,7 @@
 	}
 	template := &all[0]
 	if at := slices.IndexFunc(all, func(r emulator.Result) bool { return r.Rollout != nil }); at >= 0 {
-		template = &all[at] // it has the most figures
+		template = &all[at] // it has the most metrics
 	}
 	for _, f := range metricsOf(template) {
 		var row []cell
@@ -324,7 +325,7 @@
 			}
 			row = append(row, cell{estimateOf(xs), k > 0 && differsSignificantly(first, bySeed)})
 		}
-		// What no variant has anything to tell of is left out.
+		// Metrics without a value in any variant are left out.
 		if slices.ContainsFunc(row, func(c cell) bool { return !math.IsNaN(c.mean) }) {
 			t.rows, t.cells = append(t.rows, f.name), append(t.cells, row)
 		}
--- a/cmd/grebedock/main.go
+++ b/cmd/grebedock/main.go
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// memoryLimitShare is how much of the memory that it may hold the runtime uses before
-// the collector works harder.
+// memoryLimitShare is the share of the member's memory limit above which the garbage collector
+// works harder.
 const memoryLimitShare = 0.9
 
 func run(ctx context.Context, configPath, featuresPath string) error {
@@ -143,12 +143,12 @@
 	if err != nil {
 		return err
 	}
-	// Short of that limit the collector may let garbage lie for longer: a
-	// member lives on a part of one core, and its live heap is a few megabytes.
+	// Below that limit the collector runs less often: a member has only a share of one core, and
+	// its live heap is a few megabytes.
 	debug.SetMemoryLimit(int64(settings.Cluster.Limits.HeapBytes() * memoryLimitShare))
 	debug.SetGCPercent(400)
 	if settings.Cluster.Limits.CPUShare <= 1 {
-		// Part of one core: more threads would only take turns.
+		// With a share of one core, more threads would only take turns.
 		runtime.GOMAXPROCS(1)
 	}
 	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
--- a/cmd/grebedock/program_test.go
+++ b/cmd/grebedock/program_test.go
@@ -69,7 +69,7 @@
 max_sockets = 600
 `
 
-// grebedock runs the command line and returns what it prints.
+// grebedock runs the command line and returns its output.
 func grebedock(args ...string) (string, error) {
 	cmd := rootCommand()
 	var out bytes.Buffer
@@ -80,7 +80,7 @@
 	return out.String(), err
 }
 
-// The real program, two members of it, against stand-ins on loopback.
+// Two members of the real program run against fakes on loopback.
 func TestProgramServesUsersAndOperators(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	front, mesh := []string{freeAddr(t), freeAddr(t)}, []string{freeAddr(t), freeAddr(t)}
@@ -287,7 +287,7 @@
 		{[]string{"settings", "set", "--addr", mesh[0], `disruption={"ops":{"tasks":2}}`}, 0, `"tasks":2`},
 		{[]string{"rollout", "status", "--addr", mesh[0]}, exitError, ""},
 		{[]string{"rollout", "apply", "--addr", mesh[0], "main_test.go"}, exitInvalid, ""},
-		// switched off here
+		// disabled here
 		{[]string{"rollout", "apply", "--addr", mesh[0], "../../docs/examples/rollouts/replace.toml"}, exitError, ""},
 		{
 			[]string{
@@ -314,7 +314,7 @@
 	}
 }
 
-// A file whose schedules run workflows is applied with them in it.
+// A file whose schedules run workflows is applied with the workflows packed into it.
 func TestScheduledWorkflowsArePackedIntoTheFile(t *testing.T) {
 	dir := t.TempDir()
 	text := "[[calendar]]\nname = \"c\"\nholidays = [{name = \"h\", dates = [\"01-01\"]}]\n[[schedule]]\n" +
@@ -352,8 +352,8 @@
 	}
 }
 
-// An experiment that was stopped goes on where it was, past a line that was cut
-// short, and its report compares what is whole.
+// An interrupted experiment resumes where it stopped, after a truncated line, and its report
+// compares the complete results.
 func TestInterruptedExperimentResumes(t *testing.T) {
 	b, err := os.ReadFile("../../docs/experiments/holds.toml")
 	if err != nil {
@@ -411,7 +411,7 @@
 	}
 }
 
-// The lab's view adds up what the members say, each of its own shards.
+// The lab's view adds up the members' statuses, each of which covers its own shards.
 func TestLabTableAddsUpMembers(t *testing.T) {
 	machines := []scheduler.MachineStatus{
 		{ID: "i-1", Shard: "lab-0", Up: true},
--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -43,7 +43,7 @@
 	return cmd
 }
 
-// showRollout asks the administration API, and prints how the plan stands.
+// showRollout sends a request to the administration API, and prints the state of the plan.
 func showRollout(o *operatorOptions, cmd *cobra.Command, r wire.Request) error {
 	var st scheduler.RolloutStatus
 	if err := o.request(r, &st); err != nil {
@@ -55,7 +55,7 @@
 	return printRollout(cmd.OutOrStdout(), &st)
 }
 
-// readPlan reads and checks a plan's file.
+// readPlan reads and validates a file with a rollout plan.
 func readPlan(name string) (*rollout.Plan, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
--- a/cmd/grebedock/schedule.go
+++ b/cmd/grebedock/schedule.go
@@ -68,7 +68,7 @@
 	return f, nil
 }
 
-// packSchedules writes a file with the workflows that it names in it.
+// packSchedules encodes a file with the workflows that it names packed into it.
 func packSchedules(f *schedules.File, dir string) ([]byte, error) {
 	for _, s := range f.Schedules {
 		if s.Workflow == nil || s.Workflow.File == "" {
@@ -94,7 +94,7 @@
 	return toml.Marshal(f)
 }
 
-// requestSchedules asks the administration API about schedules.
+// requestSchedules sends a request about schedules to the administration API.
 func requestSchedules(addr string, r wire.Request) (a schedules.Response, err error) {
 	body, err := adminRequest(addr, r)
 	if err != nil {
@@ -147,7 +147,7 @@
 		})
 }
 
-// applyCommand puts what a file has of a kind, one by one.
+// applyCommand returns a command that applies the items of one resource in a file, one by one.
 func applyCommand(resource, path, short, long string, names func(*schedules.File) []string) *cobra.Command {
 	var addr, effective string
 	cmd := &cobra.Command{Use: "apply FILE", Short: short, Long: long, Args: cobra.ExactArgs(1),
@@ -209,7 +209,7 @@
 	}
 }
 
-// previewRow is a moment as it is printed.
+// previewRow is the printed form of a due time.
 type previewRow struct {
 	Schedule string `json:"schedule"`
 	At       string `json:"at,omitempty"`
@@ -239,7 +239,7 @@
 	return cmd
 }
 
-// previewOptions is what to show of the moments of schedules.
+// previewOptions select the due times of schedules to show.
 type previewOptions struct {
 	from, to, name  string
 	onlyMoved, json bool
@@ -280,7 +280,7 @@
 	return out.Flush()
 }
 
-// dateRange are the first day and the one after the last.
+// dateRange returns the first day and the day after the last.
 func (p *previewOptions) dateRange() (from, to recurrence.Date, err error) {
 	if from, err = recurrence.ParseDate(p.from); err != nil {
 		return from, to, &codedError{fmt.Errorf("--from: %w", err), exitInvalid}
@@ -294,7 +294,7 @@
 	return from, to, nil
 }
 
-// printMoment writes a moment: to w as JSON, or to the table.
+// printMoment prints a due time: to w as JSON, or to the table.
 func (p *previewOptions) printMoment(w io.Writer, table *tabwriter.Writer, schedule string, m recurrence.Moment) error {
 	row := previewRow{Schedule: schedule, Date: m.Date.String(), Dropped: m.Dropped, Reason: m.Reason}
 	if !m.Dropped {
--- a/cmd/grebedock/settings.go
+++ b/cmd/grebedock/settings.go
@@ -15,8 +15,7 @@
 // adminTimeout bounds a request to the administration API.
 const adminTimeout = 10 * time.Second
 
-// adminRequest asks a member's administration API, which says in JSON what is
-// wrong.
+// adminRequest sends a request to a member's administration API, which describes errors in JSON.
 func adminRequest(addr string, r wire.Request) ([]byte, error) {
 	status, body := httpclient.NewClient(addr, 1).Do(r, adminTimeout)
 	if status == 0 {
--- a/cmd/grebedock/stalling_clients_test.go
+++ b/cmd/grebedock/stalling_clients_test.go
@@ -21,10 +21,10 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// attackSockets is small so that an attack on all of them is, too.
+// attackSockets is small, so that an attack on all of them needs few connections.
 const attackSockets = 64
 
-// startMember starts one real member against stand-ins and returns its addresses.
+// startMember starts one real member against fakes and returns its addresses.
 func startMember(t testing.TB, sockets int, featuresText string) (front, mesh string) {
 	front, mesh = freeAddr(t), freeAddr(t)
 	platform, err := platformfake.NewPlatform(
@@ -47,8 +47,8 @@
 	}
 	text := fmt.Sprintf(settingsText, "m-0", front, mesh, "m-1", freeAddr(t), platform.CloudAddr, platform.StateAddr)
 	text = strings.Replace(text, "max_sockets = 600", fmt.Sprint("max_sockets = ", sockets), 1)
-	// More than a core: the attackers run in this process too, and a member
-	// of another test may have taken all but one away.
+	// More than a core: the attackers run in this process too, and a member of another test may
+	// have set GOMAXPROCS to 1.
 	runtime.GOMAXPROCS(runtime.NumCPU())
 	text = strings.Replace(text, "cpu_share = 1.0", "cpu_share = 4.0", 1)
 	dir := t.TempDir()
@@ -83,7 +83,7 @@
 	return front, mesh
 }
 
-// getStatus asks on a connection of its own, as a load balancer's probe does.
+// getStatus sends a request on a connection of its own, as a load balancer's probe does.
 func getStatus(addr, path string) int {
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return res.StatusCode
 }
 
-// isServiceRunning tells whether the attacked member's one service runs.
+// isServiceRunning reports whether the attacked member's one service runs.
 func isServiceRunning(front string) bool {
 	res, err := http.Get("http://" + front + "/work/job-000001")
 	if err != nil {
@@ -112,8 +112,8 @@
 	return strings.Contains(string(b), `"stance":"running"`)
 }
 
-// keepConnections keeps n connections busy with what write does to each, opening a new
-// one whenever one ends, until stop is called.
+// keepConnections keeps n connections busy by calling write on each, and replaces each one that
+// ends, until stop is called.
 func keepConnections(addr string, n int, write func(net.Conn, <-chan struct{})) (stop func()) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
@@ -141,7 +141,7 @@
 	return func() { close(done); all.Wait() }
 }
 
-// sendText writes a text and then waits for the other side to end the connection.
+// sendText writes a text and then waits for the other side to close the connection.
 func sendText(text string) func(net.Conn, <-chan struct{}) {
 	return func(c net.Conn, _ <-chan struct{}) {
 		if _, err := c.Write([]byte(text)); err == nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// sendSlowly sends a byte every tenth of a second after a text, whatever is answered.
+// sendSlowly sends a text and then a byte every 100 ms, whatever the response.
 func sendSlowly(text string) func(net.Conn, <-chan struct{}) {
 	return func(c net.Conn, done <-chan struct{}) {
 		for _, err := c.Write([]byte(text)); err == nil; _, err = c.Write([]byte("x")) {
@@ -168,8 +168,8 @@
 // halfSentRequest is half of a submission.
 var halfSentRequest = "POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" + strings.Repeat(" ", 30000)
 
-// What users see of an attack on all 600 sockets of a member: 450 half-sent
-// requests, each sent anew when it is given up.
+// The effect on users of an attack on all 600 sockets of a member: 450 half-sent requests, each
+// replaced when it is given up.
 func BenchmarkUnderHalfSentRequests(b *testing.B) {
 	b.Setenv("LOG_LEVEL", "error")
 	for _, c := range []struct {
@@ -202,8 +202,8 @@
 	}
 }
 
-// Clients that only stall cannot keep a member from its others: a member with
-// slots for a few dozen is attacked by many more.
+// Stalling clients cannot keep a member from serving others: a member with slots for a few dozen
+// is attacked by many more.
 func TestStallingClientsDoNotDelayOtherClients(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	worker := strings.Replace(halfSentRequest, "/work", "/v1/report", 1)
@@ -225,8 +225,8 @@
 		{"headers without end", sendText("GET /up HTTP/1.1\r\nX-Long: " + strings.Repeat("a", 20000))},
 		{"connections without a byte", sendText("")},
 	}
-	// A client asks again a few times, as all of them do: on a busy machine
-	// its own request may come late.
+	// A client retries a few times, as all clients do: on a busy machine its own request may be
+	// late.
 	answered := func(addr, path string, want int) bool {
 		for range 5 {
 			if getStatus(addr, path) == want {
@@ -248,7 +248,7 @@
 	}
 
 	t.Run("unbounded", func(t *testing.T) {
-		// The fault itself, so that the check below is known to see it.
+		// The fault itself, to show that the check below detects it.
 		front, _ := startMember(t, attackSockets, "")
 		stop := keepConnections(front, 2*attackSockets, sendText(halfSentRequest))
 		defer stop()
@@ -262,9 +262,8 @@
 	body := `{"ref":"job-000001","flock":"f","crew":"ops","shape":"standing","rank":"standard","chicks":1,` +
 		`"cpus":1,"cards":0,"memory_gb":4,"plumage":"i","size_gb":0.1,` +
 		`"same_place":false,"spread":false,"driftwood":true,"swim_s":0,"surface_s":0,"preen_s":0}`
-	// Workers keep reporting only while they are answered: a service gives
-	// them something to hold.
-	// A member that just started may say when to come back, as to all clients.
+	// Workers keep sending heartbeats only while they get responses: a service gives them a task
+	// to keep. A member that has just started may tell clients to retry later.
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		res, err := http.Post("http://"+front+"/work", "application/json", strings.NewReader(body))
 		if err != nil {
--- a/cmd/grebedock/user_and_operator.go
+++ b/cmd/grebedock/user_and_operator.go
@@ -25,10 +25,10 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// jobPollInterval is how often a job is asked for, as users are expected to.
+// jobPollInterval is the interval between queries for a job, as expected of users.
 const jobPollInterval = 5 * time.Second
 
-// userOptions is what the commands of users share.
+// userOptions are the options that the commands of users share.
 type userOptions struct {
 	addrs []string
 	json  bool
@@ -45,7 +45,7 @@
 	return cmd
 }
 
-// newClient is a client of the members, and a context that ends with an interrupt.
+// newClient returns a client of the members, and a context that an interrupt cancels.
 func (u *userOptions) newClient(cmd *cobra.Command) (*client.Client, context.Context, context.CancelFunc, error) {
 	c, err := client.New(u.addrs...)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return c, ctx, stop, nil
 }
 
-// withExitCode turns what a client says into an exit code: 1 no answer, 2 refused or
+// withExitCode adds an exit code to an error of a client: 1 for no response, 2 for refused or
 // unknown.
 func withExitCode(err error) error {
 	var refused *client.RejectedError
@@ -78,7 +78,7 @@
 	return err
 }
 
-// cancelledError gives a job's end its exit code.
+// cancelledError returns an error with exit code 4 for a cancelled job, and nil otherwise.
 func cancelledError(s client.Status) error {
 	if s.State == client.Cancelled {
 		return &codedError{fmt.Errorf("%s was cancelled", s.ID), exitCancelled}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// waitForJob waits for a job, with a line that is written over on a terminal.
+// waitForJob waits for a job, with a progress line that is overwritten on a terminal.
 func (u *userOptions) waitForJob(
 	ctx context.Context,
 	cmd *cobra.Command,
@@ -137,7 +137,7 @@
 			}
 			defer stop()
 			if j.ID == "" {
-				j.ID = client.NewID() // told even if nobody answers
+				j.ID = client.NewID() // printed even if no member responds
 			}
 			s, err := c.Submit(ctx, j)
 			if err != nil {
@@ -249,7 +249,7 @@
 	})
 }
 
-// operatorOptions is what the commands of operators share.
+// operatorOptions are the options that the commands of operators share.
 type operatorOptions struct {
 	addr string
 	json bool
@@ -272,7 +272,7 @@
 	return json.Unmarshal(body, into)
 }
 
-// statusCommand prints part of a member's status as JSON or as a table.
+// statusCommand returns a command that prints part of a member's status as JSON or as a table.
 func (o *operatorOptions) statusCommand(
 	use, short string,
 	selectJSON func(*scheduler.Status) any,
@@ -378,7 +378,7 @@
 					return s.Shard == m.Shard &&
 						s.Owned
 				}) {
-					tasks = fmt.Sprint(m.Tasks) // others' are theirs to tell
+					tasks = fmt.Sprint(m.Tasks) // only the owner of a shard knows its tasks
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.ID, typ, m.Zone, m.Shard, state, tasks)
 			}
@@ -428,7 +428,7 @@
 	)
 }
 
-// amounts prints processors, and accelerators if there are any.
+// amounts formats processors, and accelerators if there are any.
 func amounts(a quota.Amounts) string {
 	switch {
 	case a.GPUs == 0 && a.CPUs == 0:
@@ -439,7 +439,7 @@
 	return fmt.Sprintf("%.4g+%.4g GPUs", a.CPUs, a.GPUs)
 }
 
-// warnIfTooLateToUndo says which machines it is too late for.
+// warnIfTooLateToUndo prints for which machines it is too late to undo a drain.
 func (o *operatorOptions) warnIfTooLateToUndo(cmd *cobra.Command, ids []string) error {
 	var st scheduler.Status
 	if err := o.request(wire.Request{Method: "GET", Path: "/v1/status"}, &st); err != nil {
@@ -481,7 +481,7 @@
 			if err != nil {
 				return err
 			}
-			s = scheduler.Settings{} // an empty list is left out of the answer
+			s = scheduler.Settings{} // an empty list is omitted from the response
 			if err := o.request(wire.Request{Method: "PATCH", Path: "/v1/settings", Body: body}, &s); err != nil {
 				return err
 			}
--- a/cmd/grebedock/workflow.go
+++ b/cmd/grebedock/workflow.go
@@ -26,8 +26,8 @@
 
 // Exit codes of the workflow commands.
 const (
-	exitError     = 1 // nothing could be done: no answer, a refusal
-	exitInvalid   = 2 // the document or its inputs are wrong
+	exitError     = 1 // no response, or a refusal
+	exitInvalid   = 2 // the document or its inputs are invalid
 	exitFailed    = 3 // the run failed
 	exitCancelled = 4 // the run was cancelled
 )
@@ -50,8 +50,7 @@
 	return cmd
 }
 
-// readInputs reads a file of inputs, JSON or YAML. Paths in it are seen from the
-// file.
+// readInputs reads a file of inputs, JSON or YAML. Paths in it are relative to the file.
 func readInputs(name string) (map[string]any, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
@@ -77,7 +76,7 @@
 	return absolutePaths(in, dir).(map[string]any), nil
 }
 
-// absolutePaths makes the paths of files whole.
+// absolutePaths makes the paths of files in v absolute, relative to dir.
 func absolutePaths(v any, dir string) any {
 	switch v := v.(type) {
 	case []any:
@@ -100,7 +99,7 @@
 	return v
 }
 
-// loadWorkflow reads a document and, if they are named, its inputs.
+// loadWorkflow reads a document and, if given, its inputs.
 func loadWorkflow(args []string) (*cwl.Process, map[string]any, error) {
 	p, err := cwl.Load(args[0], os.ReadFile)
 	if err != nil {
@@ -159,8 +158,8 @@
 	return cmd
 }
 
-// workflowClient asks several members in turn, as the protocol says: what is not
-// answered for good is asked again for a minute.
+// workflowClient tries several members in turn, as the protocol requires: a request without a
+// final response is repeated for a minute.
 type workflowClient struct{ addrs []string }
 
 func addAddrFlag(cmd *cobra.Command) *workflowClient {
@@ -174,7 +173,7 @@
 	return m
 }
 
-// workflowRequestTimeout bounds a request, as users bound a submission.
+// workflowRequestTimeout bounds a request, as users do for a submission.
 const workflowRequestTimeout = 5 * time.Second
 
 func (m *workflowClient) request(ctx context.Context, r wire.Request) (int, workflow.Response, error) {
@@ -246,8 +245,8 @@
 	return cmd
 }
 
-// workflowSubmission is the body that submits the document and inputs named by
-// the arguments.
+// workflowSubmission returns the request body that submits the document and inputs named by the
+// arguments.
 func workflowSubmission(args []string, id string, hint *cwl.JobHint) ([]byte, error) {
 	p, in, err := loadWorkflow(args)
 	if err != nil {
@@ -273,7 +272,7 @@
 	return body, nil
 }
 
-// runPollInterval is how often a run that is followed is asked about.
+// runPollInterval is the interval between queries for a run that the command waits for.
 const runPollInterval = 500 * time.Millisecond
 
 func (m *workflowClient) waitForRun(ctx context.Context, cmd *cobra.Command, id string, asJSON bool) error {
@@ -308,8 +307,8 @@
 	}
 }
 
-// progressPrinter tells how far a run is: one line that changes on a terminal, a line
-// for each change elsewhere.
+// progressPrinter shows the progress of a run: one line that is overwritten on a terminal, one
+// line for each change elsewhere.
 type progressPrinter struct {
 	w               io.Writer
 	terminal, quiet bool
@@ -346,7 +345,7 @@
 	}
 }
 
-// printAnswer prints an answer and turns how the run ended into an exit code.
+// printAnswer prints a response, and returns an error with an exit code unless the run succeeded.
 func printAnswer(cmd *cobra.Command, a workflow.Response, asJSON, withSteps bool) error {
 	enc := json.NewEncoder(cmd.OutOrStdout())
 	enc.SetIndent("", "  ")
