--- a/planner/admission.go
+++ b/planner/admission.go
@@ -7,27 +7,27 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// RuntimePadding multiplies a task's expected run time before it waits behind another: estimates are often wrong by
-// half.
+// RuntimePadding multiplies the expected run time of a task that queues behind another task. Estimates are often wrong
+// by half.
 const RuntimePadding = 1.5
 
-// QueueMode is which queues of a machine a group may take.
+// QueueMode selects the queues of a machine to which a group may be admitted.
 type QueueMode int
 
 const (
-	// AllQueues is new queues on free resources, then all queues.
+	// AllQueues admits to new queues on free resources that end by the deadline, then to all queues.
 	AllQueues QueueMode = iota
-	// NewSlotsInTime is new queues on free resources that end by the deadline.
+	// NewSlotsInTime admits only to new queues on free resources that end by the deadline.
 	NewSlotsInTime
-	// NewSlotsAnyTime is new queues on free resources, in time or not.
+	// NewSlotsAnyTime admits only to new queues on free resources, whether or not they end by the deadline.
 	NewSlotsAnyTime
-	// ExistingQueues is queues that exist.
+	// ExistingQueues admits only to existing queues.
 	ExistingQueues
 )
 
-// AdmitToMachine puts as many tasks of the group, at most limit, on the machine as its queues end by a deadline (time
-// of day, ms), with an image that takes fetchMS there. startable of the admitted tasks can start now; examined
-// measures the cost. The group is not changed.
+// AdmitToMachine admits as many tasks of the group to the machine, at most limit, as its queues can finish by the
+// deadline (wall-clock time, ms). fetchMS is the time to fetch the group's image on the machine. Of the admitted
+// tasks, startable can start now; examined measures the cost. AdmitToMachine does not modify the group.
 func AdmitToMachine(
 	m *Machine,
 	g *Group,
@@ -58,7 +58,8 @@
 	return admitted, startable, 1 + examined + startable
 }
 
-// openSlots opens new queues on the machine's free resources, each with a task that starts now, and returns how many.
+// openSlots opens new queues on the machine's free resources, each with a task that starts now, and returns their
+// number.
 func (m *Machine) openSlots(
 	g *Group,
 	request availability.Resources,
@@ -66,7 +67,7 @@
 	limit int,
 	mode QueueMode,
 ) (opened int) {
-	// The first task of a queue needs no padding: nothing waits behind it yet.
+	// The first task of a queue needs no padding: no task waits behind it yet.
 	lengthMS := g.LengthMS + fetchMS
 	if mode != NewSlotsAnyTime && deadlineMS-m.ReadyAtMS < lengthMS {
 		return 0
@@ -80,7 +81,7 @@
 	return opened
 }
 
-// Admit admits what is left of the group for a deadline (time of day, ms), machine by machine.
+// Admit admits the group's remaining tasks for the deadline (wall-clock time, ms), one machine after another.
 func (s *CandidateSearch) Admit(deadlineMS int64, mode QueueMode) {
 	g := s.group
 	lengthMS := int64(float64(g.LengthMS) * RuntimePadding)
@@ -101,26 +102,26 @@
 	}
 }
 
-// skipsOffering reports whether the current pass leaves an offering out.
+// skipsOffering reports whether the current pass excludes the offering.
 func (s *CandidateSearch) skipsOffering(offering int) bool {
 	u := &s.uses[offering]
 	return !u.allowed || s.spotOnly && !s.view.offerings[offering].Spot || s.objectiveOnly && u.avoid
 }
 
-// isBoundByReserve reports whether a pass must leave the reserve alone: groups without a start objective may not start
-// on it.
+// isBoundByReserve reports whether a pass may not use the reserved processors. Groups without a start objective may not
+// start on them.
 func (s *CandidateSearch) isBoundByReserve(mode QueueMode) bool {
 	return s.enforceLimits && mode == NewSlotsInTime && s.group.ObjectiveDeadlineMS >= s.group.DeadlineMS
 }
 
-// unreservedCopies is how many of the group's tasks, at most limit, the processors outside the reserve take.
+// unreservedCopies returns how many of the group's tasks, at most limit, fit on the unreserved processors.
 func (s *CandidateSearch) unreservedCopies(limit int) int {
 	unreserved := availability.Resources{CPUs: s.view.SpareCPUs - s.view.ReservedCPUs}
 	return unreserved.MaxCopies(availability.Resources{CPUs: s.group.Request.Resources.CPUs}, limit)
 }
 
-// canAdmitAny reports whether any machine with free resources may take a task in a pass. Without it, each pass for a
-// deadline that is too near sorted all of them.
+// canAdmitAny reports whether any machine with free resources may accept a task in the pass. Without this check, each
+// pass with a deadline too close to meet sorted all candidates.
 func (s *CandidateSearch) canAdmitAny(deadlineMS, lengthMS int64, mode QueueMode) bool {
 	reserveExhausted := s.isBoundByReserve(mode) && s.unreservedCopies(1) == 0
 	for i := range s.uses {
@@ -142,17 +143,17 @@
 	return false
 }
 
-// occupiedScan is one pass over the queues of machines without free resources for the group.
+// occupiedScan holds the parameters of one pass over the queues of machines without free resources for the group.
 type occupiedScan struct {
-	offerings   []int // of the machines
+	offerings   []int // offerings whose machines are scanned
 	deadlineMS  int64
-	lengthMS    int64 // of a task whose image is there
-	minLengthMS int64 // no task of the pass takes less
-	cached      bool  // machines that have the image; otherwise those that lack it
+	lengthMS    int64 // length of a task on a machine with its image
+	minLengthMS int64 // minimum length of a task in this pass
+	cached      bool  // true: scan machines that have the image; false: scan machines without it
 }
 
-// admitToOccupied admits to the queues of machines that had no free resources: lower ranks first, those that have the
-// image before others, then by position.
+// admitToOccupied admits to the queues of machines that had no free resources. It orders machines by rank, then by
+// whether they have the image, then by index.
 func (s *CandidateSearch) admitToOccupied(deadlineMS, lengthMS int64) {
 	for rank := 0; rank < 8 && s.group.Remaining > 0; rank += 2 {
 		minFetchMS := s.splitOfferings(rank)
@@ -165,8 +166,8 @@
 	}
 }
 
-// splitOfferings collects the offerings of a rank whose machines may have the image, and those whose machines may lack
-// it; an offering can be both. It returns the shortest fetch of the latter.
+// splitOfferings collects the offerings of a rank in s.cached if their machines may have the image, and in s.uncached
+// if their machines may not have it. An offering can be in both. It returns the shortest fetch time of s.uncached.
 func (s *CandidateSearch) splitOfferings(rank int) (minFetchMS int64) {
 	s.cached, s.uncached = s.cached[:0], s.uncached[:0]
 	minFetchMS = int64(math.MaxInt64)
@@ -208,7 +209,7 @@
 	}
 }
 
-// mayBlockAdmit reports whether a queue of a block may take a task of the pass; false is certain.
+// mayBlockAdmit reports whether a queue of the block may accept a task of the pass. There are no false negatives.
 func (s *CandidateSearch) mayBlockAdmit(block *block, scan *occupiedScan) bool {
 	return block.queues.mayAdmit(s.request, scan.deadlineMS, scan.minLengthMS) &&
 		slices.ContainsFunc(scan.offerings, func(offering int) bool {
@@ -216,7 +217,7 @@
 		})
 }
 
-// tryOccupied admits to the queues of the machine at a position, if it belongs to the pass.
+// tryOccupied admits to the queues of the machine at index i if the machine belongs to the pass.
 func (s *CandidateSearch) tryOccupied(i int, scan *occupiedScan) {
 	v := s.view
 	v.Examined++
@@ -235,7 +236,7 @@
 	}
 }
 
-// tryMachine admits what a machine takes of the group within its limits, and counts it.
+// tryMachine admits as much of the group to the machine as the group's limits allow, and updates the counts.
 func (s *CandidateSearch) tryMachine(m *Machine, fetchMS, deadlineMS int64, mode QueueMode) {
 	v, g := s.view, s.group
 	if s.skipsOffering(m.offeringIndex) {
@@ -267,7 +268,7 @@
 	}
 }
 
-// recordStarts records tasks that start on a machine now. Those without an objective start as the pacer lets them.
+// recordStarts records tasks that start on a machine now. The pacer limits starts of tasks without an objective.
 func (s *CandidateSearch) recordStarts(m *Machine, startable int, fetchMS int64) {
 	v, g := s.view, s.group
 	if !g.HasObjective && !g.IsGang {
--- a/planner/aging.go
+++ b/planner/aging.go
@@ -1,12 +1,12 @@
 package planner
 
-// agingThreshold is the share of the time within which a job is to begin after which its first task goes before its
-// equals. The rest of that time is for finding a machine.
+// agingThreshold is the fraction of the target time to begin a job after which the job's first task is placed before
+// groups of equal priority. The rest of that time is left for finding a machine.
 const agingThreshold = 0.75
 
-// IsAged reports whether a job has waited so long, with no task that runs or is done, that its first task goes before
-// its equals. beginWithinMS is the time in which jobs are to begin; 0: jobs do not age. A later range of a job does
-// not begin it, and a gang begins as a whole.
+// IsAged reports whether a job with no running or completed task has waited so long that its first task is placed
+// before groups of equal priority. beginWithinMS is the target time to begin a job; at 0, jobs do not age. Only the
+// first task range of a job ages, and gangs do not age because a gang begins as a whole.
 func (g *Group) IsAged(nowMS, beginWithinMS int64) bool {
 	if beginWithinMS <= 0 || g.HasBegun || g.IsGang || g.RangeStart > 0 {
 		return false
@@ -14,9 +14,10 @@
 	return float64(nowMS-g.AcceptedMS) >= agingThreshold*float64(beginWithinMS)
 }
 
-// SplitFirst takes the first task off an aged group, as a group of its own that goes before its equals, and reports
-// whether it did. A single task is not split, and neither are tasks with a zone constraint, which would be placed as
-// if the first were nowhere: such a group goes first itself, cut down to one task.
+// SplitFirst splits the first task of an aged group into a group of its own, which is placed before groups of equal
+// priority. split reports whether it did so. A group of one task is not split. A group with a zone constraint is not
+// split either, since its other tasks would be placed without regard to the first one's zone. Such a group is reduced
+// to one task and is itself placed first.
 func (g *Group) SplitFirst() (first Group, split bool) {
 	if g.Remaining == 1 || g.SingleZone || g.SpreadZones {
 		g.IsFirstTask, g.Remaining = true, 1
--- a/planner/bounds.go
+++ b/planner/bounds.go
@@ -6,14 +6,15 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// queueBounds bounds what a set of queues can still take; the package comment has the derivation.
+// queueBounds bounds what a set of queues can still accept. The package comment derives the bounds.
 type queueBounds struct {
 	minEndMS, minStartMS      int64
 	maxSlackMS, maxDeadlineMS int64
-	maxResources              availability.Resources // of each resource by itself
+	maxResources              availability.Resources // maximum of each resource separately
 }
 
-// emptyBounds are the bounds of no queue: they admit nothing, and widening them gives the other bounds.
+// emptyBounds are the bounds of an empty set of queues. They admit no task, and widening them with other bounds yields
+// those bounds.
 var emptyBounds = queueBounds{
 	minEndMS:      math.MaxInt64,
 	minStartMS:    math.MaxInt64,
@@ -21,7 +22,7 @@
 	maxDeadlineMS: math.MinInt64,
 }
 
-// maxAvailableMS is an upper bound of l(deadline) over the queues.
+// maxAvailableMS returns an upper bound of l(deadline) over the queues.
 func (b *queueBounds) maxAvailableMS(deadlineMS int64) int64 {
 	if b.minStartMS >= deadlineMS {
 		return 0
@@ -33,7 +34,7 @@
 	return n
 }
 
-// widen makes the bounds hold for the other queues too.
+// widen extends the bounds to cover the queues of other.
 func (b *queueBounds) widen(other *queueBounds) {
 	b.minEndMS = min(b.minEndMS, other.minEndMS)
 	b.minStartMS = min(b.minStartMS, other.minStartMS)
@@ -42,12 +43,13 @@
 	b.maxResources = componentMax(b.maxResources, other.maxResources)
 }
 
-// mayAdmit reports whether any of the queues may take a task of a length by a deadline; false is certain.
+// mayAdmit reports whether any of the queues may accept a task of the given length by the deadline. There are no false
+// negatives.
 func (b *queueBounds) mayAdmit(request availability.Resources, deadlineMS, lengthMS int64) bool {
 	return b.maxAvailableMS(deadlineMS) >= lengthMS && b.maxResources.Contains(request)
 }
 
-// componentMax is the greatest of each resource. Disk is left out: requests are compared without their image.
+// componentMax returns the maximum of each resource. It omits disk, since requests are compared without their image.
 func componentMax(a, b availability.Resources) availability.Resources {
 	return availability.Resources{
 		CPUs:     max(a.CPUs, b.CPUs),
@@ -56,32 +58,32 @@
 	}
 }
 
-// scanEntry is what a scan of all machines reads of each, side by side in memory.
+// scanEntry holds the fields of a machine that a scan of all machines reads, contiguous in memory.
 type scanEntry struct {
 	queues        queueBounds
 	offeringIndex int32
-	openForSearch uint32 // the search for whose group the machine had free resources
+	openForSearch uint32 // ID of the last search for whose group the machine had free resources
 }
 
-// blockSize is how many machines share bounds: about the square root of a shard's.
+// blockSize is the number of machines that share bounds, about the square root of a shard's machine count.
 const blockSize = 32
 
-// block is the bounds of blockSize machines that are neighbours in the view.
+// block holds the bounds of blockSize machines with consecutive indexes in the view.
 type block struct {
 	queues           queueBounds
 	queuesByOffering []queueBounds          // indexed as offeringTable.offerings
-	maxFree          availability.Resources // of each resource by itself
-	stale            bool                   // a machine of it has changed since
+	maxFree          availability.Resources // maximum of each resource separately
+	stale            bool                   // a machine of the block has changed since the bounds were computed
 }
 
-// searchIndex is what keeps searches from touching every machine.
+// searchIndex lets searches skip machines that cannot accept a task.
 type searchIndex struct {
 	scanEntries []scanEntry // indexed as ClusterView.machines
 	blocks      []block
-	searchID    uint32 // of the running search
+	searchID    uint32 // ID of the current search
 }
 
-// addBlock appends a stale block that reuses the memory of earlier rounds' bounds.
+// addBlock appends a stale block, reusing the memory of earlier rounds.
 func (index *searchIndex) addBlock() {
 	if n := len(index.blocks); n < cap(index.blocks) {
 		index.blocks = index.blocks[:n+1]
@@ -91,10 +93,10 @@
 	index.blocks[len(index.blocks)-1].stale = true
 }
 
-// MarkFreeChanged must follow a change of a machine's free resources by the caller.
+// MarkFreeChanged must be called after the caller changes a machine's free resources.
 func (v *ClusterView) MarkFreeChanged(m *Machine) { v.blocks[m.Index/blockSize].stale = true }
 
-// refreshBounds recomputes a machine's bounds after something was placed on it.
+// refreshBounds recomputes a machine's bounds after a task is placed on it.
 func (v *ClusterView) refreshBounds(m *Machine) {
 	v.scanEntries[m.Index].queues = m.computeBounds()
 	v.blocks[m.Index/blockSize].stale = true
@@ -105,7 +107,7 @@
 	return v.machines[i*blockSize : min((i+1)*blockSize, len(v.machines))]
 }
 
-// refreshedBlock returns a block, its bounds recomputed if a machine of it has changed.
+// refreshedBlock returns a block, after recomputing its bounds if one of its machines has changed.
 func (v *ClusterView) refreshedBlock(i int) *block {
 	block := &v.blocks[i]
 	v.Examined++
--- a/planner/candidate_search.go
+++ b/planner/candidate_search.go
@@ -6,22 +6,23 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// offeringUse is what an offering is worth to a group.
+// offeringUse is the evaluation of an offering for a group.
 type offeringUse struct {
 	allowed bool
-	avoid   bool  // other live jobs fit no other type
-	costly  bool  // on-demand, for a group that may use spot machines
-	fetchMS int64 // of a machine without the image
-	rank    int   // by the above alone
+	avoid   bool  // some other live job fits no other type
+	costly  bool  // on-demand, while the group may use spot machines
+	fetchMS int64 // time to fetch the image on a machine without it
+	rank    int   // computed from avoid and costly
+
+	// The fields below cover the offering's machines with free resources for the group.
 
-	// Of the offering's machines with free resources for the group:
 	openMachines    int
-	booting         bool  // one of them boots
-	earliestStartMS int64 // of a task on one of them, the image there
+	booting         bool  // at least one of the machines is booting
+	earliestStartMS int64 // earliest start of a task, after the image fetch
 	queues          queueBounds
 }
 
-// offeringUses evaluates each offering once for a group. The result is good until the next call.
+// offeringUses evaluates each offering once for a group. The result is valid until the next call.
 func (v *ClusterView) offeringUses(g *Group) []offeringUse {
 	uses := v.search.uses[:0]
 	for _, offering := range v.offerings {
@@ -42,15 +43,15 @@
 	return uses
 }
 
-// openMachine is a machine with free resources for the group that is placed.
+// openMachine is a machine with free resources for the group being placed.
 type openMachine struct {
 	machine  *Machine
 	rank     int
-	leftover float64 // resources and time left, as shares; lower is better
+	leftover float64 // unused resources and slack, as fractions; lower is better
 	fetchMS  int64
 }
 
-// precedes reports whether a machine goes before another. Placements spend most of their time here.
+// precedes reports whether a is ordered before o. Placement spends most of its time in this method.
 func (a *openMachine) precedes(o *openMachine) bool {
 	if a.rank != o.rank {
 		return a.rank < o.rank
@@ -61,10 +62,10 @@
 	return a.machine.Index < o.machine.Index
 }
 
-// candidateQueue sorts candidates as far as they are asked for: most groups need the first few of hundreds.
+// candidateQueue sorts candidates lazily, since most groups need only the first few of hundreds.
 //
-// candidates[:sortedCount] are in order. The rest is a heap that stands backwards, its least at the end, so that what
-// leaves it stays in the slice: heap position i is candidates[len-1-i].
+// candidates[:sortedCount] is sorted. The rest is a min-heap in reverse order, with its root at the end of the slice:
+// heap position i is candidates[len-1-i]. A popped candidate thus stays in the slice.
 type candidateQueue struct {
 	candidates  []openMachine
 	sortedCount int
@@ -89,14 +90,14 @@
 	}
 }
 
-// heapify makes a heap of all candidates.
+// heapify builds the heap from all candidates.
 func (q *candidateQueue) heapify() {
 	for i := len(q.candidates)/2 - 1; i >= 0; i-- {
 		q.siftDown(i, len(q.candidates))
 	}
 }
 
-// candidate returns the ith machine with free resources; nil: there are no more.
+// candidate returns the ith machine with free resources, or nil if there are fewer.
 func (q *candidateQueue) candidate(i int) *openMachine {
 	if i >= len(q.candidates) {
 		return nil
@@ -111,32 +112,37 @@
 	return &q.candidates[i]
 }
 
-// CandidateSearch is the search for machines for one group: those with free resources for it, in their order, and the
-// queues of the others.
+// CandidateSearch is a search for machines for one group. It covers, in order, the machines with free resources for the
+// group, and then the queues of the other machines.
 type CandidateSearch struct {
 	candidateQueue
 	view    *ClusterView
 	group   *Group
-	request availability.Resources // without the image
+	request availability.Resources // the group's request without its image
 	uses    []offeringUse          // indexed as offeringTable.offerings
 
 	imageMachines     *imageMachines
-	fetchAlwaysNeeded bool  // its image takes time on every offering that it may use
-	cached, uncached  []int // memory of admitToOccupied
+	fetchAlwaysNeeded bool  // the image has a fetch time on every offering that the group may use
+	cached, uncached  []int // buffers of admitToOccupied
 
-	spotOnly, objectiveOnly bool // what the current pass leaves out, see skipsOffering
-	enforceLimits           bool // reserve and pacing hold, starts are recorded: a placement, not an estimate
-	slotsAdded              bool // machines with free resources have new queues
-	spotShortfall           int  // tasks that spot machines left over and on-demand machines took
+	spotOnly, objectiveOnly bool // offerings that the current pass excludes, see skipsOffering
+	enforceLimits           bool // placement, not an estimate: apply reserve and pacing, and record starts
+	slotsAdded              bool // the search has opened queues on machines with free resources
+	spotShortfall           int  // tasks admitted to on-demand machines because spot machines did not suffice
 	placement               Placement
 }
 
-// StartSearch begins to place a group. It is good until the next one's.
+// StartSearch starts the search for machines for a group. The result is valid until the next call.
+//
+// Machines with free resources are ordered by these criteria, the most significant first:
+//   - machines of types that other jobs require are last
+//   - machines that are up precede machines that are booting
+//   - for a group that may use spot machines, spot precedes on-demand
+//   - machines with the image precede machines without it
+//   - least leftover first, as in the paper, relative to the largest machine type
 //
-// The machines with free resources go in this order: ones that other jobs cannot do without last; ones that are up
-// before ones that boot; ones with the image before others; then least leftover first, as the paper has it, measured
-// against the largest machine. Machines without free resources come after them, in the order of the same ranks, since
-// only their queues matter.
+// Machines without free resources follow, ordered only by type, market and image in the same way: only their queues
+// matter.
 func (v *ClusterView) StartSearch(g *Group) *CandidateSearch {
 	search := &v.search
 	v.searchID++
@@ -185,7 +191,7 @@
 	}
 }
 
-// addCandidate adds a machine with free resources, and widens what is known of its offering. spanMS is the time until
+// addCandidate adds a machine with free resources, and updates the evaluation of its offering. spanMS is the time until
 // the group's deadline.
 func (s *CandidateSearch) addCandidate(m *Machine, use *offeringUse, spanMS float64) {
 	v, g := s.view, s.group
@@ -208,12 +214,13 @@
 	})
 }
 
-// slackMS is how long before the group's deadline a task that starts on the machine as soon as it can ends.
+// slackMS returns the group's deadline minus the earliest end of a task on the machine. It is negative if the task ends
+// late.
 func (m *Machine) slackMS(g *Group, fetchMS int64) int64 {
 	return g.DeadlineMS - m.ReadyAtMS - g.LengthMS - fetchMS
 }
 
-// fetchMSOn is how long the group's image takes on the machine at a position; 0: it is there.
+// fetchMSOn returns the time to fetch the group's image on the machine at the index, or 0 if the machine has the image.
 func (s *CandidateSearch) fetchMSOn(index int, use *offeringUse) int64 {
 	if use.fetchMS != 0 && s.imageMachines.contains(index) {
 		return 0
--- a/planner/catalog.go
+++ b/planner/catalog.go
@@ -8,23 +8,24 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// MachineType is a type of machine that the cloud offers.
+// MachineType is a machine type offered by the cloud provider.
 type MachineType struct {
 	Name      string
 	Resources availability.Resources
-	FetchGBps float64 // 0: images take no time
+	FetchGBps float64 // image download rate; 0: images take no time to fetch
 	BootMS    int64
 	Zones     []string
 }
 
-// InstanceOffering is a type in a zone and a market: all that the rules of placement see of a machine.
+// InstanceOffering is a machine type in a zone and a market (spot or on-demand). Placement rules use no other
+// description of a machine.
 type InstanceOffering struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// ResourceRequest is what placement sees of a job. Its disk is the image's size, which bounds nothing: a machine's
-// cache evicts other images for it.
+// ResourceRequest is the part of a job that placement uses. Its disk is the size of the image. Disk does not limit
+// placement, since a machine's cache evicts other images to make room.
 type ResourceRequest struct {
 	Resources  availability.Resources
 	Image      string
@@ -33,7 +34,7 @@
 	AllowsSpot bool
 }
 
-// WithoutImage is what a task takes of a machine beside the image.
+// WithoutImage returns the resources that a task uses on a machine, excluding its image.
 func (request *ResourceRequest) WithoutImage() availability.Resources {
 	resources := request.Resources
 	resources.DiskGB = 0
@@ -44,20 +45,21 @@
 	return len(request.Types) == 0 || slices.Contains(request.Types, name)
 }
 
-// Catalog is all machine types, and which of them some live job cannot do without. It is not safe for concurrent use.
+// Catalog holds all machine types, and which of them are the only type that fits some live job. It is not safe for
+// concurrent use.
 type Catalog struct {
 	types    map[string]*MachineType
-	sorted   []*MachineType // by name
+	sorted   []*MachineType // sorted by name
 	required map[string]bool
-	largest  availability.Resources // processors and memory, each by itself
+	largest  availability.Resources // maximum processors and maximum memory, each over all types
 }
 
-// NewCatalog makes a catalog without types.
+// NewCatalog returns a catalog without types.
 func NewCatalog() *Catalog {
 	return &Catalog{types: map[string]*MachineType{}, required: map[string]bool{}}
 }
 
-// SetTypes adds types, and replaces those of the same name.
+// SetTypes adds types, replacing types of the same name.
 func (c *Catalog) SetTypes(ts ...MachineType) {
 	for _, t := range ts {
 		c.types[t.Name] = &t
@@ -71,10 +73,10 @@
 	slices.SortFunc(c.sorted, func(a, b *MachineType) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Type returns the type of a name, nil if there is none.
+// Type returns the type with the given name, or nil if it does not exist.
 func (c *Catalog) Type(name string) *MachineType { return c.types[name] }
 
-// FitsType reports whether some machine of a type, spot or on-demand, may take a job.
+// FitsType reports whether a machine of the type, spot or on-demand, can run a task of the job.
 func (c *Catalog) FitsType(request *ResourceRequest, t *MachineType) bool {
 	if request.Zone != "" && !slices.Contains(t.Zones, request.Zone) {
 		return false
@@ -82,7 +84,7 @@
 	return request.acceptsType(t.Name) && t.Resources.Contains(request.WithoutImage())
 }
 
-// IsAllowed reports whether a job may use an offering at all.
+// IsAllowed reports whether a job may use an offering.
 func (c *Catalog) IsAllowed(request *ResourceRequest, offering InstanceOffering) bool {
 	acceptsMarket := request.AllowsSpot || !offering.Spot
 	acceptsZone := request.Zone == "" || request.Zone == offering.Zone
@@ -93,7 +95,7 @@
 	return t != nil && t.Resources.Contains(request.WithoutImage())
 }
 
-// FetchMS is how long a job's image takes on a machine of a type that lacks it, in ms.
+// FetchMS returns the time, in ms, to fetch a job's image on a machine of the type that does not have the image.
 func (c *Catalog) FetchMS(request *ResourceRequest, typ string) int64 {
 	t := c.types[typ]
 	if t == nil || request.Image == "" {
@@ -102,7 +104,7 @@
 	return t.fetchMS(request.Resources.DiskGB)
 }
 
-// fetchMS is how long an image of a size takes, rounded to ms.
+// fetchMS returns the time to fetch an image of the given size, rounded to milliseconds.
 func (t *MachineType) fetchMS(sizeGB float64) int64 {
 	if t.FetchGBps <= 0 {
 		return 0
@@ -110,10 +112,11 @@
 	return int64(math.Round(sizeGB / t.FetchGBps * 1000))
 }
 
-// noReadyMS is what MinReadyMS says if no type takes a job: later than any deadline, and far from an overflow.
+// noReadyMS is the result of MinReadyMS if no type fits the job. It is later than any deadline and cannot cause an
+// overflow.
 const noReadyMS = int64(1) << 40
 
-// MinReadyMS is how long the quickest type that takes a job needs to boot and fetch its image, in ms.
+// MinReadyMS returns the minimum time, in ms, to boot a machine that fits the job and fetch the job's image.
 func (c *Catalog) MinReadyMS(request *ResourceRequest) int64 {
 	best := noReadyMS
 	for _, t := range c.sorted {
@@ -124,7 +127,8 @@
 	return best
 }
 
-// SetRequired replaces the types that some live job cannot do without, given the requests of all live jobs.
+// SetRequired recomputes the required types from the requests of all live jobs. A type is required if it is the only
+// one that fits some live job.
 func (c *Catalog) SetRequired(requests func(yield func(ResourceRequest) bool)) {
 	clear(c.required)
 	for request := range requests {
@@ -134,7 +138,7 @@
 	}
 }
 
-// onlyType returns the type that fits a job, if there is exactly one.
+// onlyType returns the type that fits a job if exactly one type does.
 func (c *Catalog) onlyType(request *ResourceRequest) (name string, ok bool) {
 	for _, t := range c.sorted {
 		if !c.FitsType(request, t) {
@@ -148,10 +152,11 @@
 	return name, ok
 }
 
-// IsRequired reports whether some live job fits no other type.
+// IsRequired reports whether the type is the only one that fits some live job.
 func (c *Catalog) IsRequired(typ string) bool { return c.required[typ] }
 
-// ShouldAvoid reports whether a job that fits other types too should leave a type to live jobs that fit no other.
+// ShouldAvoid reports whether a job should avoid a type that other live jobs require, because the job also fits another
+// type.
 func (c *Catalog) ShouldAvoid(request *ResourceRequest, typ string) bool {
 	if !c.required[typ] {
 		return false
@@ -164,7 +169,7 @@
 	return false
 }
 
-// Key is the kind under which an availability function stands for machines of the offering, see [ClusterView.Summary].
+// Key returns the kind of the availability functions for machines of the offering, see [ClusterView.Summary].
 func (o InstanceOffering) Key() string {
 	market := "-"
 	if o.Spot {
@@ -173,7 +178,7 @@
 	return market + "|" + o.Zone + "|" + o.Type
 }
 
-// ParseInstanceOffering is the inverse of Key; anything else gives an offering without a type.
+// ParseInstanceOffering parses a string returned by Key. For any other string it returns the zero offering.
 func ParseInstanceOffering(key string) InstanceOffering {
 	fields := strings.SplitN(key, "|", 3)
 	if len(fields) != 3 {
--- a/planner/cluster_view.go
+++ b/planner/cluster_view.go
@@ -4,47 +4,47 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// ClusterView is a shard's machines for one round of placement. It is not safe for concurrent use.
+// ClusterView holds a shard's machines for one placement round. It is not safe for concurrent use.
 type ClusterView struct {
-	SpareCPUs       float64 // free on machines that are up
-	ReservedCPUs    float64 // of which so many are reserved for groups with a start objective; set by the caller
-	PacedStartsLeft int     // starts without a start objective that may still be sent; set by the caller
-	Examined        int     // machines, blocks and queues examined: a measure of the round's cost
+	SpareCPUs       float64 // free processors on machines that are up
+	ReservedCPUs    float64 // part of SpareCPUs reserved for groups with a start objective; set by the caller
+	PacedStartsLeft int     // remaining starts of tasks without a start objective; set by the caller
+	Examined        int     // number of machines, blocks and queues examined, a measure of the round's cost
 
 	catalog     *Catalog
 	nowMS       int64
 	round       uint32
 	machines    []*Machine
-	machinePool []*Machine // memory of this round's and earlier rounds' machines
+	machinePool []*Machine // machines allocated in this and earlier rounds, for reuse
 
 	offeringTable
 	searchIndex
 	imageIndex
 
-	search  CandidateSearch // memory of the running search
+	search  CandidateSearch // the current search; its buffers are reused
 	reducer availability.Reducer
 }
 
-// offeringInfo is an offering with its type looked up.
+// offeringInfo is an offering with its machine type.
 type offeringInfo struct {
 	InstanceOffering
 	machineType *MachineType
 }
 
-// offeringTable numbers the offerings of a round's machines.
+// offeringTable assigns an index to each offering of a round's machines.
 type offeringTable struct {
 	offerings     []offeringInfo
 	offeringIndex map[InstanceOffering]int
-	lastOffering  int // of the machine added last: machines provisioned together are added together
+	lastOffering  int // index for the machine added last; machines provisioned together are added together
 }
 
-// clear forgets all offerings: a type may have changed between rounds.
+// clear removes all offerings, since a type may change between rounds.
 func (table *offeringTable) clear() {
 	table.offerings = table.offerings[:0]
 	clear(table.offeringIndex)
 }
 
-// indexOf returns the position of an offering, which it adds if need be; ok is false when its type is unknown.
+// indexOf returns the index of an offering, adding the offering if necessary. ok is false if its type is unknown.
 func (table *offeringTable) indexOf(offering InstanceOffering, catalog *Catalog) (i int, ok bool) {
 	last := table.lastOffering
 	if last < len(table.offerings) && table.offerings[last].InstanceOffering == offering {
@@ -63,7 +63,7 @@
 	return i, true
 }
 
-// NewClusterView makes a view without machines of types in a catalog.
+// NewClusterView returns a view without machines that uses the types of a catalog.
 func NewClusterView(catalog *Catalog) *ClusterView {
 	return &ClusterView{
 		catalog:       catalog,
@@ -75,7 +75,7 @@
 	}
 }
 
-// Begin empties the view for a round at a time of day, in ms.
+// Begin empties the view for a new round at the given wall-clock time, in ms.
 func (v *ClusterView) Begin(nowMS int64) {
 	v.nowMS, v.machines, v.Examined = nowMS, v.machines[:0], 0
 	v.offeringTable.clear()
@@ -83,11 +83,11 @@
 	v.round++
 }
 
-// Machines returns all machines; Machine.Index is the position here.
+// Machines returns all machines. Machine.Index is the index in this slice.
 func (v *ClusterView) Machines() []*Machine { return v.machines }
 
-// AddMachine adds a machine with all of its resources free; nil if its type is not known. The caller fills the
-// returned machine, until FinishAdding. The cache may be nil.
+// AddMachine adds a machine with all of its resources free, and returns it, or nil if its type is unknown. The caller
+// may set the machine's fields until FinishAdding. The cache may be nil.
 func (v *ClusterView) AddMachine(id string, offering InstanceOffering, cache *ImageCache) *Machine {
 	i, ok := v.indexOf(offering, v.catalog)
 	if !ok {
@@ -116,7 +116,7 @@
 	return m
 }
 
-// FinishAdding ends the filling of the view and counts the spare processors.
+// FinishAdding completes the view, after all machines were added, and counts the spare processors.
 func (v *ClusterView) FinishAdding() {
 	v.blocks, v.scanEntries = v.blocks[:0], v.scanEntries[:0]
 	v.SpareCPUs = 0
@@ -135,7 +135,8 @@
 	v.Examined += len(v.machines)
 }
 
-// CountStartable returns how many tasks of a group, at most limit, fit side by side on machines, up or booting.
+// CountStartable returns how many tasks of a group, at most limit, fit at the same time on machines that are up or
+// booting.
 func (v *ClusterView) CountStartable(g *Group, limit int) (n int) {
 	request := g.Request.WithoutImage()
 	uses := v.offeringUses(g)
@@ -155,15 +156,16 @@
 	return min(n, limit)
 }
 
-// Summary returns the view's availability as peers see it, up to a horizon (time of day, ms): a function for each
-// machine's free resources and one for each queue, reduced to at most maxFunctions of at most maxSamples samples.
+// Summary returns the availability of the view's machines, for peers, up to a horizon (wall-clock time, ms). It
+// computes one function for each machine's free resources and one for each queue. It reduces them to at most
+// maxFunctions functions of at most maxSamples samples.
 func (v *ClusterView) Summary(horizonMS int64, maxFunctions, maxSamples int) availability.Summary {
 	reducer := &v.reducer
 	slots := 0
 	for _, m := range v.machines {
 		slots += len(m.Slots)
 	}
-	reducer.CoarseStarts = slots > maxFunctions // otherwise nothing need be lost
+	reducer.CoarseStarts = slots > maxFunctions // fewer queues need no loss of precision
 	reducer.Begin(maxFunctions, maxSamples, v.nowMS, horizonMS-v.nowMS)
 	kinds := make([]string, len(v.offerings))
 	for i, offering := range v.offerings {
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,36 +1,37 @@
-// Package planner admits waiting tasks to the queues of a shard's machines, by the rules of the paper that package
-// availability cites: tightest deadline first, least leftover first, and never at the cost of a deadline that a queue
-// already holds.
+// Package planner admits pending tasks to queues on a shard's machines. It implements the admission rules of the paper
+// that package availability cites. Groups with the earliest deadline are placed first, on the machines with the least
+// leftover resources. An admission never breaks a deadline that a queue has already accepted.
 //
-// # What it owns
+// # Scope
 //
-// A [ClusterView] is one view of a shard's machines: their free resources, a queue for each task that runs on them,
-// and the images in their caches. [ClusterView.Place] takes one group of tasks and returns a [Placement]: which
-// machines start how many of them now, and for which no machine ends them in time. It has no clock and calls nothing
-// else. Its caller orders the groups ([SortGroups]) and applies whatever else bounds them, such as a team's limit; the
-// caller may also refuse a placement.
+// A [ClusterView] holds a shard's machines for one round: their free resources, a queue for each running task, and the
+// images in their caches. [ClusterView.Place] takes one group of tasks and returns a [Placement]. The placement lists
+// how many tasks start now on which machines, and how many tasks no machine can finish in time. The package has no
+// clock and does no I/O. The caller sorts the groups ([SortGroups]) and enforces all other bounds, such as a team's
+// limit. The caller may also reject a placement.
 //
-// # What it may assume
+// # Preconditions
 //
-// One goroutine. Machines are added between Begin and FinishAdding, in the same order each round; a caller that
-// changes a machine's free resources itself says so with MarkFreeChanged.
+// A view is used by one goroutine at a time. The caller adds machines between Begin and FinishAdding, in the same order
+// in each round. A caller that changes a machine's free resources itself then calls MarkFreeChanged.
 //
-// # What it promises
+// # Guarantees
 //
-// The decisions are those of a scan of every machine for every group, which the tests compare them with. What the
-// view saves is the scan: machines stand in blocks, and a block knows bounds of what its machines have free and of
-// what their queues could still end, so a group that waits in a full shard touches few of them. The paper's l(δ)
-// grows with δ and falls with what is admitted, so that
+// The decisions equal those of a scan of every machine for every group; the tests compare the two. The view avoids that
+// scan by grouping machines into blocks. A block stores bounds of the free resources of its machines, and of the work
+// that their queues can still accept. A group that waits in a full shard therefore examines few machines. The paper's
+// l(δ) grows with δ and falls with each admission, so that
 //
-//	l(δ) <= δ - end                        if nothing in the queue has a later deadline, and
+//	l(δ) <= δ - end                        if no queued task has a later deadline, and
 //	l(δ) <= min(δ - start, last - end)     otherwise,
 //
-// with end the end of the queue's last task, start when its first task can start, and last its latest deadline. The
-// least end and start and the greatest slack (last - end) and last over all queues of a block bound what any of them
-// may take, and the greatest resources of a queue say whether a task fits at all.
+// where end is the end of the queue's last task, start is the earliest start of its first task, and last is its latest
+// deadline. Over all queues of a block, the minimum of end and start and the maximum of last and of the slack
+// (last - end) bound what any queue can accept. The maximum resources of the queues bound the tasks that fit at all.
 //
 // # Failures
 //
-// A view is rebuilt every round from what the caller believes of its machines, so a wrong belief costs one round.
-// Image caches outlive rounds and may be wrong: a missing image costs its fetch time, never a decision's validity.
+// The view is rebuilt in each round from the caller's information about its machines, so wrong information affects one
+// round only. Image caches persist between rounds and may be wrong: a missing image costs its fetch time but never
+// invalidates a decision.
 package planner
--- a/planner/group.go
+++ b/planner/group.go
@@ -5,71 +5,71 @@
 	"slices"
 )
 
-// GangAttempt is the state of a gang's start: it starts when all of its waiting tasks can, and continues while the
-// start commands go out to its machines one after the other.
+// GangAttempt is the state of a gang's start. A gang starts when all of its waiting tasks can start. The start
+// continues while start commands are sent to its machines one after another.
 type GangAttempt int
 
 const (
-	// GangAttemptNew is a gang of which nothing runs; it may start.
+	// GangAttemptNew means that no task of the gang runs, so the gang may start.
 	GangAttemptNew GangAttempt = iota
-	// GangAttemptContinues is a gang whose start was decided; the rest of its tasks follow.
+	// GangAttemptContinues means that the gang's start is decided and its remaining tasks follow.
 	GangAttemptContinues
-	// GangAttemptWaits is a gang of which an earlier attempt must be gone first.
+	// GangAttemptWaits means that an earlier attempt of the gang must end first.
 	GangAttemptWaits
 )
 
-// Group is tasks of one job that wait for a machine, with the deadlines that they are admitted for. The caller fills
-// it, Place counts Remaining down and fills the Outcome.
+// Group is a set of pending tasks of one job, with the deadlines for their admission. The caller fills it. Place
+// decrements Remaining and fills the Outcome.
 type Group struct {
 	Request             ResourceRequest
 	Priority            int
 	Remaining           int // tasks to place
-	JobTasks            int // of the whole job
+	JobTasks            int // number of tasks of the whole job
 	LengthMS            int64
 	AcceptedMS          int64
-	ObjectiveDeadlineMS int64 // end of a task that meets the start objective; the deadline if there is none
+	ObjectiveDeadlineMS int64 // latest end of a task that meets the start objective; DeadlineMS without one
 	DeadlineMS          int64
-	HasBegun            bool // a task of it runs or is done
-	PreviouslyAdmitted  bool // was admitted before, and keeps its rank among its equals
+	HasBegun            bool // a task of the range runs or has completed
+	PreviouslyAdmitted  bool // admitted before; precedes other groups of equal rank
 	Name                string
-	RangeStart          int // of its tasks in the job
+	RangeStart          int // first task of the group's task range in the job
 
 	Ranking
 	Constraints
 	Outcome
 }
 
-// Ranking is what ranks a group among those of its priority.
+// Ranking holds the properties that rank a group among groups of the same priority.
 type Ranking struct {
-	MissedObjectives bool // can meet no objective any more; DeadlineMS is the last one
+	MissedObjectives bool // can no longer meet any objective; DeadlineMS is that of the last one
 	HasObjective     bool // has a start objective or a guarantee that can still be met
-	WithinGuarantee  bool // of its team's guarantee
+	WithinGuarantee  bool // its job is within its team's guarantee
 	IsFirstTask      bool // the first task of a job that waited too long to begin (SplitFirst)
-	QuotaTier        int  // how far its team is beyond its guarantee when its turn comes
+	QuotaTier        int  // how far its team exceeds its guarantee when the group is placed
 }
 
-// Constraints are what bounds where, and how many of, a group's tasks start.
+// Constraints restrict where a group's tasks start, and how many of them.
 type Constraints struct {
 	IsGang, SingleZone, SpreadZones bool
-	IncompleteGang                  bool // a gang of which not all tasks may start
+	IncompleteGang                  bool // not all tasks of the gang may start
 	GangAttempt                     GangAttempt
-	RunningByZone                   map[string]int // tasks that run, of jobs with a zone constraint
-	FailuresByMachine               map[string]int // how often the job failed there, by machine id
-	ProvisionLimit                  int            // for how many tasks machines may be requested
+	RunningByZone                   map[string]int // running tasks by zone, for jobs with a zone constraint
+	FailuresByMachine               map[string]int // number of failures of the job by machine ID
+	ProvisionLimit                  int            // maximum number of tasks for which machines may be requested
 }
 
-// Outcome is what placing a group records in it, beside its Placement.
+// Outcome holds the results of placing a group that are not part of its Placement.
 type Outcome struct {
-	Waiting            int  // tasks that do not start now
-	ProvisionRequested int  // tasks that machines are requested for
-	SpotInsufficient   bool // spot machines' queues do not take all of it in time
+	Waiting            int  // number of tasks that do not start now
+	ProvisionRequested int  // number of tasks for which machines are requested
+	SpotInsufficient   bool // spot machines cannot finish all of the group's tasks in time
 
-	placedByZone map[string]int // of a group with a zone constraint
+	placedByZone map[string]int // tasks placed in this round, for a group with a zone constraint
 	placed       int
 }
 
-// zoneAllowance is how many tasks of the group its zone constraint allows on a machine, counting what the round
-// placed elsewhere.
+// zoneAllowance returns how many tasks of the group its zone constraint allows on a machine, counting tasks that the
+// round has already placed.
 func (g *Group) zoneAllowance(m *Machine) int {
 	if !g.SingleZone && !g.SpreadZones {
 		return g.Remaining
@@ -98,14 +98,19 @@
 	g.placed += n
 }
 
-// hasFailedOn reports whether the job failed on a machine, which excludes it.
+// hasFailedOn reports whether the job failed on a machine. The group is not placed on such a machine.
 func (g *Group) hasFailedOn(m *Machine) bool {
 	return len(g.FailuresByMachine) > 0 && g.FailuresByMachine[m.ID] > 0
 }
 
-// SortGroups puts groups in the order in which they are placed: higher priority first; within one, the first tasks of
-// jobs that waited too long to begin, then what can meet an objective, then what is within its team's guarantee, then
-// by its team's quota tier; what was admitted keeps its rank; then earliest deadline, then arrival.
+// SortGroups sorts groups in placement order. Higher priorities are first. Within a priority, these criteria apply in
+// turn:
+//   - first tasks of jobs that waited too long to begin
+//   - groups that can still meet an objective
+//   - groups within their team's guarantee
+//   - lower quota tier of the team
+//   - previously admitted groups
+//   - earlier deadline, then earlier arrival
 func SortGroups[G any](groups []G, groupOf func(G) *Group) {
 	slices.SortFunc(groups, func(x, y G) int { return groupOf(x).compare(groupOf(y)) })
 }
@@ -115,9 +120,10 @@
 	return cmp.Or(
 		other.Priority-g.Priority,
 		trueFirst(g.IsFirstTask, other.IsFirstTask),
-		// A group that can meet no objective any more must not cost others theirs.
+		// A group that can no longer meet any objective must not make other groups miss theirs.
 		trueFirst(!g.MissedObjectives, !other.MissedObjectives),
-		// Free resources go to guarantees first: otherwise they go to others, whose tasks are then stopped.
+		// Groups within guarantees get free resources first. Otherwise other groups would use the resources, and
+		// their tasks would then be stopped.
 		trueFirst(g.WithinGuarantee, other.WithinGuarantee),
 		g.QuotaTier-other.QuotaTier,
 		trueFirst(g.PreviouslyAdmitted, other.PreviouslyAdmitted),
@@ -127,7 +133,7 @@
 		g.RangeStart-other.RangeStart)
 }
 
-// bitIf returns bit n if a condition holds; ranks are made of such bits.
+// bitIf returns an integer with bit n set if the condition holds, otherwise 0. Ranks are composed of such bits.
 func bitIf(condition bool, n int) int {
 	if condition {
 		return 1 << n
--- a/planner/image_cache.go
+++ b/planner/image_cache.go
@@ -7,31 +7,31 @@
 	"slices"
 )
 
-// Image is what is known of an image on a machine.
+// Image describes an image on a machine.
 type Image struct {
-	LastUsedMS int64 // time of day, ms
+	LastUsedMS int64 // wall-clock time, ms
 	SizeGB     float64
 }
 
-// ImageCache is the images that a machine's cache should hold. It outlives rounds, unlike the machine's entry in the
-// view. A nil cache has none.
+// ImageCache holds the images that a machine's cache is expected to contain. It persists between rounds, unlike the
+// machine's entry in the view. A nil cache contains no images.
 type ImageCache struct {
 	view         *ClusterView
 	images       map[string]Image
-	round        uint32 // the last in which the machine was in the view
-	machineIndex int32  // its position then
+	round        uint32 // last round in which the machine was in the view
+	machineIndex int32  // index of the machine in that round
 }
 
 // imageIndex finds machines by the images in their caches.
 type imageIndex struct {
 	cachesByImage   map[string]map[*ImageCache]struct{}
-	machinesByImage map[string]*imageMachines // of this round, for the images that were looked up
+	machinesByImage map[string]*imageMachines // this round's results of machinesWithImage
 }
 
-// NewImageCache makes the cache of a machine. Remove must follow when the machine is gone.
+// NewImageCache returns the cache of a machine. The caller must call Remove after the machine is removed.
 func (v *ClusterView) NewImageCache() *ImageCache { return &ImageCache{view: v} }
 
-// Has reports whether the cache should hold an image.
+// Has reports whether the cache is expected to contain an image.
 func (c *ImageCache) Has(image string) bool {
 	if c == nil {
 		return false
@@ -40,9 +40,9 @@
 	return ok
 }
 
-// RecordUse records the use of an image, and forgets those that the machine's cache (GB; 0: unbounded) has dropped
-// for it, least recently used first. Without that, a machine that was up for a while was believed to have every image
-// it ever used, and starts there that were to be immediate waited for a fetch.
+// RecordUse records the use of an image, and evicts least recently used images that no longer fit the machine's cache
+// (capacity in GB; 0: unbounded). Without eviction, the planner assumed that a long-running machine had every image it
+// ever used, and starts expected to be immediate waited for a fetch.
 func (c *ImageCache) RecordUse(name string, image Image, capacityGB float64) {
 	if c.images == nil {
 		c.images = map[string]Image{}
@@ -63,10 +63,10 @@
 	}
 }
 
-// evictBeyond evicts least recently used images, but for one, until the others fit the capacity.
+// evictBeyond evicts least recently used images, except kept, until the remaining images fit the capacity.
 func (c *ImageCache) evictBeyond(capacityGB float64, kept string) {
 	totalGB := 0.0
-	for _, name := range slices.Sorted(maps.Keys(c.images)) { // in order: the same rounding every time
+	for _, name := range slices.Sorted(maps.Keys(c.images)) { // sorted: floating-point rounding depends on the order
 		totalGB += c.images[name].SizeGB
 	}
 	for totalGB > capacityGB && len(c.images) > 1 {
@@ -76,7 +76,8 @@
 	}
 }
 
-// leastRecentlyUsed returns the image used longest ago, but for one; by name among those used at the same time.
+// leastRecentlyUsed returns the least recently used image, excluding except. Images last used at the same time are
+// ordered by name.
 func (c *ImageCache) leastRecentlyUsed(except string) string {
 	oldest := ""
 	for name, image := range c.images {
@@ -100,7 +101,7 @@
 	}
 }
 
-// Remove takes a machine's images out of the view, when the machine is gone.
+// Remove removes a machine's images from the view. It is called after the machine is removed.
 func (c *ImageCache) Remove() {
 	if c == nil {
 		return
@@ -110,7 +111,7 @@
 	}
 }
 
-// imageMachines are the machines of a round that have an image, by position in the view.
+// imageMachines is the set of a round's machines that have an image, by index in the view.
 type imageMachines struct {
 	indexes []int32 // ascending
 	bitmap  []uint64
@@ -120,7 +121,8 @@
 	return m != nil && m.bitmap[index>>6]>>(index&63)&1 != 0
 }
 
-// machinesWithImage looks up, once a round, which machines have an image; nil: none.
+// machinesWithImage returns the machines that have an image, or nil if none has. It computes each result once per
+// round.
 func (v *ClusterView) machinesWithImage(image string) *imageMachines {
 	machines, ok := v.machinesByImage[image]
 	if ok {
@@ -133,7 +135,7 @@
 	return machines
 }
 
-// indexMachines collects the machines of this round that caches belong to.
+// indexMachines returns the machines of this round to which the caches belong.
 func (v *ClusterView) indexMachines(caches map[*ImageCache]struct{}) *imageMachines {
 	machines := &imageMachines{bitmap: make([]uint64, (len(v.machines)+63)/64)}
 	for cache := range caches {
--- a/planner/machine.go
+++ b/planner/machine.go
@@ -6,28 +6,28 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// Slot is one queue of a machine: resources for one task at a time, with the task that runs in it at its head.
+// Slot is one queue of a machine: the resources for one task at a time, with the running task at the queue's head.
 type Slot struct {
 	Resources availability.Resources
 	Queue     availability.Queue
 }
 
-// Machine is a machine as the planner sees it.
+// Machine is the planner's view of a machine.
 type Machine struct {
 	Offering  InstanceOffering
 	Type      *MachineType
-	Index     int   // position in ClusterView.Machines
-	ReadyAtMS int64 // earliest start of a task, time of day in ms
-	Ready     bool  // up, as opposed to booting
+	Index     int   // index in ClusterView.Machines
+	ReadyAtMS int64 // earliest start of a task, wall-clock time in ms
+	Ready     bool  // true: up; false: booting
 	Free      availability.Resources
 	Slots     []Slot
 	ID        string
 
-	offeringIndex int // position in offeringTable.offerings
+	offeringIndex int // index in offeringTable.offerings
 }
 
-// AddSlot opens a queue on the machine that can start its first task at a time of day, in ms. It reuses the memory of
-// earlier rounds' queues. The pointer is good until the next AddSlot.
+// AddSlot opens a queue on the machine that can start its first task at the given wall-clock time, in ms. It reuses the
+// memory of earlier rounds' queues. The pointer is valid until the next AddSlot.
 func (m *Machine) AddSlot(resources availability.Resources, earliestStartMS int64) *Slot {
 	if n := len(m.Slots); n < cap(m.Slots) {
 		m.Slots = m.Slots[:n+1]
--- a/planner/placement.go
+++ b/planner/placement.go
@@ -1,33 +1,34 @@
 package planner
 
-// lateDeadlineSteps is how often a missed deadline is put off by another share of the span.
+// lateDeadlineSteps is the number of times that a missed deadline is extended by another share of the span.
 const lateDeadlineSteps = 4
 
-// Start is tasks of a group that start on a machine now.
+// Start is a number of tasks of a group that start on a machine now.
 type Start struct {
 	MachineIndex int // Machine.Index
 	Count        int
-	FetchMS      int64 // of the image there
+	FetchMS      int64 // time to fetch the image on the machine
 }
 
-// CapacityDemand is tasks that no machine ends in time.
+// CapacityDemand is a demand for machines for tasks that existing machines cannot finish in time.
 type CapacityDemand struct {
 	Count      int
-	DeadlineMS int64 // time of day, ms
-	SpotOnly   bool  // on-demand machines serve it, at a higher price
+	DeadlineMS int64 // wall-clock time, ms
+	SpotOnly   bool  // on-demand machines already serve the tasks, at a higher price
 }
 
-// Placement is what becomes of a group.
+// Placement is the result of placing a group.
 type Placement struct {
 	StartedTasks int
 	Starts       []Start
 	Demands      []CapacityDemand
-	StartsGang   bool // a gang starts: a new attempt of it
-	Admitted     bool // some of it ends in time on a machine
+	StartsGang   bool // the gang starts a new attempt
+	Admitted     bool // at least one task is admitted in time to a machine
 }
 
-// Place admits a group to the machines: what starts now, what waits in a queue, and for what there is neither in time.
-// lateShare is the share of the group's span by which a missed deadline is put off, step by step.
+// Place admits a group to the machines. It determines the tasks that start now, the tasks that wait in a queue, and the
+// tasks that no machine can finish in time. lateShare is the share of the group's span, from its acceptance to its
+// deadline, by which each step extends a missed deadline.
 func (v *ClusterView) Place(g *Group, lateShare float64) Placement {
 	search := v.StartSearch(g)
 	search.enforceLimits = true
@@ -51,22 +52,24 @@
 	return search.placement
 }
 
-// admitForObjective admits for the start objective, and demands machines for the rest if they can serve it.
+// admitForObjective admits tasks for the start objective, and demands machines for the remaining tasks if new machines
+// can meet it.
 func (s *CandidateSearch) admitForObjective() {
 	v, g := s.view, s.group
-	// A start objective alone is not worth a machine that other jobs cannot do without.
+	// A start objective alone does not justify the use of a machine type that other jobs require.
 	s.objectiveOnly = true
 	s.admitFor(g.ObjectiveDeadlineMS)
 	s.objectiveOnly = false
 	if v.nowMS+v.catalog.MinReadyMS(&g.Request)+g.LengthMS <= g.ObjectiveDeadlineMS {
-		// A machine that comes up in time serves the objective; until it does, these tasks may wait in a queue that
+		// A machine that becomes ready in time meets the objective. Until then, these tasks may wait in a queue that
 		// ends in time.
 		s.recordDemand(g.Remaining, g.ObjectiveDeadlineMS)
 	}
 }
 
-// admitFor admits for one deadline, on spot machines first. On-demand machines cost several times as much: what only
-// they can take is worth a spot machine, and starts on them meanwhile.
+// admitFor admits tasks for one deadline, on spot machines first. On-demand machines cost several times as much. Tasks
+// that only on-demand machines can finish in time therefore also justify a new spot machine. Meanwhile they start on
+// the on-demand machines.
 func (s *CandidateSearch) admitFor(deadlineMS int64) {
 	g := s.group
 	if !g.Request.AllowsSpot {
@@ -84,15 +87,15 @@
 	s.spotShortfall -= g.Remaining
 }
 
-// admitInTime takes free resources on every machine before a queue: a task that waits behind another while a machine is
-// idle only risks its deadline.
+// admitInTime admits tasks to free resources on all machines before it admits any to existing queues. A task that waits
+// behind another while a machine is idle risks its deadline without benefit.
 func (s *CandidateSearch) admitInTime(deadlineMS int64) {
 	s.Admit(deadlineMS, NewSlotsInTime)
 	s.Admit(deadlineMS, ExistingQueues)
 }
 
-// admitLate admits tasks that no machine ends in time: they start where there are free resources now, and the rest
-// waits for deadlines put off by shares of the group's span.
+// admitLate admits tasks that no machine can finish in time. They start on free resources, and the remaining tasks wait
+// in queues for deadlines extended by shares of the group's span.
 func (s *CandidateSearch) admitLate(lateShare float64) {
 	g := s.group
 	s.Admit(g.DeadlineMS, NewSlotsAnyTime)
@@ -102,7 +105,7 @@
 	}
 }
 
-// recordDemand demands machines of any market for tasks, within the group's limit.
+// recordDemand records a demand for machines, spot or on-demand, within the group's provision limit.
 func (s *CandidateSearch) recordDemand(count int, deadlineMS int64) {
 	g := s.group
 	count = min(count, g.ProvisionLimit-s.placement.StartedTasks)
@@ -112,7 +115,7 @@
 	}
 }
 
-// recordSpotDemand demands spot machines for tasks that on-demand machines took.
+// recordSpotDemand records a demand for spot machines for tasks that were admitted to on-demand machines.
 func (s *CandidateSearch) recordSpotDemand(count int) {
 	if count > 0 {
 		demand := CapacityDemand{Count: count, DeadlineMS: s.group.DeadlineMS, SpotOnly: true}
@@ -120,9 +123,9 @@
 	}
 }
 
-// gangFits reports whether all of a gang's waiting tasks can start now: one that waits for its mates holds its machine
-// for nothing. What is left of an earlier attempt must be gone first. For what does not fit even on the machines that
-// boot it demands machines.
+// gangFits reports whether all of a gang's waiting tasks can start now. A task that waits for the rest of its gang
+// would occupy its machine without progress. All tasks of an earlier attempt must have ended first. gangFits records a
+// demand for machines for tasks that do not fit even if booting machines are counted.
 func (s *CandidateSearch) gangFits() bool {
 	g := s.group
 	if g.GangAttempt != GangAttemptNew || g.IncompleteGang {
