--- a/planner/admission.go
+++ b/planner/admission.go
@@ -104,8 +104,8 @@
 
 // skipsOffering reports whether the current pass excludes the offering.
 func (s *CandidateSearch) skipsOffering(offering int) bool {
-	u := &s.uses[offering]
-	return !u.allowed || s.spotOnly && !s.view.offerings[offering].Spot || s.objectiveOnly && u.avoid
+	eval := &s.evaluations[offering]
+	return !eval.allowed || s.spotOnly && !s.view.offerings[offering].Spot || s.objectiveOnly && eval.avoid
 }
 
 // isBoundByReserve reports whether a pass may not use the reserved processors. Groups without a start objective may not
@@ -124,17 +124,17 @@
 // pass with a deadline too close to meet sorted all candidates.
 func (s *CandidateSearch) canAdmitAny(deadlineMS, lengthMS int64, mode QueueMode) bool {
 	reserveExhausted := s.isBoundByReserve(mode) && s.unreservedCopies(1) == 0
-	for i := range s.uses {
-		use := &s.uses[i]
-		if use.openMachines == 0 || s.skipsOffering(i) {
+	for i := range s.evaluations {
+		eval := &s.evaluations[i]
+		if eval.openMachines == 0 || s.skipsOffering(i) {
 			continue
 		}
 		mayAdmit := true
 		switch mode {
 		case NewSlotsInTime:
-			mayAdmit = deadlineMS-use.earliestStartMS >= s.group.LengthMS && (!reserveExhausted || use.booting)
+			mayAdmit = deadlineMS-eval.earliestStartMS >= s.group.LengthMS && (!reserveExhausted || eval.booting)
 		case ExistingQueues:
-			mayAdmit = s.slotsAdded || use.queues.mayAdmit(s.request, deadlineMS, lengthMS)
+			mayAdmit = s.slotsAdded || eval.queues.mayAdmit(s.request, deadlineMS, lengthMS)
 		}
 		if mayAdmit {
 			return true
@@ -171,17 +171,17 @@
 func (s *CandidateSearch) splitOfferings(rank int) (minFetchMS int64) {
 	s.cached, s.uncached = s.cached[:0], s.uncached[:0]
 	minFetchMS = int64(math.MaxInt64)
-	for i := range s.uses {
-		use := &s.uses[i]
-		if use.rank != rank || s.skipsOffering(i) {
+	for i := range s.evaluations {
+		eval := &s.evaluations[i]
+		if eval.rank != rank || s.skipsOffering(i) {
 			continue
 		}
-		if use.fetchMS == 0 || s.imageMachines != nil {
+		if eval.fetchMS == 0 || s.imageMachines != nil {
 			s.cached = append(s.cached, i)
 		}
-		if use.fetchMS != 0 {
+		if eval.fetchMS != 0 {
 			s.uncached = append(s.uncached, i)
-			minFetchMS = min(minFetchMS, use.fetchMS)
+			minFetchMS = min(minFetchMS, eval.fetchMS)
 		}
 	}
 	return minFetchMS
@@ -227,7 +227,7 @@
 		!slices.Contains(scan.offerings, int(entry.offeringIndex)) {
 		return
 	}
-	fetchMS := s.fetchMSOn(i, &s.uses[entry.offeringIndex])
+	fetchMS := s.fetchMSOn(i, &s.evaluations[entry.offeringIndex])
 	if (fetchMS == 0) != scan.cached || entry.queues.maxAvailableMS(scan.deadlineMS) < scan.lengthMS+fetchMS {
 		return
 	}
--- a/planner/aging_test.go
+++ b/planner/aging_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawWaitingGroups draws groups as a round has them, some of them of jobs that have waited long.
+// drawWaitingGroups draws the groups of a round, including groups of jobs that have waited long.
 func drawWaitingGroups(t *rapid.T, now int64) (groups []*Group) {
 	n := rapid.IntRange(1, 12).Draw(t, "groups")
 	for i := range n {
@@ -33,8 +33,8 @@
 	return groups
 }
 
-// The first task of each aged group goes before all others of its priority, once, and no task is lost or doubled by the
-// split, except where a zone constraint cuts the group down to one task.
+// The first task of each aged group is placed once, before all other tasks of its priority. The split neither loses nor
+// duplicates tasks, except that a zone constraint reduces the group to one task.
 func TestAgedGroupPlacesFirstTaskBeforeEquals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = int64(1_000_000)
@@ -47,7 +47,7 @@
 			waited := now - g.AcceptedMS
 			want := beginWithinMS > 0 && 4*waited >= 3*beginWithinMS && !g.HasBegun && !g.IsGang && g.RangeStart == 0
 			if got := g.IsAged(now, beginWithinMS); got != want {
-				t.Fatalf("%+v: aged %v", g, got)
+				t.Fatalf("IsAged of %+v: got %v, want %v", g, got, want)
 			}
 			if !want {
 				continue
@@ -65,20 +65,20 @@
 			tasks[g.Name] -= g.Remaining
 			if g.IsFirstTask {
 				if g.Remaining != 1 || !expectedFirst[g.Name] {
-					t.Fatalf("%+v goes first", g)
+					t.Fatalf("group %+v is marked as first task, want one task of an aged group", g)
 				}
 				delete(expectedFirst, g.Name)
 			}
 			if i > 0 && g.Priority == sorted[i-1].Priority && g.IsFirstTask && !sorted[i-1].IsFirstTask {
-				t.Fatalf("%s behind %s", g.Name, sorted[i-1].Name)
+				t.Fatalf("first task of %s is sorted after %s, want before", g.Name, sorted[i-1].Name)
 			}
 			if i > 0 && g.Priority > sorted[i-1].Priority {
-				t.Fatalf("%s before a higher priority", sorted[i-1].Name)
+				t.Fatalf("%s is sorted before %s, which has a higher priority", sorted[i-1].Name, g.Name)
 			}
 		}
 		for name, left := range tasks {
 			if left != 0 || expectedFirst[name] {
-				t.Fatalf("%s: %d tasks missing, no first task %v", name, left, expectedFirst[name])
+				t.Fatalf("%s: %d tasks missing, want 0; first task missing: %v", name, left, expectedFirst[name])
 			}
 		}
 	})
--- a/planner/candidate_search.go
+++ b/planner/candidate_search.go
@@ -6,8 +6,8 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// offeringUse is the evaluation of an offering for a group.
-type offeringUse struct {
+// offeringEvaluation is the evaluation of an offering for a group.
+type offeringEvaluation struct {
 	allowed bool
 	avoid   bool  // some other live job fits no other type
 	costly  bool  // on-demand, while the group may use spot machines
@@ -22,25 +22,25 @@
 	queues          queueBounds
 }
 
-// offeringUses evaluates each offering once for a group. The result is valid until the next call.
-func (v *ClusterView) offeringUses(g *Group) []offeringUse {
-	uses := v.search.uses[:0]
+// evaluateOfferings evaluates each offering once for a group. The result is valid until the next call.
+func (v *ClusterView) evaluateOfferings(g *Group) []offeringEvaluation {
+	evaluations := v.search.evaluations[:0]
 	for _, offering := range v.offerings {
-		use := offeringUse{
+		eval := offeringEvaluation{
 			allowed:         v.catalog.IsAllowed(&g.Request, offering.InstanceOffering),
 			earliestStartMS: math.MaxInt64,
 			queues:          emptyBounds,
 		}
-		if use.allowed {
-			use.avoid = v.catalog.ShouldAvoid(&g.Request, offering.Type)
-			use.costly = g.Request.AllowsSpot && !offering.Spot
-			use.fetchMS = v.catalog.FetchMS(&g.Request, offering.Type)
-			use.rank = bitIf(use.avoid, 2) | bitIf(use.costly, 1)
+		if eval.allowed {
+			eval.avoid = v.catalog.ShouldAvoid(&g.Request, offering.Type)
+			eval.costly = g.Request.AllowsSpot && !offering.Spot
+			eval.fetchMS = v.catalog.FetchMS(&g.Request, offering.Type)
+			eval.rank = bitIf(eval.avoid, 2) | bitIf(eval.costly, 1)
 		}
-		uses = append(uses, use)
+		evaluations = append(evaluations, eval)
 	}
-	v.search.uses = uses
-	return uses
+	v.search.evaluations = evaluations
+	return evaluations
 }
 
 // openMachine is a machine with free resources for the group being placed.
@@ -116,10 +116,10 @@
 // group, and then the queues of the other machines.
 type CandidateSearch struct {
 	candidateQueue
-	view    *ClusterView
-	group   *Group
-	request availability.Resources // the group's request without its image
-	uses    []offeringUse          // indexed as offeringTable.offerings
+	view        *ClusterView
+	group       *Group
+	request     availability.Resources // the group's request without its image
+	evaluations []offeringEvaluation   // indexed as offeringTable.offerings
 
 	imageMachines     *imageMachines
 	fetchAlwaysNeeded bool  // the image has a fetch time on every offering that the group may use
@@ -150,19 +150,19 @@
 		candidateQueue:    candidateQueue{candidates: search.candidates[:0]},
 		view:              v,
 		group:             g,
-		uses:              v.offeringUses(g),
+		evaluations:       v.evaluateOfferings(g),
 		request:           g.Request.WithoutImage(),
 		cached:            search.cached,
 		uncached:          search.uncached,
 		fetchAlwaysNeeded: true,
 	}
-	for i := range search.uses {
-		use := &search.uses[i]
-		if !use.allowed {
+	for i := range search.evaluations {
+		eval := &search.evaluations[i]
+		if !eval.allowed {
 			continue
 		}
-		search.fetchAlwaysNeeded = search.fetchAlwaysNeeded && use.fetchMS != 0
-		if use.fetchMS != 0 && search.imageMachines == nil {
+		search.fetchAlwaysNeeded = search.fetchAlwaysNeeded && eval.fetchMS != 0
+		if eval.fetchMS != 0 && search.imageMachines == nil {
 			search.imageMachines = v.machinesWithImage(g.Request.Image)
 		}
 	}
@@ -182,33 +182,33 @@
 		}
 		for _, m := range v.blockMachines(i) {
 			v.Examined++
-			use := &s.uses[m.offeringIndex]
-			if !use.allowed || !m.Free.Contains(s.request) || g.hasFailedOn(m) {
+			eval := &s.evaluations[m.offeringIndex]
+			if !eval.allowed || !m.Free.Contains(s.request) || g.hasFailedOn(m) {
 				continue
 			}
-			s.addCandidate(m, use, spanMS)
+			s.addCandidate(m, eval, spanMS)
 		}
 	}
 }
 
 // addCandidate adds a machine with free resources, and updates the evaluation of its offering. spanMS is the time until
 // the group's deadline.
-func (s *CandidateSearch) addCandidate(m *Machine, use *offeringUse, spanMS float64) {
+func (s *CandidateSearch) addCandidate(m *Machine, eval *offeringEvaluation, spanMS float64) {
 	v, g := s.view, s.group
 	entry := &v.scanEntries[m.Index]
 	entry.openForSearch = v.searchID
-	fetchMS := s.fetchMSOn(m.Index, use)
-	use.openMachines++
-	use.booting = use.booting || !m.Ready
-	use.earliestStartMS = min(use.earliestStartMS, m.ReadyAtMS+fetchMS)
-	use.queues.widen(&entry.queues)
+	fetchMS := s.fetchMSOn(m.Index, eval)
+	eval.openMachines++
+	eval.booting = eval.booting || !m.Ready
+	eval.earliestStartMS = min(eval.earliestStartMS, m.ReadyAtMS+fetchMS)
+	eval.queues.widen(&entry.queues)
 	largest := &v.catalog.largest
 	leftover := (m.Free.CPUs-s.request.CPUs)/max(largest.CPUs, 1) +
 		(m.Free.MemoryGB-s.request.MemoryGB)/max(largest.MemoryGB, 1)
 	slackMS := m.slackMS(g, fetchMS)
 	s.candidates = append(s.candidates, openMachine{
 		machine:  m,
-		rank:     bitIf(use.avoid, 3) | bitIf(!m.Ready, 2) | bitIf(use.costly, 1) | bitIf(fetchMS != 0, 0),
+		rank:     bitIf(eval.avoid, 3) | bitIf(!m.Ready, 2) | bitIf(eval.costly, 1) | bitIf(fetchMS != 0, 0),
 		leftover: max(leftover, 0) + float64(slackMS)/spanMS/4,
 		fetchMS:  fetchMS,
 	})
@@ -221,9 +221,9 @@
 }
 
 // fetchMSOn returns the time to fetch the group's image on the machine at the index, or 0 if the machine has the image.
-func (s *CandidateSearch) fetchMSOn(index int, use *offeringUse) int64 {
-	if use.fetchMS != 0 && s.imageMachines.contains(index) {
+func (s *CandidateSearch) fetchMSOn(index int, eval *offeringEvaluation) int64 {
+	if eval.fetchMS != 0 && s.imageMachines.contains(index) {
 		return 0
 	}
-	return use.fetchMS
+	return eval.fetchMS
 }
--- a/planner/catalog.go
+++ b/planner/catalog.go
@@ -112,13 +112,13 @@
 	return int64(math.Round(sizeGB / t.FetchGBps * 1000))
 }
 
-// noReadyMS is the result of MinReadyMS if no type fits the job. It is later than any deadline and cannot cause an
-// overflow.
-const noReadyMS = int64(1) << 40
+// noFittingTypeMS is the result of MinReadyMS if no type fits the job. It is later than any deadline and cannot cause
+// an overflow.
+const noFittingTypeMS = int64(1) << 40
 
 // MinReadyMS returns the minimum time, in ms, to boot a machine that fits the job and fetch the job's image.
 func (c *Catalog) MinReadyMS(request *ResourceRequest) int64 {
-	best := noReadyMS
+	best := noFittingTypeMS
 	for _, t := range c.sorted {
 		if c.FitsType(request, t) {
 			best = min(best, t.BootMS+t.fetchMS(request.Resources.DiskGB))
--- a/planner/cluster_view.go
+++ b/planner/cluster_view.go
@@ -139,7 +139,7 @@
 // booting.
 func (v *ClusterView) CountStartable(g *Group, limit int) (n int) {
 	request := g.Request.WithoutImage()
-	uses := v.offeringUses(g)
+	evaluations := v.evaluateOfferings(g)
 	for i := range v.blocks {
 		if n >= limit {
 			break
@@ -148,7 +148,7 @@
 			continue
 		}
 		for _, m := range v.blockMachines(i) {
-			if v.Examined++; uses[m.offeringIndex].allowed {
+			if v.Examined++; evaluations[m.offeringIndex].allowed {
 				n += m.Free.MaxCopies(request, min(limit-n, g.zoneAllowance(m)))
 			}
 		}
--- a/planner/placement_bench_test.go
+++ b/planner/placement_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// benchmarkView fills a view with machines of two types in three zones, each with half of its room taken by a task
-// that ends within the next minute.
+// benchmarkView fills a view with machines of two types in three zones. A task that ends within the next minute uses
+// half of each machine.
 func benchmarkView(view *ClusterView, machines int) {
 	view.Begin(startMS)
 	for i := range machines {
@@ -26,8 +26,8 @@
 	view.FinishAdding()
 }
 
-// BenchmarkPlace is a round over a shard: 200 groups, of which the first start at once, the next wait in queues, and
-// the last find neither.
+// BenchmarkPlace measures a round that places 200 groups in a shard. The first groups start at once, the next ones wait
+// in queues, and the last ones can do neither.
 func BenchmarkPlace(b *testing.B) {
 	for _, machines := range []int{100, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
--- a/planner/placement_test.go
+++ b/planner/placement_test.go
@@ -15,20 +15,21 @@
 )
 
 func init() {
-	// The same inputs every time, so that the verdict is the same.
+	// A fixed seed makes the inputs and the result reproducible.
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "1000")); err != nil {
 		panic(err)
 	}
 }
 
-// requireBoundsValid fails when a queue of the view can take a task that the bounds above it exclude.
+// requireBoundsValid fails if a queue of the view can accept a task that the bounds of its machine, block or offering
+// exclude.
 func (v *ClusterView) requireBoundsValid(t *rapid.T, deadlines []int64) {
 	t.Helper()
 	for i := range v.blocks {
 		block := v.refreshedBlock(i)
 		for _, m := range v.blockMachines(i) {
 			if !block.maxFree.Contains(m.Free) && m.Free.CPUs >= 0 && m.Free.MemoryGB >= 0 {
-				t.Fatalf("a block has %+v free, its %s %+v", block.maxFree, m.ID, m.Free)
+				t.Fatalf("block %d: maxFree %+v does not contain %+v, free on %s", i, block.maxFree, m.Free, m.ID)
 			}
 			for slot := range m.Slots {
 				v.requireSlotWithinBounds(t, block, m, &m.Slots[slot], deadlines)
@@ -50,18 +51,19 @@
 			continue
 		}
 		if !slot.Queue.MayAdmit(deadline, n) {
-			t.Fatalf("l(%d) is %d, which MayAdmit excludes", deadline, n)
+			t.Fatalf("MayAdmit(%d, %d): got false, want true: l(δ) is %d", deadline, n, n)
 		}
 		for i, b := range bounds {
 			if !b.mayAdmit(slot.Resources, deadline, n) {
 				level := []string{"machine", "block", "offering"}[i]
-				t.Fatalf("l(%d) is %d, bounded by %d of its %s", deadline, n, b.maxAvailableMS(deadline), level)
+				t.Fatalf("l(%d) is %d ms, above the bound of its %s, %d ms, or its resources are excluded",
+					deadline, n, level, b.maxAvailableMS(deadline))
 			}
 		}
 	}
 }
 
-// requireSameMachines fails when two views differ in a machine's free resources or queues.
+// requireSameMachines fails if two views differ in a machine's free resources or queues.
 func requireSameMachines(t *rapid.T, group int, view, expected *ClusterView) {
 	t.Helper()
 	sameSlot := func(x, y Slot) bool {
@@ -70,7 +72,8 @@
 	}
 	for index, m := range view.machines {
 		if n := expected.machines[index]; m.Free != n.Free || !slices.EqualFunc(m.Slots, n.Slots, sameSlot) {
-			t.Fatalf("%s differs after group %d", m.ID, group)
+			t.Fatalf("%s differs from the reference after group %d:\ngot  %+v, %+v\nwant %+v, %+v",
+				m.ID, group, m.Free, m.Slots, n.Free, n.Slots)
 		}
 	}
 }
@@ -86,12 +89,12 @@
 		}
 	}
 	if got != min(expected, limit) {
-		t.Fatalf("%d of %d could start, not %d", expected, limit, got)
+		t.Fatalf("startable tasks: got %d, want %d", got, min(expected, limit))
 	}
 }
 
-// Through rounds in which machines join, leave, fill and change their images, a view that is used again and again
-// decides what a scan of every machine decides on a view made from nothing: the same starts, demands and queues.
+// A view that is reused over several rounds makes the same decisions as a scan of every machine on a new view: the same
+// starts, demands and queues. Between rounds, machines join, leave, start tasks and change their images.
 func TestIndexedPlacementEqualsReference(t *testing.T) {
 	starts, queued, gangs, demands := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -102,7 +105,7 @@
 			model.drawChanges(t, view, nowMS)
 			fresh := NewClusterView(model.catalog)
 			model.fillView(view, nowMS)
-			model.fillView(fresh, nowMS) // in which the caches' positions are the same
+			model.fillView(fresh, nowMS) // the caches have the same machine indexes in both views
 			model.fillView(view, nowMS)
 			reference := referencePlanner{
 				fresh,
@@ -135,7 +138,7 @@
 				requireSameMachines(t, i, view, fresh)
 				sameSpare := math.Abs(view.SpareCPUs-fresh.SpareCPUs) <= 1e-9
 				if !sameSpare || view.PacedStartsLeft != fresh.PacedStartsLeft {
-					t.Fatalf("%g spare and %d paced starts left, not %g and %d",
+					t.Fatalf("got %g spare processors and %d paced starts left, want %g and %d",
 						view.SpareCPUs, view.PacedStartsLeft, fresh.SpareCPUs, fresh.PacedStartsLeft)
 				}
 				starts += got.StartedTasks
@@ -150,12 +153,12 @@
 		}
 	})
 	if starts < 1000 || queued < 1000 || gangs < 5 || demands < 100 {
-		t.Errorf("%d started, %d queued, %d gangs, %d demands: the rounds show too little",
+		t.Errorf("got %d starts, %d queued tasks, %d gangs, %d demands, want at least 1000, 1000, 5 and 100",
 			starts, queued, gangs, demands)
 	}
 }
 
-// A block whose bounds say that it can take nothing is not examined.
+// A search does not examine a block whose bounds exclude every task of the group.
 func TestFullBlocksAreSkipped(t *testing.T) {
 	view := NewClusterView(NewCatalog())
 	view.catalog.SetTypes(MachineType{Name: "t", Resources: availability.Resources{CPUs: 4, MemoryGB: 16}})
@@ -166,7 +169,7 @@
 		m.AddSlot(availability.Resources{CPUs: 4, MemoryGB: 16}, startMS+int64(i)*100)
 	}
 	view.FinishAdding()
-	view.refreshedBlock(0).queues.minEndMS += 20_000 // it has free queues, and says that it has none
+	view.refreshedBlock(0).queues.minEndMS += 20_000 // the bounds falsely exclude its free queues
 	g := Group{
 		Request:             ResourceRequest{Resources: availability.Resources{CPUs: 4, MemoryGB: 4}},
 		Remaining:           5,
@@ -178,11 +181,12 @@
 	view.Place(&g, 0.25)
 	full, next := &view.machines[0].Slots[0].Queue, &view.machines[blockSize].Slots[0].Queue
 	if g.Remaining != 0 || len(full.Entries()) != 0 || len(next.Entries()) == 0 {
-		t.Errorf("%d left, and a block that is said to be full was examined", g.Remaining)
+		t.Errorf("got %d tasks left, %d entries in the excluded block's queue, %d in the next block's, want 0, 0, >0",
+			g.Remaining, len(full.Entries()), len(next.Entries()))
 	}
 }
 
-// A machine keeps the images that it used last, as far as its cache holds them.
+// A machine keeps its most recently used images, up to the capacity of its cache.
 func TestLeastRecentlyUsedImagesAreEvicted(t *testing.T) {
 	view := NewClusterView(NewCatalog())
 	cache := view.NewImageCache()
@@ -193,25 +197,25 @@
 	cache.RecordUse("a", Image{20, 4}, 12)
 	cache.RecordUse("d", Image{21, 7}, 12)
 	if got := cached(); !slices.Equal(got, []string{"a", "d"}) {
-		t.Errorf("kept: %v", got)
+		t.Errorf("cached images: got %v, want [a d]", got)
 	}
 	cache.RecordUse("large", Image{22, 40}, 12)
 	if got := cached(); !slices.Equal(got, []string{"large"}) {
-		t.Errorf("kept with one that fills it: %v", got)
+		t.Errorf("cached images after one larger than the cache: got %v, want [large]", got)
 	}
 	if cache.Remove(); len(view.cachesByImage) > 0 || (*ImageCache)(nil).Has("large") {
-		t.Errorf("the view still has %v", view.cachesByImage)
+		t.Errorf("after Remove: got caches %v, want none, and a nil cache without images", view.cachesByImage)
 	}
 }
 
-// Keys of offerings are read back, and anything else gives an offering without a type.
+// ParseInstanceOffering parses the keys of offerings, and returns the zero offering for any other string.
 func TestInstanceOfferingKeyRoundTrips(t *testing.T) {
 	for _, k := range []InstanceOffering{{"small", "a", true}, {"large", "b-1", false}, {"a|b", "c", true}} {
 		if got := ParseInstanceOffering(k.Key()); got != k {
-			t.Errorf("%+v: read back as %+v", k, got)
+			t.Errorf("parsed key: got %+v, want %+v", got, k)
 		}
 	}
 	if k := ParseInstanceOffering("small"); k != (InstanceOffering{}) {
-		t.Errorf("no key: %+v", k)
+		t.Errorf("parsed invalid key: got %+v, want the zero offering", k)
 	}
 }
--- a/planner/reference_test.go
+++ b/planner/reference_test.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// referencePlanner places a group as the package documents it, with a scan of every machine: what the view's indexes
-// are compared with.
+// referencePlanner places a group by the documented rules with a scan of every machine. Tests compare the indexed view
+// with it.
 type referencePlanner struct {
 	view     *ClusterView
 	hasImage func(index int, image string) bool
--- a/planner/shard_model_test.go
+++ b/planner/shard_model_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// shardModel is a generated shard: machines that join, leave and change from round to round, and the groups that each
-// round has to place.
+// shardModel is a generated shard. Its machines join, leave and change between rounds, and each round has groups to
+// place.
 type shardModel struct {
 	catalog  *Catalog
 	machines []*modelMachine
-	added    []*modelMachine // in the view, by position
+	added    []*modelMachine // machines in the view, by index
 	lastID   int
 }
 
@@ -21,7 +21,7 @@
 	id             string
 	offering       InstanceOffering
 	readyAtMS      int64
-	absent         bool // not in this round
+	absent         bool // not in the view in this round
 	running        []Slot
 	cache          *ImageCache
 	expectedImages map[string]bool
