--- a/quota/divide.go
+++ b/quota/divide.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Claim is a shard's claim on an amount that is to be divided.
+// Claim is a shard's claim on a part of an amount to divide.
 type Claim struct {
 	Shard        string
-	Startable    Amounts // what can start at once
+	Startable    Amounts // tasks that can start at once
 	Total        Amounts // all pending work, Startable included
 	MinIncrement Amounts // the smallest useful grant
-	SinceMS      int64   // time of day since when the claim has waited
+	SinceMS      int64   // wall-clock time at which the claim began to wait
 }
 
-// compare orders claims by age, then by shard.
+// compare orders claims by age, oldest first, then by shard.
 func (c Claim) compare(other Claim) int {
 	return cmp.Or(cmp.Compare(c.SinceMS, other.SinceMS), cmp.Compare(c.Shard, other.Shard))
 }
 
-// Divide divides an amount among claims of different shards and returns the grant of each.
-// What can start at once goes before what would wait for machines in any case. Within each, the
-// smallest useful grant of each claim goes first, the oldest claim before the others, and the
-// rest in proportion to what is still unmet.
+// Divide divides an amount among claims of different shards and returns the grant of each shard.
+// It serves tasks that can start at once before tasks that would wait for machines anyway. In both
+// steps it first grants each claim its smallest useful amount, oldest claim first. It then divides
+// the remainder in proportion to the unmet amounts.
 func Divide(pool Amounts, claims []Claim) map[string]Amounts {
 	d := division{pool: pool, claims: slices.Clone(claims), grants: map[string]Amounts{}}
 	slices.SortFunc(d.claims, Claim.compare)
@@ -34,14 +34,14 @@
 	return d.grants
 }
 
-// division is a run of Divide: what is left, and what each claim has by now.
+// division is the state of a Divide call: the remaining pool and the grants so far.
 type division struct {
 	pool   Amounts
-	claims []Claim // the oldest first
+	claims []Claim // oldest first
 	grants map[string]Amounts
 }
 
-// distribute grants up to requested(claim) in total to each claim.
+// distribute raises the grant of each claim up to a total of requested(claim).
 func (d *division) distribute(requested func(Claim) Amounts) {
 	unmet := func(c Claim) Amounts { return requested(c).Sub(d.grants[c.Shard]) }
 	for _, c := range d.claims {
@@ -62,10 +62,10 @@
 
 func (d *division) grant(shard string, amount Amounts) {
 	d.grants[shard] = d.grants[shard].Add(amount)
-	d.pool = d.pool.Sub(amount).nonNegative() // rounding may leave less than nothing
+	d.pool = d.pool.Sub(amount).nonNegative() // rounding errors may make the result negative
 }
 
-// grantableRatio returns the share of what is unmet that the pool has.
+// grantableRatio returns the fraction of the unmet amount that the pool can serve.
 func grantableRatio(pool, unmet float64) float64 {
 	if unmet <= pool {
 		return 1
--- a/quota/proposal.go
+++ b/quota/proposal.go
@@ -7,26 +7,27 @@
 	"github.com/grebedock/grebedock/indoubt"
 )
 
-// Demand is a shard's use of a team's limit and its pending work.
+// Demand is a shard's usage of a team's limit and its pending work.
 type Demand struct {
-	Used           Amounts // what runs, or may run unseen
-	Pending        Amounts // what does not run
-	Startable      Amounts // of Pending, what has room on machines
-	LargestPending Amounts // the largest pending task
-	LargestTask    Amounts // the largest task of all, pending or not
-	UsageUncertain bool    // Used may fall when unseen machines report: no request is raised
+	Used           Amounts // running tasks, and unreported tasks that may be running
+	Pending        Amounts // tasks that are not running
+	Startable      Amounts // part of Pending that fits on machines
+	LargestPending Amounts // largest pending task
+	LargestTask    Amounts // largest task, pending or not
+	UsageUncertain bool    // Used may fall when unreported machines report; requests are not updated meanwhile
 }
 
-// requestRiseFactor and requestFallFactor are how far a request must move before it is written
-// again: requests follow queues, which change with every task.
+// requestRiseFactor and requestFallFactor are thresholds for a shortfall relative to its recorded
+// request. The request is written again only if the shortfall is beyond them, since requests follow
+// queue lengths, which change with every task.
 const (
 	requestRiseFactor = 1.25
 	requestFallFactor = 0.5
 )
 
-// Propose returns the write that a shard's demand calls for and keeps it as pending; nil if none is
-// needed or one is pending already. The write grants to other shards what this one does not
-// need, and records what it lacks. Only the shard's owner may call it.
+// Propose returns the write that a shard's demand requires, and records it as pending. It returns nil
+// if no write is needed or one is already pending. The write grants unneeded allocation to other
+// shards and records the shard's own shortfall. Only the shard's owner may call Propose.
 func (l *Ledger) Propose(nowMS int64, shard string, demand Demand) *Write {
 	if l.pendingWrite != nil {
 		return nil
@@ -66,7 +67,7 @@
 	return l.pendingWrite
 }
 
-// needsNewRequest reports whether a shard's request no longer describes what it lacks.
+// needsNewRequest reports whether a shard's request no longer matches its shortfall.
 func needsNewRequest(current Request, exists bool, shortfall Amounts, usageUncertain bool) bool {
 	switch {
 	case !shortfall.isSignificant():
@@ -83,7 +84,7 @@
 	return rose || fell
 }
 
-// newRequest describes a shortfall beside what the shard retains.
+// newRequest returns the request for a shortfall beyond the allocation that the shard retains.
 func newRequest(shortfall Amounts, demand Demand, retained Amounts, sinceMS int64) Request {
 	free := retained.Sub(demand.Used).nonNegative()
 	return Request{
@@ -94,7 +95,7 @@
 	}
 }
 
-// sumInOrder adds grants up in the order of shards, so that rounding is the same every time.
+// sumInOrder adds up grants in shard order, so that rounding is deterministic.
 func sumInOrder(grants map[string]Amounts) (sum Amounts) {
 	for _, shard := range slices.Sorted(maps.Keys(grants)) {
 		sum = sum.Add(grants[shard])
@@ -102,10 +103,10 @@
 	return sum
 }
 
-// applyGrants moves grants from a shard's allocation to the others', and takes them off what
-// those requested.
+// applyGrants moves grants from a shard's allocation to the recipients' allocations, and reduces the
+// recipients' requests accordingly.
 func (r *Record) applyGrants(from string, grants map[string]Amounts) {
-	for _, recipient := range slices.Sorted(maps.Keys(grants)) { // for the same rounding every time
+	for _, recipient := range slices.Sorted(maps.Keys(grants)) { // sorted for deterministic rounding
 		grant := grants[recipient]
 		r.Allocations[from] = r.Allocations[from].Sub(grant)
 		r.Allocations[recipient] = r.Allocations[recipient].Add(grant)
@@ -117,7 +118,7 @@
 	}
 }
 
-// setRequest records a shard's request, or removes it once nothing is lacking.
+// setRequest records a shard's request, or removes it if the shortfall is insignificant.
 func (r *Record) setRequest(shard string, request Request) {
 	if !request.isSignificant() {
 		delete(r.Requests, shard)
@@ -126,7 +127,8 @@
 	r.Requests[shard] = request
 }
 
-// grantSpare returns what others get of what a shard does not use, in the order of Divide.
+// grantSpare returns the grants to other shards from a shard's spare allocation, as computed by
+// Divide.
 func (l *Ledger) grantSpare(nowMS int64, shard string, demand Demand, spare Amounts) map[string]Amounts {
 	ownClaim := Claim{
 		Shard:        shard,
@@ -150,7 +152,7 @@
 		})
 	}
 	if !spare.isSignificant() || len(otherClaims) == 0 {
-		delete(l.unusableSince, shard) // nobody waits for what it retains
+		delete(l.unusableSince, shard) // no other shard waits for the retained allocation
 		return map[string]Amounts{}
 	}
 	grants := Divide(spare, append([]Claim{ownClaim}, otherClaims...))
@@ -162,8 +164,9 @@
 	return grants
 }
 
-// trackUnusableAllocation reports whether a shard has retained less than its next task needs for
-// longer than the grace period. It then grants that to others, and its task waits anew.
+// trackUnusableAllocation reports whether a shard has retained an allocation too small for its next
+// task for longer than the grace period. The shard then grants it to others, and its own task starts
+// to wait again.
 func (l *Ledger) trackUnusableAllocation(nowMS int64, shard string, retained, needed Amounts) bool {
 	if l.GracePeriodMS == 0 || !retained.isSignificant() || retained.Contains(needed) {
 		delete(l.unusableSince, shard)
@@ -184,14 +187,15 @@
 	return true
 }
 
-// idleLoanDivisor is the share of a limit that is lent to the other shards, in equal shares, while
-// the home has no use for it: half. With it they continue while the home has no owner who could
-// grant them anything.
+// idleLoanDivisor determines standing loans. While the home shard does not use it, one half of the
+// limit is divided equally among all shards, and the parts of the other shards are lent to them.
+// With these loans the other shards continue to start tasks while the home shard has no owner to
+// grant them allocation.
 const idleLoanDivisor = 2
 
-// lendIdle adds standing loans to the home's grants: once half of the limit is idle, every shard
-// whose allocation fell below half of a loan is brought up to a loan. A loan smaller than a task
-// would be of no use to anyone.
+// lendIdle adds standing loans to the home shard's grants. If at least half of the limit is idle, it
+// raises the allocation of each shard that has less than half of a loan to a full loan. It makes no
+// loans smaller than the largest task, since they might be unusable.
 func (l *Ledger) lendIdle(grants map[string]Amounts, spare Amounts, demand Demand) {
 	if len(l.otherShards) == 0 || !demand.LargestTask.isSignificant() {
 		return
@@ -200,12 +204,12 @@
 	idle := spare.Sub(demand.Pending).nonNegative()
 	allocations := l.cachedAllocations()
 	for _, d := range dimensions {
-		limit, target := d.of(l.limit), d.of(loan)
-		if limit <= 0 || d.of(demand.LargestTask) > target || d.of(idle) < limit/idleLoanDivisor {
+		limit, target := d.value(l.limit), d.value(loan)
+		if limit <= 0 || d.value(demand.LargestTask) > target || d.value(idle) < limit/idleLoanDivisor {
 			continue
 		}
 		for _, shard := range l.otherShards {
-			if current := d.of(allocations[shard]); current < target/2 {
+			if current := d.value(allocations[shard]); current < target/2 {
 				grants[shard] = grants[shard].Add(d.amounts(target - current))
 			}
 		}
--- a/quota/usage_monitor.go
+++ b/quota/usage_monitor.go
@@ -9,8 +9,8 @@
 // Job is an unfinished job of a team.
 type Job struct {
 	ID         string
-	AcceptedMS int64   // time of day
-	Size       Amounts // of all its tasks together
+	AcceptedMS int64   // wall-clock time
+	Size       Amounts // sum over all tasks
 }
 
 // Compare orders jobs by arrival.
@@ -18,8 +18,9 @@
 	return cmp.Or(cmp.Compare(j.AcceptedMS, o.AcceptedMS), cmp.Compare(j.ID, o.ID))
 }
 
-// JobsWithinGuarantee returns the IDs of a team's unfinished jobs that are within its guarantee: each
-// that fits it together with all that arrived before. Members that see the same jobs agree.
+// JobsWithinGuarantee returns the IDs of a team's unfinished jobs that are within its guarantee. A job
+// is within the guarantee if it fits together with all earlier jobs. Members that know the same jobs
+// compute the same result.
 func JobsWithinGuarantee(guarantee Amounts, jobs []Job) map[string]bool {
 	if !guarantee.isSignificant() {
 		return nil
@@ -37,23 +38,23 @@
 	return within
 }
 
-// UsageSnapshot is a member's figures of what teams use in its shards, as sent to the others.
+// UsageSnapshot is the teams' usage in a member's shards, as sent to the other members.
 type UsageSnapshot struct {
-	Version          int64              `msgpack:"at"`    // higher in each
-	Used             map[string]Amounts `msgpack:"use"`   // by team, without what is being stopped
-	Pending          map[string]Amounts `msgpack:"wait"`  // by team
-	ReceivedVersions map[string]int64   `msgpack:"heard"` // by member: its newest version received here
+	Version          int64              `msgpack:"at"`    // increases with each snapshot
+	Used             map[string]Amounts `msgpack:"use"`   // usage by team, without tasks that are being stopped
+	Pending          map[string]Amounts `msgpack:"wait"`  // pending work by team
+	ReceivedVersions map[string]int64   `msgpack:"heard"` // newest version received from each member
 }
 
-// UsageMonitor is what a member knows of teams' use over all members, and what it may preempt for
-// other teams' guarantees.
+// UsageMonitor tracks teams' usage over all members, and how much of it a member may preempt for other
+// teams' guarantees.
 type UsageMonitor struct {
 	memberID          string
-	startVersion      int64 // of this incarnation; those of earlier ones are not above it
+	startVersion      int64 // first version of this incarnation; earlier incarnations used no higher version
 	version           int64
-	peerIDs           []string // of the members that were heard from, in order
-	snapshots         map[string]receivedSnapshot
-	preemptionBudgets map[string]preemptionBudget // by team
+	peerIDs           []string                    // members with a received snapshot, sorted
+	snapshots         map[string]receivedSnapshot // last snapshot of each peer
+	preemptionBudgets map[string]preemptionBudget // budget for each team
 }
 
 type receivedSnapshot struct {
@@ -61,8 +62,8 @@
 	receivedMS int64 // monotonic time
 }
 
-// NewUsageMonitor returns the monitor of a member that starts at a time of day and has heard from
-// nobody.
+// NewUsageMonitor returns the monitor of a member that starts at a wall-clock time and has received no
+// snapshots yet.
 func NewUsageMonitor(memberID string, wallMS int64) *UsageMonitor {
 	return &UsageMonitor{
 		memberID:          memberID,
@@ -73,8 +74,8 @@
 	}
 }
 
-// Snapshot returns the figures to send. Their version follows the time of day, so that those of a
-// member that restarted are newer than those before.
+// Snapshot returns the snapshot to send. Its version follows the wall clock, so that snapshots of a
+// restarted member are newer than those of its earlier incarnation.
 func (m *UsageMonitor) Snapshot(wallMS int64, used, pending map[string]Amounts) UsageSnapshot {
 	m.version = max(m.version+1, wallMS)
 	snapshot := UsageSnapshot{Version: m.version, Used: used, Pending: pending, ReceivedVersions: map[string]int64{}}
@@ -84,7 +85,8 @@
 	return snapshot
 }
 
-// Receive takes another member's figures, unless newer ones overtook them. nowMS is monotonic time.
+// Receive records another member's snapshot, unless a newer one has already arrived. nowMS is
+// monotonic time.
 func (m *UsageMonitor) Receive(nowMS int64, from string, snapshot UsageSnapshot) {
 	old, known := m.snapshots[from]
 	if snapshot.Version <= old.Version {
@@ -97,8 +99,8 @@
 	m.snapshots[from] = receivedSnapshot{snapshot, nowMS}
 }
 
-// PeerUsage returns what a team uses and has pending in the shards of the members that were heard
-// from since a monotonic time, and how old the oldest of these figures is.
+// PeerUsage returns a team's usage and pending work in other members' shards, from snapshots received
+// since a monotonic time, and the age of the oldest of these snapshots.
 func (m *UsageMonitor) PeerUsage(team string, nowMS, sinceMS int64) (used, pending Amounts, ageMS int64) {
 	for _, peerID := range m.peerIDs {
 		snapshot := m.snapshots[peerID]
@@ -112,17 +114,18 @@
 	return used, pending, ageMS
 }
 
-// preemptionBudget is what a member may still preempt of a team by the figures that were complete
-// before its last preemption.
+// preemptionBudget is what a member may still preempt of a team's usage, based on the snapshots that
+// were complete before its last preemption.
 type preemptionBudget struct {
-	version     int64 // of the last snapshot sent before the last preemption
+	version     int64 // version of the last snapshot sent before the last preemption
 	remaining   Amounts
-	minOwnUsage Amounts // what must remain in use here
+	minOwnUsage Amounts // the member's own usage that it must not preempt
 }
 
-// lastPreemption returns the budget after the last preemption of a team, and whether every member
-// heard from since a monotonic time has reported its use after it received a newer snapshot of ours.
-// A member that just started waits for that too: the others may not know what its earlier
+// lastPreemption returns the budget after the last preemption of a team. acknowledged reports whether
+// all peers acknowledged the preemption. That is, each peer's snapshot, if received since a monotonic
+// time, was sent after the peer received a snapshot that this member sent after the preemption. A
+// member that has just started waits for this too, since the peers may not know what its earlier
 // incarnation preempted.
 func (m *UsageMonitor) lastPreemption(team string, sinceMS int64) (budget preemptionBudget, acknowledged bool) {
 	budget, preempted := m.preemptionBudgets[team]
@@ -137,13 +140,13 @@
 	return budget, true
 }
 
-// PreemptibleExcess returns what this member may preempt of a team that uses ownUsage here: its
-// part of what the team uses beyond its guarantee. Members not heard from since a monotonic time
+// PreemptibleExcess returns what this member may preempt of a team that uses ownUsage in its shards:
+// its part of the usage beyond the team's guarantee. Members without a snapshot since a monotonic time
 // count as using nothing. A dimension without a guarantee is unbounded (+Inf).
 func (m *UsageMonitor) PreemptibleExcess(team string, ownUsage, guarantee Amounts, sinceMS int64) Amounts {
 	if budget, acknowledged := m.lastPreemption(team, sinceMS); !acknowledged {
-		// Some figures are from before their senders knew of our last preemption: those members may
-		// preempt their parts by the earlier figures, and so may we, but no more.
+		// Some peers sent their snapshots before they knew of this member's last preemption. They may
+		// preempt their parts of the earlier excess. This member may do the same, but no more.
 		return budget.remaining.Min(ownUsage.Sub(budget.minOwnUsage)).nonNegative()
 	}
 	peerUsage, _, _ := m.PeerUsage(team, 0, sinceMS)
@@ -154,7 +157,8 @@
 	}
 }
 
-// ownShareOfExcess divides what a team uses beyond its guarantee in proportion to use.
+// ownShareOfExcess returns the member's part of a team's usage beyond its guarantee, in proportion to
+// the member's share of the usage.
 func ownShareOfExcess(ownUsage, total, guarantee float64) float64 {
 	switch {
 	case guarantee <= 0:
@@ -165,8 +169,8 @@
 	return (total - guarantee) * ownUsage / total
 }
 
-// TryPreempt takes an amount off what may be preempted of a team, and reports whether it was within
-// that. Only then may the caller stop tasks of that size.
+// TryPreempt deducts an amount from what may be preempted of a team, and reports whether the amount
+// was available. Only if it returns true may the caller stop tasks of that size.
 func (m *UsageMonitor) TryPreempt(team string, ownUsage, guarantee Amounts, sinceMS int64, amount Amounts) bool {
 	excess := m.PreemptibleExcess(team, ownUsage, guarantee, sinceMS)
 	if !excess.Contains(amount) {
@@ -194,9 +198,9 @@
 	return share
 }
 
-// Tier returns how far a team is beyond its guarantee, in halves of an equal share of the total: what
-// is free goes to lower tiers first. Within a tier deadlines decide, so that teams that are
-// about even do not cost each other theirs.
+// Tier returns by how much a team exceeds its guarantee, in units of half an equal share of the total.
+// Free resources go to lower tiers first. Within a tier, deadlines decide, so that teams with similar
+// usage do not make each other miss deadlines.
 func Tier(used, guarantee, total Amounts, teamCount int) int {
 	excess := used.Sub(guarantee).nonNegative()
 	return int(DominantShare(excess, total)*float64(2*teamCount) + roundingTolerance)
