--- a/quota/grace_period_test.go
+++ b/quota/grace_period_test.go
@@ -6,8 +6,8 @@
 	"github.com/grebedock/grebedock/access"
 )
 
-// twoShardLedger is two shards that share a limit of 64: a's next task needs 32, of which it has 25
-// beside what it uses; b's tasks need 4 each, and its allocation has room for one.
+// twoShardLedger models two shards that share a limit of 64. Shard a's next task needs 32, but only 25
+// of its allocation are unused. Shard b's tasks need 4 each, and its allocation has room for one.
 type twoShardLedger struct {
 	ledger   *Ledger
 	revision uint64
@@ -21,7 +21,7 @@
 	return k
 }
 
-// proposeBoth has both shards propose, and applies what they write.
+// proposeBoth makes both shards propose, and applies their writes.
 func (k *twoShardLedger) proposeBoth(demandA Demand, demandB func() Demand) {
 	k.nowMS += 250
 	k.propose("a", demandA)
@@ -36,7 +36,8 @@
 	}
 }
 
-// smallTaskDemand is the demand of tasks of 4 that start as soon as the allocation has room.
+// smallTaskDemand returns the demand of tasks of size 4 that can start as soon as the allocation has
+// room.
 func smallTaskDemand(used, pending float64) Demand {
 	return Demand{
 		Used:           Amounts{CPUs: used},
@@ -46,15 +47,16 @@
 	}
 }
 
-// fourSmallTasks is the demand of four tasks of b's, of which as many run as its allocation has room for.
+// fourSmallTasks returns the demand of four tasks in shard b, of which as many run as fit its
+// allocation.
 func (k *twoShardLedger) fourSmallTasks() Demand {
 	used := min(16, float64(int(k.ledger.Allocation("b").CPUs/4)*4))
 	return smallTaskDemand(used, 16-used)
 }
 
-// What a shard retains but cannot use goes to a shard that can use it, after the grace period and not
-// before. Retained without end, both waited (found by TestInvariantsSurvivePairsOfFaults: a job
-// was left waiting for 91 s).
+// An allocation that a shard retains but cannot use is granted to a shard that can use it, after the
+// grace period and not before. When it was retained without a time limit, both shards waited; in
+// TestInvariantsSurvivePairsOfFaults a job waited for 91 s.
 func TestUnusableAllocationIsGrantedAfterGracePeriod(t *testing.T) {
 	large := Demand{
 		Used:           Amounts{CPUs: 32},
@@ -75,22 +77,23 @@
 		granted := grantedMS != 0
 		onTime := grantedMS > gracePeriodMS && grantedMS <= gracePeriodMS+2000
 		if configuredMS == 0 && granted || configuredMS > 0 && !onTime {
-			t.Errorf("grace period %d ms: granted after %d ms", configuredMS, grantedMS)
+			t.Errorf("grace period %d ms: granted after %d ms (0: never), want 0 without a grace period, "+
+				"else %d to %d ms", configuredMS, grantedMS, gracePeriodMS, gracePeriodMS+2000)
 		}
 		if sum := k.ledger.Allocation("a").Add(k.ledger.Allocation("b")); !(Amounts{CPUs: 64}).Contains(sum) {
-			t.Errorf("allocations add up to %v", sum)
+			t.Errorf("sum of allocations: got %v, want at most 64 CPUs", sum)
 		}
 	}
 }
 
-// A large task gets what it lacks if tasks end within the grace period, however many small ones are
-// pending.
+// A large task gets the allocation that it needs if other tasks end within the grace period, regardless
+// of the number of pending small tasks.
 func TestLargeTaskAccumulatesAllocation(t *testing.T) {
 	k := newTwoShardLedger(30_000)
 	large := Demand{Pending: Amounts{CPUs: 60}, Startable: Amounts{CPUs: 60}, LargestPending: Amounts{CPUs: 60}}
 	for k.nowMS < 200_000 && !k.ledger.Allocation("a").Contains(large.LargestPending) {
 		k.proposeBoth(large, func() Demand {
-			// Small tasks use all of its allocation; one of them ends each second.
+			// Small tasks use all of shard b's allocation. One of them ends each second.
 			used := float64(int(k.ledger.Allocation("b").CPUs/4) * 4)
 			if k.nowMS%1000 == 0 {
 				used = max(0, used-4)
@@ -99,11 +102,12 @@
 		})
 	}
 	if !k.ledger.Allocation("a").Contains(large.LargestPending) {
-		t.Errorf("after %d ms the large task has %v of 60", k.nowMS, k.ledger.Allocation("a"))
+		t.Errorf("allocation for the large task after %d ms: got %v, want 60 CPUs", k.nowMS, k.ledger.Allocation("a"))
 	}
 }
 
-// The grace period begins when others request what is retained; a time without requests ends it.
+// The grace period begins when other shards request the retained allocation, and begins again after a
+// time without requests.
 func TestGracePeriodRestartsWithoutRequests(t *testing.T) {
 	const gracePeriodMS = 30_000
 	k := newTwoShardLedger(gracePeriodMS)
@@ -123,7 +127,7 @@
 	for k.nowMS < restartedMS+gracePeriodMS {
 		k.proposeBoth(large, k.fourSmallTasks)
 		if allocation := k.ledger.Allocation("a"); allocation.CPUs < 57 {
-			t.Fatalf("%d ms after it was requested again, %v is left", k.nowMS-restartedMS, allocation)
+			t.Fatalf("allocation %d ms after the new request: got %v, want 57 CPUs", k.nowMS-restartedMS, allocation)
 		}
 	}
 }
--- a/quota/ledger_model_test.go
+++ b/quota/ledger_model_test.go
@@ -15,29 +15,29 @@
 	"github.com/grebedock/grebedock/indoubt"
 )
 
-// The explorer visits all orders of events within small bounds: task starts and ends, grants and
-// requests, writes that are applied late or whose answers are lost, members that end and whose
-// shards others adopt, all of them at once. It runs the real Ledger; only the state service
-// and the machines are models.
+// The explorer visits all orders of events within small bounds. Events are task starts and ends,
+// grants and requests, writes that are applied late or whose responses are lost, and members that
+// fail and whose shards others adopt. All of them may be concurrent. The explorer runs the real
+// Ledger; only the state service and the machines are models.
 
-// inFlightWrite is a write on its way, its answer, or both.
+// inFlightWrite is a write whose request or response is in transit.
 type inFlightWrite struct {
-	member       int // that waits for the answer
-	incarnation  int // of that member
-	fencingToken int // of the shard's claim
+	member       int // member that sent the write
+	incarnation  int // incarnation of that member
+	fencingToken int // fencing token of the shard's claim
 	write        Write
-	arrived      bool // at the store, which answered
+	arrived      bool // the state service has processed the write; the response is in transit
 	applied      bool
 }
 
 type clusterState struct {
 	revision      uint64
 	record        *Record
-	owners        []int // by shard: a member, or -1
-	fencingTokens []int // by shard
-	incarnations  []int // by member
+	owners        []int // owner of each shard, or -1
+	fencingTokens []int // fencing token of each shard
+	incarnations  []int // incarnation of each member
 	ledgers       []*Ledger
-	used          []int // by shard: of the machines
+	used          []int // usage of each shard on its machines
 	inFlight      []inFlightWrite
 	failures      int
 	writes        int
@@ -66,7 +66,7 @@
 	return &copied
 }
 
-// digest collects what distinguishes states, as numbers.
+// digest encodes the properties that distinguish states as numbers.
 type digest []byte
 
 func (d *digest) putInts(ns ...int) {
@@ -91,7 +91,7 @@
 		d.putInts(-1)
 		return
 	}
-	// Amounts are whole numbers here, or fractions with small denominators.
+	// Amounts are whole numbers or fractions with small denominators in this model.
 	thousandths := func(v float64) int { return int(math.Round(v * 1000)) }
 	for i := range 3 {
 		allocation := r.Allocations[shardName(i)]
@@ -107,7 +107,7 @@
 }
 
 // nextAfterRefusal and nextAfterRead return the next step after a refusal and after a read of the same
-// revision, on a copy: together they distinguish all states of a write.
+// revision. They work on a copy of the write. Together they distinguish all states of a write.
 func nextAfterRefusal(w indoubt.ConditionalWrite) indoubt.NextStep {
 	return w.CompleteAttempt(access.Refused)
 }
@@ -136,7 +136,7 @@
 		}
 	}
 	for _, flight := range s.inFlight {
-		// Of tokens and incarnations it matters only whether they are current.
+		// For tokens and incarnations, only whether they are current matters.
 		d.putInts(flight.member, int(flight.write.Shard[0]), int(flight.write.Revision))
 		d.putBools(
 			flight.incarnation == s.incarnations[flight.member],
@@ -151,21 +151,21 @@
 
 const teamLimit = 2
 
-// exploreDeep raises the bounds beyond those of the usual run: hours, and much memory.
-var exploreDeep = flag.Bool("deep", false, "explore three writes and two ends")
+// exploreDeep raises the bounds beyond those of the usual run. Such a run takes hours and much memory.
+var exploreDeep = flag.Bool("deep", false, "explore three writes and two member failures")
 
 func shardName(i int) string { return string(rune('a' + i)) }
 
-// fault is a planted mistake, to show that the explorer finds it.
+// fault is a fault planted in the model, to verify that the explorer finds it.
 type fault int
 
 const (
 	noFault                  fault = iota
-	treatsLostAsUnapplied          // a write without an answer counts as not applied
-	treatsRefusalAsUnapplied       // a refused write counts as not applied, whatever became of an earlier attempt
-	ignoresPendingGrants           // what a write grants counts as the writer's until it is applied
-	acceptsStaleClaims             // the store takes writes of former claims
-	adoptsFromStaleMirror          // an adopter starts tasks before its replica is current
+	treatsLostAsUnapplied          // a write without a response counts as not applied
+	treatsRefusalAsUnapplied       // a refused write counts as not applied, regardless of earlier attempts
+	ignoresPendingGrants           // the writer uses the allocation that it grants until the write is applied
+	acceptsStaleClaims             // the state service accepts writes of former claims
+	adoptsFromStaleCache           // an adopter starts tasks before its state cache is current
 )
 
 type explorer struct {
@@ -175,7 +175,7 @@
 	seen        map[uint64]bool
 	queue       []*clusterState
 	violation   string
-	stepsTaken  map[string]bool // by kind
+	stepsTaken  map[string]bool // kinds of steps that were taken
 }
 
 func (x *explorer) allocation(s *clusterState, shard int) float64 {
@@ -204,11 +204,12 @@
 	storedDiffers := math.Abs(stored-teamLimit) > roundingTolerance
 	switch {
 	case used > teamLimit:
-		x.violation = fmt.Sprintf("%d in use after %s", used, step)
+		x.violation = fmt.Sprintf("usage after %s: got %d, want at most %d", step, used, teamLimit)
 	case allocated > teamLimit+roundingTolerance:
-		x.violation = fmt.Sprintf("members count on %g after %s", allocated, step)
+		x.violation = fmt.Sprintf("sum of allocations in use after %s: got %g, want at most %d",
+			step, allocated, teamLimit)
 	case s.record != nil && storedDiffers:
-		x.violation = fmt.Sprintf("allocations in the store add up to %g after %s", stored, step)
+		x.violation = fmt.Sprintf("sum of stored allocations after %s: got %g, want %d", step, stored, teamLimit)
 	}
 	if k := s.hash(); !x.seen[k] {
 		x.seen[k] = true
@@ -216,7 +217,7 @@
 	}
 }
 
-// resolveWrite carries out the next steps of a write, up to a resend.
+// resolveWrite performs the next steps of a write, up to and including a resend.
 func (x *explorer) resolveWrite(state *clusterState, member int, next indoubt.NextStep, write Write, fencingToken int) {
 	for next != indoubt.Settled {
 		ledger := state.ledgers[member]
@@ -226,7 +227,7 @@
 				read = access.NotFound
 			}
 			if next = ledger.Resolve(read, state.record, state.revision); next == indoubt.ReadBack {
-				panic("read back again")
+				panic("Resolve returned ReadBack after a successful read")
 			}
 			continue
 		}
@@ -235,7 +236,7 @@
 			ledger.Abandon()
 			return
 		}
-		// Resend: the same write once more.
+		// Resend the same write.
 		state.inFlight = append(state.inFlight, inFlightWrite{
 			member:       member,
 			incarnation:  state.incarnations[member],
@@ -263,10 +264,10 @@
 	}
 	mayFail := state.failures < x.maxFailures
 	for member, ledger := range state.ledgers {
-		if ledger.revision < state.revision { // the store's watch
+		if ledger.revision < state.revision { // the watch delivers the current record
 			next := state.clone()
 			next.ledgers[member].Observe(state.record, state.revision)
-			x.visit(next, "heard")
+			x.visit(next, "observe")
 		}
 		if mayFail {
 			x.failMember(state, member)
@@ -277,10 +278,10 @@
 	}
 }
 
-// adoptShard has any member adopt a shard without an owner, with what runs there.
+// adoptShard lets each member adopt a shard without an owner, together with its running tasks.
 func (x *explorer) adoptShard(state *clusterState, shard int) {
 	for member := range state.ledgers {
-		if state.ledgers[member].revision < state.revision && x.fault != adoptsFromStaleMirror {
+		if state.ledgers[member].revision < state.revision && x.fault != adoptsFromStaleCache {
 			continue
 		}
 		next := state.clone()
@@ -334,7 +335,7 @@
 		pending.Shard == flight.write.Shard && pending.Revision == flight.write.Revision
 }
 
-// deliver brings a write to the store, or the store's answer to the member.
+// deliver delivers a write to the state service, or the response to the member.
 func (x *explorer) deliver(state *clusterState, n int) {
 	flight := state.inFlight[n]
 	next := state.clone()
@@ -349,7 +350,7 @@
 			record := flight.write.Record
 			next.record = &record
 		}
-		x.visit(next, "arrives")
+		x.visit(next, "process")
 		return
 	}
 	next.inFlight = slices.Delete(next.inFlight, n, n+1)
@@ -362,10 +363,10 @@
 	case awaited:
 		x.resolveWrite(next, flight.member, ledger.RecordOutcome(access.Conflict), flight.write, flight.fencingToken)
 	}
-	x.visit(next, "answered")
+	x.visit(next, "respond")
 }
 
-// failAttempt ends an attempt that did not apply the write, as far as the writer knows.
+// failAttempt fails an attempt that, to the writer's knowledge, did not apply the write.
 func (x *explorer) failAttempt(state *clusterState, n int) {
 	flight, awaited := state.inFlight[n], state.awaitsOutcome(state.inFlight[n])
 	recordFailure := func(step string, outcome access.Outcome, removed bool, ignoredBy fault) {
@@ -380,27 +381,27 @@
 		}
 		x.visit(next, step)
 	}
-	if awaited && len(state.inFlight) < 3 { // no answer; the write may still be on its way
+	if awaited && len(state.inFlight) < 3 { // no response; the write may still be in transit
 		recordFailure("lost", access.Unknown, flight.arrived, treatsLostAsUnapplied)
 	}
-	if awaited && !flight.arrived { // the state service refuses it, for now
+	if awaited && !flight.arrived { // the state service refuses this attempt
 		recordFailure("refused", access.Refused, true, treatsRefusalAsUnapplied)
 	}
-	if !flight.arrived && !awaited { // the network loses it
+	if !flight.arrived && !awaited { // the network loses the write
 		next := state.clone()
 		next.inFlight = slices.Delete(next.inFlight, n, n+1)
 		x.visit(next, "dropped")
 	}
 }
 
-// failMember restarts a member, or takes its lease away.
+// failMember restarts a member, or lets its lease expire.
 func (x *explorer) failMember(state *clusterState, member int) {
 	next := state.clone()
 	next.restart(member)
-	x.visit(next, "ends")
+	x.visit(next, "restart")
 	next = state.clone()
 	next.loseShards(member)
-	x.visit(next, "loses")
+	x.visit(next, "lease-expiry")
 }
 
 func (x *explorer) restartAll(state *clusterState) {
@@ -409,10 +410,10 @@
 		next.restart(member)
 	}
 	next.failures = x.maxFailures
-	x.visit(next, "all end")
+	x.visit(next, "restart-all")
 }
 
-// loseShards takes a member's shards away while it lives on: its lease expired.
+// loseShards removes a running member's shards after its lease expires.
 func (s *clusterState) loseShards(member int) {
 	s.failures++
 	for i, owner := range s.owners {
@@ -422,8 +423,8 @@
 	}
 }
 
-// restart ends a member and starts it again with what the store has. Its shards have no owner until
-// a member claims them.
+// restart restarts a member with the record in the state service. Its shards have no owner until a
+// member claims them.
 func (s *clusterState) restart(member int) {
 	s.loseShards(member)
 	s.incarnations[member]++
@@ -431,7 +432,7 @@
 	s.ledgers[member].Observe(s.record, s.revision)
 }
 
-// explore visits every state within the bounds, up to maxStates.
+// explore visits all states within the bounds, up to maxStates.
 func explore(shards, maxWrites, maxFailures int, planted fault, maxStates int) *explorer {
 	x := &explorer{
 		fault:       planted,
@@ -457,9 +458,9 @@
 	return x
 }
 
-// Two members with two shards, two writes, a restart of one or of both: in no order of events is more
-// in use than the limit, nor do members count on more, nor do the allocations in the store add
-// up to anything else. With three members, the first states up to a bound.
+// In any order of events, neither the usage nor the members' allocations exceed the limit, and the stored
+// allocations add up to the limit. The test explores two members with two shards, two writes, and a restart
+// of one or both members. With three members it explores only the first states, up to a bound.
 func TestEveryEventOrderKeepsTeamLimit(t *testing.T) {
 	writes, failures, maxStates := 2, 1, 20_000
 	if *exploreDeep {
@@ -470,35 +471,35 @@
 		t.Fatal(x.violation)
 	}
 	for _, step := range []string{
-		"adopt", "start", "end", "write", "arrives", "answered", "lost", "refused", "dropped",
-		"heard", "ends", "loses", "all",
+		"adopt", "start", "end", "write", "process", "respond", "lost", "refused", "dropped",
+		"observe", "restart", "lease-expiry", "restart-all",
 	} {
 		if !x.stepsTaken[step] {
-			t.Errorf("no step %q", step)
+			t.Errorf("step %q was never taken", step)
 		}
 	}
-	t.Logf("two members: all %d states", len(x.seen))
+	t.Logf("two members: explored all %d states", len(x.seen))
 	if x = explore(3, writes, failures, noFault, maxStates); x.violation != "" {
 		t.Fatal(x.violation)
 	}
-	t.Logf("three members: the first %d states", len(x.seen))
+	t.Logf("three members: explored the first %d states", len(x.seen))
 }
 
-// Each planted fault leads to a violation.
+// The explorer finds a violation for each planted fault.
 func TestExplorerFindsPlantedFaults(t *testing.T) {
 	for planted, name := range map[fault]string{
-		treatsLostAsUnapplied:    "lost answer counts as not applied",
-		treatsRefusalAsUnapplied: "refusal counts for the earlier attempt",
-		ignoresPendingGrants:     "grants count until they are applied",
-		acceptsStaleClaims:       "store takes writes of former claims",
-		adoptsFromStaleMirror:    "adopter with a stale replica",
+		treatsLostAsUnapplied:    "lost response counts as not applied",
+		treatsRefusalAsUnapplied: "refusal counts for earlier attempts",
+		ignoresPendingGrants:     "grants stay in use until applied",
+		acceptsStaleClaims:       "state service accepts writes of former claims",
+		adoptsFromStaleCache:     "adopter has a stale state cache",
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := explore(2, 2, 1, planted, 1<<40)
 			if x.violation == "" {
-				t.Fatalf("not found in %d states", len(x.seen))
+				t.Fatalf("no violation in %d states, want one", len(x.seen))
 			}
-			t.Logf("%s, after %d states", x.violation, len(x.seen))
+			t.Logf("found after %d states: %s", len(x.seen), x.violation)
 		})
 	}
 }
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -10,8 +10,8 @@
 	"github.com/grebedock/grebedock/indoubt"
 )
 
-// Whatever is claimed, no more is granted than the pool has, no claim gets more than its total, nothing is
-// left over while a claim could use it, and what can start goes first.
+// For any claims, the grants do not exceed the pool, no claim gets more than its total, and nothing usable
+// remains in the pool. Tasks that can start at once are served first.
 func TestDivideServesStartableClaimsFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := Amounts{float64(rapid.IntRange(0, 40).Draw(t, "cpus")), float64(rapid.IntRange(0, 4).Draw(t, "gpus"))}
@@ -32,18 +32,19 @@
 		var granted, grantedStartable Amounts
 		for _, c := range claims {
 			if grant := grants[c.Shard]; !c.Total.Contains(grant) || grant.CPUs < 0 || grant.GPUs < 0 {
-				t.Fatalf("claim %v is granted %v", c, grant)
+				t.Fatalf("grant for claim %+v: got %v, want between 0 and its total", c, grant)
 			}
 			granted = granted.Add(grants[c.Shard])
 			grantedStartable = grantedStartable.Add(grants[c.Shard].Min(c.Startable))
 		}
 		if expected := pool.Min(requested); !expected.Contains(granted) || !granted.Contains(expected) {
-			t.Fatalf("granted %v of %v for %v, want %v", granted, pool, claims, expected)
+			t.Fatalf("sum of grants from %v for %+v: got %v, want %v", pool, claims, granted, expected)
 		}
 		if expected := pool.Min(startable); grantedStartable.CPUs < expected.CPUs-roundingTolerance {
-			t.Fatalf("%v of %v goes to what can start, want %v: %v", grantedStartable, pool, expected, claims)
+			t.Fatalf("startable part of grants from %v for %+v: got %v, want %v",
+				pool, claims, grantedStartable, expected)
 		}
-		// The oldest claim gets its smallest useful grant, if the pool has that much.
+		// The oldest claim gets its smallest useful grant if the pool is large enough.
 		oldest := slices.MinFunc(claims, func(a, b Claim) int {
 			if a.SinceMS != b.SinceMS {
 				return int(a.SinceMS - b.SinceMS)
@@ -52,13 +53,13 @@
 		})
 		increment, got := oldest.MinIncrement.Min(oldest.Startable), grants[oldest.Shard]
 		if pool.CPUs >= increment.CPUs && got.CPUs < increment.CPUs-roundingTolerance {
-			t.Fatalf("the oldest claim, %v, is granted %v of %v", oldest, got, pool)
+			t.Fatalf("grant for the oldest claim %+v from %v: got %v, want at least %v", oldest, pool, got, increment)
 		}
 	})
 }
 
-// What members count on together adds up to the limit, for shards that propose by their demands, over
-// several incarnations and with limits that differ from the record's.
+// The allocations that members use add up to the limit while shards propose writes for random demands. The
+// limit may differ from the sum in the record, and each step uses a new ledger.
 func TestAllocationsKeepLimitThatDiffersFromRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Amounts{
@@ -81,7 +82,7 @@
 				sum = sum.Add(ledger.Allocation(shardName(i)))
 			}
 			if !limit.Contains(sum) || !sum.Contains(limit) {
-				t.Fatalf("allocations %v under a limit of %v", ledger.Allocations(), limit)
+				t.Fatalf("sum of allocations %v: got %v, want the limit %v", ledger.Allocations(), sum, limit)
 			}
 			shard := shardName(rapid.IntRange(0, 2).Draw(t, "s"))
 			demand := Demand{
@@ -98,11 +99,12 @@
 			}
 			after := write.Record.Allocations[shard]
 			if after.CPUs < min(before.CPUs, demand.Used.CPUs)-roundingTolerance {
-				t.Fatalf("a shard that uses %v keeps %v of %v", demand.Used, after, before)
+				t.Fatalf("allocation of a shard that uses %v of %v: got %v, want at least its usage",
+					demand.Used, before, after)
 			}
 			_, requested := write.Record.Requests[shard]
 			if lacks := demand.Used.Add(demand.Pending).Sub(after); requested && !lacks.isSignificant() {
-				t.Fatalf("a shard requests what it has: %+v", write)
+				t.Fatalf("request of a shard without a shortfall: got %+v, want none", write)
 			}
 			revision++
 			record = &write.Record
@@ -110,26 +112,26 @@
 	})
 }
 
-// What the home has no use for is lent to the others, as far as it is of use to them, and they return it
-// when the home requests it.
+// The home shard lends the idle part of the limit to the other shards if the loans are large enough for a
+// task. The other shards return the loans when the home shard requests them.
 func TestHomeShardLendsIdleLimitAndRequestsItBack(t *testing.T) {
 	limit := Amounts{CPUs: 48}
 	home, borrower := NewLedger(limit, "a", "b", "c"), NewLedger(limit, "a", "b", "c")
 	if write := home.Propose(1, "a", Demand{Used: Amounts{CPUs: 4}, LargestTask: Amounts{CPUs: 9}}); write != nil {
-		t.Errorf("loans too small for a task: %+v", write)
+		t.Errorf("loans too small for a task: got %+v, want no write", write)
 	}
 	if write := home.Propose(1, "a", Demand{Used: Amounts{CPUs: 25}, LargestTask: Amounts{CPUs: 4}}); write != nil {
-		t.Errorf("a loan while more than half is in use: %+v", write)
+		t.Errorf("loan while more than half of the limit is in use: got %+v, want no write", write)
 	}
 	write := home.Propose(1, "a", Demand{Used: Amounts{CPUs: 4}, LargestTask: Amounts{CPUs: 4}})
 	if write == nil || write.Record.Allocations["a"].CPUs != 32 || write.Record.Allocations["b"].CPUs != 8 ||
 		write.Record.Allocations["c"].CPUs != 8 {
-		t.Fatalf("loans: got %+v, want 8 for each of two shards", write)
+		t.Fatalf("loans: got %+v, want 8 CPUs for each of two shards", write)
 	}
 	home.Observe(&write.Record, 1)
 	home.RecordOutcome(access.OK)
 	if again := home.Propose(2, "a", Demand{Used: Amounts{CPUs: 4}, LargestTask: Amounts{CPUs: 4}}); again != nil {
-		t.Errorf("a second loan: %+v", again)
+		t.Errorf("second loan: got %+v, want no write", again)
 	}
 	write = home.Propose(3, "a", Demand{
 		Used:           Amounts{CPUs: 32},
@@ -139,16 +141,16 @@
 		LargestTask:    Amounts{CPUs: 4},
 	})
 	if write == nil || write.Record.Requests["a"].CPUs != 12 {
-		t.Fatalf("request by the home: %+v", write)
+		t.Fatalf("request of the home shard: got %+v, want 12 CPUs", write)
 	}
 	borrower.Observe(&write.Record, 2)
 	write = borrower.Propose(4, "b", Demand{})
 	if write == nil || write.Record.Allocations["a"].CPUs != 40 || write.Record.Requests["a"].CPUs != 4 {
-		t.Errorf("return by the borrower: %+v", write)
+		t.Errorf("return of the loan: got %+v, want 40 CPUs allocated to a and 4 still requested", write)
 	}
 }
 
-// A request is granted once: the write that grants it takes it off the record.
+// A request is granted only once, because the write that grants it removes it from the record.
 func TestGrantedRequestIsRemovedFromRecord(t *testing.T) {
 	a, b := NewLedger(Amounts{CPUs: 10}, "a"), NewLedger(Amounts{CPUs: 10}, "a")
 	write := b.Propose(5, "b", Demand{
@@ -157,7 +159,7 @@
 		LargestPending: Amounts{CPUs: 2},
 	})
 	if write == nil || write.Record.Requests["b"].CPUs != 4 || write.Record.Allocations["a"].CPUs != 10 {
-		t.Fatalf("request: %+v", write)
+		t.Fatalf("request: got %+v, want 4 CPUs for b, and 10 allocated to a", write)
 	}
 	a.Observe(&write.Record, 1)
 	write = a.Propose(6, "a", Demand{
@@ -167,30 +169,31 @@
 		LargestPending: Amounts{CPUs: 1},
 	})
 	if write == nil || a.Allocation("a").CPUs >= 10 || len(write.Record.Requests) != 1 {
-		t.Fatalf("grant: %+v, and the grantor counts on %v", write, a.Allocation("a"))
+		t.Fatalf("grant: got %+v and allocation %v, want an allocation below 10 CPUs and 1 request",
+			write, a.Allocation("a"))
 	}
 	granted := write.Record.Allocations["b"].CPUs
 	if unmet := write.Record.Requests["b"].CPUs; granted < 1 || granted+unmet != 4 {
-		t.Errorf("granted %g, still requested %g, want 4 together", granted, unmet)
+		t.Errorf("got %g CPUs granted, %g still requested, want at least 1 granted and a sum of 4", granted, unmet)
 	}
-	// An abandoned write blocks nothing, also if no record ever existed.
+	// An abandoned write does not block further writes, even if no record ever existed.
 	abandoning := NewLedger(Amounts{CPUs: 10}, "a")
 	for range 2 {
 		if abandoning.Propose(5, "b", Demand{Pending: Amounts{CPUs: 4}}) == nil {
-			t.Error("no request after a write was abandoned")
+			t.Error("proposal after an abandoned write: got none, want a request")
 		}
 		abandoning.Abandon()
 	}
 	if again := a.Propose(7, "a", Demand{}); again != nil {
-		t.Errorf("a second write beside the first: %+v", again)
+		t.Errorf("proposal while a write is pending: got %+v, want none", again)
 	}
 	if next := a.RecordOutcome(access.Unknown); next != indoubt.ReadBack {
-		t.Errorf("unknown outcome: got %v, want a read", next)
+		t.Errorf("next step after an unknown outcome: got %v, want %v", next, indoubt.ReadBack)
 	}
 	if next := a.Resolve(access.OK, &write.Record, 2); next != indoubt.Settled {
-		t.Errorf("read back as applied: got %v, want settled", next)
+		t.Errorf("next step after reading the applied write: got %v, want %v", next, indoubt.Settled)
 	}
 	if got := a.Allocation("a").CPUs; got != 10-granted {
-		t.Errorf("allocation after the read: got %v, want %v", got, 10-granted)
+		t.Errorf("allocation after the read: got %v CPUs, want %v", got, 10-granted)
 	}
 }
--- a/quota/record_compatibility_test.go
+++ b/quota/record_compatibility_test.go
@@ -9,14 +9,14 @@
 )
 
 func init() {
-	// A fixed seed, so that the verdict is the same in every run.
+	// A fixed seed makes the inputs and the result reproducible.
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "2000")); err != nil {
 		panic(err)
 	}
 }
 
-// Members of a release whose requests had amounts alone share records with newer ones: each reads
-// the other's, and ignores fields that it does not know.
+// Members of an older release, whose requests contain only amounts, share records with newer members. Each
+// release reads the records of the other, and ignores unknown fields.
 func TestRecordsWithoutRequestDetailsAreRead(t *testing.T) {
 	var record Record
 	const old = `{"parts":{"m0":{"cpus":40},"m1":{"cpus":24,"gpus":2}},"wants":{"m1":{"cpus":8}}}`
@@ -27,7 +27,7 @@
 	ledger.Observe(&record, 7)
 	write := ledger.Propose(1, "m0", Demand{Used: Amounts{CPUs: 30}})
 	if write == nil || write.Record.Allocations["m1"].CPUs != 32 || len(write.Record.Requests) != 0 {
-		t.Fatalf("request without a smallest increment: proposed %+v", write)
+		t.Fatalf("request without a minimum increment: got %+v, want 32 CPUs for m1 and no requests", write)
 	}
 	got, err := json.Marshal(Record{
 		Allocations: map[string]Amounts{"m0": {CPUs: 4}},
@@ -39,8 +39,8 @@
 	}
 }
 
-// One demand leads to one record: grants to several shards were once taken off the allocation in the
-// order of a map, and its last bits differed from run to run.
+// The same demand always produces the same record. When grants to several shards were subtracted from the
+// allocation in map order, its last bits differed between runs.
 func TestProposalIsDeterministic(t *testing.T) {
 	record := Record{Allocations: map[string]Amounts{"m0": {CPUs: 64}}, Requests: map[string]Request{}}
 	for i, cpus := range []float64{1.0 / 3, 10.0 / 7, 8.3, 2.77, 5.1} {
@@ -52,14 +52,14 @@
 		ledger.Observe(&record, 7)
 		write := ledger.Propose(9, "m0", Demand{Used: Amounts{CPUs: 30.3}})
 		if write == nil {
-			t.Fatal("nothing is granted")
+			t.Fatal("proposal: got none, want grants")
 		}
 		got := write.Record.Allocations["m0"]
 		if i == 0 {
 			first = got
 		}
 		if got != first {
-			t.Fatalf("proposal %d leaves %v, the first %v", i, got, first)
+			t.Fatalf("allocation after proposal %d: got %v, want %v as in the first", i, got, first)
 		}
 	}
 }
--- a/quota/usage_monitor_test.go
+++ b/quota/usage_monitor_test.go
@@ -10,12 +10,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// monitorState is a team over some members, each of which may preempt what the team uses beyond its
-// guarantee, and the snapshots in transit between them.
+// monitorState is the usage of a team in several members' shards, and the snapshots in transit between the
+// members. Each member may preempt usage beyond the team's guarantee.
 type monitorState struct {
 	used          []int
 	monitors      []*UsageMonitor
-	inTransit     [][]UsageSnapshot // from member i to j at i*n+j
+	inTransit     [][]UsageSnapshot // index i*n+j: from member i to member j
 	snapshotsSent []int
 	starts        int
 }
@@ -75,15 +75,15 @@
 
 const team, guaranteedCPUs = "ops", 4
 
-// monitorExplorer visits all orders in which members send, receive, start and preempt.
+// monitorExplorer visits all orders in which members send and receive snapshots, start tasks and preempt.
 type monitorExplorer struct {
-	maxSnapshots            int  // that each member sends
-	ignoresAcknowledgements bool // planted: it does not wait until the others know of its preemptions
+	maxSnapshots            int  // maximum number of snapshots that each member sends
+	ignoresAcknowledgements bool // planted fault: members do not wait until peers know of their preemptions
 	seen                    map[uint64]bool
 	queue                   []*monitorState
 }
 
-// exploreUsageMonitors returns a violation, if there is one, and the number of states.
+// exploreUsageMonitors returns the first violation, or "" without one, and the number of states visited.
 func exploreUsageMonitors(used []int, maxSnapshots int, ignoresAcknowledgements bool) (violation string, states int) {
 	n := len(used)
 	initial := &monitorState{used: used, inTransit: make([][]UsageSnapshot, n*n), snapshotsSent: make([]int, n)}
@@ -138,7 +138,7 @@
 	x.enqueue(next)
 }
 
-// preempt has a member preempt some of what it may, or all.
+// preempt lets a member preempt a part or all of its preemptible excess.
 func (x *monitorExplorer) preempt(state *monitorState, member int) (violation string) {
 	monitor := state.monitors[member]
 	if x.ignoresAcknowledgements {
@@ -162,14 +162,15 @@
 			total += used
 		}
 		if total < guaranteedCPUs {
-			return fmt.Sprintf("%d left of %d guaranteed: %v", total, guaranteedCPUs, next.used)
+			return fmt.Sprintf("sum of usage %v after preemption: got %d, want at least %d",
+				next.used, total, guaranteedCPUs)
 		}
 		x.enqueue(next)
 	}
 	return ""
 }
 
-// receiveSnapshots delivers any snapshot in transit: it may overtake others, which may be lost.
+// receiveSnapshots delivers each snapshot in transit from a member. Snapshots may be reordered or lost.
 func (x *monitorExplorer) receiveSnapshots(state *monitorState, from int) {
 	n := len(state.used)
 	for to := range n {
@@ -183,30 +184,30 @@
 	}
 }
 
-// In no order of messages and preemptions do members that decide concurrently push a team below its
-// guarantee. Without the wait for acknowledgements they do.
+// Members that decide concurrently never preempt a team below its guarantee, in any order of messages and
+// preemptions. Without the wait for acknowledgements they do.
 func TestConcurrentPreemptionKeepsGuarantee(t *testing.T) {
 	for _, used := range [][]int{{5, 5}, {6, 1}, {2, 5}} {
 		violation, states := exploreUsageMonitors(used, 2, false)
 		if violation != "" {
-			t.Errorf("%v: %s", used, violation)
+			t.Errorf("initial usage %v: %s", used, violation)
 		}
-		t.Logf("%v: %d states", used, states)
+		t.Logf("usage %v: explored %d states", used, states)
 	}
 	if violation, states := exploreUsageMonitors([]int{2, 2, 2}, 1, false); violation != "" {
 		t.Error(violation)
 	} else {
-		t.Logf("three members: %d states", states)
+		t.Logf("three members: explored %d states", states)
 	}
 	found := false
 	for _, used := range [][]int{{6, 6}, {8, 8}} {
 		violation, states := exploreUsageMonitors(used, 2, true)
 		if found = found || violation != ""; violation != "" {
-			t.Logf("without acknowledgements: %s, after %d states", violation, states)
+			t.Logf("without acknowledgements, found after %d states: %s", states, violation)
 		}
 	}
 	if !found {
-		t.Error("without acknowledgements no violation is found")
+		t.Error("without acknowledgements: got no violation, want one")
 	}
 }
 
@@ -224,7 +225,7 @@
 
 	monitor.Receive(100, "b", UsageSnapshot{Version: 1, Used: cpus(30)})
 	if got := excess(30); got != (Amounts{}) {
-		t.Errorf("before the peer received a snapshot of this incarnation: got %v, want none", got)
+		t.Errorf("excess before the peer received a snapshot of this incarnation: got %v, want 0", got)
 	}
 	monitor.Receive(100, "b", UsageSnapshot{Version: 2, Used: cpus(30), ReceivedVersions: acknowledged(1)})
 	for _, c := range []struct {
@@ -232,10 +233,10 @@
 		own, since float64
 		expected   float64
 	}{
-		{"three quarters of the use, and of the excess, are elsewhere", 10, 0, 5},
-		{"nothing here", 0, 0, 0},
-		{"peer not heard from since counts as using nothing", 10, 200, 0},
-		{"use here beyond all of the guarantee", 25, 200, 5},
+		{"three quarters of the usage and excess are on the peer", 10, 0, 5},
+		{"no own usage", 0, 0, 0},
+		{"peer without a recent snapshot counts as using nothing", 10, 200, 0},
+		{"own usage alone exceeds the guarantee", 25, 200, 5},
 	} {
 		got := monitor.PreemptibleExcess(team, Amounts{CPUs: c.own}, guarantee, int64(c.since))
 		if math.Abs(got.CPUs-c.expected) > roundingTolerance {
@@ -244,30 +245,30 @@
 	}
 	unguaranteed := monitor.PreemptibleExcess(team, Amounts{CPUs: 4, GPUs: 2}, Amounts{}, 0)
 	if !math.IsInf(unguaranteed.CPUs, 1) || !math.IsInf(unguaranteed.GPUs, 1) {
-		t.Errorf("team without a guarantee: got %v, want no bound", unguaranteed)
+		t.Errorf("excess of a team without a guarantee: got %v, want +Inf in each dimension", unguaranteed)
 	}
 
 	monitor.Snapshot(50, cpus(10), nil)
 	if tryPreempt(10, 6) || !tryPreempt(10, 4) {
-		t.Error("of an excess of 5, 6 may be preempted or 4 may not")
+		t.Error("TryPreempt with an excess of 5 CPUs: want false for 6 CPUs and true for 4")
 	}
 	if got := excess(6); got.CPUs != 1 {
-		t.Errorf("after a preemption that no peer acknowledged: got %v, want 1", got)
+		t.Errorf("excess after an unacknowledged preemption: got %v, want 1 CPU", got)
 	}
 	tryPreempt(6, 1)
 	if got := excess(5); got.CPUs != 0 {
-		t.Errorf("after all of the excess was preempted, unacknowledged: got %v, want 0", got)
+		t.Errorf("excess after it was all preempted, unacknowledged: got %v, want 0 CPUs", got)
 	}
 	snapshot := monitor.Snapshot(60, cpus(5), nil)
 	monitor.Receive(300, "b", UsageSnapshot{
 		Version: 3, Used: cpus(30), ReceivedVersions: acknowledged(snapshot.Version),
 	})
 	if got := excess(5); got.CPUs <= 0 {
-		t.Errorf("after the peer acknowledged the preemption: got %v, want some", got)
+		t.Errorf("excess after the peer acknowledged the preemption: got %v, want more than 0 CPUs", got)
 	}
 	monitor.Receive(400, "b", UsageSnapshot{Version: 2, Used: cpus(90)})
 	if used, _, ageMS := monitor.PeerUsage(team, 500, 0); used.CPUs != 30 || ageMS != 200 {
-		t.Errorf("peer usage: got %v, %d ms old, want 30, 200 ms old", used, ageMS)
+		t.Errorf("peer usage: got %v, %d ms old, want 30 CPUs, 200 ms old", used, ageMS)
 	}
 }
 
@@ -284,21 +285,21 @@
 	}{{0, "[]"}, {3, "[]"}, {4, "[a]"}, {10, "[a b]"}, {11, "[a b d]"}, {12, "[a b c d]"}} {
 		within := JobsWithinGuarantee(Amounts{CPUs: c.guarantee}, jobs)
 		if got := fmt.Sprint(slices.Sorted(maps.Keys(within))); got != c.expected {
-			t.Errorf("guarantee of %g: got %s, want %s", c.guarantee, got, c.expected)
+			t.Errorf("jobs within a guarantee of %g CPUs: got %s, want %s", c.guarantee, got, c.expected)
 		}
 	}
 	if JobsWithinGuarantee(Amounts{GPUs: 1}, []Job{{"a", 1, Amounts{CPUs: 1}}})["a"] {
-		t.Error("a guarantee of GPUs alone covers CPUs")
+		t.Error("job of 1 CPU is within a guarantee of 1 GPU, want it outside")
 	}
 }
 
 func TestDominantShareAndTier(t *testing.T) {
 	total := Amounts{CPUs: 100, GPUs: 10}
 	if s := DominantShare(Amounts{CPUs: 20, GPUs: 5}, total); s != 0.5 {
-		t.Errorf("got %g, want 0.5", s)
+		t.Errorf("dominant share: got %g, want 0.5", s)
 	}
 	if s := DominantShare(Amounts{CPUs: 20}, Amounts{}); s != 0 {
-		t.Errorf("share of an empty cluster: got %g, want 0", s)
+		t.Errorf("dominant share of an empty cluster: got %g, want 0", s)
 	}
 	for _, c := range []struct {
 		used, guarantee Amounts
@@ -311,7 +312,7 @@
 		{Amounts{CPUs: 5, GPUs: 3}, Amounts{CPUs: 30}, 2},
 	} {
 		if got := Tier(c.used, c.guarantee, total, 4); got != c.expected {
-			t.Errorf("use of %v, guarantee of %v: got tier %d, want %d", c.used, c.guarantee, got, c.expected)
+			t.Errorf("tier for usage %v and guarantee %v: got %d, want %d", c.used, c.guarantee, got, c.expected)
 		}
 	}
 }
