--- a/planner/catalog.go
+++ b/planner/catalog.go
@@ -178,7 +178,8 @@
 	return market + "|" + o.Zone + "|" + o.Type
 }
 
-// ParseInstanceOffering parses a string returned by Key. For any other string it returns the zero offering.
+// ParseInstanceOffering parses a string returned by Key. It returns the zero offering for a string without the three
+// fields of a key.
 func ParseInstanceOffering(key string) InstanceOffering {
 	fields := strings.SplitN(key, "|", 3)
 	if len(fields) != 3 {
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,6 +1,6 @@
-// Package planner admits pending tasks to queues on a shard's machines. It implements the admission rules of the paper
-// that package availability cites. Groups with the earliest deadline are placed first, on the machines with the least
-// leftover resources. An admission never breaks a deadline that a queue has already accepted.
+// Package planner admits pending tasks to queues on a shard's machines, by the rules of the paper that package
+// availability cites: earliest deadline first, and least leftover resources first. An admission never breaks a deadline
+// that a queue has already accepted.
 //
 // # Scope
 //
--- a/planner/group.go
+++ b/planner/group.go
@@ -120,7 +120,7 @@
 	return cmp.Or(
 		other.Priority-g.Priority,
 		trueFirst(g.IsFirstTask, other.IsFirstTask),
-		// A group that can no longer meet any objective must not make other groups miss theirs.
+		// A group that can no longer meet any objective must not make other groups miss their objectives.
 		trueFirst(!g.MissedObjectives, !other.MissedObjectives),
 		// Groups within guarantees get free resources first. Otherwise other groups would use the resources, and
 		// their tasks would then be stopped.
--- a/planner/placement_test.go
+++ b/planner/placement_test.go
@@ -208,7 +208,7 @@
 	}
 }
 
-// ParseInstanceOffering parses the keys of offerings, and returns the zero offering for any other string.
+// ParseInstanceOffering parses the keys of offerings, and returns the zero offering for a string that is not a key.
 func TestInstanceOfferingKeyRoundTrips(t *testing.T) {
 	for _, k := range []InstanceOffering{{"small", "a", true}, {"large", "b-1", false}, {"a|b", "c", true}} {
 		if got := ParseInstanceOffering(k.Key()); got != k {
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -203,6 +203,6 @@
 }
 
 // Abandon drops the pending write of a shard that this member no longer owns. If the write was
-// applied, the member learns of it when it observes the record. Until then the state service refuses
-// further writes because their revision is outdated.
+// applied, the next observed record contains it. Until then the state service refuses further writes
+// because their revision is outdated.
 func (l *Ledger) Abandon() { l.pendingWrite = nil }
--- a/quota/proposal.go
+++ b/quota/proposal.go
@@ -195,7 +195,7 @@
 
 // lendIdle adds standing loans to the home shard's grants. If at least half of the limit is idle, it
 // raises the allocation of each shard that has less than half of a loan to a full loan. It makes no
-// loans smaller than the largest task, since they might be unusable.
+// loans smaller than the largest task, since the task would not fit in them.
 func (l *Ledger) lendIdle(grants map[string]Amounts, spare Amounts, demand Demand) {
 	if len(l.otherShards) == 0 || !demand.LargestTask.isSignificant() {
 		return
--- a/quota/usage_monitor.go
+++ b/quota/usage_monitor.go
@@ -50,7 +50,7 @@
 // teams' guarantees.
 type UsageMonitor struct {
 	memberID          string
-	startVersion      int64 // first version of this incarnation; earlier incarnations used no higher version
+	startVersion      int64 // all versions of this incarnation are higher; those of earlier ones are not
 	version           int64
 	peerIDs           []string                    // members with a received snapshot, sorted
 	snapshots         map[string]receivedSnapshot // last snapshot of each peer
