--- a/planner/candidate_search.go
+++ b/planner/candidate_search.go
@@ -6,51 +6,52 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// offeringUse is what an offering is worth to a group.
-type offeringUse struct {
+// offeringEvaluation is the evaluation of an offering for a group.
+type offeringEvaluation struct {
 	allowed bool
-	avoid   bool  // other live jobs fit no other type
-	costly  bool  // on-demand, for a group that may use spot machines
-	fetchMS int64 // of a machine without the image
-	rank    int   // by the above alone
+	avoid   bool  // some other live job fits no other type
+	costly  bool  // on-demand, while the group may use spot machines
+	fetchMS int64 // time to fetch the image on a machine without it
+	rank    int   // computed from avoid and costly
+
+	// The fields below cover the offering's machines with free resources for the group.
 
-	// Of the offering's machines with free resources for the group:
 	openMachines    int
-	booting         bool  // one of them boots
-	earliestStartMS int64 // of a task on one of them, the image there
+	booting         bool  // at least one of the machines is booting
+	earliestStartMS int64 // earliest start of a task, after the image fetch
 	queues          queueBounds
 }
 
-// offeringUses evaluates each offering once for a group. The result is good until the next call.
-func (v *ClusterView) offeringUses(g *Group) []offeringUse {
-	uses := v.search.uses[:0]
+// evaluateOfferings evaluates each offering once for a group. The result is valid until the next call.
+func (v *ClusterView) evaluateOfferings(g *Group) []offeringEvaluation {
+	evaluations := v.search.evaluations[:0]
 	for _, offering := range v.offerings {
-		use := offeringUse{
+		eval := offeringEvaluation{
 			allowed:         v.catalog.IsAllowed(&g.Request, offering.InstanceOffering),
 			earliestStartMS: math.MaxInt64,
 			queues:          emptyBounds,
 		}
-		if use.allowed {
-			use.avoid = v.catalog.ShouldAvoid(&g.Request, offering.Type)
-			use.costly = g.Request.AllowsSpot && !offering.Spot
-			use.fetchMS = v.catalog.FetchMS(&g.Request, offering.Type)
-			use.rank = bitIf(use.avoid, 2) | bitIf(use.costly, 1)
+		if eval.allowed {
+			eval.avoid = v.catalog.ShouldAvoid(&g.Request, offering.Type)
+			eval.costly = g.Request.AllowsSpot && !offering.Spot
+			eval.fetchMS = v.catalog.FetchMS(&g.Request, offering.Type)
+			eval.rank = bitIf(eval.avoid, 2) | bitIf(eval.costly, 1)
 		}
-		uses = append(uses, use)
+		evaluations = append(evaluations, eval)
 	}
-	v.search.uses = uses
-	return uses
+	v.search.evaluations = evaluations
+	return evaluations
 }
 
-// openMachine is a machine with free resources for the group that is placed.
+// openMachine is a machine with free resources for the group being placed.
 type openMachine struct {
 	machine  *Machine
 	rank     int
-	leftover float64 // resources and time left, as shares; lower is better
+	leftover float64 // unused resources and slack, as fractions; lower is better
 	fetchMS  int64
 }
 
-// precedes reports whether a machine goes before another. Placements spend most of their time here.
+// precedes reports whether a is ordered before o. Placement spends most of its time in this method.
 func (a *openMachine) precedes(o *openMachine) bool {
 	if a.rank != o.rank {
 		return a.rank < o.rank
@@ -61,10 +62,10 @@
 	return a.machine.Index < o.machine.Index
 }
 
-// candidateQueue sorts candidates as far as they are asked for: most groups need the first few of hundreds.
+// candidateQueue sorts candidates lazily, since most groups need only the first few of hundreds.
 //
-// candidates[:sortedCount] are in order. The rest is a heap that stands backwards, its least at the end, so that what
-// leaves it stays in the slice: heap position i is candidates[len-1-i].
+// candidates[:sortedCount] is sorted. The rest is a min-heap in reverse order, with its root at the end of the slice:
+// heap position i is candidates[len-1-i]. A popped candidate thus stays in the slice.
 type candidateQueue struct {
 	candidates  []openMachine
 	sortedCount int
@@ -89,14 +90,14 @@
 	}
 }
 
-// heapify makes a heap of all candidates.
+// heapify builds the heap from all candidates.
 func (q *candidateQueue) heapify() {
 	for i := len(q.candidates)/2 - 1; i >= 0; i-- {
 		q.siftDown(i, len(q.candidates))
 	}
 }
 
-// candidate returns the ith machine with free resources; nil: there are no more.
+// candidate returns the ith machine with free resources, or nil if there are fewer.
 func (q *candidateQueue) candidate(i int) *openMachine {
 	if i >= len(q.candidates) {
 		return nil
@@ -111,32 +112,37 @@
 	return &q.candidates[i]
 }
 
-// CandidateSearch is the search for machines for one group: those with free resources for it, in their order, and the
-// queues of the others.
+// CandidateSearch is a search for machines for one group. It covers, in order, the machines with free resources for the
+// group, and then the queues of the other machines.
 type CandidateSearch struct {
 	candidateQueue
-	view    *ClusterView
-	group   *Group
-	request availability.Resources // without the image
-	uses    []offeringUse          // indexed as offeringTable.offerings
+	view        *ClusterView
+	group       *Group
+	request     availability.Resources // the group's request without its image
+	evaluations []offeringEvaluation   // indexed as offeringTable.offerings
 
 	imageMachines     *imageMachines
-	fetchAlwaysNeeded bool  // its image takes time on every offering that it may use
-	cached, uncached  []int // memory of admitToOccupied
+	fetchAlwaysNeeded bool  // the image has a fetch time on every offering that the group may use
+	cached, uncached  []int // buffers of admitToOccupied
 
-	spotOnly, objectiveOnly bool // what the current pass leaves out, see skipsOffering
-	enforceLimits           bool // reserve and pacing hold, starts are recorded: a placement, not an estimate
-	slotsAdded              bool // machines with free resources have new queues
-	spotShortfall           int  // tasks that spot machines left over and on-demand machines took
+	spotOnly, objectiveOnly bool // offerings that the current pass excludes, see skipsOffering
+	enforceLimits           bool // placement, not an estimate: apply reserve and pacing, and record starts
+	slotsAdded              bool // the search has opened queues on machines with free resources
+	spotShortfall           int  // tasks admitted to on-demand machines because spot machines did not suffice
 	placement               Placement
 }
 
-// StartSearch begins to place a group. It is good until the next one's.
+// StartSearch starts the search for machines for a group. The result is valid until the next call.
+//
+// Machines with free resources are ordered by these criteria, the most significant first:
+//   - machines of types that other jobs require are last
+//   - machines that are up precede machines that are booting
+//   - for a group that may use spot machines, spot precedes on-demand
+//   - machines with the image precede machines without it
+//   - least leftover first, as in the paper, relative to the largest machine type
 //
-// The machines with free resources go in this order: ones that other jobs cannot do without last; ones that are up
-// before ones that boot; ones with the image before others; then least leftover first, as the paper has it, measured
-// against the largest machine. Machines without free resources come after them, in the order of the same ranks, since
-// only their queues matter.
+// Machines without free resources follow, ordered only by type, market and image in the same way: only their queues
+// matter.
 func (v *ClusterView) StartSearch(g *Group) *CandidateSearch {
 	search := &v.search
 	v.searchID++
@@ -144,19 +150,19 @@
 		candidateQueue:    candidateQueue{candidates: search.candidates[:0]},
 		view:              v,
 		group:             g,
-		uses:              v.offeringUses(g),
+		evaluations:       v.evaluateOfferings(g),
 		request:           g.Request.WithoutImage(),
 		cached:            search.cached,
 		uncached:          search.uncached,
 		fetchAlwaysNeeded: true,
 	}
-	for i := range search.uses {
-		use := &search.uses[i]
-		if !use.allowed {
+	for i := range search.evaluations {
+		eval := &search.evaluations[i]
+		if !eval.allowed {
 			continue
 		}
-		search.fetchAlwaysNeeded = search.fetchAlwaysNeeded && use.fetchMS != 0
-		if use.fetchMS != 0 && search.imageMachines == nil {
+		search.fetchAlwaysNeeded = search.fetchAlwaysNeeded && eval.fetchMS != 0
+		if eval.fetchMS != 0 && search.imageMachines == nil {
 			search.imageMachines = v.machinesWithImage(g.Request.Image)
 		}
 	}
@@ -176,47 +182,48 @@
 		}
 		for _, m := range v.blockMachines(i) {
 			v.Examined++
-			use := &s.uses[m.offeringIndex]
-			if !use.allowed || !m.Free.Contains(s.request) || g.hasFailedOn(m) {
+			eval := &s.evaluations[m.offeringIndex]
+			if !eval.allowed || !m.Free.Contains(s.request) || g.hasFailedOn(m) {
 				continue
 			}
-			s.addCandidate(m, use, spanMS)
+			s.addCandidate(m, eval, spanMS)
 		}
 	}
 }
 
-// addCandidate adds a machine with free resources, and widens what is known of its offering. spanMS is the time until
+// addCandidate adds a machine with free resources, and updates the evaluation of its offering. spanMS is the time until
 // the group's deadline.
-func (s *CandidateSearch) addCandidate(m *Machine, use *offeringUse, spanMS float64) {
+func (s *CandidateSearch) addCandidate(m *Machine, eval *offeringEvaluation, spanMS float64) {
 	v, g := s.view, s.group
 	entry := &v.scanEntries[m.Index]
 	entry.openForSearch = v.searchID
-	fetchMS := s.fetchMSOn(m.Index, use)
-	use.openMachines++
-	use.booting = use.booting || !m.Ready
-	use.earliestStartMS = min(use.earliestStartMS, m.ReadyAtMS+fetchMS)
-	use.queues.widen(&entry.queues)
+	fetchMS := s.fetchMSOn(m.Index, eval)
+	eval.openMachines++
+	eval.booting = eval.booting || !m.Ready
+	eval.earliestStartMS = min(eval.earliestStartMS, m.ReadyAtMS+fetchMS)
+	eval.queues.widen(&entry.queues)
 	largest := &v.catalog.largest
 	leftover := (m.Free.CPUs-s.request.CPUs)/max(largest.CPUs, 1) +
 		(m.Free.MemoryGB-s.request.MemoryGB)/max(largest.MemoryGB, 1)
 	slackMS := m.slackMS(g, fetchMS)
 	s.candidates = append(s.candidates, openMachine{
 		machine:  m,
-		rank:     bitIf(use.avoid, 3) | bitIf(!m.Ready, 2) | bitIf(use.costly, 1) | bitIf(fetchMS != 0, 0),
+		rank:     bitIf(eval.avoid, 3) | bitIf(!m.Ready, 2) | bitIf(eval.costly, 1) | bitIf(fetchMS != 0, 0),
 		leftover: max(leftover, 0) + float64(slackMS)/spanMS/4,
 		fetchMS:  fetchMS,
 	})
 }
 
-// slackMS is how long before the group's deadline a task that starts on the machine as soon as it can ends.
+// slackMS returns the group's deadline minus the earliest end of a task on the machine. It is negative if the task ends
+// late.
 func (m *Machine) slackMS(g *Group, fetchMS int64) int64 {
 	return g.DeadlineMS - m.ReadyAtMS - g.LengthMS - fetchMS
 }
 
-// fetchMSOn is how long the group's image takes on the machine at a position; 0: it is there.
-func (s *CandidateSearch) fetchMSOn(index int, use *offeringUse) int64 {
-	if use.fetchMS != 0 && s.imageMachines.contains(index) {
+// fetchMSOn returns the time to fetch the group's image on the machine at the index, or 0 if the machine has the image.
+func (s *CandidateSearch) fetchMSOn(index int, eval *offeringEvaluation) int64 {
+	if eval.fetchMS != 0 && s.imageMachines.contains(index) {
 		return 0
 	}
-	return use.fetchMS
+	return eval.fetchMS
 }
