--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -9,14 +9,14 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// Status is a member's view of the cluster, as the administration API shows it.
+// Status is a member's view of the cluster, in the form that the administration API returns.
 type Status struct {
 	Member    string          `json:"member"`
 	Authority bool            `json:"authority"`
 	Leading   bool            `json:"leading"`
 	Leader    string          `json:"lead"`
 	Revision  uint64          `json:"revision"`
-	StoreLink string          `json:"link"` // to the state service: up, doubtful, refused or silent
+	StoreLink string          `json:"link"` // link to the state service: up, doubtful, refused or silent
 	Jobs      int             `json:"jobs"`
 	Shards    []ShardStatus   `json:"shards"`
 	Machines  []MachineStatus `json:"machines"`
@@ -24,7 +24,7 @@
 	Counters  Counters        `json:"counters"`
 }
 
-// ShardStatus is a shard in a Status. Only the owner knows more than Shard and Owner.
+// ShardStatus is a shard in a Status. Only the owner of the shard sets more fields than Shard and Owner.
 type ShardStatus struct {
 	Shard       string `json:"shard"`
 	Owner       string `json:"holder"`
@@ -33,15 +33,15 @@
 	Token       uint64 `json:"token,omitempty"`
 	QueuedTasks int    `json:"queued"`
 	Demands     int    `json:"needs"`
-	// PlanIntervalS is the shortest time to the next plan, by the cost of the last one.
+	// PlanIntervalS is the minimum time between plans, derived from the cost of the last plan.
 	PlanIntervalS float64 `json:"plan_gap_s"`
-	// Unreported is the number of machines that may run tasks of earlier claims and sent
-	// no heartbeat under this one.
+	// Unreported is the number of machines that may run tasks of earlier claims and have
+	// sent no heartbeat under the current claim.
 	Unreported int `json:"unseen"`
 	// RecordedUnreachable is the number of unreachable machines whose tasks are recorded in
-	// the store.
+	// the state service.
 	RecordedUnreachable int  `json:"noted"`
-	Paced               bool `json:"paced"` // commands are paced
+	Paced               bool `json:"paced"` // commands to workers are paced
 }
 
 // MachineStatus is a machine in a Status.
@@ -52,33 +52,35 @@
 	Zone        string `json:"zone"`
 	Spot        bool   `json:"spot"`
 	Up          bool   `json:"up"`
-	Releasing   bool   `json:"draining"` // the leader is to release it; this cannot be undone
-	Cordoned    bool   `json:"aside"`    // takes no starts, by an operator's setting or a rollout
+	Releasing   bool   `json:"draining"` // the leader will release the machine; irreversible
+	Cordoned    bool   `json:"aside"`    // gets no new tasks, because of an operator's setting or a rollout
 	Unreachable bool   `json:"silent"`
 	Tasks       int    `json:"tasks"`
 }
 
 // TeamStatus is a team in a Status: its guarantee and limit, and the resources that its
-// tasks use and wait for, in this member's shards and in all.
+// running tasks use and its waiting tasks request, in this member's shards and in all
+// shards.
 type TeamStatus struct {
 	Team        string  `json:"team"`
 	CPUs        float64 `json:"cpus"`
-	MaxCPUs     float64 `json:"cpus_max"` // 0: none
+	MaxCPUs     float64 `json:"cpus_max"` // 0: no limit
 	UsedCPUs    float64 `json:"cpus_used"`
 	WaitingCPUs float64 `json:"cpus_waiting"`
 
 	Guarantee quota.Amounts `json:"guarantee"`
 	Limit     quota.Amounts `json:"limit"`
-	// Over all members with fresh messages, and the age of the oldest of their figures.
+	// Totals over this member and all peers with fresh messages, and the age of the oldest
+	// figures among them.
 	TotalUsage      quota.Amounts `json:"use"`
 	TotalWaiting    quota.Amounts `json:"wait"`
 	OldestUsageAgeS float64       `json:"age_s"`
-	// GuaranteedDemand is what unfinished jobs within the guarantee request.
+	// GuaranteedDemand is the total request of unfinished jobs within the guarantee.
 	GuaranteedDemand quota.Amounts `json:"within"`
-	// GuaranteeShortfall is how far the team's use is below its guarantee while as much of
-	// its demand waits.
+	// GuaranteeShortfall is the part of GuaranteedDemand, up to the guarantee, that the team
+	// does not use, limited to its waiting demand.
 	GuaranteeShortfall quota.Amounts `json:"below"`
-	// By shard, for a team with a limit.
+	// Allocations and requests of a team with a limit, by shard.
 	Allocations map[string]quota.Amounts `json:"parts,omitempty"`
 	Requests    map[string]quota.Request `json:"wants,omitempty"`
 }
@@ -143,7 +145,8 @@
 	}
 }
 
-// teamStatus is a team's status, given what its tasks use and wait for in this member's shards.
+// teamStatus returns a team's status. usage and waiting are the resources that its tasks use and
+// request in this member's shards.
 func (qm *quotaManager) teamStatus(name string, team Team, usage, waiting quota.Amounts) TeamStatus {
 	status := TeamStatus{
 		Team:        name,
@@ -158,7 +161,7 @@
 	peerUsage, peerWaiting, ageMS := qm.usageMonitor.PeerUsage(name, now, now-qm.cache.maxMessageAgeMS())
 	status.TotalUsage, status.TotalWaiting = peerUsage.Add(usage), peerWaiting.Add(waiting)
 	status.OldestUsageAgeS = float64(ageMS) / 1000
-	for _, j := range sortedByKey(qm.cache.jobs) { // in order: the same floating-point sum every time
+	for _, j := range sortedByKey(qm.cache.jobs) { // sorted, so that the floating-point sum is deterministic
 		if j.rec.Job.Team == name && qm.isWithinGuarantee(&j.rec.Job) {
 			status.GuaranteedDemand = status.GuaranteedDemand.Add(totalRequest(&j.rec.Job))
 		}
@@ -174,23 +177,24 @@
 	return status
 }
 
-// Settings returns a copy of the operators' settings that are in force.
+// Settings returns a copy of the operators' settings that this member currently applies.
 func (c *Controller) Settings() Settings {
 	s := c.cache.settings
 	s.Drain, s.Disruption = slices.Clone(s.Drain), maps.Clone(s.Disruption)
 	return s
 }
 
-// ChangeSettings stores new settings, which all members take from the store. The response is
-// among the users' under replyID: 400 with the text of Validate's error, 409 after a
-// concurrent change, 503 without the state service.
+// ChangeSettings writes new settings to the state service, from which all members read
+// them. The response appears in Outputs.UserResponses under replyID: status 400 with the
+// text of Validate's error, 409 after a concurrent change, or 503 if the state service is
+// unavailable.
 func (c *Controller) ChangeSettings(now Now, replyID uint64, s Settings) {
 	c.now = now
 	c.requests.pendingRequests[replyID] = &pendingRequest{
 		replyID:        replyID,
 		receivedAtMS:   now.MonotonicMS,
 		pendingLocally: true,
-		relayed:        true, // peers must not answer it
+		relayed:        true, // keeps the request from being relayed to a peer
 	}
 	if err := s.Validate(); err != nil {
 		c.requests.completeRequest(replyID, UserResponse{Status: 400, Error: err.Error()})
@@ -207,7 +211,7 @@
 	})
 }
 
-// settingsResponse is the response to a change of settings whose write ended so.
+// settingsResponse returns the response to a change of settings whose write had this outcome.
 func (c *Controller) settingsResponse(outcome Outcome) UserResponse {
 	switch outcome {
 	case OK:
--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -1,28 +1,31 @@
-// Package scheduler is the core of a controller: a state machine that takes
-// inputs (heartbeats, users' requests, results of the state service, of the
-// cloud and of peers, and the passing of time) and returns what to send, write
-// and answer. It does no input or output, starts no goroutine and reads no
-// clock, so a whole cluster of cores runs in simulated time in its tests.
+// Package scheduler implements the core of a controller as a deterministic state
+// machine. Its inputs are heartbeats, user requests, peer messages, results of requests
+// to the state service, the cloud and peers, and the passing of time. Its outputs are
+// requests, messages, writes and responses. The package does no I/O, starts no
+// goroutines and reads no clock, so tests run a whole cluster of controllers in
+// simulated time.
 //
-// A Controller owns the shards that it has claimed in the state service: their
-// machines, their task ranges and the decisions about them. It owns a replica
-// of all live records (stateCache), which may lag behind the store.
+// A Controller owns the shards that it has claimed in the state service: their machines,
+// their task ranges and the scheduling decisions for them. It also keeps a replica of
+// all live records (stateCache), which may lag behind the state service.
 //
-// It may assume that calls come one at a time, that Now.MonotonicMS never goes
-// back, that each StoreOp, CloudOp, DirectCommand and RelayRequest gets at most
-// one result, and that the caller carries out Outputs in the order given. It
-// assumes nothing about the order or the arrival of messages between members
-// and workers.
+// The Controller assumes that calls are serialized, that Now.MonotonicMS never
+// decreases, that each StoreOp, CloudOp, DirectCommand and RelayRequest gets at most
+// one result, and that the caller carries out Outputs in the order given. It does not
+// assume that messages between members and workers arrive, or that they arrive in order.
 //
-// It promises that equal inputs with an equal seed give equal outputs, that
-// nothing is started or decided without authority (an unexpired lease at the
-// state service), and that what a user was told (accepted, cancelled, done)
-// holds through the loss of any member.
+// It guarantees that the same inputs and seed produce the same outputs. It starts tasks
+// and makes decisions only with authority, that is, with an unexpired lease in the state
+// service. A job state that was reported to a user (accepted, cancelled, done) remains
+// valid through the loss of any member.
 //
-// It is built for: outages of the state service, for one member or for all, and
-// writes whose outcome is unknown; outages and stale lists of the cloud;
-// controllers that crash, pause or are partitioned; workers that crash, or are
-// partitioned in one direction; messages that are lost, delayed or reordered.
+// It is designed for these failures:
+//   - outages of the state service, for one member or for all, and writes with an
+//     unknown outcome
+//   - outages of the cloud, and outdated machine lists from it
+//   - controllers that crash, pause or are partitioned
+//   - workers that crash or are partitioned in one direction
+//   - messages that are lost, delayed or reordered
 package scheduler
 
 import (
@@ -31,9 +34,9 @@
 
 const maxClockDriftMS = access.MaxClockDrift
 
-// Controller is the core of one member: it routes each input to the owner of the
-// state that it concerns. Every piece of state has one owner; the owners share
-// only the environment.
+// Controller is the core of one member. It dispatches each input to the component that
+// owns the affected state. Each piece of state has exactly one owner, and the components
+// share only the environment.
 //
 // Its methods must not be called concurrently.
 type Controller struct {
@@ -53,8 +56,8 @@
 	peers     *peerTable
 }
 
-// New returns the core of a member. The seed only spreads retries and makes the
-// nonces of claims; nothing that others rely on depends on it.
+// New returns the Controller of a member. The seed only affects the jitter of retries and
+// the nonces of claims. The guarantees of the package do not depend on it.
 func New(params Params, seed uint64, now Now) *Controller {
 	env := newEnvironment(params, seed, now)
 	c := &Controller{
@@ -79,7 +82,7 @@
 	return c
 }
 
-// wireState connects the store client and the cache with the owners of records.
+// wireState connects the store client and the state cache to the components that own records.
 func (c *Controller) wireState() {
 	c.store.observeChange = c.cache.applyChange
 	c.cache.store = c.store
@@ -87,7 +90,7 @@
 	c.cache.recordHandlers = c.newRecordHandlers()
 }
 
-// wireFleet connects the owners of machines: the registry, the autoscaler and rollouts.
+// wireFleet connects the components that manage machines: the registry, the autoscaler and rollouts.
 func (c *Controller) wireFleet() {
 	registry := c.registry
 	registry.cache, registry.store = c.cache, c.store
@@ -103,7 +106,7 @@
 	rollouts.requests = c.requests
 }
 
-// wireShards connects the owners of shards, workers, placement and quotas.
+// wireShards connects the components that manage shards, workers, placement and quotas.
 func (c *Controller) wireShards() {
 	shards := c.shards
 	shards.cache, shards.store, shards.requests = c.cache, c.store, c.requests
@@ -125,7 +128,7 @@
 	quotas.registry, quotas.peers = c.registry, c.peers
 }
 
-// wireRequests connects the owners of users' requests and of peers' messages.
+// wireRequests connects the components that handle user requests and peer messages.
 func (c *Controller) wireRequests() {
 	requests := c.requests
 	requests.cache, requests.store, requests.peers = c.cache, c.store, c.peers
@@ -136,7 +139,7 @@
 	peers.placer, peers.quotas, peers.shards = c.placer, c.quotas, c.shards
 }
 
-// newRecordHandlers is the table of all kinds of records that the cache holds.
+// newRecordHandlers returns the handlers of all kinds of live records, by key prefix.
 func (c *Controller) newRecordHandlers() []recordHandler {
 	return []recordHandler{
 		{prefix: jobPrefix, apply: c.shards.applyJobRecord},
@@ -154,15 +157,15 @@
 	}
 }
 
-// TakeOutputs returns what the inputs since the last call want done, and forgets it.
+// TakeOutputs returns the outputs of all inputs since the last call, and clears them.
 func (c *Controller) TakeOutputs() Outputs {
 	outputs := c.outputs
 	c.outputs = Outputs{}
 	return outputs
 }
 
-// HandleStoreResult takes the result of the StoreOp with this ID. A result whose
-// operation is not pending is ignored.
+// HandleStoreResult processes the result of the StoreOp with this ID. It ignores the
+// result if that operation is not pending.
 func (c *Controller) HandleStoreResult(now Now, id uint64, result StoreResult) {
 	c.now = now
 	if onResult := c.store.storeCallbacks[id]; onResult != nil {
@@ -171,14 +174,14 @@
 	}
 }
 
-// Tick lets time pass. The caller does so every tenth of a second.
+// Tick performs the work that is due at the given time. The caller calls it every 100 ms.
 func (c *Controller) Tick(now Now) {
 	c.now = now
 	c.tickStoreAccess()
 	c.store.runDueSteps()
 	if authority := c.store.hasAuthority(); authority != c.store.hadAuthority {
 		c.store.hadAuthority = authority
-		c.log(Info, "authority", "held", authority)
+		c.log(Info, "authority changed", "held", authority)
 	}
 	c.shards.tickShards()
 	c.peers.sendPeerMessage()
@@ -189,10 +192,11 @@
 	c.requests.expediteSlowRequests()
 }
 
-// IsReadyForUsers reports whether users should be sent here. A member without
-// authority steps aside only while a peer reports that it owns shards: when the
-// state service is away from all, answering 503 at once is as good as any member
-// can do, and one that left would be kept out for a while after the outage.
+// IsReadyForUsers reports whether this member should receive user traffic.
+// A member without authority is not ready only while a peer reports that it owns
+// shards. If no member can reach the state service, an immediate 503 is the best
+// response that any of them can give, and a member that reported not ready would
+// stay out of rotation for some time after the outage.
 func (c *Controller) IsReadyForUsers() bool {
 	if c.store.hasAuthority() && len(c.cache.machineTypes) > 0 {
 		return true
--- a/scheduler/counters.go
+++ b/scheduler/counters.go
@@ -1,7 +1,8 @@
 package scheduler
 
-// Counters counts what operators watch, since the start of the member. The groups are
-// embedded, so that the JSON form is flat; its names and their order are fixed.
+// Counters contains the event counts for operators since the start of the member. The
+// groups are embedded so that the JSON object is flat. Its field names and their order
+// are fixed.
 type Counters struct {
 	PlacementCounters
 	JobCounters
@@ -9,40 +10,40 @@
 	RecoveryCounters
 }
 
-// PlacementCounters counts starts of tasks, and machines and shards won and lost.
+// PlacementCounters counts task starts and losses, shard claims, and provisioned and released machines.
 type PlacementCounters struct {
 	Starts      uint64 `json:"starts"`
-	LostTasks   uint64 `json:"lost"`   // with their machine
-	Errors      uint64 `json:"errors"` // tasks that exited with an error
-	Claims      uint64 `json:"claims"` // of shards
-	Provisioned uint64 `json:"rented"` // machines
-	Released    uint64 `json:"returned"`
-	MovedTasks  uint64 `json:"moved"` // moves of tasks to a peer's shard
+	LostTasks   uint64 `json:"lost"`     // tasks lost with their machine
+	Errors      uint64 `json:"errors"`   // tasks that exited with an error
+	Claims      uint64 `json:"claims"`   // shard claims
+	Provisioned uint64 `json:"rented"`   // machines provisioned
+	Released    uint64 `json:"returned"` // machines released
+	MovedTasks  uint64 `json:"moved"`    // moves of part of a task range to a peer's shard
 	Replans     uint64 `json:"replans"`
 }
 
-// JobCounters counts what became of jobs and their tasks.
+// JobCounters counts accepted and finished jobs, and preempted tasks.
 type JobCounters struct {
 	Accepted  uint64 `json:"accepted"`
 	Finished  uint64 `json:"finished"`
 	Preempted uint64 `json:"preempted"`
 }
 
-// RequestCounters counts how users' requests were answered.
+// RequestCounters counts the outcomes of user requests.
 type RequestCounters struct {
-	UnavailableResponses uint64 `json:"refused"` // 503
+	UnavailableResponses uint64 `json:"refused"` // 503 responses
 	Relayed              uint64 `json:"relayed"`
-	QueryBatches         uint64 `json:"read_batches"` // reads shared by several queries
+	QueryBatches         uint64 `json:"read_batches"` // reads of the state service shared by several queries
 	ShedSubmissions      uint64 `json:"shed"`
 }
 
-// RecoveryCounters counts what takeovers, faults and reclaims brought.
+// RecoveryCounters counts the effects of takeovers, faults and reclaims.
 type RecoveryCounters struct {
-	AdoptedTasks         uint64 `json:"adopted"`    // tasks of earlier claims that go on
-	OrphanedTasks        uint64 `json:"strays"`     // tasks that no range of this member wants
+	AdoptedTasks         uint64 `json:"adopted"`    // tasks started under an earlier claim that continue to run
+	OrphanedTasks        uint64 `json:"strays"`     // orphaned tasks: attempts on workers that no task range needs
 	ReclaimedTasks       uint64 `json:"ceded"`      // tasks stopped for another team's guarantee
-	InDoubtWrites        uint64 `json:"in_doubt"`   // writes whose outcome was unknown at first
-	StaleHeartbeats      uint64 `json:"old_report"` // heartbeats that were no newer than an earlier one
-	ConfirmedSubmissions uint64 `json:"confirmed"`  // submissions answered by their record, before their write ended
-	UndeliveredStarts    uint64 `json:"unheard"`    // starts in a heartbeat response that the worker did not receive
+	InDoubtWrites        uint64 `json:"in_doubt"`   // writes whose first attempt had an unknown outcome
+	StaleHeartbeats      uint64 `json:"old_report"` // heartbeats not newer than one received before
+	ConfirmedSubmissions uint64 `json:"confirmed"`  // submissions answered from their record, before their write completed
+	UndeliveredStarts    uint64 `json:"unheard"`    // starts in heartbeat responses that the worker did not receive
 }
--- a/scheduler/environment.go
+++ b/scheduler/environment.go
@@ -7,19 +7,19 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// environment is what all owners of state share: the member's parameters, the
-// time of the current input, the random numbers, and where outputs go. It holds
-// no state of the cluster.
+// environment is shared by all components of a Controller: the member's parameters, the
+// time of the current input, the random number generator, and the pending outputs. It
+// contains no cluster state.
 type environment struct {
 	params        Params
 	rng           *rand.Rand
-	now           Now // of the current input
+	now           Now // time of the current input
 	outputs       Outputs
 	startedAtMS   int64 // monotonic time
 	lastRequestID uint64
 
 	Counters      Counters
-	rolloutCounts rollout.HealthCounts // input of the rollouts' health gates, counted at this member
+	rolloutCounts rollout.HealthCounts // this member's input to the rollouts' health gates
 }
 
 func newEnvironment(params Params, seed uint64, now Now) *environment {
@@ -31,7 +31,7 @@
 	}
 }
 
-// log appends a log line to the outputs. args are keys and values in turn.
+// log appends a log line to the outputs. args are alternating keys and values.
 func (env *environment) log(level LogLevel, text string, args ...any) {
 	if level == Debug && !env.params.Debug {
 		return
@@ -39,27 +39,28 @@
 	env.outputs.Logs = append(env.outputs.Logs, LogLine{level, text, args})
 }
 
-// memberIDs lists all members, sorted.
+// memberIDs returns the IDs of all members, sorted.
 func (env *environment) memberIDs() []string {
 	return env.params.MemberIDs()
 }
 
-// stopDelay is how many milliseconds pass from a stop until the task's resources can be
-// used. The command goes straight to the worker, which reports the end soon after.
-// Estimated as two heartbeat intervals, so many tasks were about to end by themselves
-// that nothing was stopped for half of the time that a guarantee promises.
+// stopDelay returns the estimated time in milliseconds from sending a stop command until
+// the task's resources are free. The member sends the command directly to the worker,
+// which reports the exit soon afterwards. With an estimate of two heartbeat intervals, so
+// many tasks were expected to exit on their own that no task was stopped for half of the
+// time within which a guarantee must be met.
 func (env *environment) stopDelay(j *Job) int64 {
 	return env.maxHeartbeatIntervalMS()/2 + secondsToMS(j.CheckpointDurationS)
 }
 
-// maxHeartbeatIntervalMS is the longest time between two heartbeats of a healthy machine.
+// maxHeartbeatIntervalMS returns the longest time between two heartbeats of a healthy machine.
 func (env *environment) maxHeartbeatIntervalMS() int64 {
 	return secondsToMS(env.params.HeartbeatS*1.25) + 500
 }
 
-// isUrgent reports whether a start should not wait for the machine's next heartbeat:
-// half an interval is long against the start objective of its class or against the
-// task's own runtime.
+// isUrgent reports whether a start should be sent without waiting for the machine's next
+// heartbeat. It is urgent if the mean wait of half a heartbeat interval exceeds a tenth
+// of the start objective of the job's class, or 2 % of the task's own runtime.
 func (env *environment) isUrgent(p plannedStart) bool {
 	meanDelay := secondsToMS(env.params.HeartbeatS) / 2
 	for _, o := range env.params.Objectives[p.taskRange.job.rec.Job.Class] {
@@ -70,24 +71,24 @@
 	return meanDelay*50 > p.runtimeMS
 }
 
-// maxChangesPerBackgroundTxn bounds the changes of a background transaction, so that it
-// does not use up the member's share of the store's rate at once.
+// maxChangesPerBackgroundTxn limits the changes in a background transaction, so that one
+// transaction does not exhaust the member's share of the state service's rate limit.
 func (env *environment) maxChangesPerBackgroundTxn() int { return max(1, env.params.MaxTxnOps/4) }
 
-// maxMachinesPerPage bounds the machines of one registry record to half a value of the
-// store; a name takes up to about twenty bytes.
+// maxMachinesPerPage limits the machines in one registry page so that the record takes
+// at most half of the maximum value size. A machine ID takes up to about 20 bytes.
 func (env *environment) maxMachinesPerPage() int { return max(1, env.params.MaxValueBytes/2/24) }
 
-// maxRangeTasks bounds the tasks of one range, so that its progress fits half a
-// value: a bitmap in base64 takes a sixth of a byte per task.
+// maxRangeTasks limits the tasks in one range so that its progress takes at most half of
+// the maximum value size. A base64-encoded bitmap takes one sixth of a byte per task.
 func (env *environment) maxRangeTasks() int { return max(64, env.params.MaxValueBytes/2*6) }
 
-// maxJobRanges bounds the ranges of a job's record to a quarter of a value; a range
-// takes about fifty bytes.
+// maxJobRanges limits the ranges in a job's record to a quarter of the maximum value
+// size. A range takes about 50 bytes.
 func (env *environment) maxJobRanges() int { return max(8, env.params.MaxValueBytes/4/50) }
 
-// objectiveDeadlines are the times of day, in milliseconds and sorted, by which the
-// job's deadline and the objectives of its class want it done.
+// objectiveDeadlines returns the deadlines that the job's own deadline and the objectives
+// of its class set for its completion. They are sorted wall-clock times in milliseconds.
 func (env *environment) objectiveDeadlines(j *Job, accepted int64) []int64 {
 	var deadlines []int64
 	if j.DeadlineS > 0 {
@@ -107,24 +108,25 @@
 	return deadlines
 }
 
-// hasStartObjective reports whether a job's class has a start objective of its own.
+// hasStartObjective reports whether the objectives of the job's class include a start objective.
 func (env *environment) hasStartObjective(j *Job) bool {
 	isStartObjective := func(o Objective) bool { return o.Kind == startObjective }
 	return slices.ContainsFunc(env.params.Objectives[j.Class], isStartObjective)
 }
 
-// maxOpenCharges bounds the open charges against a shard's disruption budgets, so that
-// their record fits half a value.
+// maxOpenCharges limits the open charges against a shard's disruption budgets so that
+// their record takes at most half of the maximum value size.
 func (env *environment) maxOpenCharges() int { return max(16, env.params.MaxValueBytes/2/80) }
 
-// progressWriteInterval is how many milliseconds progress may stay unwritten: a worker
-// keeps a result until it is stored, so only the loss of the machine costs it.
+// progressWriteInterval returns how long progress may remain unwritten, in milliseconds. A
+// worker keeps each result until it is stored, so an unwritten result is lost only if the
+// machine is lost.
 func (env *environment) progressWriteInterval() int64 {
 	return max(secondsToMS(env.params.HeartbeatS), 1500)
 }
 
-// planInterval is how many milliseconds after the last plan the next one may run, by
-// the cost of the last one and the member's share of processor time.
+// planInterval returns the minimum time in milliseconds between the last plan of a shard
+// and the next one. It follows from the cost of the last plan and the member's CPU share.
 func (env *environment) planInterval(s *shard) float64 {
 	interval := float64(s.planSteps) * planStepCostMS / planningCPUShare
 	if env.params.CPUShare > 0 {
--- a/scheduler/extension_records.go
+++ b/scheduler/extension_records.go
@@ -2,25 +2,26 @@
 
 import "strings"
 
-// ExtensionPrefix begins the keys that subsystems beside the core keep in the state
-// cache, each under a letter of its own. They are for small records: that something
-// is live, and which shard owns it.
+// ExtensionPrefix is the key prefix of the extensions' records in the state cache. Each
+// extension uses its own letter after the prefix. The records are small: they state that
+// an object is live and which shard owns it.
 const ExtensionPrefix = extensionPrefix
 
-// ClaimKey is the key of a shard's claim. A precondition on it restricts a write to the
-// owner of the shard.
+// ClaimKey returns the key of a shard's claim. A precondition on the key restricts a write
+// to the owner of the shard.
 func ClaimKey(shard string) string { return claimKey(shard) }
 
-// ExtensionView is what a subsystem beside the core sees of the core's state.
+// ExtensionView is the part of the Controller's state that an extension can read.
 type ExtensionView struct {
 	HasAuthority bool
-	ClaimTokens  map[string]uint64 // fencing tokens of this member's shards that are ready
-	KVs          []KeyValue        // under the requested prefix, sorted by key
-	EndedJobs    []string          // of the requested jobs: those that are not live
+	ClaimTokens  map[string]uint64 // fencing tokens of the ready shards that this member owns, by shard
+	KVs          []KeyValue        // records under the requested prefix, sorted by key
+	EndedJobs    []string          // the requested jobs that are not live
 }
 
-// ExtensionView returns the state that a subsystem acts by: records under prefix, and which
-// of the jobs have ended. Until the cache is synced, only HasAuthority is set.
+// ExtensionView returns the state that an extension bases its decisions on: the records
+// under prefix, and which of the jobs have ended. It sets only HasAuthority until the
+// state cache is synced.
 func (c *Controller) ExtensionView(now Now, prefix string, jobs []string) ExtensionView {
 	c.now = now
 	view := ExtensionView{HasAuthority: c.store.hasAuthority(), ClaimTokens: map[string]uint64{}}
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -5,33 +5,33 @@
 	"github.com/grebedock/grebedock/indoubt"
 )
 
-// inDoubtWrite is a conditional write that is sent until its outcome is certain (package
-// indoubt). onSent and onRead decide the next step after an attempt and after reading the
-// key back:
+// inDoubtWrite is a conditional write that is repeated until its outcome is known (package
+// indoubt). onSent returns the next step after an attempt, onRead after reading the key:
 //
-//	step            then
-//	indoubt.Settled onSettled; the write is over
-//	indoubt.Resend  send again, then onSent
-//	otherwise       read the key, then onRead
+//	step              action
+//	indoubt.Settled   call onSettled; the write is complete
+//	indoubt.Resend    send the write again, then call onSent
+//	indoubt.ReadBack  read the key, then call onRead
 //
-// Before the second and third, a claim that is not valid any more ends the write with
-// onClaimLost. Exactly one of onSettled and onClaimLost is called, once.
+// Before it resends the write or reads the key, the store client checks the claim. If the
+// claim is no longer valid, it calls onClaimLost instead. It calls exactly one of
+// onSettled and onClaimLost, exactly once.
 type inDoubtWrite struct {
-	isClaimValid func() bool // the claim under which it was sent is still this member's
+	isClaimValid func() bool // this member still holds the claim under which it sent the write
 	send         func(done func(StoreResult))
 	onSent       func(Outcome) indoubt.NextStep
 	onRead       func(StoreResult) indoubt.NextStep
 	onSettled    func()
-	onClaimLost  func() // the outcome stays unknown here; the cache shows it in time
+	onClaimLost  func() // the outcome remains unknown; the state cache shows it later
 }
 
-// retryPauseDivisor divides the request timeout to give the pause before an in-doubt write
-// goes on that the state service refused or did not answer: retried at once, an outage
-// would consist of requests.
+// retryPauseDivisor is the divisor of the request timeout that gives the pause after the
+// state service refused or did not answer a request of an in-doubt write. Without the
+// pause, the member would send requests continuously during an outage.
 const retryPauseDivisor = 6
 
-// sendUntilSettled sends a write, and repeats or rereads it until it is settled or its
-// claim is lost.
+// sendUntilSettled sends a write. It then resends the write or reads the key until the
+// write is settled or its claim is lost.
 func (sc *storeClient) sendUntilSettled(key string, write inDoubtWrite) {
 	var proceed func(indoubt.NextStep)
 	proceed = func(step indoubt.NextStep) {
@@ -59,8 +59,8 @@
 	})
 }
 
-// continueAfter resumes at once if the service processed the request, and after a pause
-// otherwise.
+// continueAfter calls resume immediately if the state service processed the request, and
+// after a pause otherwise.
 func (sc *storeClient) continueAfter(outcome Outcome, resume func()) {
 	if outcome.ProcessedByService() {
 		resume()
@@ -70,13 +70,13 @@
 	sc.delayedSteps = append(sc.delayedSteps, delayedStep{dueAtMS: sc.now.MonotonicMS + pauseMS, resume: resume})
 }
 
-// delayedStep is what resumes at a time.
+// delayedStep is a continuation that is due at a given time.
 type delayedStep struct {
 	dueAtMS int64 // monotonic time
 	resume  func()
 }
 
-// runDueSteps resumes the steps whose time has come, in the order in which they paused.
+// runDueSteps resumes the steps that are due, in the order in which they were delayed.
 func (sc *storeClient) runDueSteps() {
 	steps := sc.delayedSteps
 	sc.delayedSteps = nil
--- a/scheduler/inputs_outputs.go
+++ b/scheduler/inputs_outputs.go
@@ -11,25 +11,25 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// Now is the time at which an input happened, in milliseconds: monotonic time for
-// leases and authority, the time of day for what members compare with each other.
+// Now is the time of an input in milliseconds. Leases and authority use monotonic time;
+// timestamps that members compare with each other use wall-clock time.
 type Now struct{ MonotonicMS, WallMS int64 }
 
-// Urgency orders requests when the rate budget is short.
+// Urgency orders the requests that wait for the rate limit.
 type Urgency int
 
 // The urgencies, most urgent first.
 const (
 	UrgencyLease      Urgency = iota // leases, claims, watches
-	UrgencyUser                      // submissions, cancellations, results that users wait for
-	UrgencyRead                      // users' queries
-	UrgencyBackground                // all that can wait
+	UrgencyUser                      // submissions, cancellations, and other requests that users wait for
+	UrgencyRead                      // user queries
+	UrgencyBackground                // requests that can be delayed
 )
 
-// StoreOpKind is an operation of the state service.
+// StoreOpKind is the kind of a request to the state service.
 type StoreOpKind int
 
-// The operations of the state service.
+// The kinds of requests to the state service.
 const (
 	StoreGet StoreOpKind = iota
 	StoreList
@@ -39,14 +39,14 @@
 	StoreWatch
 )
 
-// Precondition is a condition of a transaction: the key has this revision; 0: it does not exist.
+// Precondition is a condition of a transaction: the key has this revision, or does not exist if Revision is 0.
 type Precondition struct {
 	Key      string `msgpack:"Key"`
 	Revision uint64 `msgpack:"Rev"`
 }
 
-// Change is a put or, without a value, a removal. A put with a LeaseID is removed when
-// the lease ends.
+// Change is a put or, without a value, a removal. The state service removes a key that was
+// put with a LeaseID when that lease ends.
 type Change struct {
 	Key     string
 	Value   json.RawMessage
@@ -58,21 +58,21 @@
 	ID            uint64
 	Kind          StoreOpKind
 	Urgency       Urgency
-	Key           string // the key, or the prefix
-	StartAfter    string // StoreList: only keys after this one
-	Rev           uint64 // StoreWatch: changes after this revision
+	Key           string // the key; the prefix for StoreList and StoreWatch
+	StartAfter    string // StoreList: return only keys after this one
+	Rev           uint64 // StoreWatch: return changes after this revision
 	LeaseID       uint64
-	DurationMS    int64 // TTL of a lease, or how long a watch waits
+	DurationMS    int64 // TTL of a lease, or maximum wait of a watch
 	Preconditions []Precondition
 	Changes       []Change
 }
 
-// Outcome is how a request ended.
+// Outcome is the outcome of a request.
 type Outcome = access.Outcome
 
-// The outcomes. Refused and Throttled mean that the request was certainly not
-// executed, Unknown that it may have been or may still be. A watch is Gone if its
-// revision is too old, a put if its lease has ended.
+// The outcomes. Refused and Throttled mean that the service did not execute the request.
+// Unknown means that the service may have executed it or may still do so. A watch returns
+// Gone if its revision is too old, a put if its lease has ended.
 const (
 	OK        = access.OK
 	NotFound  = access.NotFound
@@ -83,29 +83,29 @@
 	Unknown   = access.Unknown
 )
 
-// KeyValue is a key with its value; a watch reports removals without one.
+// KeyValue is a key with its value and revision. A watch reports a removal without a value.
 type KeyValue struct {
 	Key   string
 	Value json.RawMessage
 	Rev   uint64
 }
 
-// StoreResult answers a StoreOp.
+// StoreResult is the result of a StoreOp.
 type StoreResult struct {
 	Outcome      Outcome
 	Rev          uint64
 	LeaseID      uint64
 	KVs          []KeyValue
 	More         bool
-	FailedKeys   []string // Conflict: the keys whose preconditions failed
-	RetryAfterMS int64    // Throttled by the member's own rate limit: when to try again
-	QueuedMS     int64    // how long the request waited for that rate limit
+	FailedKeys   []string // Conflict: keys whose preconditions failed
+	RetryAfterMS int64    // Throttled by the member's own rate limit: delay before a retry
+	QueuedMS     int64    // time that the request waited for that rate limit
 }
 
-// CloudOpKind is an operation of the cloud.
+// CloudOpKind is the kind of a request to the cloud.
 type CloudOpKind int
 
-// The operations of the cloud.
+// The kinds of requests to the cloud.
 const (
 	CloudCatalog CloudOpKind = iota
 	CloudList
@@ -113,8 +113,8 @@
 	CloudRelease
 )
 
-// Urgency orders requests to the cloud, the most urgent first: tasks wait for
-// provisioning, late releases only cost money, and lists are repeated.
+// Urgency returns the rank of a request to the cloud; the most urgent has rank 0. Tasks
+// wait for provisioning, a late release only costs money, and lists are repeated anyway.
 func (k CloudOpKind) Urgency() int {
 	switch k {
 	case CloudProvision, CloudCatalog:
@@ -125,7 +125,7 @@
 	return 2
 }
 
-// CloudOp is a request to the cloud. IdempotencyKey makes a repeated CloudProvision safe.
+// CloudOp is a request to the cloud. IdempotencyKey makes it safe to repeat a CloudProvision.
 type CloudOp struct {
 	ID             uint64
 	Kind           CloudOpKind
@@ -138,7 +138,7 @@
 	Machines       []string
 }
 
-// CloudMachine is a machine in the list of the cloud.
+// CloudMachine is a machine in the cloud's list.
 type CloudMachine struct {
 	ID, Addr, Type, Zone string
 	Spot                 bool
@@ -146,7 +146,7 @@
 	AgeS                 float64
 }
 
-// CloudResult answers a CloudOp.
+// CloudResult is the result of a CloudOp.
 type CloudResult struct {
 	Outcome  Outcome // NotFound: no capacity
 	Types    []MachineType
@@ -155,7 +155,7 @@
 	More     bool
 }
 
-// TaskStatus is an attempt of a task as a worker reports it.
+// TaskStatus is the status of a task attempt as reported by a worker.
 type TaskStatus struct {
 	Task         string
 	Attempt      uint64
@@ -164,9 +164,9 @@
 	Checkpointed bool
 }
 
-// Heartbeat is a worker's report of itself and of all its tasks. Incarnation is that of
-// the worker's process, higher for a later one; Seq orders the heartbeats of one; Token is
-// the fencing token that the worker obeys.
+// Heartbeat is a worker's report on itself and all its tasks. Incarnation identifies the
+// worker's process; a later process has a higher one. Seq orders the heartbeats of one
+// incarnation. Token is the highest fencing token that the worker has accepted.
 type Heartbeat struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
@@ -185,7 +185,7 @@
 	CommandForget CommandKind = "forget"
 )
 
-// Command is a command to a worker.
+// Command is a command to a worker about one task attempt.
 type Command struct {
 	Kind    CommandKind
 	Task    string
@@ -193,40 +193,40 @@
 	GraceS  float64
 }
 
-// HeartbeatResponse answers a heartbeat. An accepted one renews the worker's lease.
+// HeartbeatResponse is the response to a heartbeat. If Accepted, it renews the worker's lease.
 type HeartbeatResponse struct {
 	Accepted   bool   // 200
-	RedirectTo string // 421: the member to send heartbeats to; empty with !Accepted: 503
+	RedirectTo string // 421: the member to send heartbeats to. If empty and !Accepted: 503
 	Token      uint64
 	Commands   []Command
 }
 
-// UserRequestKind is the kind of a user's request.
+// UserRequestKind is the kind of a user request.
 type UserRequestKind int
 
-// The requests of users.
+// The kinds of user requests.
 const (
 	SubmitJob UserRequestKind = iota
 	QueryJob
 	CancelJob
 )
 
-// UserRequest is a user's request. A submission with a malformed body still carries
-// its ID if that could be read: a repeated submission of a known job is answered with
-// the job's state, whatever its body is.
+// UserRequest is a user request. A submission with a malformed body still has its ID if the
+// ID could be parsed: a repeated submission of a known job is answered with the job's
+// state, regardless of its body.
 type UserRequest struct {
 	Kind      UserRequestKind `msgpack:"Kind"`
 	ID        string          `msgpack:"ID"`
 	Job       *Job            `msgpack:"Job"`
 	Malformed string          `msgpack:"Bad"` // why the submission is malformed
-	// Preconditions are further conditions of a submission, for subsystems beside the
-	// core: if one fails, the job is not accepted (409).
+	// Preconditions are additional conditions of a submission, used by extensions. If one
+	// fails, the job is rejected with status 409.
 	Preconditions []Precondition `msgpack:"Guards"`
-	// Relayed means that a peer relayed the request: it is not relayed again.
+	// Relayed is set on a request that a peer relayed, which must not be relayed again.
 	Relayed bool `msgpack:"Relayed"`
 }
 
-// UserResponse answers a UserRequest. Status is that of HTTP.
+// UserResponse is the response to a UserRequest. Status is an HTTP status code.
 type UserResponse struct {
 	Status      int      `msgpack:"Status"`
 	Error       string   `msgpack:"Error"`
@@ -234,22 +234,22 @@
 	State       JobState `msgpack:"State"`
 	Done        int      `msgpack:"Done"`
 	Running     int      `msgpack:"Running"`
-	RetryAfterS int      `msgpack:"RetryS"` // seconds until the request may be repeated; 0: not given
-	// For subsystems beside the core; users do not see them.
-	FailureReason string `msgpack:"Failed"` // why the core cancelled the job
-	WorkflowRun   string `msgpack:"Run"`    // the workflow run that the job is a step of
+	RetryAfterS int      `msgpack:"RetryS"` // seconds until the user should retry; 0: not set
+	// Fields for extensions, which are not returned to users.
+	FailureReason string `msgpack:"Failed"` // why the Controller cancelled the job
+	WorkflowRun   string `msgpack:"Run"`    // the workflow run that the job belongs to
 
-	retryableAtPeer bool // the fault is this member's access to the state service: a peer may do better
+	retryableAtPeer bool // caused by this member's access to the state service: a peer may succeed
 }
 
-// RelayRequest is a user's request that a peer is to answer.
+// RelayRequest is a user request for a peer to answer.
 type RelayRequest struct {
 	ID      uint64
 	Peer    string
 	Request UserRequest
 }
 
-// DirectCommand is a set of commands sent to a worker without waiting for its heartbeat.
+// DirectCommand is a set of commands that is sent to a worker without waiting for its next heartbeat.
 type DirectCommand struct {
 	ID          uint64
 	Addr        string
@@ -259,28 +259,29 @@
 	Commands    []Command
 }
 
-// DirectCommandResult answers a DirectCommand: OK when the worker carried it out, Conflict
-// when it refused all of it, Unknown when it may have been or may still be carried out.
-// Heartbeat is the worker's state after it, nil if unknown.
+// DirectCommandResult is the result of a DirectCommand. Outcome is OK if the worker carried
+// out the commands, Conflict if it refused all of them, and Unknown if it may have carried
+// them out or may still do so. Heartbeat is the worker's state after the commands, or nil
+// if unknown.
 type DirectCommandResult struct {
 	Outcome   Outcome
 	Heartbeat *Heartbeat
 }
 
-// PeerMessage is what each member sends to all others, in msgpack.
+// PeerMessage is the periodic message from a member to all its peers, encoded as msgpack.
 type PeerMessage struct {
 	From               string
 	WallMS             int64
-	ShardRequestedFrom string               // the member that owns the sender's shard and is to release it
-	RolloutCounts      rollout.HealthCounts // input of the rollouts' health gates, since the sender's start
-	ServesUsers        bool                 // users' requests may be relayed to the sender
-	TeamUsage          quota.UsageSnapshot  // by team, used and requested resources in the sender's shards
-	OmitsSummaries     bool                 // without summaries: the last ones remain valid
+	ShardRequestedFrom string               // the member that owns the sender's shard and should release it
+	RolloutCounts      rollout.HealthCounts // input to the rollouts' health gates, since the sender started
+	ServesUsers        bool                 // user requests may be relayed to the sender
+	TeamUsage          quota.UsageSnapshot  // used and requested resources in the sender's shards, by team
+	OmitsSummaries     bool                 // the message has no summaries; the last ones remain valid
 	OwnedShards        []PeerShard
 }
 
-// WithoutSummaries is a copy of the message without its summaries, for peers that are not
-// among the SummaryRecipients.
+// WithoutSummaries returns a copy of the message without summaries, for peers that are not
+// in Outputs.SummaryRecipients.
 func (p *PeerMessage) WithoutSummaries() *PeerMessage {
 	stripped := *p
 	stripped.OmitsSummaries = true
@@ -291,29 +292,29 @@
 	return &stripped
 }
 
-// PeerShard is a shard as its owner sees it.
+// PeerShard is the state of a shard as published by its owner.
 type PeerShard struct {
 	Shard             string
 	Summary           availability.Summary
 	Demands           []CapacityDemand
 	TaskCounts        map[string]TaskCounts
-	DisruptionDemands map[string]disruption.Demand // by team, for rollouts
-	MachinesToRelease []string                     // machines that the leader is to release
+	DisruptionDemands map[string]disruption.Demand // disruptions requested for rollouts, by team
+	MachinesToRelease []string                     // machines that the leader should release
 }
 
-// TaskCounts is the progress of a job's tasks in one shard.
+// TaskCounts contains the numbers of a job's running and done tasks in one shard.
 type TaskCounts struct {
 	Running int `msgpack:"r"`
 	Done    int `msgpack:"d"`
 }
 
-// CapacityDemand is work that a shard's machines cannot finish in time.
+// CapacityDemand is a group of tasks that a shard's machines cannot finish in time.
 type CapacityDemand struct {
 	Job           string `json:"Job"      msgpack:"job"`
 	Tasks         int    `json:"Count"    msgpack:"n"`
-	DeadlineMS    int64  `json:"Deadline" msgpack:"dl"`   // time of day, ms
-	TaskRuntimeMS int64  `json:"Length"   msgpack:"len"`  // of a task, without fetching its image
-	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // on-demand machines could run it, at a higher price
+	DeadlineMS    int64  `json:"Deadline" msgpack:"dl"`   // wall-clock time in ms
+	TaskRuntimeMS int64  `json:"Length"   msgpack:"len"`  // runtime of one task, without the image fetch
+	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // on-demand machines could run the tasks, but at a higher price
 }
 
 // LogLevel is the severity of a log line.
@@ -326,24 +327,24 @@
 	Warn
 )
 
-// LogLine is a log line: a fixed message, and attributes as keys and values in turn.
+// LogLine is a log line: a constant message, and attributes as alternating keys and values.
 type LogLine struct {
 	Level   LogLevel
 	Message string
 	Args    []any
 }
 
-// Outputs is what the core wants done. The caller takes all of it after each
-// input, and passes results back under the IDs of the requests; responses are by the
-// reply ID that came with the request.
+// Outputs contains the actions that the Controller requests. The caller takes all of them
+// after each input, and returns results under the IDs of the requests. Responses are
+// keyed by the reply ID that the caller passed with the request.
 type Outputs struct {
 	StoreOps           []StoreOp
 	CloudOps           []CloudOp
 	DirectCommands     []DirectCommand
 	HeartbeatResponses map[uint64]HeartbeatResponse
 	UserResponses      map[uint64]UserResponse
-	PeerMessage        *PeerMessage // to all other members; nil: none now
-	SummaryRecipients  []string     // of PeerMessage: members that get its summaries; nil: all
+	PeerMessage        *PeerMessage // message to all peers; nil: none
+	SummaryRecipients  []string     // members that get the summaries of PeerMessage; nil: all
 	Relays             []RelayRequest
 	Logs               []LogLine
 }
--- a/scheduler/params.go
+++ b/scheduler/params.go
@@ -2,54 +2,54 @@
 
 import "slices"
 
-// Team is a team's guaranteed resources and its limit; 0 means none.
+// Team is the guarantee (CPUs, GPUs) and the limit (MaxCPUs, MaxGPUs) of a team; 0 means none.
 type Team struct {
 	CPUs, GPUs       float64
 	MaxCPUs, MaxGPUs float64
 }
 
-// The kinds of objectives that the core pursues.
+// The kinds of objectives that the scheduler takes into account.
 const (
-	deadlineObjective = "deadline" // done by the job's deadline, times a factor
-	startObjective    = "wait"     // the first start within a time after the submission
-	finishObjective   = "finished" // done within a time after the submission
+	deadlineObjective = "deadline" // done within the job's deadline times a factor
+	startObjective    = "wait"     // first start within a given time after submission
+	finishObjective   = "finished" // done within a given time after submission
 )
 
-// Objective is a service level objective of a class of jobs. Kind is deadline, wait,
-// finished or guarantee; others are ignored.
+// Objective is a service level objective (SLO) of a job class. Kind is deadline, wait,
+// finished or guarantee; other kinds are ignored.
 type Objective struct {
 	Kind           string
 	WithinS        float64
-	DeadlineFactor float64 // of kind deadline: multiplies the job's deadline
+	DeadlineFactor float64 // multiplier of the job's deadline, for kind deadline
 }
 
-// Params is what the core needs of the member's configuration. It does not change while
-// the member runs.
+// Params is the part of the member's configuration that the Controller needs. It does not
+// change while the member runs.
 type Params struct {
 	MemberID         string
 	Zone             string
 	PeerIDs          []string
 	Teams            map[string]Team
-	Objectives       map[string][]Objective // by class of jobs
-	GuaranteeWithinS float64                // work within a guarantee starts this soon; 0: no such objective
-	HeartbeatS       float64                // interval of workers' heartbeats
-	LeaseS           float64                // workers stop their tasks so long after the last response
-	CancelWithinS    float64                // a cancelled job's tasks are stopped within it, in any outage
-	CPUShare         float64                // of one core; 0: not limited
-	Debug            bool                   // debug log lines are wanted
-	MaxValueBytes    int                    // of a value of the store
-	MaxTxnOps        int                    // changes in a transaction of the store
-	CloudListLagS    float64                // how old the list of the cloud may be
-	StoreChangeRate  float64                // store changes per second; 0: submissions are written one by one
-	MaxPendingRelays int                    // users' requests relayed to peers at the same time; 0: none
-	Aging            bool                   // first tasks of jobs that waited too long precede others of their priority
-	Quota            bool                   // tasks beyond their team's guarantee yield to others' guarantees
-	Rollout          bool                   // machines are drained and replaced in steps, by rollout plans
-	Recovery         bool                   // commands after a claim are paced, and unreachable machines are recorded
-	LeaseTTLRatio    float64                // of the longest safe lease TTL, in (0,1]; 0: 1
+	Objectives       map[string][]Objective // by job class
+	GuaranteeWithinS float64                // start objective of work within a guarantee; 0: none
+	HeartbeatS       float64                // heartbeat interval of the workers
+	LeaseS           float64                // workers stop their tasks this long after the last response
+	CancelWithinS    float64                // bound on stopping a cancelled job's tasks, also during outages
+	CPUShare         float64                // share of one CPU core; 0: not limited
+	Debug            bool                   // emit debug log lines
+	MaxValueBytes    int                    // maximum size of a value in the state service
+	MaxTxnOps        int                    // maximum number of changes in a transaction of the state service
+	CloudListLagS    float64                // maximum staleness of the cloud's machine list
+	StoreChangeRate  float64                // changes per second in the state service; 0: write submissions one by one
+	MaxPendingRelays int                    // maximum number of user requests relayed to peers at once; 0: none
+	Aging            bool                   // place the first task of a large job that waited too long before its equals
+	Quota            bool                   // stop tasks beyond their team's guarantee to meet other teams' guarantees
+	Rollout          bool                   // drain and replace machines in steps, by rollout plans
+	Recovery         bool                   // pace commands after a claim, and record unreachable machines
+	LeaseTTLRatio    float64                // fraction of the longest safe lease TTL, in (0,1]; 0 means 1
 }
 
-// MemberIDs lists all members, sorted. Shards have the same names.
+// MemberIDs returns the IDs of all members, sorted. The shards have the same names.
 func (p Params) MemberIDs() []string {
 	all := append([]string{p.MemberID}, p.PeerIDs...)
 	slices.Sort(all)
