--- a/scheduler/job_requests.go
+++ b/scheduler/job_requests.go
@@ -8,9 +8,9 @@
 	"github.com/grebedock/grebedock/admission"
 )
 
-// requestHandler owns users' requests that have no response yet: submissions in
-// their queue, queries in their batches, cancellations, and requests relayed to
-// peers. It also caches terminal states of jobs.
+// requestHandler owns the user requests that have no response yet: queued submissions,
+// batched queries, cancellations, and requests relayed to peers. It also caches terminal
+// states of jobs.
 type requestHandler struct {
 	*environment
 	cache  *stateCache
@@ -21,13 +21,13 @@
 
 	submissionQueue    *admission.Queue[pendingSubmission]
 	pendingRequests    map[uint64]*pendingRequest // by reply ID
-	requestsByArrival  []*pendingRequest          // the same, oldest first
-	pendingRelays      map[uint64]pendingRelay    // by request ID
-	relayRoundRobin    uint64                     // number of relays so far
-	expediteBudget     float64                    // relays that may be sent only to expedite a response
+	requestsByArrival  []*pendingRequest          // the same requests, oldest first
+	pendingRelays      map[uint64]pendingRelay    // by relay request ID
+	relayRoundRobin    uint64                     // number of relays sent
+	expediteBudget     float64                    // tokens for hedged requests
 	queryBatcher       queryBatches
-	terminalStates     map[string]terminalRecord // by job
-	terminalStateOrder []string                  // the same, oldest first
+	terminalStates     map[string]terminalRecord // by job ID
+	terminalStateOrder []string                  // their job IDs, oldest first
 }
 
 func newRequestHandler(env *environment) *requestHandler {
@@ -41,11 +41,11 @@
 	}
 }
 
-// maxCachedTerminalStates bounds the cache of terminal states; the store keeps them all.
+// maxCachedTerminalStates limits the cache of terminal states. The state service stores all of them.
 const maxCachedTerminalStates = 2048
 
-// cacheTerminalState keeps a terminal state, which never changes, for later queries. The
-// oldest is dropped when the cache is full.
+// cacheTerminalState caches a terminal state for later queries; terminal states never
+// change. It evicts the oldest entry when the cache is full.
 func (rh *requestHandler) cacheTerminalState(id string, final terminalRecord) {
 	if _, ok := rh.terminalStates[id]; ok {
 		return
@@ -58,12 +58,12 @@
 	}
 }
 
-// unavailableResponse is a 503 that a peer may be able to better.
+// unavailableResponse returns a 503 response to a request that a peer may be able to serve.
 func unavailableResponse(id, reason string) UserResponse {
 	return UserResponse{Status: 503, ID: id, Error: reason, RetryAfterS: 1, retryableAtPeer: true}
 }
 
-// response is the response to users about a job that is over.
+// response returns the response to users for a job in a terminal state.
 func (f terminalRecord) response(id string) UserResponse {
 	response := UserResponse{
 		Status:        200,
@@ -78,17 +78,18 @@
 	return response
 }
 
-// readJob reads a job from the store: the live record first, then the terminal one,
-// in the order in which a job changes, so that one is found whenever it exists.
-// The cache may lag, so it is not used here. onResult gets the live record, or nil.
+// readJob reads a job from the state service: first its live record, then its terminal
+// record. This is the order in which a job changes, so that the reads find one of them
+// whenever the job exists. readJob does not use the state cache, which may lag behind.
+// onResult receives the live record, or nil.
 func (rh *requestHandler) readJob(id string, urgency Urgency, onResult func(UserResponse, *KeyValue)) {
 	rh.store.sendStore(StoreOp{Kind: StoreGet, Urgency: urgency, Key: jobKey(id)}, func(result StoreResult) {
 		switch {
 		case result.Outcome == OK && len(result.KVs) == 1:
 			var rec jobRecord
 			if json.Unmarshal(result.KVs[0].Value, &rec) != nil {
-				// It was accepted and is not over, though its record is unreadable. With
-				// 503 for it, its user could not even cancel it.
+				// The job was accepted and has not ended, but its record cannot be decoded.
+				// If the response were 503, the user could not even cancel the job.
 				onResult(UserResponse{Status: 200, ID: id, State: Pending}, &result.KVs[0])
 				return
 			}
@@ -102,8 +103,8 @@
 	})
 }
 
-// readTerminalState reads the terminal state of a job that is not live from the cache of
-// terminal states or from the store.
+// readTerminalState reads the terminal state of a job that is not live, from the cache of
+// terminal states or from the state service.
 func (rh *requestHandler) readTerminalState(id string, urgency Urgency, onResult func(UserResponse)) {
 	if final, ok := rh.terminalStates[id]; ok {
 		onResult(final.response(id))
@@ -127,8 +128,8 @@
 	})
 }
 
-// liveJobResponse is the state of a live job: its record, and the progress that this
-// member and its peers last knew.
+// liveJobResponse returns the state of a live job, computed from its record and from the
+// progress last known to this member and last reported by its peers.
 func (rh *requestHandler) liveJobResponse(id string, rec *jobRecord) UserResponse {
 	response := UserResponse{Status: 200, ID: id, State: Pending, WorkflowRun: rec.Job.WorkflowRun}
 	unfinished := 0
@@ -152,7 +153,7 @@
 	return response
 }
 
-// taskCountsAtPeers is the progress of a job in shards that this member does not own.
+// taskCountsAtPeers returns the progress of a job in shards that this member does not own.
 func (rh *requestHandler) taskCountsAtPeers(id string) TaskCounts {
 	var sum TaskCounts
 	for _, peer := range rh.peers.peers {
@@ -168,17 +169,17 @@
 	return sum
 }
 
-// Why a submission is not accepted. Users receive the texts.
+// Reasons to reject a submission. The texts are returned to users.
 var (
 	errUnknownTeam         = errors.New("unknown team")
 	errExceedsTeamLimit    = errors.New("needs more than the team's limit")
 	errFitsNoMachineType   = errors.New("a task fits no allowed machine type")
-	errMachineTypesUnknown = errors.New("machine types not known yet") // it cannot be decided now
+	errMachineTypesUnknown = errors.New("machine types not known yet") // no decision is possible yet
 	errRecordTooLarge      = errors.New("the job's names are too long")
 )
 
-// checkRunnable returns why a job can never run, errMachineTypesUnknown while that cannot
-// be decided, and nil if it can run.
+// checkRunnable returns the reason why a job can never run, or nil if it can run. It returns
+// errMachineTypesUnknown if that cannot be decided yet.
 func (rh *requestHandler) checkRunnable(j *Job) error {
 	team, known := rh.params.Teams[j.Team]
 	if !known {
@@ -204,8 +205,8 @@
 	return errFitsNoMachineType
 }
 
-// checkRecordSize returns errRecordTooLarge for a job that no value of the store can hold,
-// however often it is sent.
+// checkRecordSize returns errRecordTooLarge for a job whose record always exceeds the
+// maximum value size of the state service, so that retries cannot succeed.
 func (rh *requestHandler) checkRecordSize(j *Job) error {
 	smallest := jobRecord{
 		Job:          *j,
@@ -218,8 +219,8 @@
 	return nil
 }
 
-// validateSubmission returns the response to a submission that cannot be accepted, nil if
-// it can.
+// validateSubmission returns the response to a submission that cannot be accepted, or nil
+// for a valid submission.
 func (rh *requestHandler) validateSubmission(request *UserRequest) *UserResponse {
 	if request.Job == nil {
 		return &UserResponse{Status: 400, ID: request.ID, Error: request.Malformed}
@@ -238,8 +239,9 @@
 	return nil
 }
 
-// respondUnlessKnown answers a submission that cannot be accepted. A repeated submission
-// of a known job gets the job's state instead, whatever its body is.
+// respondUnlessKnown answers a submission that cannot be accepted. If the job is already
+// known, the submission is a repeated one, and the response is the job's state regardless
+// of the submission's body.
 func (rh *requestHandler) respondUnlessKnown(replyID uint64, id string, response UserResponse) {
 	if id == "" {
 		rh.completeRequest(replyID, response)
@@ -253,7 +255,7 @@
 	})
 }
 
-// handleSubmit starts a submission.
+// handleSubmit validates a submission and queues it unless the job is already known.
 func (rh *requestHandler) handleSubmit(replyID uint64, request UserRequest) {
 	if response := rh.validateSubmission(&request); response != nil {
 		rh.respondUnlessKnown(replyID, request.ID, *response)
@@ -263,7 +265,7 @@
 		rh.enqueueSubmission(replyID, request)
 		return
 	}
-	// The job is known already: a write would only fail.
+	// The job is already known, so a write would fail.
 	rh.readJob(request.ID, UrgencyUser, func(response UserResponse, _ *KeyValue) {
 		if response.Status == 404 {
 			rh.enqueueSubmission(replyID, request)
@@ -273,8 +275,8 @@
 	})
 }
 
-// handleCancel replaces a live job's record by a terminal one. A conflict or an unknown
-// outcome is retried, from reading the job on.
+// handleCancel replaces a live job's record with a terminal record. After a conflict or an
+// unknown outcome it starts again by reading the job, at most retries times.
 func (rh *requestHandler) handleCancel(replyID uint64, id string, retries int) {
 	rh.readJob(id, UrgencyUser, func(response UserResponse, kv *KeyValue) {
 		if kv == nil {
--- a/scheduler/query_batches.go
+++ b/scheduler/query_batches.go
@@ -2,35 +2,35 @@
 
 import "github.com/grebedock/grebedock/access"
 
-// Users' queries about jobs are answered in batches. A query may be answered from the cache
-// once the cache has everything that was written before the query came: one watch that
-// does not wait, sent after the query, proves that for all queued ones. So a flood of
-// queries costs a bounded number of requests, and no response is older than one that
-// another member has given.
+// The member answers user queries about jobs in batches. It may answer a query from the
+// state cache once the cache contains every write that precedes the query. A single watch
+// with zero wait, sent after the queries, establishes this for all queued queries. The
+// number of requests to the state service is therefore bounded at any query rate, and no
+// response is older than an earlier response of another member.
 
 const (
-	// batchIntervalDivisor divides the request timeout to give the interval between reads
-	// of the state service: queries that come meanwhile share the next one.
+	// batchIntervalDivisor is the divisor of the request timeout that gives the interval
+	// between batch reads. Queries that arrive during the interval share the next read.
 	batchIntervalDivisor = 20
-	// minBatchSize is the number of queries from which a batch is cheaper than one read each.
+	// minBatchSize is the smallest number of queries for which a batch is cheaper than one read per query.
 	minBatchSize = 3
 )
 
-// queryBatches owns the queries that wait for the next read.
+// queryBatches owns the queries that wait for the next batch read.
 type queryBatches struct {
 	queued        []*pendingRequest
 	batchInFlight bool
-	nextBatchAtMS int64 // monotonic time from which the next may be sent
+	nextBatchAtMS int64 // earliest monotonic time of the next batch
 }
 
-// enqueueQuery queues a query, and sends it at once if the last batch was long enough ago.
+// enqueueQuery queues a query, and sends a batch immediately if one is allowed.
 func (rh *requestHandler) enqueueQuery(pending *pendingRequest) {
 	rh.queryBatcher.queued = append(rh.queryBatcher.queued, pending)
 	rh.sendQueryBatch()
 }
 
-// sendQueryBatch sends the queued queries, unless a batch is in flight or the last one was
-// a moment ago.
+// sendQueryBatch sends the queued queries as a batch, unless a batch is in flight or the
+// batch interval has not elapsed.
 func (rh *requestHandler) sendQueryBatch() {
 	batches := &rh.queryBatcher
 	if len(batches.queued) == 0 || batches.batchInFlight || rh.now.MonotonicMS < batches.nextBatchAtMS {
@@ -52,11 +52,11 @@
 	})
 }
 
-// completeBatch answers the queries that came before a read of this outcome.
+// completeBatch answers the queries of a batch whose read had this outcome.
 func (rh *requestHandler) completeBatch(batch []*pendingRequest, outcome Outcome) {
 	switch {
 	case outcome == Gone || outcome == OK && !rh.store.storeAccess.IsSynced():
-		// The cache is loaded anew and cannot answer for now.
+		// The cache must be reloaded and cannot answer queries until then.
 		rh.readJobsOneByOne(batch)
 	case outcome != OK:
 		for _, pending := range batch {
@@ -69,16 +69,16 @@
 	}
 }
 
-// completeFromCache answers a query from the cache, which is as new as the query. A job
-// that is not live is over, or was never accepted.
+// completeFromCache answers a query from the cache, which is at least as recent as the
+// query. A job that is not live has ended or was never accepted.
 func (rh *requestHandler) completeFromCache(pending *pendingRequest) {
 	id := pending.request.ID
 	j := rh.cache.jobs[id]
 	switch {
-	case pending.completed: // by a peer
+	case pending.completed: // a peer answered it
 	case j != nil:
 		rh.completeRequest(pending.replyID, rh.liveJobResponse(id, &j.rec))
-	case rh.cache.keyRevisions[jobKey(id)] != 0: // its record is unreadable
+	case rh.cache.keyRevisions[jobKey(id)] != 0: // its record cannot be decoded
 		rh.readJobsOneByOne([]*pendingRequest{pending})
 	default:
 		rh.readTerminalState(id, UrgencyRead, func(response UserResponse) {
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -13,11 +13,11 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// Keys of the state service. Everything live is under one prefix, which every
-// member keeps a replica of (stateCache) and watches; progress and terminal
-// states are read only when they are needed, so that neither grows a member's
-// memory. Keys and the JSON forms of records are fixed: members of different
-// versions share them.
+// Keys in the state service. All live records are under one prefix. Every member watches
+// this prefix and keeps a replica of it (stateCache). Members read progress and terminal
+// states only when needed, so that these do not use memory in every member. The keys and
+// the JSON encoding of the records are fixed because members of different versions share
+// them.
 const (
 	livePrefix         = "l/"
 	jobPrefix          = "l/j/"
@@ -38,7 +38,7 @@
 func claimKey(id string) string    { return claimPrefix + id }
 func teamKey(id string) string     { return teamPrefix + id }
 
-// JobState is the state of a job as users see it.
+// JobState is the state of a job as reported to users.
 type JobState string
 
 // The states of a job.
@@ -49,10 +49,10 @@
 	Cancelled JobState = "cancelled"
 )
 
-// IsTerminal reports whether a job in this state never changes again.
+// IsTerminal reports whether the state is final.
 func (s JobState) IsTerminal() bool { return s == Done || s == Cancelled }
 
-// Priority orders jobs: a higher one goes first.
+// Priority is the priority of a job. Jobs with a higher priority are scheduled first.
 type Priority int
 
 // The priorities, lowest first.
@@ -63,18 +63,18 @@
 	Production
 )
 
-// JobKind is how a job's tasks run.
+// JobKind specifies how the tasks of a job run.
 type JobKind string
 
 // The kinds of jobs.
 const (
-	Array   JobKind = "array"   // each task runs to its end
+	Array   JobKind = "array"   // each task runs to completion
 	Service JobKind = "service" // tasks run until the job is cancelled
-	Gang    JobKind = "gang"    // tasks run only all together
+	Gang    JobKind = "gang"    // all tasks run at the same time or not at all
 )
 
-// Job is what a user submitted. Its fields are those of the record in the store and of
-// relayed requests; durations are in seconds.
+// Job is a job as submitted by a user. It is encoded in the stored record and in relayed
+// requests. Durations are in seconds.
 type Job struct {
 	ID                  string                 `json:"id"                 msgpack:"ID"`
 	Class               string                 `json:"class,omitempty"    msgpack:"Class"`
@@ -94,59 +94,59 @@
 	CheckpointDurationS float64                `json:"save,omitempty"     msgpack:"SaveS"`
 	DeadlineS           float64                `json:"dl,omitempty"       msgpack:"DeadlineS"` // 0: none
 
-	// What subsystems beside the core set; users' jobs have none of it.
+	// The following fields are set only by extensions, not in jobs of users.
 
-	// WorkflowRun is the workflow run that the job is a step of.
+	// WorkflowRun is the workflow run that the job belongs to.
 	WorkflowRun string `json:"run,omitempty"        msgpack:"Run"`
-	// MaxTaskErrors fails the job when one of its tasks exited so often with an error; 0: never.
+	// MaxTaskErrors is the number of exits with an error of one task that fail the job; 0: unlimited.
 	MaxTaskErrors int `json:"max_errors,omitempty" msgpack:"MaxErrors"`
-	// AtMostOnce fails the job instead of starting again a task that may have begun.
+	// AtMostOnce fails the job instead of restarting a task that may have begun.
 	AtMostOnce bool `json:"once,omitempty"       msgpack:"Once"`
 }
 
-// requiresOneShard reports whether the job's tasks constrain each other's machines or
-// starts, so that one shard must own them all.
+// requiresOneShard reports whether one shard must own all tasks of the job, because the
+// placement or start of each task depends on the others.
 func (j *Job) requiresOneShard() bool { return j.OneZone || j.Spread || j.Kind == Gang }
 
-// Range is the tasks [Lo, Hi) of a job and the shard that runs them.
+// Range is the range [Lo, Hi) of a job's tasks, with the shard that runs them.
 type Range struct {
 	Lo            int    `json:"lo"`
 	Hi            int    `json:"hi"`
 	Shard         string `json:"shard"`
-	MovedFromPeer bool   `json:"moved,omitempty"` // from another member's shard: is not moved again
+	MovedFromPeer bool   `json:"moved,omitempty"` // moved here from another member's shard; must not be moved again
 }
 
-// jobRecord is a live job in the store. Its ranges are those with unfinished tasks;
-// the last to finish replaces it by a terminalRecord.
+// jobRecord is the stored record of a live job. It lists only ranges with unfinished tasks.
+// When the last range finishes, a terminalRecord replaces the jobRecord.
 type jobRecord struct {
 	Job          Job     `json:"job"`
-	AcceptedAtMS int64   `json:"at"` // time of day, ms
+	AcceptedAtMS int64   `json:"at"` // wall-clock time in ms
 	Ranges       []Range `json:"ranges"`
-	MayHaveBegun bool    `json:"begun,omitempty"` // of a job with AtMostOnce: tasks may have begun
+	MayHaveBegun bool    `json:"begun,omitempty"` // for AtMostOnce: tasks of the job may have begun
 }
 
-// terminalRecord is what the store keeps of a job that is over.
+// terminalRecord is the stored record of a job in a terminal state.
 type terminalRecord struct {
 	State         JobState `json:"state"`
 	Tasks         int      `json:"tasks"`
-	FailureReason string   `json:"failed,omitempty"` // why the core cancelled it; empty: a user did, or it is done
+	FailureReason string   `json:"failed,omitempty"` // why the Controller cancelled it; empty if a user did or it is done
 	WorkflowRun   string   `json:"run,omitempty"`
 }
 
-// progressRecord is the finished tasks of some ranges of a shard: by range, a bitmap
-// whose first bit is the task Lo.
+// progressRecord contains the done tasks of some ranges of a shard. Each range has a bitmap
+// whose first bit stands for the task Lo.
 type progressRecord struct {
 	DoneBitmaps map[string][]byte `json:"done"`
 }
 
-// claimRecord is a member's claim to a shard. It is attached to the owner's lease; its
-// revision is the fencing token of commands to the shard's workers.
+// claimRecord is a member's claim to a shard. It is attached to the owner's lease. Its
+// revision is the fencing token of the commands to the shard's workers.
 type claimRecord struct {
 	Owner string `json:"holder"`
 	Nonce uint64 `json:"nonce,string"`
 }
 
-// MachineType is a type of machine that the cloud provisions.
+// MachineType is a machine type that the cloud offers.
 type MachineType struct {
 	Name           string                 `json:"name"       msgpack:"n"`
 	Resources      availability.Resources `json:"room"       msgpack:"r"`
@@ -157,23 +157,23 @@
 	Zones          []string               `json:"zones"      msgpack:"z"`
 }
 
-// catalogRecord keeps the machine types, so that members that start during an outage
-// of the cloud can still decide.
+// catalogRecord stores the machine types, so that members that start during an outage of
+// the cloud can still make scheduling decisions.
 type catalogRecord struct {
 	Types []MachineType `json:"types"`
 }
 
-// mustEncode encodes a record as a value of the store. Records hold nothing that JSON
-// cannot express, so an error is a fault in the program.
+// mustEncode encodes a record as a value for the state service. It panics on an error. All
+// record types can be encoded as JSON, so an error is a bug.
 func mustEncode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("scheduler: record %T does not encode: %v", v, err))
+		panic(fmt.Sprintf("scheduler: cannot encode record %T: %v", v, err))
 	}
 	return b
 }
 
-// TaskName is the name of a job's nth task, from 0, on the workers.
+// TaskName returns the name that workers use for a job's task n, counted from 0.
 func TaskName(job string, n int) string { return fmt.Sprintf("%s/%d", job, n) }
 
 // parseTaskName is the inverse of TaskName. It accepts at most eight digits.
@@ -191,7 +191,7 @@
 	return s[:i], n, true
 }
 
-// bitset is a set of small non-negative numbers, in the form that progress records have.
+// bitset is a set of small non-negative integers, encoded as in progress records.
 type bitset []byte
 
 func newBitset(n int) bitset { return make(bitset, (n+7)/8) }
@@ -200,9 +200,9 @@
 func (b bitset) set(i int)      { b[i/8] |= 1 << (i % 8) }
 func (b bitset) clear(i int)    { b[i/8] &^= 1 << (i % 8) }
 
-// sortedByKey visits a map in the order of its keys, so that the same inputs give the
-// same outputs and a simulated scenario can be repeated. Entries that the loop removes
-// before they are reached are not visited.
+// sortedByKey iterates over a map in key order, so that the same inputs give the same
+// outputs and simulated scenarios are reproducible. It skips entries that the loop body
+// removes before the iteration reaches them.
 func sortedByKey[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range slices.Sorted(maps.Keys(m)) {
@@ -213,8 +213,8 @@
 	}
 }
 
-// secondsToMS rounds to milliseconds. Durations beyond 68 years, infinity among them,
-// count as that.
+// secondsToMS converts seconds to milliseconds, rounded. It caps durations, including
+// infinity, at 68 years.
 func secondsToMS(seconds float64) int64 {
 	if seconds > math.MaxInt32 {
 		seconds = math.MaxInt32
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -6,45 +6,46 @@
 	"github.com/grebedock/grebedock/disruption"
 )
 
-// Settings are what operators may change while the cluster runs, through the
-// administration API. They are kept in the store and hold for all members.
+// Settings are the settings that operators can change at runtime through the administration
+// API. They are stored in the state service and apply to all members.
 type Settings struct {
 	Functions int      `json:"functions"`       // availability functions per summary
 	Samples   int      `json:"samples"`         // samples per availability function
-	LateShare float64  `json:"late_share"`      // of a job's span: one step of extending a late deadline
-	SummaryS  float64  `json:"summary_s"`       // seconds between two peer messages
-	IdleBoots float64  `json:"idle_boots"`      // idle time before release, in boot times of the machine's type
+	LateShare float64  `json:"late_share"`      // step of extending a missed deadline, as a fraction of the job's span
+	SummaryS  float64  `json:"summary_s"`       // interval between peer messages in seconds
+	IdleBoots float64  `json:"idle_boots"`      // idle time before release, in multiples of the machine type's boot time
 	Drain     []string `json:"drain,omitempty"` // IDs of cordoned machines
 
-	// BeginWithinS is the time in which the first task of each job is to start, if
-	// there is capacity for its priority at all (feature aging).
+	// BeginWithinS is the time in seconds within which the first task of each job should
+	// start, if there is any capacity for the job's priority (feature aging).
 	BeginWithinS float64 `json:"begin_within_s"`
 
-	// Disruption is by team the budget of tasks that rollouts may stop to drain
-	// machines; "*" stands for teams that are not named. Without either, none is
-	// stopped.
+	// Disruption is the budget of tasks that rollouts may stop to drain machines, by team.
+	// The key "*" applies to teams without an entry. Without either entry, rollouts stop
+	// no tasks of the team.
 	Disruption map[string]disruption.Budget `json:"disruption,omitempty"`
 }
 
-// DefaultSettings are the settings of a cluster whose operators changed none: the limits of
-// the paper (package availability) and the starting values of the design.
+// DefaultSettings returns the settings of a cluster whose operators have not changed any:
+// the limits from the paper that package availability implements, and the initial values
+// of the design.
 func DefaultSettings() Settings {
 	return Settings{Functions: 125, Samples: 10, LateShare: 0.25, SummaryS: 1, IdleBoots: 1.5, BeginWithinS: 240}
 }
 
-// FieldError is the first invalid field of Settings.
+// FieldError reports the first invalid field of Settings.
 type FieldError struct {
-	Field string // as in JSON, with the path to it
-	Text  string // the whole text for operators; it begins with the field
-	Err   error  // the error of the part that is invalid, if it has one of its own
+	Field string // JSON path of the field
+	Text  string // complete message for operators; begins with the field
+	Err   error  // underlying error of the invalid value, or nil
 }
 
 func (e *FieldError) Error() string { return e.Text }
 
-// Unwrap returns the error of the invalid part, or nil.
+// Unwrap returns the underlying error of the invalid value, or nil.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Validate returns a *FieldError for the first field that is out of its range, or nil.
+// Validate returns a *FieldError for the first field with an invalid value, or nil.
 func (s Settings) Validate() error {
 	invalid := func(field, rest string) error { return &FieldError{Field: field, Text: field + " " + rest} }
 	switch {
--- a/scheduler/state_cache.go
+++ b/scheduler/state_cache.go
@@ -10,27 +10,28 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// stateCache is the member's replica of all live records of the state service, fed by
-// one list and then by watches, and by the results of this member's own requests. It
-// owns the revisions, and the records that several owners read; other records it
-// passes to their owners by the table of recordHandlers. It may lag behind the store.
+// stateCache is the member's replica of all live records in the state service. It is
+// updated by an initial list, then by watches, and by the results of this member's own
+// requests. It owns the revisions of all keys and the records that several components
+// read. It passes other records to their owners through recordHandlers. It may lag behind
+// the state service.
 type stateCache struct {
 	*environment
 	store *storeClient
 
 	keyRevisions    map[string]uint64 // revision of every cached key
-	tombstones      map[string]uint64 // revisions of removals after appliedRevision
+	tombstones      map[string]uint64 // revisions of the removals after appliedRevision
 	appliedRevision uint64            // all changes up to this one are applied
 
 	jobs             map[string]*job
 	shardClaims      map[string]claimRecord
 	machineTypes     map[string]*MachineType
-	placementCatalog *planner.Catalog // the machine types as placement uses them
+	placementCatalog *planner.Catalog // the machine types in the form that the planner uses
 	settings         Settings
-	extensionRecords map[string]KeyValue // of subsystems beside the core, by key
-	leader           string              // member ID
+	extensionRecords map[string]KeyValue // records of extensions, by key
+	leader           string              // member ID of the leader
 
-	invalidatePlans func() // called when something changed that plans depend on
+	invalidatePlans func() // called after a change that affects plans
 	recordHandlers  []recordHandler
 }
 
@@ -48,7 +49,7 @@
 	}
 }
 
-// applyWatchResult applies all changes since a revision that the cache had.
+// applyWatchResult applies the result of a watch that was sent with a revision of the cache.
 func (cache *stateCache) applyWatchResult(result StoreResult) {
 	for _, kv := range result.KVs {
 		cache.applyChange(kv)
@@ -61,8 +62,8 @@
 	}
 }
 
-// applySnapshot applies a list of everything live at a revision. Records that it lacks
-// are removed, in the order of their keys.
+// applySnapshot applies a list of all live records at a revision. It removes cached records
+// that are not in the list, in key order.
 func (cache *stateCache) applySnapshot(kvs []KeyValue, revision uint64) {
 	found := make(map[string]bool, len(kvs))
 	for _, kv := range kvs {
@@ -83,7 +84,7 @@
 	cache.log(Info, "state cache loaded", "keys", len(kvs), "revision", revision)
 }
 
-// applyChange applies a change of one key, unless the cache has a newer state of it.
+// applyChange applies a change of one key, unless the cache already has a newer state of the key.
 func (cache *stateCache) applyChange(kv KeyValue) {
 	if !strings.HasPrefix(kv.Key, livePrefix) {
 		return
@@ -102,26 +103,27 @@
 	}
 }
 
-// isStale reports whether the cache knows a newer state of a key than a change.
+// isStale reports whether a change is not newer than the cached state of its key.
 func (cache *stateCache) isStale(kv KeyValue) bool {
 	keyRevision, known := cache.keyRevisions[kv.Key]
 	if kv.Rev <= keyRevision || kv.Rev <= cache.tombstones[kv.Key] {
 		return true
 	}
-	// The cache has everything up to appliedRevision. A read that was in flight while
-	// its key was removed is older: applied, it made a cancelled job start again.
+	// The cache contains all changes up to appliedRevision, so an unknown key with an older
+	// revision has been removed since. A read that was in flight during the removal can
+	// return such a record. Applying it restarted a cancelled job.
 	return !known && cache.store.storeAccess.IsSynced() && kv.Rev <= cache.appliedRevision
 }
 
 // updateRevision records the revision of a change. It reports whether the change has an
-// effect: the removal of an unknown key has none.
+// effect; the removal of an unknown key has none.
 func (cache *stateCache) updateRevision(kv KeyValue) bool {
 	if kv.Value != nil {
 		cache.keyRevisions[kv.Key] = kv.Rev
 		return true
 	}
-	// A watch that lags behind this member's own removal must not bring the key
-	// back: a job that is over would start again.
+	// A watch that lags behind this member's own removal must not restore the key.
+	// Otherwise a job that has ended would start again.
 	if kv.Rev > cache.appliedRevision {
 		cache.tombstones[kv.Key] = kv.Rev
 	}
@@ -130,14 +132,14 @@
 	return known
 }
 
-// recordHandler applies changes of one kind of record to the owner of its state.
+// recordHandler passes the changes of one kind of record to the component that owns its state.
 type recordHandler struct {
 	prefix string
-	exact  bool                 // the prefix is the whole key
+	exact  bool                 // the prefix is the complete key
 	apply  func(KeyValue) error // a change without a value is a removal
 }
 
-// handles reports whether the record of a key is of this kind.
+// handles reports whether the handler is responsible for a key.
 func (h *recordHandler) handles(key string) bool {
 	if h.exact {
 		return key == h.prefix
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// applySettingsRecord ignores a record that is invalid: the last valid settings stay.
+// applySettingsRecord ignores an invalid record and keeps the last valid settings.
 func (cache *stateCache) applySettingsRecord(kv KeyValue) error {
 	settings := DefaultSettings()
 	if kv.Value != nil {
@@ -193,7 +195,7 @@
 	cache.invalidatePlans()
 }
 
-// resourcesOf is a type's resources, none for an unknown type.
+// resourcesOf returns the resources of a machine type, or none if the type is unknown.
 func resourcesOf(t *MachineType) availability.Resources {
 	if t == nil {
 		return availability.Resources{}
@@ -201,27 +203,28 @@
 	return t.Resources
 }
 
-// fillDeadline is the time of day, in milliseconds, until which a provisioned machine is
-// filled with tasks of a group: the group's deadline or, if the machine is ready too
-// late for that, the end of one task in each of its queues.
+// fillDeadline returns the wall-clock time in milliseconds until which the planner fills a
+// provisioned machine with tasks of a group. This is the group's deadline or, if the
+// machine becomes ready too late for it, the end of one task in each of its queues.
 func (cache *stateCache) fillDeadline(g *taskGroup, viewMachine *planner.Machine) int64 {
 	fetchMS := cache.imageFetchMS(g.job, viewMachine.Offering.Type)
 	paddedRuntimeMS := int64(float64(g.LengthMS) * planner.RuntimePadding)
 	return max(g.DeadlineMS, viewMachine.ReadyAtMS+fetchMS+paddedRuntimeMS)
 }
 
-// isCurrent reports whether a task range is still one of a live job in this member's
-// shards. One that moved to a peer is not: started from a reservation all the same, its
-// tasks ran twice.
+// isCurrent reports whether a task range still belongs to a live job in this member's
+// shards. A range that moved to a peer does not. Starting such a range from a reservation
+// ran its tasks twice.
 func (cache *stateCache) isCurrent(tr *taskRange) bool {
 	return cache.jobs[tr.job.rec.Job.ID] == tr.job && tr.job.taskRanges[tr.bounds.Lo] == tr
 }
 
-// maxMessageAgeMS is the age up to which peers' messages and status records guide decisions.
+// maxMessageAgeMS returns the maximum age of peer messages and status records that decisions use.
 func (cache *stateCache) maxMessageAgeMS() int64 { return 4 * secondsToMS(cache.settings.SummaryS) }
 
-// immediateDeadline is the time of day by which a task must end that a peer is to start
-// at once: its runtime and a margin, since summaries are a moment old.
+// immediateDeadline returns the wall-clock time by which a task must end if a peer starts
+// it immediately. It includes the image fetch, the task's runtime, and a margin because
+// summaries are slightly out of date.
 func (cache *stateCache) immediateDeadline(j *Job, runtimeMS int64) int64 {
 	fetchMS := int64(0)
 	for typeName := range cache.machineTypes {
@@ -230,13 +233,13 @@
 	return cache.now.WallMS + fetchMS + runtimeMS + min(runtimeMS/4, secondsToMS(cache.params.HeartbeatS))
 }
 
-// imageFetchMS is how long a machine of a type takes to fetch the job's image.
+// imageFetchMS returns how long a machine of a type takes to fetch the job's image.
 func (cache *stateCache) imageFetchMS(j *Job, typ string) int64 {
 	request := j.resourceRequest()
 	return cache.placementCatalog.FetchMS(&request, typ)
 }
 
-// isOfferingAllowed reports whether a job may use machines of an offering at all.
+// isOfferingAllowed reports whether a job may use machines of an instance offering.
 func (cache *stateCache) isOfferingAllowed(j *Job, typ, zone string, spot bool) bool {
 	request := j.resourceRequest()
 	return cache.placementCatalog.IsAllowed(&request, planner.InstanceOffering{Type: typ, Zone: zone, Spot: spot})
@@ -248,15 +251,15 @@
 	return cache.placementCatalog.FitsType(&request, cache.placementCatalog.Type(t.Name))
 }
 
-// isTypeScarce reports whether a job that fits other types too should leave a type to
-// others, because some live job fits no other.
+// isTypeScarce reports whether a job should avoid a machine type: the job also fits other
+// types, while some live job fits only this one.
 func (cache *stateCache) isTypeScarce(j *Job, t *MachineType) bool {
 	request := j.resourceRequest()
 	return cache.placementCatalog.ShouldAvoid(&request, t.Name)
 }
 
-// syncNow brings the cache up to everything that was written before the call, by a
-// watch that does not wait.
+// syncNow updates the cache with every write that precedes the call, by a watch with zero
+// wait.
 func (cache *stateCache) syncNow(onResult func(Outcome)) {
 	cache.store.sendStore(
 		StoreOp{Kind: StoreWatch, Urgency: UrgencyRead, Key: livePrefix, Rev: cache.appliedRevision},
@@ -269,8 +272,8 @@
 	)
 }
 
-// machineCapacity is the resources of a machine, which workers enforce; unlimited if its
-// type is unknown.
+// machineCapacity returns the resources of a machine, which its worker enforces. They are
+// unlimited if the machine type is unknown.
 func (cache *stateCache) machineCapacity(mc *machine) reconcile.ResourceUsage {
 	if mc == nil || cache.machineTypes[mc.rec.Type] == nil {
 		return reconcile.ResourceUsage{CPUs: 1e12, GPUs: 1e12}
--- a/scheduler/store_access.go
+++ b/scheduler/store_access.go
@@ -1,13 +1,13 @@
 package scheduler
 
-// tickStoreAccess sends what the member's access to the store needs: its lease,
-// and the replica of everything live, by one list and then by watches. A watch
-// that returns proves that everything up to its sending was seen.
+// tickStoreAccess sends the requests that maintain the member's lease and its replica of the
+// live records, which it reads by one list and then by watches. When a watch returns, the
+// replica contains every change that precedes the sending of the watch.
 func (c *Controller) tickStoreAccess() {
 	actions := c.store.storeAccess.Tick(c.now.MonotonicMS)
 	if link := c.store.storeAccess.Link(c.now.MonotonicMS); link != c.store.lastStoreLink {
 		c.store.lastStoreLink = link
-		c.log(Info, "state service", "link", link)
+		c.log(Info, "state service link changed", "link", link)
 	}
 	if actions.GrantLease {
 		c.requestLease()
@@ -36,7 +36,7 @@
 		if !lost {
 			return
 		}
-		// Every claim that was attached to the lease is gone with it.
+		// The state service has removed every claim that was attached to the lease.
 		c.log(Warn, "lease lost", "shards", len(c.shards.ownedShards))
 		for _, s := range sortedByKey(c.shards.ownedShards) {
 			c.shards.dropShard(s)
--- a/scheduler/store_client.go
+++ b/scheduler/store_client.go
@@ -3,19 +3,19 @@
 import "github.com/grebedock/grebedock/access"
 
 // storeClient sends requests to the state service. It owns the pending requests, the
-// member's lease there, and writes whose outcome is unknown.
+// member's lease, and the writes with an unknown outcome.
 type storeClient struct {
 	*environment
 
 	storeAccess    *access.LeaseKeeper
 	storeCallbacks map[uint64]func(StoreResult) // by request ID
-	delayedSteps   []delayedStep                // of in-doubt writes
-	lastStoreLink  access.LinkState             // as it was last logged
-	hadAuthority   bool                         // as it was last logged
-	observeChange  func(KeyValue)               // receives the state of a key that a completed request shows
+	delayedSteps   []delayedStep                // delayed continuations of in-doubt writes
+	lastStoreLink  access.LinkState             // last logged value
+	hadAuthority   bool                         // last logged value
+	observeChange  func(KeyValue)               // receives each key state that a completed request returns
 }
 
-// authoritySlackMS is subtracted from the time for which a lease gives authority.
+// authoritySlackMS is subtracted from the time for which a lease grants authority.
 const authoritySlackMS = 50
 
 func newStoreClient(env *environment) *storeClient {
@@ -29,17 +29,18 @@
 	return sc
 }
 
-// sendStore sends a request; onResult is called once with its result. Except for watches
-// that wait, and for background requests, its duration counts as the store's latency.
+// sendStore sends a request. It calls onResult once with the result. The duration of the
+// request counts towards the latency of the state service, except for background requests
+// and watches that wait.
 func (sc *storeClient) sendStore(op StoreOp, onResult func(StoreResult)) {
 	sc.lastRequestID++
 	op.ID = sc.lastRequestID
 	switch {
-	case op.Kind == StoreWatch && op.DurationMS > 0: // waits by its nature
+	case op.Kind == StoreWatch && op.DurationMS > 0: // a watch waits for changes, so its duration is not a latency
 		sc.storeCallbacks[op.ID] = onResult
 	case op.Urgency == UrgencyBackground:
-		// It may wait long for the rate limit: its duration is no latency of
-		// the state service.
+		// The request may wait a long time for the rate limit, so its duration
+		// does not measure the latency of the state service.
 		sc.storeCallbacks[op.ID] = func(r StoreResult) {
 			sc.storeAccess.ObserveOutcome(sc.now.MonotonicMS, r.Outcome)
 			onResult(r)
@@ -54,7 +55,7 @@
 	sc.outputs.StoreOps = append(sc.outputs.StoreOps, op)
 }
 
-// leaseTTLMS is the TTL of this member's lease (access.LeaseTTLMS).
+// leaseTTLMS returns the TTL of this member's lease: access.LeaseTTLMS, times LeaseTTLRatio if set.
 func (sc *storeClient) leaseTTLMS() int64 {
 	ttlMS := access.LeaseTTLMS(secondsToMS(sc.params.CancelWithinS), secondsToMS(sc.params.LeaseS))
 	if sc.params.LeaseTTLRatio > 0 {
@@ -63,15 +64,15 @@
 	return ttlMS
 }
 
-// leaseRenewalIntervalMS is the interval between renewals of the lease, and of watches.
+// leaseRenewalIntervalMS returns the interval between lease renewals, which is also the wait of a watch.
 func (sc *storeClient) leaseRenewalIntervalMS() int64 { return sc.storeAccess.RenewIntervalMS() }
 
-// hasAuthority reports whether this member may act for its shards. Without it: no starts,
-// no decisions, and no response that would renew a worker's lease.
+// hasAuthority reports whether this member may act for its shards. Without authority, it
+// starts no tasks, makes no decisions, and sends no response that renews a worker's lease.
 func (sc *storeClient) hasAuthority() bool { return sc.storeAccess.HasAuthority(sc.now.MonotonicMS) }
 
-// listAll reads all keys with a prefix, page by page. revision is that of the first page:
-// a watch from there on misses nothing.
+// listAll reads all keys with a prefix, page by page. revision is the revision of the first
+// page, so that a watch from this revision misses no changes.
 func (sc *storeClient) listAll(prefix string, onResult func(kvs []KeyValue, revision uint64, outcome Outcome)) {
 	var collected []KeyValue
 	var revision uint64
@@ -96,8 +97,8 @@
 	readPage("")
 }
 
-// sendTxn sends a transaction. If it is known to have succeeded, the cache has its changes
-// before onResult is called.
+// sendTxn sends a transaction. If the transaction is known to have succeeded, sendTxn
+// applies its changes to the state cache before it calls onResult.
 func (sc *storeClient) sendTxn(
 	urgency Urgency,
 	preconditions []Precondition,
@@ -117,8 +118,8 @@
 	)
 }
 
-// rereadKey reads a key whose last write has an unknown outcome, and updates the cache
-// before onResult is called.
+// rereadKey reads a key whose last write has an unknown outcome. It updates the state cache
+// before it calls onResult.
 func (sc *storeClient) rereadKey(key string, onResult func(StoreResult)) {
 	sc.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyUser, Key: key}, func(result StoreResult) {
 		if result.Outcome == OK && len(result.KVs) == 1 {
@@ -132,8 +133,8 @@
 }
 
 // isStoreUnreachable reports whether the state service refuses this member's requests or
-// does not answer them. Each further request would take its whole timeout to learn the
-// same; renewals of the lease go on, and their answer ends this.
+// does not answer them. Another request could take its full timeout to fail in the same
+// way. Lease renewals continue, and a response to one of them ends this state.
 func (sc *storeClient) isStoreUnreachable() bool {
 	link := sc.storeAccess.Link(sc.now.MonotonicMS)
 	return link == access.LinkSilent || link == access.LinkRefused
--- a/scheduler/submissions.go
+++ b/scheduler/submissions.go
@@ -7,19 +7,19 @@
 	"github.com/grebedock/grebedock/admission"
 )
 
-// pendingSubmission is a valid submission that is not stored yet.
+// pendingSubmission is a valid submission that has not been stored yet.
 type pendingSubmission struct {
 	replyID uint64
 	request UserRequest
 }
 
 const (
-	// queueWaitDivisor divides the request timeout to give the longest time that a
-	// submission waits for its write: to users a second is at once, and they give up
-	// after five.
+	// queueWaitDivisor is the divisor of the request timeout that gives the longest time
+	// for which a submission waits for its write. Users perceive a response within one
+	// second as immediate, and abandon a request after five seconds.
 	queueWaitDivisor = 2
-	// maxSubmissionRetryAfterS is the longest delay that users are advised: few follow
-	// a longer one.
+	// maxSubmissionRetryAfterS is the longest retry delay that is returned to users. Few
+	// users comply with a longer one.
 	maxSubmissionRetryAfterS  = 30
 	maxSubmissionTxnsInFlight = 4
 )
@@ -37,12 +37,12 @@
 	})
 }
 
-// maxTxnBytes bounds a transaction. The state service accepts 64 KiB; the estimate of
-// names and punctuation here is low.
+// maxTxnBytes limits the estimated size of a transaction. The state service accepts
+// 64 KiB; the margin is needed because the estimate of names and punctuation is low.
 const maxTxnBytes = 60 << 10
 
-// enqueueSubmission queues a submission for its write. Without a rate limit it is written
-// at once by itself.
+// enqueueSubmission queues a submission for its write. Without a rate limit, the submission
+// is written immediately in its own transaction.
 func (rh *requestHandler) enqueueSubmission(replyID uint64, request UserRequest) {
 	submission := pendingSubmission{replyID, request}
 	if rh.params.StoreChangeRate == 0 {
@@ -63,7 +63,7 @@
 	rh.writeQueuedSubmissions()
 }
 
-// shedSubmission answers a submission that exceeds the store's rate limit.
+// shedSubmission rejects a submission that exceeds the rate limit of the state service.
 func (rh *requestHandler) shedSubmission(submission pendingSubmission, retryAfterS int) {
 	rh.Counters.ShedSubmissions++
 	rh.completeRequest(submission.replyID, UserResponse{
@@ -74,14 +74,15 @@
 	})
 }
 
-// maxSubmissionBytes is the upper bound of a submission's bytes in a transaction. Its
-// ranges are not known yet: one per shard, and one more for each full one.
+// maxSubmissionBytes returns an upper bound of a submission's size in a transaction. The
+// ranges of the job are not known yet. The bound assumes one range per shard, one more,
+// and one for each full range.
 func (rh *requestHandler) maxSubmissionBytes(j *Job) int {
 	ranges := len(rh.memberIDs()) + 1 + j.Tasks/rh.maxRangeTasks()
 	return len(mustEncode(j)) + 128*(ranges+4)
 }
 
-// writeQueuedSubmissions writes as many submissions from the queue as its limits allow.
+// writeQueuedSubmissions writes as many queued submissions as the limits of the queue allow.
 func (rh *requestHandler) writeQueuedSubmissions() {
 	if rh.params.StoreChangeRate == 0 {
 		return
@@ -103,7 +104,8 @@
 	}
 }
 
-// buildSubmissionWrite assigns the ranges of a new job. It returns the write of its record.
+// buildSubmissionWrite assigns the task ranges of a new job to shards and returns the write of its
+// record.
 func (rh *requestHandler) buildSubmissionWrite(submission pendingSubmission) (Change, []Precondition) {
 	j := submission.request.Job
 	if pending := rh.pendingRequests[submission.replyID]; pending != nil {
@@ -116,7 +118,8 @@
 	}
 	value := mustEncode(rec)
 	if len(value) > rh.params.MaxValueBytes {
-		// Too many peers have capacity for a few tasks each.
+		// The record exceeds the value size limit because many peers have capacity for a
+		// few tasks each. A single range at the home shard makes it fit.
 		rec.Ranges = []Range{{0, j.Tasks, rh.quotas.homeShard(j), false}}
 		value = mustEncode(rec)
 	}
@@ -125,12 +128,13 @@
 	return Change{Key: jobKey(j.ID), Value: value}, preconditions
 }
 
-// writeSubmissions writes several submissions in one transaction. Of those of the same job
-// only the first is written: without that, both were answered 201.
+// writeSubmissions writes several submissions in one transaction. If the batch contains
+// several submissions of one job, it writes only the first: without this rule, all of them
+// were answered with 201.
 func (rh *requestHandler) writeSubmissions(batch []admission.Request[pendingSubmission]) {
 	var changes []Change
 	var preconditions []Precondition
-	writtenRequests := map[string]uint64{} // by job, the reply ID of the submission that is written
+	writtenRequests := map[string]uint64{} // reply ID of the submission that is written, by job ID
 	for _, queued := range batch {
 		id := queued.Value.request.Job.ID
 		if _, repeated := writtenRequests[id]; repeated {
@@ -159,8 +163,9 @@
 	})
 }
 
-// separateConflicts completes the submissions of a batch whose own preconditions failed,
-// and queues the others again. If none of them did, each is written by itself.
+// separateConflicts completes those submissions of a batch whose own preconditions failed,
+// and requeues the others. If no submission's own preconditions failed, it writes each
+// submission in its own transaction.
 func (rh *requestHandler) separateConflicts(batch []admission.Request[pendingSubmission], result StoreResult) {
 	var requeued []admission.Request[pendingSubmission]
 	for _, queued := range batch {
@@ -179,8 +184,8 @@
 	rh.submissionQueue.Requeue(requeued)
 }
 
-// completeBatchedSubmission completes a submission whose transaction has ended. A job's
-// second one in the batch counts as a conflict: the job is known.
+// completeBatchedSubmission completes a submission whose batch transaction has ended. A
+// repeated submission of a job in the batch counts as a conflict, because the job exists.
 func (rh *requestHandler) completeBatchedSubmission(
 	submission pendingSubmission,
 	result StoreResult,
@@ -192,7 +197,7 @@
 	rh.completeSubmission(submission, result)
 }
 
-// hasFailedPrecondition reports whether one of the submission's own preconditions failed.
+// hasFailedPrecondition reports whether any of the submission's own preconditions failed.
 func (rh *requestHandler) hasFailedPrecondition(submission pendingSubmission, failedKeys []string) bool {
 	id := submission.request.Job.ID
 	if slices.Contains(failedKeys, jobKey(id)) || slices.Contains(failedKeys, terminalKey(id)) {
@@ -202,7 +207,7 @@
 	return slices.ContainsFunc(submission.request.Preconditions, failed)
 }
 
-// writeSubmission writes a submission by itself.
+// writeSubmission writes a submission in its own transaction.
 func (rh *requestHandler) writeSubmission(submission pendingSubmission) {
 	change, preconditions := rh.buildSubmissionWrite(submission)
 	rh.store.sendTxn(UrgencyUser, preconditions, []Change{change}, func(result StoreResult) {
@@ -210,8 +215,8 @@
 	})
 }
 
-// completeSubmission answers a submission whose write has ended. A conflict or an unknown
-// outcome is settled by reading the job.
+// completeSubmission answers a submission whose write has ended. After a conflict or an
+// unknown outcome, it reads the job to determine the response.
 func (rh *requestHandler) completeSubmission(submission pendingSubmission, result StoreResult) {
 	id := submission.request.Job.ID
 	switch result.Outcome {
@@ -220,7 +225,7 @@
 		rh.completeRequest(submission.replyID, UserResponse{Status: 201, ID: id, State: Pending})
 	case Conflict, Unknown:
 		if rh.pendingRequests[submission.replyID] == nil {
-			return // answered meanwhile by its record or by a peer
+			return // already answered from its record or by a peer
 		}
 		rh.readJob(id, UrgencyUser, func(response UserResponse, _ *KeyValue) {
 			notStored := response.Status == 404
@@ -239,11 +244,12 @@
 	}
 }
 
-// confirmCachedSubmissions answers submissions whose write takes longer than is typical,
-// if the cache has their record: the result of the write may be lost. The record is read
-// from the store, since it may have changed. Its absence from the cache proves nothing,
-// so a write that may still be carried out is settled only by its own end. Each costs one
-// read, in place of the one that follows a write without a result.
+// confirmCachedSubmissions answers submissions whose record is in the state cache although
+// their write takes longer than the typical latency: the result of the write may be lost.
+// It reads the record from the state service, because the record may have changed. A
+// record that is missing from the cache proves nothing, so the other submissions wait for
+// the end of their write. Each submission costs one read, which replaces the read after a
+// write without a result.
 func (rh *requestHandler) confirmCachedSubmissions() {
 	for _, pending := range rh.requestsByArrival {
 		if rh.now.MonotonicMS-pending.receivedAtMS <= rh.store.storeAccess.TypicalLatencyMS() {
--- a/scheduler/user_request_relay.go
+++ b/scheduler/user_request_relay.go
@@ -2,58 +2,59 @@
 
 import "slices"
 
-// pendingRequest is a user's request that has no response yet. This member handles it with
-// the state service, or a peer does, or both; the first that has a result answers it.
+// pendingRequest is a user request that has no response yet. This member, a peer, or both
+// handle it with the state service. The first result is the response.
 //
-//	event                         pendingLocally  awaitingPeer  response
-//	received                      true            false         -
-//	relayed to a peer             as before       true          -
-//	result here                   false           as before     the result
-//	fault here, a peer handles it false           true          -; the fault is kept
-//	fault here, no peer can       false           false         the fault
-//	result from the peer          as before       false         the result
-//	no result from the peer       as before       false         the fault, if one is kept
+//	event                                pendingLocally  awaitingPeer  response
+//	received                             true            false         -
+//	relayed to a peer                    unchanged       true          -
+//	local result                         false           unchanged     the result
+//	local fault, a peer handles it       false           true          none; the fault is stored
+//	local fault, no peer can handle it   false           false         the fault
+//	result from the peer                 unchanged       false         the result
+//	no result from the peer              unchanged       false         the stored fault, if any
 type pendingRequest struct {
 	replyID        uint64
 	request        UserRequest
 	receivedAtMS   int64         // monotonic time
-	pendingLocally bool          // handled here, and not ended
-	relayed        bool          // sent to a peer; at most once
-	awaitingPeer   bool          // sent to a peer, and not ended
-	localFault     *UserResponse // the 503 that handling it here ended with
-	writeSent      bool          // a submission whose write was sent
-	readingRecord  bool          // its record is in the cache, and is read from the store
+	pendingLocally bool          // this member is handling the request
+	relayed        bool          // sent to a peer; happens at most once
+	awaitingPeer   bool          // a peer is handling the request
+	localFault     *UserResponse // the 503 response with which local handling ended
+	writeSent      bool          // the write of the submission was sent
+	readingRecord  bool          // the job's record is in the cache and is being read from the state service
 	completed      bool
 }
 
-// Relays that only expedite a response double the load of the state service. When it is
-// slow for everybody that makes it worse, so they are limited to a share of all requests
-// (expediteShare) after a burst. Queries leave a part of the burst (expediteReserve) to
-// submissions and cancellations: many queries that waited for this member's rate limit
-// used up all of it.
+// Limits of hedged requests: requests that are relayed to a peer while this member is still
+// handling them. They double the load on the state service. If the state service is slow
+// for all members, hedged requests make it slower. They are therefore limited by a token
+// bucket: expediteBurst is its size, and each user request adds expediteShare tokens.
+// Queries leave expediteReserve tokens to submissions and cancellations, because many
+// queries that waited for this member's rate limit used up the whole burst.
 const (
 	expediteShare   = 0.1
 	expediteBurst   = 10
 	expediteReserve = expediteBurst / 2
 )
 
-// canServeUsers reports whether this member can answer users from the state service.
+// canServeUsers reports whether this member can serve user requests from the state service.
 func (rh *requestHandler) canServeUsers() bool {
 	storeAccess := rh.store.storeAccess
 	return storeAccess.IsSynced() && len(rh.cache.machineTypes) > 0 && storeAccess.IsResponsive(rh.now.MonotonicMS)
 }
 
-// Texts of 503 responses.
+// Error texts of 503 responses.
 const (
 	storeUnreachableMessage = "state service does not answer"
 	storeUnavailableMessage = "state service unavailable"
 )
 
-// cancelRetries bounds the retries of a cancellation's write.
+// cancelRetries limits the retries of a cancellation.
 const cancelRetries = 3
 
-// HandleUserRequest takes a user's request. Its response appears in Outputs.UserResponses
-// under replyID, which must be unique. A malformed submission carries its ID if known.
+// HandleUserRequest processes a user request. The response appears in Outputs.UserResponses
+// under replyID, which must be unique. A malformed submission has its ID if that is known.
 func (c *Controller) HandleUserRequest(now Now, replyID uint64, request UserRequest) {
 	c.now = now
 	pending := &pendingRequest{replyID: replyID, request: request, receivedAtMS: now.MonotonicMS, pendingLocally: true}
@@ -65,7 +66,7 @@
 	c.requests.requestsByArrival = append(c.requests.requestsByArrival, pending)
 	c.requests.expediteBudget = min(expediteBurst, c.requests.expediteBudget+expediteShare)
 	needsStore := request.Kind != SubmitJob || request.ID != ""
-	if c.store.isStoreUnreachable() && needsStore { // in this order: the first also starts probes
+	if c.store.isStoreUnreachable() && needsStore { // order matters: isStoreUnreachable also schedules probes
 		c.requests.completeRequest(replyID, unavailableResponse(request.ID, storeUnreachableMessage))
 		return
 	}
@@ -79,8 +80,9 @@
 	}
 }
 
-// completeRequest ends the handling of a request here. While the state service fails this
-// member only, a peer answers in its place.
+// completeRequest ends this member's handling of a request. If the response is a 503 that
+// a peer may avoid, a peer answers instead: completeRequest relays the request or waits
+// for a relay in flight. Otherwise it sends the response.
 func (rh *requestHandler) completeRequest(replyID uint64, response UserResponse) {
 	pending := rh.pendingRequests[replyID]
 	if pending == nil {
@@ -96,7 +98,7 @@
 	rh.sendUserResponse(pending, response)
 }
 
-// sendUserResponse passes a response to the outputs. The request is over then.
+// sendUserResponse adds a response to the outputs and completes the request.
 func (rh *requestHandler) sendUserResponse(pending *pendingRequest, response UserResponse) {
 	pending.completed = true
 	delete(rh.pendingRequests, pending.replyID)
@@ -109,8 +111,9 @@
 	}
 }
 
-// relayToPeer sends a request to the next peer, in turn, that reports that it serves users.
-// It reports whether there is one and the request may be relayed.
+// relayToPeer relays a request to a peer that reports that it serves users, chosen
+// round-robin. It returns false if there is no such peer or the request must not be
+// relayed.
 func (rh *requestHandler) relayToPeer(pending *pendingRequest) bool {
 	if pending.relayed || pending.request.Relayed || len(rh.pendingRelays) >= rh.params.MaxPendingRelays {
 		return false
@@ -136,14 +139,14 @@
 	return true
 }
 
-// pendingRelay is a request that a peer has and did not answer yet.
+// pendingRelay is a relayed request that the peer has not answered yet.
 type pendingRelay struct {
 	request *pendingRequest
 	peer    string
 }
 
-// HandleRelayResult takes a peer's response to the RelayRequest with this ID; !ok means that
-// there is none.
+// HandleRelayResult processes a peer's response to the RelayRequest with this ID. ok is false
+// if the peer returned no response.
 func (c *Controller) HandleRelayResult(now Now, id uint64, response UserResponse, ok bool) {
 	c.now = now
 	relay, known := c.requests.pendingRelays[id]
@@ -154,7 +157,7 @@
 	pending := relay.request
 	pending.awaitingPeer = false
 	if !ok || response.Status == 503 {
-		// Its last message is out of date in this; the next one corrects it.
+		// ServesUsers in the peer's last message is out of date; the next message updates it.
 		if peer := c.peers.peers[relay.peer]; peer != nil {
 			peer.message.ServesUsers = false
 		}
@@ -168,10 +171,11 @@
 	}
 }
 
-// expediteSlowRequests relays requests to a peer as well that take longer than responses
-// of the state service do: it may have stopped answering this member, which is certain
-// only after a request's whole timeout. Both may carry out a request: each submission
-// and cancellation is one conditional write, whoever sends it.
+// expediteSlowRequests hedges requests that take longer than responses of the state service
+// usually take, by relaying them to a peer as well. The state service may have stopped
+// answering this member, which is certain only after a request's full timeout. Both
+// members may carry out the request safely, because each submission and cancellation is
+// one conditional write.
 func (rh *requestHandler) expediteSlowRequests() {
 	isCompleted := func(pending *pendingRequest) bool { return pending.completed }
 	rh.requestsByArrival = slices.DeleteFunc(rh.requestsByArrival, isCompleted)
