--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -189,7 +189,7 @@
 	c.requests.writeQueuedSubmissions()
 	c.requests.sendQueryBatch()
 	c.requests.confirmCachedSubmissions()
-	c.requests.expediteSlowRequests()
+	c.requests.hedgeSlowRequests()
 }
 
 // IsReadyForUsers reports whether this member should receive user traffic.
--- a/scheduler/job_requests.go
+++ b/scheduler/job_requests.go
@@ -24,7 +24,7 @@
 	requestsByArrival  []*pendingRequest          // the same requests, oldest first
 	pendingRelays      map[uint64]pendingRelay    // by relay request ID
 	relayRoundRobin    uint64                     // number of relays sent
-	expediteBudget     float64                    // tokens for hedged requests
+	hedgeBudget        float64                    // tokens for hedged requests
 	queryBatcher       queryBatches
 	terminalStates     map[string]terminalRecord // by job ID
 	terminalStateOrder []string                  // their job IDs, oldest first
@@ -36,7 +36,7 @@
 		submissionQueue: newSubmissionQueue(&env.params),
 		pendingRequests: map[uint64]*pendingRequest{},
 		pendingRelays:   map[uint64]pendingRelay{},
-		expediteBudget:  expediteBurst,
+		hedgeBudget:     hedgeBurst,
 		terminalStates:  map[string]terminalRecord{},
 	}
 }
--- a/scheduler/submission_test.go
+++ b/scheduler/submission_test.go
@@ -270,7 +270,7 @@
 
 // Polls leave a part of the budget for expedited requests to submissions: all of it went to polls
 // that waited in the member's own rate budget.
-func TestPollsLeaveExpediteBudgetToSubmissions(t *testing.T) {
+func TestPollsLeaveHedgeBudgetToSubmissions(t *testing.T) {
 	ctrl := newAcceptingController(t, 1000)
 	ctrl.params.MaxPendingRelays = 100
 	message := PeerMessage{From: "m1", ServesUsers: true}
@@ -281,9 +281,9 @@
 	ctrl.HandleUserRequest(ctrl.now, 1, newSubmission(1, "ops", Normal))
 	ctrl.TakeOutputs()
 	ctrl.now.MonotonicMS += ctrl.store.storeAccess.OverdueAfterMS() + 1
-	ctrl.requests.expediteSlowRequests()
+	ctrl.requests.hedgeSlowRequests()
 	relays := ctrl.TakeOutputs().Relays
-	if n := len(relays); n != expediteBurst-expediteReserve+1 || relays[n-1].Request.Kind != SubmitJob {
+	if n := len(relays); n != hedgeBurst-hedgeReserve+1 || relays[n-1].Request.Kind != SubmitJob {
 		t.Errorf("%d requests go to a peer, the last %+v", n, relays[n-1].Request)
 	}
 }
--- a/scheduler/user_request_relay.go
+++ b/scheduler/user_request_relay.go
@@ -29,13 +29,13 @@
 // Limits of hedged requests: requests that are relayed to a peer while this member is still
 // handling them. They double the load on the state service. If the state service is slow
 // for all members, hedged requests make it slower. They are therefore limited by a token
-// bucket: expediteBurst is its size, and each user request adds expediteShare tokens.
-// Queries leave expediteReserve tokens to submissions and cancellations, because many
+// bucket: hedgeBurst is its size, and each user request adds hedgeRatio tokens.
+// Queries leave hedgeReserve tokens to submissions and cancellations, because many
 // queries that waited for this member's rate limit used up the whole burst.
 const (
-	expediteShare   = 0.1
-	expediteBurst   = 10
-	expediteReserve = expediteBurst / 2
+	hedgeRatio   = 0.1
+	hedgeBurst   = 10
+	hedgeReserve = hedgeBurst / 2
 )
 
 // canServeUsers reports whether this member can serve user requests from the state service.
@@ -64,7 +64,7 @@
 		return
 	}
 	c.requests.requestsByArrival = append(c.requests.requestsByArrival, pending)
-	c.requests.expediteBudget = min(expediteBurst, c.requests.expediteBudget+expediteShare)
+	c.requests.hedgeBudget = min(hedgeBurst, c.requests.hedgeBudget+hedgeRatio)
 	needsStore := request.Kind != SubmitJob || request.ID != ""
 	if c.store.isStoreUnreachable() && needsStore { // order matters: isStoreUnreachable also schedules probes
 		c.requests.completeRequest(replyID, unavailableResponse(request.ID, storeUnreachableMessage))
@@ -171,23 +171,23 @@
 	}
 }
 
-// expediteSlowRequests hedges requests that take longer than responses of the state service
+// hedgeSlowRequests hedges requests that take longer than responses of the state service
 // usually take, by relaying them to a peer as well. The state service may have stopped
 // answering this member, which is certain only after a request's full timeout. Both
 // members may carry out the request safely, because each submission and cancellation is
 // one conditional write.
-func (rh *requestHandler) expediteSlowRequests() {
+func (rh *requestHandler) hedgeSlowRequests() {
 	isCompleted := func(pending *pendingRequest) bool { return pending.completed }
 	rh.requestsByArrival = slices.DeleteFunc(rh.requestsByArrival, isCompleted)
 	for _, pending := range rh.requestsByArrival {
-		if rh.now.MonotonicMS-pending.receivedAtMS <= rh.store.storeAccess.OverdueAfterMS() || rh.expediteBudget < 1 {
+		if rh.now.MonotonicMS-pending.receivedAtMS <= rh.store.storeAccess.OverdueAfterMS() || rh.hedgeBudget < 1 {
 			break
 		}
-		if pending.request.Kind == QueryJob && rh.expediteBudget < 1+expediteReserve {
+		if pending.request.Kind == QueryJob && rh.hedgeBudget < 1+hedgeReserve {
 			continue
 		}
 		if pending.pendingLocally && rh.relayToPeer(pending) {
-			rh.expediteBudget--
+			rh.hedgeBudget--
 		}
 	}
 }
