--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -32,7 +32,7 @@
 	"github.com/grebedock/grebedock/access"
 )
 
-const maxClockDriftMS = access.MaxClockDrift
+const maxClockDrift = access.MaxClockDrift
 
 // Controller is the core of one member. It dispatches each input to the component that
 // owns the affected state. Each piece of state has exactly one owner, and the components
--- a/scheduler/shard.go
+++ b/scheduler/shard.go
@@ -130,7 +130,7 @@
 	reconcileSettings := reconcile.Settings{
 		MaxHeartbeatIntervalMS: sm.maxHeartbeatIntervalMS(),
 		LeaseMS:                secondsToMS(sm.params.LeaseS),
-		MaxClockDrift:          maxClockDriftMS,
+		MaxClockDrift:          maxClockDrift,
 		LeaseSlackMS:           leaseSlackMS,
 	}
 	s := &shard{
--- a/scheduler/store_client.go
+++ b/scheduler/store_client.go
@@ -22,7 +22,7 @@
 	sc := &storeClient{environment: env, storeCallbacks: map[uint64]func(StoreResult){}}
 	sc.storeAccess = access.NewLeaseKeeper(access.Settings{
 		LeaseTTLMS:       sc.leaseTTLMS(),
-		MaxClockDrift:    maxClockDriftMS,
+		MaxClockDrift:    maxClockDrift,
 		AuthoritySlackMS: authoritySlackMS,
 		RequestTimeoutMS: access.RequestTimeout.Milliseconds(),
 	})
