--- a/scheduler/counters.go
+++ b/scheduler/counters.go
@@ -44,6 +44,6 @@
 	ReclaimedTasks       uint64 `json:"ceded"`      // tasks stopped for another team's guarantee
 	InDoubtWrites        uint64 `json:"in_doubt"`   // writes whose first attempt had an unknown outcome
 	StaleHeartbeats      uint64 `json:"old_report"` // heartbeats not newer than one received before
-	ConfirmedSubmissions uint64 `json:"confirmed"`  // submissions answered from their record, before their write completed
-	UndeliveredStarts    uint64 `json:"unheard"`    // starts in heartbeat responses that the worker did not receive
+	ConfirmedSubmissions uint64 `json:"confirmed"`  // submissions answered from their record before the write ended
+	UndeliveredStarts    uint64 `json:"unheard"`    // starts in heartbeat responses that workers did not receive
 }
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -15,7 +15,7 @@
 //
 // Before it resends the write or reads the key, the store client checks the claim. If the
 // claim is no longer valid, it calls onClaimLost instead. It calls exactly one of
-// onSettled and onClaimLost, exactly once.
+// onSettled and onClaimLost, once.
 type inDoubtWrite struct {
 	isClaimValid func() bool // this member still holds the claim under which it sent the write
 	send         func(done func(StoreResult))
--- a/scheduler/inputs_outputs.go
+++ b/scheduler/inputs_outputs.go
@@ -314,7 +314,7 @@
 	Tasks         int    `json:"Count"    msgpack:"n"`
 	DeadlineMS    int64  `json:"Deadline" msgpack:"dl"`   // wall-clock time in ms
 	TaskRuntimeMS int64  `json:"Length"   msgpack:"len"`  // runtime of one task, without the image fetch
-	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // on-demand machines could run the tasks, but at a higher price
+	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // on-demand machines could run the tasks at a higher price
 }
 
 // LogLevel is the severity of a log line.
--- a/scheduler/params.go
+++ b/scheduler/params.go
@@ -42,7 +42,7 @@
 	CloudListLagS    float64                // maximum staleness of the cloud's machine list
 	StoreChangeRate  float64                // changes per second in the state service; 0: write submissions one by one
 	MaxPendingRelays int                    // maximum number of user requests relayed to peers at once; 0: none
-	Aging            bool                   // place the first task of a large job that waited too long before its equals
+	Aging            bool                   // place first tasks of large jobs that waited too long before their equals
 	Quota            bool                   // stop tasks beyond their team's guarantee to meet other teams' guarantees
 	Rollout          bool                   // drain and replace machines in steps, by rollout plans
 	Recovery         bool                   // pace commands after a claim, and record unreachable machines
--- a/scheduler/query_batches.go
+++ b/scheduler/query_batches.go
@@ -56,7 +56,7 @@
 func (rh *requestHandler) completeBatch(batch []*pendingRequest, outcome Outcome) {
 	switch {
 	case outcome == Gone || outcome == OK && !rh.store.storeAccess.IsSynced():
-		// The cache must be reloaded and cannot answer queries until then.
+		// The cache cannot answer queries until it is reloaded.
 		rh.readJobsOneByOne(batch)
 	case outcome != OK:
 		for _, pending := range batch {
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -129,12 +129,12 @@
 type terminalRecord struct {
 	State         JobState `json:"state"`
 	Tasks         int      `json:"tasks"`
-	FailureReason string   `json:"failed,omitempty"` // why the Controller cancelled it; empty if a user did or it is done
+	FailureReason string   `json:"failed,omitempty"` // why the Controller cancelled it; else empty
 	WorkflowRun   string   `json:"run,omitempty"`
 }
 
 // progressRecord contains the done tasks of some ranges of a shard. Each range has a bitmap
-// whose first bit stands for the task Lo.
+// whose first bit represents the task Lo.
 type progressRecord struct {
 	DoneBitmaps map[string][]byte `json:"done"`
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -11,9 +11,9 @@
 type Settings struct {
 	Functions int      `json:"functions"`       // availability functions per summary
 	Samples   int      `json:"samples"`         // samples per availability function
-	LateShare float64  `json:"late_share"`      // step of extending a missed deadline, as a fraction of the job's span
+	LateShare float64  `json:"late_share"`      // step of extending a missed deadline, in parts of the job's span
 	SummaryS  float64  `json:"summary_s"`       // interval between peer messages in seconds
-	IdleBoots float64  `json:"idle_boots"`      // idle time before release, in multiples of the machine type's boot time
+	IdleBoots float64  `json:"idle_boots"`      // idle time before release, in boot times of the machine type
 	Drain     []string `json:"drain,omitempty"` // IDs of cordoned machines
 
 	// BeginWithinS is the time in seconds within which the first task of each job should
