--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -98,7 +98,7 @@
 
 	// WorkflowRun is the workflow run that the job belongs to.
 	WorkflowRun string `json:"run,omitempty"        msgpack:"Run"`
-	// MaxTaskErrors is the number of exits with an error of one task that fail the job; 0: unlimited.
+	// MaxTaskErrors is the number of error exits of one task at which the job fails; 0: unlimited.
 	MaxTaskErrors int `json:"max_errors,omitempty" msgpack:"MaxErrors"`
 	// AtMostOnce fails the job instead of restarting a task that may have begun.
 	AtMostOnce bool `json:"once,omitempty"       msgpack:"Once"`
--- a/scheduler/state_cache.go
+++ b/scheduler/state_cache.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// applyWatchResult applies the result of a watch that was sent with a revision of the cache.
+// applyWatchResult applies the changes from a watch that started at a revision of the cache.
 func (cache *stateCache) applyWatchResult(result StoreResult) {
 	for _, kv := range result.KVs {
 		cache.applyChange(kv)
