--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// autoscaler owns what the leader of the fleet keeps: its leadership, the calls to
-// the cloud, and what is to be written to the machine registry. The leader alone
-// provisions, records and releases machines; members that do not lead only read
-// the catalog of machine types, while they have none.
+// autoscaler owns the state of the leader: its leadership, its requests to the cloud,
+// and its pending writes to the machine registry. Only the leader provisions, records
+// and releases machines. Other members only read the catalog of machine types, and only
+// while they have none.
 //
-// It may assume that a change whose precondition is the leader record's revision is
-// refused once another member leads. It promises that each machine that the cloud
-// lists for long enough is either in the registry or released, and that no call to
-// the cloud that is sent again provisions twice. It is built for a cloud that is
-// slow, refuses, answers late or not at all, and whose list lags, and for a leader
-// that is replaced at any time: what is only in memory here is found again by the
-// cloud's list.
+// The autoscaler relies on the state service: a change whose precondition is the leader
+// record's revision fails once another member is the leader. It guarantees that each
+// machine that the cloud lists for long enough is either in the registry or released,
+// and that a retried request never provisions twice.
+//
+// It tolerates a cloud that is slow, rejects requests, responds late or not at all, or
+// returns outdated lists. The leader may be replaced at any time: the new leader recovers
+// state that was only in memory from the cloud's list of machines.
 type autoscaler struct {
 	*environment
 	cache    *stateCache
@@ -26,7 +27,7 @@
 	shards   *shardManager
 	store    *storeClient
 
-	cloudCallbacks  map[uint64]func(CloudResult) // by request
+	cloudCallbacks  map[uint64]func(CloudResult) // by request ID
 	nextCatalogAtMS int64                        // monotonic
 	leadership
 	cloudListing
@@ -35,23 +36,23 @@
 	registryWrites
 }
 
-// cloudListing is the reading of the cloud's list of machines.
+// cloudListing is the state of polling the cloud's list of machines.
 type cloudListing struct {
 	nextListAtMS int64 // monotonic
 	listPending  bool
-	listed       map[string]bool // machines of the last complete list
+	listed       map[string]bool // machine IDs in the last complete list
 }
 
-// provisioningState is what was provisioned of late, and what the cloud refused.
+// provisioningState tracks recent provision requests and unavailable offerings.
 type provisioningState struct {
-	provisionRequests uint64 // numbers the idempotency keys of a leadership
-	nextProvisionAtMS int64  // monotonic
-	provisioning      map[string]int
-	demandValidAfter  map[string]int64   // by shard: demand reported before this wall time is out of date
-	unavailableUntil  map[offering]int64 // monotonic time before which an offering is not asked for
+	provisionRequests uint64             // sequence number in the idempotency keys of a leadership
+	nextProvisionAtMS int64              // monotonic
+	provisioning      map[string]int     // pending requests by shard
+	demandValidAfter  map[string]int64   // by shard: wall time before which reported demand is outdated
+	unavailableUntil  map[offering]int64 // monotonic time until which an offering is not requested
 }
 
-// releaseState is the machines that are to be released, and those that were.
+// releaseState tracks the machines to release and the machines released recently.
 type releaseState struct {
 	releasePending  bool
 	nextReleaseAtMS int64 // monotonic
@@ -59,13 +60,13 @@
 	releasedAt      map[string]int64 // by machine, monotonic ms
 }
 
-// registryWrites is what is to be written to the machine registry.
+// registryWrites holds the pending writes to the machine registry.
 type registryWrites struct {
 	lastRegistryPageNumber int
 	pendingAdditions       []*registryAddition
 	pendingRemovals        map[string]bool
-	unrecordedMachines     map[string]bool // found or provisioned machines that are on no registry page yet
-	unknownMachines        []Heartbeat     // of machines that no registry page names
+	unrecordedMachines     map[string]bool // discovered or provisioned machines that are not on a registry page yet
+	unknownMachines        []Heartbeat     // heartbeats of machines that are not on any registry page
 	nextAssignmentAtMS     int64           // monotonic
 	registryWriting        bool
 	nextRegistryWriteAtMS  int64 // monotonic
@@ -98,8 +99,8 @@
 	as.outputs.CloudOps = append(as.outputs.CloudOps, op)
 }
 
-// HandleCloudResult takes the cloud's response to a request of Outputs.CloudOps.
-// A response to a request that is not pending is ignored.
+// HandleCloudResult processes the cloud's response to a request in Outputs.CloudOps.
+// It ignores a response to a request that is not pending.
 func (c *Controller) HandleCloudResult(now Now, id uint64, result CloudResult) {
 	c.now = now
 	if onResult := c.scaler.cloudCallbacks[id]; onResult != nil {
@@ -125,7 +126,7 @@
 	if !as.canActAsLeader() {
 		return
 	}
-	as.assignFoundMachines()
+	as.assignUnknownMachines()
 	as.writeRegistry()
 	if now >= as.nextListAtMS && !as.listPending {
 		as.listPending = true
@@ -152,10 +153,10 @@
 	first := len(as.cache.machineTypes) == 0
 	as.cache.setMachineTypes(types)
 	if first {
-		as.log(Info, "machine types known", "types", len(types))
+		as.log(Info, "machine types loaded", "types", len(types))
 	}
-	// Stored once, without the prices that move, for members that start while the
-	// cloud is unreachable.
+	// Members that start while the cloud is unreachable read this record. It is written
+	// only once and does not follow later price changes.
 	isStored := as.cache.keyRevisions[catalogKey] != 0
 	if !isStored && as.leading && as.store.hasAuthority() {
 		preconditions := []Precondition{{catalogKey, 0}}
--- a/scheduler/cloud_list.go
+++ b/scheduler/cloud_list.go
@@ -1,28 +1,28 @@
 package scheduler
 
 const (
-	// listsPerListLag is how often the list is read while it lags once.
+	// listsPerListLag is the number of times the list is read per list lag.
 	listsPerListLag = 3
 
-	// bootGracePeriods is after how many of its type's boot times a machine that has
-	// not come up is released.
+	// bootGracePeriods is the number of boot times of its type after which a machine that
+	// is not up is released.
 	bootGracePeriods = 3
 
-	// releasedRetentionLags is for how many lags of the list a released machine is
-	// ignored in it. A list may be older than the one before it, so one lag is not
+	// releasedRetentionLags is the number of list lags for which a released machine is
+	// ignored in the list. A list may be older than the previous one, so one lag is not
 	// enough.
 	releasedRetentionLags = 5
 
-	// listGraceMS is added to the list's lag before a machine counts as missing from
-	// the list, or as one that nobody is about to record.
+	// listGraceMS is added to the list's lag before a machine counts as missing from the
+	// list, or as unrecorded with no registry write pending.
 	listGraceMS = 5000
 
-	// cloudMachineFailed is the state of a CloudMachine that will never come up.
+	// cloudMachineFailed is the state of a CloudMachine that failed to boot.
 	cloudMachineFailed = "failed"
 )
 
 // listCloudMachines reads the cloud's list, page by page, and reconciles it with the
-// registry. sentAtMS is the monotonic time at which the first page was asked for.
+// registry. sentAtMS is the monotonic time at which the first page was requested.
 func (as *autoscaler) listCloudMachines(startAfter string, all []CloudMachine, sentAtMS int64) {
 	as.sendCloud(CloudOp{Kind: CloudList, StartAfter: startAfter}, func(r CloudResult) {
 		if r.Outcome != OK {
@@ -43,12 +43,12 @@
 	})
 }
 
-// maxListAgeMS is how far the list may be behind what the cloud has done.
+// maxListAgeMS returns how far the list may lag behind the state of the cloud.
 func (as *autoscaler) maxListAgeMS() int64 { return secondsToMS(as.params.CloudListLagS) * 2 }
 
-// reconcileCloudList compares the cloud's list with the registry. The list was asked
-// for at sentAtMS and is no evidence of anything later: a response that came late
-// made machines seem gone that had been provisioned and were up since.
+// reconcileCloudList compares the cloud's list with the registry. The list was requested
+// at sentAtMS and proves nothing about later times. Otherwise a late response makes
+// machines look absent that were provisioned and came up after the request.
 func (as *autoscaler) reconcileCloudList(list []CloudMachine, sentAtMS int64) {
 	as.listed = make(map[string]bool, len(list))
 	loads := as.shardLoads()
@@ -68,13 +68,13 @@
 	return as.now.MonotonicMS-releasedAt > releasedRetentionLags*as.maxListAgeMS()
 }
 
-// reconcileInstance takes one machine of the cloud's list: a failed one is released,
-// and one that nobody expected is added to the registry.
+// reconcileInstance processes one machine of the cloud's list. It releases a failed
+// machine and adds an unexpected one to the registry.
 func (as *autoscaler) reconcileInstance(instance CloudMachine, loads map[string]*shardLoad) {
 	if releasedAt, ok := as.releasedAt[instance.ID]; ok {
-		// The list lags: what was released still appears. Taking it for a machine
-		// that nobody expected gave it a record and an owner again, and nothing
-		// came up.
+		// The list lags, so a released machine still appears in it. Treated as an
+		// unexpected machine, it would get a record and an owner again, but would
+		// never come up.
 		if as.isReleaseRetentionOver(releasedAt) {
 			delete(as.releasedAt, instance.ID)
 		}
@@ -91,8 +91,8 @@
 	if isRecorded || isBeingRecorded {
 		return
 	}
-	// Nobody expected it. It gets an owner, who uses or releases it; a machine that
-	// this leader provisioned is given the time to be recorded.
+	// The machine is unexpected: it gets an owner, which uses or releases it. The age
+	// limit leaves time to record a machine that this leader provisioned.
 	ageMS := secondsToMS(instance.AgeS)
 	if ageMS <= as.maxListAgeMS()+listGraceMS || as.cache.machineTypes[instance.Type] == nil {
 		return
@@ -102,8 +102,8 @@
 	as.addMachinesToRegistry([]string{instance.ID}, page, func() {})
 }
 
-// releaseAbsentMachines marks the recorded machines for release that are gone by the
-// cloud's list, and those that do not come up.
+// releaseAbsentMachines marks recorded machines for release if they are missing from the
+// cloud's list or do not come up in time.
 func (as *autoscaler) releaseAbsentMachines(sentAtMS int64) {
 	maxAgeMS := as.maxListAgeMS()
 	sentWallMS := as.now.WallMS - (as.now.MonotonicMS - sentAtMS)
@@ -112,19 +112,20 @@
 		shouldBeListed := sentWallMS-mc.rec.ProvisionedAtMS > maxAgeMS+listGraceMS
 		switch {
 		case mc.Up && !as.listed[id] && shouldBeListed && !as.hasHeartbeatSince(mc, sentAtMS):
-			// Listed machines stay listed until they are gone, so this one is:
-			// its tasks need not wait for its lease, nor a new claim for a
-			// heartbeat that never comes. Releasing it makes it certain.
+			// The cloud lists a machine until it is terminated, so an unlisted machine
+			// is terminated. Its release confirms this: its tasks do not have to wait
+			// until its lease expires, and a new claim does not have to wait for a
+			// heartbeat that never arrives.
 			as.markForRelease(id, "no longer listed")
 		case !mc.Up && t != nil &&
 			as.now.WallMS-mc.rec.ProvisionedAtMS > secondsToMS(t.BootS)*bootGracePeriods+maxAgeMS:
-			as.markForRelease(id, "does not come up")
+			as.markForRelease(id, "not up in time")
 		}
 	}
 }
 
-// hasHeartbeatSince reports whether a machine of this member's shards sent a heartbeat
-// after a monotonic time.
+// hasHeartbeatSince reports whether a machine in a shard owned by this member sent a
+// heartbeat after the monotonic time sinceMS.
 func (as *autoscaler) hasHeartbeatSince(mc *machine, sinceMS int64) bool {
 	isOwned := mc.claim != nil && as.shards.ownedShards[mc.rec.Shard] == mc.claim
 	return isOwned && mc.IsReconciled() && mc.LastHeartbeatAt > sinceMS
--- a/scheduler/demand_forecast.go
+++ b/scheduler/demand_forecast.go
@@ -6,9 +6,9 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// forecastDemand notes the capacity that tasks will need which run on machines with a
-// termination notice and will not end before it. A new machine takes longer to boot than
-// a notice lasts, and would otherwise be requested only when the tasks are lost.
+// forecastDemand computes the capacity demand of tasks that run on machines with a termination
+// notice and will not finish before the machine terminates. A new machine takes longer to boot
+// than the notice period; without the forecast it would be requested only after the tasks are lost.
 func (pp *placementPlanner) forecastDemand(s *shard) {
 	s.forecastDemand = s.forecastDemand[:0]
 	unfinished := pp.unfinishedAtNotice(s)
@@ -41,8 +41,8 @@
 	}
 }
 
-// unfinishedAtNotice counts, by range, the attempts of live jobs that will run when the notice
-// of their machine ends.
+// unfinishedAtNotice counts, by task range, the attempts of live jobs that will still run when
+// the termination notice of their machine expires.
 func (pp *placementPlanner) unfinishedAtNotice(s *shard) map[*taskRange]int {
 	unfinished := map[*taskRange]int{}
 	for _, mc := range s.machines {
@@ -60,8 +60,8 @@
 	return unfinished
 }
 
-// takeFree takes room for n tasks of a job from what is free on the machines and returns for
-// how many there is none.
+// takeFree subtracts the resources of up to n tasks of a job from the free resources of the
+// machines. It returns the number of tasks that do not fit.
 func (pp *placementPlanner) takeFree(
 	machines []*planner.Machine,
 	free []availability.Resources,
--- a/scheduler/leadership.go
+++ b/scheduler/leadership.go
@@ -2,20 +2,20 @@
 
 import "encoding/json"
 
-// leadership is this member's part in the choice of the fleet's leader. The leader
-// record is attached to the member's lease, so it ends with it; its revision is the
-// precondition of all that the leader writes.
+// leadership is this member's state in leader election. The leader record is attached to
+// the member's lease and is deleted when the lease ends. Its revision is a precondition of
+// every write by the leader.
 //
-//	state                | event                                  | next state
-//	follower             | no leader record, authority held       | claim pending
-//	follower             | record of an earlier life of this one  | claim pending
-//	claim pending        | claim stored                           | leader
-//	claim pending        | conflict, or outcome unknown           | follower, once the record is read
-//	leader               | record with another nonce, or none     | follower
+//	state                | event                                         | next state
+//	follower             | no leader record, authority held              | claim pending
+//	follower             | record of an earlier process of this member   | claim pending
+//	claim pending        | claim stored                                  | leader
+//	claim pending        | conflict, or outcome unknown                  | follower, once the record is read
+//	leader               | record with another nonce, or record deleted  | follower
 type leadership struct {
 	leading       bool
-	nonce         uint64 // of the last claim: a record with another one is not of this claim
-	leaderRev     uint64 // revision of the leader record, by this member's last claim
+	nonce         uint64 // nonce of the last claim; a record with another nonce belongs to another claim
+	leaderRev     uint64 // revision at which this member's last claim was stored
 	claimPending  bool
 	nextClaimAtMS int64 // monotonic
 }
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// shouldClaimLeadership reports whether nobody leads, or only an earlier life of this
-// member, whose record outlived it.
+// shouldClaimLeadership reports whether there is no leader, or the leader record belongs to
+// an earlier process of this member.
 func (as *autoscaler) shouldClaimLeadership() bool {
 	return as.cache.leader == "" || as.cache.leader == as.params.MemberID && !as.leading
 }
@@ -66,8 +66,8 @@
 	})
 }
 
-// beginLeadership drops what an earlier leadership of this member left: the machines
-// that it had not recorded yet are found again by the cloud's list.
+// beginLeadership discards the state of an earlier leadership of this member. The cloud's
+// list still contains the machines that it had not recorded yet.
 func (as *autoscaler) beginLeadership(leaderRev uint64) {
 	as.leading, as.leaderRev = true, leaderRev
 	as.nextListAtMS = as.now.MonotonicMS
@@ -80,8 +80,9 @@
 	as.log(Info, "leadership acquired", "revision", leaderRev)
 }
 
-// canActAsLeader reports whether this member leads the fleet and its cache has all that
-// earlier leaders wrote: a machine that it took for unknown would get two owners.
+// canActAsLeader reports whether this member is the leader, has authority, and has all
+// writes of earlier leaders in its cache. With an older cache it could take a recorded
+// machine for unknown and give it a second owner.
 func (as *autoscaler) canActAsLeader() bool {
 	return as.leading && as.store.hasAuthority() && as.cache.appliedRevision >= as.leaderRev
 }
--- a/scheduler/machine_release.go
+++ b/scheduler/machine_release.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// maxMachinesPerRelease bounds the machines of one release request.
+// maxMachinesPerRelease limits the number of machines in one release request.
 const maxMachinesPerRelease = 100
 
-// markForRelease notes that the leader is to release a machine.
+// markForRelease adds a machine to the pending releases, unless it is pending or was released
+// already.
 func (as *autoscaler) markForRelease(id, reason string) {
 	if as.pendingReleases[id] || as.releasedAt[id] != 0 {
 		return
@@ -17,10 +18,10 @@
 	as.log(Info, "machine marked for release", "machine", id, "reason", reason)
 }
 
-// releaseMachines releases the machines that their owners gave up, as their messages
-// report, and those that the leader itself found gone or never up. By the time of the
-// response they are gone with everything on them; their removal from the registry is
-// what their owners see.
+// releaseMachines releases the machines whose release shard owners request in their
+// messages, and those that the leader itself marked as absent or not up in time. When the
+// cloud responds, the machines are terminated with all tasks on them. The shard owners
+// observe their removal from the registry.
 func (as *autoscaler) releaseMachines() {
 	as.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
 		for i := range msg.OwnedShards {
@@ -53,7 +54,7 @@
 	})
 }
 
-// addRequestedReleases takes the machines that a shard's owner gave up.
+// addRequestedReleases adds the machines whose release a shard's owner requests.
 func (as *autoscaler) addRequestedReleases(peerShard *PeerShard) {
 	for _, id := range peerShard.MachinesToRelease {
 		mc := as.registry.machines[id]
--- a/scheduler/provisioning.go
+++ b/scheduler/provisioning.go
@@ -3,15 +3,15 @@
 import "fmt"
 
 const (
-	// maxInstancesPerRequest is the most machines of one request, by the cloud's protocol.
+	// maxInstancesPerRequest is the cloud API's limit on the machines in one request.
 	maxInstancesPerRequest = 50
 
-	// maxProvisionRetries is how often a request is sent again that was not answered.
+	// maxProvisionRetries is how often a request without a response is retried.
 	maxProvisionRetries = 3
 )
 
-// provisionRequest is a request for machines of one offering. Its key is never used
-// again: it contains the revision of the leader's claim.
+// provisionRequest is a request for machines of one offering. Its key is unique, since it
+// contains the revision of the leader's claim.
 type provisionRequest struct {
 	offering        offering
 	count           int
@@ -19,14 +19,15 @@
 	leaderRev       uint64
 	requestedAtMS   int64 // wall time
 	replacementPlan string
-	shards          map[string]int // machines by shard
+	shards          map[string]int // requested machines by shard
 	pendingShards   int            // shards whose machines are not recorded yet
 	onEnd           func()
 }
 
-// provision asks for machines, and splits what comes among the shards as they asked.
-// replacementPlan names a rollout that they are for. onEnd is called once all of them
-// are recorded, or the request failed, unless the leadership ends before.
+// provision requests machines from the cloud, and divides the provisioned machines among
+// the shards in proportion to their requests. replacementPlan is the rollout plan whose
+// machines they replace, if any. onEnd is called once all machines are recorded or the
+// request has failed, unless the leadership ends first.
 func (as *autoscaler) provision(o offering, shards map[string]int, replacementPlan string, onEnd func()) {
 	count := 0
 	for name, n := range sortedByKey(shards) {
@@ -69,7 +70,8 @@
 			as.markUnavailable(o)
 			as.endProvision(request)
 		case Unknown:
-			// The same key gets the same response, and provisions nothing twice.
+			// The idempotency key makes the retry safe: the cloud returns the same
+			// response and provisions nothing twice.
 			if retries > 0 {
 				as.sendProvision(request, retries-1)
 				return
@@ -82,7 +84,7 @@
 	})
 }
 
-// recordProvisioned adds the machines that came to the registry.
+// recordProvisioned adds the provisioned machines to the registry.
 func (as *autoscaler) recordProvisioned(request *provisionRequest, ids []string) {
 	o := request.offering
 	if len(ids) < request.count {
@@ -93,7 +95,7 @@
 		"requested", request.count, "count", len(ids), "machines", ids)
 	remaining := ids
 	for name, n := range sortedByKey(request.shards) {
-		// What is missing is missing for all shards in proportion.
+		// If the cloud provisioned fewer machines, each shard gets a proportional share.
 		n = min(len(remaining), (n*len(ids)+request.count-1)/request.count)
 		page := o.registryPage(name, request.requestedAtMS)
 		page.ReplacementPlan = request.replacementPlan
@@ -108,8 +110,8 @@
 	}
 }
 
-// endShardProvision ends a shard's part of a request. Demand that was reported until now
-// did not count its machines.
+// endShardProvision ends a shard's part of a request. Demand that was reported before now
+// does not count its machines.
 func (as *autoscaler) endShardProvision(request *provisionRequest, shard string) {
 	if as.leaderRev != request.leaderRev {
 		return
@@ -121,7 +123,8 @@
 	}
 }
 
-// markUnavailable leaves an offering alone for a boot time of its type.
+// markUnavailable excludes an offering from requests for a boot time of its type, at least
+// 5 s.
 func (as *autoscaler) markUnavailable(o offering) {
 	bootMS := secondsToMS(as.cache.machineTypes[o.machineType].BootS)
 	as.unavailableUntil[o] = as.now.MonotonicMS + max(bootMS, 5000)
--- a/scheduler/registry_writes.go
+++ b/scheduler/registry_writes.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// registryAddition is a registry page that the leader is to write. Its key and contents
-// never change: a write whose outcome is not known is sent again as it was.
+// registryAddition is a registry page that the leader has yet to write. Its key and content
+// never change, so a write with an unknown outcome is retried unchanged.
 type registryAddition struct {
 	key       string
 	rec       registryRecord
 	onWritten func()
 }
 
-// registryPage is a page for machines of an offering, without their IDs.
+// registryPage returns a page for machines of the offering, without machine IDs.
 func (o offering) registryPage(shard string, provisionedAtMS int64) registryRecord {
 	return registryRecord{
 		Shard:           shard,
@@ -24,9 +24,9 @@
 	}
 }
 
-// addMachinesToRegistry gives machines an owner, as soon as the store has them. page
-// says what they have in common. onWritten is called once all of them are stored, at
-// once if none is new.
+// addMachinesToRegistry assigns machines to a shard. The assignment takes effect when the
+// store has their pages. page holds the fields that the machines share. onWritten is called
+// once all new machines are stored, immediately if none is new.
 func (as *autoscaler) addMachinesToRegistry(ids []string, page registryRecord, onWritten func()) {
 	var newIDs []string
 	for _, id := range ids {
@@ -55,8 +55,8 @@
 	as.writeRegistry()
 }
 
-// writeRegistry writes what is to be added to and removed from the registry, one
-// transaction at a time.
+// writeRegistry writes the pending additions and removals to the registry, one transaction
+// at a time.
 func (as *autoscaler) writeRegistry() {
 	nothingPending := len(as.pendingAdditions)+len(as.pendingRemovals) == 0
 	if nothingPending || as.registryWriting || as.now.MonotonicMS < as.nextRegistryWriteAtMS || !as.canActAsLeader() {
@@ -85,8 +85,8 @@
 	})
 }
 
-// buildRegistryTxn makes the next transaction: additions first, then removals, on the
-// condition that this leadership stands.
+// buildRegistryTxn builds the next transaction: additions first, then removals. The
+// leader record's revision is a precondition.
 func (as *autoscaler) buildRegistryTxn() ([]Precondition, []Change) {
 	maxChanges := as.maxChangesPerBackgroundTxn()
 	preconditions := []Precondition{{leaderKey, as.leaderRev}}
@@ -95,7 +95,7 @@
 		preconditions = append(preconditions, Precondition{addition.key, 0})
 		changes = append(changes, Change{Key: addition.key, Value: mustEncode(addition.rec)})
 	}
-	for key := range sortedByKey(as.pagesOfRemovals()) {
+	for key := range sortedByKey(as.pagesWithRemovals()) {
 		if len(changes) >= maxChanges {
 			break
 		}
@@ -113,9 +113,9 @@
 	return preconditions, changes
 }
 
-// pagesOfRemovals is the keys of the pages that name machines to be removed. It drops
-// the removals that are done.
-func (as *autoscaler) pagesOfRemovals() map[string]bool {
+// pagesWithRemovals returns the keys of the pages that contain machines to remove. It drops
+// completed removals.
+func (as *autoscaler) pagesWithRemovals() map[string]bool {
 	pages := map[string]bool{}
 	for id := range as.pendingRemovals {
 		if mc := as.registry.machines[id]; mc != nil {
@@ -127,9 +127,8 @@
 	return pages
 }
 
-// rereadRegistryPages reads each key of a transaction whose outcome is not known, or that
-// conflicted, before anything is written again. An addition that had worked is in the
-// cache then.
+// rereadRegistryPages reads each key of a transaction that conflicted or has an unknown
+// outcome, before the next write. If an addition succeeded, the cache has it afterwards.
 func (as *autoscaler) rereadRegistryPages(changes []Change) {
 	as.registryWriting = true
 	pending := len(changes)
@@ -145,7 +144,8 @@
 	as.store.rereadKey(leaderKey, func(StoreResult) {})
 }
 
-// completeRegistryAdditions drops the additions that the cache has.
+// completeRegistryAdditions drops the additions that are in the cache, and calls their
+// callbacks.
 func (as *autoscaler) completeRegistryAdditions() {
 	var callbacks []func()
 	as.pendingAdditions = slices.DeleteFunc(as.pendingAdditions, func(addition *registryAddition) bool {
@@ -163,9 +163,9 @@
 	}
 }
 
-// assignFoundMachines gives the machines that sent heartbeats and are on no registry page
-// to the shards that have least. Those of an offering and a shard share a page.
-func (as *autoscaler) assignFoundMachines() {
+// assignUnknownMachines assigns machines that sent heartbeats but are not on a registry page
+// to the least loaded shards. Machines with the same offering and shard share a page.
+func (as *autoscaler) assignUnknownMachines() {
 	if len(as.unknownMachines) == 0 || as.now.MonotonicMS < as.nextAssignmentAtMS {
 		return
 	}
@@ -188,7 +188,7 @@
 		}
 		machineIDs[target] = append(machineIDs[target], heartbeat.Machine)
 	}
-	as.log(Info, "unrecorded machines found", "count", len(as.unknownMachines))
+	as.log(Info, "unregistered machines found", "count", len(as.unknownMachines))
 	as.unknownMachines = nil
 	for _, target := range targets {
 		page := target.offering.registryPage(target.shard, as.now.WallMS)
@@ -196,13 +196,14 @@
 	}
 }
 
-// shardLoad is what machines a shard has.
+// shardLoad is the capacity of a shard's machines.
 type shardLoad struct {
 	cpus           float64
 	machinesByType map[string]int
 }
 
-// shardLoads is by shard what machines it has; shards that nobody claims get none.
+// shardLoads returns the load of each shard that machines may be assigned to. Unclaimed shards
+// are left out unless no shard is claimed. If none remains, the result has only this member's own shard.
 func (as *autoscaler) shardLoads() map[string]*shardLoad {
 	loads := map[string]*shardLoad{}
 	for _, name := range as.memberIDs() {
@@ -219,19 +220,20 @@
 		}
 	}
 	for _, load := range loads {
-		for typeName, count := range sortedByKey(load.machinesByType) { // the same sum every time
+		// The order is fixed so that the rounding of the sum is reproducible.
+		for typeName, count := range sortedByKey(load.machinesByType) {
 			load.cpus += float64(count) * resourcesOf(as.cache.machineTypes[typeName]).CPUs
 		}
 	}
 	return loads
 }
 
-// assignToLeastLoaded picks the shard with the fewest processors, then the fewest machines
-// of a type, and counts a machine of the type to it.
+// assignToLeastLoaded returns the shard with the fewest processors, then the fewest machines
+// of the type. It adds a machine of the type to that shard's load.
 func (as *autoscaler) assignToLeastLoaded(loads map[string]*shardLoad, machineType string) string {
 	leastLoaded := ""
 	for name, load := range sortedByKey(loads) {
-		if leastLoaded == "" || load.isBelow(loads[leastLoaded], machineType) {
+		if leastLoaded == "" || load.isLessThan(loads[leastLoaded], machineType) {
 			leastLoaded = name
 		}
 	}
@@ -240,7 +242,7 @@
 	return leastLoaded
 }
 
-func (l *shardLoad) isBelow(other *shardLoad, machineType string) bool {
+func (l *shardLoad) isLessThan(other *shardLoad, machineType string) bool {
 	if l.cpus != other.cpus {
 		return l.cpus < other.cpus
 	}
--- a/scheduler/scale_out.go
+++ b/scheduler/scale_out.go
@@ -9,7 +9,7 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// offering is a type of machine in a zone, spot or on-demand, as the cloud provisions it.
+// offering is an instance offering of the cloud: a machine type in a zone, spot or on-demand.
 type offering struct {
 	machineType, zone string
 	spot              bool
@@ -28,26 +28,26 @@
 }
 
 const (
-	// maxScaleOutPerShard bounds the machines asked for by one shard's demand at a
-	// time; what remains is reported again.
+	// maxScaleOutPerShard limits the machines in one scale-out plan of a shard. The
+	// shard reports the remaining demand again.
 	maxScaleOutPerShard = 50
 
-	// onDemandMinFill is how full the waiting tasks of a job must make an on-demand
-	// machine before one is provisioned for a job that may use spot machines.
+	// onDemandMinFill is the fraction of an on-demand machine that a job's waiting tasks
+	// must fill before one is provisioned for a job that may use spot machines.
 	onDemandMinFill = 1.0
 
-	// scarceTypeCostFactor multiplies the cost of a type that other jobs cannot do
-	// without.
+	// scarceTypeCostFactor multiplies the cost of a type that is the only one that some
+	// other job fits.
 	scarceTypeCostFactor = 4
 
-	// costTolerance is the relative difference within which two costs are the same.
+	// costTolerance is the relative difference up to which two costs count as equal.
 	costTolerance = 0.001
 )
 
-// scaleOutForDemand provisions what the shards report that they lack: for each shard,
-// machines are added until its demand fits, each time of the offering that costs
-// least for the tasks it takes. One request asks for all machines of an offering,
-// whichever shards they are for, and the largest are sent first: requests are few.
+// scaleOutForDemand provisions machines for the capacity demand that the shards report. For
+// each shard it adds machines until the demand fits, each of the offering with the lowest
+// cost per task. Few requests can be sent, so one request covers all machines of an
+// offering, for all shards, and the largest requests are sent first.
 func (as *autoscaler) scaleOutForDemand() {
 	requests := map[offering]map[string]int{}
 	total := map[offering]int{}
@@ -76,8 +76,8 @@
 	}
 }
 
-// hasCurrentDemand reports whether a shard's demand comes from the shard's owner and
-// counts the machines that were provisioned for it last.
+// hasCurrentDemand reports whether a shard's demand was reported by the shard's owner, and
+// takes into account the machines that were last provisioned for the shard.
 func (as *autoscaler) hasCurrentDemand(from string, sentWallMS int64, peerShard *PeerShard) bool {
 	name := peerShard.Shard
 	if as.provisioning[name] > 0 || sentWallMS < as.demandValidAfter[name] || len(peerShard.Demands) == 0 {
@@ -86,19 +86,19 @@
 	return as.shards.ownedShards[name] != nil || as.cache.shardClaims[name].Owner == from
 }
 
-// scaleOutPlan collects the machines that one shard's demand asks for.
+// scaleOutPlan collects the machines that one shard's demand requires.
 type scaleOutPlan struct {
 	candidates []*candidateMachine
-	zones      map[offering]offering // by offering without zone: the one that this plan takes
+	zones      map[offering]offering // by offering without zone: the offering that this plan uses
 }
 
-// candidateMachine is a machine that might be provisioned, while tasks are fitted into it.
+// candidateMachine is a machine of a scale-out plan, with the tasks admitted to it.
 type candidateMachine struct {
 	machine  *planner.Machine
 	offering offering
 }
 
-// planScaleOut returns how many machines of each offering a shard's demand asks for.
+// planScaleOut returns how many machines of each offering a shard's demand requires.
 func (as *autoscaler) planScaleOut(peerShard *PeerShard) map[offering]int {
 	plan := &scaleOutPlan{zones: map[offering]offering{}}
 	for _, demand := range peerShard.Demands {
@@ -126,7 +126,7 @@
 	return counts
 }
 
-// fillCandidates fits tasks of a group into the machines that the plan has already.
+// fillCandidates admits tasks of a group to the machines that are already in the plan.
 func (as *autoscaler) fillCandidates(plan *scaleOutPlan, g *taskGroup) {
 	for _, candidate := range plan.candidates {
 		o := candidate.offering
@@ -159,11 +159,12 @@
 	}
 }
 
-// admitToCandidate fits tasks of a group into a machine, and returns how many.
+// admitToCandidate admits tasks of a group to a machine. It returns the number of admitted
+// tasks.
 func (as *autoscaler) admitToCandidate(candidate *candidateMachine, g *taskGroup) int {
 	mode := planner.AllQueues
 	if g.job.Kind == Gang {
-		mode = planner.NewSlotsAnyTime // side by side: none may wait for another
+		mode = planner.NewSlotsAnyTime // the tasks of a gang must run concurrently
 	}
 	n, _, _ := planner.AdmitToMachine(
 		candidate.machine,
@@ -177,11 +178,11 @@
 	return n
 }
 
-// cheapestOffering picks the offering that costs least for the tasks of the group that
-// it takes, among those that the cloud did not refuse of late. On-demand machines cost
-// more, so they come up where no spot machine is available. zones remembers the zone
-// taken for a type: zones that cost the same take turns, a plan for each, so that one
-// request asks for many machines.
+// cheapestOffering returns the offering with the lowest cost per task of the group, except
+// offerings that the cloud refused recently. On-demand machines cost more, so they are
+// chosen only where no spot machine is available. zones records the zone chosen for each
+// type: among zones with equal cost, each plan uses one at random, so that one request
+// covers many machines.
 func (as *autoscaler) cheapestOffering(
 	g *taskGroup,
 	spotOnly bool,
@@ -200,8 +201,8 @@
 	return o, true
 }
 
-// cheapestOfferings lists the offerings that cost least, within costTolerance, by type,
-// zone and spot first.
+// cheapestOfferings returns the offerings with the lowest cost, within costTolerance. They
+// are ordered by type and zone, spot before on-demand.
 func (as *autoscaler) cheapestOfferings(g *taskGroup, spotOnly bool) []offering {
 	var best []offering
 	bestCost := math.Inf(1)
@@ -226,7 +227,7 @@
 	return best
 }
 
-// offeringsOf lists a type's offerings, zone by zone.
+// offeringsOf returns a type's offerings in the order of its zones, spot before on-demand.
 func offeringsOf(t *MachineType) []offering {
 	offerings := make([]offering, 0, 2*len(t.Zones))
 	for _, zone := range t.Zones {
@@ -235,8 +236,9 @@
 	return offerings
 }
 
-// tasksForNewMachine is how many tasks of a group a machine of a type takes until the
-// group's deadline, at least one wave of them; 0 if the type does not fit.
+// tasksForNewMachine returns how many tasks of a group a new machine of a type can run by the
+// group's deadline. It counts at least one wave of tasks, and returns 0 if no task fits the
+// type.
 func (as *autoscaler) tasksForNewMachine(g *taskGroup, t *MachineType) int {
 	if !as.cache.fitsType(g.job, t) {
 		return 0
@@ -247,14 +249,15 @@
 	return min(copies*waves, g.Remaining)
 }
 
-// newMachineReadyAtMS is the wall time at which a machine that is provisioned now can
-// start tasks of a job.
+// newMachineReadyAtMS returns the wall time at which a machine provisioned now can start
+// tasks of a job.
 func (as *autoscaler) newMachineReadyAtMS(j *Job, t *MachineType) int64 {
 	return as.now.WallMS + secondsToMS(t.BootS) + as.cache.imageFetchMS(j, t.Name)
 }
 
-// mayProvisionFor reports whether an offering is allowed, not refused of late, and, for a
-// job that may use spot machines, worth several times the price.
+// mayProvisionFor reports whether an offering is allowed and was not refused recently. An
+// on-demand machine costs several times the spot price. For a job that may use spot
+// machines, its tasks must therefore end by the deadline and fill the machine.
 func (as *autoscaler) mayProvisionFor(g *taskGroup, t *MachineType, o offering) bool {
 	isAllowed := as.cache.isOfferingAllowed(g.job, o.machineType, o.zone, o.spot)
 	if !isAllowed || as.now.MonotonicMS < as.unavailableUntil[o] {
@@ -268,7 +271,8 @@
 	return !isTooLate && float64(g.Remaining) >= fullMachine
 }
 
-// costPerTask is what an offering counts as, in money an hour and task.
+// costPerTask returns the cost of an offering per hour and task, weighted by
+// scarceTypeCostFactor for a scarce type.
 func (as *autoscaler) costPerTask(j *Job, t *MachineType, o offering, tasks int) float64 {
 	price := t.Price
 	if o.spot {
