--- a/scheduler/machine_lifecycle.go
+++ b/scheduler/machine_lifecycle.go
@@ -6,39 +6,40 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// The way of a machine out of the fleet. Each step is taken by tickMachine, and no later claim needs to know
-// of it:
+// The removal of a machine from the fleet. tickMachine makes all transitions for which the table names no other
+// function. The states are not stored, and a later claim does not depend on them:
 //
 //	from       event                                            to
-//	in use     lease expired                                    its attempts are lost; in use again with a heartbeat
-//	in use     lease expired and not back within its retention  draining
-//	in use     on the list of an operator or a rollout          cordoned
-//	cordoned   off the list                                     in use
-//	cordoned   no attempt is live                               draining
-//	in use     spot termination notice ended, or empty on it    draining
+//	in use     lease expired                                    its attempts are lost; in use again on a heartbeat
+//	in use     lease expired, no heartbeat within its retention draining
+//	in use     no heartbeat since the claim (tickReconcile)     draining
+//	in use     listed by an operator or a rollout               cordoned
+//	cordoned   removed from the list                            in use
+//	cordoned   no live attempts                                 draining
+//	in use     spot notice expired, or received while empty     draining
 //	in use     idle for too long, or tasks of several jobs fail draining
-//	draining   no registry page names it any more               gone (deleteMachine)
+//	draining   removed from its registry page                   deleted (deleteMachine)
 
-// Bounds of the release of machines.
+// Limits on the release of machines.
 const (
-	suspectFailedJobs       = 2      // jobs that failed on an idle machine before it is released
-	minProvisionedMS        = 60_000 // no idle machine is released sooner after it was provisioned
-	idleReleaseSpreadLeases = 10     // for so many leases after a claim idle machines are released one by one
-	idleReleaseIntervalMS   = 250    // this far apart
-	silentGraceDivisor      = 2      // which part of a lease a silent machine is kept for after its lease
+	suspectFailedJobs        = 2      // failed jobs after which an idle machine is released
+	minProvisionedMS         = 60_000 // minimum age since provisioning of an idle machine that is released
+	idleReleaseSpreadLeases  = 10     // leases after a claim during which idle machines are released one by one
+	idleReleaseIntervalMS    = 250    // interval between these releases
+	expiredLeaseGraceDivisor = 2      // a machine is kept for a lease divided by this after its lease expired
 )
 
-// tickMachine takes note of what time did to a machine.
+// tickMachine applies the time-based state transitions of a machine.
 func (am *agentManager) tickMachine(s *shard, mc *machine) {
 	am.expireLease(s, mc)
 	am.drainOnTermination(s, mc)
 	t := am.cache.machineTypes[mc.rec.Type]
-	if mc.State() == reconcile.LeaseExpired && am.isSilentTooLong(s, mc, t) {
+	if mc.State() == reconcile.LeaseExpired && am.isRetentionOver(s, mc, t) {
 		am.drain(s, mc, "silent")
 	}
 	am.updateCordon(s, mc)
 	if mc.cordoned && mc.liveAttemptCount == 0 {
-		am.drain(s, mc, "drained by an operator")
+		am.drain(s, mc, "cordoned, no live attempts")
 	}
 	if t == nil || !mc.Up || mc.liveAttemptCount > 0 {
 		return
@@ -51,7 +52,8 @@
 	}
 }
 
-// expireLease gives up the attempts of a machine that has been silent past its lease: they are over.
+// expireLease removes the attempts of a machine that sent no heartbeat for longer than its lease: the worker has
+// killed them.
 func (am *agentManager) expireLease(s *shard, mc *machine) {
 	if !s.reconciler.ExpireLease(mc.Machine, am.now.MonotonicMS) {
 		return
@@ -63,24 +65,25 @@
 	s.dirty = true
 }
 
-// drainOnTermination drains a machine whose termination notice ended, or that is empty on one. Its release
-// makes its end certain, and its tasks need not wait for the lease.
+// drainOnTermination drains a machine whose termination notice has expired, or that has a notice and no live
+// attempts. The release confirms that the machine is terminated, so its tasks do not have to wait until its lease
+// expires.
 func (am *agentManager) drainOnTermination(s *shard, mc *machine) {
 	if mc.terminatesAt == 0 {
 		return
 	}
 	now, interval := am.now.MonotonicMS, am.maxHeartbeatIntervalMS()
-	silentNearEnd := now > mc.terminatesAt-interval && now > mc.LastHeartbeatAt+interval
-	if silentNearEnd || now > mc.terminatesAt {
-		am.drain(s, mc, "spot notice ended")
+	missedHeartbeatNearEnd := now > mc.terminatesAt-interval && now > mc.LastHeartbeatAt+interval
+	if missedHeartbeatNearEnd || now > mc.terminatesAt {
+		am.drain(s, mc, "spot termination notice expired")
 	}
 	if mc.IsReconciled() && mc.liveAttemptCount == 0 {
-		am.drain(s, mc, "empty, on spot notice")
+		am.drain(s, mc, "empty, spot termination notice received")
 	}
 }
 
-// updateCordon cordons a machine that an operator or a rollout lists. The lists are read each time: a machine
-// that is taken off takes work again.
+// updateCordon cordons a machine that an operator or a rollout lists, and uncordons it when it is no longer
+// listed. The lists are read on every tick.
 func (am *agentManager) updateCordon(s *shard, mc *machine) {
 	listed := slices.Contains(am.cache.settings.Drain, mc.id) || am.rollouts.isDrainedByRollout(mc)
 	if listed == mc.cordoned {
@@ -90,15 +93,15 @@
 	am.log(Info, "machine cordon changed", "machine", mc.id, "cordoned", listed, "tasks", mc.liveAttemptCount)
 }
 
-// isSilentTooLong reports whether a machine whose lease is over is to be released. One that is silent alone is
-// at fault itself. Where most of a shard are, it is rather this member that cannot be reached, and they come
-// back one after the other when it can: they are kept for as long as idle ones, since others would take a
-// boot time to replace them.
-func (am *agentManager) isSilentTooLong(s *shard, mc *machine, t *MachineType) bool {
+// isRetentionOver reports whether a machine whose lease expired is to be released. A machine that fails alone is
+// at fault itself and is kept only for a fraction of a lease. If most leases in the shard expire, this member is
+// probably unreachable, and the machines reconnect one after the other later. They are then kept for as long as
+// idle machines, since replacing them takes a boot time.
+func (am *agentManager) isRetentionOver(s *shard, mc *machine, t *MachineType) bool {
 	now := am.now.MonotonicMS
 	leaseEnd := s.reconciler.LeaseExpiresAt(mc.Machine)
-	gracePeriod := secondsToMS(am.params.LeaseS) / silentGraceDivisor
-	if now > max(leaseEnd, s.mostSilentAt)+gracePeriod {
+	gracePeriod := secondsToMS(am.params.LeaseS) / expiredLeaseGraceDivisor
+	if now > max(leaseEnd, s.mostLeasesExpiredAt)+gracePeriod {
 		return true
 	}
 	retention := gracePeriod
@@ -108,23 +111,24 @@
 	return now > leaseEnd+retention
 }
 
-// mostMachinesSilent reports whether more than half of a shard's machines are silent that reported to this
-// claim before.
-func (s *shard) mostMachinesSilent() bool {
-	silent, reported := 0, 0
+// mostLeasesExpired reports whether, of the machines that sent a heartbeat under this claim or whose lease
+// expired, more than half (and more than one) have an expired lease.
+func (s *shard) mostLeasesExpired() bool {
+	expired, reported := 0, 0
 	for _, mc := range s.machines {
 		switch mc.State() {
 		case reconcile.LeaseExpired:
-			silent++
+			expired++
 			reported++
 		case reconcile.Reconciled:
 			reported++
 		}
 	}
-	return silent*2 > reported && silent > 1
+	return expired*2 > reported && expired > 1
 }
 
-// isUnneeded reports whether an empty machine has been idle for too long, and nothing waits for it.
+// isUnneeded reports whether an empty machine has been idle for too long, and neither demand nor a rollout needs
+// it.
 func (am *agentManager) isUnneeded(s *shard, mc *machine, t *MachineType) bool {
 	now := am.now.MonotonicMS
 	if mc.releasing || !mc.IsReconciled() || s.reconciler.Pacer.IsActive(now) {
@@ -139,8 +143,8 @@
 	return !am.servesDemand(s, mc) && !am.rollouts.isRolloutReplacement(mc)
 }
 
-// maxIdleMS is how long a machine may be idle. On-demand machines are kept as long as a spot machine for the
-// same money would be.
+// maxIdleMS returns how long a machine may be idle. An on-demand machine is kept for the time that costs as much
+// as the full idle time of a spot machine.
 func (am *agentManager) maxIdleMS(mc *machine, t *MachineType) int64 {
 	maxIdle := secondsToMS(t.BootS * am.cache.settings.IdleBoots)
 	if mc.rec.Spot {
@@ -149,9 +153,10 @@
 	return int64(float64(maxIdle) * t.SpotPrice / max(t.Price, t.SpotPrice))
 }
 
-// mayReleaseIdle spreads the releases of idle machines in the first while after a claim: since when they are
-// idle nobody knows, and counted from the claim for all, they were released in the same second. Given a random
-// time more each, they cost more (price 2.82 to 3.00 on days of five ends).
+// mayReleaseIdle spreads the releases of idle machines for idleReleaseSpreadLeases leases after a claim. A new claim
+// does not know since when machines are idle. With the idle time counted from the claim, all of them were
+// released within the same second. A random extra delay per machine raised the cost (price 2.82 to 3.00 on days
+// with five member terminations).
 func (am *agentManager) mayReleaseIdle(s *shard) bool {
 	now := am.now.MonotonicMS
 	if now-s.reconciler.ClaimedAt() > idleReleaseSpreadLeases*secondsToMS(am.params.LeaseS) {
@@ -164,8 +169,8 @@
 	return true
 }
 
-// servesDemand reports whether waiting work of the shard could run on a machine. Work that only another type
-// takes must not keep it.
+// servesDemand reports whether a machine could run tasks of the shard's capacity demand. Demand that only other
+// offerings can serve does not prevent its release.
 func (am *agentManager) servesDemand(s *shard, mc *machine) bool {
 	return slices.ContainsFunc(s.demand, func(demand CapacityDemand) bool {
 		j := am.cache.jobs[demand.Job]
@@ -176,9 +181,9 @@
 	})
 }
 
-// drain gives a machine up: nothing starts there any more, and every message to the leader requests its
-// release until no registry page names it. A claim that follows this one may not know and use the machine
-// again; what it starts there is over when the machine is released, like on any machine that is lost.
+// drain marks a machine as draining: no tasks start there, and every message to the leader requests its release
+// until it is removed from its registry page. A later claim may use the machine again, since the mark is not
+// stored. Tasks that it starts there are lost when the machine is released, as on any machine that is lost.
 func (am *agentManager) drain(s *shard, mc *machine, reason string) {
 	if mc.releasing || !am.store.hasAuthority() {
 		return
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -9,14 +9,14 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// machineRegistry owns what the member knows of all machines: the pages of the registry that the leader
-// writes, and the lists of live machines that the owners of shards write.
+// machineRegistry owns the member's state of all machines: the registry pages, which the leader writes, and the
+// lists of live machines, which the shard owners write.
 //
-// Machines are recorded many at a time, since the state service counts the keys that are changed and a fleet
-// of hundreds comes and goes within a minute: one page for the machines that came together to a shard, written
-// by the leader and by no other member, and a few lists for a shard of those that are up, written by its
-// owner. A machine is gone when no page names it: the leader removes it only once the cloud confirms that the
-// machine is gone with everything on it.
+// Records hold many machines each: the state service's rate limit counts changed keys, and a fleet of hundreds
+// of machines may be provisioned and released within a minute. A registry page holds machines that were
+// added to a shard together; only the leader writes it. A shard has a few lists of the machines that are up; only
+// its owner writes them. A machine is deleted when it is on no page. The leader removes it only after the cloud
+// confirms that the machine is terminated, with all tasks on it.
 type machineRegistry struct {
 	*environment
 	agents *agentManager
@@ -38,31 +38,31 @@
 	}
 }
 
-// registryRecord is a registry page: machines of one kind in one shard.
+// registryRecord is a registry page: machines of one offering in one shard.
 type registryRecord struct {
 	Shard           string   `json:"shard"`
 	Type            string   `json:"type"`
 	Zone            string   `json:"zone"`
 	Spot            bool     `json:"spot,omitempty"`
 	ProvisionedAtMS int64    `json:"rented"`        // wall time, ms
-	ReplacementPlan string   `json:"for,omitempty"` // the rollout plan whose machines they replace
+	ReplacementPlan string   `json:"for,omitempty"` // rollout plan whose machines these replace
 	MachineIDs      []string `json:"machines"`
 }
 
-// liveMachinesRecord lists machines of a shard that are up. Nothing starts on a machine before it is listed,
-// so one that is not listed has no tasks.
+// liveMachinesRecord lists machines of a shard that are up. No task starts on a machine before it is listed, so
+// an unlisted machine has no tasks.
 type liveMachinesRecord struct {
 	MachineIDs []string `json:"up"`
 }
 
-// registryPage is a registry page as the cache has it.
+// registryPage is a cached registry page with its revision.
 type registryPage struct {
 	rec registryRecord
 	rev uint64
 }
 
-// applyMachineRecord brings pages and lists up to a change in the store. It fails only if the record cannot be
-// decoded.
+// applyMachineRecord applies a change in the store to the pages and lists. It returns an error only if the record
+// cannot be decoded.
 func (mr *machineRegistry) applyMachineRecord(kv KeyValue) error {
 	switch {
 	case strings.HasPrefix(kv.Key, registryPrefix):
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// decodeRecord decodes a record's JSON; nil for a key that was deleted.
+// decodeRecord decodes a record's JSON. It returns nil for a deleted key.
 func decodeRecord[T any](value []byte) (*T, error) {
 	if value == nil {
 		return nil, nil
@@ -93,7 +93,7 @@
 	return rec, nil
 }
 
-// applyRegistryPage takes a page as the store has it now; nil: it was deleted.
+// applyRegistryPage applies the stored state of a page, nil if it was deleted.
 func (mr *machineRegistry) applyRegistryPage(key string, rec *registryRecord, rev uint64) {
 	previous := mr.registryPages[key]
 	kept := map[string]bool{}
@@ -116,8 +116,8 @@
 	}
 }
 
-// applyLiveMachines takes a list of machines that are up. What a list no longer names is gone from the
-// registry pages too, or stands in another list.
+// applyLiveMachines applies a list of machines that are up. It ignores machines that were removed from the list:
+// they are removed from the registry pages too, or are in another list.
 func (mr *machineRegistry) applyLiveMachines(key string, rec *liveMachinesRecord) {
 	if rec == nil {
 		delete(mr.liveMachines, key)
@@ -131,7 +131,7 @@
 	}
 }
 
-// markListed notes that a machine is listed as up, and may have work.
+// markListed marks a machine as listed: tasks may be on it.
 func (mr *machineRegistry) markListed(mc *machine) {
 	s := mr.shards.ownedShards[mc.rec.Shard]
 	if s == nil {
@@ -146,8 +146,8 @@
 	s.dirty, s.planExpedited = true, true
 }
 
-// writeLiveMachines lists the machines of a shard that came up since the last time, and drops those that are
-// gone.
+// writeLiveMachines adds the machines that came up since the last write to a list of the shard, and drops
+// deleted machines from that list.
 func (mr *machineRegistry) writeLiveMachines(s *shard) {
 	if s.liveListWriting || len(s.newlyLive) == 0 || mr.now.MonotonicMS < s.nextLiveListWriteAt {
 		return
@@ -164,7 +164,7 @@
 		return
 	}
 	s.liveListWriting = true
-	// The next ones share a write.
+	// Machines that come up during this interval share the next write.
 	s.nextLiveListWriteAt = mr.now.MonotonicMS + max(300, secondsToMS(mr.params.HeartbeatS)/8)
 	preconditions := []Precondition{{claimKey(s.name), s.token}, {key, mr.cache.keyRevisions[key]}}
 	changes := []Change{{Key: key, Value: mustEncode(liveMachinesRecord{machineIDs})}}
@@ -177,7 +177,8 @@
 	})
 }
 
-// liveListWithRoom finds the first list of a shard that has room, and what it names that is not gone.
+// liveListWithRoom returns the key of the shard's first list that is not full, and the machines in it that still
+// exist.
 func (mr *machineRegistry) liveListWithRoom(s *shard) (key string, machineIDs []string) {
 	prefix := liveMachinesPrefix + s.name + "/"
 	for index := 0; ; index++ {
@@ -194,7 +195,7 @@
 	}
 }
 
-// upsertMachine takes in a machine that a registry page names.
+// upsertMachine adds or updates a machine of a registry page.
 func (mr *machineRegistry) upsertMachine(id, key string, rec *registryRecord) {
 	if mr.machines[id] == nil {
 		mr.insertMachine(id, key, rec)
@@ -220,8 +221,8 @@
 	}
 }
 
-// resetMachine forgets what an earlier claim knew of a machine. Silence counts from here: whoever answered it
-// before did so before this claim.
+// resetMachine discards the state of a machine from an earlier claim. Its lease counts from now: any earlier
+// heartbeat response was sent before this claim.
 func (mr *machineRegistry) resetMachine(mc *machine) {
 	for _, a := range mc.byKey {
 		mr.agents.releaseResources(mc, a)
@@ -241,8 +242,8 @@
 	}
 }
 
-// deleteMachine handles the removal of a machine from its registry page, which follows only once the cloud
-// confirms that the machine is gone with everything on it.
+// deleteMachine handles the removal of a machine from its registry page. The leader removes it only after the
+// cloud confirms that the machine is terminated, with all tasks on it.
 func (mr *machineRegistry) deleteMachine(id string) {
 	mc := mr.machines[id]
 	if mc == nil {
--- a/scheduler/progress_records.go
+++ b/scheduler/progress_records.go
@@ -6,23 +6,23 @@
 	"strconv"
 )
 
-// Which tasks of a shard's ranges are done is kept in progress records in the store: a
-// record for each range would cost a write each, every few seconds, so small ranges
-// share a few. Workers keep the results of finished tasks until these are stored, and
+// Progress records in the store hold which tasks of a shard's ranges are done. A record
+// per range would cost a write per range every few seconds, so small ranges share a few
+// records. Workers keep the results of finished tasks until the progress is stored, and
 // report them again to the next owner.
 
-// sharedProgressRecords is how many records the progress of a shard's small ranges is spread over.
+// sharedProgressRecords is the number of records that the small ranges of a shard share.
 const sharedProgressRecords = 4
 
-// Bounds of a progress record, in parts of and bytes below MaxValueBytes.
+// Limits on the size of a progress record, relative to MaxValueBytes.
 const (
-	ownProgressRecordDivisor = 16 // a range whose bitmap is larger than this part has a record of its own
-	progressRecordMargin     = 64
-	bitmapEntryOverhead      = 12 // JSON around a range's name and bitmap
+	ownProgressRecordDivisor = 16 // a range whose bitmap exceeds MaxValueBytes divided by this has its own record
+	progressRecordMargin     = 64 // bytes kept free in a record
+	bitmapEntryOverhead      = 12 // bytes of JSON around a range's name and bitmap
 )
 
-// readProgress reads which tasks of a newly claimed shard are done, and the rest of its
-// records. A read that fails is repeated by the tick.
+// readProgress reads the progress records and the recovery record of a newly claimed shard.
+// tickReadiness retries a failed read.
 func (sm *shardManager) readProgress(s *shard) {
 	if s.requestPending {
 		return
@@ -42,8 +42,8 @@
 	})
 }
 
-// restoreProgressRecords takes a shard's records over and returns the bitmaps of done tasks
-// by the names of their ranges.
+// restoreProgressRecords restores the state in a shard's records. It returns the bitmaps of
+// done tasks by range name.
 func (sm *shardManager) restoreProgressRecords(s *shard, kvs []KeyValue) map[string]bitset {
 	done := map[string]bitset{}
 	for _, kv := range kvs {
@@ -63,7 +63,7 @@
 	return done
 }
 
-// restoreDone marks the tasks as done that the store has as done.
+// restoreDone marks the tasks done whose bits are set in the stored bitmap.
 func (tr *taskRange) restoreDone(stored bitset) {
 	for i := range tr.size() {
 		if stored.has(i) {
@@ -73,7 +73,8 @@
 	}
 }
 
-// progressRecord returns the write state of one of the shard's records, new if there is none.
+// progressRecord returns the write state of one of the shard's records. It creates the state
+// if there is none.
 func (s *shard) progressRecord(key string) *recordWriteState {
 	state := s.progressRecords[key]
 	if state == nil {
@@ -83,8 +84,8 @@
 	return state
 }
 
-// progressKey is the key of the record that a range's progress is kept in: its own for a
-// large range, which would fill a shared one.
+// progressKey returns the key of the record that holds a range's progress. A large range has
+// its own record, since it would fill a shared one.
 func (sm *shardManager) progressKey(tr *taskRange) string {
 	if tr.progressKey != "" {
 		return tr.progressKey
@@ -101,10 +102,10 @@
 	return tr.progressKey
 }
 
-// writeShardRecord writes one of a shard's own records, or removes it (nil value), under the
-// claim and the record's revision, and allows the next write intervalMS later. onResult
-// learns whether the store is known to have it. If the store may have it, its
-// revision is read before anything is written again.
+// writeShardRecord writes one of a shard's own records, or deletes it if value is nil. The
+// preconditions are the claim and the record's revision. The next write is due after
+// intervalMS. onResult receives whether the write is known to have succeeded. After an
+// unknown outcome or a conflict, the record's revision is read before the next write.
 func (sm *shardManager) writeShardRecord(
 	s *shard,
 	key string,
@@ -131,8 +132,8 @@
 	})
 }
 
-// rereadShardRecord reads the revision of a record that a write may have changed. Until then
-// it is not written.
+// rereadShardRecord reads the revision of a record that a write may have changed. The record
+// is not written until the read completes.
 func (sm *shardManager) rereadShardRecord(key string, state *recordWriteState) {
 	state.writing = true
 	sm.store.rereadKey(key, func(r StoreResult) {
@@ -161,15 +162,15 @@
 	}
 }
 
-// progressSnapshot is the content of a progress record and the ranges that it was taken of.
+// progressSnapshot is the content of a progress record and the bitmaps of the ranges in it.
 type progressSnapshot struct {
 	record progressRecord
 	done   map[*taskRange]bitset
 }
 
-// snapshotProgress copies the done tasks of the ranges that share a record. These are no longer
-// dirty then; what does not fit waits until other ranges end, whose results their
-// workers keep.
+// snapshotProgress copies the bitmaps of the ranges that share a record, and marks these ranges
+// clean. Ranges that do not fit wait until other ranges are done; workers keep their results
+// until then.
 func (sm *shardManager) snapshotProgress(s *shard, key string) progressSnapshot {
 	snapshot := progressSnapshot{progressRecord{DoneBitmaps: map[string][]byte{}}, map[*taskRange]bitset{}}
 	size := 0
@@ -188,7 +189,7 @@
 	return snapshot
 }
 
-// writeProgressRecord writes a progress record, or removes it when no range has progress in it.
+// writeProgressRecord writes a progress record, or deletes it if no range has progress in it.
 func (sm *shardManager) writeProgressRecord(s *shard, key string, state *recordWriteState) {
 	snapshot := sm.snapshotProgress(s, key)
 	state.dirty = false
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -7,46 +7,47 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// What heartbeats do not show and a claim after ours would miss is kept in one value a shard beside the pages
-// of progress: how long classes of jobs take against their owners' estimates, and what runs on machines that
-// went silent (reconcile.UnreachableLedger).
-
-// recoveryRecord is that value.
+// recoveryRecord holds the state of a shard that a later claim needs and cannot learn from heartbeats. It is
+// stored next to the shard's progress records. It contains the run times of job classes relative to the
+// estimates of the job owners, and the tasks on unreachable machines (reconcile.UnreachableLedger).
 type recoveryRecord struct {
 	Runtimes    map[string]runtimeRecord                `json:"lengths,omitempty"`
 	Unreachable map[string]reconcile.UnreachableMachine `json:"silent,omitempty"`
 }
 
-// runtimeRecord is a class's correction in a recoveryRecord.
+// runtimeRecord is the runtime correction of a job class in a recoveryRecord.
 type runtimeRecord struct {
 	Ratio   float64 `json:"r"`
 	Samples int     `json:"n"`
 }
 
-// recoveryState is when a shard's recovery record is written and what of it is stored. Times are monotonic.
+// recoveryState is the write schedule of a shard's recovery record and its stored run times. Times are
+// monotonic.
 type recoveryState struct {
-	writeState           recordWriteState
-	nextRuntimeWriteAtMS int64            // run times alone are not worth a write before
-	writtenRuntimes      map[string]int64 // by class: the ratio that was written, in hundredths
-	quietUntilMS         int64            // no machine is recorded as unreachable before: this member stood still
-	lastTickMS           int64
+	writeState             recordWriteState
+	nextRuntimeWriteAtMS   int64            // no write for run times alone before this time
+	writtenRuntimes        map[string]int64 // by class: the written ratio, in hundredths
+	recordingPausedUntilMS int64            // no ledger entries before this time, after a pause of this member
+	lastTickMS             int64
 }
 
-// recoveryKey is a shard's value. Pages are digits or hold a slash.
+// recoveryKey returns the key of a shard's recovery record. It differs from all progress keys of the shard, where
+// the part after the shard's name is a number or contains a slash.
 func recoveryKey(shard string) string { return progressPrefix + shard + "/memory" }
 
-// maxRecoveryClasses bounds the classes that are recorded, maxRecoveryClassBytes their names, and
-// unreachableValueDivisor is which part of a value the unreachable machines may take.
+// maxRecoveryClasses limits the recorded classes, and maxRecoveryClassBytes the length of their names.
+// unreachableValueDivisor is the divisor of MaxValueBytes that limits the entries of unreachable machines.
 const (
 	maxRecoveryClasses      = 64
 	maxRecoveryClassBytes   = 64
 	unreachableValueDivisor = 2
 )
 
-// paceIntervalMS is how often the pacer's rate follows what runs.
+// paceIntervalMS is the interval between updates of the pacer's rate.
 const paceIntervalMS = 500
 
-// restoreRecoveryRecord takes what an earlier claim wrote. A record that cannot be read is logged and ignored.
+// restoreRecoveryRecord restores the record of an earlier claim. A record that cannot be decoded is logged and
+// ignored.
 func (am *agentManager) restoreRecoveryRecord(s *shard, kv KeyValue) {
 	s.recovery.writeState.rev = kv.Rev
 	var rec recoveryRecord
@@ -65,9 +66,9 @@
 	}
 }
 
-// writeRecoveryRecord writes a shard's recovery record when it has changes; with recovery off, when entries
-// that were made while it was on are out of date. Its entries of unreachable machines stand until another
-// record is certain to have taken its place.
+// writeRecoveryRecord writes a shard's recovery record if it has changed. If recovery is disabled, it only updates
+// entries that were made while recovery was enabled. The entries of unreachable machines stay binding until a
+// write that replaces them is known to have succeeded.
 func (am *agentManager) writeRecoveryRecord(s *shard) {
 	recovery, now := &s.recovery, am.now.MonotonicMS
 	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt {
@@ -94,7 +95,7 @@
 		s, recoveryKey(s.name), &recovery.writeState, rec, am.progressWriteInterval()/2, onResult)
 }
 
-// areRuntimesDue reports whether the run times alone are worth a write now.
+// areRuntimesDue reports whether changes of run times alone justify a write now.
 func (am *agentManager) areRuntimesDue(recovery *recoveryState) bool {
 	if !am.params.Recovery || am.now.MonotonicMS < recovery.nextRuntimeWriteAtMS {
 		return false
@@ -102,16 +103,17 @@
 	return am.estimates.hasUpdates(recovery.writtenRuntimes)
 }
 
-// recordUnreachableMachines enters in the ledger what runs on machines that missed their heartbeats, so that a
-// claim after ours waits for them with no more than that. It does not where this member may be the silent one:
-// after it stood still, without the store, or when it is more than a few machines.
+// recordUnreachableMachines adds ledger entries for machines that missed their heartbeats. A later claim then holds
+// back only the tasks and usage in these entries while it waits for the machines. No entry is added if the fault
+// may be this member's own: after it was paused, without a link to the state service, or if too many machines of
+// the shard are unreachable.
 func (am *agentManager) recordUnreachableMachines(s *shard) {
 	recovery, now := &s.recovery, am.now.MonotonicMS
 	if now-recovery.lastTickMS > am.maxHeartbeatIntervalMS()/4 {
-		recovery.quietUntilMS = now + am.maxHeartbeatIntervalMS()
+		recovery.recordingPausedUntilMS = now + am.maxHeartbeatIntervalMS()
 	}
 	recovery.lastTickMS = now
-	if !am.params.Recovery || now < recovery.quietUntilMS || am.store.storeAccess.Link(now) != access.LinkUp {
+	if !am.params.Recovery || now < recovery.recordingPausedUntilMS || am.store.storeAccess.Link(now) != access.LinkUp {
 		return
 	}
 	unreachable := am.unreachableMachines(s)
@@ -125,8 +127,8 @@
 	}
 }
 
-// unreachableMachines lists the machines that missed their heartbeats and whose ledger entry is missing, or
-// out of date since their lease expired.
+// unreachableMachines returns the machines that missed their heartbeats and have no ledger entry, or one that is
+// outdated because their lease has expired since.
 func (am *agentManager) unreachableMachines(s *shard) []*machine {
 	var unreachable []*machine
 	for _, mc := range s.machines {
@@ -142,7 +144,7 @@
 	return unreachable
 }
 
-// unreachableEntry is what a machine's live attempts are, for the ledger.
+// unreachableEntry returns a ledger entry with the task ranges and usage of a machine's live attempts.
 func (load *machineLoad) unreachableEntry() reconcile.UnreachableMachine {
 	entry := reconcile.UnreachableMachine{UsageByTeam: map[string]reconcile.ResourceUsage{}}
 	for _, a := range load.byKey {
@@ -156,13 +158,13 @@
 	return entry
 }
 
-// tickReconcile lets the reconciliation of a shard go on: machines that never report are given up, those that
-// are slow to are queried, and the pacer's rate follows what runs.
+// tickReconcile advances the reconciliation of a shard. It drains machines without a heartbeat since the claim,
+// queries machines that are slow to report, and adapts the pacer's rate to the running tasks.
 func (am *agentManager) tickReconcile(s *shard) {
 	now := am.now.MonotonicMS
 	for _, unreported := range s.reconciler.MachinesToGiveUp(now) {
 		if mc := am.registry.machines[unreported.ID]; mc != nil {
-			am.drain(s, mc, "silent since the claim")
+			am.drain(s, mc, "no heartbeat since the claim")
 		}
 	}
 	am.probeUnreportedMachines(s)
@@ -186,8 +188,8 @@
 	}
 }
 
-// completionRate is how many tasks of the shard are expected to end in a millisecond: those that are known,
-// and as many on a machine that has not reported as on one that has.
+// completionRate returns how many tasks of the shard are expected to end per millisecond. It assumes as many tasks
+// on an unreported machine as on a reconciled one.
 func (s *shard) completionRate(unreportedMachines int) float64 {
 	rate, reconciledMachines := 0.0, 0
 	for _, mc := range s.machines {
@@ -203,8 +205,8 @@
 	return rate * float64(reconciledMachines+unreportedMachines) / float64(max(reconciledMachines, 1))
 }
 
-// logReconciled logs how a claim's reconciliation went: how many running tasks were adopted and how many
-// stopped, and how many results were counted.
+// logReconciled logs the result of a claim's reconciliation: the adopted tasks, the stopped tasks, and the
+// counted results.
 func (am *agentManager) logReconciled(s *shard) {
 	var adopted, stopped, counted uint64
 	for state, verdicts := range s.reconciler.VerdictCounts {
--- a/scheduler/shard.go
+++ b/scheduler/shard.go
@@ -8,21 +8,22 @@
 )
 
 // shard is a shard whose claim this member owns: the machines and task ranges
-// whose records name it. Every member has a shard of its own name and may adopt
-// those of others. It exists from the claim until the claim is lost or removed;
-// a later claim of the same shard makes a new one, with nothing carried over.
-// Times are monotonic milliseconds unless a field says otherwise.
+// whose records refer to it. Every member has a shard of its own name and may
+// adopt those of others. The value exists from the claim until the claim is lost
+// or removed. A later claim of the same shard creates a new value without any of
+// its state. Times are monotonic milliseconds unless a field says otherwise.
 //
-// What happens on a heartbeat or a tick must cost no more than what this shard
-// owns: it may look neither at other shards' machines and jobs, nor at the
-// product of machines and jobs. Hence the lists and sums kept here.
+// The cost of a heartbeat or a tick must not exceed the size of this shard. The
+// code must iterate neither over other shards' machines and jobs, nor over all
+// pairs of machines and jobs. The lists and sums kept here make this possible.
 //
-//	claimed    the claim is written            progress is read; heartbeats change nothing
+//	state      entered when                    effect
+//	claimed    the claim is written            progress is being read; heartbeats have no effect
 //	ready      progress is read, and the       tasks start on reconciled machines
-//	           cache has passed the claim
-//	reconciled every machine sent a heartbeat, tasks of earlier claims cannot run
-//	           or is known to run nothing      unnoticed any more
-//	releasing  removal of the claim was sent   nothing starts or is written; no way back
+//	           cache includes the claim
+//	reconciled every machine sent a heartbeat  no uncounted tasks of earlier claims can run
+//	           or is known to run no tasks
+//	releasing  removal of the claim was sent   no starts and no writes; irreversible
 type shard struct {
 	name string
 	shardClaim
@@ -35,7 +36,7 @@
 	startObjectiveReserve
 
 	attemptIDs reconcile.AttemptIDs
-	reconciler *reconcile.Claim // what is known about its machines since the claim
+	reconciler *reconcile.Claim // state of its machines under this claim
 	recovery   recoveryState
 	disruption shardDisruption
 
@@ -43,86 +44,86 @@
 	progressRecords map[string]*recordWriteState
 }
 
-// shardClaim is the claim in the store and the fencing token drawn from it.
+// shardClaim is the claim in the store and the fencing token derived from it.
 type shardClaim struct {
-	nonce        uint64 // tells this claim from any other of the same member
+	nonce        uint64 // distinguishes this claim from other claims of the same member
 	claimRev     uint64 // store revision of the claim
-	token        uint64 // revision of the last write of the claim; workers refuse less than they saw
-	voidToken    uint64 // commands with this token or a lower one must not take effect any more
+	token        uint64 // revision of the claim's last write; workers refuse lower tokens than they received
+	voidToken    uint64 // commands with this token or a lower one must no longer take effect
 	raisingToken bool
 	nextRaiseAt  int64
 }
 
-// isTokenVoid reports whether commands with the present token must not be sent.
+// isTokenVoid reports whether commands with the current token must not be sent.
 func (c *shardClaim) isTokenVoid() bool { return c.token <= c.voidToken }
 
-// shardState is how far the shard is on its way from claim to release.
+// shardState is the progress of the shard from claim to release.
 type shardState struct {
 	progressRead    bool
-	requestPending  bool  // the read of the progress or the removal of the claim is in flight
+	requestPending  bool  // a read of the progress or removal of the claim is in flight
 	requestFailedAt int64 // when such a request last failed
 	ready           bool
 	reconciled      bool
 	releasing       bool
-	pacedAt         int64 // when the pacer of starts was last updated
+	pacedAt         int64 // when the pacer's rate was last updated
 }
 
-// shardMachines are the shard's machines and what is counted over them.
+// shardMachines holds the shard's machines and values aggregated over them.
 type shardMachines struct {
-	machines            []*machine // sorted by identifier
-	machinesWithOrphans int        // machines with tasks that this claim must stop
-	mostSilentAt        int64      // when most machines were last silent for longer than their lease
-	nextReleaseAt       int64      // no idle machine is released before
+	machines            []*machine // sorted by ID
+	machinesWithOrphans int        // machines with orphaned tasks, which this claim must stop
+	mostLeasesExpiredAt int64      // when the leases of most machines were last expired
+	nextReleaseAt       int64      // no idle machine is released before this time
 }
 
-// liveListWrites is the writing of machines that sent a heartbeat and are not in
-// the list of live machines yet.
+// liveListWrites is the write state of the lists of live machines.
 type liveListWrites struct {
-	newlyLive           []string
+	newlyLive           []string // machines that sent a heartbeat and are not listed yet
 	liveListWriting     bool
 	nextLiveListWriteAt int64
 }
 
-// shardQuota is what the shard's teams use, reserve and wait for. All maps are by team.
+// shardQuota holds the usage, reservations and demand of the teams in the shard. All maps
+// are by team.
 type shardQuota struct {
-	usage                 map[string]availability.Resources // of live attempts
-	liveAttempts          map[string][]*attempt             // so that a team's question does not cost all machines
-	debts                 map[string]preemptionDebt         // against the team's limit
-	firstTaskReservations map[string]*Job                   // whose first task has room of the limit reserved
-	reclaimableTeams      map[string]bool                   // teams with usage to reclaim, at this plan; nil: unknown
-	reclaimedUsage        map[string]quota.Amounts          // usage being stopped for others' guarantees
-	placeableDemand       map[string]quota.Amounts          // limited teams: waiting work with room, at the last plan
-	nextProposalAt        int64                             // no team's record is written before
+	usage                 map[string]availability.Resources // usage of live attempts
+	liveAttempts          map[string][]*attempt             // so that a lookup does not scan all machines
+	debts                 map[string]preemptionDebt         // debts against the team's limit
+	firstTaskReservations map[string]*Job                   // job for whose first task part of the limit is reserved
+	reclaimableTeams      map[string]bool                   // teams with reclaimable usage; nil: not computed yet
+	reclaimedUsage        map[string]quota.Amounts          // usage being reclaimed for other teams' guarantees
+	placeableDemand       map[string]quota.Amounts          // work held back by limits that machines have room for
+	nextProposalAt        int64                             // no team record is written before this time
 }
 
-// planSchedule decides when the shard is planned again.
+// planSchedule determines when the shard is planned next.
 type planSchedule struct {
 	dirty         bool  // something changed since the last plan
-	planExpedited bool  // a job arrived: plan sooner
+	planExpedited bool  // a change that should be planned sooner, such as a new job or machine
 	plannedAt     int64 // time of the last plan
 	planSteps     int   // cost of the last plan, in planner steps
 }
 
-// shardPlan is the last plan: the machines that it considered, the groups that
-// waited, in their order, and the capacity that it found missing.
+// shardPlan is the last plan: the machines that it considered, the queue of waiting
+// groups, and the capacity demand that it found.
 type shardPlan struct {
 	clusterView    *planner.ClusterView
-	viewMachines   []*machine // by their index in clusterView
+	viewMachines   []*machine // by index in clusterView
 	queue          []*taskGroup
-	reservedTasks  map[*taskRange]int // tasks for which machines have a reservation
-	remainingWork  map[string]float64 // by team: work left in live attempts, in processor milliseconds
+	reservedTasks  map[*taskRange]int // tasks with a reservation on a machine
+	remainingWork  map[string]float64 // by team: remaining work of live attempts, in CPU milliseconds
 	demand         []CapacityDemand
-	forecastDemand []CapacityDemand // for tasks that will not end before their machine's notice does
+	forecastDemand []CapacityDemand // for tasks that will not end before their machine terminates
 }
 
-// startObjectiveReserve is capacity that is kept free for jobs with a start
-// objective, in processors.
+// startObjectiveReserve is the capacity kept free for jobs with a start objective,
+// in CPUs.
 type startObjectiveReserve struct {
 	objectiveCPUs        float64 // used by tasks with a start objective
-	meanObjectiveCPUs    float64 // the same, averaged
-	meanObjectiveJobCPUs float64 // averaged size of a job with a start objective
+	meanObjectiveCPUs    float64 // moving average of objectiveCPUs
+	meanObjectiveJobCPUs float64 // moving average of the size of a job with a start objective
 	reserveCPUs          float64
-	spareCPUs            float64 // free processors beyond the reserve, at the last plan
+	spareCPUs            float64 // free CPUs beyond the reserve, at the last plan
 	reserveUpdatedAt     int64
 }
 
@@ -161,10 +162,10 @@
 	}
 }
 
-// recordWriteState is the writing of one of a shard's own records in the store.
+// recordWriteState is the write state of one of a shard's own records in the store.
 type recordWriteState struct {
-	rev         uint64 // revision of the record; 0: there is none
-	dirty       bool   // what it describes has changed
+	rev         uint64 // revision of the record; 0: it does not exist
+	dirty       bool   // the described state has changed
 	writing     bool
 	nextWriteAt int64 // monotonic milliseconds
 }
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -7,11 +7,11 @@
 // shardManager owns the shards that this member has claimed: their claims,
 // failover and hand-back, the task ranges in them and their progress records.
 //
-// A claim is a record under the owner's store lease, so it ends with the owner.
-// The revision that wrote it is the shard's fencing token: workers refuse
-// commands with a lower one, so an owner that does not know yet that it lost the
-// shard can do no harm. Every change of a shard's records has the claim at that
-// token as precondition.
+// A claim is a record attached to the owner's store lease, and is deleted when the
+// lease ends. The revision of its last write is the shard's fencing token. Workers
+// refuse commands with a lower token, so an owner that has lost the shard without
+// noticing cannot act on it. Every change of a shard's records has the claim's
+// revision, which is the token, as a precondition.
 type shardManager struct {
 	*environment
 	agents   *agentManager
@@ -24,7 +24,7 @@
 	store    *storeClient
 
 	ownedShards      map[string]*shard
-	claimRetryAtMS   map[string]int64 // by shard: monotonic time of the next try to claim it
+	claimRetryAtMS   map[string]int64 // by shard: monotonic time of the next attempt to claim it
 	ownerlessSinceMS map[string]int64 // by shard: monotonic time since which it has no owner
 }
 
@@ -37,17 +37,17 @@
 	}
 }
 
-// leaseSlackMS is the error of measuring a worker's lease.
+// leaseSlackMS is the maximum error in measuring a worker's lease.
 const leaseSlackMS = 300
 
-// Pace of operations on a claim, in milliseconds.
+// Delays between operations on a claim, in milliseconds.
 const (
-	claimRetryMS      = 300 // after a failed try to claim, and as much again at random
-	tokenRaiseDelayMS = 500 // between two raises of a token
-	shardRetryDelayMS = 500 // between two tries to read the progress or to remove the claim
+	claimRetryMS      = 300 // after a failed claim, plus a random delay of up to the same length
+	tokenRaiseDelayMS = 500 // between two updates of a fencing token
+	shardRetryDelayMS = 500 // between two attempts to read the progress or remove the claim
 )
 
-// tickShards ticks the owned shards and claims those that this member should own.
+// tickShards ticks the owned shards and claims the shards that this member should own.
 func (sm *shardManager) tickShards() {
 	if !sm.store.storeAccess.IsSynced() || sm.store.storeAccess.LeaseID() == 0 {
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-// trackOwnerless notes since when a shard has no owner.
+// trackOwnerless records since when a shard has had no owner.
 func (sm *shardManager) trackOwnerless(name string) {
 	if _, claimed := sm.cache.shardClaims[name]; claimed {
 		delete(sm.ownerlessSinceMS, name)
@@ -75,30 +75,32 @@
 	}
 }
 
-// canClaimNow reports whether a try to claim a shard is due, and the cache recent enough
-// to decide on it.
+// canClaimNow reports whether an attempt to claim a shard is due, and the cache is recent
+// enough to decide on it.
 func (sm *shardManager) canClaimNow(name string) bool {
 	now := sm.now.MonotonicMS
 	cacheAgeMS := now - sm.store.storeAccess.MirrorReadSentAt()
 	return now >= sm.claimRetryAtMS[name] && cacheAgeMS <= sm.store.leaseRenewalIntervalMS()*3
 }
 
-// shouldClaim reports whether a shard that this member does not own is its to claim.
+// shouldClaim reports whether this member should claim a shard that it does not own.
 func (sm *shardManager) shouldClaim(name string) bool {
 	claim, claimed := sm.cache.shardClaims[name]
 	if claimed {
-		// In our name and not owned: our predecessor's claim, of its own shard
-		// or of one that it adopted. That process is dead.
+		// A claim with this member's ID that is not owned by this process was made by
+		// an earlier process of this member, which has ended. The shard is the
+		// member's own or one that it adopted.
 		return claim.Owner == sm.params.MemberID
 	}
-	// The claim of another member's shard ended with its lease, and the member does not come back.
+	// The claim of another member's shard ended with its lease, and the member has not claimed it again.
 	return name == sm.params.MemberID || sm.now.MonotonicMS-sm.ownerlessSinceMS[name] > sm.adoptionDelay()
 }
 
-// adoptionDelay is how long a shard must have been without an owner before
-// another member adopts it, in milliseconds: one renewal interval of the store's
-// lease at most. The owner's lease has ended by then; the delay lets the shard's
-// own member, which restarts within seconds, come first.
+// adoptionDelay returns how long a shard must have been without an owner before another
+// member adopts it, in milliseconds. It is at most one renewal interval of the store
+// lease, or one lease TTL for a member that has just started. The owner's lease has
+// already ended; the delay lets the shard's own member, which restarts within seconds,
+// claim it first.
 func (sm *shardManager) adoptionDelay() int64 {
 	if sm.now.MonotonicMS-sm.startedAtMS < sm.store.leaseTTLMS() {
 		return sm.store.leaseTTLMS()
@@ -113,8 +115,8 @@
 	leaseID uint64 // store lease that the claim is attached to
 }
 
-// claimShard writes this member's claim of a shard. Whether a write with an
-// unknown outcome took effect shows the nonce in the record.
+// claimShard writes this member's claim of a shard. After an unknown outcome, the nonce in
+// the record shows whether the write took effect.
 func (sm *shardManager) claimShard(name string) {
 	w := claimWrite{name, sm.rng.Uint64(), sm.store.storeAccess.LeaseID()}
 	key := claimKey(name)
@@ -153,8 +155,8 @@
 	})
 }
 
-// ownShard begins to act for a shard whose claim is in the store, unless the lease that
-// the claim is attached to has been replaced since.
+// ownShard takes ownership of a shard whose claim is stored, unless the lease that the claim
+// is attached to has been replaced since.
 func (sm *shardManager) ownShard(w claimWrite, rev uint64) {
 	if sm.store.storeAccess.LeaseID() != w.leaseID {
 		sm.claimRetryAtMS[w.shard] = 0
@@ -172,9 +174,9 @@
 	sm.claimRetryAtMS[name] = sm.now.MonotonicMS + claimRetryMS + sm.rng.Int64N(claimRetryMS)
 }
 
-// raiseToken writes the claim again and so gives its shard a higher fencing token. Once a
-// worker has seen it, commands that were sent to it before and never acknowledged
-// cannot take effect any more, however long the network delayed them.
+// raiseToken rewrites the claim, which gives the shard a higher fencing token. Once a worker
+// has received it, earlier commands without an acknowledgement can no longer take effect,
+// however long the network delays them.
 func (sm *shardManager) raiseToken(s *shard) {
 	now := sm.now.MonotonicMS
 	leaseID := sm.store.storeAccess.LeaseID()
@@ -201,7 +203,7 @@
 	})
 }
 
-// dropShard forgets a shard whose claim ended, and its task ranges.
+// dropShard discards a shard whose claim ended, and its task ranges.
 func (sm *shardManager) dropShard(s *shard) {
 	if sm.ownedShards[s.name] != s {
 		return
@@ -212,8 +214,8 @@
 	}
 }
 
-// takeOverShard takes over what the cache says that the shard owns. The path is the
-// same for a first start, a restart, an adoption and a hand-back.
+// takeOverShard initializes a claimed shard with its machines and task ranges in the cache,
+// and reads its progress. First start, restart, adoption and hand-back share this path.
 func (sm *shardManager) takeOverShard(s *shard) {
 	for _, mc := range sortedByKey(sm.registry.machines) {
 		if mc.rec.Shard == s.name {
@@ -227,15 +229,15 @@
 	sm.readProgress(s)
 }
 
-// claimPreconditions returns the conditions under which a shard may change a job's record:
-// the claim still stands, and the record is the one in the cache.
+// claimPreconditions returns the preconditions for a shard's change of a job's record: the
+// claim still has the shard's token, and the record has the cached revision.
 func (sm *shardManager) claimPreconditions(s *shard, j *job) []Precondition {
 	return []Precondition{{claimKey(s.name), s.token}, {jobKey(j.rec.Job.ID), j.rev}}
 }
 
-// releaseShard hands a shard back to its own member: first this member stops acting for
-// it, then the claim is removed. There is no way back once the removal was sent: it
-// may take effect late, and the next claim may follow at once.
+// releaseShard hands a shard back to its own member. This member first stops acting for the
+// shard, then removes the claim. The removal is irreversible once sent: it may take effect
+// late, and the next claim may follow immediately.
 func (sm *shardManager) releaseShard(s *shard) {
 	if s.releasing {
 		return
@@ -245,8 +247,8 @@
 	sm.removeClaim(s)
 }
 
-// removeClaim removes a shard's claim from the store. A failure is retried by the tick; on a
-// conflict the claim is another's already.
+// removeClaim removes a shard's claim from the store. tickShard retries a failed removal. A
+// conflict means that the claim was removed or replaced already.
 func (sm *shardManager) removeClaim(s *shard) {
 	key := claimKey(s.name)
 	s.requestPending = true
@@ -261,8 +263,9 @@
 	})
 }
 
-// applyClaimRecord applies a change of a claim in the store to the cache and to the shard
-// that this member owns under it. It returns the decoder's error; nothing is changed then.
+// applyClaimRecord applies a change of a claim in the store to the cache, and to the shard
+// if this member owns it. It returns an error, and changes nothing, if the record cannot be
+// decoded.
 func (sm *shardManager) applyClaimRecord(kv KeyValue) error {
 	id := kv.Key[len(claimPrefix):]
 	removed := kv.Value == nil
@@ -280,20 +283,20 @@
 		return nil
 	}
 	if !removed && rec.Nonce == s.nonce {
-		// Our own claim, whose token was raised.
+		// This is the shard's own claim with a higher token.
 		s.token = max(s.token, kv.Rev)
 		s.attemptIDs.Rebase(s.token, sm.now.WallMS)
 		return nil
 	}
 	if kv.Rev > s.token {
-		// Another member's claim, or none: the shard is no longer ours.
+		// The claim was removed or replaced by a later one.
 		sm.log(Warn, "shard lost", "shard", id)
 		sm.dropShard(s)
 	}
 	return nil
 }
 
-// markAllShardsDirty has every owned shard planned again soon.
+// markAllShardsDirty schedules a new plan for every owned shard.
 func (sm *shardManager) markAllShardsDirty() {
 	for _, s := range sm.ownedShards {
 		s.dirty = true
--- a/scheduler/shard_tick.go
+++ b/scheduler/shard_tick.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// tickShard writes results and progress, watches for silent machines, and
-// plans when something changed.
+// tickShard advances a shard: it writes results and progress, detects machines without
+// heartbeats, and plans after changes.
 func (sm *shardManager) tickShard(s *shard) {
 	if s.releasing {
 		if sm.mayRetryRequest(s) {
@@ -16,8 +16,8 @@
 	if !sm.store.hasAuthority() {
 		return
 	}
-	// A void token is retried on each tick: a raise that was refused once, in a
-	// store outage, left a task waiting for good.
+	// A void token is raised again on each tick. Without the retry, one raise that failed
+	// in a store outage left a task waiting forever.
 	if s.isTokenVoid() || s.attemptIDs.IsHalfExhausted(sm.now.WallMS) {
 		sm.raiseToken(s)
 	}
@@ -28,8 +28,8 @@
 	sm.rollouts.tickShardDisruption(s)
 	sm.writeProgress(s)
 	sm.registry.writeLiveMachines(s)
-	if s.mostMachinesSilent() {
-		s.mostSilentAt = sm.now.MonotonicMS
+	if s.mostLeasesExpired() {
+		s.mostLeasesExpiredAt = sm.now.MonotonicMS
 	}
 	for _, mc := range s.machines {
 		sm.agents.tickMachine(s, mc)
@@ -42,15 +42,15 @@
 	sm.quotas.proposeAllocations(s)
 }
 
-// mayRetryRequest reports whether the read of a shard's progress, or the removal of its
-// claim, is due again.
+// mayRetryRequest reports whether a retry is due of the read of a shard's progress, or of the
+// removal of its claim.
 func (sm *shardManager) mayRetryRequest(s *shard) bool {
 	return !s.requestPending && sm.now.MonotonicMS-s.requestFailedAt > shardRetryDelayMS
 }
 
-// tickReadiness makes a shard ready once its progress is read and the cache has passed
-// the claim: a machine that the earlier claim listed as live at the very end may run
-// what would start again.
+// tickReadiness makes a shard ready once its progress is read and the cache includes the
+// claim's revision. The earlier claim may have listed a machine as live just before it
+// ended. Without that machine in the cache, tasks that it runs would start twice.
 func (sm *shardManager) tickReadiness(s *shard) {
 	if !s.progressRead {
 		if sm.mayRetryRequest(s) {
@@ -69,8 +69,8 @@
 	sm.log(Info, "shard ready", "shard", s.name, "machines", len(s.machines), "ranges", len(s.taskRanges))
 }
 
-// writeJobOutcome writes what a task range has to record about its job: that the job
-// failed, that tasks may have begun, or that the range is done.
+// writeJobOutcome writes the pending changes of a job's record for a task range: the job
+// failed, an at-most-once task may have begun, or the range is done.
 func (sm *shardManager) writeJobOutcome(s *shard, tr *taskRange) {
 	j := tr.job
 	if tr.writing || j.recordWritePending || sm.now.MonotonicMS < tr.nextWriteAt {
--- a/scheduler/unregistered_machines.go
+++ b/scheduler/unregistered_machines.go
@@ -1,14 +1,14 @@
 package scheduler
 
-// parkedHeartbeat is a heartbeat whose answer waits for a registry page that names its machine.
+// parkedHeartbeat is a heartbeat whose response waits until its machine is on a registry page.
 type parkedHeartbeat struct {
 	replyID   uint64
 	heartbeat Heartbeat
 }
 
-// registerUnknownMachine takes in a machine that no registry page names: one that was there before this
-// cluster, or one whose provisioning was carried out late. Only the leader writes registry pages, so other
-// members redirect the worker to it.
+// registerUnknownMachine registers a machine that is not on any registry page. It existed before this cluster,
+// or the cloud executed its provision request late. Only the leader writes registry pages, so other members
+// redirect the worker to the leader.
 func (am *agentManager) registerUnknownMachine(replyID uint64, hb Heartbeat) {
 	if !am.scaler.leading {
 		am.respondWorker(replyID, am.redirectTo(am.cache.leader))
@@ -25,14 +25,14 @@
 	}
 }
 
-// mayRegister reports whether the leader can record the heartbeat's machine: its type is in the catalog, and
-// its release was not requested.
+// mayRegister reports whether this member is the leader and can record the heartbeat's machine: its type is in
+// the catalog, and it was not released.
 func (am *agentManager) mayRegister(hb *Heartbeat) bool {
 	return am.scaler.canActAsLeader() && am.cache.machineTypes[hb.Type] != nil &&
 		am.scaler.releasedAt[hb.Machine] == 0
 }
 
-// processParkedHeartbeats answers the heartbeats of a machine that has an owner now.
+// processParkedHeartbeats processes the parked heartbeats of a machine that is now on a registry page.
 func (am *agentManager) processParkedHeartbeats(id string) {
 	parkedForMachine := am.parkedHeartbeats[id]
 	delete(am.parkedHeartbeats, id)
