--- a/scheduler/peer_messages.go
+++ b/scheduler/peer_messages.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// peerTable owns what this member last received from each member, by message or by status
-// record, and decides which tasks go to which peer's shards.
+// peerTable owns the last message and status record from each member, and decides which tasks
+// move to which peer's shards.
 type peerTable struct {
 	*environment
 	cache    *stateCache
@@ -13,20 +13,20 @@
 	shards   *shardManager
 	store    *storeClient
 
-	peers                    map[string]*peerState // by member ID, this one among them
-	statusRecords            map[string]*peerState // by member ID, from the cache; used without fresh messages
+	peers                    map[string]*peerState // by member ID, including this member
+	statusRecords            map[string]*peerState // by member ID, from the cache; used if there is no fresh message
 	writingStatusRecord      bool
 	lastStatusRecordNonEmpty bool
 	nextStatusRecordAtMS     int64 // monotonic time
 	nextPeerMessageAtMS      int64 // monotonic time
-	summaryTurn              int   // which peers get the summaries next
+	summaryTurn              int   // round-robin counter that selects the peers for the next summaries
 }
 
 func newPeerTable(env *environment) *peerTable {
 	return &peerTable{environment: env, peers: map[string]*peerState{}, statusRecords: map[string]*peerState{}}
 }
 
-// sendPeerMessage sends this member's state to all peers, once per SummaryS.
+// sendPeerMessage sends this member's state to all peers, once every SummaryS.
 func (pt *peerTable) sendPeerMessage() {
 	if !pt.store.storeAccess.IsSynced() || pt.now.MonotonicMS < pt.nextPeerMessageAtMS {
 		return
@@ -51,8 +51,8 @@
 	pt.peers[pt.params.MemberID] = &peerState{receivedAtMS: pt.now.MonotonicMS, sentWallMS: pt.now.WallMS, message: msg}
 }
 
-// reportOwnedShards describes each ready shard for peers, after the tasks that it cannot
-// place were moved.
+// reportOwnedShards returns the state of each ready shard for peers. It first moves the tasks
+// that the shard cannot place.
 func (pt *peerTable) reportOwnedShards() []PeerShard {
 	var reports []PeerShard
 	for _, s := range sortedByKey(pt.shards.ownedShards) {
@@ -80,13 +80,14 @@
 	return reports
 }
 
-// maxSummaryRecipients is how many peers get a member's summaries, by far the largest part of
-// its message, each time. Beyond that they take turns: with a hundred peers, whole messages
-// were 1.7 MB a second out and in. What decisions need at once (demands, machines to release,
-// teams' usage) goes to all peers each time.
+// maxSummaryRecipients is the number of peers that a message sends summaries to, which are by
+// far its largest part. More peers than this receive them in rotation: with a hundred peers,
+// complete messages took 1.7 MB/s outbound and inbound. Every message sends the data that
+// decisions need at once (demands, machines to release, teams' usage) to all peers.
 const maxSummaryRecipients = 16
 
-// summaryRecipients is the peers that get the summaries this time; nil: all.
+// summaryRecipients returns the peers that receive the summaries of the next message; nil means
+// all.
 func (pt *peerTable) summaryRecipients() []string {
 	turns := (len(pt.params.PeerIDs) + maxSummaryRecipients - 1) / maxSummaryRecipients
 	if turns <= 1 {
@@ -102,8 +103,8 @@
 	return recipients
 }
 
-// copyLastSummaries puts the last summaries of a peer's shards into a message that has none.
-// Capacity that was reserved in them stays reserved.
+// copyLastSummaries copies the last summaries of a peer's shards into a message without
+// summaries. Capacity that was reserved in them stays reserved.
 func copyLastSummaries(msg *PeerMessage, last *peerState) {
 	if last == nil {
 		return
@@ -117,12 +118,12 @@
 	}
 }
 
-// HandlePeerMessage takes a peer's message. One that was sent before the last one received is
-// ignored.
+// HandlePeerMessage processes a peer's message. It ignores a message that was sent before the
+// last one received.
 func (c *Controller) HandlePeerMessage(now Now, msg PeerMessage) {
 	c.now = now
 	if last := c.peers.peers[msg.From]; last != nil && last.sentWallMS > msg.WallMS {
-		return // a newer one overtook it
+		return // a newer message arrived first
 	}
 	if msg.OmitsSummaries {
 		copyLastSummaries(&msg, c.peers.peers[msg.From])
@@ -141,8 +142,8 @@
 	return peer != nil && pt.now.MonotonicMS-peer.receivedAtMS < pt.cache.maxMessageAgeMS()
 }
 
-// logShardLoad writes to the debug log how a shard's processors are used: by kind of
-// machine and by state of tasks.
+// logShardLoad writes a shard's processors to the debug log: by purchase option and state of
+// machines, and by state of tasks.
 func (pt *peerTable) logShardLoad(s *shard) {
 	var spot, onDemand, booting, running, fetching float64
 	for _, mc := range s.machines {
@@ -170,7 +171,7 @@
 	for _, group := range pt.placer.waitingTaskGroups(s) {
 		waiting += float64(group.Remaining) * group.job.Request.CPUs
 	}
-	pt.log(Debug, "load", "shard", s.name,
+	pt.log(Debug, "shard load", "shard", s.name,
 		"spot", spot, "on_demand", onDemand, "booting", booting,
 		"running", running, "fetching", fetching, "waiting", waiting,
 		"demands", len(s.demand))
@@ -179,6 +180,6 @@
 // peerState is the last message from a member.
 type peerState struct {
 	receivedAtMS int64 // monotonic time of this member
-	sentWallMS   int64 // time of day of the sender
+	sentWallMS   int64 // wall time of the sender
 	message      PeerMessage
 }
--- a/scheduler/status_records.go
+++ b/scheduler/status_records.go
@@ -2,32 +2,33 @@
 
 import "encoding/json"
 
-// While a member gets no messages from the leader, its shards' demands and machines to
-// release go through the state service: in a status record under the member's lease, which
-// reaches the leader's cache. Without it, no machine was provisioned for them and none of
-// theirs released until messages arrived again.
+// A member that receives no messages from the leader publishes the demands and the machines
+// to release of its shards in a status record in the state service. The record is attached
+// to the member's lease and reaches the leader's cache. Without it, the leader provisioned
+// and released no machines for these shards until it received messages again.
 
 const statusPrefix = "l/n/"
 
-// statusRecord is the part of a member's message that the leader needs.
+// statusRecord holds the fields of a member's message that the leader needs.
 type statusRecord struct {
 	WallMS int64               `json:"at"`
 	Shards []statusRecordShard `json:"shards,omitempty"`
 }
 
-// statusRecordShard is the part of a PeerShard that the leader needs.
+// statusRecordShard holds the fields of a PeerShard that the leader needs.
 type statusRecordShard struct {
 	Shard             string           `json:"s"`
 	Demands           []CapacityDemand `json:"n,omitempty"`
 	MachinesToRelease []string         `json:"r,omitempty"`
 }
 
-// statusRecordSummaries is the interval between status records, in intervals of peer messages:
-// each costs a change in the store, and is fresh for as long as a message is.
-const statusRecordSummaries = 2
+// statusRecordIntervalFactor is the interval between status records, in intervals of peer
+// messages. Each record costs a change in the store, and stays fresh for as long as a message.
+const statusRecordIntervalFactor = 2
 
 // needsStatusRecord reports whether this member should write a status record now: it has
-// authority and gets no messages from the leader. Members without relays to peers write none.
+// authority and receives no messages from the leader. Members that cannot relay requests to
+// peers write no status records.
 func (pt *peerTable) needsStatusRecord() bool {
 	leader := pt.cache.leader
 	if pt.params.MaxPendingRelays == 0 || leader == "" || leader == pt.params.MemberID {
@@ -39,8 +40,8 @@
 	return pt.store.hasAuthority() && !pt.isFresh(pt.peers[leader])
 }
 
-// publishStatusRecord writes a status record of a message if the leader may not receive the
-// message itself. A record with nothing in it is written only to replace another.
+// publishStatusRecord writes the status record of a message if the leader may not receive the
+// message itself. An empty record is written only to replace a record that is not empty.
 func (pt *peerTable) publishStatusRecord(msg *PeerMessage) {
 	if !pt.needsStatusRecord() {
 		return
@@ -50,10 +51,10 @@
 		return
 	}
 	pt.writingStatusRecord, pt.lastStatusRecordNonEmpty = true, entries > 0
-	intervalMS := statusRecordSummaries * secondsToMS(pt.cache.settings.SummaryS)
+	intervalMS := statusRecordIntervalFactor * secondsToMS(pt.cache.settings.SummaryS)
 	pt.nextStatusRecordAtMS = pt.now.MonotonicMS + intervalMS
-	// The lease is the only condition: the newest record replaces the last one, and one
-	// that the network delayed is recognized by its age.
+	// The write has no precondition except the lease. The newest record replaces the
+	// previous one, and a reader detects a delayed record by its age.
 	record := Change{
 		Key:     statusPrefix + pt.params.MemberID,
 		Value:   mustEncode(rec),
@@ -63,7 +64,7 @@
 	pt.store.sendStore(op, func(StoreResult) { pt.writingStatusRecord = false })
 }
 
-// newStatusRecord is the status record of a message, cut to about maxBytes. It returns the
+// newStatusRecord returns the status record of a message, truncated to about maxBytes, and the
 // number of demands and machines in it.
 func newStatusRecord(msg *PeerMessage, maxBytes int) (rec statusRecord, entries int) {
 	rec.WallMS = msg.WallMS
@@ -89,7 +90,7 @@
 	return rec, entries
 }
 
-// applyStatusRecord takes a member's status record from the cache.
+// applyStatusRecord applies a change of a member's status record.
 func (pt *peerTable) applyStatusRecord(kv KeyValue) error {
 	from := kv.Key[len(statusPrefix):]
 	var rec statusRecord
@@ -101,10 +102,10 @@
 		return err
 	}
 	if pt.now.WallMS-rec.WallMS > pt.cache.maxMessageAgeMS() {
-		return nil // it came with a snapshot, or its write was delayed
+		return nil // outdated: it is part of a snapshot, or its write was delayed
 	}
 	if last := pt.statusRecords[from]; last != nil && last.sentWallMS > rec.WallMS {
-		return nil // its write was carried out after that of a newer one
+		return nil // its write took effect after that of a newer record
 	}
 	msg := PeerMessage{From: from, WallMS: rec.WallMS}
 	for _, s := range rec.Shards {
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// forEachFreshMessage visits the last fresh state of each member, in the order of their IDs:
-// its message or, without one, its status record.
+// forEachFreshMessage calls visit for each member with a fresh message or, failing that, a fresh
+// status record, in the order of member IDs.
 func (pt *peerTable) forEachFreshMessage(visit func(from string, msg *PeerMessage)) {
 	for _, from := range pt.memberIDs() {
 		if peer := pt.peers[from]; pt.isFresh(peer) {
