--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -156,9 +156,9 @@
 			continue
 		}
 		mc.commands = mc.commands[:0]
-		before := make(map[attemptKey]bool, len(mc.attempts))
+		existing := make(map[attemptKey]bool, len(mc.attempts))
 		for k := range mc.attempts {
-			before[k] = true
+			existing[k] = true
 		}
 		am.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: mc.Incarnation, Seq: mc.Seq})
 		if len(mc.commands) == 0 {
@@ -166,7 +166,7 @@
 		}
 		var started []*attempt
 		for _, a := range mc.byKey {
-			if !before[a.key] {
+			if !existing[a.key] {
 				a.directCommandToken = s.token
 				started = append(started, a)
 			}
--- a/scheduler/evictions.go
+++ b/scheduler/evictions.go
@@ -18,8 +18,8 @@
 	nextTickAtMS int64                        // monotonic
 }
 
-// addDemand changes a team's demand.
-func (d *shardDisruption) addDemand(team string, change func(*disruption.Demand)) {
+// updateDemand changes a team's demand.
+func (d *shardDisruption) updateDemand(team string, change func(*disruption.Demand)) {
 	demand := d.demands[team]
 	change(&demand)
 	d.demands[team] = demand
@@ -129,7 +129,7 @@
 	}
 	running := runningAttempts(s)
 	account.EachLost(func(task, _ string) {
-		if rc.isTaskOver(task) || running[task] != nil {
+		if rc.isDoneOrNotOwned(task) || running[task] != nil {
 			account.RecordRecovery(task)
 		}
 	})
@@ -137,21 +137,21 @@
 		return // a machine that did not report yet may run the task
 	}
 	account.EachReserved(func(task string, stopped disruption.StoppedTask) {
-		if rc.isTaskOver(task) || rc.isReservationOver(running[task], stopped) {
+		if rc.isDoneOrNotOwned(task) || rc.isReservationObsolete(running[task], stopped) {
 			account.Release(task)
 		}
 	})
 }
 
-// isTaskOver reports whether a task is done, or of no range that this member owns.
-func (rc *rolloutController) isTaskOver(task string) bool {
+// isDoneOrNotOwned reports whether a task is done, or of no range that this member owns.
+func (rc *rolloutController) isDoneOrNotOwned(task string) bool {
 	tr, i := rc.shards.taskRangeOf(task)
 	return tr == nil || tr.done.has(i)
 }
 
-// isReservationOver reports whether a task runs again after its eviction, or runs on
+// isReservationObsolete reports whether a task runs again after its eviction, or runs on
 // without one: its stop was never sent and is not wanted any more.
-func (rc *rolloutController) isReservationOver(a *attempt, stopped disruption.StoppedTask) bool {
+func (rc *rolloutController) isReservationObsolete(a *attempt, stopped disruption.StoppedTask) bool {
 	if a == nil {
 		return false
 	}
@@ -169,12 +169,12 @@
 	for _, mc := range s.machines {
 		for _, a := range mc.byKey {
 			if !a.exited && a.running {
-				d.addDemand(a.job.Team, func(demand *disruption.Demand) { demand.Running++ })
+				d.updateDemand(a.job.Team, func(demand *disruption.Demand) { demand.Running++ })
 			}
 		}
 	}
 	d.account.EachLost(func(_, team string) {
-		d.addDemand(team, func(demand *disruption.Demand) { demand.Lost++ })
+		d.updateDemand(team, func(demand *disruption.Demand) { demand.Lost++ })
 	})
 	if rec.State != rollout.Running || !s.reconciled {
 		return
@@ -185,7 +185,7 @@
 		if tasks == nil || d.account.Reserve(a.job.Team, rec.Issued[s.name][a.job.Team], tasks) {
 			continue
 		}
-		d.addDemand(a.job.Team, func(demand *disruption.Demand) { demand.Requested += len(tasks) })
+		d.updateDemand(a.job.Team, func(demand *disruption.Demand) { demand.Requested += len(tasks) })
 	}
 	for team, demand := range d.demands {
 		if demand.Requested == 0 {
--- a/scheduler/failing_jobs.go
+++ b/scheduler/failing_jobs.go
@@ -7,8 +7,8 @@
 // maxErrorBackoffDoublings bounds how often the pause is doubled before that bound is applied.
 const maxErrorBackoffDoublings = 7
 
-// brokenJobMachines is on how many machines a job fails, and is done nowhere, before its errors are its own.
-const brokenJobMachines = 3
+// brokenJobMachineThreshold is on how many machines a job fails, and is done nowhere, before its errors are its own.
+const brokenJobMachineThreshold = 3
 
 // recordTaskError counts an error against the machine and the job. Mostly the machine is faulty, so the task
 // goes elsewhere; a job that fails on several machines waits longer each time, so that it does not use up the
@@ -28,7 +28,7 @@
 	switch {
 	case tr.isJobBroken():
 		am.discountMachineFailures(tr)
-	case len(tr.errorsByMachine) < brokenJobMachines && am.cache.isCurrent(tr):
+	case len(tr.errorsByMachine) < brokenJobMachineThreshold && am.cache.isCurrent(tr):
 		if mc.failedJobs == nil {
 			mc.failedJobs = map[string]bool{}
 		}
@@ -54,7 +54,7 @@
 // isJobBroken reports whether a range's errors are its job's: it failed on several machines, and none of its
 // tasks is done.
 func (tr *taskRange) isJobBroken() bool {
-	return len(tr.errorsByMachine) >= brokenJobMachines && tr.doneCount == 0
+	return len(tr.errorsByMachine) >= brokenJobMachineThreshold && tr.doneCount == 0
 }
 
 // isLimitedToProbe reports whether a range may start one task at a time only, which shows whether a broken
--- a/scheduler/failure_limits.go
+++ b/scheduler/failure_limits.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// canBegin reports whether a task of a range may start as far as limits on failures go. The
+// failurePolicyAllowsStart reports whether a task of a range may start as far as limits on failures go. The
 // first task of an at-most-once job waits until the store says that tasks may have
 // begun: after a crash the next owner must know.
-func (sm *shardManager) canBegin(tr *taskRange) bool {
+func (sm *shardManager) failurePolicyAllowsStart(tr *taskRange) bool {
 	if tr.job.failureReason != "" {
 		return false
 	}
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -166,7 +166,7 @@
 // reconcileTasks brings what is known of a machine's attempts up to its heartbeat.
 func (am *agentManager) reconcileTasks(s *shard, mc *machine, hb *Heartbeat) {
 	reported := make(map[attemptKey]bool, len(hb.Tasks))
-	s.clearOrphans(mc)
+	s.resetOrphanCount(mc)
 	for _, status := range hb.Tasks {
 		key := attemptKey{status.Task, status.Attempt}
 		reported[key] = true
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -152,8 +152,8 @@
 	return false
 }
 
-// clearOrphans counts a machine's orphaned tasks from none again.
-func (s *shard) clearOrphans(mc *machine) {
+// resetOrphanCount counts a machine's orphaned tasks from none again.
+func (s *shard) resetOrphanCount(mc *machine) {
 	if mc.orphanedTasks > 0 {
 		mc.orphanedTasks = 0
 		s.machinesWithOrphans--
--- a/scheduler/task_starts.go
+++ b/scheduler/task_starts.go
@@ -248,7 +248,7 @@
 	if !am.cache.isOfferingAllowed(j, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) || mc.hasUnconfirmedStart() {
 		return false
 	}
-	if am.isBlockedByUnreported(s, tr) || am.hasProbeRunning(tr) || !am.shards.canBegin(tr) {
+	if am.isBlockedByUnreported(s, tr) || am.hasProbeRunning(tr) || !am.shards.failurePolicyAllowsStart(tr) {
 		return false
 	}
 	return tr.isZoneAllowed(mc.rec.Zone) && am.quotas.isWithinTeamLimit(s, j)
@@ -280,14 +280,14 @@
 	if !j.requiresOneShard() {
 		return true
 	}
-	here, elsewhere := tr.attemptsByZone[zone], 0
+	inZone, inOtherZones := tr.attemptsByZone[zone], 0
 	for z, n := range tr.attemptsByZone {
 		if z != zone {
-			elsewhere += n
+			inOtherZones += n
 		}
 	}
-	if j.OneZone && elsewhere > 0 {
+	if j.OneZone && inOtherZones > 0 {
 		return false
 	}
-	return !j.Spread || here < (j.Tasks+1)/2
+	return !j.Spread || inZone < (j.Tasks+1)/2
 }
--- a/scheduler/task_status.go
+++ b/scheduler/task_status.go
@@ -156,12 +156,12 @@
 		am.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
 		return
 	}
-	begunOrFetching := status.State == taskRunning || status.State == taskFetching
-	if a.stopRequested && begunOrFetching {
+	runningOrFetching := status.State == taskRunning || status.State == taskFetching
+	if a.stopRequested && runningOrFetching {
 		am.queueCommand(s, mc, am.stopAfterCheckpoint(a))
 		return
 	}
-	if (begunOrFetching || status.State == taskWaiting) && am.rollouts.mayEvict(s, mc, a) {
+	if (runningOrFetching || status.State == taskWaiting) && am.rollouts.mayEvict(s, mc, a) {
 		a.evicted = true
 		am.queueCommand(s, mc, am.stopAfterCheckpoint(a))
 		return
