--- a/scheduler/aging.go
+++ b/scheduler/aging.go
@@ -2,15 +2,17 @@
 
 import "github.com/grebedock/grebedock/availability"
 
-// Aging is the exception for large jobs when there is more work than capacity. Admission
-// serves as many jobs in time as it can: what cannot be in time any more goes behind whatever
-// comes, earlier deadlines go first, and a job that does not fit its team's guarantee goes
-// behind those that do. All three put off the largest and the longest of a class. Once such
-// a job has waited for most of the time in which jobs are to begin (BeginWithinS), its first
-// task, and no more, goes before its equals.
+// Aging prevents the starvation of large jobs when there is more work than capacity. Admission
+// completes as many jobs as possible in time. Within a priority, a job that can no longer meet an
+// objective ranks behind all jobs that can, including later arrivals. Earlier deadlines rank first,
+// and a job that does not fit its team's guarantee ranks behind those that do. All three rules
+// delay the largest and longest jobs of a class. Once such a job has waited for most of the time in
+// which jobs are to start (BeginWithinS), its first task ranks before all other tasks of the same
+// priority. Only the first task is promoted.
 
-// applyAging puts the first tasks of large jobs that waited too long to begin before their equals.
-// It returns the groups, in their new order, with those split off.
+// applyAging ranks the first tasks of large jobs that have waited too long before other tasks of
+// the same priority. It returns the groups in their new order, including the groups that were split
+// off for first tasks.
 func (pp *placementPlanner) applyAging(groups []*taskGroup) []*taskGroup {
 	if !pp.params.Aging {
 		return groups
@@ -32,14 +34,15 @@
 	return groups
 }
 
-// meanJobVolumes is the mean volume of the live jobs of each class, as of a moment.
+// meanJobVolumes is the mean volume of the live jobs of each class at one point in time.
 type meanJobVolumes struct {
-	takenAt int64 // monotonic milliseconds; 0: never
+	takenAt int64 // monotonic milliseconds; 0: never taken
 	byClass map[string]float64
 }
 
-// isLargeJob reports whether a job has at least the mean volume of its class's live jobs, in all
-// shards. The means are computed once between two summaries: they need not be more exact.
+// isLargeJob reports whether a job has at least the mean volume of its class's live jobs in all
+// shards. The means are computed at most once per summary interval (SummaryS), because approximate
+// means are sufficient.
 func (pp *placementPlanner) isLargeJob(j *Job) bool {
 	takenAt, now := pp.meanJobVolumes.takenAt, pp.now.MonotonicMS
 	if takenAt == 0 || now-takenAt > secondsToMS(pp.cache.settings.SummaryS) {
@@ -48,15 +51,15 @@
 	return pp.jobVolume(j) >= pp.meanJobVolumes.byClass[j.Class]
 }
 
-// jobVolume is what all tasks of a job take together, in processor milliseconds.
+// jobVolume is the processor time that all tasks of a job need together, in processor milliseconds.
 func (pp *placementPlanner) jobVolume(j *Job) float64 {
 	return float64(j.Tasks) * j.Request.CPUs * float64(pp.estimates.expectedRuntime(j))
 }
 
-// meanVolumes is the mean volume of the live jobs of each class.
+// meanVolumes returns the mean volume of the live jobs of each class.
 func (pp *placementPlanner) meanVolumes() map[string]float64 {
 	means, jobs := map[string]float64{}, map[string]float64{}
-	for _, j := range sortedByKey(pp.cache.jobs) { // in order: sums of floats depend on it
+	for _, j := range sortedByKey(pp.cache.jobs) { // in key order, because floating-point sums depend on the order
 		class := j.rec.Job.Class
 		means[class] += pp.jobVolume(&j.rec.Job)
 		jobs[class]++
@@ -67,10 +70,10 @@
 	return means
 }
 
-// reserveLimitForFirstTask collects room of a team's limit for the first task of a job that waited
-// too long to begin, one job at a time. Otherwise smaller tasks would take what others give
-// back before it is enough. A machine is requested too, since work that a limit holds up
-// requests none.
+// reserveLimitForFirstTask reserves part of a team's limit for the first task of a job that has
+// waited too long, for one job per team at a time. Without the reservation, smaller tasks would use
+// the resources that ending tasks release before enough of the limit is free. It also adds capacity
+// demand for the task if no machine can run it, because work that a limit blocks adds none.
 func (pp *placementPlanner) reserveLimitForFirstTask(s *shard, g *taskGroup) {
 	if s.firstTaskReservations[g.job.Team] != nil {
 		return
@@ -90,8 +93,8 @@
 	}
 }
 
-// reservedForFirstTask is what a job must leave of its team's limit to a first task that has a
-// reservation there.
+// reservedForFirstTask is the part of its team's limit that a job must leave to the first task that
+// has a reservation there. The reserved job itself and jobs of a higher priority leave nothing.
 func (q *shardQuota) reservedForFirstTask(j *Job) availability.Resources {
 	reservedFor := q.firstTaskReservations[j.Team]
 	if reservedFor == nil || reservedFor.ID == j.ID || j.Priority > reservedFor.Priority {
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -8,24 +8,25 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
-// attemptKey names one attempt at a task.
+// attemptKey identifies one attempt at a task.
 type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// attempt is a start that is not known to be over. Until then it counts: for its machine's room, its team's
-// limit and its job's zones, and its task is started nowhere else.
+// attempt is one start of a task. Until there is evidence that it has ended, it counts against the
+// free resources of its machine, its team's limit and the zones of its job, and its task is not
+// started elsewhere.
 type attempt struct {
 	key       attemptKey
-	job       *Job // of its range
+	job       *Job // the job of taskRange
 	taskRange *taskRange
 	claim     *shard
-	taskIndex int // in taskRange
-	liveIndex int // in its team's live attempts
+	taskIndex int // index in taskRange
+	liveIndex int // index in its team's live attempts
 	machine   *machine
 
-	exited            bool // its end was reported; the result may not be stored yet
+	exited            bool // its end is known and its resources are released; the result may not be stored yet
 	hasStartObjective bool // its class has a start objective
 
 	attemptDelivery
@@ -33,19 +34,19 @@
 	attemptStop
 }
 
-// attemptDelivery is what is known of how the start came to the worker.
+// attemptDelivery is what is known about the delivery of the start command to the worker.
 type attemptDelivery struct {
-	incarnation        uint64 // of the worker that it was sent to
-	afterHeartbeatSeq  uint64 // the start went with the answer to this heartbeat
-	directCommandToken uint64 // the start went as a direct command, with this token, and is unanswered; 0: none
-	observed           bool   // a heartbeat named it
-	neverStarted       bool   // ended, and there is evidence that it never began
+	incarnation        uint64 // worker incarnation that the start was sent to
+	afterHeartbeatSeq  uint64 // newest heartbeat of the worker when the start was sent, often in the response to it
+	directCommandToken uint64 // token of the unanswered direct command that contains the start; 0: none
+	observed           bool   // the worker has reported the attempt
+	neverStarted       bool   // it ended, and there is evidence that it never started
 }
 
-// attemptProgress is how far an attempt is, and how long it is expected to go on.
+// attemptProgress is the progress of an attempt and its expected duration.
 type attemptProgress struct {
 	running           bool
-	adopted           bool // started under an earlier claim: when it began to run is a guess
+	adopted           bool // started under an earlier claim; runningSince is an estimate
 	checkpointing     bool
 	placedAt          int64 // wall time, ms
 	runningSince      int64 // wall time, ms
@@ -53,11 +54,11 @@
 	expectedFetchMS   int64
 }
 
-// attemptStop is why an attempt is to be stopped.
+// attemptStop is the reason why an attempt must stop.
 type attemptStop struct {
-	evicted           bool // its stop was sent, for its machine to be emptied
-	reclaimed         bool // for another team's guarantee
-	stopRequested     bool // for that, or for a higher priority
+	evicted           bool // its stop was sent to drain its machine
+	reclaimed         bool // its resources are reclaimed for the guarantee of another team
+	stopRequested     bool // it must stop because it is reclaimed, or preempted by a higher priority
 	preemptorPriority Priority
 }
 
@@ -65,17 +66,19 @@
 	return cmp.Or(strings.Compare(a.key.task, key.task), cmp.Compare(a.key.attempt, key.attempt))
 }
 
-// isStartUnanswered reports whether the start may still reach the worker as a direct command, though the
-// worker knows the token.
+// isStartUnanswered reports whether the start is in an unanswered direct command that a worker with
+// this fencing token would still accept.
 func (d *attemptDelivery) isStartUnanswered(token uint64) bool {
 	return d.directCommandToken != 0 && d.directCommandToken >= token
 }
 
-// isDisprovedBy reports whether a heartbeat that does not name the attempt proves that there is none.
+// isDisprovedBy reports whether a heartbeat that does not report the attempt proves that the worker
+// does not run it.
 //
-// A start goes with a heartbeat's answer, which the worker has carried out or dropped before it sends the
-// next one: a newer heartbeat without the attempt is proof. A direct command may be held by the network:
-// only its answer, a higher token or a new incarnation settles it.
+// A worker carries out or drops the commands of a heartbeat response before it sends the next
+// heartbeat. A newer heartbeat without the attempt therefore disproves a start that was sent in a
+// heartbeat response. The network may delay a direct command: only its response, a higher token or
+// a new incarnation proves that it has no effect any more.
 func (d *attemptDelivery) isDisprovedBy(hb *Heartbeat) bool {
 	if d.isStartUnanswered(hb.Token) && d.incarnation == hb.Incarnation {
 		return false
@@ -83,8 +86,10 @@
 	return d.incarnation < hb.Incarnation || d.afterHeartbeatSeq < hb.Seq
 }
 
-// expectedEnd is when the attempt is expected to end, in wall time. One that overran is expected to go on
-// for a share of what it took so far: what waits behind it must not be planned for now again and again.
+// expectedEnd is the wall time, in milliseconds, at which the attempt is expected to end. An
+// attempt that has exceeded its expected run time is expected to run for another quarter of the
+// time that it has taken. Otherwise the planner would repeatedly plan the tasks that wait for its
+// resources as if they could start immediately.
 func (p *attemptProgress) expectedEnd(wall int64) int64 {
 	start := p.placedAt + p.expectedFetchMS
 	if p.running {
@@ -99,15 +104,15 @@
 	return end
 }
 
-// removeAllAttempts removes every attempt of a machine on which nothing of them can run any more.
+// removeAllAttempts removes every attempt of a machine on which none of them can still run.
 func (am *agentManager) removeAllAttempts(mc *machine) {
 	for _, a := range slices.Backward(mc.byKey) {
 		am.removeAttempt(mc, a)
 	}
 }
 
-// removeAttempt frees what an attempt took, once there is evidence that it is over. A loop that goes
-// backward over byKey may call this for the attempt that it is at.
+// removeAttempt removes an attempt and releases its resources once there is evidence that the
+// attempt has ended. A loop that iterates backward over byKey may call it for the current attempt.
 func (am *agentManager) removeAttempt(mc *machine, a *attempt) {
 	mc.remove(a)
 	if !a.exited && !a.neverStarted {
@@ -116,7 +121,7 @@
 	am.releaseResources(mc, a)
 }
 
-// recordLoss accounts for an attempt that is over though the worker did not report its end.
+// recordLoss accounts for an attempt that ended without a report from the worker.
 func (am *agentManager) recordLoss(a *attempt) {
 	am.shards.failJobOnTaskLoss(a)
 	if a.evicted {
@@ -130,7 +135,8 @@
 	}
 }
 
-// allocateResources counts an attempt: for its machine, its team and its job's zones.
+// allocateResources adds an attempt to its machine and counts it against its machine, its team and
+// the zones of its job.
 func (am *agentManager) allocateResources(mc *machine, a *attempt) {
 	s, team := a.claim, a.job.Team
 	s.usage[team] = s.usage[team].Add(a.job.Request)
@@ -142,8 +148,8 @@
 	mc.allocate(a.job.Request)
 }
 
-// releaseResources takes back, once, what allocateResources counted. The attempt may stay on its machine
-// until its result is stored.
+// releaseResources reverses the counts of allocateResources; repeated calls have no effect. The
+// attempt may stay on its machine until its result is stored.
 func (am *agentManager) releaseResources(mc *machine, a *attempt) {
 	if a.exited {
 		return
@@ -166,7 +172,8 @@
 	mc.release(a.job.Request, am.now.MonotonicMS)
 }
 
-// removeLiveAttempt takes an attempt off its team's usage and live attempts; the last of these takes its place.
+// removeLiveAttempt removes an attempt from its team's usage and live attempts. The last live
+// attempt moves to the index of the removed one.
 func (s *shard) removeLiveAttempt(a *attempt) {
 	team := a.job.Team
 	s.usage[team] = s.usage[team].Sub(a.job.Request)
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -6,8 +6,10 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// queueCommand gathers a command for a machine's worker. After a claim a clear waits until the pacer lets it
-// go: the task stays in the machine's heartbeats.
+// queueCommand adds a command to those pending for a machine's worker. After a claim the pacer
+// limits the rate of clears. A clear that it does not permit is dropped here and queued again
+// later, since the task stays in the machine's heartbeats. The pacer never delays a stop, but
+// counts it.
 func (am *agentManager) queueCommand(s *shard, mc *machine, command Command) {
 	switch command.Kind {
 	case CommandForget:
@@ -20,7 +22,8 @@
 	mc.commands = append(mc.commands, command)
 }
 
-// stopAfterCheckpoint is a stop that leaves the task time to save its progress.
+// stopAfterCheckpoint returns a stop command with a grace period in which the task can write a
+// checkpoint.
 func (env *environment) stopAfterCheckpoint(a *attempt) Command {
 	return Command{
 		Kind:    CommandStop,
@@ -30,16 +33,17 @@
 	}
 }
 
-// pendingDirectCommand is a direct command that the worker has not answered.
+// pendingDirectCommand is a direct command that the worker has not answered yet.
 type pendingDirectCommand struct {
 	shard   *shard
 	machine *machine
 	token   uint64
-	started []*attempt // the attempts that it starts; none: a stop or a query of the worker's tasks
+	started []*attempt // attempts that the command starts; empty for a stop or a task query
 }
 
-// probeUnreportedMachines queries the tasks of workers that have our token and no reason to report before
-// their interval is over: the answer reconciles them as a heartbeat does.
+// probeUnreportedMachines queries the tasks of workers that were sent our fencing token and would
+// not send their next heartbeat until the end of their interval. The response reconciles the
+// machine as a heartbeat does.
 func (am *agentManager) probeUnreportedMachines(s *shard) {
 	for _, unreported := range s.reconciler.Unreported() {
 		mc := am.registry.machines[unreported.ID]
@@ -54,8 +58,8 @@
 	}
 }
 
-// sendDirectCommand sends a machine's gathered commands straight to its worker, if that is still in the
-// given incarnation. started are the attempts among them that are new.
+// sendDirectCommand sends a machine's pending commands directly to its worker, which refuses them
+// unless it is still in the given incarnation. started lists the attempts that the commands start.
 func (am *agentManager) sendDirectCommand(s *shard, mc *machine, incarnation uint64, started []*attempt) {
 	am.lastRequestID++
 	mc.directCommandPending = true
@@ -70,7 +74,7 @@
 	})
 }
 
-// HandleDirectCommandResult takes a worker's answer to a direct command.
+// HandleDirectCommandResult handles the outcome of a direct command.
 func (c *Controller) HandleDirectCommandResult(now Now, id uint64, r DirectCommandResult) {
 	c.now = now
 	command := c.agents.directCommands[id]
@@ -96,23 +100,26 @@
 			am.applyDirectCommandResponse(s, mc, r.Heartbeat)
 		}
 	case Conflict:
-		// It is in another incarnation, or obeys a later claim: until it reports, the same would come of the
-		// next start, at once.
+		// The worker is in another incarnation or has accepted a later claim. It would refuse the
+		// next direct start immediately, so none is sent before its next report.
 		mc.directCommandRefused = true
 		am.removeRefusedStarts(mc, command.started)
 	default:
 		if len(command.started) == 0 {
 			return
 		}
-		// It may yet run, on whatever machine state there is by then. A higher token makes that impossible.
+		// The worker may still carry out the start later, regardless of the machine's state at that
+		// time. Raising the token makes that impossible.
 		s.voidToken = max(s.voidToken, command.token)
 		am.shards.raiseToken(s)
 	}
 }
 
-// applyDirectCommandResponse takes the tasks that a worker shows in its answer to a direct command. It is
-// not a heartbeat: it renews no lease, and attempts that it lacks may be in a heartbeat's answer that is
-// still under way, unless nothing of this claim can be.
+// applyDirectCommandResponse applies the tasks that a worker reports in the response to a direct
+// command. The response is not a heartbeat and renews no lease. Attempts that it does not report
+// are kept, because their starts may be in a heartbeat response that is still in transit. The
+// exception is a machine that is not accounted for: this claim has sent it no start, so the
+// response reconciles the machine as a heartbeat does.
 func (am *agentManager) applyDirectCommandResponse(s *shard, mc *machine, hb *Heartbeat) {
 	if !mc.IsAccountedFor() && am.store.hasAuthority() {
 		hb.Machine = mc.id
@@ -146,7 +153,8 @@
 	}
 }
 
-// sendUrgentStarts sends planned starts that should not wait for a heartbeat as direct commands.
+// sendUrgentStarts sends the planned starts of machines with at least one urgent start as direct
+// commands, without waiting for a heartbeat.
 func (am *agentManager) sendUrgentStarts(s *shard) {
 	for _, mc := range s.machines {
 		if len(mc.plannedStarts) == 0 || !am.acceptsDirectCommand(mc) {
@@ -175,9 +183,10 @@
 	}
 }
 
-// acceptsDirectCommand reports whether a direct command may be sent to a machine's worker now: it is reconciled,
-// no other command is unanswered or was refused, and it sent a heartbeat lately. A start to a silent one would
-// only be one more thing unknown.
+// acceptsDirectCommand reports whether a direct command may be sent to a machine's worker now. The
+// machine must be reconciled, no other direct command may be unanswered or refused, and the worker
+// must have sent a heartbeat within the longest heartbeat interval. A start sent to an unresponsive
+// worker would only add another unknown outcome.
 func (am *agentManager) acceptsDirectCommand(mc *machine) bool {
 	if mc.directCommandPending || mc.directCommandRefused {
 		return false
--- a/scheduler/evictions.go
+++ b/scheduler/evictions.go
@@ -9,32 +9,34 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// shardDisruption is a shard's side of a rollout: the account of what was stopped, and
-// what the shard's owner requests for more.
+// shardDisruption is a shard's part in a rollout: the account of stopped tasks, and the demands of
+// the shard's owner for further evictions.
 type shardDisruption struct {
 	account      *disruption.Account // nil until the first tick of the shard
 	record       recordWriteState
 	demands      map[string]disruption.Demand // by team
-	nextTickAtMS int64                        // monotonic
+	nextTickAtMS int64                        // monotonic time
 }
 
-// updateDemand changes a team's demand.
+// updateDemand applies a change to a team's demand.
 func (d *shardDisruption) updateDemand(team string, change func(*disruption.Demand)) {
 	demand := d.demands[team]
 	change(&demand)
 	d.demands[team] = demand
 }
 
-// eviction is a task that the plan would have stopped.
+// eviction is a task that the rollout plan would stop now.
 type eviction struct {
 	attempt  *attempt
 	lostWork float64 // in processor milliseconds
 }
 
-// disruptionRowBytes is about what a team's tokens for a shard take in the plan's record.
+// disruptionRowBytes is the approximate size, in bytes, of one team's tokens for one shard in the
+// plan's record.
 const disruptionRowBytes = 40
 
-// disruptionBudget is a team's, by the operators' settings; "*" stands for teams without one.
+// disruptionBudget is a team's disruption budget in the operators' settings; the entry "*" applies
+// to teams without their own.
 func (rc *rolloutController) disruptionBudget(team string) disruption.Budget {
 	if b, ok := rc.cache.settings.Disruption[team]; ok {
 		return b
@@ -42,7 +44,7 @@
 	return rc.cache.settings.Disruption["*"]
 }
 
-// disruptionDemands is by team and shard what the shards' owners request.
+// disruptionDemands returns the disruption demands of the shards' owners by team and shard.
 func (rc *rolloutController) disruptionDemands() map[string]map[string]disruption.Demand {
 	demands := map[string]map[string]disruption.Demand{}
 	rc.peers.forEachFreshMessage(func(from string, msg *PeerMessage) {
@@ -62,8 +64,8 @@
 	return demands
 }
 
-// issueDisruptionTokens issues tokens for what the shards request, within the teams'
-// budgets, and reports whether the plan's record changes by it.
+// issueDisruptionTokens issues tokens for the demands of the shards, within the teams' budgets. It
+// reports whether the plan's record changes.
 func (rc *rolloutController) issueDisruptionTokens() (changed bool) {
 	rows, maxRows := 0, max(16, rc.params.MaxValueBytes/2/disruptionRowBytes)
 	recorded := map[string]bool{}
@@ -76,7 +78,7 @@
 	for team, shardDemands := range sortedByKey(rc.disruptionDemands()) {
 		if !recorded[team] {
 			if rows += len(shardDemands); rows > maxRows {
-				continue // no room in the record: its machines wait for their tasks to end
+				continue // record full: the team's drained machines wait for its tasks to end
 			}
 		}
 		settled := map[string]uint64{}
@@ -90,8 +92,8 @@
 	return changed
 }
 
-// tickShardDisruption is a shard's part in each tick: reservations of tasks that run again
-// are settled, evictions are reserved, and the account is written.
+// tickShardDisruption performs a shard's part of the rollout on a tick: it settles the reservations
+// of tasks that run again, reserves evictions and writes the account.
 func (rc *rolloutController) tickShardDisruption(s *shard) {
 	d := &s.disruption
 	if !rc.params.Rollout || rc.now.MonotonicMS < d.nextTickAtMS {
@@ -107,7 +109,7 @@
 	rc.writeDisruptionAccount(s)
 }
 
-// runningAttempts is by task the attempts that run on a shard's machines.
+// runningAttempts returns the running attempts on a shard's machines by task.
 func runningAttempts(s *shard) map[string]*attempt {
 	running := map[string]*attempt{}
 	for _, mc := range s.machines {
@@ -120,8 +122,8 @@
 	return running
 }
 
-// settleReservations closes the reservations of tasks that run again, that are done or no
-// longer this shard's, and of tasks that go on where they are.
+// settleReservations closes the reservations of tasks that run again, that are done or no longer
+// owned, and of tasks that continue on their machine. It also records the recovery of lost tasks.
 func (rc *rolloutController) settleReservations(s *shard) {
 	account := s.disruption.account
 	if account.IsEmpty() {
@@ -134,7 +136,7 @@
 		}
 	})
 	if len(s.reconciler.Unreported()) > 0 {
-		return // a machine that did not report yet may run the task
+		return // an unreported machine may run the task
 	}
 	account.EachReserved(func(task string, stopped disruption.StoppedTask) {
 		if rc.isDoneOrNotOwned(task) || rc.isReservationObsolete(running[task], stopped) {
@@ -143,14 +145,14 @@
 	})
 }
 
-// isDoneOrNotOwned reports whether a task is done, or of no range that this member owns.
+// isDoneOrNotOwned reports whether a task is done or belongs to no range that this member owns.
 func (rc *rolloutController) isDoneOrNotOwned(task string) bool {
 	tr, i := rc.shards.taskRangeOf(task)
 	return tr == nil || tr.done.has(i)
 }
 
-// isReservationObsolete reports whether a task runs again after its eviction, or runs on
-// without one: its stop was never sent and is not wanted any more.
+// isReservationObsolete reports whether a task runs again after its eviction, or continues without
+// one because its stop was never sent and is no longer wanted.
 func (rc *rolloutController) isReservationObsolete(a *attempt, stopped disruption.StoppedTask) bool {
 	if a == nil {
 		return false
@@ -158,8 +160,9 @@
 	return a.key.attempt != stopped.Attempt || !a.evicted && !rc.isDrainedByRollout(a.machine)
 }
 
-// requestEvictions finds what the plan would have stopped, reserves what tokens were issued
-// for, and requests more for the rest. What ends in time by itself is let end.
+// requestEvictions determines which tasks the rollout plan would stop, reserves the evictions for
+// which tokens were issued, and requests tokens for the others. It does not evict tasks that end in
+// time by themselves.
 func (rc *rolloutController) requestEvictions(s *shard) {
 	d, rec := &s.disruption, rc.rec
 	d.demands = map[string]disruption.Demand{}
@@ -194,8 +197,8 @@
 	}
 }
 
-// evictionCandidates lists the tasks on drained machines that the plan would have stopped
-// now, those that lose least first.
+// evictionCandidates lists the tasks on drained machines that the rollout plan would stop now,
+// sorted by the work that is lost, the least first.
 func (rc *rolloutController) evictionCandidates(s *shard) []eviction {
 	var candidates []eviction
 	for _, mc := range s.machines {
@@ -214,16 +217,16 @@
 	return candidates
 }
 
-// evictionCost reports whether the plan would have a task on a drained machine stopped now,
-// and what work that loses, in processor milliseconds:
+// evictionCost reports whether the rollout plan would stop a task on a drained machine now, and how
+// much work is lost by that, in processor milliseconds:
 //
-//	task                                             | stopped                  | lost
-//	reserved, checkpointing, over, at most once      | no                       |
-//	array task that ends by itself in time           | no                       |
-//	array task that does not run yet                 | at once                  | nothing
-//	any other, after the step's deadline             | at once                  | since its start or checkpoint
-//	array task with checkpoints, before a deadline   | if other types take it   | a checkpoint's time
-//	any other                                        | not before the deadline  |
+//	task                                            | stopped                 | lost work
+//	reserved, checkpointing, exited or at-most-once | no                      |
+//	array task that ends by itself in time          | no                      |
+//	array task that does not run yet                | immediately             | none
+//	any other, after the step's deadline            | immediately             | its run, or a checkpoint's if less
+//	array task with checkpoints, before a deadline  | if another type fits    | a checkpoint's time
+//	any other                                       | not before the deadline |
 func (rc *rolloutController) evictionCost(s *shard, mc *machine, a *attempt) (lostWork float64, evict bool) {
 	if a.exited || a.checkpointing || a.job.AtMostOnce || s.disruption.account.IsReserved(a.key.task) {
 		return 0, false
@@ -248,8 +251,8 @@
 	return 0, false
 }
 
-// endsInTime reports whether a task is over by itself about as soon as a stop would take, or
-// before the step's deadline (wall time, 0 without one).
+// endsInTime reports whether a task ends by itself within about the time that a stop takes, or
+// before the step's deadline (wall time; 0: none).
 func (rc *rolloutController) endsInTime(a *attempt, isLate bool, deadline int64) bool {
 	expectedEnd := a.expectedEnd(rc.now.WallMS)
 	stopMS := 2*rc.maxHeartbeatIntervalMS() + secondsToMS(a.job.CheckpointDurationS)
@@ -259,7 +262,7 @@
 	return a.running && deadline > 0 && !isLate && expectedEnd <= deadline
 }
 
-// fitsOnlyTypeOf reports whether a job fits no other type of machine than this one's.
+// fitsOnlyTypeOf reports whether a job fits no other machine type than the type of this machine.
 func (rc *rolloutController) fitsOnlyTypeOf(j *Job, mc *machine) bool {
 	for _, t := range rc.cache.machineTypes {
 		if t.Name != mc.rec.Type && rc.cache.fitsType(j, t) {
@@ -269,8 +272,9 @@
 	return rc.cache.placementCatalog.IsRequired(mc.rec.Type)
 }
 
-// tasksEvictedTogether is the tasks, by attempt, that stop with one: all of a gang. It is nil
-// if a service would fall under the replicas that its team's budget keeps.
+// tasksEvictedTogether returns the tasks, with their attempts, that must be stopped together with
+// one task: all live tasks of a gang, or only the task itself. It returns nil if a service would
+// have fewer running replicas than its team's budget requires.
 func (rc *rolloutController) tasksEvictedTogether(s *shard, a *attempt) map[string]uint64 {
 	tasks := map[string]uint64{a.key.task: a.key.attempt}
 	switch a.job.Kind {
@@ -286,7 +290,7 @@
 	return tasks
 }
 
-// canSpareReplica reports whether enough of a service's tasks run without this one.
+// canSpareReplica reports whether enough replicas of a service run without one of its tasks.
 func (rc *rolloutController) canSpareReplica(s *shard, a *attempt) bool {
 	reserved := 0
 	s.disruption.account.EachReserved(func(task string, _ disruption.StoppedTask) {
@@ -299,7 +303,7 @@
 	return min(a.taskRange.runningCount, size-reserved)-1 >= minRunning
 }
 
-// addGangTasks adds a gang's live tasks on a machine, with their attempts.
+// addGangTasks adds the live tasks of a gang on a machine to tasks, with their attempts.
 func addGangTasks(tasks map[string]uint64, mc *machine, gang *taskRange) {
 	for _, a := range mc.byKey {
 		if !a.exited && a.taskRange == gang {
@@ -308,7 +312,7 @@
 	}
 }
 
-// mayEvict reports whether a task's stop may be sent: its reservation is in the store.
+// mayEvict reports whether the stop of a task may be sent, which requires a stored reservation.
 func (rc *rolloutController) mayEvict(s *shard, mc *machine, a *attempt) bool {
 	account := s.disruption.account
 	if !rc.params.Rollout || account == nil || !account.CanStop(a.key.task, a.key.attempt) {
@@ -320,11 +324,11 @@
 	if rc.rec == nil || rc.rec.State != rollout.Running {
 		return false
 	}
-	// A gang stops whole, wherever its tasks are.
+	// All tasks of a gang stop together, including those on machines that are not drained.
 	return a.job.Kind == Gang || mc.cordoned && rc.isDrainedByRollout(mc)
 }
 
-// writeDisruptionAccount stores a shard's account when it changed.
+// writeDisruptionAccount stores a shard's account if it has unstored changes.
 func (rc *rolloutController) writeDisruptionAccount(s *shard) {
 	d := &s.disruption
 	if d.record.writing || !d.account.HasUnstoredChanges() || rc.now.MonotonicMS < d.record.nextWriteAt {
--- a/scheduler/failing_jobs.go
+++ b/scheduler/failing_jobs.go
@@ -1,18 +1,21 @@
 package scheduler
 
-// maxErrorBackoffLeases is the longest pause of a job after an error, in leases. All its tasks wait, also
-// those of a large job that met several faulty machines.
+// maxErrorBackoffLeases is the longest back-off of a job after an error, in leases. It is bounded
+// because all tasks of the job wait, including those of a large job that only encountered several
+// faulty machines.
 const maxErrorBackoffLeases = 2
 
-// maxErrorBackoffDoublings bounds how often the pause is doubled before that bound is applied.
+// maxErrorBackoffDoublings bounds how often the back-off is doubled before maxErrorBackoffLeases
+// applies.
 const maxErrorBackoffDoublings = 7
 
-// brokenJobMachineThreshold is on how many machines a job fails, and is done nowhere, before its errors are its own.
+// brokenJobMachineThreshold is the number of machines on which a job must fail, with none of its
+// tasks done, before its errors are attributed to the job.
 const brokenJobMachineThreshold = 3
 
-// recordTaskError counts an error against the machine and the job. Mostly the machine is faulty, so the task
-// goes elsewhere; a job that fails on several machines waits longer each time, so that it does not use up the
-// fleet.
+// recordTaskError counts an error against the machine and the job. Usually the machine is faulty,
+// so the task is started elsewhere. A job that fails on several machines backs off longer each
+// time, so that it does not use up the fleet.
 func (am *agentManager) recordTaskError(mc *machine, tr *taskRange, a *attempt) {
 	am.Counters.Errors++
 	am.rolloutCounts.Errors++
@@ -41,8 +44,9 @@
 	am.log(Info, "task failed", "task", a.key.task, "machine", mc.id, "errors", tr.errors)
 }
 
-// discountMachineFailures takes a job's errors off the machines that they were counted against: it is broken,
-// or was cancelled before any of its tasks was done, and nobody knows whose they were.
+// discountMachineFailures removes a job's errors from the machines that they were counted against.
+// The job is broken, or it ended before any of its tasks was done, so it is unknown whether the job
+// or the machines caused them.
 func (am *agentManager) discountMachineFailures(tr *taskRange) {
 	for id := range tr.errorsByMachine {
 		if mc := am.registry.machines[id]; mc != nil {
@@ -51,15 +55,16 @@
 	}
 }
 
-// isJobBroken reports whether a range's errors are its job's: it failed on several machines, and none of its
-// tasks is done.
+// isJobBroken reports whether a range's errors are attributed to its job: it failed on several
+// machines, and none of its tasks is done.
 func (tr *taskRange) isJobBroken() bool {
 	return len(tr.errorsByMachine) >= brokenJobMachineThreshold && tr.doneCount == 0
 }
 
-// isLimitedToProbe reports whether a range may start one task at a time only, which shows whether a broken
-// job still fails and takes no more room, fetches and machines than that. A probe that goes on for a lease
-// after the pause has shown that it does not. Gangs begin together or not at all.
+// isLimitedToProbe reports whether a range may start only one task at a time, as a probe. The probe
+// shows whether a broken job still fails, and bounds the resources, image fetches and machines that
+// the job uses. A probe that runs for a lease after the back-off has shown that the job does not
+// fail any more. Only array jobs are limited: the tasks of a gang start together or not at all.
 func (am *agentManager) isLimitedToProbe(tr *taskRange) bool {
 	if !tr.isJobBroken() || tr.job.rec.Job.Kind != Array {
 		return false
@@ -67,12 +72,12 @@
 	return am.now.MonotonicMS < tr.retryAt+secondsToMS(am.params.LeaseS)
 }
 
-// hasProbeRunning reports whether a range's probe is on a machine.
+// hasProbeRunning reports whether the probe of a range is assigned to a machine.
 func (am *agentManager) hasProbeRunning(tr *taskRange) bool {
 	return tr.assignedCount > 0 && am.isLimitedToProbe(tr)
 }
 
-// schedulableTasks is how many of a range's waiting tasks are planned, and counted as demand for machines.
+// schedulableTasks is how many pending tasks of a range are planned and counted as capacity demand.
 func (am *agentManager) schedulableTasks(tr *taskRange) int {
 	switch {
 	case am.hasProbeRunning(tr):
--- a/scheduler/failure_limits.go
+++ b/scheduler/failure_limits.go
@@ -1,13 +1,14 @@
 package scheduler
 
-// Jobs whose tasks are tried a limited number of times, and jobs whose tasks run at most
-// once. Users' jobs are neither: a task that fails or is lost is started again until
-// its job is cancelled. Steps of workflows set the limit.
+// Some jobs limit how often each task may fail, and the tasks of at-most-once jobs run at most
+// once. Users' jobs have neither property: a task that fails or is lost is started again until its
+// job is cancelled. Workflow steps set the limit.
 //
-//	runs    a task fails MaxTaskErrors times              failed; its record is written
-//	runs    at most once: a task fails, or is lost after  failed; its record is written
-//	        it may have begun
-//	failed  the final record is stored                    cancelled, to its user
+//	state    event                                         next state
+//	running  a task fails MaxTaskErrors times              failed; the final record is written
+//	running  at-most-once: a task fails, or is lost after  failed; the final record is written
+//	         it may have started
+//	failed   the final record is stored                    cancelled, as users see it
 
 // countTaskError counts a failed attempt and fails its job if the limit is reached.
 func (sm *shardManager) countTaskError(tr *taskRange, a *attempt) {
@@ -28,17 +29,17 @@
 	}
 }
 
-// failJobOnTaskLoss fails an at-most-once job one of whose tasks ended, or may have, without
-// a result, though it may have begun.
+// failJobOnTaskLoss fails an at-most-once job if one of its tasks ended, or may have ended, without
+// a result although it may have started.
 func (sm *shardManager) failJobOnTaskLoss(a *attempt) {
 	if a.job.AtMostOnce && !a.taskRange.done.has(a.taskIndex) {
 		sm.markJobFailed(a.taskRange, "a task was lost, and is not to be started again: "+a.key.task)
 	}
 }
 
-// failJobOnUnknownProgress fails an at-most-once job that an earlier claim left unfinished.
-// It is called once all machines have sent a heartbeat: a task that neither runs nor
-// is done may have begun and been lost, and no record says which of them did.
+// failJobOnUnknownProgress fails an at-most-once job that an earlier claim left unfinished. It is
+// called once no unreported machine can run tasks of the range. A task that neither runs nor is
+// done may have started and been lost, and no record shows which tasks did.
 func (sm *shardManager) failJobOnUnknownProgress(tr *taskRange) {
 	rec := &tr.job.rec
 	if !rec.Job.AtMostOnce || !rec.MayHaveBegun || tr.pending() == 0 {
@@ -49,16 +50,17 @@
 	sm.markJobFailed(tr, reason)
 }
 
-// markJobFailed has the next tick end a job as failed. The first reason stays; users see it.
+// markJobFailed marks a job as failed, and the next tick ends it. The first reason is kept, because
+// users see it.
 func (sm *shardManager) markJobFailed(tr *taskRange, reason string) {
 	if tr.job.failureReason == "" {
 		tr.job.failureReason = reason
 	}
 }
 
-// failurePolicyAllowsStart reports whether a task of a range may start as far as limits on failures go. The
-// first task of an at-most-once job waits until the store says that tasks may have
-// begun: after a crash the next owner must know.
+// failurePolicyAllowsStart reports whether the limits on failures permit a start of a range's
+// tasks. The first task of an at-most-once job waits until the store records that tasks may have
+// started, because the next owner must know this after a crash.
 func (sm *shardManager) failurePolicyAllowsStart(tr *taskRange) bool {
 	if tr.job.failureReason != "" {
 		return false
@@ -70,7 +72,7 @@
 	return true
 }
 
-// writeBegunRecord records that tasks of a job may have begun.
+// writeBegunRecord records in the store that tasks of a job may have started.
 func (sm *shardManager) writeBegunRecord(s *shard, tr *taskRange) {
 	j := tr.job
 	rec := j.rec
@@ -81,7 +83,7 @@
 	})
 }
 
-// failJob ends a failed job in the store: to its user it is cancelled, with the reason.
+// failJob writes the final record of a failed job. Users see the job as cancelled, with the reason.
 func (sm *shardManager) failJob(s *shard, tr *taskRange) {
 	j := &tr.job.rec.Job
 	final := terminalRecord{
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -6,21 +6,22 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// agentManager owns the exchange with the workers of the owned shards: heartbeats in, commands out,
-// and what follows from them for attempts and machines.
+// agentManager exchanges messages with the workers of the owned shards. It handles heartbeats,
+// sends commands, and updates attempts and machines accordingly.
 //
-// The way of a heartbeat, from top to bottom of this file; nothing is entered twice:
+// A heartbeat passes through these functions, from top to bottom of this file, and enters none of
+// them twice:
 //
 //	HandleHeartbeat             the input
-//	processHeartbeat            finds the machine and its shard, or who owns it
-//	answerHeartbeat             the steps below, and the answer
+//	processHeartbeat            finds the machine and its shard, or the shard's owner
+//	answerHeartbeat             performs the steps below and returns the response
 //	  receiveHeartbeat          package reconcile: is it newer than what is known, and under our token?
-//	  reconcileMachine          the machine's incarnation, termination notice, attempts
-//	    applyTaskStatus         task_status.go: each task of the heartbeat
-//	  startTasks                task_starts.go: what the free room is for
+//	  reconcileMachine          the machine's incarnation, termination notice and attempts
+//	    applyTaskStatus         task_status.go: each task in the heartbeat
+//	  startTasks                task_starts.go: starts that use the free resources
 //
-// A heartbeat of a machine that no registry page names leaves this way at
-// processHeartbeat (unregistered_machines.go) and comes back to it when the page is written.
+// The exception is a heartbeat of a machine that no registry page lists: processHeartbeat parks it
+// (unregistered_machines.go), and processes it again once the page is written.
 type agentManager struct {
 	*environment
 	cache     *stateCache
@@ -33,8 +34,8 @@
 	shards    *shardManager
 	store     *storeClient
 
-	directCommands   map[uint64]*pendingDirectCommand // by request
-	parkedHeartbeats map[string][]parkedHeartbeat     // by machine: until it is registered
+	directCommands   map[uint64]*pendingDirectCommand // by request ID
+	parkedHeartbeats map[string][]parkedHeartbeat     // by machine ID, until the machine is registered
 }
 
 func newAgentManager(env *environment) *agentManager {
@@ -45,14 +46,16 @@
 	}
 }
 
-// HandleHeartbeat takes a worker's heartbeat. Its answer stands under replyID in the outputs'
-// HeartbeatResponses, after this call or, for a machine that is not registered yet, after a later input.
+// HandleHeartbeat handles a worker's heartbeat. The response appears under replyID in the
+// HeartbeatResponses of the outputs, after this call or, for a machine that is not registered yet,
+// after a later input.
 func (c *Controller) HandleHeartbeat(now Now, replyID uint64, hb Heartbeat) {
 	c.now = now
 	c.agents.processHeartbeat(replyID, hb)
 }
 
-// processHeartbeat finds the machine and the shard that a heartbeat concerns.
+// processHeartbeat finds the machine and the shard of a heartbeat and responds to the worker. It
+// redirects the worker if another member owns the shard.
 func (am *agentManager) processHeartbeat(replyID uint64, hb Heartbeat) {
 	if !am.store.storeAccess.IsSynced() {
 		am.respondWorker(replyID, HeartbeatResponse{})
@@ -78,8 +81,8 @@
 	am.outputs.HeartbeatResponses[replyID] = response
 }
 
-// redirectTo sends a worker to another member. Without one, or if the member is this one, the worker
-// tries the next by itself.
+// redirectTo returns a response that redirects a worker to another member. If no member is known,
+// or the member is this one, the response is empty and the worker tries the next member by itself.
 func (am *agentManager) redirectTo(memberID string) HeartbeatResponse {
 	if memberID == am.params.MemberID {
 		return HeartbeatResponse{}
@@ -87,7 +90,7 @@
 	return HeartbeatResponse{RedirectTo: memberID}
 }
 
-// answerHeartbeat takes a heartbeat of an owned shard's machine.
+// answerHeartbeat processes a heartbeat of a machine in an owned shard and returns the response.
 func (am *agentManager) answerHeartbeat(s *shard, mc *machine, hb *Heartbeat) HeartbeatResponse {
 	if !am.mayRenewLease(s, hb.Token) {
 		return HeartbeatResponse{}
@@ -109,29 +112,32 @@
 	return HeartbeatResponse{Accepted: true, Token: s.token, Commands: append([]Command(nil), mc.commands...)}
 }
 
-// mayRenewLease reports whether a worker that knows the token may have an answer, which renews its lease.
-// Before the shard is ready its progress is not read, and nothing could be stopped: an answer all the same,
-// with an outage in between, let a cancelled task live on past its time.
+// mayRenewLease reports whether a worker that knows the token may receive a response, which renews
+// its lease. Until the shard is ready, its progress is not read and no task can be stopped. When
+// workers received responses in that state and an outage followed, a cancelled task ran for longer
+// than allowed.
 func (am *agentManager) mayRenewLease(s *shard, token uint64) bool {
 	return am.store.hasAuthority() && !s.releasing && token <= s.token && s.ready
 }
 
-// receiveHeartbeat lets the claim's reconciler judge a heartbeat.
+// receiveHeartbeat passes a heartbeat to the claim's reconciler and returns its disposition. It
+// logs when an inbound partition is suspected.
 func (am *agentManager) receiveHeartbeat(s *shard, mc *machine, hb *Heartbeat) reconcile.Disposition {
 	wasAccountedFor := mc.IsAccountedFor()
 	disposition := s.reconciler.ReceiveHeartbeat(mc.Machine, am.now.MonotonicMS, hb.Incarnation, hb.Seq, hb.Token)
 	if disposition == reconcile.NotifyToken && mc.IsAccountedFor() && !wasAccountedFor {
-		am.log(Info, "worker acknowledges no responses; inbound partition suspected", "machine", mc.id)
+		am.log(Info, "worker does not acknowledge responses; inbound partition suspected", "machine", mc.id)
 		s.dirty = true
 	}
 	return disposition
 }
 
-// reconcileMachine brings what is known of a machine up to an accepted heartbeat, or to the worker's answer
-// to a direct command, and queues what is to be stopped and cleared. disposition is at least reconcile.Accept.
+// reconcileMachine updates the state of a machine from an accepted heartbeat, or from the worker's
+// response to a direct command, and queues the resulting stops and clears. disposition is at least
+// reconcile.Accept.
 func (am *agentManager) reconcileMachine(s *shard, mc *machine, hb *Heartbeat, disposition reconcile.Disposition) {
 	if disposition == reconcile.AcceptNewIncarnation {
-		// Its lease ended: every task of the earlier incarnation was killed.
+		// The lease of the earlier incarnation expired, so all of its tasks were killed.
 		am.log(Info, "machine in a new incarnation", "machine", hb.Machine, "tasks", mc.liveAttemptCount)
 		am.removeAllAttempts(mc)
 	}
@@ -149,7 +155,8 @@
 	}
 }
 
-// updateTerminationNotice notes when the cloud takes the machine, by its latest heartbeat.
+// updateTerminationNotice records when the cloud provider will terminate the machine, according to
+// its latest heartbeat.
 func (am *agentManager) updateTerminationNotice(s *shard, mc *machine, hb *Heartbeat) {
 	if hb.TerminationNoticeS == nil {
 		mc.terminatesAt = 0
@@ -163,7 +170,7 @@
 	mc.terminatesAt = max(am.now.MonotonicMS+secondsToMS(*hb.TerminationNoticeS), 1)
 }
 
-// reconcileTasks brings what is known of a machine's attempts up to its heartbeat.
+// reconcileTasks updates the attempts of a machine from its heartbeat.
 func (am *agentManager) reconcileTasks(s *shard, mc *machine, hb *Heartbeat) {
 	reported := make(map[attemptKey]bool, len(hb.Tasks))
 	s.resetOrphanCount(mc)
@@ -186,7 +193,7 @@
 	am.removeUnreportedAttempts(mc, hb, reported)
 }
 
-// removeUnreportedAttempts removes the attempts that a heartbeat disproves by not naming them.
+// removeUnreportedAttempts removes the attempts that a heartbeat disproves by not reporting them.
 func (am *agentManager) removeUnreportedAttempts(mc *machine, hb *Heartbeat, reported map[attemptKey]bool) {
 	for _, a := range slices.Backward(mc.byKey) {
 		if reported[a.key] || !a.isDisprovedBy(hb) {
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -9,53 +9,54 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// machine is a machine of the fleet. What follows registryKey is known only to the member that owns the
-// machine's shard, and was learnt under claim.
+// machine is a machine of the fleet. The fields after registryKey are known only to the member that
+// owns the machine's shard, and were learned under claim.
 type machine struct {
 	id          string
 	rec         *registryRecord // shared by all machines of the registry page
-	registryKey string          // the page's key
+	registryKey string          // key of the registry page
 
 	*reconcile.Machine
 	claim *shard
-	addr  string // of the worker, as it last reported
+	addr  string // address of the worker, as last reported
 
 	machineCondition
 	machineLoad
 	machineDispatch
 }
 
-// machineCondition is what speaks against work on a machine.
+// machineCondition is the state of a machine that may prevent starts on it.
 type machineCondition struct {
 	terminatesAt     int64           // monotonic ms at which a spot termination notice ends; 0: none
-	fullUntil        int64           // monotonic ms; no starts before (it refused one for want of room)
-	startUndelivered bool            // the last start that went with a heartbeat's answer did not reach it
-	failedJobs       map[string]bool // jobs whose errors may be the machine's
-	everReconciled   bool            // was reconciled under this claim
-	cordoned         bool            // takes no more starts, by an operator's wish or a rollout's
-	releasing        bool            // the leader is asked to release it
-	orphanedTasks    int             // tasks on it that are not ours to keep and not gone yet
+	fullUntil        int64           // monotonic ms; no starts before, after one was refused for lack of resources
+	startUndelivered bool            // the last start in a heartbeat response did not reach the worker
+	failedJobs       map[string]bool // jobs whose errors may be caused by the machine
+	everReconciled   bool            // it was reconciled under this claim
+	cordoned         bool            // it accepts no more starts, because of an operator's setting or a rollout
+	releasing        bool            // the leader was requested to release it
+	orphanedTasks    int             // tasks on it that do not belong to this claim and have not ended yet
 }
 
-// acceptsStarts reports whether nothing of the condition forbids a start now.
+// acceptsStarts reports whether no condition prevents a start now.
 func (mc *machineCondition) acceptsStarts(monotonicMS int64) bool {
 	return !mc.releasing && !mc.cordoned && mc.terminatesAt == 0 && monotonicMS >= mc.fullUntil
 }
 
-// machineLoad is what is on a machine. Loops go over byKey, which gives the same order each time.
+// machineLoad is the attempts on a machine and the resources that they use. Loops iterate over
+// byKey, whose order is deterministic.
 type machineLoad struct {
 	attempts         map[attemptKey]*attempt
-	byKey            []*attempt             // the attempts in order of their keys
-	liveAttemptCount int                    // attempts that are not over
-	usage            availability.Resources // of the live attempts
-	imageCache       *planner.ImageCache    // nil: the machine is not of an owned shard
-	idleSince        int64                  // monotonic ms since when no attempt is live
+	byKey            []*attempt             // the attempts sorted by key
+	liveAttemptCount int                    // attempts that have not exited
+	usage            availability.Resources // resources of the live attempts
+	imageCache       *planner.ImageCache    // nil: this member does not own the machine's shard
+	idleSince        int64                  // monotonic ms since which no attempt is live
 }
 
-// add indexes an attempt, whose resources allocate counts.
+// add indexes an attempt. Its resources are counted by allocate.
 func (load *machineLoad) add(a *attempt) {
 	if load.attempts == nil {
-		// Most machines of the cache are other members', which run nothing here.
+		// Most machines in the cache are owned by other members and have no attempts here.
 		load.attempts = map[attemptKey]*attempt{}
 	}
 	load.attempts[a.key] = a
@@ -83,33 +84,34 @@
 	load.liveAttemptCount--
 	load.usage = load.usage.Sub(request)
 	if load.liveAttemptCount == 0 {
-		load.usage = availability.Resources{} // without the rounding errors of many sums
+		load.usage = availability.Resources{} // removes the accumulated rounding errors
 		load.idleSince = monotonicMS
 	}
 }
 
-// machineDispatch is what is to go to a machine's worker.
+// machineDispatch is the starts and commands to be sent to a machine's worker.
 type machineDispatch struct {
 	plannedStarts        []plannedStart
 	reservation          *reservation
-	commands             []Command // gathered for the next answer or direct command
-	directCommandRefused bool      // no direct command until the next heartbeat
+	commands             []Command // pending for the next heartbeat response or direct command
+	directCommandRefused bool      // a direct command was refused: none is sent until the next heartbeat
 	directCommandPending bool      // a direct command is unanswered
 }
 
-// plannedStart is a start that the plan wants on a machine now.
+// plannedStart is a number of tasks of one range that the plan starts on a machine now.
 type plannedStart struct {
 	taskRange         *taskRange
 	count             int
 	runtimeMS         int64
 	fetchMS           int64
-	hasStartObjective bool // a start objective or a guarantee waits for it
+	hasStartObjective bool // a start objective or a guarantee can still be met by it
 }
 
 func (mc *machine) compare(id string) int { return strings.Compare(mc.id, id) }
 
-// isSchedulable reports whether starts may go to the machine. While the ledger has an entry of what it runs,
-// nothing else may start: whoever claims its shard next relies on the entry.
+// isSchedulable reports whether starts may be sent to the machine. While the ledger of unreachable
+// machines has an entry for it, no other task may start there, because the next owner of the shard
+// relies on the entry.
 func (am *agentManager) isSchedulable(mc *machine) bool {
 	if !mc.acceptsStarts(am.now.MonotonicMS) || mc.State() == reconcile.LeaseExpired || mc.IsInboundPartitioned() {
 		return false
@@ -124,7 +126,8 @@
 	return !recorded
 }
 
-// fetchTime is how long the job's image takes to come to a machine, in milliseconds; 0 if it is there.
+// fetchTime is how long a machine takes to fetch the image of a job, in milliseconds; 0 if the
+// image is cached.
 func (am *agentManager) fetchTime(j *Job, mc *machine, t *MachineType) int64 {
 	if t == nil || mc.imageCache.Has(j.Image) {
 		return 0
@@ -132,14 +135,15 @@
 	return am.cache.imageFetchMS(j, t.Name)
 }
 
-// freeResources is what a machine's live attempts leave of it.
+// freeResources returns the resources of a machine that its live attempts do not use.
 func (am *agentManager) freeResources(mc *machine) availability.Resources {
 	return resourcesOf(am.cache.machineTypes[mc.rec.Type]).Sub(mc.usage)
 }
 
-// hasUnconfirmedStart reports whether a machine that a start did not reach is being tried with another one.
-// Its heartbeats arrive, but it gets no more work than that: what was planned there waited for a heartbeat
-// each time, to be started anew.
+// hasUnconfirmedStart reports whether a machine that did not receive a start has been sent another
+// one that the worker has not reported yet. The machine's heartbeats arrive, but it receives no
+// further starts before that report. Without this limit, the tasks planned there waited for a
+// heartbeat each time, only to be started again.
 func (mc *machine) hasUnconfirmedStart() bool {
 	if !mc.startUndelivered {
 		return false
@@ -152,7 +156,7 @@
 	return false
 }
 
-// resetOrphanCount counts a machine's orphaned tasks from none again.
+// resetOrphanCount sets a machine's count of orphaned tasks to zero.
 func (s *shard) resetOrphanCount(mc *machine) {
 	if mc.orphanedTasks > 0 {
 		mc.orphanedTasks = 0
@@ -160,8 +164,9 @@
 	}
 }
 
-// mayHaveTasks reports whether an unreported machine may have tasks of a range: those that the ledger names,
-// or without an entry any that the machine's offering allows.
+// mayHaveTasks reports whether an unreported machine may run tasks of a range. With a ledger entry
+// it may run only the ranges that the entry lists, otherwise any range that may use its instance
+// offering.
 func (s *shard) mayHaveTasks(mc *machine, tr *taskRange) bool {
 	if entry, recorded := s.reconciler.Ledger.Entry(mc.id); recorded {
 		return slices.Contains(entry.Ranges, tr.name())
--- a/scheduler/machine_reservations.go
+++ b/scheduler/machine_reservations.go
@@ -7,23 +7,24 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// reservation is capacity of a machine that is kept for tasks of a range, since others are
-// being stopped there for it.
+// reservation is capacity of a machine that is kept for tasks of a range, because other tasks are
+// being stopped there for them.
 //
+//	state    event                                   next state
 //	none     tasks are stopped for a guarantee       reserved; stops to be sent
-//	reserved its machine has the capacity            a task starts; one task fewer
+//	reserved the machine has the capacity            a task starts; one task fewer
 //	reserved it expires, the machine or the range    none
-//	         changes hands, or the job is over
+//	         changes owners, or the job ends
 type reservation struct {
 	taskRange *taskRange
-	count     int   // tasks
+	count     int   // tasks that have not started yet
 	expiresAt int64 // monotonic milliseconds
 	stopsSent bool  // the stops were sent as direct commands, without waiting for a heartbeat
 }
 
-// reservedResources is the free capacity of a machine that its reservation holds: what is reserved,
-// less what the tasks use that are being stopped for it. A reservation that is not valid any
-// more is removed.
+// reservedResources is the free capacity that the reservation of a machine holds: the requests of
+// the reserved tasks, less the usage of the tasks that are being stopped for them. It removes a
+// reservation that is no longer valid.
 func (qm *quotaManager) reservedResources(mc *machine) availability.Resources {
 	reservation := mc.reservation
 	if reservation == nil {
@@ -56,9 +57,9 @@
 	return qm.cache.isCurrent(tr) && tr.pending() != 0
 }
 
-// sendReclaimStops sends the stops for reservations to their workers as direct commands: with the
-// next heartbeat, half of the time that a guarantee promises would be over. One that
-// fails goes with the response to the next heartbeat.
+// sendReclaimStops sends the stops for reservations to the workers as direct commands. If the stops
+// waited for the next heartbeat, half of the time that a guarantee promises would have passed. A
+// stop whose direct command fails is sent with the response to the next heartbeat.
 func (qm *quotaManager) sendReclaimStops(s *shard) {
 	for _, mc := range s.machines {
 		if mc.reservation == nil || mc.reservation.stopsSent || !qm.agents.acceptsDirectCommand(mc) {
@@ -73,7 +74,7 @@
 	}
 }
 
-// queueReclaimStops makes a machine's commands the stops of its reclaimed tasks.
+// queueReclaimStops replaces the pending commands of a machine by the stops of its reclaimed tasks.
 func (qm *quotaManager) queueReclaimStops(s *shard, mc *machine) {
 	mc.commands = mc.commands[:0]
 	for _, a := range mc.byKey {
@@ -83,9 +84,9 @@
 	}
 }
 
-// startReserved starts the tasks that a machine's capacity is reserved for, as far as it is free.
+// startReserved starts the tasks of a machine's reservation, as far as their capacity is free.
 func (qm *quotaManager) startReserved(s *shard, mc *machine, hb *Heartbeat) {
-	qm.reservedResources(mc) // removes a reservation that does not stand any more
+	qm.reservedResources(mc) // removes a reservation that is no longer valid
 	if mc.reservation == nil || !qm.agents.canStartOn(mc) {
 		return
 	}
@@ -106,8 +107,8 @@
 	}
 }
 
-// mayStartReserved reports whether a task of a range may start on a machine now. It takes a start
-// from the pacer if so, hence last.
+// mayStartReserved reports whether a task of a range may start on a machine now. If so, it takes a
+// start from the pacer, and must therefore be the last check.
 func (qm *quotaManager) mayStartReserved(s *shard, tr *taskRange, mc *machine) bool {
 	if !qm.agents.freeResources(mc).Contains(tr.job.rec.Job.Request) || !qm.agents.mayStart(s, tr, mc) {
 		return false
--- a/scheduler/task_groups.go
+++ b/scheduler/task_groups.go
@@ -5,15 +5,14 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// noDeadlineSpanLeases is the horizon of a job without any objective, in leases: far enough that
-// any job with a deadline goes first.
+// noDeadlineSpanLeases is the horizon of a job without any objective, in leases. It is long enough
+// that any job with a deadline ranks first.
 const noDeadlineSpanLeases = 100
 
-// taskDeadlines are the times of day that a job's tasks are admitted for, in milliseconds.
-// startObjectiveEnd is when they must end to have started as their class's objectives
-// ask; deadline is the earliest time that still counts for an objective and can still be
-// met. missed says that none can: deadline is then the last one, and the job is
-// admitted as late.
+// taskDeadlines returns the times for which a job's tasks are admitted, in milliseconds of wall
+// time. startObjectiveEnd is when tasks must end to have started within their start objectives.
+// deadline is the earliest objective that can still be met. missed is true if none can: deadline is
+// then the last one, and the job is admitted as late.
 func (pp *placementPlanner) taskDeadlines(
 	j *Job,
 	accepted, runtimeMS int64,
@@ -26,8 +25,8 @@
 	return min(pp.startObjective(j, accepted, horizon)+runtimeMS, deadline), deadline, missed
 }
 
-// earliestReachable returns the first of the deadlines, which ascend, that is not before
-// an expected end; if there is none, the last one, as missed.
+// earliestReachable returns the first of the ascending deadlines that is not before an expected
+// end. If there is none, it returns the last one, as missed.
 func earliestReachable(deadlines []int64, expectedEnd int64) (deadline int64, missed bool) {
 	for _, t := range deadlines {
 		if expectedEnd <= t {
@@ -37,8 +36,9 @@
 	return deadlines[len(deadlines)-1], true
 }
 
-// startObjective is the time of day at which a job's tasks should have started: by its class's
-// objectives on waiting, and by its team's guarantee.
+// startObjective is the wall time, in milliseconds, at which a job's tasks should have started,
+// according to its class's start objectives and its team's guarantee. Without either, it is the
+// horizon.
 func (pp *placementPlanner) startObjective(j *Job, accepted, horizon int64) int64 {
 	startBy := horizon
 	for _, o := range pp.params.Objectives[j.Class] {
@@ -52,7 +52,7 @@
 	return startBy
 }
 
-// resourceRequest is what placement sees of a job.
+// resourceRequest returns the properties of a job that placement considers.
 func (j *Job) resourceRequest() planner.ResourceRequest {
 	return planner.ResourceRequest{
 		Resources:  j.Request,
@@ -63,7 +63,8 @@
 	}
 }
 
-// withoutDisk leaves the room for the image out: a machine evicts cached images for it.
+// withoutDisk returns resources without the disk space for the image, since a machine evicts cached
+// images to make space for a new one.
 func withoutDisk(r availability.Resources) availability.Resources {
 	r.DiskGB = 0
 	return r
@@ -76,7 +77,7 @@
 	job       *Job
 }
 
-// newTaskGroup makes a group of the pending tasks of a range.
+// newTaskGroup returns a group of the pending tasks of a range.
 func (pp *placementPlanner) newTaskGroup(tr *taskRange, pending int) *taskGroup {
 	j := &tr.job.rec.Job
 	g := &taskGroup{
@@ -110,9 +111,10 @@
 	planner.SortGroups(groups, func(g *taskGroup) *planner.Group { return &g.Group })
 }
 
-// waitingTaskGroups lists a shard's waiting work: higher priority first; within one, what can
-// meet an objective before what cannot, what was admitted keeps its place, then earliest
-// deadline, then arrival.
+// waitingTaskGroups lists a shard's waiting work in planning order. Higher priorities rank first.
+// Within a priority, groups that can meet an objective rank before those that cannot, and groups
+// that the last plan admitted keep their rank. The others follow by earliest deadline, then by
+// arrival. Guarantees, usage tiers and aging modify this order.
 func (pp *placementPlanner) waitingTaskGroups(s *shard) []*taskGroup {
 	var out []*taskGroup
 	for _, tr := range s.taskRanges {
@@ -135,12 +137,12 @@
 	return pp.applyAging(out)
 }
 
-// admitToTeamLimits admits groups to their teams' limits as tasks are admitted to
-// machines: a limit is a queue that works at the speed of its processors. A
-// group that would not be done in time there, or would make one late that was
-// admitted, is planned for its next deadline, or goes last. Without it a team
-// over its limit ran the earliest deadlines, which it had missed already, and
-// nothing in time. It reports whether any group changed.
+// admitToTeamLimits admits groups to their teams' limits as tasks are admitted to machines: a limit
+// is a queue whose throughput is that of its processors. A group that would finish late there, or
+// would make an admitted group late, is planned for its next deadline. If it can meet no deadline,
+// it ranks last. Without this step a team over its limit ran the tasks with the earliest deadlines,
+// which had already been missed, and finished nothing in time. admitToTeamLimits reports whether
+// any group changed.
 func (pp *placementPlanner) admitToTeamLimits(s *shard, groups []*taskGroup) (changed bool) {
 	queues := map[string]*availability.Queue{}
 	for _, g := range groups {
@@ -161,11 +163,12 @@
 	return changed
 }
 
-// admitToQueue admits a group to the queue of a limit of so many processors. It reports whether
-// the group's deadline holds there; if not, the next one that does is set, or none.
+// admitToQueue admits a group to the queue of a limit of cpus processors. It reports whether the
+// group's deadline can be met there. If not, it sets the next deadline that can be met, or marks
+// the group as missing its objectives.
 func (pp *placementPlanner) admitToQueue(queue *availability.Queue, g *taskGroup, cpus float64) bool {
 	duration := int64(float64(g.Remaining) * g.job.Request.CPUs / cpus * float64(g.LengthMS))
-	// However wide the limit, its last task takes its run time.
+	// Even under a large limit, the last task takes its full run time.
 	tail := max(0, g.LengthMS-duration)
 	if queue.Admit(g.DeadlineMS-tail, duration, 1) == 1 {
 		return true
--- a/scheduler/task_ranges.go
+++ b/scheduler/task_ranges.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// job is a live job of the state cache.
+// job is a live job in the state cache.
 type job struct {
 	rec                 jobRecord
 	rev                 uint64
 	recordWritePending  bool               // a write of its record is in flight
-	taskRanges          map[int]*taskRange // those of owned shards, by their first task
+	taskRanges          map[int]*taskRange // ranges of owned shards, by their first task
 	failureReason       string             // why the job is to fail; empty: it is not
-	awaitingBegunRecord bool               // at most once: a task waits for the record to say that it may have begun
+	awaitingBegunRecord bool               // at-most-once: a task waits for the record that tasks may have started
 }
 
-// applyJobRecord applies a change of a live job in the store. It returns the decoder's
-// error; nothing is changed then.
+// applyJobRecord applies a change of a live job in the store. If the record cannot be decoded, it
+// returns the decoder's error and changes nothing.
 func (sm *shardManager) applyJobRecord(kv KeyValue) error {
 	id := kv.Key[len(jobPrefix):]
 	if kv.Value == nil {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// taskCounts returns how many tasks of each live job run and are done in a shard.
+// taskCounts returns the numbers of running and of done tasks of each live job in a shard.
 func (sm *shardManager) taskCounts(s *shard) map[string]TaskCounts {
 	byJob := map[string]TaskCounts{}
 	for _, tr := range s.taskRanges {
@@ -48,18 +48,19 @@
 	return byJob
 }
 
-// taskRange is a range of a job's tasks that an owned shard runs. Tasks are counted from the
-// range's first. It belongs to one claim of the shard: a later claim makes a new one.
+// taskRange is a range of a job's tasks that an owned shard runs. Task indexes are relative to the
+// first task of the range. A range belongs to one claim of the shard; a later claim creates a new
+// one.
 type taskRange struct {
 	job       *job
 	bounds    Range
 	shardName string
 	claim     *shard
 
-	// recovered ranges were run by an earlier claim, so a task of theirs may
-	// still run on any machine that has not sent a heartbeat under our token.
+	// recovered is set if an earlier claim ran the range, so its tasks may still run on any machine
+	// that has not sent a heartbeat under our token.
 	recovered bool
-	admitted  bool // at the last plan
+	admitted  bool // by the last plan
 	moving    bool // a move of its tail to a peer is in flight
 
 	taskProgress
@@ -69,14 +70,14 @@
 	gangStart
 
 	writing     bool  // a write of the job's record for this range is in flight
-	nextWriteAt int64 // monotonic milliseconds; no such write before
+	nextWriteAt int64 // monotonic milliseconds; the record is not written before
 }
 
-// taskProgress is which tasks are done, here and in the store.
+// taskProgress is which tasks are done, in memory and in the store.
 type taskProgress struct {
 	done        bitset
 	doneCount   int
-	storedDone  bitset // done, as the store has it
+	storedDone  bitset // done tasks according to the store
 	progressKey string // key of the progress record; empty: not computed
 	dirty       bool   // done differs from storedDone
 }
@@ -89,7 +90,7 @@
 	p.doneCount++
 }
 
-// unmarkDone forgets that a task is done, here and in the store.
+// unmarkDone clears the done state of a task, and the cached done state of the store.
 func (p *taskProgress) unmarkDone(i int) {
 	if p.done.has(i) {
 		p.done.clear(i)
@@ -100,10 +101,10 @@
 
 // taskAssignments is which tasks have an attempt.
 type taskAssignments struct {
-	assigned       bitset // an attempt has it, running or not known to be over
+	assigned       bitset // tasks with an attempt that runs or is not known to have ended
 	assignedCount  int
-	searchFrom     int            // no lower task is free to start
-	runningCount   int            // attempts that run
+	searchFrom     int            // all lower tasks are done or assigned
+	runningCount   int            // running attempts
 	attemptsByZone map[string]int // live attempts
 }
 
@@ -124,31 +125,31 @@
 	ta.searchFrom = min(ta.searchFrom, i)
 }
 
-// taskErrors is what failed, and how long to wait after it.
+// taskErrors is the errors of a range's tasks and the back-off after them.
 type taskErrors struct {
 	retryAt         int64 // monotonic milliseconds; no start before
 	errors          int
 	errorsByMachine map[string]int
-	errorsByTask    map[int]int // for jobs that limit them
+	errorsByTask    map[int]int // only for jobs that limit them
 }
 
-// taskStops is what stops by this scheduler left behind, by task.
+// taskStops is what this scheduler records, by task, about the stops that it sent.
 type taskStops struct {
-	reclaimedFor   map[int]string // the team that it was last stopped for
-	checkpointedMS map[int]int64  // how long it had run when it saved its state and stopped
+	reclaimedFor   map[int]string // team for whose guarantee the task was last stopped
+	checkpointedMS map[int]int64  // run time that the task's checkpoints preserve
 }
 
-// gangStart is the last try to start all tasks of a gang.
+// gangStart is the last attempt to start all tasks of a gang.
 type gangStart struct {
 	gangStartedAt  int64  // monotonic milliseconds
-	gangAttempt    uint64 // attempt of all its tasks
-	gangStartsSent bitset // tasks whose start was sent in it
+	gangAttempt    uint64 // attempt ID that all its tasks share
+	gangStartsSent bitset // tasks whose start was sent with this attempt ID
 }
 
-// jobWriteRetryMS is how long a range waits after a write of its job's record failed.
+// jobWriteRetryMS is how long a range waits after a failed write of its job's record.
 const jobWriteRetryMS = 200
 
-// newTaskRange makes a range of a job, none of whose tasks is known to run or to be done.
+// newTaskRange returns a range of a job, none of whose tasks is known to run or to be done.
 func newTaskRange(j *job, bounds Range, claim *shard) *taskRange {
 	n := bounds.Hi - bounds.Lo
 	return &taskRange{
@@ -165,14 +166,14 @@
 
 func (tr *taskRange) pending() int { return tr.size() - tr.doneCount - tr.assignedCount }
 
-// isDone reports whether all tasks are done.
+// isDone reports whether all tasks of the range are done.
 func (tr *taskRange) isDone() bool { return tr.doneCount == tr.size() }
 
-// hasStarted reports whether a task of the range runs or is done.
+// hasStarted reports whether a task of the range is assigned or done.
 func (tr *taskRange) hasStarted() bool { return tr.assignedCount > 0 || tr.doneCount > 0 }
 
-// nextTask returns the lowest task that is neither done nor assigned, or -1. All below
-// searchFrom are one or the other.
+// nextTask returns the lowest task that is neither done nor assigned, or -1. All tasks below
+// searchFrom are done or assigned.
 func (tr *taskRange) nextTask() int {
 	for ; tr.searchFrom < tr.size(); tr.searchFrom++ {
 		if !tr.done.has(tr.searchFrom) && !tr.assigned.has(tr.searchFrom) {
@@ -182,10 +183,10 @@
 	return -1
 }
 
-// shrinkTo cuts a range down to what its shard keeps of it. A machine that was thought
-// lost may have reported a result while the move was in flight: left in the
-// count, it made more tasks done than the range has, and the job never
-// ended. The peer runs that task once more, or receives the same result.
+// shrinkTo reduces a range to the part that its shard keeps. While the move of the other part was
+// in flight, a machine that was considered lost may have reported a result of it. When such a
+// result stayed in the count, more tasks were done than the range has, and the job never ended. The
+// peer runs that task once more, or receives the same result.
 func (tr *taskRange) shrinkTo(kept Range) {
 	for i := kept.Hi - kept.Lo; i < tr.size(); i++ {
 		tr.unmarkDone(i)
@@ -193,7 +194,7 @@
 	tr.bounds = kept
 }
 
-// upsertJob enters a live job's record, new or changed, into the cache.
+// upsertJob adds a live job's record to the cache, or updates it.
 func (sm *shardManager) upsertJob(id string, rec jobRecord, rev uint64) {
 	j := sm.cache.jobs[id]
 	if j == nil {
@@ -205,8 +206,8 @@
 	sm.syncTaskRanges(j, false)
 }
 
-// syncTaskRanges makes a job's task ranges those of its record whose shards this member
-// owns. New ones are marked as recovered if an earlier claim may have run them.
+// syncTaskRanges updates a job's task ranges to those of its record whose shards this member owns.
+// recovered marks the new ranges as possibly run by an earlier claim.
 func (sm *shardManager) syncTaskRanges(j *job, recovered bool) {
 	keep := map[int]bool{}
 	for _, r := range j.rec.Ranges {
@@ -218,16 +219,16 @@
 		s.dirty = true
 		tr := j.taskRanges[r.Lo]
 		if tr == nil || tr.claim != s {
-			// A range of a claim that ended must not pass for one of this
-			// claim: a shard handed back and a range moved here from it
-			// left a range that nobody ran.
+			// A range of an ended claim must not be reused for this claim. When a shard was handed
+			// back and one of its ranges then moved to a shard of this member, the reused range was
+			// run by no member.
 			tr = newTaskRange(j, r, s)
 			tr.recovered = recovered
 			s.addTaskRange(tr)
 			continue
 		}
 		if r.Hi != tr.bounds.Hi {
-			tr.shrinkTo(r) // the tail went to a peer; none of it was started
+			tr.shrinkTo(r) // the tail was moved to a peer; none of its tasks was started
 		}
 	}
 	for lo, tr := range j.taskRanges {
@@ -238,7 +239,7 @@
 	}
 }
 
-// addTaskRange enters a new range under its job and its shard, which is then planned soon.
+// addTaskRange adds a new range to its job and its shard, and expedites the shard's next plan.
 func (s *shard) addTaskRange(tr *taskRange) {
 	tr.job.taskRanges[tr.bounds.Lo] = tr
 	pos, _ := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare)
@@ -255,14 +256,14 @@
 	}
 	hasOwnRecord := strings.HasSuffix(tr.progressKey, tr.name())
 	if record := s.progressRecords[tr.progressKey]; record != nil && record.rev != 0 && hasOwnRecord {
-		record.dirty = true // it is removed with the range
+		record.dirty = true // the progress record is removed with the range
 	}
 	if pos, ok := slices.BinarySearchFunc(s.taskRanges, tr, (*taskRange).compare); ok && s.taskRanges[pos] == tr {
 		s.taskRanges = slices.Delete(s.taskRanges, pos, pos+1)
 	}
 }
 
-// compare orders ranges by job and first task.
+// compare orders ranges by job ID and first task.
 func (tr *taskRange) compare(other *taskRange) int {
 	if c := strings.Compare(tr.job.rec.Job.ID, other.job.rec.Job.ID); c != 0 {
 		return c
@@ -270,8 +271,8 @@
 	return tr.bounds.Lo - other.bounds.Lo
 }
 
-// deleteJob handles the removal of a job's live record: the job is done or cancelled, and
-// what still runs of it is stopped at the next heartbeat of its machine.
+// deleteJob handles the removal of a job's live record: the job is done or cancelled. Tasks that
+// still run are stopped at the next heartbeat of their machine.
 func (sm *shardManager) deleteJob(id string) {
 	j := sm.cache.jobs[id]
 	if j == nil {
@@ -285,8 +286,8 @@
 	clear(j.taskRanges)
 }
 
-// taskRangeOf returns the owned range that a task belongs to, and the task's index in it;
-// nil if there is none.
+// taskRangeOf returns the owned range that a task belongs to and the task's index in it, or nil if
+// there is no such range.
 func (sm *shardManager) taskRangeOf(name string) (*taskRange, int) {
 	id, n, ok := parseTaskName(name)
 	if !ok {
@@ -304,11 +305,11 @@
 	return nil, 0
 }
 
-// name is the range's key in its progress record.
+// name returns the range's key in its progress record.
 func (tr *taskRange) name() string { return TaskName(tr.job.rec.Job.ID, tr.bounds.Lo) }
 
-// finishTaskRange records that all tasks of a range are done. With the last range of a job,
-// the job's final record replaces the live one in the same transaction.
+// finishTaskRange records in the store that all tasks of a range are done. For the last range of a
+// job, one transaction replaces the job's live record by its final one.
 func (sm *shardManager) finishTaskRange(s *shard, tr *taskRange) {
 	rec := tr.job.rec
 	remaining := make([]Range, 0, len(rec.Ranges))
@@ -325,7 +326,7 @@
 	sm.writeJob(s, tr, []Change{{Key: jobKey(rec.Job.ID), Value: mustEncode(rec)}}, nil, func() {})
 }
 
-// finishJob replaces a job's live record by its final one.
+// finishJob replaces the live record of a job whose tasks are all done by its final one.
 func (sm *shardManager) finishJob(s *shard, tr *taskRange) {
 	j := tr.job
 	final := terminalRecord{State: Done, Tasks: j.rec.Job.Tasks, WorkflowRun: j.rec.Job.WorkflowRun}
@@ -338,8 +339,8 @@
 	})
 }
 
-// writeTerminalRecord ends a job: its final record, which must not exist yet, replaces the
-// live one in one transaction. Users see it before onSuccess runs.
+// writeTerminalRecord ends a job: one transaction replaces the live record by the final one, which
+// must not exist yet. The final record is visible to users before onSuccess runs.
 func (sm *shardManager) writeTerminalRecord(s *shard, tr *taskRange, final terminalRecord, onSuccess func()) {
 	id := tr.job.rec.Job.ID
 	changes := []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}
@@ -349,9 +350,9 @@
 	})
 }
 
-// writeJob changes a job's records under its shard's claim. After an outcome other than OK
-// nothing is assumed: the record is read again where it may have changed, and the tick
-// that found the write due finds it due again.
+// writeJob changes a job's records under its shard's claim. It assumes nothing about a write whose
+// outcome is not OK: it reads the record again if the record may have changed, and a later tick
+// repeats the write if it is still due.
 func (sm *shardManager) writeJob(
 	s *shard,
 	tr *taskRange,
--- a/scheduler/task_starts.go
+++ b/scheduler/task_starts.go
@@ -5,16 +5,16 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// taskStart is a task that is to start now, and how long it is expected to take.
+// taskStart is a task to start now, with its expected run time and image fetch time.
 type taskStart struct {
 	taskRange *taskRange
-	taskIndex int // in taskRange
+	taskIndex int // index in taskRange
 	runtimeMS int64
 	fetchMS   int64
 }
 
-// startTasks fills the room that a heartbeat shows: first with what it was reserved for, then with what the
-// plan put there, then from the queue.
+// startTasks uses the free resources of a machine that sent a heartbeat: first for its reservation,
+// then for the plan's starts, then for the queue.
 func (am *agentManager) startTasks(s *shard, mc *machine, hb *Heartbeat) {
 	am.quotas.startReserved(s, mc, hb)
 	am.dispatchPlannedStarts(s, mc, hb)
@@ -26,7 +26,7 @@
 	return am.isSchedulable(mc) && mc.Up && mc.IsReconciled() && am.store.hasAuthority()
 }
 
-// dispatchPlannedStarts turns the plan's starts on this machine into commands.
+// dispatchPlannedStarts turns the plan's starts on a machine into commands.
 func (am *agentManager) dispatchPlannedStarts(s *shard, mc *machine, hb *Heartbeat) {
 	if !am.canStartOn(mc) {
 		return
@@ -41,8 +41,8 @@
 	}
 }
 
-// dispatchPlannedStart starts the tasks of one planned start as far as the rules and the room allow, and
-// returns what is free afterwards.
+// dispatchPlannedStart starts the tasks of one planned start as far as the rules and the free
+// resources permit. It returns the resources that remain free.
 func (am *agentManager) dispatchPlannedStart(
 	s *shard,
 	mc *machine,
@@ -58,7 +58,7 @@
 			break
 		}
 		if j.Kind == Gang && (tr.gangAttempt == 0 || tr.gangStartsSent.has(i)) {
-			break // this attempt at the gang failed; a task gets an attempt ID once
+			break // this attempt to start the gang failed; a task uses an attempt ID only once
 		}
 		if !am.hasAttemptIDs(s) ||
 			!s.reconciler.Pacer.TryStart(am.now.MonotonicMS, p.hasStartObjective || j.Kind == Gang) {
@@ -70,8 +70,8 @@
 	return free
 }
 
-// startTask begins an attempt; its command goes with whatever is sent to the worker next. hb is the machine's
-// newest heartbeat, which proves nothing about the attempt.
+// startTask creates an attempt and adds its start to the machine's pending commands. hb is the
+// newest heartbeat of the machine, which proves nothing about the new attempt.
 func (am *agentManager) startTask(s *shard, mc *machine, hb *Heartbeat, start taskStart) {
 	tr, i := start.taskRange, start.taskIndex
 	j := &tr.job.rec.Job
@@ -105,7 +105,7 @@
 	mc.commands = append(mc.commands, Command{Kind: CommandStart, Task: a.key.task, Attempt: a.key.attempt})
 }
 
-// useReservation takes a start off what the machine's room is reserved for.
+// useReservation deducts a start of a range from the machine's reservation.
 func (dispatch *machineDispatch) useReservation(tr *taskRange) {
 	reserved := dispatch.reservation
 	if reserved == nil || reserved.taskRange != tr {
@@ -116,7 +116,7 @@
 	}
 }
 
-// countStart counts a start, and whether it is late by its class's start objectives.
+// countStart counts a start, and whether it is late according to its class's start objectives.
 func (am *agentManager) countStart(tr *taskRange) {
 	am.Counters.Starts++
 	for _, o := range am.params.Objectives[tr.job.rec.Job.Class] {
@@ -126,15 +126,15 @@
 	}
 }
 
-// queueFill is one machine's pass over its shard's queue.
+// queueFill is the state while one machine takes tasks from its shard's queue.
 type queueFill struct {
 	machineType *MachineType
-	free        availability.Resources // on the machine, less what is reserved
-	latestStart int64                  // wall time by which all groups that were passed over must start
+	free        availability.Resources // free resources of the machine, less reserved ones
+	latestStart int64                  // wall time by which all skipped groups must start
 }
 
-// startFromQueue fills the room that a heartbeat shows beyond what the plan put there: the next tasks of the
-// shard's queue, in the order of the last plan.
+// startFromQueue uses the resources that remain free on a machine after the plan's starts: it
+// starts the next tasks of the shard's queue, in the order of the last plan.
 func (am *agentManager) startFromQueue(s *shard, mc *machine, hb *Heartbeat) {
 	if len(s.queue) == 0 || !am.canStartOn(mc) {
 		return
@@ -152,9 +152,10 @@
 	}
 }
 
-// nextFromQueue picks the first group of the queue that has tasks and room. A group whose image is there goes
-// before one that would fetch, if the latter can still start behind it in time: l(δ) once more, with the
-// passed-over task behind the insertion point.
+// nextFromQueue returns the first group of the queue with a task that fits and may start. A group
+// whose image is cached precedes a group that must fetch its image, if the latter can still start
+// in time after it. This applies the availability l(δ) once more, with the skipped task behind the
+// insertion point.
 func (am *agentManager) nextFromQueue(s *shard, mc *machine, fill *queueFill) *taskGroup {
 	var first *taskGroup
 	for _, g := range s.queue {
@@ -177,8 +178,8 @@
 	return first
 }
 
-// latestStart is by when a group's tasks must start, in wall time. One that can still start as its class's
-// objective wants must not wait past that, whatever its deadline.
+// latestStart is the wall time, in milliseconds, by which a group's tasks must start. A group that
+// can still meet the start objective of its class must start in time for it, whatever its deadline.
 func (am *agentManager) latestStart(g *taskGroup, fetchMS int64) int64 {
 	needed := g.LengthMS + fetchMS
 	if g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS-needed > am.now.WallMS {
@@ -187,7 +188,8 @@
 	return g.DeadlineMS - needed
 }
 
-// fitsUnplanned reports whether a task of the group waits, has room, and may start without a new plan.
+// fitsUnplanned reports whether a group has a pending task that fits the free resources and may
+// start without a new plan.
 func (am *agentManager) fitsUnplanned(s *shard, mc *machine, g *taskGroup, fill *queueFill) bool {
 	if g.job.Kind == Gang || g.taskRange.pending() <= 0 || !fill.free.Contains(withoutDisk(g.job.Request)) {
 		return false
@@ -195,8 +197,8 @@
 	return am.mayStartUnplanned(s, mc, fill.machineType, g)
 }
 
-// startGroup starts tasks of a group while there is room. It reports false once the pacer or the attempt IDs
-// forbid any start.
+// startGroup starts tasks of a group while they fit. It returns false once the pacer or the attempt
+// IDs permit no more starts.
 func (am *agentManager) startGroup(s *shard, mc *machine, hb *Heartbeat, g *taskGroup, fill *queueFill) bool {
 	fetch := am.fetchTime(g.job, mc, fill.machineType)
 	for fill.free.Contains(withoutDisk(g.job.Request)) && am.mayStartUnplanned(s, mc, fill.machineType, g) {
@@ -214,15 +216,15 @@
 	return true
 }
 
-// mayStartUnplanned reports whether a task of a group may start on a machine without a new plan. What the
-// plan decides with a view of the whole shard is left to it: types that others cannot do without, the
-// reserve, and on-demand machines for work that spot machines end in time, or they would never be idle and
-// released.
+// mayStartUnplanned reports whether a task of a group may start on a machine without a new plan.
+// Decisions that need a view of the whole shard are left to the plan: machine types that other jobs
+// require, the reserve, and on-demand machines for work that spot machines complete in time.
+// Otherwise these on-demand machines would never be idle and released.
 func (am *agentManager) mayStartUnplanned(s *shard, mc *machine, t *MachineType, g *taskGroup) bool {
 	tr := g.taskRange
 	j := &tr.job.rec.Job
 	if g.IsFirstTask && tr.hasStarted() {
-		return false // the rest has its own place in the queue
+		return false // the other tasks have their own place in the queue
 	}
 	if !am.cache.isCurrent(tr) || tr.moving || am.now.MonotonicMS < tr.retryAt {
 		return false
@@ -241,8 +243,8 @@
 	return am.mayStart(s, tr, mc)
 }
 
-// mayStart checks, at the last moment, what the rules ask of a start. Some checks note what they find, so
-// their order matters.
+// mayStart makes the final checks before a start. Some checks record what they find, so their order
+// matters.
 func (am *agentManager) mayStart(s *shard, tr *taskRange, mc *machine) bool {
 	j := &tr.job.rec.Job
 	if !am.cache.isOfferingAllowed(j, mc.rec.Type, mc.rec.Zone, mc.rec.Spot) || mc.hasUnconfirmedStart() {
@@ -254,11 +256,11 @@
 	return tr.isZoneAllowed(mc.rec.Zone) && am.quotas.isWithinTeamLimit(s, j)
 }
 
-// hasAttemptIDs reports whether starts can have attempt IDs of their own.
+// hasAttemptIDs reports whether attempt IDs are left for further starts.
 func (am *agentManager) hasAttemptIDs(s *shard) bool { return !s.attemptIDs.IsExhausted(am.now.WallMS) }
 
-// isBlockedByUnreported reports whether a range's tasks may still run on a machine that has not reported
-// since the claim. Once none can, the range no longer counts as recovered.
+// isBlockedByUnreported reports whether tasks of a range may still run on a machine that has not
+// reported since the claim. Once none can, the range no longer counts as recovered.
 func (am *agentManager) isBlockedByUnreported(s *shard, tr *taskRange) bool {
 	if !tr.recovered {
 		return false
@@ -273,8 +275,8 @@
 	return false
 }
 
-// isZoneAllowed checks one-zone and spread jobs against where their other tasks are. One shard has the whole
-// of such a job, and sees all of them.
+// isZoneAllowed reports whether a one-zone or spread job permits another task in a zone, given the
+// zones of its other tasks. One shard owns all tasks of such a job.
 func (tr *taskRange) isZoneAllowed(zone string) bool {
 	j := &tr.job.rec.Job
 	if !j.requiresOneShard() {
--- a/scheduler/task_status.go
+++ b/scheduler/task_status.go
@@ -5,7 +5,7 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// The states of a task in a heartbeat, and why it exited.
+// Task states in a heartbeat, and reasons for an exit.
 const (
 	taskFetching      = "fetching"
 	taskRunning       = "running"
@@ -20,8 +20,8 @@
 	exitUnknown = "unknown"
 )
 
-// resolveUnknownAttempt takes a task that this claim did not start, by the verdicts of package reconcile. It
-// returns an attempt if the task goes on as ours, else nil.
+// resolveUnknownAttempt handles a task that this claim did not start, according to the verdicts of
+// package reconcile. It returns an attempt if this claim adopts the task, else nil.
 func (am *agentManager) resolveUnknownAttempt(s *shard, mc *machine, status TaskStatus) *attempt {
 	tr, i, recorded := am.recordedTaskState(s, status.Task)
 	switch s.reconciler.DecideVerdict(recorded, status.observation()) {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// observation is what a status shows to package reconcile.
+// observation translates a status for package reconcile.
 func (status *TaskStatus) observation() reconcile.Observation {
 	switch {
 	case status.State != taskExited:
@@ -54,7 +54,8 @@
 	return reconcile.Terminated
 }
 
-// recordedTaskState finds a task's range and its place in it, and which state the cache has for it.
+// recordedTaskState returns the range of a task, its index in the range, and its state according to
+// the cache.
 func (am *agentManager) recordedTaskState(s *shard, task string) (tr *taskRange, i int, state reconcile.TaskState) {
 	tr, i = am.shards.taskRangeOf(task)
 	switch {
@@ -63,7 +64,7 @@
 	case tr.storedDone.has(i):
 		return tr, i, reconcile.ResultStored
 	case tr.shardName != s.name && !tr.done.has(i):
-		return tr, i, reconcile.Obsolete // another owned shard's
+		return tr, i, reconcile.Obsolete // the task belongs to another owned shard
 	case tr.done.has(i):
 		return tr, i, reconcile.Completed
 	case tr.assigned.has(i):
@@ -74,7 +75,8 @@
 	return tr, i, reconcile.Unassigned
 }
 
-// adoptAttempt goes on with a task that an earlier claim started. Its attempt ID has the time of the start.
+// adoptAttempt adopts a task that an earlier claim started. The attempt ID contains the time of the
+// start.
 func (am *agentManager) adoptAttempt(s *shard, mc *machine, status TaskStatus, tr *taskRange, i int) *attempt {
 	j := &tr.job.rec.Job
 	a := &attempt{
@@ -100,8 +102,8 @@
 	return a
 }
 
-// applyTaskStatus takes the status of an attempt in a heartbeat, or in the answer to a direct command, and
-// queues the commands that follow from it.
+// applyTaskStatus applies the status of an attempt from a heartbeat, or from the response to a
+// direct command, and queues the commands that follow from it.
 func (am *agentManager) applyTaskStatus(s *shard, mc *machine, a *attempt, status TaskStatus, hb *Heartbeat) {
 	current := am.cache.isCurrent(a.taskRange)
 	if a.job.Image != "" && status.State != taskFetching {
@@ -127,8 +129,9 @@
 		am.recordExit(mc, a, status)
 	}
 	if a.isStartUnanswered(hb.Token) {
-		// The worker takes a repeated start for the same one only as long as it keeps the attempt: the
-		// unanswered command must be void before the attempt is cleared, or it would run once more.
+		// The worker recognizes a repeated start only while it keeps the attempt. The unanswered
+		// command must be void before the attempt is cleared; otherwise the task would run once
+		// more.
 		return
 	}
 	if status.Reason != exitDone || !current || a.taskRange.storedDone.has(a.taskIndex) {
@@ -136,21 +139,21 @@
 	}
 }
 
-// recordRunning notes that an attempt began to run, and since when.
+// recordRunning records that an attempt runs, and since when.
 func (am *agentManager) recordRunning(mc *machine, a *attempt) {
 	a.running, a.runningSince = true, am.now.WallMS
 	if a.adopted && a.expectedFetchMS == 0 {
-		// It ran before. Half of a fetch is as near as one can guess: tasks that came to a machine together
-		// share one.
+		// The attempt ran before it was adopted. Half of a fetch time is the best available
+		// estimate, because tasks that were placed on a machine together share one fetch.
 		a.runningSince = min(am.now.WallMS, a.placedAt+am.cache.imageFetchMS(a.job, mc.rec.Type)/2)
 	} else {
-		a.adopted = false // its beginning was observed
+		a.adopted = false // its start was observed
 	}
 	a.taskRange.runningCount++
 }
 
-// commandLiveAttempt stops an attempt that should not go on: its job is over, room is needed, its machine is
-// being emptied, or about to be taken.
+// commandLiveAttempt stops an attempt that must not continue: its job has ended, it is preempted or
+// reclaimed, its machine is being drained, or the cloud provider is about to terminate the machine.
 func (am *agentManager) commandLiveAttempt(s *shard, mc *machine, a *attempt, status TaskStatus) {
 	if !am.cache.isCurrent(a.taskRange) {
 		am.queueCommand(s, mc, Command{Kind: CommandStop, Task: status.Task, Attempt: status.Attempt})
@@ -167,13 +170,13 @@
 		return
 	}
 	if status.State == taskRunning && am.isCheckpointDue(mc, a) {
-		// Appended past the pacer, which does not count this stop.
+		// This stop bypasses the pacer and is not counted by it.
 		mc.commands = append(mc.commands, am.stopAfterCheckpoint(a))
 	}
 }
 
-// isCheckpointDue reports whether a running task that can save its progress must do so now, since its machine
-// is about to be taken and it will not end before.
+// isCheckpointDue reports whether a running task with checkpoints must save its progress now,
+// because its machine is about to be terminated and the task will not end before that.
 func (am *agentManager) isCheckpointDue(mc *machine, a *attempt) bool {
 	if mc.terminatesAt == 0 || a.job.CheckpointIntervalS <= 0 || a.checkpointing {
 		return false
@@ -185,7 +188,7 @@
 	return a.expectedEnd(am.now.WallMS)-am.now.WallMS >= remaining
 }
 
-// recordExit takes an attempt's first report of its end.
+// recordExit handles the first report that an attempt ended.
 func (am *agentManager) recordExit(mc *machine, a *attempt, status TaskStatus) {
 	am.releaseResources(mc, a)
 	tr := a.taskRange
@@ -202,22 +205,22 @@
 	case exitError:
 		am.recordTaskError(mc, tr, a)
 	case exitNoRoom:
-		// The machine has something on it that is not counted here.
+		// The machine runs something that this member does not count.
 		mc.fullUntil = am.now.MonotonicMS + 2*am.maxHeartbeatIntervalMS()
 	case exitUnknown:
 		tr.retryAt = am.now.MonotonicMS + 2*am.maxHeartbeatIntervalMS()
 	}
 }
 
-// recordCompletion counts a result and learns from its run time.
+// recordCompletion counts a result and updates the run-time estimate of the job's class.
 func (am *agentManager) recordCompletion(mc *machine, a *attempt) {
 	tr := a.taskRange
 	tr.markDone(a.taskIndex)
 	tr.dirty = true
 	delete(mc.failedJobs, a.job.ID)
 	if a.running && !a.adopted {
-		// The run time of an adopted one is not known well enough: taken for shorter than it was, it
-		// shortened its whole class.
+		// The run time of an adopted attempt is not known precisely enough: when it was
+		// underestimated, it lowered the estimate of its whole class.
 		am.estimates.updateRuntimeEstimate(a.job, am.now.WallMS-a.runningSince+tr.checkpointedMS[a.taskIndex])
 	}
 }
