--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -112,10 +112,10 @@
 	return HeartbeatResponse{Accepted: true, Token: s.token, Commands: append([]Command(nil), mc.commands...)}
 }
 
-// mayRenewLease reports whether a worker that knows the token may receive a response, which renews
-// its lease. Until the shard is ready, its progress is not read and no task can be stopped. When
-// workers received responses in that state and an outage followed, a cancelled task ran for longer
-// than allowed.
+// mayRenewLease reports whether a worker with the given fencing token may receive a response, which
+// renews its lease. Until the shard is ready, its progress is not read and no task can be stopped.
+// When workers received responses in that state and an outage followed, a cancelled task ran for
+// longer than allowed.
 func (am *agentManager) mayRenewLease(s *shard, token uint64) bool {
 	return am.store.hasAuthority() && !s.releasing && token <= s.token && s.ready
 }
--- a/scheduler/task_ranges.go
+++ b/scheduler/task_ranges.go
@@ -90,7 +90,8 @@
 	p.doneCount++
 }
 
-// unmarkDone clears the done state of a task, and the cached done state of the store.
+// unmarkDone clears a task's done state, both the current one and the one that the store is known
+// to have.
 func (p *taskProgress) unmarkDone(i int) {
 	if p.done.has(i) {
 		p.done.clear(i)
