--- a/scheduler/cluster_view.go
+++ b/scheduler/cluster_view.go
@@ -8,12 +8,13 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// bootOverdueFactor is how many times its type's boot time a machine may be overdue before
-// nothing is planned on it.
+// bootOverdueFactor is the longest delay of a booting machine, in boot times of its type.
+// The planner ignores machines that are overdue for longer.
 const bootOverdueFactor = 2
 
-// buildClusterView enters a shard's machines into its cluster view, with a slot for each live attempt,
-// and sums up what the plan needs of them.
+// buildClusterView adds a shard's machines to its cluster view, with a slot for each live attempt.
+// It also recomputes the shard's totals that the plan uses: processors used by tasks with a start
+// objective, remaining work by team, and reserved tasks by range.
 func (pp *placementPlanner) buildClusterView(s *shard) {
 	s.clusterView.Begin(pp.now.WallMS)
 	s.viewMachines = s.viewMachines[:0]
@@ -32,8 +33,8 @@
 	s.clusterView.FinishAdding()
 }
 
-// machineReadyAt is the time of day at which a machine is expected to take tasks. It returns
-// false for one that is so overdue that it may never come up.
+// machineReadyAt returns the time of day at which a machine is expected to accept tasks. ok is
+// false for a machine that is overdue by more than bootOverdueFactor and may never boot.
 func (pp *placementPlanner) machineReadyAt(mc *machine) (readyAt int64, ok bool) {
 	wall := pp.now.WallMS
 	if mc.Up && mc.IsReconciled() {
@@ -54,6 +55,8 @@
 	return wall + overdue/2, true
 }
 
+// addToClusterView adds a machine to its shard's cluster view, with a slot for each live attempt.
+// The capacity that its reservation holds does not count as free.
 func (pp *placementPlanner) addToClusterView(s *shard, mc *machine, readyAt int64) {
 	wall := pp.now.WallMS
 	offering := planner.InstanceOffering{Type: mc.rec.Type, Zone: mc.rec.Zone, Spot: mc.rec.Spot}
@@ -80,7 +83,7 @@
 	slices.SortFunc(viewMachine.Slots, compareSlots)
 }
 
-// compareSlots orders slots by when they are free, then by size.
+// compareSlots orders slots by the time at which they become free, then by size.
 func compareSlots(a, b planner.Slot) int {
 	return cmp.Or(
 		cmp.Compare(a.Queue.EarliestStart, b.Queue.EarliestStart),
@@ -89,18 +92,18 @@
 	)
 }
 
-// reserveFactor is how much capacity is kept free for jobs with a start objective by jobs
-// that have none and can wait in a queue in time, against how much the use of
-// the former varies. If jobs arrive at random, that is the root of their average
-// use times the size of one: a share of the use itself, which did for a few
-// machines, kept a tenth of hundreds idle.
+// reserveFactor is the ratio of a shard's reserve to the variation in use by jobs with a start
+// objective. The reserve is capacity that jobs without a start objective leave free if they can
+// meet their deadlines in a queue. For jobs that arrive at random, the variation is the square
+// root of their mean use times the mean job size. A reserve proportional to the use itself was
+// adequate for a few machines, but kept a tenth of a fleet of hundreds idle.
 const reserveFactor = 0.5
 
-// reserveAveragingLeases is over how many leases that average runs.
+// reserveAveragingLeases is the averaging period of the mean use and mean job size, in leases.
 const reserveAveragingLeases = 3
 
-// updateReserve brings the reserve of a shard up to date: capacity on live machines
-// for the next jobs of classes with a start objective.
+// updateReserve recomputes a shard's reserve: capacity on live machines for the next jobs of
+// classes with a start objective.
 func (pp *placementPlanner) updateReserve(s *shard) {
 	jobs, cpus := 0.0, 0.0
 	for _, tr := range s.taskRanges {
--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -9,33 +9,37 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
-// A team gets its guarantee from what other teams run beyond theirs: where work that
-// is within it finds no room, tasks of theirs are stopped (package quota decides whose,
-// and how much). It is a second exception from queues that are never preempted,
-// beside the one for a team's own limit (team_preemption.go).
+// A guarantee is enforced by reclaiming capacity from teams that use more than their own
+// guarantees. If work within a guarantee does not fit on any machine, the shard's owner stops
+// tasks of such teams. Package quota decides which teams lose capacity, and how much. Queues are
+// never preempted, with two exceptions: this one and preemption within a team's own limit
+// (team_preemption.go).
 
-// preemptionBatch is attempts on one machine whose stop gives room for one more task of a group.
+// preemptionBatch is a set of attempts on one machine whose stop frees capacity for one more task
+// of a group.
 type preemptionBatch struct {
 	machine     *machine
 	viewMachine *planner.Machine
 	victims     []*attempt
 	priority    Priority // the highest of the victims
 	fetchMS     int64    // time to fetch the group's image there; 0 if it is cached
-	lostWork    float64  // work that is lost by the stops, in processor milliseconds
+	lostWork    float64  // work lost by the stops, in processor milliseconds
 }
 
-// isEnding reports whether an attempt is over, or is being stopped already.
+// isEnding reports whether an attempt has exited or is already being stopped.
 func (a *attempt) isEnding() bool { return a.exited || a.stopRequested || a.evicted }
 
-// endsUnaided reports whether an attempt ends by itself as soon as a stop would end it.
-func (qm *quotaManager) endsUnaided(a *attempt) bool {
+// endsWithinStopDelay reports whether an attempt is expected to end no later than a stop would
+// end it.
+func (qm *quotaManager) endsWithinStopDelay(a *attempt) bool {
 	return a.expectedEnd(qm.now.WallMS)-qm.now.WallMS <= qm.stopDelay(a.job)
 }
 
-// isReclaimable reports whether an attempt may be stopped for another team's guarantee. What
-// ends by itself as soon may not; nor what was stopped for that team before.
+// isReclaimable reports whether an attempt may be stopped for another team's guarantee. An attempt
+// that ends by itself within the stop delay may not, nor may a task that was already stopped once
+// for the same team.
 func (qm *quotaManager) isReclaimable(a *attempt, team string) bool {
-	if a.isEnding() || a.checkpointing || qm.endsUnaided(a) {
+	if a.isEnding() || a.checkpointing || qm.endsWithinStopDelay(a) {
 		return false
 	}
 	if a.job.Kind != Array || a.job.AtMostOnce || a.job.Team == team {
@@ -44,7 +48,8 @@
 	return a.taskRange.reclaimedFor[a.taskIndex] != team && !qm.isWithinGuarantee(a.job)
 }
 
-// lostWork is the work that a stop costs, in processor milliseconds.
+// lostWork returns the work that a stop loses, in processor milliseconds. For a task that
+// checkpoints, that is the time of one checkpoint.
 func (qm *quotaManager) lostWork(a *attempt) float64 {
 	switch {
 	case !a.running:
@@ -55,8 +60,8 @@
 	return float64(qm.now.WallMS-a.runningSince) * a.job.Request.CPUs
 }
 
-// compareReclaimable orders attempts by what a stop costs: lowest priority first, then least
-// work lost for a processor.
+// compareReclaimable orders attempts by the cost of a stop: lowest priority first, then least
+// lost work per processor.
 func (qm *quotaManager) compareReclaimable(a, b *attempt) int {
 	return cmp.Or(
 		cmp.Compare(a.job.Priority, b.job.Priority),
@@ -66,14 +71,15 @@
 	)
 }
 
-// preemptionBatches lists what could be stopped on a machine for a group, a copy of its request
-// after the other, and how many tasks find room there before a stop would help.
+// preemptionBatches returns the batches that could be stopped on a machine for a group, one for
+// each copy of the group's request. fittingWithoutStop is the number of tasks that fit on the
+// machine once attempts that end within the stop delay have ended.
 func (qm *quotaManager) preemptionBatches(
 	mc *machine,
 	viewMachine *planner.Machine,
 	g *taskGroup,
 	limit int,
-) (out []preemptionBatch, freedUnaided int) {
+) (out []preemptionBatch, fittingWithoutStop int) {
 	req := withoutDisk(g.job.Request)
 	var reclaimable []*attempt
 	free := viewMachine.Free
@@ -81,7 +87,7 @@
 	for _, a := range mc.byKey {
 		switch {
 		case a.isEnding():
-		case qm.endsUnaided(a):
+		case qm.endsWithinStopDelay(a):
 			free = free.Add(withoutDisk(a.job.Request))
 			someEnding = true
 		case qm.isReclaimable(a, g.job.Team):
@@ -89,13 +95,13 @@
 		}
 	}
 	if someEnding {
-		freedUnaided = free.MaxCopies(req, limit)
-		for range freedUnaided {
+		fittingWithoutStop = free.MaxCopies(req, limit)
+		for range fittingWithoutStop {
 			free = free.Sub(req)
 		}
 	}
 	if len(reclaimable) == 0 || mc.reservation != nil {
-		return nil, freedUnaided
+		return nil, fittingWithoutStop
 	}
 	slices.SortFunc(reclaimable, qm.compareReclaimable)
 	fetchMS := qm.agents.fetchTime(g.job, mc, qm.cache.machineTypes[mc.rec.Type])
@@ -112,11 +118,11 @@
 			batch = empty
 		}
 	}
-	return out, freedUnaided
+	return out, fittingWithoutStop
 }
 
-// mayReclaim reports whether tasks may be stopped for a group at all: not while machines that sent no
-// heartbeat yet may give it room, nor while starts are paced.
+// mayReclaim reports whether tasks may be stopped for a group at all. They may not while unreported
+// machines could have capacity for it, nor while starts are paced.
 func (qm *quotaManager) mayReclaim(s *shard, g *taskGroup) bool {
 	if !qm.params.Quota || !g.WithinGuarantee || g.MissedObjectives {
 		return false
@@ -127,9 +133,9 @@
 	return len(s.reconciler.Unreported()) == 0 && !s.reconciler.Pacer.IsActive(qm.now.MonotonicMS)
 }
 
-// reclaimForGuarantee stops tasks that other teams run beyond their guarantees for tasks of a
-// group that are within its team's and found no room. No more work is lost by a stop
-// than the task that it makes room for has.
+// reclaimForGuarantee stops tasks that other teams run beyond their guarantees. It does so for
+// tasks of a group that are within their team's guarantee and that fit on no machine. A stop never
+// loses more work than the task that it makes room for contains.
 func (qm *quotaManager) reclaimForGuarantee(s *shard, g *taskGroup, missing int) {
 	if !qm.mayReclaim(s, g) {
 		return
@@ -141,15 +147,15 @@
 	batches, missing := qm.collectBatches(s, g, missing)
 	maxLostWork := float64(g.LengthMS) * g.job.Request.CPUs
 	if g.job.Kind == Service {
-		maxLostWork = math.Inf(1) // its replicas run for as long as nobody cancels them
+		maxLostWork = math.Inf(1) // replicas run until the service is cancelled
 	}
 	skipped := map[*machine]bool{}
 	for _, b := range batches {
 		if missing <= 0 {
 			return
 		}
-		// The second batch of a machine counts on the first.
-		if skipped[b.machine] || b.lostWork > maxLostWork || !qm.takeFromExcess(b.victims) {
+		// A machine's later batches depend on the capacity that its earlier ones free.
+		if skipped[b.machine] || b.lostWork > maxLostWork || !qm.consumePreemptibleExcess(b.victims) {
 			skipped[b.machine] = true
 			continue
 		}
@@ -158,8 +164,9 @@
 	}
 }
 
-// collectBatches lists what could be stopped on the shard's machines for a group, cheapest first, and
-// returns how many of the missing tasks need it; none do when enough find room without a stop.
+// collectBatches returns the batches that could be stopped on the shard's machines for a group,
+// cheapest first. stillMissing is the number of missing tasks that need a stop; it is 0 if enough
+// of them fit without one.
 func (qm *quotaManager) collectBatches(
 	s *shard,
 	g *taskGroup,
@@ -176,8 +183,8 @@
 		if !qm.cache.placementCatalog.IsAllowed(&g.Request, viewMachine.Offering) {
 			continue
 		}
-		machineBatches, freedUnaided := qm.preemptionBatches(mc, viewMachine, g, missing)
-		missing -= freedUnaided
+		machineBatches, fittingWithoutStop := qm.preemptionBatches(mc, viewMachine, g, missing)
+		missing -= fittingWithoutStop
 		batches = append(batches, machineBatches...)
 	}
 	slices.SortStableFunc(batches, func(a, b preemptionBatch) int {
@@ -190,15 +197,16 @@
 	return batches, missing
 }
 
-// preemptibleExcess is what may be stopped of a team's tasks in this member's shards, given what it
-// uses there.
+// preemptibleExcess returns the amount of a team's usage in this member's shards that may be
+// preempted.
 func (qm *quotaManager) preemptibleExcess(team string, usage quota.Amounts) quota.Amounts {
 	guarantee := guaranteeOf(qm.params.Teams[team])
 	return qm.usageMonitor.PreemptibleExcess(team, usage, guarantee, qm.peerMessagesSince())
 }
 
-// hasReclaimableUsage reports whether any team but one may have usage to reclaim here. It is computed
-// once a plan, so that a fleet on which no team has any costs nothing more.
+// hasReclaimableUsage reports whether any team except exceptTeam may have usage to reclaim in this
+// member's shards. The teams are determined once per plan, so a fleet without reclaimable usage
+// incurs no further cost.
 func (qm *quotaManager) hasReclaimableUsage(s *shard, exceptTeam string) bool {
 	if s.reclaimableTeams == nil {
 		s.reclaimableTeams = map[string]bool{}
@@ -216,9 +224,9 @@
 	return others > 0
 }
 
-// takeFromExcess takes what the victims use off what may be stopped of their teams, if all of it
-// may; if not, nothing.
-func (qm *quotaManager) takeFromExcess(victims []*attempt) bool {
+// consumePreemptibleExcess deducts the victims' requests from the preemptible excess of their
+// teams. It deducts nothing and returns false if any team's excess is too small.
+func (qm *quotaManager) consumePreemptibleExcess(victims []*attempt) bool {
 	requests := map[string]quota.Amounts{}
 	for _, a := range victims {
 		requests[a.job.Team] = requests[a.job.Team].Add(amountsOf(a.job.Request))
@@ -236,7 +244,7 @@
 	return true
 }
 
-// reclaim stops a batch's victims and reserves their room for a task of a group.
+// reclaim marks a batch's victims to be stopped and reserves their capacity for a task of a group.
 func (qm *quotaManager) reclaim(s *shard, g *taskGroup, batch preemptionBatch) {
 	mc, viewMachine := batch.machine, batch.viewMachine
 	reservedBefore := qm.reservedResources(mc)
@@ -252,12 +260,12 @@
 	s.reservedTasks[g.taskRange]++
 	mc.reservation.stopsSent = false
 	mc.reservation.expiresAt = qm.now.MonotonicMS + longestStop + 2*qm.maxHeartbeatIntervalMS()
-	// What the reservation takes beside the victims' room, the plan may not give away.
+	// The plan must not assign free capacity that the reservation needs in addition to the victims'.
 	viewMachine.Free = viewMachine.Free.Add(reservedBefore).Sub(qm.reservedResources(mc))
 	s.clusterView.MarkFreeChanged(viewMachine)
 }
 
-// stopForGuarantee marks an attempt to be stopped for a job within its team's guarantee.
+// stopForGuarantee marks an attempt to be stopped for a job that is within its team's guarantee.
 func (qm *quotaManager) stopForGuarantee(s *shard, a *attempt, j *Job) {
 	a.stopRequested, a.reclaimed = true, true
 	tr := a.taskRange
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -5,13 +5,13 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// placementPlanner plans the waiting tasks of a shard on its machines (package
-// planner), and decides which of them are preempted for which. It owns no cluster
-// state: a plan is read from the shard, and its result is kept there.
+// placementPlanner assigns the waiting tasks of a shard to its machines (package planner) and
+// decides which tasks are preempted for which. It owns no cluster state: it reads the input of a
+// plan from the shard and stores the result there.
 //
-// A plan starts nothing by itself. It notes on the machines which tasks they take
-// next; starts are sent with the responses to their heartbeats, under the checks
-// of that moment. So a plan may be out of date without harm.
+// A plan starts no task itself. It records on each machine the tasks to start next. The starts are
+// sent with heartbeat responses, after the checks that apply at that time. An outdated plan is
+// therefore harmless.
 type placementPlanner struct {
 	*environment
 	agents    *agentManager
@@ -26,23 +26,23 @@
 	return &placementPlanner{environment: env}
 }
 
-// planStepCostMS is the assumed cost of a step of the planner, in milliseconds of a
-// whole processor. It only paces the planner, so a rough figure does.
+// planStepCostMS is the assumed cost of a planner step, in milliseconds of a whole processor. It
+// only paces the planner, so a rough estimate is sufficient.
 const planStepCostMS = 20e-6
 
-// planningCPUShare is the largest part of its processor that a member spends on planning.
+// planningCPUShare is the maximum share of its processor time that a member spends on planning.
 const planningCPUShare = 0.2
 
-// Least times between two plans of a shard, in milliseconds.
+// Intervals between two plans of a shard, in milliseconds.
 const (
-	minPlanIntervalMS  = 50   // after a change
-	maxDirtyWaitMS     = 500  // before the plan that follows a change, if plans cost little
-	idlePlanIntervalMS = 1000 // without a change
+	minPlanIntervalMS  = 50   // minimum after a change
+	maxDirtyWaitMS     = 500  // maximum wait for the plan after a change, if plans are cheap
+	idlePlanIntervalMS = 1000 // minimum if nothing has changed
 )
 
-// isPlanDue reports whether a shard is to be planned again: soon when a job arrived,
-// otherwise as often as the last plan's cost allows. Machines whose heartbeats show free
-// capacity in between take the next task of the queue by themselves.
+// isPlanDue reports whether a shard is due for a new plan: soon after a job arrives, otherwise as
+// often as the cost of the last plan allows. Between plans, a heartbeat that shows free capacity
+// starts the next task of the queue on its machine.
 func (pp *placementPlanner) isPlanDue(s *shard) bool {
 	interval := pp.planInterval(s)
 	passed := float64(pp.now.MonotonicMS - s.plannedAt)
@@ -55,8 +55,9 @@
 	return passed >= max(idlePlanIntervalMS, 2*interval)
 }
 
-// planShard admits a shard's waiting work to its machines' queues, tightest objectives
-// first, and notes what starts now and what no machine can take in time.
+// planShard admits a shard's waiting work to its machines' queues, tightest objectives first. It
+// records the tasks that start now, and the capacity demand of tasks that no machine can finish in
+// time.
 func (pp *placementPlanner) planShard(s *shard) {
 	pp.Counters.Replans++
 	s.dirty, s.planExpedited, s.plannedAt = false, false, pp.now.MonotonicMS
@@ -76,13 +77,13 @@
 	pp.forecastDemand(s)
 	s.spareCPUs, s.planSteps = view.SpareCPUs, view.Examined
 	if s.reconciler.IsAwaitingHeartbeats(pp.now.MonotonicMS) {
-		// Machines that have sent no heartbeat yet would serve: nothing is provisioned for
-		// what they take, nor moved, until they had the time to.
+		// Machines that have not sent a heartbeat yet may have capacity. Until they have had time
+		// to report, nothing is provisioned or moved for work that they could run.
 		s.demand, s.forecastDemand = s.demand[:0], s.forecastDemand[:0]
 	}
 }
 
-// setRequiredRequests gives the placement catalog the requests of all live jobs.
+// setRequiredRequests passes the resource requests of all live jobs to the placement catalog.
 func (pp *placementPlanner) setRequiredRequests() {
 	pp.cache.placementCatalog.SetRequired(func(yield func(planner.ResourceRequest) bool) {
 		for _, j := range pp.cache.jobs {
@@ -93,21 +94,22 @@
 	})
 }
 
-// plannedUsage is what a plan has used up so far, by team: of limits by its starts, and
-// by the machines that it requests. When each group saw all that was free of the
-// limit, machines were provisioned for all of them: in the second after a full
-// outage, and wherever a team had some room and many jobs that fit nowhere.
+// plannedUsage is the part of each team's limit that the current plan has already used, by its
+// starts and by the machines that it requests. Without it, each group would see the whole free
+// limit, and machines would be provisioned for all groups. That happened in the second after a full
+// outage, and whenever a team had some headroom and many jobs that fit on no machine.
 type plannedUsage struct {
 	started, requested map[string]availability.Resources
 }
 
+// add counts a group that the plan has placed.
 func (u plannedUsage) add(g *taskGroup, startedTasks int) {
 	team := g.job.Team
 	u.started[team] = u.started[team].Add(limitedRequest(g.job, startedTasks))
 	u.requested[team] = u.requested[team].Add(limitedRequest(g.job, g.ProvisionRequested))
 }
 
-// limitedRequest is what n tasks of a job take of what limits count.
+// limitedRequest returns the resources of n tasks of a job that count against limits.
 func limitedRequest(j *Job, n int) availability.Resources {
 	return availability.Resources{CPUs: float64(n) * j.Request.CPUs, GPUs: float64(n) * j.Request.GPUs}
 }
@@ -135,8 +137,9 @@
 	}
 }
 
-// mayPlace reports whether tasks of a range may be placed now: not while it waits after errors,
-// or an earlier attempt may still run unnoticed, or its tail is being moved.
+// mayPlace reports whether tasks of a range may be placed now. They may not during a back-off after
+// errors, while an earlier attempt may still run on an unreported machine, or while the range's
+// tail is being moved.
 func (pp *placementPlanner) mayPlace(s *shard, tr *taskRange) bool {
 	if pp.now.MonotonicMS < tr.retryAt || tr.moving {
 		return false
@@ -144,8 +147,8 @@
 	return !pp.agents.isBlockedByUnreported(s, tr)
 }
 
-// applyTeamLimit cuts a group down to what its team's limit takes, with what preemption would
-// add to it, and returns how many tasks the limit takes as it is.
+// applyTeamLimit reduces a group to the tasks that its team's limit allows, including those that
+// preemption would allow. It returns the number of tasks that the limit allows without preemption.
 func (pp *placementPlanner) applyTeamLimit(s *shard, g *taskGroup, planned plannedUsage) (limit int) {
 	started, requested := planned.started[g.job.Team], planned.requested[g.job.Team]
 	limit = pp.quotas.tasksWithinTeamLimit(s, g.job, started)
@@ -153,7 +156,7 @@
 		pp.reserveLimitForFirstTask(s, g)
 	}
 	if limit < g.Remaining {
-		// More cannot run at once; provisioning machines would not help.
+		// The limit allows no more tasks at once; provisioning machines would not help.
 		pp.quotas.recordPlaceableDemand(s, g)
 		g.Remaining = limit + pp.preemptibleTaskCount(s, g, g.Remaining-limit)
 	}
@@ -162,12 +165,11 @@
 	return limit
 }
 
-// gangStartIntervals is for how many of the longest intervals between heartbeats an attempt to
-// start a gang goes on.
+// gangStartIntervals is the duration of an attempt to start a gang, in maximum heartbeat intervals.
 const gangStartIntervals = 3
 
-// prepareGang tells the planner how far the start of a gang is. Its machines receive their
-// starts one after the other, with their heartbeats.
+// prepareGang sets the state of a gang's start for the planner. The machines receive their starts
+// one after another, with their heartbeat responses.
 func (pp *placementPlanner) prepareGang(g *taskGroup) {
 	tr := g.taskRange
 	g.IncompleteGang = g.Remaining < tr.pending()
@@ -181,8 +183,8 @@
 	}
 }
 
-// placeGroup admits a group to the shard's machines and returns how many of its
-// tasks start now.
+// placeGroup admits a group to the shard's machines and returns the number of its tasks that start
+// now.
 func (pp *placementPlanner) placeGroup(s *shard, g *taskGroup) int {
 	tr := g.taskRange
 	if g.IsGang {
@@ -216,7 +218,7 @@
 	return placement.StartedTasks
 }
 
-// availabilitySummary is the availability of a shard's machines that its peers are sent.
+// availabilitySummary returns the availability of a shard's machines, as sent to peers.
 func (pp *placementPlanner) availabilitySummary(s *shard) availability.Summary {
 	return s.clusterView.Summary(
 		pp.now.WallMS+noDeadlineSpanLeases*secondsToMS(pp.params.LeaseS),
--- a/scheduler/range_assignment.go
+++ b/scheduler/range_assignment.go
@@ -8,9 +8,10 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// peerTaskCapacity is how many of a job's tasks, up to limit, the last summary of a peer's shard
-// lets it finish by deadline (time of day, ms). Which of its machines takes them is the peer's
-// decision. With reserve, what is used is subtracted from the summary, until the next one.
+// peerTaskCapacity returns how many of a job's tasks, up to limit, a peer's shard can finish by
+// deadline (time of day, ms), according to its last summary. The peer decides which of its machines
+// run them. With reserve, the capacity used is subtracted from the summary until the next one
+// arrives.
 func (pt *peerTable) peerTaskCapacity(
 	peerShard *PeerShard,
 	j *Job,
@@ -52,13 +53,13 @@
 	tasks     int
 }
 
-// peerCapacities lists the peers' shards with capacity for a job, the one with the least
-// first. All members see the same capacity, and none moves tasks on that it got from a
-// peer, so each uses its share only: when four used all of it at once, the peer that had
-// been idle was left with the longest queue.
+// peerCapacities returns the peers' shards with capacity for a job, the smallest capacity first.
+// All members see the same capacity, and a member does not move tasks that it received from a peer.
+// Each member therefore uses only its share. When four members used all of it at once, the peer
+// that had been idle ended up with the longest queue.
 func (pt *peerTable) peerCapacities(j *Job, runtimeMS, deadline int64, limit int) []peerCapacity {
 	var capacities []peerCapacity
-	sharers := len(pt.params.PeerIDs)
+	sharingMembers := len(pt.params.PeerIDs)
 	for memberID, peer := range sortedByKey(pt.peers) {
 		if memberID == pt.params.MemberID || !pt.isFresh(peer) {
 			continue
@@ -68,8 +69,8 @@
 			if pt.cache.shardClaims[peerShard.Shard].Owner != memberID {
 				continue
 			}
-			tasks := pt.peerTaskCapacity(peerShard, j, runtimeMS, deadline, limit*sharers, false)
-			if tasks = (tasks + sharers - 1) / sharers; tasks > 0 {
+			tasks := pt.peerTaskCapacity(peerShard, j, runtimeMS, deadline, limit*sharingMembers, false)
+			if tasks = (tasks + sharingMembers - 1) / sharingMembers; tasks > 0 {
 				capacities = append(capacities, peerCapacity{peerShard, tasks})
 			}
 		}
@@ -78,37 +79,37 @@
 	return capacities
 }
 
-// shardShare is a number of a job's tasks for a shard.
+// shardShare is the number of a job's tasks that a shard gets.
 type shardShare struct {
 	shard string
 	tasks int
 }
 
-// rangeAssignment is the assignment of a new job's tasks to shards while it is made. What is
-// unassigned at its end goes to the home shard.
+// rangeAssignment is the state of assigning a new job's tasks to shards. Tasks that remain
+// unassigned at the end go to the home shard.
 type rangeAssignment struct {
 	peers      *peerTable
 	job        *Job
 	group      *taskGroup
-	search     *planner.CandidateSearch // in this member's own shard; nil: not used
+	search     *planner.CandidateSearch // search in this member's own shard; nil if the shard is not used
 	runtimeMS  int64
-	deadline   int64 // of the job's objective, time of day, ms
+	deadline   int64 // end of a task that meets the start objective, or the deadline; time of day, ms
 	movable    bool  // tasks may go to peers
 	unassigned int
 	peerShares []shardShare
 }
 
-// assignRanges decides which shards get the tasks of a new job: this member's before peers'.
-// Capacity that is free now precedes a place in a queue, here or at a peer: a task that
-// waits while a peer's machine is idle only risks its deadline. Tasks that neither can
-// finish in time stay at the home shard.
+// assignRanges decides which shards get the tasks of a new job: this member's shard before those of
+// peers. Free capacity, local or at a peer, is used before a place in a queue: a task that waits
+// while a peer's machine is idle only risks its deadline. Tasks that no shard can finish in time
+// stay in the home shard.
 func (pt *peerTable) assignRanges(j *Job) []Range {
 	homeShard := pt.quotas.homeShard(j)
 	a := pt.newRangeAssignment(j, homeShard)
-	a.placeHere(planner.NewSlotsInTime)
-	a.placeAtPeers(min(a.deadline, pt.cache.immediateDeadline(j, a.runtimeMS)))
-	a.placeHere(planner.ExistingQueues)
-	a.placeAtPeers(a.deadline)
+	a.assignLocally(planner.NewSlotsInTime)
+	a.assignToPeers(min(a.deadline, pt.cache.immediateDeadline(j, a.runtimeMS)))
+	a.assignLocally(planner.ExistingQueues)
+	a.assignToPeers(a.deadline)
 	remaining := j.Tasks
 	for _, share := range a.peerShares {
 		remaining -= share.tasks
@@ -117,6 +118,8 @@
 	return pt.splitIntoRanges(shares, homeShard)
 }
 
+// newRangeAssignment prepares the assignment of a new job. It searches this member's own shard only
+// if that is the home shard, is ready, and this member has authority.
 func (pt *peerTable) newRangeAssignment(j *Job, homeShard string) *rangeAssignment {
 	ownShard := pt.params.MemberID
 	limited := pt.quotas.homeShards[j.Team] != ""
@@ -136,15 +139,15 @@
 	if s == nil || !s.ready || !pt.store.hasAuthority() || homeShard != ownShard {
 		return a
 	}
-	// The search reserves in the last plan, until the next one: a burst of submissions
-	// must not cost a plan each.
+	// The search reserves capacity in the last plan, until the next plan: a burst of submissions
+	// must not cost one plan per submission.
 	group.Remaining = min(j.Tasks, pt.quotas.tasksWithinTeamLimit(s, j, availability.Resources{}))
 	a.search = s.clusterView.StartSearch(&group.Group)
 	return a
 }
 
-// placeHere assigns tasks to this member's own shard, if it is the home shard.
-func (a *rangeAssignment) placeHere(mode planner.QueueMode) {
+// assignLocally assigns tasks to this member's own shard, if it is the home shard.
+func (a *rangeAssignment) assignLocally(mode planner.QueueMode) {
 	if a.search == nil {
 		return
 	}
@@ -153,8 +156,8 @@
 	a.unassigned -= remainingBefore - a.group.Remaining
 }
 
-// placeAtPeers assigns tasks to peers' shards that can finish them by deadline.
-func (a *rangeAssignment) placeAtPeers(deadline int64) {
+// assignToPeers assigns tasks to peers' shards that can finish them by deadline.
+func (a *rangeAssignment) assignToPeers(deadline int64) {
 	if a.unassigned <= 0 || !a.movable {
 		return
 	}
@@ -171,7 +174,7 @@
 	}
 }
 
-// splitIntoRanges is the ranges of a job whose tasks are shared among shards so.
+// splitIntoRanges returns a job's ranges for the given shares, each of at most maxRangeTasks tasks.
 func (pt *peerTable) splitIntoRanges(shares []shardShare, homeShard string) []Range {
 	var ranges []Range
 	lo := 0
@@ -186,21 +189,21 @@
 	return ranges
 }
 
-// minMoveDivisor limits how small a share of a range's waiting tasks is moved: each move
-// costs a write now and one at its end.
+// minMoveDivisor sets the smallest part of a range's waiting tasks that is moved: one eighth. Each
+// move costs a write now and another when the moved range ends.
 const minMoveDivisor = 8
 
-// isAwaitingRestart reports whether a task was stopped to drain its machine and does not run
-// again yet: only this member sees when it does.
+// isAwaitingRestart reports whether a task was stopped to drain its machine and has not restarted
+// yet. Such a task does not move, because only this member can observe its restart.
 func (s *shard) isAwaitingRestart(tr *taskRange, index int) bool {
 	account := s.disruption.account
 	return account != nil && account.IsReserved(TaskName(tr.job.rec.Job.ID, tr.bounds.Lo+index))
 }
 
-// isMovable reports whether tasks of a range may move to a peer's shard. Those that came from
-// a peer stay, and so do those of a job with AtMostOnce that may have begun: after a
-// takeover some of them may be lost, which only the range that had them knows. Moved before
-// all machines had sent heartbeats, a lost task began again at the peer.
+// isMovable reports whether tasks of a range may move to a peer's shard. Tasks that came from a
+// peer do not move, nor do those of an at-most-once job that may have begun. After a takeover some
+// of the latter may be lost, which only the range that owned them can determine. When such tasks
+// moved before all machines had sent heartbeats, a lost task was started again by the peer.
 func (pt *peerTable) isMovable(s *shard, tr *taskRange) bool {
 	j := tr.job
 	if pt.cache.jobs[j.rec.Job.ID] != j || j.recordWritePending || len(j.rec.Ranges) >= pt.maxJobRanges() {
@@ -216,12 +219,14 @@
 	return pt.quotas.fitsTeamAllocation(s, j.rec.Job.Team)
 }
 
-// moveUnplaceableTasks moves tasks that no machine of the shard can finish in time to a peer
-// with capacity, by a conditional write of the job's record.
+// moveUnplaceableTasks moves waiting tasks to a peer that could start them at once, and tasks that
+// no machine of the shard can finish in time to a peer that could. A move is a conditional write of
+// the job's record.
 func (pt *peerTable) moveUnplaceableTasks(s *shard) {
 	for _, group := range s.queue {
-		// What waits in a queue here may start at once there, except what others are
-		// stopped for here. A first task that precedes others moves with the rest of its job.
+		// A task that waits in a local queue may start at once at a peer. Tasks with a reservation
+		// stay, because other tasks are being stopped for them. An aged first task moves only with
+		// the rest of its job.
 		if group.IsFirstTask && group.taskRange.pending() > 1 {
 			continue
 		}
@@ -245,8 +250,8 @@
 	}
 }
 
-// movableTail is how many tasks at the end of a range, up to limit, are neither done nor
-// assigned to a machine.
+// movableTail returns how many consecutive tasks at the end of a range, up to limit, can move: they
+// are neither done, nor assigned to a machine, nor awaiting a restart.
 func (s *shard) movableTail(tr *taskRange, limit int) int {
 	tasks := 0
 	for index := tr.size() - 1; index >= 0 && tasks < limit; index-- {
@@ -258,8 +263,8 @@
 	return tasks
 }
 
-// moveTasksToPeer moves up to maxTasks of a range's last tasks to the peer's shard that can
-// finish most of them by deadline (time of day, ms).
+// moveTasksToPeer moves up to maxTasks tasks from the end of a range to the peer's shard that can
+// finish the most of them by deadline (time of day, ms).
 func (pt *peerTable) moveTasksToPeer(s *shard, tr *taskRange, maxTasks int, runtimeMS, deadline int64) {
 	movable := s.movableTail(tr, maxTasks)
 	if movable == 0 {
@@ -280,11 +285,11 @@
 	targetShard := best.peerShard.Shard
 	rec := j.rec
 	rec.Ranges = rangesAfterMove(j.rec.Ranges, tr, tasks, targetShard)
-	pt.log(Debug, "tasks moved", "job", j.rec.Job.ID, "tasks", tasks, "shard", targetShard)
+	pt.log(Debug, "moving tasks to peer shard", "job", j.rec.Job.ID, "tasks", tasks, "shard", targetShard)
 	pt.writeMove(s, tr, j, rec, j.rev)
 }
 
-// rangesAfterMove is a job's ranges after the last tasks of one moved to another shard.
+// rangesAfterMove returns a job's ranges after the last tasks of tr have moved to another shard.
 func rangesAfterMove(ranges []Range, tr *taskRange, tasks int, targetShard string) []Range {
 	var after []Range
 	for _, bounds := range ranges {
@@ -300,10 +305,10 @@
 	return after
 }
 
-// writeMove writes a move until its outcome is certain. While it is not, no task of the
-// range starts here: the tail may be the peer's already. A retry that was refused, or a
-// conflict that could not be read back, once counted as the end of it; the first attempt
-// was carried out after that, and the tail ran in both places.
+// writeMove writes a move and repeats the write until its outcome is certain. Until then no task of
+// the range starts in this shard, because the peer may already own the tail. Neither a refused
+// retry nor a conflict whose read-back failed settles the write: the first attempt may still be
+// applied afterwards, and the tail would run in both shards.
 func (pt *peerTable) writeMove(s *shard, tr *taskRange, j *job, rec jobRecord, jobRevision uint64) {
 	id := j.rec.Job.ID
 	key := jobKey(id)
