--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -14,7 +14,7 @@
 	disruptionPrefix = "l/d/"
 )
 
-// rolloutMachine is a machine as package rollout sees it.
+// rolloutMachine converts a machine to the representation of package rollout.
 func rolloutMachine(mc *machine) rollout.Machine {
 	return rollout.Machine{
 		ID:                 mc.id,
@@ -28,7 +28,7 @@
 	}
 }
 
-// applyRolloutRecord takes the plan's record, or the record of what a shard stopped.
+// applyRolloutRecord applies the plan's record, or a shard's disruption record, to the cached state.
 func (rc *rolloutController) applyRolloutRecord(kv KeyValue) error {
 	if kv.Key != rolloutKey {
 		return rc.applyDisruptionRecord(kv)
@@ -46,6 +46,7 @@
 	return nil
 }
 
+// applyDisruptionRecord applies the record of the tasks that a shard has stopped for rollouts.
 func (rc *rolloutController) applyDisruptionRecord(kv KeyValue) error {
 	var rec disruption.Record
 	if kv.Value != nil {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// isDrainedByRollout reports whether the plan has a machine drained now.
+// isDrainedByRollout reports whether the plan currently drains a machine.
 func (rc *rolloutController) isDrainedByRollout(mc *machine) bool {
 	if rc.rec == nil || !rc.params.Rollout {
 		return false
@@ -66,8 +67,8 @@
 	return rc.rec.Covers(&p)
 }
 
-// isRolloutReplacement reports whether a machine was provisioned for a plan that goes on:
-// it is idle until the machines that it replaces are drained.
+// isRolloutReplacement reports whether a machine was provisioned for a plan that has not ended. Such
+// a machine is idle until the machines that it replaces are drained.
 func (rc *rolloutController) isRolloutReplacement(mc *machine) bool {
 	if rc.rec == nil || !rc.params.Rollout || rc.rec.State.IsTerminal() {
 		return false
@@ -75,8 +76,8 @@
 	return mc.rec.ReplacementPlan == rc.rec.Plan.ID
 }
 
-// tickRollout advances the plan, twice a second, by one write for all that changed. The
-// leader alone calls it.
+// tickRollout advances the plan twice a second, with one write for all changes. Only the leader
+// calls it.
 func (rc *rolloutController) tickRollout() {
 	now := rc.now.MonotonicMS
 	if !rc.params.Rollout || now < rc.nextTickAtMS {
@@ -106,8 +107,9 @@
 	}
 }
 
-// rolloutMachines lists the machines of the registry, by ID. One whose release is pending
-// counts as there until the cloud has confirmed it. The next call reuses the list.
+// rolloutMachines returns the machines of the registry, sorted by ID. A machine whose release is
+// pending is included until the cloud provider has confirmed the release. The next call overwrites
+// the returned slice.
 func (rc *rolloutController) rolloutMachines() []rollout.Machine {
 	rc.machines = rc.machines[:0]
 	for _, mc := range rc.registry.machines {
@@ -117,7 +119,7 @@
 	return rc.machines
 }
 
-// hourlyPrice is what a machine costs an hour; 0 for a type that the cloud does not offer.
+// hourlyPrice returns the price of a machine per hour; 0 for a type that the cloud does not offer.
 func (rc *rolloutController) hourlyPrice(o rollout.InstanceOffering) float64 {
 	t := rc.cache.machineTypes[o.Type]
 	switch {
@@ -129,13 +131,14 @@
 	return t.Price
 }
 
-// clusterCounts is what the health gates count, over all members with a fresh message.
+// clusterCounts returns the sum of the health-gate counts of all members with a fresh message.
 func (rc *rolloutController) clusterCounts() (sum rollout.HealthCounts) {
 	rc.peers.forEachFreshMessage(func(_ string, msg *PeerMessage) { sum = sum.Add(msg.RolloutCounts) })
 	return sum
 }
 
-// baselineRate is what the health gates count without a rollout.
+// baselineRate returns the rates of the health-gate counts over the recorded history, as the
+// baseline of a new plan.
 func (rc *rolloutController) baselineRate() rollout.HealthRates {
 	if len(rc.countsHistory) == 0 {
 		return rollout.HealthRates{}
@@ -144,8 +147,7 @@
 	return rc.clusterCounts().Since(oldest.counts).RatesOver(rc.now.MonotonicMS - oldest.atMS)
 }
 
-// provisionReplacements asks for the machines by which a plan replaces others, one request
-// for all of an offering.
+// provisionReplacements requests the replacement machines of a plan, with one request per offering.
 func (rc *rolloutController) provisionReplacements(planID string, toProvision map[rollout.InstanceOffering]int) {
 	requests := map[offering]map[string]int{}
 	var order []offering
@@ -172,7 +174,8 @@
 	}
 }
 
-// writeRolloutRecord stores the plan's record, under preconditions beside its revision.
+// writeRolloutRecord stores the plan's record. The record's revision is a precondition in addition
+// to those given.
 func (rc *rolloutController) writeRolloutRecord(
 	rec *rollout.Record,
 	preconditions []Precondition,
@@ -187,8 +190,8 @@
 			onResult(result)
 			return
 		}
-		// Tokens that the record would have issued count as issued, in the ledger
-		// of this leader and, if it was written, in the record.
+		// Tokens of a record whose write was not confirmed count as issued: in this leader's
+		// ledger and, if the write was applied, in the record.
 		rc.store.rereadKey(rolloutKey, func(StoreResult) {
 			rc.writing = false
 			onResult(result)
--- a/scheduler/rollout_requests.go
+++ b/scheduler/rollout_requests.go
@@ -8,7 +8,7 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// Statuses of responses to operators, as in HTTP.
+// HTTP status codes of responses to operators.
 const (
 	statusOK         = 200
 	statusBadRequest = 400
@@ -18,17 +18,17 @@
 
 var errNoRollout = errors.New("there is no plan")
 
-// RolloutStatus is a plan as the administration API shows it.
+// RolloutStatus is the state of a plan as returned by the administration API.
 type RolloutStatus struct {
 	*rollout.Record
-	Remaining        int            `json:"left"`              // machines of the plan that are there still
-	Emptying         int            `json:"emptying"`          // of them, being drained now
-	Booting          int            `json:"booting"`           // replacements that are not up yet
-	Disrupted        map[string]int `json:"down"`              // by team: tasks stopped that do not run again yet
-	WaitingForBudget map[string]int `json:"waiting,omitempty"` // by team: tasks that wait for its budget
+	Remaining        int            `json:"left"`              // machines of the plan that still exist
+	Emptying         int            `json:"emptying"`          // machines of the plan that are being drained
+	Booting          int            `json:"booting"`           // replacements that are still booting
+	Disrupted        map[string]int `json:"down"`              // by team: stopped tasks that have not restarted yet
+	WaitingForBudget map[string]int `json:"waiting,omitempty"` // by team: tasks waiting for a disruption budget
 }
 
-// status is the plan as it stands, nil without one.
+// status returns the current state of the plan, or nil if there is none.
 func (rc *rolloutController) status(now Now) *RolloutStatus {
 	rc.now = now
 	rec := rc.rec
@@ -57,7 +57,7 @@
 	return status
 }
 
-// addWaiting adds what a member's shards wait for.
+// addWaiting adds the tasks of a member's shards that wait for a disruption budget.
 func (status *RolloutStatus) addWaiting(msg *PeerMessage) {
 	for i := range msg.OwnedShards {
 		for team, demand := range msg.OwnedShards[i].DisruptionDemands {
@@ -68,18 +68,18 @@
 	}
 }
 
-// RolloutPreview is what a plan would do, by what is there now.
+// RolloutPreview is the expected effect of a plan on the current cluster.
 type RolloutPreview struct {
 	Machines         int            `json:"machines"`
 	Kinds            map[string]int `json:"kinds"` // machines by type, zone and spot or on-demand
-	Tasks            map[string]int `json:"tasks"` // by team: running on this member's machines of them
+	Tasks            map[string]int `json:"tasks"` // by team: running tasks on those machines, as known to this member
 	Steps            int            `json:"steps"`
-	SurgeCostPerHour float64        `json:"beyond"`  // money an hour while all of the surge is there
-	MaxDisrupted     map[string]int `json:"budgets"` // by team: tasks that may be down at once
+	SurgeCostPerHour float64        `json:"beyond"`  // additional price per hour of a full surge
+	MaxDisrupted     map[string]int `json:"budgets"` // by team: tasks that may be stopped at the same time
 	InvalidReason    string         `json:"wrong,omitempty"`
 }
 
-// preview is what a plan would do. It stores nothing.
+// preview returns the expected effect of a plan. It stores nothing.
 func (rc *rolloutController) preview(now Now, p rollout.Plan) RolloutPreview {
 	rc.now = now
 	preview := RolloutPreview{Kinds: map[string]int{}, Tasks: map[string]int{}, MaxDisrupted: map[string]int{}}
@@ -114,10 +114,10 @@
 	return preview
 }
 
-// rolloutChange makes the plan's next record, or fails with the status for the operator.
+// rolloutChange returns the plan's next record, or an error and the status of the response.
 type rolloutChange func() (rec *rollout.Record, failureStatus int, err error)
 
-// submitPlan stores a new plan, unless another one goes on.
+// submitPlan stores a new plan, unless another plan is still in progress.
 func (rc *rolloutController) submitPlan(now Now, replyID uint64, p rollout.Plan) {
 	rc.changeRollout(now, replyID, func() (*rollout.Record, int, error) {
 		current := rc.rec
@@ -135,7 +135,7 @@
 		}
 		rec, err := rollout.NewRecord(p, rc.now.WallMS, rc.rolloutMachines(), rc.baselineRate())
 		if rec != nil && current != nil {
-			rec.Issued = current.Issued // tokens are the shards', whatever the plan
+			rec.Issued = current.Issued // issued tokens stay with the shards across plans
 		}
 		return rec, statusBadRequest, err
 	})
@@ -153,8 +153,8 @@
 	})
 }
 
-// changeRollout stores what change makes of the plan, and responds under replyID. The
-// request is not relayed: this member responds itself.
+// changeRollout stores the record that change returns, and responds under replyID. The request is
+// not relayed; this member responds itself.
 func (rc *rolloutController) changeRollout(now Now, replyID uint64, change rolloutChange) {
 	rc.now = now
 	rc.requests.pendingRequests[replyID] = &pendingRequest{
--- a/scheduler/runtime_estimator.go
+++ b/scheduler/runtime_estimator.go
@@ -2,19 +2,21 @@
 
 import "math"
 
-// Bounds of what one task, and a class's record, may do to an estimate.
+// Bounds on the effect of one task, and of a class's correction, on an estimate.
 const (
-	minRuntimeRatio, maxRuntimeRatio   = 0.2, 5 // of one task's run time to its estimate
-	minRuntimeFactor, maxRuntimeFactor = 0.5, 3 // of the factor that is applied
-	priorRuntimeSamples                = 4      // tasks that the owner's estimate counts for
-	maxRuntimeSamples                  = 40     // tasks after which older ones begin to be forgotten
+	minRuntimeRatio, maxRuntimeRatio   = 0.2, 5 // bounds on the ratio of a task's run time to its estimate
+	minRuntimeFactor, maxRuntimeFactor = 0.5, 3 // bounds on the factor applied to an estimate
+	priorRuntimeSamples                = 4      // weight of the owner's estimate, in tasks
+	maxRuntimeSamples                  = 40     // tasks after which the weight of older tasks decays
 )
 
-// runtimeUpdateHundredths is how far, in hundredths, a class's ratio must be off the written one for a write.
+// runtimeUpdateHundredths is the difference between a class's ratio and the written one, in hundredths, above
+// which the ratio is written again.
 const runtimeUpdateHundredths = 5
 
-// runtimeEstimator owns the corrections of the owners' estimates of run times, by what tasks of the same class
-// took. They are this member's own; shards' recovery records carry them to its successors.
+// runtimeEstimator owns the corrections of job owners' run-time estimates, based on the measured run times of
+// tasks of the same class. Each member has its own corrections; the recovery records of shards pass them on to
+// later owners.
 type runtimeEstimator struct {
 	*environment
 
@@ -25,13 +27,13 @@
 	return &runtimeEstimator{environment: env, runtimeCorrections: map[string]*runtimeCorrection{}}
 }
 
-// runtimeCorrection is how long a class takes against its owners' estimates.
+// runtimeCorrection is the weighted mean ratio of a class's run times to its owners' estimates.
 type runtimeCorrection struct {
 	ratio   float64
 	samples int
 }
 
-// updateRuntimeEstimate corrects the estimates of a job's class by what one of its tasks took.
+// updateRuntimeEstimate updates the correction of a job's class with the run time of one of the job's tasks.
 func (re *runtimeEstimator) updateRuntimeEstimate(j *Job, runtimeMS int64) {
 	if j.EstimateS <= 0 || runtimeMS <= 0 {
 		return
@@ -47,7 +49,7 @@
 	correction.ratio += (ratio - correction.ratio) / float64(weight)
 }
 
-// expectedRuntime is how long a task of the job is expected to run, in milliseconds.
+// expectedRuntime returns the expected run time of a task of the job, in milliseconds.
 func (re *runtimeEstimator) expectedRuntime(j *Job) int64 {
 	seconds := j.EstimateS
 	if correction := re.runtimeCorrections[j.Class]; correction != nil {
@@ -56,8 +58,8 @@
 	return max(secondsToMS(seconds), 100)
 }
 
-// hasUpdates reports whether some class's ratio is off what was written, in hundredths, by more than a
-// twentieth.
+// hasUpdates reports whether any class's ratio is unwritten or differs from the written one by more than
+// runtimeUpdateHundredths. writtenRuntimes are ratios by class, in hundredths.
 func (re *runtimeEstimator) hasUpdates(writtenRuntimes map[string]int64) bool {
 	for class, correction := range re.runtimeCorrections {
 		written, ok := writtenRuntimes[class]
@@ -68,8 +70,8 @@
 	return false
 }
 
-// buildRecord makes the run times of a recovery record, and each class's ratio in hundredths, also of those
-// for which it has no room.
+// buildRecord returns the run times of a recovery record, and the ratio of every class in hundredths, including
+// classes that the record has no room for.
 func (re *runtimeEstimator) buildRecord() (runtimes map[string]runtimeRecord, hundredths map[string]int64) {
 	runtimes, hundredths = map[string]runtimeRecord{}, map[string]int64{}
 	for class, correction := range sortedByKey(re.runtimeCorrections) {
@@ -81,7 +83,8 @@
 	return runtimes, hundredths
 }
 
-// restore takes a class's record of an earlier claim, if it rests on more tasks than what is known here.
+// restore applies a class's correction from the recovery record of an earlier claim, if it is based on more
+// tasks than this member's own.
 func (re *runtimeEstimator) restore(class string, recorded runtimeRecord) {
 	if recorded.Ratio <= 0 || recorded.Ratio > maxRuntimeRatio {
 		return
