--- a/scheduler/team_guarantees.go
+++ b/scheduler/team_guarantees.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
-// guaranteeStatus is which live jobs are within their teams' guarantees, and how much all
-// live jobs of each team request. It is computed when it is needed, after live jobs changed.
+// guaranteeStatus is the set of live jobs that are within their teams' guarantees, and the total
+// request of each team's live jobs. It is computed on demand after the live jobs have changed.
 type guaranteeStatus struct {
 	valid          bool
 	guaranteedJobs map[string]bool
@@ -17,13 +17,13 @@
 
 func guaranteeOf(t Team) quota.Amounts { return quota.Amounts{CPUs: t.CPUs, GPUs: t.GPUs} }
 
-// totalRequest is what all tasks of a job take of limits and guarantees.
+// totalRequest returns the amounts of all tasks of a job that count against limits and guarantees.
 func totalRequest(j *Job) quota.Amounts {
 	return amountsOf(j.Request).Scale(float64(j.Tasks))
 }
 
-// isWithinGuarantee reports whether a job is within its team's guarantee, by the jobs in the
-// cache; one that is not accepted yet would be the team's newest.
+// isWithinGuarantee reports whether a job is within its team's guarantee, based on the jobs in the
+// cache. A job that is not accepted yet counts as the team's newest.
 func (qm *quotaManager) isWithinGuarantee(j *Job) bool {
 	guarantee := guaranteeOf(qm.params.Teams[j.Team])
 	if guarantee == (quota.Amounts{}) {
@@ -51,7 +51,7 @@
 	}
 	status := guaranteeStatus{true, map[string]bool{}, map[string]quota.Amounts{}}
 	for team, jobs := range byTeam {
-		slices.SortFunc(jobs, quota.Job.Compare) // in order: sums of floats depend on it
+		slices.SortFunc(jobs, quota.Job.Compare) // floating-point sums depend on the order
 		for id := range quota.JobsWithinGuarantee(guaranteeOf(qm.params.Teams[team]), jobs) {
 			status.guaranteedJobs[id] = true
 		}
@@ -62,13 +62,13 @@
 	return status
 }
 
-// amountsOf is what a request takes of limits and guarantees.
+// amountsOf returns the amounts of a request that count against limits and guarantees.
 func amountsOf(r availability.Resources) quota.Amounts {
 	return quota.Amounts{CPUs: r.CPUs, GPUs: r.GPUs}
 }
 
-// localUsage is what a team uses in this member's shards. What is being stopped for a
-// guarantee does not count any more.
+// localUsage returns a team's usage in this member's shards, without tasks that are being stopped
+// for a guarantee.
 func (qm *quotaManager) localUsage(team string) (usage quota.Amounts) {
 	for _, s := range sortedByKey(qm.shards.ownedShards) {
 		usage = usage.Add(amountsOf(s.usage[team])).Sub(s.reclaimedUsage[team])
@@ -76,8 +76,8 @@
 	return usage.Max(quota.Amounts{})
 }
 
-// localUsageByTeam is what teams use in this member's shards, and what their waiting tasks
-// there request.
+// localUsageByTeam returns the usage of teams in this member's shards, and the requests of their
+// waiting tasks there.
 func (qm *quotaManager) localUsageByTeam() (usage, waiting map[string]quota.Amounts) {
 	usage, waiting = map[string]quota.Amounts{}, map[string]quota.Amounts{}
 	for _, s := range sortedByKey(qm.shards.ownedShards) {
@@ -98,8 +98,8 @@
 	return usage, waiting
 }
 
-// clusterUsage is what teams with running or waiting work use over all members, as far as
-// their summaries say.
+// clusterUsage returns the usage of teams with running or waiting work, over this member and all
+// peers with a recent usage snapshot.
 func (qm *quotaManager) clusterUsage() map[string]quota.Amounts {
 	localUsage, localWaiting := qm.localUsageByTeam()
 	since := qm.peerMessagesSince()
@@ -114,15 +114,15 @@
 	return usage
 }
 
-// peerMessagesSince is the monotonic time since which a peer's messages count.
+// peerMessagesSince returns the monotonic time before which messages of peers are too old to count.
 func (qm *quotaManager) peerMessagesSince() int64 {
 	return qm.now.MonotonicMS - qm.cache.maxMessageAgeMS()
 }
 
-// assignUsageTiers gives groups the tier that says how far their teams are beyond their guarantees:
-// by what they use over all members, and by what goes before in this shard. So what is free
-// beyond the guarantees goes to who has least, not to who requests first or most. It reports
-// whether any two differ.
+// assignUsageTiers sets the quota tier of each group that is not within its team's guarantee. The
+// tier is how far the team's usage exceeds the guarantee; usage includes all members and the groups
+// before it in this shard. Capacity beyond the guarantees thus goes to the teams that use the least,
+// not to those that request first or most. It reports whether any two tiers differ.
 func (qm *quotaManager) assignUsageTiers(groups []*taskGroup) bool {
 	usage := qm.clusterUsage()
 	if len(usage) < 2 {
@@ -141,15 +141,15 @@
 	return differ
 }
 
-// capacitySnapshot is the capacity of all live machines, as of a moment.
+// capacitySnapshot is the capacity of all live machines at a point in time.
 type capacitySnapshot struct {
 	takenAt int64 // monotonic milliseconds; 0: never
 	total   quota.Amounts
 }
 
-// liveCapacity is the capacity of all live machines of all members. Computed for each plan, it
-// cost a pass over the whole fleet several times a second; shares of it need be no more exact
-// than the time between two summaries.
+// liveCapacity returns the capacity of all live machines of all members, at most one summary
+// interval old. Computing it for each plan meant a pass over the whole fleet several times a second,
+// and shares of the capacity need not be more exact.
 func (qm *quotaManager) liveCapacity() quota.Amounts {
 	takenAt, now := qm.capacitySnapshot.takenAt, qm.now.MonotonicMS
 	if takenAt == 0 || now-takenAt > secondsToMS(qm.cache.settings.SummaryS) {
@@ -165,7 +165,7 @@
 			countByType[mc.rec.Type]++
 		}
 	}
-	for name, n := range sortedByKey(countByType) { // in order: sums of floats depend on it
+	for name, n := range sortedByKey(countByType) { // floating-point sums depend on the order
 		if t := qm.cache.machineTypes[name]; t != nil {
 			total = total.Add(amountsOf(t.Resources).Scale(float64(n)))
 		}
@@ -173,8 +173,8 @@
 	return total
 }
 
-// usageSnapshot is what peers are sent about the teams of this member's shards; empty without
-// authority, when it may not see all of them.
+// usageSnapshot returns the usage of teams in this member's shards, as sent to peers. It is empty
+// without authority, because this member's view of the teams may then be incomplete.
 func (qm *quotaManager) usageSnapshot() quota.UsageSnapshot {
 	if !qm.store.hasAuthority() {
 		return quota.UsageSnapshot{}
--- a/scheduler/team_limits.go
+++ b/scheduler/team_limits.go
@@ -10,15 +10,15 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// quotaManager owns the teams' ledgers: the allocations of their limits to shards,
-// what counts as within their guarantees, and what is reclaimed for those.
+// quotaManager owns the teams' ledgers (the allocations of their limits to shards). It decides which
+// jobs are within their teams' guarantees and which capacity is reclaimed for them.
 //
-// A team's limit is split among the shards by a record in the store. A start
-// needs room in its shard's allocation, so the limit holds whatever the shards know
-// of each other (package quota). Without a record all of it is allocated to the team's
-// home shard, which the team's jobs go to: in equal parts, a team's jobs waited on one
-// shard for what lay unused on another, and the earliest deadline was the earliest of
-// its shard only.
+// A record in the store divides a team's limit among the shards. A task starts only within its
+// shard's allocation, so the limit holds regardless of what the shards know about each other
+// (package quota). Without a record the whole limit is allocated to the team's home shard, which
+// receives the team's jobs. When the limit was divided equally instead, a team's jobs waited in one
+// shard for capacity that was unused in another, and earliest-deadline order held only within a
+// shard.
 type quotaManager struct {
 	*environment
 	agents    *agentManager
@@ -30,9 +30,9 @@
 	shards    *shardManager
 	store     *storeClient
 
-	quotaLedgers     map[string]*quota.Ledger // of teams with a limit
+	quotaLedgers     map[string]*quota.Ledger // by team with a limit
 	usageMonitor     *quota.UsageMonitor
-	homeShards       map[string]string // by team with a limit: the shard that its jobs go to
+	homeShards       map[string]string // by team with a limit: the shard that receives its jobs
 	guaranteeStatus  guaranteeStatus
 	capacitySnapshot capacitySnapshot
 }
@@ -46,8 +46,8 @@
 	return qm
 }
 
-// teamAllocation is the part of a team's limit that a shard has; limited is false for a team
-// without a limit.
+// teamAllocation returns a shard's allocation of a team's limit, and the team's settings. limited is
+// false for a team without a limit.
 func (qm *quotaManager) teamAllocation(s *shard, team string) (allocation quota.Amounts, settings Team, limited bool) {
 	settings = qm.params.Teams[team]
 	if ledger := qm.quotaLedgers[team]; ledger != nil {
@@ -56,10 +56,10 @@
 	return quota.Amounts{}, settings, false
 }
 
-// unlimitedAmount is more of any resource than there is.
+// unlimitedAmount is larger than the amount of any resource in a cluster.
 const unlimitedAmount = 1e12
 
-// initTeamLedgers assigns the teams that have a limit their home shards, and makes their ledgers.
+// initTeamLedgers assigns home shards to the teams that have a limit, and creates their ledgers.
 func (qm *quotaManager) initTeamLedgers() {
 	qm.homeShards = assignTeamHomes(qm.params.Teams, qm.memberIDs())
 	qm.quotaLedgers = map[string]*quota.Ledger{}
@@ -74,8 +74,8 @@
 	}
 }
 
-// assignTeamHomes spreads the teams that have a limit over the shards. All members
-// have the same settings, so they agree.
+// assignTeamHomes distributes the teams that have a limit over the shards. All members have the same
+// settings, so they compute the same assignment.
 func assignTeamHomes(teams map[string]Team, members []string) map[string]string {
 	homes := map[string]string{}
 	i := 0
@@ -88,8 +88,8 @@
 	return homes
 }
 
-// fitsTeamAllocation reports whether all that a shard has of a limited team's work fits its
-// allocation: then some may go to a peer, which requests the allocation that it needs.
+// fitsTeamAllocation reports whether all of a limited team's work in a shard fits the shard's
+// allocation. Only then may some of it move to a peer, which requests the allocation that it needs.
 func (qm *quotaManager) fitsTeamAllocation(s *shard, team string) bool {
 	headroom, limited := qm.teamHeadroom(s, team)
 	if !limited {
@@ -99,7 +99,7 @@
 	return queued.CPUs <= headroom.CPUs && queued.GPUs <= headroom.GPUs
 }
 
-// queuedRequests is what a team's tasks without an attempt request.
+// queuedRequests returns the total request of a team's tasks that have no attempt.
 func (s *shard) queuedRequests(team string) availability.Resources {
 	var sum availability.Resources
 	for _, tr := range s.taskRanges {
@@ -112,11 +112,11 @@
 	return sum
 }
 
-// maxUnreportedUsage is the most that a team's tasks may use of a shard's machines without the
-// shard knowing it. A machine that has not sent a heartbeat since the claim runs at
-// most what its entry in the ledger of unreachable machines says, or what it has
-// capacity for. One with orphaned tasks may use all its capacity: whose they are is no
-// longer known, and until they are stopped they may be this team's.
+// maxUnreportedUsage returns an upper bound on a team's usage of a shard's machines that the shard
+// does not know about. A machine that has not sent a heartbeat since the claim uses at most the
+// amount in its entry in the ledger of unreachable machines or, without an entry, its capacity. A
+// machine with orphaned tasks may use all of its remaining capacity: the team of an orphaned task is
+// unknown, so it counts for every team until the task is stopped.
 func (qm *quotaManager) maxUnreportedUsage(s *shard, team string) (sum reconcile.ResourceUsage) {
 	for _, unreported := range s.reconciler.Unreported() {
 		if entry, recorded := s.reconciler.Ledger.Entry(unreported.ID); recorded {
@@ -141,7 +141,8 @@
 	return sum
 }
 
-// teamHeadroom is what a team may still start in a shard; limited is false if no limit says.
+// teamHeadroom returns the resources that a team may still use in a shard. limited is false for a
+// team without a limit.
 func (qm *quotaManager) teamHeadroom(s *shard, team string) (headroom availability.Resources, limited bool) {
 	allocation, t, limited := qm.teamAllocation(s, team)
 	if !limited {
@@ -162,14 +163,14 @@
 	return headroom, true
 }
 
-// isWithinTeamLimit reports whether a task of a job may start now as far as its team's limit goes.
+// isWithinTeamLimit reports whether the team's limit allows a task of a job to start now.
 func (qm *quotaManager) isWithinTeamLimit(s *shard, j *Job) bool {
 	headroom, limited := qm.teamHeadroom(s, j.Team)
 	return !limited || headroom.Sub(qm.placer.reservedForOthers(s, j)).Contains(withoutDisk(j.Request))
 }
 
-// tasksWithinTeamLimit is how many tasks of a job the shard's allocation of its team's limit
-// takes now, beside what else of the team is about to start.
+// tasksWithinTeamLimit returns the number of a job's tasks that fit the shard's allocation of the
+// team's limit now. started is the request of the team's other tasks that are about to start.
 func (qm *quotaManager) tasksWithinTeamLimit(s *shard, j *Job, started availability.Resources) int {
 	headroom, limited := qm.teamHeadroom(s, j.Team)
 	if !limited {
@@ -179,8 +180,8 @@
 	return available.MaxCopies(withoutDisk(j.Request), j.Tasks)
 }
 
-// teamDemands is what a shard has of limited teams' work, by team: what runs and waits now,
-// and what of it had room at the last plan.
+// teamDemands returns a shard's demand by team with a limit: running and waiting work, and the part
+// of the waiting work that fit on machines in the last plan.
 func (qm *quotaManager) teamDemands(s *shard) map[string]quota.Demand {
 	out := make(map[string]quota.Demand, len(qm.quotaLedgers))
 	for name := range qm.quotaLedgers {
@@ -212,7 +213,7 @@
 	return out
 }
 
-// recordPlaceableDemand notes how much of a group that its team's limit holds up has room on
+// recordPlaceableDemand records how much of a group that is blocked by its team's limit fits on
 // machines, live or booting.
 func (qm *quotaManager) recordPlaceableDemand(s *shard, g *taskGroup) {
 	team := g.job.Team
@@ -220,16 +221,16 @@
 	s.placeableDemand[team] = s.placeableDemand[team].Add(amountsOf(g.job.Request).Scale(float64(n)))
 }
 
-// proposalsPerSummary is how often a shard considers its teams' records in the time between two
-// summaries. A write follows only what changed.
+// proposalsPerSummary is how many times per summary interval a shard evaluates its teams' records. A
+// record is written only if it changes.
 const proposalsPerSummary = 4
 
-// allocationGraceSummaries is for how many times the time between two summaries a shard keeps an
-// allocation that its next task does not fit in, while others request it.
+// allocationGraceSummaries is the time, in summary intervals, for which a shard keeps an allocation
+// that is too small for its next task while other shards request it.
 const allocationGraceSummaries = 30
 
-// proposeAllocations writes what the demands of a shard change in its teams' records: requests of
-// what it lacks, and grants to shards that lack more.
+// proposeAllocations updates the teams' records according to a shard's demands: with requests for
+// allocation that the shard needs, and with grants of its unused allocation to other shards.
 func (qm *quotaManager) proposeAllocations(s *shard) {
 	if qm.now.MonotonicMS < s.nextProposalAt || !qm.store.hasAuthority() {
 		return
@@ -245,14 +246,15 @@
 	}
 }
 
-// writeTeamRecord writes a team's record until the outcome is certain (package quota).
+// writeTeamRecord writes a team's record and repeats the write until its outcome is certain
+// (package quota).
 func (qm *quotaManager) writeTeamRecord(s *shard, team string, ledger *quota.Ledger, write *quota.Write) {
 	key := teamKey(team)
 	send := func(onResult func(StoreResult)) {
 		preconditions := []Precondition{{claimKey(s.name), s.token}, {key, write.Revision}}
 		changes := []Change{{Key: key, Value: mustEncode(write.Record)}}
 		qm.store.sendTxn(UrgencyUser, preconditions, changes, func(r StoreResult) {
-			qm.log(Debug, "team record written", "team", team, "shard", s.name, "outcome", r.Outcome,
+			qm.log(Debug, "team record write finished", "team", team, "shard", s.name, "outcome", r.Outcome,
 				"allocations", write.Record.Allocations, "requests", write.Record.Requests)
 			onResult(r)
 		})
@@ -267,7 +269,7 @@
 	})
 }
 
-// resolveTeamRecord tells a ledger what the store has after a write with an unknown outcome.
+// resolveTeamRecord passes the stored record to a ledger after a write with an unknown outcome.
 func resolveTeamRecord(ledger *quota.Ledger, r StoreResult) indoubt.NextStep {
 	if r.Outcome != OK || len(r.KVs) != 1 {
 		return ledger.Resolve(r.Outcome, nil, 0)
--- a/scheduler/team_preemption.go
+++ b/scheduler/team_preemption.go
@@ -8,34 +8,35 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// Preemption within a team is the exception from queues that are never preempted, for the
-// case that running tasks fill a team's limit: an urgent job of a higher priority
-// waited for a wave of long tasks to end. Only tasks that lose nothing by it are
-// stopped: ones that checkpoint, and ones that do not run yet. What a stopped task
-// gives up of the limit is a debt to the priority that it was stopped for, so that
-// neither its own job nor its equals take it first.
+// Queues are normally never preempted. Preemption within a team is the exception for running tasks
+// that fill the team's limit: without it, an urgent job of a higher priority waited for a wave of
+// long tasks to end. Only tasks that lose no work are stopped: those that checkpoint, and those that
+// do not run yet. The part of the limit that a stopped task releases becomes a debt to the priority
+// that it was stopped for. The debt prevents the stopped task's own job, and others of its priority,
+// from taking that part first.
 
-// preemptionDebt is what stopped tasks of a team gave up of its limit for work of at least
-// a priority. It stands until such work started, or until a time.
+// preemptionDebt is the part of a team's limit that stopped tasks released for work of at least a
+// given priority. It is valid until such work has started, or until it expires.
 type preemptionDebt struct {
 	cpus, gpus float64
 	priority   Priority
 	until      int64 // monotonic milliseconds
 }
 
-// entitles reports whether work of a priority may take what was given up.
+// entitles reports whether work of a priority may use the released part of the limit.
 func (d *preemptionDebt) entitles(p Priority) bool { return p >= d.priority }
 
-// noDeadlineSlackMS is the slack of a range that has no deadline left to miss: over 30 years.
+// noDeadlineSlackMS is the slack of a range that has already missed all of its deadlines: over 30
+// years.
 const noDeadlineSlackMS = 1 << 40
 
-// withoutMemory keeps what limits and guarantees count.
+// withoutMemory returns only the resources that count against limits and guarantees.
 func withoutMemory(r availability.Resources) availability.Resources {
 	r.MemoryGB, r.DiskGB = 0, 0
 	return r
 }
 
-// isPreemptibleBy reports whether an attempt may be stopped for work of a priority.
+// isPreemptibleBy reports whether an attempt may be stopped for work of the given priority.
 func (a *attempt) isPreemptibleBy(p Priority) bool {
 	if a.exited || a.checkpointing {
 		return false
@@ -44,11 +45,10 @@
 	return a.job.Priority < p && a.job.Kind == Array && losesNothing
 }
 
-// preemptibleRanges are a team's ranges that may wait while a group uses the team's
-// limit, each with the time that it has beyond that, in milliseconds: the rule of
-// admission, that every deadline that holds still does, for what runs. Without it, a
-// burst of short jobs kept long ones from ever ending in time. Tasks of at-most-once
-// jobs are not stopped.
+// preemptibleRanges returns a team's ranges that can wait while a group uses the team's limit, each
+// with its slack in milliseconds. It applies the rule of admission to running tasks: every deadline
+// that can be met now must still be met. Without the rule, a burst of short jobs kept long jobs from
+// ever ending in time. Tasks of at-most-once jobs are not stopped.
 func (pp *placementPlanner) preemptibleRanges(s *shard, g *taskGroup) map[*taskRange]int64 {
 	allocation, t, limited := pp.quotas.teamAllocation(s, g.job.Team)
 	if !limited || t.MaxCPUs <= 0 || allocation.CPUs <= 0 {
@@ -64,17 +64,18 @@
 	}
 	out := map[*taskRange]int64{}
 	for tr, remaining := range remainingMS {
-		if slackMS, ok := pp.slackAfterDelay(tr, remaining, delay, allocation.CPUs); ok {
+		if slackMS, ok := pp.slackIfDelayable(tr, remaining, delay, allocation.CPUs); ok {
 			out[tr] = slackMS
 		}
 	}
 	return out
 }
 
-// slackAfterDelay is the time that a range has beyond a delay, if so many processors of its team's
-// limit serve it; false if the delay would make it miss its deadline. runningMS is what its live
-// attempts have left.
-func (pp *placementPlanner) slackAfterDelay(
+// slackIfDelayable returns the time between a range's expected end and its deadline, if the given
+// number of processors of its team's limit serve it. The delay is not subtracted. ok is false if the
+// delay would make the range miss its deadline. runningMS is the remaining run time of the range's
+// live attempts.
+func (pp *placementPlanner) slackIfDelayable(
 	tr *taskRange,
 	runningMS float64,
 	delay int64,
@@ -82,8 +83,8 @@
 ) (slackMS int64, ok bool) {
 	j, accepted := &tr.job.rec.Job, tr.job.rec.AcceptedAtMS
 	runtimeMS := pp.estimates.expectedRuntime(j)
-	// Whether it is late already is judged by one task alone, whether it
-	// has time by all of them, padded: both can be wrong by half.
+	// Estimates can be wrong by half. A deadline therefore counts as missed only if half the run
+	// time of one task exceeds it, while the slack is based on all tasks, with padding.
 	_, deadline, missed := pp.taskDeadlines(j, accepted, runtimeMS/2)
 	if missed {
 		return noDeadlineSlackMS, true
@@ -98,8 +99,9 @@
 	return deadline - pp.now.WallMS - duration, true
 }
 
-// preemptibleResources is what the team's tasks that may be stopped for a group use of its
-// limit, and what is being released to the group's priority already and not taken yet.
+// preemptibleResources returns the resources of the team's tasks that may be stopped for a group.
+// pendingRelease is what the team's limit regains without further stops: from tasks that are already
+// being stopped, and from a debt that the group's priority may use.
 func (pp *placementPlanner) preemptibleResources(
 	s *shard,
 	g *taskGroup,
@@ -122,15 +124,15 @@
 	return preemptible, pendingRelease
 }
 
-// preemptibleTaskCount is how many tasks of a group its team's limit would take beyond
-// now, if tasks of lower priority were stopped.
+// preemptibleTaskCount returns how many additional tasks of a group would fit its team's limit if
+// tasks of lower priority were stopped.
 func (pp *placementPlanner) preemptibleTaskCount(s *shard, g *taskGroup, limit int) int {
 	mayPreempt := !g.MissedObjectives && g.job.Kind == Array && limit > 0
 	if !mayPreempt || len(s.reconciler.Unreported()) > 0 {
-		return 0 // machines that sent no heartbeat yet may give it room without a stop
+		return 0 // once unreported machines report, the limit may suffice without a stop
 	}
 	req := withoutDisk(g.job.Request)
-	limit = pp.guaranteeLeft(s, g).MaxCopies(req, limit)
+	limit = pp.remainingGuarantee(s, g).MaxCopies(req, limit)
 	if limit <= 0 {
 		return 0
 	}
@@ -140,10 +142,10 @@
 	return total.MaxCopies(req, limit)
 }
 
-// guaranteeLeft is what work of at least a group's priority leaves of its team's guarantee. No
-// more is taken for a priority: beyond the guarantee, in a burst that no limit holds,
-// work of lower priority would never end.
-func (pp *placementPlanner) guaranteeLeft(s *shard, g *taskGroup) availability.Resources {
+// remainingGuarantee returns the part of a team's guarantee that is not used by work of at least the
+// group's priority. Preemption for the group is bounded by it: beyond the guarantee, in a burst that
+// no limit bounds, work of lower priority would never end.
+func (pp *placementPlanner) remainingGuarantee(s *shard, g *taskGroup) availability.Resources {
 	guarantee := pp.params.Teams[g.job.Team]
 	left := availability.Resources{CPUs: guarantee.CPUs, GPUs: guarantee.GPUs, MemoryGB: unlimitedAmount}
 	for _, a := range s.liveAttempts[g.job.Team] {
@@ -157,7 +159,7 @@
 // preemptionVictim is an attempt that may be stopped for a higher priority.
 type preemptionVictim struct {
 	attempt *attempt
-	slackMS int64 // time that its range has beyond the delay
+	slackMS int64 // time between the expected end of its range and the deadline
 }
 
 func comparePreemptionVictims(x, y preemptionVictim) int {
@@ -168,8 +170,8 @@
 	)
 }
 
-// preemptionVictims lists what may be stopped for a group: first those whose ranges have most
-// time, or no deadline left to miss.
+// preemptionVictims returns the attempts that may be stopped for a group. Attempts of ranges with
+// the most slack, or with no deadline left to miss, come first.
 func (pp *placementPlanner) preemptionVictims(
 	s *shard,
 	g *taskGroup,
@@ -183,7 +185,7 @@
 		}
 		remaining := a.expectedEnd(pp.now.WallMS) - pp.now.WallMS
 		stopMS := 2*pp.maxHeartbeatIntervalMS() + secondsToMS(a.job.CheckpointDurationS)
-		if remaining > stopMS { // otherwise it ends by itself as soon
+		if remaining > stopMS { // otherwise the attempt ends no later than a stop would end it
 			victims = append(victims, preemptionVictim{a, slackMS})
 		}
 	}
@@ -191,8 +193,8 @@
 	return victims
 }
 
-// preempt stops tasks of lower priority so that n tasks of a group, which have room on
-// machines, find it in their team's limit. What is being released already counts.
+// preempt stops tasks of lower priority so that n tasks of a group, which fit on machines, also fit
+// their team's limit. Resources that are already being released count towards that.
 func (pp *placementPlanner) preempt(s *shard, g *taskGroup, n int) {
 	req := withoutDisk(g.job.Request)
 	ranges := pp.preemptibleRanges(s, g)
@@ -217,8 +219,8 @@
 	}
 }
 
-// recordDebt notes what a stopped task gave up, when it is over. Without it, its own
-// job took the room in the limit again at the same heartbeat.
+// recordDebt records the part of the limit that a stopped task released, once the task has ended.
+// Without it, the task's own job took that part again at the same heartbeat.
 func (pp *placementPlanner) recordDebt(s *shard, a *attempt) {
 	debt := s.debts[a.job.Team]
 	if pp.now.MonotonicMS >= debt.until {
@@ -231,7 +233,8 @@
 	s.debts[a.job.Team] = debt
 }
 
-// repayDebt takes a start off the debt to its priority.
+// repayDebt subtracts a started task from the debt, if its priority may use the debt. It removes a
+// debt that is repaid or has expired.
 func (pp *placementPlanner) repayDebt(s *shard, j *Job) {
 	debt, ok := s.debts[j.Team]
 	if !ok || !debt.entitles(j.Priority) {
@@ -247,8 +250,8 @@
 	s.debts[j.Team] = debt
 }
 
-// reservedForOthers is what a job must leave of its team's limit to others: the debt to
-// higher priorities, and what is reserved for a first task that the limit holds up.
+// reservedForOthers returns the part of its team's limit that a job must leave to others: the debt
+// to higher priorities, and the reservation for a first task that is blocked by the limit.
 func (pp *placementPlanner) reservedForOthers(s *shard, j *Job) availability.Resources {
 	reserved := s.reservedForFirstTask(j)
 	debt, ok := s.debts[j.Team]
--- a/scheduler/team_records.go
+++ b/scheduler/team_records.go
@@ -6,11 +6,11 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
-// applyTeamRecord passes a team's record to the team's ledger.
+// applyTeamRecord passes a team's stored record to the team's ledger.
 func (qm *quotaManager) applyTeamRecord(kv KeyValue) error {
 	ledger := qm.quotaLedgers[kv.Key[len(teamPrefix):]]
 	if ledger == nil {
-		return nil // the team had a limit once
+		return nil // the team no longer has a limit
 	}
 	if kv.Value == nil {
 		ledger.Observe(nil, 0)
@@ -25,19 +25,20 @@
 	return nil
 }
 
-// homeShard is the shard that gets the tasks of a new job that no other shard has capacity for.
+// homeShard returns the shard that receives the tasks of a new job that are assigned to no other
+// shard.
 func (qm *quotaManager) homeShard(j *Job) string {
 	homeShard, limited := qm.homeShards[j.Team]
-	if !limited || qm.keepsJobFromHome(homeShard, j) {
+	if !limited || qm.keepsJobLocal(homeShard, j) {
 		return qm.params.MemberID
 	}
 	return homeShard
 }
 
-// keepsJobFromHome reports whether a job stays here though its team has another
-// home: no fresh message came from the owner of that shard, and the allocation of
-// this member's own shard takes a task.
-func (qm *quotaManager) keepsJobFromHome(homeShard string, j *Job) bool {
+// keepsJobLocal reports whether a job stays with this member although its team has another home
+// shard. It does if there is no fresh message from the owner of that shard and a task fits the
+// allocation of this member's own shard.
+func (qm *quotaManager) keepsJobLocal(homeShard string, j *Job) bool {
 	s := qm.shards.ownedShards[qm.params.MemberID]
 	if !qm.params.Quota || s == nil {
 		return false
