--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -146,7 +146,7 @@
 		"machines\t%d, %d gone, %d being emptied\n",
 		st.TotalMachines,
 		st.TotalMachines-st.Remaining,
-		st.Emptying,
+		st.Draining,
 	)
 	if st.Plan.Mode == rollout.Replace {
 		fmt.Fprintf(w, "replacements\t%d up, %d booting\n", st.LiveReplacements, st.Booting)
--- a/internal/adminapi/metrics.go
+++ b/internal/adminapi/metrics.go
@@ -145,7 +145,7 @@
 func (s sender) sendRollout(r *scheduler.RolloutStatus) {
 	s.gauge(descRollout, 1, string(r.State))
 	s.gauge(descRolloutMachines, float64(r.Remaining), "left")
-	s.gauge(descRolloutMachines, float64(r.Emptying), "emptying")
+	s.gauge(descRolloutMachines, float64(r.Draining), "emptying")
 	s.gauge(descRolloutMachines, float64(r.Booting), "booting")
 	s.gauge(descRolloutMachines, float64(r.ReadyReplacements), "ready")
 	for team, n := range r.Disrupted {
--- a/scheduler/rollout_requests.go
+++ b/scheduler/rollout_requests.go
@@ -22,7 +22,7 @@
 type RolloutStatus struct {
 	*rollout.Record
 	Remaining        int            `json:"left"`              // machines of the plan that still exist
-	Emptying         int            `json:"emptying"`          // machines of the plan that are being drained
+	Draining         int            `json:"emptying"`          // machines of the plan that are being drained
 	Booting          int            `json:"booting"`           // replacements that are still booting
 	Disrupted        map[string]int `json:"down"`              // by team: stopped tasks that have not restarted yet
 	WaitingForBudget map[string]int `json:"waiting,omitempty"` // by team: tasks waiting for a disruption budget
@@ -41,7 +41,7 @@
 		switch {
 		case rec.Covers(&p):
 			status.Remaining++
-			status.Emptying++
+			status.Draining++
 		case rec.Selects(&p):
 			status.Remaining++
 		case p.ProvisionedForPlan == rec.Plan.ID && !p.Up:
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -471,7 +471,7 @@
 				if status == nil {
 					t.Fatal("there is no plan")
 				}
-				isProgressing := status.Emptying > 0 || status.Booting > 0
+				isProgressing := status.Draining > 0 || status.Booting > 0
 				if status.State != rollout.Done && status.Reason == "" && !isProgressing {
 					t.Errorf("the plan makes no progress and gives no reason: %+v", status)
 				}
