--- a/scheduler/cluster_view.go
+++ b/scheduler/cluster_view.go
@@ -13,8 +13,8 @@
 const bootOverdueFactor = 2
 
 // buildClusterView adds a shard's machines to its cluster view, with a slot for each live attempt.
-// It also recomputes the shard's totals that the plan uses: processors used by tasks with a start
-// objective, remaining work by team, and reserved tasks by range.
+// It also recomputes the totals for the plan: processors used by tasks with a start objective,
+// remaining work by team, and reserved tasks by range.
 func (pp *placementPlanner) buildClusterView(s *shard) {
 	s.clusterView.Begin(pp.now.WallMS)
 	s.viewMachines = s.viewMachines[:0]
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -40,9 +40,9 @@
 	idlePlanIntervalMS = 1000 // minimum if nothing has changed
 )
 
-// isPlanDue reports whether a shard is due for a new plan: soon after a job arrives, otherwise as
-// often as the cost of the last plan allows. Between plans, a heartbeat that shows free capacity
-// starts the next task of the queue on its machine.
+// isPlanDue reports whether a shard is due for a new plan. A plan runs soon after a job arrives,
+// otherwise as often as the cost of the last plan allows. Between plans, a heartbeat that shows
+// free capacity starts the next task of the queue on its machine.
 func (pp *placementPlanner) isPlanDue(s *shard) bool {
 	interval := pp.planInterval(s)
 	passed := float64(pp.now.MonotonicMS - s.plannedAt)
@@ -137,9 +137,9 @@
 	}
 }
 
-// mayPlace reports whether tasks of a range may be placed now. They may not during a back-off after
-// errors, while an earlier attempt may still run on an unreported machine, or while the range's
-// tail is being moved.
+// mayPlace reports whether tasks of a range may be placed now. Three conditions prevent it: a
+// back-off after errors, an earlier attempt that may still run on an unreported machine, or a
+// pending move of the range's tail.
 func (pp *placementPlanner) mayPlace(s *shard, tr *taskRange) bool {
 	if pp.now.MonotonicMS < tr.retryAt || tr.moving {
 		return false
--- a/scheduler/range_assignment.go
+++ b/scheduler/range_assignment.go
@@ -9,9 +9,9 @@
 )
 
 // peerTaskCapacity returns how many of a job's tasks, up to limit, a peer's shard can finish by
-// deadline (time of day, ms), according to its last summary. The peer decides which of its machines
-// run them. With reserve, the capacity used is subtracted from the summary until the next one
-// arrives.
+// deadline (time of day, ms). It uses the shard's last summary; the peer decides which of its
+// machines run the tasks. With reserve, the capacity used is subtracted from the summary until the
+// next one arrives.
 func (pt *peerTable) peerTaskCapacity(
 	peerShard *PeerShard,
 	j *Job,
@@ -100,7 +100,7 @@
 }
 
 // assignRanges decides which shards get the tasks of a new job: this member's shard before those of
-// peers. Free capacity, local or at a peer, is used before a place in a queue: a task that waits
+// peers. It uses free capacity, local or at a peer, before a place in a queue. A task that waits
 // while a peer's machine is idle only risks its deadline. Tasks that no shard can finish in time
 // stay in the home shard.
 func (pt *peerTable) assignRanges(j *Job) []Range {
@@ -219,8 +219,8 @@
 	return pt.quotas.fitsTeamAllocation(s, j.rec.Job.Team)
 }
 
-// moveUnplaceableTasks moves waiting tasks to a peer that could start them at once, and tasks that
-// no machine of the shard can finish in time to a peer that could. A move is a conditional write of
+// moveUnplaceableTasks moves tasks to peers with capacity: waiting tasks that a peer could start at
+// once, and tasks that no machine of the shard can finish in time. A move is a conditional write of
 // the job's record.
 func (pt *peerTable) moveUnplaceableTasks(s *shard) {
 	for _, group := range s.queue {
@@ -250,8 +250,8 @@
 	}
 }
 
-// movableTail returns how many consecutive tasks at the end of a range, up to limit, can move: they
-// are neither done, nor assigned to a machine, nor awaiting a restart.
+// movableTail returns how many consecutive tasks at the end of a range, up to limit, can move. A
+// task cannot move if it is done, assigned to a machine or awaiting a restart.
 func (s *shard) movableTail(tr *taskRange, limit int) int {
 	tasks := 0
 	for index := tr.size() - 1; index >= 0 && tasks < limit; index-- {
@@ -263,8 +263,8 @@
 	return tasks
 }
 
-// moveTasksToPeer moves up to maxTasks tasks from the end of a range to the peer's shard that can
-// finish the most of them by deadline (time of day, ms).
+// moveTasksToPeer moves up to maxTasks tasks from the end of a range to a peer. It chooses the shard
+// that can finish the most of them by deadline (time of day, ms).
 func (pt *peerTable) moveTasksToPeer(s *shard, tr *taskRange, maxTasks int, runtimeMS, deadline int64) {
 	movable := s.movableTail(tr, maxTasks)
 	if movable == 0 {
@@ -307,8 +307,8 @@
 
 // writeMove writes a move and repeats the write until its outcome is certain. Until then no task of
 // the range starts in this shard, because the peer may already own the tail. Neither a refused
-// retry nor a conflict whose read-back failed settles the write: the first attempt may still be
-// applied afterwards, and the tail would run in both shards.
+// retry nor a conflict whose read-back failed settles the write. When they did, the first attempt
+// was applied afterwards, and the tail ran in both shards.
 func (pt *peerTable) writeMove(s *shard, tr *taskRange, j *job, rec jobRecord, jobRevision uint64) {
 	id := j.rec.Job.ID
 	key := jobKey(id)
--- a/scheduler/rollout_controller.go
+++ b/scheduler/rollout_controller.go
@@ -12,8 +12,8 @@
 //
 // Only the leader advances the plan's record, issues disruption tokens and provisions replacements.
 // Only a shard's owner drains the shard's machines and writes the record of the tasks it stopped.
-// An eviction is sent only after its reservation is in the store, so a crash of the leader or the
-// owner loses no part of a team's budget.
+// An eviction is sent only after its reservation is in the store. A crash of the leader or the owner
+// therefore loses no part of a team's budget.
 type rolloutController struct {
 	*environment
 	cache    *stateCache
--- a/scheduler/runtime_estimator.go
+++ b/scheduler/runtime_estimator.go
@@ -70,8 +70,8 @@
 	return false
 }
 
-// buildRecord returns the run times of a recovery record, and the ratio of every class in hundredths, including
-// classes that the record has no room for.
+// buildRecord returns the run times of a recovery record, and the ratio of every class in hundredths. The ratios
+// include classes that the record has no room for.
 func (re *runtimeEstimator) buildRecord() (runtimes map[string]runtimeRecord, hundredths map[string]int64) {
 	runtimes, hundredths = map[string]runtimeRecord{}, map[string]int64{}
 	for class, correction := range sortedByKey(re.runtimeCorrections) {
--- a/scheduler/team_guarantees.go
+++ b/scheduler/team_guarantees.go
@@ -148,8 +148,8 @@
 }
 
 // liveCapacity returns the capacity of all live machines of all members, at most one summary
-// interval old. Computing it for each plan meant a pass over the whole fleet several times a second,
-// and shares of the capacity need not be more exact.
+// interval old. Computing it for each plan meant a pass over the whole fleet several times a second.
+// Shares of the capacity need not be more exact.
 func (qm *quotaManager) liveCapacity() quota.Amounts {
 	takenAt, now := qm.capacitySnapshot.takenAt, qm.now.MonotonicMS
 	if takenAt == 0 || now-takenAt > secondsToMS(qm.cache.settings.SummaryS) {
--- a/scheduler/team_limits.go
+++ b/scheduler/team_limits.go
@@ -17,7 +17,7 @@
 // shard's allocation, so the limit holds regardless of what the shards know about each other
 // (package quota). Without a record the whole limit is allocated to the team's home shard, which
 // receives the team's jobs. When the limit was divided equally instead, a team's jobs waited in one
-// shard for capacity that was unused in another, and earliest-deadline order held only within a
+// shard for capacity that was unused in another. Earliest-deadline order also held only within a
 // shard.
 type quotaManager struct {
 	*environment
@@ -114,9 +114,9 @@
 
 // maxUnreportedUsage returns an upper bound on a team's usage of a shard's machines that the shard
 // does not know about. A machine that has not sent a heartbeat since the claim uses at most the
-// amount in its entry in the ledger of unreachable machines or, without an entry, its capacity. A
-// machine with orphaned tasks may use all of its remaining capacity: the team of an orphaned task is
-// unknown, so it counts for every team until the task is stopped.
+// amount of its entry in the ledger of unreachable machines. Without an entry the bound is its
+// capacity. A machine with orphaned tasks may use all of its remaining capacity. The team of an
+// orphaned task is unknown, so that capacity counts for every team until the task is stopped.
 func (qm *quotaManager) maxUnreportedUsage(s *shard, team string) (sum reconcile.ResourceUsage) {
 	for _, unreported := range s.reconciler.Unreported() {
 		if entry, recorded := s.reconciler.Ledger.Entry(unreported.ID); recorded {
@@ -180,8 +180,8 @@
 	return available.MaxCopies(withoutDisk(j.Request), j.Tasks)
 }
 
-// teamDemands returns a shard's demand by team with a limit: running and waiting work, and the part
-// of the waiting work that fit on machines in the last plan.
+// teamDemands returns a shard's demand by team with a limit. It contains running work, waiting work,
+// and the part of the waiting work that fit on machines in the last plan.
 func (qm *quotaManager) teamDemands(s *shard) map[string]quota.Demand {
 	out := make(map[string]quota.Demand, len(qm.quotaLedgers))
 	for name := range qm.quotaLedgers {
@@ -225,12 +225,12 @@
 // record is written only if it changes.
 const proposalsPerSummary = 4
 
-// allocationGraceSummaries is the time, in summary intervals, for which a shard keeps an allocation
-// that is too small for its next task while other shards request it.
+// allocationGraceSummaries is a grace period in summary intervals. For that time a shard keeps an
+// allocation that is too small for its next task while other shards request it.
 const allocationGraceSummaries = 30
 
-// proposeAllocations updates the teams' records according to a shard's demands: with requests for
-// allocation that the shard needs, and with grants of its unused allocation to other shards.
+// proposeAllocations updates the teams' records according to a shard's demands. It requests the
+// allocation that the shard needs, and grants its unused allocation to other shards that request it.
 func (qm *quotaManager) proposeAllocations(s *shard) {
 	if qm.now.MonotonicMS < s.nextProposalAt || !qm.store.hasAuthority() {
 		return
--- a/scheduler/team_preemption.go
+++ b/scheduler/team_preemption.go
@@ -8,10 +8,10 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// Queues are normally never preempted. Preemption within a team is the exception for running tasks
-// that fill the team's limit: without it, an urgent job of a higher priority waited for a wave of
-// long tasks to end. Only tasks that lose no work are stopped: those that checkpoint, and those that
-// do not run yet. The part of the limit that a stopped task releases becomes a debt to the priority
+// Queues are normally never preempted. Preemption within a team is the exception if running tasks
+// fill the team's limit. Without it, an urgent job of a higher priority waited for a wave of long
+// tasks to end. Only tasks that lose no work are stopped: those that checkpoint, and those that do
+// not run yet. The part of the limit that a stopped task releases becomes a debt to the priority
 // that it was stopped for. The debt prevents the stopped task's own job, and others of its priority,
 // from taking that part first.
 
@@ -84,7 +84,7 @@
 	j, accepted := &tr.job.rec.Job, tr.job.rec.AcceptedAtMS
 	runtimeMS := pp.estimates.expectedRuntime(j)
 	// Estimates can be wrong by half. A deadline therefore counts as missed only if half the run
-	// time of one task exceeds it, while the slack is based on all tasks, with padding.
+	// time of one task exceeds it. The slack, by contrast, is based on all tasks, with padding.
 	_, deadline, missed := pp.taskDeadlines(j, accepted, runtimeMS/2)
 	if missed {
 		return noDeadlineSlackMS, true
@@ -100,8 +100,8 @@
 }
 
 // preemptibleResources returns the resources of the team's tasks that may be stopped for a group.
-// pendingRelease is what the team's limit regains without further stops: from tasks that are already
-// being stopped, and from a debt that the group's priority may use.
+// pendingRelease is the part of the team's limit that becomes usable without further stops. It comes
+// from tasks that are already being stopped, and from a debt that the group's priority may use.
 func (pp *placementPlanner) preemptibleResources(
 	s *shard,
 	g *taskGroup,
@@ -250,8 +250,9 @@
 	s.debts[j.Team] = debt
 }
 
-// reservedForOthers returns the part of its team's limit that a job must leave to others: the debt
-// to higher priorities, and the reservation for a first task that is blocked by the limit.
+// reservedForOthers returns the part of its team's limit that a job must leave to others. It
+// consists of the debt to higher priorities and the reservation for a first task that the limit
+// blocks.
 func (pp *placementPlanner) reservedForOthers(s *shard, j *Job) availability.Resources {
 	reserved := s.reservedForFirstTask(j)
 	debt, ok := s.debts[j.Team]
