--- a/reconcile/attempt_ids.go
+++ b/reconcile/attempt_ids.go
@@ -1,10 +1,10 @@
 package reconcile
 
-// AttemptIDs assigns IDs to the attempts that a claim starts. An ID holds a revision of the
-// claim and, below it, the wall clock time of the start and a counter. So no ID is ever used
-// twice, no start needs a write, and whoever finds an attempt running later knows when it was
-// started, which heartbeats do not say. Without the time an adopted task seemed to begin at
-// its adoption, its class seemed shorter than it is, and too little capacity was provisioned.
+// AttemptIDs assigns IDs to the attempts that a claim starts. An ID consists of a revision of the
+// claim in the high bits, and of the wall clock time of the start and a counter in the low bits. So
+// IDs are unique, a start needs no write, and an owner that later adopts the attempt knows its start
+// time, which heartbeats do not contain. Without that time an adopted task appears to start at its
+// adoption, the run time of its class is underestimated, and too little capacity is provisioned.
 //
 // The zero value must be given a revision with Rebase before its first use.
 type AttemptIDs struct {
@@ -13,8 +13,8 @@
 	last     uint64
 }
 
-// The lower part of an ID: half seconds of wall clock time, modulo three days, and a counter
-// within each half second. A start too many in one half second takes an ID of the next.
+// The low bits of an ID are half seconds of wall clock time, modulo three days, and a counter within
+// each half second. When the counter overflows, the next start takes an ID of the following half second.
 const (
 	idTimeStepMS = 500
 	idCountBits  = 9
@@ -23,8 +23,8 @@
 	idOffsetMask = 1<<idOffsetBits - 1
 )
 
-// Rebase continues under a later revision of the same claim, or under a new claim. Revisions
-// only grow: a revision that is no later than the present one changes nothing.
+// Rebase continues under a later revision of the same claim, or under a new claim. Revisions only
+// grow: a revision that is not later than the current one is ignored.
 func (n *AttemptIDs) Rebase(revision uint64, wallMS int64) {
 	if revision > n.revision {
 		n.revision, n.first, n.last = revision, timeOffset(wallMS), 0
@@ -33,26 +33,26 @@
 
 func timeOffset(wallMS int64) uint64 { return uint64(max(wallMS, 0)/idTimeStepMS) << idCountBits }
 
-// Next returns an ID that was never returned before. The caller checks IsExhausted first.
+// Next returns a unique ID. The caller checks IsExhausted first.
 func (n *AttemptIDs) Next(wallMS int64) uint64 {
 	n.last = max(n.last+1, timeOffset(wallMS), n.first)
 	return n.revision<<idOffsetBits | n.last&idOffsetMask
 }
 
-// IsHalfExhausted reports whether half of the IDs under the present revision are used: the
-// claim's fencing token should be raised now, and IDs continue under the new one.
+// IsHalfExhausted reports whether half of the IDs under the current revision are used. The caller then
+// raises the claim's fencing token, and IDs continue under the new revision.
 func (n *AttemptIDs) IsHalfExhausted(wallMS int64) bool {
 	return max(n.last, timeOffset(wallMS)) >= n.first+1<<(idOffsetBits-1)
 }
 
-// IsExhausted reports whether no ID is left under the present revision.
+// IsExhausted reports whether all IDs under the current revision are used.
 func (n *AttemptIDs) IsExhausted(wallMS int64) bool {
 	return max(n.last+1, timeOffset(wallMS)) >= n.first+1<<idOffsetBits
 }
 
-// AttemptStartedAt returns the wall clock time, in milliseconds, at which the attempt with an
-// ID was started, if that is no more than a day and a half ago. A time that appears to lie in
-// the future is returned as wallMS, the present.
+// AttemptStartedAt returns the wall clock time, in milliseconds, at which the attempt with an ID was
+// started, if that is at most a day and a half ago. For a time that appears to be in the future it
+// returns wallMS, the current time.
 func AttemptStartedAt(attemptID uint64, wallMS int64) int64 {
 	const cycle = 1 << idTimeBits
 	startStep := attemptID & idOffsetMask >> idCountBits
--- a/reconcile/attempt_ids_test.go
+++ b/reconcile/attempt_ids_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// No two claims assign the same ID, also when the wall clock steps back, stands still or leaps
-// between them, and no claim assigns one twice.
+// Tests that no ID is assigned twice, by one claim or by several, even if the wall clock steps back,
+// stops or jumps between claims.
 func TestAttemptIDsAreNeverReused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ids AttemptIDs
@@ -15,7 +15,7 @@
 		revision, wallMS := uint64(0), int64(1_700_000_000_000)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
-			case 0: // another claim, or a raised token of the same one
+			case 0: // another claim, or a raised token of the same claim
 				revision += uint64(rapid.IntRange(1, 3).Draw(t, "revisions"))
 				if rapid.Bool().Draw(t, "new process") {
 					ids = AttemptIDs{}
--- a/reconcile/machine.go
+++ b/reconcile/machine.go
@@ -1,13 +1,13 @@
 package reconcile
 
-// MachineState is what a claim knows of a machine.
+// MachineState is the reconciliation state of a machine under a claim.
 type MachineState int
 
-// The states of a machine; the package comment has the transitions.
+// The states of a machine. The package comment lists the transitions.
 const (
-	NoHeartbeat  MachineState = iota // no heartbeat has come since the claim
-	Notified                         // it sent a heartbeat, and the response carries our fencing token
-	Reconciled                       // what it reported under our fencing token is what we count
+	NoHeartbeat  MachineState = iota // no heartbeat received since the claim
+	Notified                         // it sent a heartbeat, and the response carries the claim's fencing token
+	Reconciled                       // it reported its tasks with the claim's fencing token, and these are counted
 	LeaseExpired                     // no heartbeat for longer than its lease
 )
 
@@ -15,20 +15,20 @@
 	return [...]string{"NoHeartbeat", "Notified", "Reconciled", "LeaseExpired"}[s]
 }
 
-// Disposition is what becomes of a heartbeat.
+// Disposition is how the owner handles a heartbeat.
 type Disposition int
 
-// What becomes of a heartbeat. From Accept on, what it shows of tasks is to be taken.
+// The dispositions of a heartbeat. From Accept on, the owner applies the tasks that it reports.
 const (
-	Stale                Disposition = iota // it proves nothing and gets no response
-	RenewOnly                               // it gets a response; its content is outdated
-	NotifyToken                             // it gets a response with our fencing token; its content is not taken
-	Accept                                  // its tasks are what runs on the machine
-	AcceptNewIncarnation                    // the same, and what ran in the earlier incarnation is over
+	Stale                Disposition = iota // outdated: it is ignored and gets no response
+	RenewOnly                               // it gets a response, but its content is outdated
+	NotifyToken                             // it gets a response with the claim's fencing token; its content is ignored
+	Accept                                  // it lists the tasks on the machine
+	AcceptNewIncarnation                    // the same, and all tasks of the earlier incarnation have ended
 )
 
-// Machine is a machine as a claim sees it. The claim that added it changes it; callers only read
-// its exported fields.
+// Machine is the state of a machine under a claim. Only the claim that added it modifies it. Callers
+// read its exported fields.
 type Machine struct {
 	ID               string
 	Up               bool // listed as up: tasks may be on it
@@ -36,39 +36,39 @@
 	Incarnation, Seq uint64
 
 	state               MachineState
-	newestHeartbeat     struct{ incarnation, seq uint64 } // of heartbeats alone, not of query responses
-	notifiedIncarnation uint64                            // the newest incarnation that was sent our fencing token
-	earlierTasksExpired bool                              // no task of earlier claims is left; it lacks our token
+	newestHeartbeat     struct{ incarnation, seq uint64 } // of heartbeats only, without query responses
+	notifiedIncarnation uint64                            // the newest incarnation that was sent the claim's fencing token
+	earlierTasksExpired bool                              // all tasks of earlier claims ended, yet it has an older token
 	lastQueryAt         int64                             // when it became Notified, or was last queried for its tasks
 }
 
-// State returns what is known of the machine.
+// State returns the reconciliation state of the machine.
 func (m *Machine) State() MachineState { return m.state }
 
-// NotifiedIncarnation returns the newest incarnation that was sent our fencing token.
+// NotifiedIncarnation returns the newest incarnation that was sent the claim's fencing token.
 func (m *Machine) NotifiedIncarnation() uint64 { return m.notifiedIncarnation }
 
-// IsReconciled reports whether what runs on the machine is known: it sent a heartbeat under our
-// fencing token, and its lease has not expired since.
+// IsReconciled reports whether the tasks on the machine are known: it sent a heartbeat with the
+// claim's fencing token, and its lease has not expired since.
 func (m *Machine) IsReconciled() bool { return m.state == Reconciled }
 
-// IsAccountedFor reports whether nothing that an earlier claim started can run on the machine
-// without being counted.
+// IsAccountedFor reports whether every task of an earlier claim that may run on the machine is
+// counted.
 func (m *Machine) IsAccountedFor() bool {
 	return !m.Up || m.state >= Reconciled || m.earlierTasksExpired
 }
 
-// IsInboundPartitioned reports whether the machine has sent heartbeats for longer than a lease
-// since the claim without receiving our responses.
+// IsInboundPartitioned reports whether the machine has sent heartbeats for longer than a lease since
+// the claim without receiving the responses.
 func (m *Machine) IsInboundPartitioned() bool { return m.earlierTasksExpired && m.state < Reconciled }
 
-// isOldHeartbeat reports whether a heartbeat is no newer than the newest one.
+// isOldHeartbeat reports whether a heartbeat is not newer than the newest one received.
 func (m *Machine) isOldHeartbeat(incarnation, seq uint64) bool {
 	newest := &m.newestHeartbeat
 	return incarnation < newest.incarnation || incarnation == newest.incarnation && seq <= newest.seq
 }
 
-// isOvertaken reports whether a later message of a reconciled machine has been taken already.
+// isOvertaken reports whether the same or a newer message was already accepted from the machine.
 func (m *Machine) isOvertaken(incarnation, seq uint64) bool {
 	return m.hasAcceptedIncarnation() &&
 		(incarnation < m.Incarnation || incarnation == m.Incarnation && seq <= m.Seq)
@@ -76,9 +76,9 @@
 
 func (m *Machine) hasAcceptedIncarnation() bool { return m.state >= Reconciled && m.Incarnation != 0 }
 
-// hasEnded reports whether an incarnation ended with its lease: a heartbeat of it was sent
-// before that and delayed by the network. Taken as new, it brought back tasks that had been
-// killed, and starts were sent to an incarnation that was over.
+// hasEnded reports whether an incarnation ended when its lease expired. The network may delay a
+// heartbeat of it beyond the expiry. If the owner accepted that heartbeat, it would count killed tasks
+// as running and send start commands to an incarnation that has ended.
 func (m *Machine) hasEnded(incarnation uint64) bool {
 	return m.state == LeaseExpired && incarnation <= max(m.Incarnation, m.notifiedIncarnation)
 }
--- a/reconcile/model_test.go
+++ b/reconcile/model_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// The model: workers that run and finish tasks, hang and lose their lease; an owner of their shard
-// that starts tasks by what reconcile reports and whose claim ends at any moment; a store that has
-// results and ledger entries, sometimes without the owner knowing. What workers do is checked from
-// their side.
+// The model consists of workers, an owner of their shard and a store. Workers run and finish tasks,
+// hang and lose their lease. The owner starts tasks according to package reconcile, and its claim ends
+// at any moment. The store holds results and ledger entries, sometimes unknown to the owner. The rules
+// are checked against the state of the workers.
 
 const (
 	modelTasks          = 6
-	modelTaskLimit      = 4 // of the only team
+	modelTaskLimit      = 4 // limit of the only team
 	modelTasksPerWorker = 3
 	modelTeam           = "a"
 )
@@ -30,10 +30,10 @@
 	fencingToken   uint64
 	claim          *Claim
 	workers        []*modelWorker
-	completed      []bool // as the owner knows
+	completed      []bool // as known to the owner
 	resultStored   []bool
-	obsolete       []bool // its job was cancelled, in the store
-	transferring   []bool // it may be a peer's: written, and the outcome is unknown
+	obsolete       []bool // its job is cancelled in the store
+	transferring   []bool // a peer may own it: the outcome of the write is unknown
 	assigned       []int
 	lastAttempt    int
 	storedEntries  map[string]UnreachableMachine
@@ -111,7 +111,7 @@
 	return Unassigned
 }
 
-// releaseAttempt takes an attempt off the owner's count.
+// releaseAttempt removes an attempt from the owner's count.
 func (m *model) releaseAttempt(worker *modelWorker, key attemptKey) {
 	if worker.ownedAttempts[key] {
 		delete(worker.ownedAttempts, key)
@@ -127,10 +127,10 @@
 
 type receiveFunc func(worker *Machine, now int64, incarnation, seq, fencingToken uint64) Disposition
 
-// sendHeartbeat has the owner take a worker's heartbeat now; the response may be late or lost.
+// sendHeartbeat delivers a worker's heartbeat to the owner. The response may be late or lost.
 func (m *model) sendHeartbeat(worker *modelWorker, responseLost bool, receive receiveFunc) {
 	worker.seq++
-	worker.pendingCommands = nil // one heartbeat at a time: a response that did not come is dropped
+	worker.pendingCommands = nil // one heartbeat at a time: an outstanding response is dropped
 	incarnation, seq, sentAt := worker.incarnation, worker.seq, m.now
 	disposition := receive(worker.machine, m.now, incarnation, seq, worker.token)
 	var commands []func()
@@ -147,7 +147,7 @@
 	if responseLost {
 		return
 	}
-	// Responses are dropped after a moment, by a newer token, or by a new incarnation.
+	// The worker drops a response that is late, or whose token or incarnation is older than its own.
 	fencingToken := m.fencingToken
 	worker.pendingCommands = append(worker.pendingCommands, func() {
 		expired := m.now-sentAt > modelSettings.LeaseMS/4
@@ -161,7 +161,7 @@
 	})
 }
 
-// applyTasks takes what a heartbeat shows of tasks, and returns the commands that follow.
+// applyTasks applies the tasks that a heartbeat reports and returns the resulting commands.
 func (m *model) applyTasks(worker *modelWorker, seq uint64) (commands []func()) {
 	shown := map[attemptKey]bool{}
 	worker.orphanedTasks = 0
@@ -185,7 +185,7 @@
 	return commands
 }
 
-// applyOwnTask takes an attempt of the present claim.
+// applyOwnTask applies an attempt of the current claim.
 func (m *model) applyOwnTask(worker *modelWorker, task modelTask) (command func()) {
 	key := task.attemptKey
 	if task.active {
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// applyEarlierTask takes an attempt that the present claim did not start.
+// applyEarlierTask applies an attempt that the current claim did not start.
 func (m *model) applyEarlierTask(worker *modelWorker, task modelTask, seq uint64) (command func()) {
 	observation := Terminated
 	if task.active {
@@ -230,28 +230,28 @@
 	return nil
 }
 
-// checkVerdict checks a verdict against the rules, independently of the table.
+// checkVerdict checks a verdict against the rules, independently of the verdict table.
 func (m *model) checkVerdict(task int, state TaskState, observation Observation, verdict Verdict) {
 	unavailable := state != Unassigned
 	resultNeeded := !m.resultStored[task] && !m.obsolete[task]
 	switch {
 	case verdict == Adopt && (unavailable || observation != Active):
-		m.violate("task %d is adopted, %v and %v", task, state, observation)
+		m.violate("task %d is adopted in state %v, observation %v", task, state, observation)
 	case observation == Active && unavailable && verdict != Stop:
-		m.violate("task %d is not stopped, %v", task, state)
+		m.violate("task %d is not stopped in state %v", task, state)
 	case observation == Active && !unavailable && verdict != Adopt:
-		m.violate("task %d runs and does not count", task)
+		m.violate("task %d runs and is not counted", task)
 	case verdict == Clear && observation == Succeeded && resultNeeded:
 		m.violate("the result of task %d is cleared before it is stored", task)
 	case observation == Succeeded && verdict != RecordCompletion && !m.completed[task] && !m.obsolete[task]:
 		m.violate("the result of task %d is not recorded", task)
 	case verdict == Stop && observation != Active, verdict == Keep && observation != Succeeded:
-		m.violate("verdict %v for task %d, %v", verdict, task, observation)
+		m.violate("verdict %v for task %d with observation %v", verdict, task, observation)
 	}
 }
 
-// startCommands starts unassigned tasks on a reconciled machine: none that may run on an unreported
-// one, and no more than the team's limit whatever runs on unreported ones.
+// startCommands starts unassigned tasks on a reconciled machine. It starts no task that may run on an
+// unreported machine, and stays within the team's limit for all tasks that may run on unreported ones.
 func (m *model) startCommands(worker *modelWorker, seq uint64) (commands []func()) {
 	if _, recorded := m.claim.Ledger.Entry(worker.id); recorded || !worker.machine.IsReconciled() {
 		return nil
@@ -279,7 +279,7 @@
 	return commands
 }
 
-// maxPossiblyRunning bounds how many tasks may run that the owner does not count.
+// maxPossiblyRunning returns the maximum number of running tasks that the owner does not count.
 func (m *model) maxPossiblyRunning() (n int) {
 	for _, unreported := range m.claim.Unreported() {
 		if entry, ok := m.claim.Ledger.Entry(unreported.ID); ok {
@@ -290,13 +290,13 @@
 	}
 	for _, worker := range m.workers {
 		if worker.machine.IsReconciled() && worker.orphanedTasks > 0 {
-			n += modelTasksPerWorker - len(worker.ownedAttempts) // whose they are is not known
+			n += modelTasksPerWorker - len(worker.ownedAttempts) // the tasks of the remaining slots are unknown
 		}
 	}
 	return n
 }
 
-// isPlaceable is a placement constraint: a task that it forbids cannot be on an unreported machine.
+// isPlaceable is a placement constraint. A task cannot run on an unreported machine that it excludes.
 func isPlaceable(task int, machine string) bool {
 	return !(task%2 == 0 && machine == "w0" || task%2 == 1 && machine == "w2")
 }
@@ -311,8 +311,8 @@
 	})
 }
 
-// startTask is the worker's side of a start command: here it shows whether a task runs twice or the
-// limit is exceeded.
+// startTask executes a start command on the worker. It checks that no task runs twice and that the
+// limit is not exceeded.
 func (m *model) startTask(worker *modelWorker, key attemptKey) {
 	for _, existing := range worker.tasks {
 		if existing.task == key.task && (existing.active || existing.attempt == key.attempt) {
@@ -332,14 +332,14 @@
 		}
 	}
 	if activeTasks+1 > modelTaskLimit {
-		m.violate("%d tasks of a team whose limit is %d", activeTasks+1, modelTaskLimit)
+		m.violate("%d tasks of a team with a limit of %d", activeTasks+1, modelTaskLimit)
 	}
 	if len(worker.tasks) < worker.maxTasks {
 		worker.tasks = append(worker.tasks, modelTask{attemptKey: key, active: true})
 	}
 }
 
-// advance lets time pass for the owner and for workers.
+// advance moves the clock of the owner and of the workers forward.
 func (m *model) advance(elapsedMS int64) {
 	m.now += elapsedMS
 	for _, worker := range m.workers {
@@ -356,8 +356,8 @@
 	}
 }
 
-// recordUnreachable makes a ledger entry for a worker, unless tasks may be left on it that this
-// claim does not own.
+// recordUnreachable adds a ledger entry for a worker, unless it may run tasks that this claim does not
+// own.
 func (m *model) recordUnreachable(worker *modelWorker) {
 	if worker.runsUnownedTasks() {
 		return
@@ -370,8 +370,8 @@
 	m.claim.Ledger.Put(worker.id, entry, 1<<20)
 }
 
-// storeLedger writes the ledger. The store may have the record without the owner knowing: no entry
-// that it replaces is void before the write is confirmed.
+// storeLedger writes the ledger. The write may succeed without the owner knowing, so an entry that it
+// replaces stays binding until the write is confirmed.
 func (m *model) storeLedger() {
 	if !m.claim.Ledger.HasUnstoredChanges() {
 		return
@@ -397,8 +397,8 @@
 	}
 }
 
-// toggleHang hangs a worker or ends its hang. With some hangs a range moves or its move is known to
-// be over: it moves when nothing of it runs.
+// toggleHang hangs a worker or ends its hang. With some hangs, the transfer of a range starts or ends.
+// A transfer takes effect when none of the range's tasks are assigned.
 func (m *model) toggleHang(worker *modelWorker) {
 	worker.hung = !worker.hung
 	if worker.hung && rapid.IntRange(0, 3).Draw(m.t, "rarely") == 0 {
@@ -407,8 +407,8 @@
 	}
 }
 
-// addOrphanedTask has a command of an earlier claim arrive, or leaves the remains of one. It is
-// rare.
+// addOrphanedTask adds, rarely, a task that a late command of an earlier claim started, or that has
+// already ended.
 func (m *model) addOrphanedTask(worker *modelWorker) {
 	if rapid.IntRange(0, 3).Draw(m.t, "rarely") > 0 {
 		return
@@ -433,7 +433,7 @@
 	command()
 }
 
-// step draws an event that concerns a worker, and carries it out.
+// step draws an event for a worker and executes it.
 func (m *model) step(worker *modelWorker) {
 	switch rapid.IntRange(0, 14).Draw(m.t, "event") {
 	case 0, 1, 2, 3:
@@ -461,7 +461,7 @@
 	}
 }
 
-// runModel runs a drawn history and returns the first violation of a rule, empty without one.
+// runModel runs a drawn history and returns the first violation of a rule, or an empty string.
 func runModel(t *rapid.T, seenVerdicts *VerdictCounts) (violation string) {
 	m := newModel(t, seenVerdicts)
 	for range 400 {
--- a/reconcile/model_worker_test.go
+++ b/reconcile/model_worker_test.go
@@ -11,7 +11,7 @@
 type modelTask struct {
 	attemptKey
 	active, completed bool
-	orphaned          bool // it was started by a command that arrived later than any should
+	orphaned          bool // started by a command that arrived too late
 }
 
 type modelWorker struct {
@@ -21,11 +21,11 @@
 	seq                uint64
 	lastResponseAt     int64
 	hung               bool
-	pendingCommands    []func() // commands under way to it
+	pendingCommands    []func() // commands in flight to the worker
 	maxTasks           int
-	orphanedTasks      int // that its last heartbeat showed
+	orphanedTasks      int // as reported in its last heartbeat
 	machine            *Machine
-	ownedAttempts      map[attemptKey]bool // attempts of the present claim, not over
+	ownedAttempts      map[attemptKey]bool // active attempts of the current claim
 	startedAtSeq       map[attemptKey]uint64
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// runsUnownedTasks reports whether a task runs that the present claim does not own.
+// runsUnownedTasks reports whether the worker runs a task that the current claim does not own.
 func (w *modelWorker) runsUnownedTasks() bool {
 	return slices.ContainsFunc(w.tasks, func(task modelTask) bool {
 		return task.active && !w.ownedAttempts[task.attemptKey]
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -1,58 +1,58 @@
-// Package reconcile compares what workers report with what the state store holds, after a shard
-// was claimed: at the first start, after a restart, an adoption or a hand-back. The store knows
-// which tasks exist and which are done, and nothing is written when a task starts; only the
-// workers know what runs.
+// Package reconcile compares what workers report with the records in the state store after a member
+// claims a shard: at the first start, after a restart, an adoption or a hand-back. The store records
+// which tasks exist and which are done. Nothing is written when a task starts, so only the workers
+// know which tasks run.
 //
-// It owns, for one claim: what is known of each machine, the fencing token that workers must have
-// before their reports count, the pace of the commands that follow (Pacer), the IDs of attempts
-// (AttemptIDs), and the entries of machines that stopped sending heartbeats (UnreachableLedger).
-// What an earlier claim knew of machines ends with it, except for the entries it stored. The
-// package is pure: time is an input, in milliseconds of one monotonic clock unless a name says
-// wall time, and dispositions and verdicts are the output. A Claim is used by one goroutine at a
-// time.
+// For one claim the package owns the known state of each machine, the fencing token that workers must
+// hold before their reports count, the rate of the commands that follow (Pacer), the IDs of attempts
+// (AttemptIDs), and the entries of machines that stopped sending heartbeats (UnreachableLedger). The
+// state of machines ends with the claim, except for the stored ledger entries. The package is pure:
+// its input is the time, in milliseconds of one monotonic clock unless a name says wall time, and its
+// output is dispositions and verdicts. A Claim is used by one goroutine at a time.
 //
-// It assumes that a worker kills its tasks when its lease has expired, that a worker carries out
-// no command under a token older than its own, and that clocks drift apart by no more than
-// Settings.MaxClockDrift. It promises that a task of an earlier claim is either adopted, stopped or
-// known to be over before its place is free. It is built for heartbeats that are lost, delayed or
-// duplicated, for machines that restart, hang or are partitioned in one direction, and for claims
-// that end at any moment.
+// The package assumes that a worker kills its tasks when its lease has expired, that a worker executes
+// no command whose token is older than its own, and that clocks drift apart by at most
+// Settings.MaxClockDrift. It guarantees that a task of an earlier claim is adopted, stopped or known to
+// have ended before its capacity counts as free. It tolerates heartbeats that are lost, delayed or
+// duplicated, machines that restart, hang or are partitioned in one direction, and claims that end at
+// any moment.
 //
-// A machine, under a claim; its lease runs from the last heartbeat that got a response, or from
-// the claim:
+// The states of a machine under a claim follow. Its lease runs from the last heartbeat that got a
+// response, or from the claim if there was none.
 //
-//	from                     input                                   to           disposition
-//	any                      heartbeat no newer than another         same         Stale: no sign of life
-//	LeaseExpired             heartbeat of an ended incarnation       same         Stale: sent before
-//	any                      heartbeat overtaken by a query response same         RenewOnly
-//	any                      heartbeat with an older token           Notified (1) NotifyToken
-//	NoHeartbeat, Notified    the same, no earlier lease can last     same         NotifyToken (2)
-//	any                      heartbeat under our token               Reconciled   Accept
-//	Reconciled, LeaseExpired the same, of a later incarnation        Reconciled   AcceptNewIncarnation
-//	Notified                 response to a task query                Reconciled   Accept, no renewal
-//	any but LeaseExpired     no heartbeat for a lease                LeaseExpired (3)
-//	NoHeartbeat, Notified    no heartbeat for half a lease           same         given up (4)
+//	from                     input                                     to           disposition
+//	any                      heartbeat not newer than the last         same         Stale: not a sign of life
+//	LeaseExpired             heartbeat of an ended incarnation         same         Stale: sent before the expiry
+//	any                      heartbeat superseded by a query response  same         RenewOnly
+//	any                      heartbeat with an older token             Notified (1) NotifyToken
+//	NoHeartbeat, Notified    the same, after every earlier lease       same         NotifyToken (2)
+//	any                      heartbeat with the claim's token          Reconciled   Accept
+//	Reconciled, LeaseExpired the same, of a later incarnation          Reconciled   AcceptNewIncarnation
+//	Notified                 response to a task query                  Reconciled   Accept, without renewal
+//	any but LeaseExpired     no heartbeat for the length of a lease    LeaseExpired (3)
+//	NoHeartbeat, Notified    no heartbeat for half a lease             same         the machine is drained (4)
 //
-// (1) From NoHeartbeat only. (2) No task of earlier claims is left on the machine. (3) What ran there
-// is over. (4) Unless so many machines are missing that the network is the likely cause, or the
-// machine's entry in the ledger says what is there.
+// (1) From NoHeartbeat only. (2) All tasks of earlier claims on the machine have ended. (3) All tasks on
+// the machine have ended. (4) Except when so many machines are missing that the network is the likely
+// cause, or when the machine's ledger entry lists its tasks.
 //
-// A machine that is listed as up and neither Reconciled nor LeaseExpired is unreported: tasks of
-// earlier claims may be on it, as many as it has room for, or those that its entry lists.
+// A machine that is listed as up and is neither Reconciled nor LeaseExpired is unreported. It may run
+// tasks of earlier claims: as many as fit on it, or those that its ledger entry lists.
 //
-// An attempt that a heartbeat shows and that this claim did not start, by the state of its task:
+// The verdict on an attempt that a heartbeat reports and that this claim did not start depends on the
+// state of its task:
 //
 //	state         Active  Succeeded         Terminated
-//	Unassigned    Adopt   RecordCompletion  Clear       no other attempt exists: it was started before
-//	Assigned      Stop    RecordCompletion  Clear       a second attempt must end; a result counts, whoever has it
-//	Transferring  Stop    RecordCompletion  Clear       it may be a peer's already
-//	Completed     Stop    Keep              Clear       not stored yet: the machine has the only copy
+//	Unassigned    Adopt   RecordCompletion  Clear       an earlier claim started the only attempt
+//	Assigned      Stop    RecordCompletion  Clear       a second attempt must end; the result of either counts
+//	Transferring  Stop    RecordCompletion  Clear       a peer may own the task already
+//	Completed     Stop    Keep              Clear       not stored yet: the machine has the only copy of the result
 //	ResultStored  Stop    Clear             Clear
-//	Obsolete      Stop    Clear             Clear       its job is over, or its range is another shard's
+//	Obsolete      Stop    Clear             Clear       its job has ended, or another shard owns its range
 //
-// Heartbeats may be taken only when the shard's progress is read and the state cache has passed the
-// claim: before that every task would look Unassigned or Obsolete, and a response would only renew
-// the lease of what cannot be stopped.
+// The owner may process heartbeats only after it has read the shard's progress and the state cache has
+// reached the claim's revision. Earlier, every task would look Unassigned or Obsolete, and a response
+// would only renew the lease of tasks that cannot be stopped yet.
 package reconcile
 
 import (
@@ -60,40 +60,40 @@
 	"strings"
 )
 
-// Settings are the platform's times.
+// Settings are the timing parameters of the platform.
 type Settings struct {
-	MaxHeartbeatIntervalMS int64   // longest time between two heartbeats of a healthy machine
-	LeaseMS                int64   // of workers
-	MaxClockDrift          float64 // bound on how far two monotonic clocks drift apart, as a fraction
-	LeaseSlackMS           int64   // added to a lease for the error of measuring it
+	MaxHeartbeatIntervalMS int64   // maximum time between two heartbeats of a healthy machine
+	LeaseMS                int64   // length of a worker's lease
+	MaxClockDrift          float64 // maximum drift between two monotonic clocks, as a fraction
+	LeaseSlackMS           int64   // added to a lease for measurement error
 }
 
-// A machine without a heartbeat since the claim is given up after LeaseMS/GracePeriodDivisor,
-// unless more than 1/GiveUpDivisor of the listed machines are missing: then the network is the
-// likely cause, and they are waited for.
+// A machine without a heartbeat since the claim is drained after LeaseMS/GracePeriodDivisor. If more
+// than 1/GiveUpDivisor of the listed machines are missing, the network is the likely cause: the owner
+// drains none of them and waits.
 const (
 	GracePeriodDivisor = 2
 	GiveUpDivisor      = 3
 )
 
 const (
-	responseTTLMS     = 4000 // after which a worker drops the response to a heartbeat
-	queryDelayDivisor = 4    // of the heartbeat interval: how long a worker may take to report by itself
+	responseTTLMS     = 4000 // age at which a worker drops the response to a heartbeat
+	queryDelayDivisor = 4    // fraction of the heartbeat interval that a worker has to report before it is queried
 )
 
-// Claim is what is known under one claim of a shard.
+// Claim is the reconciliation state of one claim of a shard.
 type Claim struct {
 	settings      Settings
 	fencingToken  uint64
 	claimedAt     int64
 	listedCount   int
-	unreported    []*Machine // by ID
+	unreported    []*Machine // sorted by ID
 	Pacer         Pacer
 	Ledger        UnreachableLedger
 	VerdictCounts VerdictCounts
 }
 
-// NewClaim begins a claim. Its fencing token is the revision of the claim's own record.
+// NewClaim returns the state of a new claim. The fencing token is the revision of the claim's record.
 func NewClaim(settings Settings, fencingToken uint64, now int64) *Claim {
 	return &Claim{settings: settings, fencingToken: fencingToken, claimedAt: now, Ledger: newUnreachableLedger()}
 }
@@ -101,8 +101,8 @@
 // ClaimedAt returns when the claim was made.
 func (c *Claim) ClaimedAt() int64 { return c.claimedAt }
 
-// AddMachine adds a machine of the claim's shard. Its lease counts from now: whoever responded to
-// it before did so before this claim.
+// AddMachine adds a machine of the claim's shard. Its lease counts from now, since all earlier
+// responses to it were sent before this claim.
 func (c *Claim) AddMachine(id string, up bool, now int64) *Machine {
 	m := &Machine{ID: id, LastHeartbeatAt: now}
 	if up {
@@ -111,7 +111,7 @@
 	return m
 }
 
-// MarkListed notes that a machine is listed as up.
+// MarkListed records that a machine is listed as up.
 func (c *Claim) MarkListed(m *Machine) {
 	if m.Up {
 		return
@@ -121,7 +121,7 @@
 	c.updateUnreported(m)
 }
 
-// RemoveMachine forgets a machine that no longer exists.
+// RemoveMachine removes a machine that no longer exists.
 func (c *Claim) RemoveMachine(m *Machine) {
 	if m.Up {
 		c.listedCount--
@@ -131,13 +131,13 @@
 	c.Ledger.Remove(m.ID)
 }
 
-// updateUnreported adds m to the unreported machines or takes it out.
+// updateUnreported adds m to the unreported machines or removes it.
 func (c *Claim) updateUnreported(m *Machine) {
 	index, found := slices.BinarySearchFunc(c.unreported, m.ID, func(other *Machine, id string) int {
 		return strings.Compare(other.ID, id)
 	})
 	if found && c.unreported[index] != m {
-		c.unreported[index] = m // the same machine, added anew
+		c.unreported[index] = m // the same machine, added again
 	}
 	switch {
 	case found && m.IsAccountedFor():
@@ -147,39 +147,39 @@
 	}
 }
 
-// Unreported returns, by ID, the machines on which tasks of earlier claims may run without being
-// counted. The slice is the claim's own and must not be changed.
+// Unreported returns, sorted by ID, the machines that may run tasks of earlier claims that are not
+// counted. The caller must not modify the slice, which belongs to the claim.
 func (c *Claim) Unreported() []*Machine { return c.unreported }
 
-// ReceiveHeartbeat takes a worker's heartbeat, of a shard whose progress is read.
+// ReceiveHeartbeat processes a worker's heartbeat. The caller has read the shard's progress.
 func (c *Claim) ReceiveHeartbeat(m *Machine, now int64, incarnation, seq, token uint64) Disposition {
-	// A worker waits for the response to its newest heartbeat alone. A copy that the network
-	// delivers later, up to a lease and more, once counted as a sign of life: what ran on a
-	// machine that was gone waited for that much longer.
+	// A worker waits only for the response to its newest heartbeat. The network may deliver a copy
+	// of an older one later, by a lease or more. Counted as a sign of life, such a copy delays the
+	// restart of the tasks of a lost machine by that time.
 	if m.isOldHeartbeat(incarnation, seq) || m.hasEnded(incarnation) {
 		return Stale
 	}
 	m.newestHeartbeat.incarnation, m.newestHeartbeat.seq = incarnation, seq
-	// Every response that the worker may accept renews its lease, also one to a heartbeat that
-	// the response to a direct command has overtaken: counted from an earlier one, the lease
-	// seemed to have expired while tasks still ran.
+	// Every response that the worker may accept renews its lease, including the response to a
+	// heartbeat that the response to a direct command has superseded. If the lease counted from an
+	// earlier heartbeat, it would appear expired while tasks still run.
 	m.LastHeartbeatAt = now
 	disposition := c.classify(m, now, incarnation, seq, token)
 	if disposition == NotifyToken && !m.earlierTasksExpired && now > c.claimedAt+c.maxLeaseMS()+responseTTLMS {
-		// The inbound direction is partitioned. Had the worker taken a response since the claim,
-		// it would have our token; so the incarnations that earlier owners knew were over a
-		// lease after the claim, and the only response that could renew one, that to this
-		// heartbeat, comes to an incarnation without their tasks, or too late to count. While
-		// such a machine counted as one that may run anything, it held its shard up for as long
-		// as it was partitioned.
+		// The inbound direction is partitioned. A worker that had accepted a response since the
+		// claim would have the claim's token. So every incarnation that earlier owners knew ended
+		// at most one lease after the claim. Only the response to this heartbeat could renew such
+		// a lease, and it reaches an incarnation without their tasks or arrives too late to count.
+		// If such a machine counted as one that may run any task, it would block its shard for as
+		// long as the partition lasts.
 		m.earlierTasksExpired = true
 		c.updateUnreported(m)
 	}
 	return disposition
 }
 
-// ReceiveQueryResponse takes a worker's response to a task query: it shows what a heartbeat shows,
-// and renews no lease.
+// ReceiveQueryResponse processes a worker's response to a task query. It has the content of a
+// heartbeat but does not renew the lease.
 func (c *Claim) ReceiveQueryResponse(m *Machine, now int64, incarnation, seq, token uint64) Disposition {
 	return c.classify(m, now, incarnation, seq, token)
 }
@@ -189,7 +189,7 @@
 		return RenewOnly
 	}
 	if token < c.fencingToken {
-		// The worker may still carry out commands of an earlier claim.
+		// The worker may still execute commands of an earlier claim.
 		if m.state == NoHeartbeat {
 			m.state, m.lastQueryAt = Notified, now
 		}
@@ -205,8 +205,8 @@
 	return disposition
 }
 
-// ExpireLease reports, once, that a machine has sent no heartbeat for longer than its lease:
-// whatever ran on it is over.
+// ExpireLease reports, once, that a machine has sent no heartbeat for longer than its lease, so that
+// all its tasks have ended.
 func (c *Claim) ExpireLease(m *Machine, now int64) bool {
 	if !m.Up || m.state == LeaseExpired || now <= c.LeaseExpiresAt(m) {
 		return false
@@ -216,21 +216,21 @@
 	return true
 }
 
-// LeaseExpiresAt returns when a machine has killed its tasks if no further heartbeat comes: its
-// lease runs from the sending of the last one.
+// LeaseExpiresAt returns the time by which a machine has killed its tasks if it sends no further
+// heartbeat. Its lease runs from the time when it sent the last one.
 func (c *Claim) LeaseExpiresAt(m *Machine) int64 {
 	return m.LastHeartbeatAt + c.maxLeaseMS()
 }
 
-// maxLeaseMS is how long a worker's lease may last on our clock.
+// maxLeaseMS returns the maximum length of a worker's lease on this member's clock.
 func (c *Claim) maxLeaseMS() int64 {
 	driftMS := int64(float64(c.settings.LeaseMS) * c.settings.MaxClockDrift)
 	return c.settings.LeaseMS + driftMS + c.settings.LeaseSlackMS
 }
 
-// TryStartTaskQuery reports whether a worker is to be queried for its tasks now: it has had our
-// token for a while and sent no heartbeat since. A worker that received several tokens in a short
-// time does not send a heartbeat at once for the last of them.
+// TryStartTaskQuery reports whether the owner queries a worker for its tasks now, because the worker
+// was sent the claim's token a while ago and has sent no heartbeat with it. A worker that received
+// several tokens in a short time does not send a heartbeat immediately for the last one.
 func (c *Claim) TryStartTaskQuery(m *Machine, now int64) bool {
 	if m.state != Notified || !m.Up || now-m.lastQueryAt < c.settings.MaxHeartbeatIntervalMS/queryDelayDivisor {
 		return false
@@ -242,9 +242,10 @@
 	return true
 }
 
-// MachinesToGiveUp lists the few machines without a heartbeat since the claim. A machine that
-// ended while no controller received heartbeats never sends one, and the tasks it may have had
-// wait for it. Machines with an entry in the ledger are waited for: little waits with them.
+// MachinesToGiveUp returns the machines to drain for lack of a heartbeat since the claim, if they are
+// few. A machine that ended while no controller received heartbeats never sends one, and the tasks
+// that it may have run would wait for it. Machines with a ledger entry are not drained, since only the
+// few task ranges of the entry wait for them.
 func (c *Claim) MachinesToGiveUp(now int64) []*Machine {
 	if len(c.unreported) == 0 || len(c.unreported) > c.listedCount/GiveUpDivisor {
 		return nil
@@ -259,8 +260,8 @@
 	return machines
 }
 
-// IsAwaitingHeartbeats reports whether unreported machines may still have room for work that has
-// none elsewhere: nothing is scaled out meanwhile.
+// IsAwaitingHeartbeats reports whether unreported machines may still have capacity for tasks that fit
+// nowhere else. The owner does not scale out meanwhile.
 func (c *Claim) IsAwaitingHeartbeats(now int64) bool {
 	return len(c.unreported) > 0 && now-c.claimedAt < 2*c.settings.MaxHeartbeatIntervalMS
 }
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -11,13 +11,13 @@
 )
 
 func init() {
-	// The same inputs every time, so that the verdict is the same.
+	// A fixed seed gives the same inputs and the same result in every run.
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "400")); err != nil {
 		panic(err)
 	}
 }
 
-// The table of verdicts in the package comment is the one that is used.
+// Tests that the verdict table in the package comment equals the one in the code.
 func TestVerdictsMatchPackageTable(t *testing.T) {
 	source, err := os.ReadFile("reconcile.go")
 	if err != nil {
@@ -37,18 +37,18 @@
 			for observation := range Observation(ObservationCount) {
 				got, want := verdicts[state][observation].String(), fields[1+observation]
 				if got != want {
-					t.Errorf("%v, %v: verdict %s, in the package comment %s", state, observation, got, want)
+					t.Errorf("%v, %v: got verdict %s, want %s as in the package comment", state, observation, got, want)
 				}
 			}
 		}
 	}
 	if rows != TaskStateCount {
-		t.Errorf("got %d rows in the package comment, want %d", rows, TaskStateCount)
+		t.Errorf("got %d verdict rows in the package comment, want %d", rows, TaskStateCount)
 	}
 }
 
-// Whatever faults workers, the store and the owner have, no task runs twice, no limit is exceeded
-// and no result is lost, and the histories reach every cell of the table.
+// Tests that no task runs twice, no limit is exceeded and no result is lost under faults of workers,
+// the store and the owner, and that the histories reach every cell of the verdict table.
 func TestNoDuplicateRunLimitBreachOrLostResultUnderAnyFaults(t *testing.T) {
 	var seenVerdicts VerdictCounts
 	rapid.Check(t, func(t *rapid.T) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// A swapped verdict, or a bound that is left out, is detected.
+// Tests that the model detects a wrong verdict or a missing bound.
 func TestModelDetectsInjectedFaults(t *testing.T) {
 	detectsViolation := func() bool {
 		var seenVerdicts VerdictCounts
@@ -78,7 +78,7 @@
 		return false
 	}
 	if detectsViolation() {
-		t.Fatal("a violation is detected without a fault")
+		t.Fatal("violation detected without an injected fault")
 	}
 	for _, tc := range []struct {
 		name   string
@@ -102,7 +102,7 @@
 				dropsEntryBeforeStore, ignoresTaskLimit, startsPossiblyRunningTasks = false, false, false
 			})
 			if tc.inject(); !detectsViolation() {
-				t.Error("the fault is not detected")
+				t.Error("injected fault not detected")
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 
 const (
 	olderToken = 3
-	testToken  = 7 // of the claim
+	testToken  = 7 // the token of the claim under test
 )
 
 func newTestMachine(now int64) (*Claim, *Machine) {
@@ -118,7 +118,7 @@
 	return claim, claim.AddMachine("w", true, now)
 }
 
-// expireLease lets the lease of a machine run out, and returns a time after that.
+// expireLease expires the lease of a machine and returns a time after that.
 func expireLease(t *testing.T, claim *Claim, machine *Machine) (now int64) {
 	t.Helper()
 	now = claim.LeaseExpiresAt(machine) + 1
@@ -128,7 +128,7 @@
 	return now
 }
 
-// checkEnded checks that a heartbeat of an ended incarnation changed nothing.
+// checkEnded checks that a heartbeat of an ended incarnation was ignored.
 func checkEnded(t *testing.T, machine *Machine, got Disposition) {
 	t.Helper()
 	if got != Stale || machine.State() != LeaseExpired {
@@ -136,14 +136,14 @@
 	}
 }
 
-// A heartbeat that the network delayed until its incarnation had ended proves nothing.
+// Tests that a heartbeat which the network delayed until its incarnation had ended is ignored.
 func TestLateHeartbeatOfEndedIncarnationIsStale(t *testing.T) {
 	claim, machine := newTestMachine(0)
 	if got := claim.ReceiveHeartbeat(machine, 10, 1, 1, olderToken); got != NotifyToken {
 		t.Fatalf("heartbeat with an older token: got %v, want %v", got, NotifyToken)
 	}
 	if got := claim.ReceiveHeartbeat(machine, 20, 1, 2, testToken); got != Accept {
-		t.Fatalf("heartbeat under the claim's token: got %v, want %v", got, Accept)
+		t.Fatalf("heartbeat with the claim's token: got %v, want %v", got, Accept)
 	}
 	expiredAt := expireLease(t, claim, machine)
 	checkEnded(t, machine, claim.ReceiveHeartbeat(machine, expiredAt+5, 1, 3, testToken))
@@ -154,8 +154,8 @@
 	}
 }
 
-// A copy of a heartbeat, whenever it comes, is no sign of life, and gets no response; one that a
-// query response overtook gets one, since the worker waits for it.
+// Tests that a copy of a heartbeat never renews the lease and gets no response. A heartbeat that a
+// query response superseded gets one, since the worker waits for it.
 func TestDuplicateHeartbeatsRenewNoLease(t *testing.T) {
 	claim, machine := newTestMachine(0)
 	claim.ReceiveHeartbeat(machine, 10, 1, 1, olderToken)
@@ -163,7 +163,7 @@
 	claim.ReceiveQueryResponse(machine, 30, 1, 4, testToken)
 	got := claim.ReceiveHeartbeat(machine, 40, 1, 3, testToken)
 	if got != RenewOnly || machine.LastHeartbeatAt != 40 {
-		t.Errorf("overtaken heartbeat: got %v, last heartbeat at %d, want %v, 40",
+		t.Errorf("superseded heartbeat: got %v, last heartbeat at %d, want %v, 40",
 			got, machine.LastHeartbeatAt, RenewOnly)
 	}
 	for _, seq := range []uint64{1, 2, 3} {
@@ -176,8 +176,8 @@
 	expireLease(t, claim, machine)
 }
 
-// A heartbeat of the incarnation in which a machine received our token, delayed until its lease had
-// expired, is not new because a copy from an earlier incarnation came in between.
+// Tests that a heartbeat of the incarnation that received the claim's token is stale once the lease has
+// expired, even if a copy from an earlier incarnation arrived in between.
 func TestEarlierIncarnationDoesNotReviveAnEndedOne(t *testing.T) {
 	claim, machine := newTestMachine(0)
 	if got := claim.ReceiveHeartbeat(machine, 10, 5, 20, olderToken); got != NotifyToken {
@@ -193,9 +193,9 @@
 	checkEnded(t, machine, claim.ReceiveHeartbeat(machine, expiredAt+5, 5, 21, testToken))
 }
 
-// A machine that sends heartbeats and receives no responses is accounted for when every incarnation
-// that an earlier owner knew must be over, and not before: a response of the last moment may have
-// renewed one.
+// Tests that a machine which sends heartbeats but receives no responses is accounted for only when every
+// incarnation that an earlier owner knew must have ended. Just before the claim, a response of the
+// earlier owner may have renewed the lease of one.
 func TestInboundPartitionedMachineIsAccountedForAfterLease(t *testing.T) {
 	const claimedAt = 100
 	claim, machine := newTestMachine(claimedAt)
@@ -203,25 +203,25 @@
 	for seq, now := uint64(1), int64(200); now <= leaseEnd; seq, now = seq+1, now+300 {
 		got := claim.ReceiveHeartbeat(machine, now, 1+seq/40, seq, olderToken)
 		if got != NotifyToken || machine.IsAccountedFor() || len(claim.Unreported()) != 1 {
-			t.Fatalf("at %d: %v, state %v, accounted for %v, %d unreported, want %v, false, 1 unreported",
+			t.Fatalf("at %d: got %v, state %v, accounted for %v, %d unreported, want %v, false, 1 unreported",
 				now, got, machine.State(), machine.IsAccountedFor(), len(claim.Unreported()), NotifyToken)
 		}
 	}
 	if got := claim.ReceiveHeartbeat(machine, leaseEnd+1, 2, 900, olderToken); got != NotifyToken {
-		t.Errorf("after its lease: got %v, want %v", got, NotifyToken)
+		t.Errorf("after the lease: got %v, want %v", got, NotifyToken)
 	}
 	if !machine.IsAccountedFor() || !machine.IsInboundPartitioned() || len(claim.Unreported()) != 0 {
-		t.Errorf("after its lease: accounted for %v, inbound partitioned %v, %d unreported, want true, true, 0",
+		t.Errorf("after the lease: got accounted for %v, inbound partitioned %v, %d unreported, want true, true, 0",
 			machine.IsAccountedFor(), machine.IsInboundPartitioned(), len(claim.Unreported()))
 	}
 	if machine.IsReconciled() {
-		t.Error("reconciled without having our token")
+		t.Error("machine is reconciled without the claim's token")
 	}
 	if got := claim.ReceiveHeartbeat(machine, leaseEnd+9, 2, 901, testToken); got != Accept {
 		t.Errorf("after the partition: got %v, want %v", got, Accept)
 	}
 	if !machine.IsReconciled() || machine.IsInboundPartitioned() {
-		t.Errorf("after the partition: state %v, inbound partitioned %v, want %v, false",
+		t.Errorf("after the partition: got state %v, inbound partitioned %v, want %v, false",
 			machine.State(), machine.IsInboundPartitioned(), Reconciled)
 	}
 }
--- a/reconcile/unreachable_ledger.go
+++ b/reconcile/unreachable_ledger.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// ResourceUsage is what tasks use of the resources that a team's limit counts.
+// ResourceUsage is how much tasks use of the resources that count towards a team's limit.
 type ResourceUsage struct {
 	CPUs float64 `json:"c,omitempty"`
 	GPUs float64 `json:"g,omitempty"`
 }
 
-// Add returns the sum.
+// Add returns the sum of two usages.
 func (a ResourceUsage) Add(b ResourceUsage) ResourceUsage {
 	return ResourceUsage{a.CPUs + b.CPUs, a.GPUs + b.GPUs}
 }
 
-// UnreachableMachine is an upper bound on what runs on a machine that stopped sending
-// heartbeats, stored for whoever claims its shard next: the task ranges that its tasks belong
-// to, and what they use of their teams' limits.
+// UnreachableMachine is an upper bound on the tasks that run on a machine which stopped sending
+// heartbeats. It holds the task ranges of these tasks and their usage of their teams' limits. It is
+// stored for the next owner of the shard.
 type UnreachableMachine struct {
 	Ranges      []string                 `json:"r,omitempty"`
 	UsageByTeam map[string]ResourceUsage `json:"u,omitempty"`
 }
 
-// What the JSON of an entry takes beside its names, in bytes, rounded up.
+// The size of the JSON of an entry without its names, in bytes, rounded up.
 const (
 	entryOverheadBytes = 24
 	rangeOverheadBytes = 3
@@ -44,15 +44,14 @@
 	return size
 }
 
-// UnreachableLedger holds a claim's entries for unreachable machines. An entry is binding from
-// the moment in which it is made, when it may not be stored yet, until a record without it is
-// stored: nothing starts on its machine meanwhile. So whatever the store says of a machine, no
-// more than that runs on it, whichever write was the last that succeeded and whenever the claim
-// ends. Writes have the record's revision as their precondition, so at most one succeeds; one
-// whose outcome is unknown proves nothing.
+// UnreachableLedger holds a claim's entries for unreachable machines. An entry is binding from its
+// creation, before it is stored, until a record without it is stored. The owner starts no task on the
+// machine meanwhile. So a stored entry is always an upper bound on the tasks on its machine, regardless
+// of which write succeeded last and when the claim ends. Writes have the record's revision as their
+// precondition, so at most one succeeds. A write whose outcome is unknown confirms nothing.
 type UnreachableLedger struct {
 	entries   map[string]UnreachableMachine
-	removed   map[string]bool // reachable again, or removed: to be left out of the next record
+	removed   map[string]bool // machines reachable again or removed: the next record omits them
 	sizeBytes int
 	dirty     bool
 }
@@ -61,7 +60,7 @@
 	return UnreachableLedger{entries: map[string]UnreachableMachine{}, removed: map[string]bool{}}
 }
 
-// Restore takes over the entries of earlier claims, as they were read from the store.
+// Restore adds the entries of earlier claims that were read from the store.
 func (l *UnreachableLedger) Restore(entries map[string]UnreachableMachine) {
 	for id, entry := range entries {
 		l.set(id, entry)
@@ -82,26 +81,26 @@
 	return entry, ok
 }
 
-// Len returns how many machines have entries.
+// Len returns the number of machines with an entry.
 func (l *UnreachableLedger) Len() int { return len(l.entries) }
 
-// Put makes an entry for an unreachable machine, unless the record could then exceed maxBytes.
-// It reports whether the entry was made.
+// Put adds or replaces the entry of an unreachable machine, unless the record could then exceed
+// maxBytes. It reports whether it did so.
 func (l *UnreachableLedger) Put(id string, entry UnreachableMachine, maxBytes int) bool {
 	slices.Sort(entry.Ranges)
 	entry.Ranges = slices.Compact(entry.Ranges)
 	if l.sizeBytes+entry.maxEncodedBytes(id) > maxBytes {
 		return false
 	}
-	// It may list less than an older one, since nothing was started meanwhile.
+	// The entry may list less than an older one, since no task was started on the machine meanwhile.
 	l.set(id, entry)
 	delete(l.removed, id)
 	l.dirty = true
 	return true
 }
 
-// Remove marks the entry of a machine that is reachable again, or removed. The entry stays
-// binding until a record without it is stored.
+// Remove marks for removal the entry of a machine that is reachable again or was removed. The entry
+// stays binding until a record without it is stored.
 func (l *UnreachableLedger) Remove(id string) {
 	if _, ok := l.entries[id]; ok && !l.removed[id] {
 		l.removed[id] = true
@@ -109,11 +108,11 @@
 	}
 }
 
-// HasUnstoredChanges reports whether the store may have other entries than these.
+// HasUnstoredChanges reports whether the stored entries may differ from these.
 func (l *UnreachableLedger) HasUnstoredChanges() bool { return l.dirty }
 
-// BuildRecord returns the entries that the store should have. The caller reports the outcome of
-// the write with ConfirmStored or MarkStoreFailed.
+// BuildRecord returns the entries to store. The caller reports the outcome of the write with
+// ConfirmStored or MarkStoreFailed.
 func (l *UnreachableLedger) BuildRecord() map[string]UnreachableMachine {
 	record := maps.Clone(l.entries)
 	for id := range l.removed {
@@ -123,8 +122,8 @@
 	return record
 }
 
-// ConfirmStored notes that a record is in the store. It returns, sorted, the machines whose
-// entries are no longer binding.
+// ConfirmStored records that a record was stored. It returns, sorted, the machines whose entries are
+// no longer binding.
 func (l *UnreachableLedger) ConfirmStored(record map[string]UnreachableMachine) (released []string) {
 	for id := range l.removed {
 		if _, ok := record[id]; ok {
@@ -140,5 +139,5 @@
 	return released
 }
 
-// MarkStoreFailed notes that the last record may not be in the store.
+// MarkStoreFailed records that the last record may not have been stored.
 func (l *UnreachableLedger) MarkStoreFailed() { l.dirty = true }
--- a/reconcile/verdicts.go
+++ b/reconcile/verdicts.go
@@ -1,6 +1,6 @@
 package reconcile
 
-// TaskState is the state of a task according to the store and the present claim.
+// TaskState is the state of a task according to the state store and the current claim.
 type TaskState int
 
 // The states of a task.
@@ -18,36 +18,36 @@
 	return [...]string{"Unassigned", "Assigned", "Transferring", "Completed", "ResultStored", "Obsolete"}[s]
 }
 
-// Observation is what a heartbeat shows of an attempt.
+// Observation is the state of an attempt that a heartbeat reports.
 type Observation int
 
-// What a heartbeat shows.
+// The observations.
 const (
-	Active           Observation = iota // it runs, fetches its image, waits or saves
-	Succeeded                           // it exited and its task is done
-	Terminated                          // it exited otherwise
+	Active           Observation = iota // it runs, pulls its image, waits or saves a checkpoint
+	Succeeded                           // it exited and its task is complete
+	Terminated                          // it exited without completing its task
 	ObservationCount int         = iota
 )
 
 func (o Observation) String() string { return [...]string{"Active", "Succeeded", "Terminated"}[o] }
 
-// Verdict is what becomes of an attempt that this claim did not start.
+// Verdict is the decision on an attempt that this claim did not start.
 type Verdict int
 
 // The verdicts.
 const (
-	Adopt            Verdict = iota // it goes on as an attempt of this claim
+	Adopt            Verdict = iota // it continues as an attempt of this claim
 	Stop                            // it must end
-	RecordCompletion                // its task is done; the machine keeps the result until that is stored
-	Keep                            // nothing changes until its result is stored
-	Clear                           // the machine may forget it
+	RecordCompletion                // its task is complete; the machine keeps the result until the result is stored
+	Keep                            // the machine keeps it until its result is stored
+	Clear                           // the machine may delete its record of the attempt
 )
 
 func (v Verdict) String() string {
 	return [...]string{"Adopt", "Stop", "RecordCompletion", "Keep", "Clear"}[v]
 }
 
-// verdicts is the table of the package comment.
+// verdicts is the table in the package comment.
 var verdicts = [TaskStateCount][ObservationCount]Verdict{
 	Unassigned:   {Adopt, RecordCompletion, Clear},
 	Assigned:     {Stop, RecordCompletion, Clear},
@@ -57,10 +57,10 @@
 	Obsolete:     {Stop, Clear, Clear},
 }
 
-// VerdictCounts counts verdicts by the task's state and by what was observed.
+// VerdictCounts counts verdicts by task state and observation.
 type VerdictCounts [TaskStateCount][ObservationCount]uint64
 
-// DecideVerdict returns, and counts, what becomes of an attempt that this claim did not start.
+// DecideVerdict returns the verdict on an attempt that this claim did not start, and counts it.
 func (c *Claim) DecideVerdict(state TaskState, observation Observation) Verdict {
 	c.VerdictCounts[state][observation]++
 	return verdicts[state][observation]
