--- a/reconcile/machine.go
+++ b/reconcile/machine.go
@@ -68,8 +68,8 @@
 	return incarnation < newest.incarnation || incarnation == newest.incarnation && seq <= newest.seq
 }
 
-// isOvertaken reports whether the same or a newer message was already accepted from the machine.
-func (m *Machine) isOvertaken(incarnation, seq uint64) bool {
+// isSuperseded reports whether the same or a newer message was already accepted from the machine.
+func (m *Machine) isSuperseded(incarnation, seq uint64) bool {
 	return m.hasAcceptedIncarnation() &&
 		(incarnation < m.Incarnation || incarnation == m.Incarnation && seq <= m.Seq)
 }
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -185,7 +185,7 @@
 }
 
 func (c *Claim) classify(m *Machine, now int64, incarnation, seq, token uint64) Disposition {
-	if m.isOvertaken(incarnation, seq) || m.hasEnded(incarnation) {
+	if m.isSuperseded(incarnation, seq) || m.hasEnded(incarnation) {
 		return RenewOnly
 	}
 	if token < c.fencingToken {
