--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -69,11 +69,11 @@
 }
 
 // A machine without a heartbeat since the claim is drained after LeaseMS/GracePeriodDivisor. If more
-// than 1/GiveUpDivisor of the listed machines are missing, the network is the likely cause: the owner
+// than 1/MaxMissingDivisor of the listed machines are missing, the network is the likely cause: the owner
 // drains none of them and waits.
 const (
 	GracePeriodDivisor = 2
-	GiveUpDivisor      = 3
+	MaxMissingDivisor  = 3
 )
 
 const (
@@ -242,12 +242,12 @@
 	return true
 }
 
-// MachinesToGiveUp returns the machines to drain for lack of a heartbeat since the claim, if they are
+// MachinesToDrain returns the machines to drain for lack of a heartbeat since the claim, if they are
 // few. A machine that ended while no controller received heartbeats never sends one, and the tasks
 // that it may have run would wait for it. Machines with a ledger entry are not drained, since only the
 // few task ranges of the entry wait for them.
-func (c *Claim) MachinesToGiveUp(now int64) []*Machine {
-	if len(c.unreported) == 0 || len(c.unreported) > c.listedCount/GiveUpDivisor {
+func (c *Claim) MachinesToDrain(now int64) []*Machine {
+	if len(c.unreported) == 0 || len(c.unreported) > c.listedCount/MaxMissingDivisor {
 		return nil
 	}
 	gracePeriodMS := c.settings.LeaseMS / GracePeriodDivisor
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -115,7 +115,7 @@
 		return
 	}
 	unreachable := am.unreachableMachines(s)
-	if len(unreachable) > len(s.machines)/reconcile.GiveUpDivisor {
+	if len(unreachable) > len(s.machines)/reconcile.MaxMissingDivisor {
 		return
 	}
 	for _, mc := range unreachable {
@@ -160,7 +160,7 @@
 // are slow to are queried, and the pacer's rate follows what runs.
 func (am *agentManager) tickReconcile(s *shard) {
 	now := am.now.MonotonicMS
-	for _, unreported := range s.reconciler.MachinesToGiveUp(now) {
+	for _, unreported := range s.reconciler.MachinesToDrain(now) {
 		if mc := am.registry.machines[unreported.ID]; mc != nil {
 			am.drain(s, mc, "silent since the claim")
 		}
