--- a/access/fault_history_test.go
+++ b/access/fault_history_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The transitions of the package comment.
+// The transitions that the package comment lists.
 var (
 	leaseTransitions = map[LeaseState][]LeaseState{
 		LeaseAbsent:    {LeaseRequested},
@@ -29,7 +29,7 @@
 	}
 )
 
-// seenTransitions collects the transitions of all histories.
+// seenTransitions is the set of transitions in all histories.
 type seenTransitions struct {
 	lease  map[[2]LeaseState]bool
 	mirror map[[2]MirrorState]bool
@@ -49,7 +49,7 @@
 	for from, targets := range transitions {
 		for _, to := range targets {
 			if !seen[[2]S{from, to}] {
-				t.Errorf("%s: no transition from %v to %v was reached", name, from, to)
+				t.Errorf("%s: transition from %v to %v was not reached", name, from, to)
 			}
 		}
 	}
@@ -70,8 +70,8 @@
 	readID uint64
 }
 
-// faultHistory is a LeaseKeeper and a service that responds, refuses, is silent and forgets leases, in
-// any order.
+// faultHistory is a LeaseKeeper and a service that responds, refuses, does not respond and loses leases,
+// in any order.
 type faultHistory struct {
 	t             *rapid.T
 	seen          *seenTransitions
@@ -82,19 +82,19 @@
 	mirrorProofAt int64
 }
 
-// checkInvariants compares the state with the one before an input.
+// checkInvariants checks the transition from the state before an input, and the authority.
 func (h *faultHistory) checkInvariants(before LeaseKeeper) {
 	from, to := before.lease.state, h.keeper.lease.state
 	if !isAllowed(leaseTransitions, from, to) {
-		h.t.Fatalf("lease: transition from %v to %v", from, to)
+		h.t.Fatalf("lease: unexpected transition from %v to %v", from, to)
 	}
 	mirrorFrom, mirrorTo := before.mirror.state, h.keeper.mirror.state
 	if !isAllowed(mirrorTransitions, mirrorFrom, mirrorTo) {
-		h.t.Fatalf("mirror: transition from %v to %v", mirrorFrom, mirrorTo)
+		h.t.Fatalf("mirror: unexpected transition from %v to %v", mirrorFrom, mirrorTo)
 	}
 	linkFrom, linkTo := before.link.state, h.keeper.link.state
 	if !isAllowed(linkTransitions, linkFrom, linkTo) {
-		h.t.Fatalf("link: transition from %v to %v", linkFrom, linkTo)
+		h.t.Fatalf("link: unexpected transition from %v to %v", linkFrom, linkTo)
 	}
 	h.seen.lease[[2]LeaseState{from, to}] = true
 	h.seen.mirror[[2]MirrorState{mirrorFrom, mirrorTo}] = true
@@ -103,17 +103,17 @@
 	driftMS := int64(float64(testSettings.LeaseTTLMS) * testSettings.MaxClockDrift)
 	validMS := testSettings.LeaseTTLMS - driftMS - testSettings.AuthoritySlackMS
 	if h.keeper.HasAuthority(h.now) && h.now >= min(h.leaseProofAt, h.mirrorProofAt)+validMS {
-		h.t.Fatalf("authority at %d, proofs at %d and %d", h.now, h.leaseProofAt, h.mirrorProofAt)
+		h.t.Fatalf("authority at %d with proofs sent at %d and %d", h.now, h.leaseProofAt, h.mirrorProofAt)
 	}
 }
 
-// send notes a request, and that none of its kind is in flight beside it, but for a mirror read that was
-// overtaken.
+// send records a request. It checks that no other lease or mirror request of the same kind is in flight,
+// except for a mirror read that was superseded.
 func (h *faultHistory) send(kind requestKind, readID uint64) {
 	for _, r := range h.inFlight {
-		overtaken := kind == mirrorRequest && r.readID < readID
-		if r.kind == kind && kind != otherRequest && !overtaken {
-			h.t.Fatalf("two %s requests at once", kind)
+		superseded := kind == mirrorRequest && r.readID < readID
+		if r.kind == kind && kind != otherRequest && !superseded {
+			h.t.Fatalf("two %s requests in flight", kind)
 		}
 	}
 	h.inFlight = append(h.inFlight, request{h.keeper.BeginRequest(h.now), h.now, kind, readID})
@@ -130,7 +130,7 @@
 	}
 }
 
-// completeOne ends a request in flight.
+// completeOne completes a request in flight with a drawn outcome.
 func (h *faultHistory) completeOne() {
 	if len(h.inFlight) == 0 {
 		return
@@ -143,7 +143,7 @@
 	before := *h.keeper
 	h.keeper.CompleteRequest(h.now, r.id, 0, outcome)
 	if outcome.ProcessedByService() && h.keeper.link.state != LinkUp {
-		h.t.Fatalf("after a response the link is %v", h.keeper.link.state)
+		h.t.Fatalf("after a response: got link %v, want up", h.keeper.link.state)
 	}
 	h.checkInvariants(before)
 	before = *h.keeper
@@ -165,7 +165,7 @@
 		h.leaseProofAt = r.sentAt
 	}
 	if want := renewing && (outcome == NotFound || outcome == Gone); lost != want {
-		h.t.Fatalf("outcome %v while renewing (%v): lost %v, want %v", outcome, renewing, lost, want)
+		h.t.Fatalf("outcome %v (renewing: %v): got lost %v, want %v", outcome, renewing, lost, want)
 	}
 }
 
@@ -187,8 +187,8 @@
 	h.checkInvariants(before)
 }
 
-// checkNotStuck ends all requests in flight without a response; after that both the lease and the mirror
-// must want a request.
+// checkNotStuck ends all requests in flight without a response. Then a request for the lease and one for
+// the mirror must become due.
 func (h *faultHistory) checkNotStuck() {
 	for _, r := range h.inFlight {
 		h.keeper.CompleteRequest(h.now, r.id, 0, Unknown)
@@ -207,12 +207,12 @@
 		h.t.Fatalf("stuck with lease %v, mirror %v", h.keeper.lease.state, h.keeper.mirror.state)
 	}
 	if sentAt, ok := h.keeper.link.inFlight.oldest(0); ok {
-		h.t.Fatalf("a request sent at %d is still counted as in flight", sentAt)
+		h.t.Fatalf("request sent at %d is still counted as in flight", sentAt)
 	}
 }
 
-// Whatever the service does, only listed transitions happen, no request of the lease or of the mirror
-// goes out beside another, authority rests on two proofs that are young enough, and nothing gets stuck.
+// Tests that only listed transitions occur under any behavior of the service. At most one request for the
+// lease and one for the mirror are in flight, authority requires two recent proofs, and neither gets stuck.
 func TestOnlyListedTransitionsUnderAnyServiceBehavior(t *testing.T) {
 	seen := newSeenTransitions()
 	rapid.Check(t, func(t *rapid.T) {
--- a/access/lease_keeper.go
+++ b/access/lease_keeper.go
@@ -1,6 +1,6 @@
 package access
 
-// LeaseState is a state of the lease.
+// LeaseState is the state of the lease.
 type LeaseState int
 
 // The states of the lease.
@@ -11,7 +11,7 @@
 	LeaseRenewing
 )
 
-// MirrorState is a state of the mirror.
+// MirrorState is the state of the mirror.
 type MirrorState int
 
 // The states of the mirror.
@@ -23,13 +23,13 @@
 )
 
 const (
-	renewDivisor       = 8   // of the lease's TTL: between renewals, and the length of a watch
-	watchPauseDivisor  = 100 // of the lease's TTL: between two watches, so that several changes share a response
-	retryDivisor       = 4   // of the request timeout: until a failed request is repeated
-	watchJitterDivisor = 10  // of the request timeout: so that watches that failed together come back apart
+	renewDivisor       = 8   // of the lease's TTL: interval between renewals, and duration of a watch
+	watchPauseDivisor  = 100 // of the lease's TTL: pause between watches, so that several changes share a response
+	retryDivisor       = 4   // of the request timeout: delay before a failed request is retried
+	watchJitterDivisor = 10  // of the request timeout: jitter that spreads retries of watches that failed together
 )
 
-// LeaseKeeper is a member's lease, mirror and link. The zero value is not ready; use NewLeaseKeeper.
+// LeaseKeeper is the state of a member's lease, mirror and link. Use NewLeaseKeeper to create one.
 type LeaseKeeper struct {
 	settings Settings
 	lease    lease
@@ -40,15 +40,15 @@
 type lease struct {
 	state         LeaseState
 	id            uint64 // 0: none
-	renewalSentAt int64  // when the request that last granted or renewed it was sent
-	pendingSentAt int64  // when the one in flight was sent
+	renewalSentAt int64  // when the last successful grant or renewal request was sent
+	pendingSentAt int64  // when the request in flight was sent
 	nextRequestAt int64
 }
 
 type mirror struct {
 	state         MirrorState
-	readSentAt    int64 // when the last list or watch that succeeded was sent
-	pendingSentAt int64 // when the one in flight was sent
+	readSentAt    int64 // when the last successful list or watch was sent
+	pendingSentAt int64 // when the list or watch in flight was sent
 	readID        uint64
 	nextReadAt    int64
 }
@@ -56,25 +56,25 @@
 // NewLeaseKeeper returns the state of a member that has just started.
 func NewLeaseKeeper(settings Settings) *LeaseKeeper { return &LeaseKeeper{settings: settings} }
 
-// RenewIntervalMS returns how often the lease is renewed and how long a watch waits.
+// RenewIntervalMS returns the interval between renewals of the lease, which is also the duration of a watch.
 func (k *LeaseKeeper) RenewIntervalMS() int64 { return k.settings.LeaseTTLMS / renewDivisor }
 
 func (k *LeaseKeeper) retryIntervalMS() int64 {
 	return max(1, min(k.RenewIntervalMS(), k.settings.RequestTimeoutMS/retryDivisor))
 }
 
-// LeaseID returns the ID of the lease, 0 without one.
+// LeaseID returns the ID of the lease, or 0 if there is none.
 func (k *LeaseKeeper) LeaseID() uint64 { return k.lease.id }
 
 // IsSynced reports whether the mirror has been listed.
 func (k *LeaseKeeper) IsSynced() bool { return k.mirror.state >= MirrorSynced }
 
-// MirrorReadSentAt returns when the last read of the mirror that succeeded was sent.
+// MirrorReadSentAt returns when the last successful read of the mirror was sent.
 func (k *LeaseKeeper) MirrorReadSentAt() int64 { return k.mirror.readSentAt }
 
-// HasAuthority reports whether the member may act for its shards: counted from the sending of the last
-// renewal and of the last mirror read that succeeded, whichever is earlier, since either may be stuck
-// while the other works.
+// HasAuthority reports whether the member may act for its shards. Authority counts from the sending of
+// the last successful renewal or of the last successful mirror read, whichever is earlier, since one of
+// them may be stuck while the other works.
 func (k *LeaseKeeper) HasAuthority(now int64) bool {
 	if k.lease.id == 0 || !k.IsSynced() {
 		return false
@@ -84,8 +84,9 @@
 	return now < provenAt+k.settings.LeaseTTLMS-driftMS-k.settings.AuthoritySlackMS
 }
 
-// SetState sets a lease, kept by a request that was sent at renewalSentAt (leaseID 0: no lease), and a
-// mirror that was read at mirrorReadSentAt. It is for tests of what depends on a LeaseKeeper.
+// SetState sets a lease that a request sent at renewalSentAt granted or renewed (leaseID 0: no lease),
+// and a mirror whose last read was sent at mirrorReadSentAt. It is for tests of code that depends on a
+// LeaseKeeper.
 func (k *LeaseKeeper) SetState(leaseID uint64, renewalSentAt, mirrorReadSentAt int64) {
 	k.lease.state, k.lease.id, k.lease.renewalSentAt = LeaseAbsent, leaseID, renewalSentAt
 	if leaseID != 0 {
@@ -94,17 +95,17 @@
 	k.mirror.state, k.mirror.readSentAt = MirrorSynced, mirrorReadSentAt
 }
 
-// Action is what is to be requested of the service.
+// Action lists the requests to send to the service.
 type Action struct {
 	GrantLease  bool
 	RenewLease  uint64 // the lease to renew, 0: none
 	ListMirror  bool
 	WatchMirror bool
-	ReadID      uint64 // names the list or watch
+	ReadID      uint64 // ID of the list or watch
 }
 
-// Tick lets time pass and returns the requests that are due. The caller reports the outcome of each,
-// once, with CompleteLeaseRequest or CompleteMirrorRead.
+// Tick returns the requests that are due at now and marks them as in flight. The caller reports the
+// outcome of each, once, with CompleteLeaseRequest or CompleteMirrorRead.
 func (k *LeaseKeeper) Tick(now int64) (action Action) {
 	if now >= k.lease.nextRequestAt {
 		switch k.lease.state {
@@ -135,8 +136,8 @@
 	m.readID++
 }
 
-// CompleteLeaseRequest ends the request that grants or renews the lease. grantedID is the ID of a new
-// lease; lost reports that the old one is over, with all records under it.
+// CompleteLeaseRequest processes the outcome of the request that grants or renews the lease. grantedID is
+// the ID of a new lease. lost reports that the old lease ended and that all records under it are deleted.
 func (k *LeaseKeeper) CompleteLeaseRequest(now int64, outcome Outcome, grantedID uint64) (lost bool) {
 	switch k.lease.state {
 	case LeaseRequested:
@@ -160,14 +161,15 @@
 	return false
 }
 
-// keepLease notes that the request in flight granted or renewed the lease.
+// keepLease records that the request in flight granted or renewed the lease.
 func (k *LeaseKeeper) keepLease(now int64) {
 	k.lease.state, k.lease.renewalSentAt = LeaseGranted, k.lease.pendingSentAt
 	k.lease.nextRequestAt = now + k.RenewIntervalMS()
 }
 
-// CompleteMirrorRead ends a list or a watch. One that ResyncMirror has overtaken is not current: what
-// it brings is to be dropped. jitter, in [0,1), spreads members that failed together.
+// CompleteMirrorRead processes the outcome of a list or a watch. A read that ResyncMirror has superseded
+// is not current, and the caller drops its result. jitter, in [0,1), spreads the retries of members whose
+// reads failed together.
 func (k *LeaseKeeper) CompleteMirrorRead(now int64, readID uint64, outcome Outcome, jitter float64) (current bool) {
 	mirror := &k.mirror
 	listing := mirror.state == MirrorListing
@@ -191,7 +193,7 @@
 	return true
 }
 
-// ResyncMirror has the mirror listed anew: something in it contradicts what is known otherwise.
+// ResyncMirror lists the mirror again. The caller uses it when the mirror contradicts other information.
 func (k *LeaseKeeper) ResyncMirror(now int64) {
 	if k.mirror.state >= MirrorSynced {
 		k.mirror.state, k.mirror.nextReadAt = MirrorUnsynced, now
--- a/access/lease_keeper_test.go
+++ b/access/lease_keeper_test.go
@@ -7,7 +7,7 @@
 )
 
 func init() {
-	// The same inputs every time, so that the verdict is the same.
+	// A fixed seed gives the same inputs and the same result in every run.
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "2000")); err != nil {
 		panic(err)
 	}
@@ -15,8 +15,8 @@
 
 var testSettings = Settings{LeaseTTLMS: 8000, MaxClockDrift: 0.002, AuthoritySlackMS: 50, RequestTimeoutMS: 2000}
 
-// respondAfter has n requests answered, one after the other, each in latencyMS of which queuedMS were
-// waited for the member's own rate limit. It returns the time after the last.
+// respondAfter sends n requests one after the other. Each gets a response after latencyMS, of which it
+// was queued for queuedMS at the member's own rate limit. It returns the time of the last response.
 func respondAfter(keeper *LeaseKeeper, now int64, n int, latencyMS, queuedMS int64) int64 {
 	for range n {
 		requestID := keeper.BeginRequest(now)
@@ -26,32 +26,32 @@
 	return now
 }
 
-// A member that the service has stopped answering notices within the time that responses take, and not
-// sooner when the service is only slow.
+// Tests that the time after which a response is overdue follows the latency of the service: a member
+// detects quickly that a fast service stopped responding, and does not suspect a service that is slow.
 func TestOverdueThresholdFollowsServiceLatency(t *testing.T) {
 	keeper := NewLeaseKeeper(testSettings)
 	now := respondAfter(keeper, 1, 50, 10, 0)
 	if got, want := keeper.OverdueAfterMS(), testSettings.RequestTimeoutMS/overdueFloorDivisor; got != want {
-		t.Errorf("latency 10 ms: overdue after %d ms, want %d", got, want)
+		t.Errorf("latency 10 ms: got overdue after %d ms, want %d ms", got, want)
 	}
 	requestID := keeper.BeginRequest(now)
 	if got := keeper.Link(now + 399); got != LinkUp {
-		t.Errorf("before a response is overdue: link %v, want %v", got, LinkUp)
+		t.Errorf("before a response is overdue: got link %v, want %v", got, LinkUp)
 	}
 	if got := keeper.Link(now + 401); got != LinkDoubtful {
-		t.Errorf("with an overdue response: link %v, want %v", got, LinkDoubtful)
+		t.Errorf("with an overdue response: got link %v, want %v", got, LinkDoubtful)
 	}
 	keeper.CompleteRequest(now+500, requestID, 0, OK)
 	respondAfter(keeper, now, 50, 700, 0)
 	if got := keeper.OverdueAfterMS(); got < 700 || got > testSettings.RequestTimeoutMS {
-		t.Errorf("latency 700 ms: overdue after %d ms, want 700 to %d", got, testSettings.RequestTimeoutMS)
+		t.Errorf("latency 700 ms: got overdue after %d ms, want 700 to %d ms", got, testSettings.RequestTimeoutMS)
 	}
 }
 
-// The bound of LeaseTTLMS, with everything at its worst: the proof sent as the cancellation was
-// confirmed, the leader's clock slow and the worker's too, the last response sent at the end of the
-// authority to a heartbeat that was sent just before, a worker that checks its lease every 40 ms. It
-// holds for settings far apart and close together.
+// Tests the bound of LeaseTTLMS in the worst case. The leader sent its proof when the cancellation was
+// confirmed, and the clocks of the leader and the worker are slow. At the end of its authority the leader
+// responds to a heartbeat that was sent just before, and the worker checks its lease every 40 ms. The
+// cancellation time exceeds the worker's lease by little or by much.
 func TestLeaseTTLKeepsCancellationBound(t *testing.T) {
 	for _, leaseMS := range []int64{500, 4000, 11_000, 32_000, 120_000, 600_000, 3_600_000} {
 		minCancelMS := MinCancelMS(leaseMS)
@@ -59,7 +59,7 @@
 			checkCancellationBound(t, minCancelMS+extraMS, leaseMS)
 		}
 		if got := LeaseTTLMS(minCancelMS-5, leaseMS); got >= MinLeaseTTLMS {
-			t.Errorf("lease %d ms, less than the least cancellation time: TTL %d ms, want less than %d",
+			t.Errorf("lease %d ms, cancellation below the minimum: got TTL %d ms, want less than %d ms",
 				leaseMS, got, MinLeaseTTLMS)
 		}
 	}
@@ -67,10 +67,10 @@
 
 func checkCancellationBound(t *testing.T, cancelMS, leaseMS int64) {
 	t.Helper()
-	const clockDrift, leaseCheckMS = 0.0005, 40 // of the platform
+	const clockDrift, leaseCheckMS = 0.0005, 40 // as the platform specifies
 	ttlMS := LeaseTTLMS(cancelMS, leaseMS)
 	if ttlMS < MinLeaseTTLMS || ttlMS > MaxLeaseTTLMS {
-		t.Fatalf("lease %d ms, cancellation %d ms: TTL %d ms", leaseMS, cancelMS, ttlMS)
+		t.Fatalf("lease %d ms, cancellation %d ms: got TTL %d ms, which is out of range", leaseMS, cancelMS, ttlMS)
 	}
 	keeper := NewLeaseKeeper(
 		Settings{LeaseTTLMS: ttlMS, MaxClockDrift: MaxClockDrift, AuthoritySlackMS: 50, RequestTimeoutMS: 2000},
@@ -84,12 +84,12 @@
 	}
 	taskGoneAt := float64(lastAuthorityAt)*(1+clockDrift) + float64(leaseMS)*(1+clockDrift) + leaseCheckMS
 	if taskGoneAt > float64(cancelMS) {
-		t.Errorf("lease %d ms, cancellation %d ms: the task is gone after %.0f ms", leaseMS, cancelMS, taskGoneAt)
+		t.Errorf("lease %d ms, cancellation %d ms: the task ends after %.0f ms", leaseMS, cancelMS, taskGoneAt)
 	}
 }
 
-// A watch proves what was so when it was sent, however long it was open or its response was delayed: one
-// that comes late, during a refusal or after it, gives no more authority.
+// Tests that a watch extends authority only from the time when it was sent, regardless of how long it was
+// open or its response was delayed. This includes a response during or after a refusal.
 func TestLateWatchResponseExtendsAuthorityOnlyFromItsSending(t *testing.T) {
 	settings := Settings{LeaseTTLMS: 10_000, MaxClockDrift: MaxClockDrift, AuthoritySlackMS: 50, RequestTimeoutMS: 2000}
 	for _, delayMS := range []int64{10, 1000, 4000, 9000} {
@@ -98,12 +98,12 @@
 		sentAt := int64(200)
 		action := keeper.Tick(sentAt)
 		if !action.WatchMirror {
-			t.Fatal("no watch is requested")
+			t.Fatal("got no watch request")
 		}
-		keeper.CompleteLeaseRequest(sentAt+delayMS, OK, 0) // renewed since, by a request sent at 200
+		keeper.CompleteLeaseRequest(sentAt+delayMS, OK, 0) // renewed by a request sent at 200
 		current := keeper.CompleteMirrorRead(sentAt+delayMS, action.ReadID, OK, 0)
 		if got := keeper.MirrorReadSentAt(); !current || got != sentAt {
-			t.Errorf("delayed by %d ms: current %v, proven at %d, want true, %d", delayMS, current, got, sentAt)
+			t.Errorf("delayed by %d ms: got current %v, mirror read sent at %d, want true, %d", delayMS, current, got, sentAt)
 		}
 		authorityEnd := sentAt + settings.LeaseTTLMS
 		if keeper.HasAuthority(authorityEnd) || !keeper.HasAuthority(authorityEnd-200) {
@@ -112,16 +112,16 @@
 	}
 }
 
-// One response that is lost, among others that come, leaves the service responsive. When no response
-// comes any more, the requests since then decide, not the lost one.
+// Tests that the service counts as responsive if one response is lost while others arrive. When no more
+// responses arrive, the requests sent since the last response decide, not the lost one.
 func TestServiceStaysResponsiveAfterOneLostResponse(t *testing.T) {
 	keeper := NewLeaseKeeper(testSettings)
 	now := int64(1)
-	keeper.BeginRequest(now) // never answered
+	keeper.BeginRequest(now) // never gets a response
 	for range 40 {
 		now = respondAfter(keeper, now, 1, 10, 0) + 35
 		if !keeper.IsResponsive(now) {
-			t.Fatalf("not responsive at %d though responses come", now)
+			t.Fatalf("not responsive at %d while responses arrive", now)
 		}
 	}
 	keeper.BeginRequest(now)
@@ -140,15 +140,15 @@
 	}
 }
 
-// A member that exceeds its own rate limit queues requests: responses are as quick as before, and one
-// that is lost is noticed as soon.
+// Tests that time in the queue of the member's own rate limit does not count as latency, so that the
+// member detects a lost response as early as without the queue.
 func TestOwnRateLimitWaitIsNotServiceLatency(t *testing.T) {
 	keeper := NewLeaseKeeper(testSettings)
 	respondAfter(keeper, 1, 50, 900, 890)
 	if got := keeper.TypicalLatencyMS(); got > 50 {
-		t.Errorf("latency 10 ms after 890 in the queue: typical latency %d ms, want at most 50", got)
+		t.Errorf("latency 10 ms after 890 ms in the queue: got typical latency %d ms, want at most 50 ms", got)
 	}
 	if got, want := keeper.OverdueAfterMS(), testSettings.RequestTimeoutMS/overdueFloorDivisor; got != want {
-		t.Errorf("latency 10 ms after 890 in the queue: overdue after %d ms, want %d", got, want)
+		t.Errorf("latency 10 ms after 890 ms in the queue: got overdue after %d ms, want %d ms", got, want)
 	}
 }
--- a/access/link.go
+++ b/access/link.go
@@ -1,6 +1,6 @@
 package access
 
-// LinkState is how requests to the state service fare.
+// LinkState is the state of the link to the state service.
 type LinkState int
 
 // The states of the link.
@@ -11,26 +11,26 @@
 	LinkSilent
 )
 
-// String returns the texts that operators see in the member's status.
+// String returns the text that the member's status shows to operators.
 func (l LinkState) String() string { return [...]string{"up", "doubtful", "refused", "silent"}[l] }
 
 // Divisors of the request timeout.
 const (
-	probeDivisor        = 20 // until the link is probed after its first failure
-	overdueFloorDivisor = 5  // no response is overdue sooner
+	probeDivisor        = 20 // delay of the probe after the first failure
+	overdueFloorDivisor = 5  // lower bound of the time after which a response is overdue
 )
 
-// linkMonitor follows how requests fare.
+// linkMonitor tracks the outcomes and the latency of requests.
 type linkMonitor struct {
 	state              LinkState
-	unansweredSince    int64 // when the first of the latest requests without a response failed; 0: the last had one
+	unansweredSince    int64 // first failure of the current series without a response; 0: none
 	lastResponseAt     int64
 	smoothedLatencyMS  float64
 	latencyDeviationMS float64
 	inFlight           inFlightRequests
 }
 
-// observeLatency takes the latency of a response, as RFC 6298 does.
+// observeLatency adds the latency of a response to the estimates of RFC 6298.
 func (l *linkMonitor) observeLatency(latencyMS float64) {
 	if l.smoothedLatencyMS == 0 {
 		l.smoothedLatencyMS, l.latencyDeviationMS = latencyMS, latencyMS/2
@@ -41,7 +41,7 @@
 	l.latencyDeviationMS += (max(deltaMS, -deltaMS) - l.latencyDeviationMS) / 4
 }
 
-// Link returns how requests fare by now.
+// Link returns the current state of the link.
 func (k *LeaseKeeper) Link(now int64) LinkState {
 	link := &k.link
 	if link.state == LinkUp && k.hasOverdueRequest(now) {
@@ -54,7 +54,7 @@
 	return link.state
 }
 
-// isLinkSilent reports whether the link becomes silent now.
+// isLinkSilent reports whether the link changes to silent now.
 func (k *LeaseKeeper) isLinkSilent(now int64) bool {
 	link := &k.link
 	if link.state != LinkSilent && link.unansweredSince != 0 && now-link.unansweredSince > k.retryIntervalMS() {
@@ -65,12 +65,12 @@
 	return link.state == LinkDoubtful && noResponseSince && now-oldestSentAt > 2*k.OverdueAfterMS()
 }
 
-// BeginRequest notes a request whose response is waited for. The caller passes the ID to
+// BeginRequest records a request that was sent and awaits a response. The caller passes the ID to
 // CompleteRequest, once.
 func (k *LeaseKeeper) BeginRequest(now int64) (id RequestID) { return k.link.inFlight.add(now) }
 
-// CompleteRequest notes how such a request ended. queuedMS is how long it was queued for the member's
-// own rate limit, which is not the service's latency.
+// CompleteRequest records the outcome of a request. queuedMS is the time that it was queued at the
+// member's own rate limit, which does not count as latency of the service.
 func (k *LeaseKeeper) CompleteRequest(now int64, id RequestID, queuedMS int64, outcome Outcome) {
 	if sentAt := k.link.inFlight.remove(id); outcome.ProcessedByService() {
 		k.link.observeLatency(float64(max(0, now-sentAt-queuedMS)))
@@ -78,8 +78,8 @@
 	k.ObserveOutcome(now, outcome)
 }
 
-// ObserveOutcome notes how a request ended whose latency says nothing, since it may have been queued
-// for all of it.
+// ObserveOutcome records the outcome of a request without its latency, for requests that may have been
+// queued all the time.
 func (k *LeaseKeeper) ObserveOutcome(now int64, outcome Outcome) {
 	link := &k.link
 	switch outcome {
@@ -89,7 +89,7 @@
 			k.scheduleProbe(now)
 		}
 	case Throttled:
-		// The member's own doing: it says nothing of the service.
+		// The member's own rate limit caused this, so it is no evidence about the service.
 	case Refused:
 		link.unansweredSince = 0
 		if link.state != LinkRefused {
@@ -101,24 +101,24 @@
 	}
 }
 
-// scheduleProbe has the lease requested or renewed soon: the response shows that the link is up again,
-// whatever else is sent meanwhile.
+// scheduleProbe schedules a request or renewal of the lease soon. Its response shows that the link is up
+// again, even if the member sends no other request.
 func (k *LeaseKeeper) scheduleProbe(now int64) {
 	k.lease.nextRequestAt = min(k.lease.nextRequestAt, now+k.settings.RequestTimeoutMS/probeDivisor)
 }
 
-// TypicalLatencyMS returns the latency that few responses exceed.
+// TypicalLatencyMS returns a latency that few responses exceed.
 func (k *LeaseKeeper) TypicalLatencyMS() int64 {
 	return min(k.settings.RequestTimeoutMS, int64(k.link.smoothedLatencyMS+4*k.link.latencyDeviationMS))
 }
 
-// OverdueAfterMS returns after how long a response is overdue.
+// OverdueAfterMS returns the time after which a response is overdue.
 func (k *LeaseKeeper) OverdueAfterMS() int64 {
 	return max(k.settings.RequestTimeoutMS/overdueFloorDivisor, k.TypicalLatencyMS())
 }
 
-// IsResponsive reports whether the service responds as far as is known: a response that is lost while
-// others come makes the link doubtful, and is no reason to relay requests through peers.
+// IsResponsive reports whether the service responds, as far as is known. If one response is lost while
+// others arrive, the link is doubtful, but the member need not relay requests through peers.
 func (k *LeaseKeeper) IsResponsive(now int64) bool {
 	switch k.Link(now) {
 	case LinkUp:
@@ -130,16 +130,16 @@
 	return false
 }
 
-// hasOverdueRequest reports whether a request waits longer than responses take.
+// hasOverdueRequest reports whether the response to a request in flight is overdue.
 func (k *LeaseKeeper) hasOverdueRequest(now int64) bool {
 	oldestSentAt, ok := k.link.inFlight.oldest(0)
 	return ok && now-oldestSentAt > k.OverdueAfterMS()
 }
 
-// RequestID names a request in flight.
+// RequestID identifies a request in flight.
 type RequestID uint64
 
-// inFlightRequests keeps when the requests in flight were sent, in that order.
+// inFlightRequests holds the send times of the requests in flight, in ascending order.
 type inFlightRequests struct {
 	firstID RequestID
 	sentAt  []int64 // 0: completed
@@ -150,7 +150,7 @@
 	return q.firstID + RequestID(len(q.sentAt)-1)
 }
 
-// remove returns when the request was sent, 0 if it is not in flight.
+// remove removes a request and returns when it was sent, or 0 if it is not in flight.
 func (q *inFlightRequests) remove(id RequestID) int64 {
 	if id < q.firstID || id >= q.firstID+RequestID(len(q.sentAt)) {
 		return 0
@@ -168,7 +168,7 @@
 	return sentAt
 }
 
-// oldest returns when the first request in flight was sent, of those sent at notBefore or later.
+// oldest returns the send time of the oldest request in flight that was sent at notBefore or later.
 func (q *inFlightRequests) oldest(notBefore int64) (sentAt int64, ok bool) {
 	for _, sentAt := range q.sentAt {
 		if sentAt != 0 && sentAt >= notBefore {
--- a/indoubt/indoubt.go
+++ b/indoubt/indoubt.go
@@ -1,41 +1,41 @@
-// Package indoubt resolves writes in doubt: conditional writes of which it is unknown whether they were
-// applied. It owns the state of one write at a time, and is pure: outcomes are the input, the next step
-// is the output.
+// Package indoubt resolves in-doubt writes: conditional writes for which it is unknown whether the store
+// applied them. It holds the state of one write at a time and is pure: its input is the outcomes of requests,
+// its output is the next step.
 //
-// It assumes that a write has a key's revision as its precondition, so it is applied once at most, however
-// often it is sent. While that revision stands, an attempt that got no response may still be applied, after
-// later attempts of the same writer. It promises that a write is Settled only when no attempt of it can be
-// applied any more. It is built for responses that are lost, refusals, attempts that are applied late, and
-// other writers of the same key.
+// The package assumes that a write has a key's revision as its precondition, so the store applies it at most
+// once, however often it is sent. While the key has that revision, an attempt without a response may still be
+// applied, even after later attempts of the same writer. The package guarantees that a write is Settled only
+// when no attempt of it can be applied any more. It tolerates lost responses, refusals, attempts that are
+// applied late, and other writers of the same key.
 //
 //	state    input                                to       next step
 //	sent     OK                                   settled  -
-//	sent     Refused, Throttled, NotFound, Gone   settled  -         it was not applied
-//	sent     Conflict                             decided  ReadBack  nor was this, but the record is another
+//	sent     Refused, Throttled, NotFound, Gone   settled  -         the write was not applied
+//	sent     Conflict                             decided  ReadBack  not applied either, but the record has changed
 //	sent     Unknown                              doubt    ReadBack
 //	doubt    OK                                   settled  -         one attempt was applied, the others are void
-//	doubt    Refused, Throttled, NotFound, Gone   doubt    ReadBack  says nothing of the earlier attempt
+//	doubt    Refused, Throttled, NotFound, Gone   doubt    ReadBack  the earlier attempt is still in doubt
 //	doubt    Conflict                             decided  ReadBack  the earlier attempt was applied, or none will be
 //	doubt    Unknown                              doubt    ReadBack
 //	doubt    read, another revision               settled  -
-//	doubt    read, the same revision              doubt    Resend    one of both attempts will be the last
-//	doubt    not read                             doubt    Resend
+//	doubt    read, the same revision              doubt    Resend    at most one of the two attempts can be applied
+//	doubt    read failed                          doubt    Resend
 //	decided  read                                 settled  -
-//	decided  not read                             decided  ReadBack
+//	decided  read failed                          decided  ReadBack
 //
-// Until a write is settled, what it gives away counts as given away, and what it gains as not yet gained.
-// It may be left unsettled when the writer's other precondition can never hold again, that is, when its
-// claim is over.
+// Until a write is settled, the writer counts what the write gives away as given away, and what it gains as
+// not yet gained. A write may remain unsettled if the writer's other precondition can never hold again, that
+// is, when its claim has ended.
 package indoubt
 
 import "github.com/grebedock/grebedock/access"
 
-// NextStep is what is to be done about a write.
+// NextStep is the next step for a write.
 type NextStep int
 
 // The next steps.
 const (
-	Settled  NextStep = iota // nothing: its outcome is known, or its key's record shows it
+	Settled  NextStep = iota // none: the outcome of the write is known, or the record of its key shows it
 	ReadBack                 // read the key, and call CompleteRead
 	Resend                   // send the write again, and call CompleteAttempt
 )
@@ -49,7 +49,7 @@
 	decided  bool
 }
 
-// CompleteAttempt takes the outcome of an attempt.
+// CompleteAttempt processes the outcome of an attempt and returns the next step.
 func (w *ConditionalWrite) CompleteAttempt(outcome access.Outcome) NextStep {
 	switch {
 	case outcome == access.OK:
@@ -66,8 +66,8 @@
 	return Settled
 }
 
-// CompleteRead takes the outcome of reading the key, and its revision if that is known (0: the key does
-// not exist).
+// CompleteRead processes the outcome of a read of the key and the key's revision, if known (0: the key does
+// not exist). It returns the next step.
 func (w *ConditionalWrite) CompleteRead(outcome access.Outcome, revision uint64) NextStep {
 	succeeded := outcome == access.OK || outcome == access.NotFound
 	switch {
--- a/indoubt/indoubt_test.go
+++ b/indoubt/indoubt_test.go
@@ -37,7 +37,7 @@
 
 const expectedRevision = 7
 
-// The rows of the table in the package comment.
+// Tests the rows of the table in the package comment.
 func TestTransitionsMatchPackageTable(t *testing.T) {
 	unknown, conflict := attempt(access.Unknown), attempt(access.Conflict)
 	for _, tc := range []struct {
@@ -79,14 +79,14 @@
 	}
 }
 
-// contendedKey is a key in a store that other writers change, and attempts that may be applied late.
+// contendedKey is a key that other writers also change, and the number of our attempts that may be applied late.
 type contendedKey struct {
 	revision     uint64
-	applied      bool // our write
+	applied      bool // our write was applied
 	lateAttempts int
 }
 
-// apply applies an attempt of our write if its precondition holds.
+// apply applies our write if its precondition holds.
 func (k *contendedKey) apply() bool {
 	if k.revision != expectedRevision {
 		return false
@@ -95,15 +95,15 @@
 	return true
 }
 
-// applyAttempt carries out what becomes of an attempt, and returns its outcome.
+// applyAttempt executes an attempt as the event demands and returns its outcome.
 func (k *contendedKey) applyAttempt(event int) access.Outcome {
 	switch event {
 	case 0:
 		return access.Refused
-	case 1: // no response, and not applied yet
+	case 1: // no response, not applied yet
 		k.lateAttempts++
 		return access.Unknown
-	case 2: // no response, and applied
+	case 2: // no response, applied
 		k.apply()
 		return access.Unknown
 	}
@@ -113,7 +113,7 @@
 	return access.Conflict
 }
 
-// drawInterference draws what happens to the key meanwhile, and returns a description.
+// drawInterference draws late attempts and writes of others to the key, and returns a description.
 func (k *contendedKey) drawInterference(t *rapid.T) (history []string) {
 	if k.lateAttempts > 0 && rapid.IntRange(0, 3).Draw(t, "late") == 0 {
 		k.lateAttempts--
@@ -127,8 +127,8 @@
 	return history
 }
 
-// A write is settled without being applied only when no attempt can be applied any more, whatever the order
-// in which attempts are answered, refused, lost and applied late.
+// Tests that a write which was not applied is settled only when no attempt can be applied any more, in any
+// order of responses, refusals, losses and late applications.
 func TestSettledOnlyWhenNoAttemptCanStillApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := contendedKey{revision: expectedRevision}
