--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,37 +1,36 @@
-// Package admission decides which submissions are accepted, in which order, and when the others should
-// come back.
+// Package admission decides which submissions are accepted, in which order, and when rejected clients retry.
 //
-// It owns the queue of submissions, and what is known of the transactions in flight that carry them to the
-// state service. It is a pure state machine: time is an input, in milliseconds of one monotonic clock, and
-// so is the jitter of Retry-After. It is used by one goroutine at a time. It assumes that the caller passes
-// each batch to Complete, once. It promises that a submission is served, shed or drained once, that no
-// transaction exceeds a limit unless a single submission does, and that the queue stays bounded. It is built for
-// bursts of users who come back together after an outage, for a team that floods the queue, and for a
-// service that becomes slow.
+// It owns the queue of submissions and the state of the transactions in flight that write them to the state
+// service. It is a pure state machine: its inputs include the time, in milliseconds of one monotonic clock, and
+// the jitter of Retry-After. A Queue is used by one goroutine at a time. The package assumes that the caller
+// passes each batch to Complete, once. It guarantees that a submission is served, shed or drained exactly once,
+// that no transaction exceeds a limit unless a single submission does, and that the queue stays bounded. It
+// tolerates bursts of users who retry together after an outage, a team that floods the queue, and a service
+// that becomes slow.
 //
-// Submissions wait in one queue for each priority, in it in one queue for each team. The highest priority
-// goes first; within a priority teams take turns, whatever number each has waiting. Several submissions share
-// a transaction while others are in flight, so that a service that is slow to respond gets fewer requests;
-// an idle one gets each at once.
+// The queue has one queue for each priority, and within it one for each team. The highest priority is served
+// first. Within a priority, teams are served round-robin, regardless of how many submissions each has waiting.
+// While transactions are in flight, several submissions share the next one, so that a slow service receives
+// fewer requests. An idle service receives each submission immediately.
 //
-// The queue is bounded by the time that it takes to serve at the rate that the service has been seen to
-// allow. Beyond that, what would wait longest is shed: the newest submission of the team that has most
-// waiting in the lowest priority, which may be the one that just came. Its Retry-After names a second in
-// which there is room for it: those who were told to come back are counted, second by second.
+// The queue is bounded by the time that it takes to serve it at the observed rate of the service. Beyond that
+// bound the queue sheds the submission that would wait longest: the newest submission of the team with the most
+// submissions in the lowest priority, possibly the one just added. Its Retry-After is a second with free
+// capacity. For that, the queue counts the changes that it has deferred to each second.
 package admission
 
 import "slices"
 
 // Limits bound a queue. Priorities, MaxInFlight and MaxRetryAfterS below 1 count as 1.
 type Limits struct {
-	ChangesPerSecond float64 // that the service allows
-	MaxChanges       int     // of a transaction
-	MaxPreconditions int
-	MaxBytes         int
-	MaxInFlight      int   // transactions at once
-	MaxWaitMS        int64 // the longest time in the queue that is worth it
+	ChangesPerSecond float64 // rate limit of the service
+	MaxChanges       int     // maximum in a transaction
+	MaxPreconditions int     // maximum in a transaction
+	MaxBytes         int     // maximum in a transaction
+	MaxInFlight      int     // maximum number of concurrent transactions
+	MaxWaitMS        int64   // longest acceptable time in the queue
 	MaxRetryAfterS   int
-	Priorities       int // the number of priorities, 0 is the highest
+	Priorities       int // number of priorities; 0 is the highest
 }
 
 // Request is a submission. Its sizes are upper bounds.
@@ -44,13 +43,13 @@
 	Value         T
 }
 
-// Shed is a submission that is refused, and when to come back.
+// Shed is a rejected submission with the delay after which the client may retry.
 type Shed[T any] struct {
 	Request     Request[T]
 	RetryAfterS int
 }
 
-// Queue is a queue of submissions; see NewQueue.
+// Queue is a queue of submissions. Use NewQueue to create one.
 type Queue[T any] struct {
 	limits            Limits
 	priorities        []priorityQueue[T]
@@ -58,12 +57,12 @@
 	inFlight          int // transactions
 	inFlightChanges   int
 	meanTransactionMS float64 // 0: not known yet
-	promisedChanges   []int   // changes that were told to come back, by second from promisedFromS on
+	promisedChanges   []int   // changes deferred to each second, starting with promisedFromS
 	promisedFromS     int64
 }
 
 type priorityQueue[T any] struct {
-	teams []*teamQueue[T] // with requests, in the order of their turns
+	teams []*teamQueue[T] // teams with requests, in round-robin order
 }
 
 type teamQueue[T any] struct {
@@ -86,7 +85,7 @@
 // minChangesPerSecond keeps the effective rate above zero.
 const minChangesPerSecond = 1e-3
 
-// effectiveRate is how many changes a second the service allows, or its latency does, if that is less.
+// effectiveRate returns the changes per second that the rate limit and the latency of the service allow.
 func (q *Queue[T]) effectiveRate() float64 {
 	rate := q.limits.ChangesPerSecond
 	if q.meanTransactionMS > 0 {
@@ -95,7 +94,7 @@
 	return max(rate, minChangesPerSecond)
 }
 
-// changesPerMaxWait is how many changes are served in the longest time that a submission may wait.
+// changesPerMaxWait returns the number of changes that are served in the longest acceptable wait.
 func (q *Queue[T]) changesPerMaxWait() float64 {
 	return q.effectiveRate() * float64(q.limits.MaxWaitMS) / 1000
 }
@@ -104,8 +103,8 @@
 	return max(q.limits.MaxChanges, int(q.changesPerMaxWait()))
 }
 
-// Enqueue adds a submission and returns what is shed by it, which may be the submission itself. jitter, in
-// [0,1), spreads those who come back.
+// Enqueue adds a submission and returns the submissions that are shed for it, possibly including itself.
+// jitter, in [0,1), spreads the retries.
 func (q *Queue[T]) Enqueue(now int64, request Request[T], jitter float64) []Shed[T] {
 	request.Priority = min(max(request.Priority, 0), len(q.priorities)-1)
 	request.Changes = max(1, request.Changes)
@@ -118,7 +117,7 @@
 	return shed
 }
 
-// pushBack adds a request behind the others of its team.
+// pushBack appends a request to the queue of its team.
 func (q *Queue[T]) pushBack(request Request[T]) {
 	q.queuedChanges += request.Changes
 	priority := &q.priorities[request.Priority]
@@ -131,7 +130,7 @@
 	queue.requests = append(queue.requests, request)
 }
 
-// pushFront adds a request ahead of the others of its team. A team without others gets the next turn.
+// pushFront adds a request at the head of its team's queue. A team with an empty queue gets the next turn.
 func (q *Queue[T]) pushFront(request Request[T]) {
 	q.queuedChanges += request.Changes
 	priority := &q.priorities[request.Priority]
@@ -151,7 +150,7 @@
 // next returns the request whose turn it is. The queue must not be empty.
 func (p *priorityQueue[T]) next() Request[T] { return p.teams[0].requests[0] }
 
-// popNext removes the request whose turn it is; its team's next turn comes after those of the others.
+// popNext removes the request whose turn it is and moves its team to the end of the round-robin order.
 func (p *priorityQueue[T]) popNext() {
 	queue := p.teams[0]
 	queue.requests = queue.requests[1:]
@@ -161,7 +160,7 @@
 	}
 }
 
-// removeVictim removes what would wait longest. The queue must not be empty.
+// removeVictim removes the request that would wait longest. The queue must not be empty.
 func (q *Queue[T]) removeVictim() Request[T] {
 	lowest := len(q.priorities) - 1
 	for len(q.priorities[lowest].teams) == 0 {
@@ -184,8 +183,8 @@
 	return request
 }
 
-// reserveRetryAfterS finds a second with room for what is shed: behind what waits, and behind those who were
-// told to come before it.
+// reserveRetryAfterS reserves capacity for shed changes and returns the delay in seconds. The reserved second
+// is after the queued changes are served and has capacity beside the changes deferred to it earlier.
 func (q *Queue[T]) reserveRetryAfterS(now int64, changes int, jitter float64) int {
 	q.expirePromises(now / 1000)
 	rate := q.effectiveRate()
@@ -195,13 +194,13 @@
 			return second
 		}
 	}
-	// All seconds are promised: the later half is shared, so that not all come at the end.
+	// All seconds are fully reserved: jitter spreads the retries over the later half, not the last second.
 	second := q.limits.MaxRetryAfterS - int(jitter*float64(q.limits.MaxRetryAfterS)/2)
 	q.promisedChanges[second] += changes
 	return second
 }
 
-// expirePromises drops the promises of seconds that are over.
+// expirePromises drops the reservations of seconds that have passed.
 func (q *Queue[T]) expirePromises(nowS int64) {
 	elapsedS := nowS - q.promisedFromS
 	if elapsedS <= 0 {
@@ -215,18 +214,18 @@
 	q.promisedFromS = nowS
 }
 
-// RetryAfterS returns when somebody who is refused for another reason should come back. No place is reserved.
+// RetryAfterS returns the delay for a client that is rejected for another reason. It reserves no capacity.
 func (q *Queue[T]) RetryAfterS() int {
 	return min(q.limits.MaxRetryAfterS, 1+int(float64(q.queuedChanges+q.inFlightChanges)/q.effectiveRate()))
 }
 
-// batch is the content of a transaction that is being filled.
+// batch is the content of a transaction under construction.
 type batch[T any] struct {
 	requests                      []Request[T]
 	changes, preconditions, bytes int
 }
 
-// fits reports whether a request may be added. The first always may.
+// fits reports whether a request may be added. The first request always fits.
 func (b *batch[T]) fits(request Request[T], limits Limits) bool {
 	withinLimits := b.changes+request.Changes <= limits.MaxChanges &&
 		b.preconditions+request.Preconditions <= limits.MaxPreconditions &&
@@ -241,8 +240,8 @@
 	b.bytes += request.Bytes
 }
 
-// NextBatch removes the requests of the next transaction, none while enough transactions are in flight. The
-// caller passes the same requests to Complete.
+// NextBatch removes and returns the requests of the next transaction. It returns none while enough
+// transactions are in flight. The caller passes the same requests to Complete.
 func (q *Queue[T]) NextBatch() []Request[T] {
 	enoughInFlight := q.inFlight > 0 && float64(q.inFlightChanges) >= q.changesPerMaxWait()/2
 	if q.inFlight >= q.limits.MaxInFlight || enoughInFlight {
@@ -272,11 +271,11 @@
 	return b
 }
 
-// meanDivisor makes the latest transaction an eighth of the mean duration.
+// meanDivisor gives the latest transaction a weight of one eighth in the mean duration.
 const meanDivisor = 8
 
-// Complete ends a transaction that took tookMS. processed reports whether the service processed it, so that
-// its duration says something.
+// Complete records the end of a transaction after tookMS. The duration counts only if processed is true, that
+// is, if the service processed the transaction.
 func (q *Queue[T]) Complete(requests []Request[T], tookMS int64, processed bool) {
 	q.inFlight--
 	for _, request := range requests {
@@ -291,15 +290,15 @@
 	}
 }
 
-// Requeue puts back, ahead of the others of their teams, the requests of a transaction that was not executed
-// for a reason that was not theirs.
+// Requeue returns requests to the heads of their teams' queues, after their transaction was not executed for
+// a reason unrelated to them.
 func (q *Queue[T]) Requeue(requests []Request[T]) {
 	for _, request := range slices.Backward(requests) {
 		q.pushFront(request)
 	}
 }
 
-// Drain empties the queue and returns what it held: nothing can be accepted now.
+// Drain empties the queue and returns its requests, when no submission can be accepted.
 func (q *Queue[T]) Drain() []Request[T] {
 	var requests []Request[T]
 	for k := range q.priorities {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -8,7 +8,7 @@
 )
 
 func init() {
-	// The same inputs every time, so that the verdict is the same.
+	// A fixed seed gives the same inputs and the same result in every run.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
@@ -28,13 +28,13 @@
 }
 
 const (
-	largeTeam = "large" // of 400 users
-	smallTeam = "small" // of 100
+	largeTeam = "large" // a team of 400 users
+	smallTeam = "small" // a team of 100 users
 
 	simulationMS    = 60_000
 	simulationTick  = 10 // ms
 	transactionMS   = 20
-	firstArrivalsMS = 10_000 // until the first wave of users is over
+	firstArrivalsMS = 10_000 // end of the first wave of users
 )
 
 type user struct {
@@ -47,7 +47,7 @@
 	endsAt int64
 }
 
-// retrySimulation has users submit far more than the service takes and come back when they are told to.
+// retrySimulation has users submit far more than the service accepts and retry after the returned delay.
 type retrySimulation struct {
 	limits       Limits
 	queue        *Queue[user]
@@ -71,7 +71,7 @@
 		arrivals:     map[int64][]user{},
 		servedByTeam: map[string]int{},
 	}
-	// Everybody at once, as after an outage.
+	// All users submit at once, as after an outage.
 	for i := range 500 {
 		team := largeTeam
 		if i%5 == 0 {
@@ -115,7 +115,7 @@
 	}
 }
 
-// countArrivals counts those who come in the second from now on.
+// countArrivals counts the users who submit within one second from now.
 func (s *retrySimulation) countArrivals(now int64) {
 	n := 0
 	for offset := int64(0); offset < 1000; offset += simulationTick {
@@ -139,32 +139,32 @@
 	}
 }
 
-// After an outage all users come at once. Told when there is room, they come back in the numbers that the
-// service takes, and a team with few requests waits no longer than one with many; told one second each, they
-// all come every second.
+// Tests that Retry-After spreads the retries when all users submit at once after an outage. They then retry
+// at the rate that the service accepts, and a team with few requests waits no longer than one with many. With
+// a constant delay of one second, all of them retry every second.
 func TestRetryAfterSpreadsReturningUsers(t *testing.T) {
 	spread := newRetrySimulation(func(retryAfterS int) int { return retryAfterS })
 	spread.run()
 	if got := spread.servedByTeam[largeTeam] + spread.servedByTeam[smallTeam]; got < 450 {
-		t.Errorf("%d of 500 served in a minute at ten a second, want at least 450", got)
+		t.Errorf("got %d of 500 served in a minute at 10 per second, want at least 450", got)
 	}
 	if got := spread.servedByTeam[smallTeam]; got != 100 {
-		t.Errorf("of the small team %d served, want 100", got)
+		t.Errorf("got %d of the small team served, want 100", got)
 	}
 	if got := spread.maxArrivalsPerSecond; got > 45 {
-		t.Errorf("%d come in one second, want at most 45", got)
+		t.Errorf("got %d submissions in one second, want at most 45", got)
 	}
 	if got := spread.maxQueueWaitMS; got > 2000 {
-		t.Errorf("a served request waited %d ms in the queue, want at most 2000", got)
+		t.Errorf("got a wait of %d ms in the queue, want at most 2000 ms", got)
 	}
 	constant := newRetrySimulation(func(int) int { return 1 })
 	constant.run()
 	if got, want := constant.maxArrivalsPerSecond, 4*spread.maxArrivalsPerSecond; got < want {
-		t.Errorf("told one second, %d come at once, want at least %d", got, want)
+		t.Errorf("constant delay of 1 s: got %d submissions in one second, want at least %d", got, want)
 	}
 }
 
-// Teams take turns: one that floods the queue does not make others wait longer.
+// Tests that teams are served round-robin: a team that floods the queue does not delay the others.
 func TestFloodingTeamDoesNotDelayOthers(t *testing.T) {
 	limits := testLimits()
 	limits.ChangesPerSecond, limits.MaxChanges = 1000, 4
@@ -182,11 +182,11 @@
 		}
 	}
 	if len(servedByTeam) != 5 {
-		t.Errorf("in two transactions got %v, want all of five teams", servedByTeam)
+		t.Errorf("got %v served in two transactions, want requests of all five teams", servedByTeam)
 	}
 }
 
-// What a submission costs the queue, by the number of teams that wait.
+// BenchmarkEnqueueAndNextBatch measures the cost of a submission by the number of teams with waiting requests.
 func BenchmarkEnqueueAndNextBatch(b *testing.B) {
 	for _, teams := range []int{1, 12, 1000} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
--- a/admission/queue_history_test.go
+++ b/admission/queue_history_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// requestState is where a history has a request.
+// requestState is the state of a request in a history.
 type requestState string
 
 const (
@@ -16,7 +16,7 @@
 	drained requestState = "drained"
 )
 
-// queueHistory offers requests to a queue and ends its transactions, in any order.
+// queueHistory adds requests to a queue and completes its transactions, in any order.
 type queueHistory struct {
 	t          *rapid.T
 	limits     Limits
@@ -41,7 +41,7 @@
 	}
 }
 
-// leaveQueue notes that a waiting request was served, shed or drained.
+// leaveQueue records that a waiting request was served, shed or drained.
 func (h *queueHistory) leaveQueue(request Request[int], state requestState) {
 	if got := h.states[request.Value]; got != waiting {
 		h.t.Fatalf("request %d becomes %s while it is %s", request.Value, state, got)
@@ -49,7 +49,7 @@
 	h.states[request.Value] = state
 }
 
-// serve checks a transaction and notes it as in flight.
+// serve checks a transaction and records it as in flight.
 func (h *queueHistory) serve(batch []Request[int]) {
 	changes, preconditions, bytes, lowestPriority := 0, 0, 0, 0
 	for _, request := range batch {
@@ -63,7 +63,7 @@
 		preconditions > h.limits.MaxPreconditions ||
 		bytes > h.limits.MaxBytes
 	if len(batch) > 1 && exceeded {
-		h.t.Fatalf("transaction of %d changes, %d preconditions, %d bytes", changes, preconditions, bytes)
+		h.t.Fatalf("transaction exceeds a limit: %d changes, %d preconditions, %d bytes", changes, preconditions, bytes)
 	}
 	for value, state := range h.states {
 		if state == waiting && h.priorities[value] < lowestPriority {
@@ -90,12 +90,13 @@
 		Value:         h.lastValue,
 	}
 	h.states[request.Value], h.priorities[request.Value] = waiting, request.Priority
-	overBound := h.queue.queuedChanges > h.queue.maxQueuedChanges() // by what was requeued
+	overBound := h.queue.queuedChanges > h.queue.maxQueuedChanges() // caused by requeued requests
 	for _, s := range h.queue.Enqueue(h.now, request, rapid.Float64Range(0, 0.999).Draw(h.t, "jitter")) {
 		h.shedCount++
 		h.leaveQueue(s.Request, shed)
 		if s.RetryAfterS < 1 || s.RetryAfterS > h.limits.MaxRetryAfterS {
-			h.t.Fatalf("request %d is shed for %d s, limit %d", s.Request.Value, s.RetryAfterS, h.limits.MaxRetryAfterS)
+			h.t.Fatalf("request %d is shed with Retry-After %d s, want 1 to %d s",
+				s.Request.Value, s.RetryAfterS, h.limits.MaxRetryAfterS)
 		}
 		if s.Request.Priority < request.Priority && !overBound {
 			h.t.Fatalf("priority %d is shed for priority %d", s.Request.Priority, request.Priority)
@@ -103,11 +104,11 @@
 	}
 	maxQueued := max(h.limits.MaxChanges, int(h.limits.ChangesPerSecond*float64(h.limits.MaxWaitMS)/1000))
 	if got := h.queue.queuedChanges; got > maxQueued {
-		h.t.Fatalf("%d changes wait, limit %d", got, maxQueued)
+		h.t.Fatalf("%d changes are queued, limit %d", got, maxQueued)
 	}
 }
 
-// completeOne ends a transaction, and sometimes requeues its requests.
+// completeOne completes a transaction and sometimes requeues its requests.
 func (h *queueHistory) completeOne() {
 	if len(h.inFlight) == 0 {
 		return
@@ -148,7 +149,7 @@
 	}
 }
 
-// finish serves all that waits, and checks that nothing is left.
+// finish serves all waiting requests and checks that none remain.
 func (h *queueHistory) finish() {
 	for _, batch := range h.inFlight {
 		h.queue.Complete(batch, 10, true)
@@ -160,18 +161,18 @@
 	}
 	for value, state := range h.states {
 		if state == waiting {
-			h.t.Fatalf("request %d is left", value)
+			h.t.Fatalf("request %d still waits", value)
 		}
 	}
 	if q := h.queue; q.queuedChanges != 0 || q.inFlight != 0 || q.inFlightChanges != 0 {
-		h.t.Fatalf("%d changes wait, %d transactions in flight with %d changes, want none",
+		h.t.Fatalf("got %d changes queued, %d transactions in flight with %d changes, want none",
 			q.queuedChanges, q.inFlight, q.inFlightChanges)
 	}
 }
 
-// Whatever is offered, in whatever order transactions end: each submission is served or shed, once; no
-// transaction exceeds a limit; no lower priority is served while a higher one waits; the queue and what is
-// in flight stay bounded.
+// Tests that each submission is served or shed exactly once, for any submissions and any order in which
+// transactions end. No transaction exceeds a limit, no lower priority is served while a higher one waits, and
+// the queue and the transactions in flight stay bounded.
 func TestEachRequestIsServedOrShedOnce(t *testing.T) {
 	shedCount := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -183,6 +184,6 @@
 		shedCount += h.shedCount
 	})
 	if shedCount == 0 {
-		t.Error("nothing was ever shed")
+		t.Error("no request was shed in any history")
 	}
 }
