--- a/admission/admission.go
+++ b/admission/admission.go
@@ -57,8 +57,8 @@
 	inFlight          int // transactions
 	inFlightChanges   int
 	meanTransactionMS float64 // 0: not known yet
-	promisedChanges   []int   // changes deferred to each second, starting with promisedFromS
-	promisedFromS     int64
+	reservedChanges   []int   // changes deferred to each second, starting with reservedFromS
+	reservedFromS     int64
 }
 
 type priorityQueue[T any] struct {
@@ -78,7 +78,7 @@
 	return &Queue[T]{
 		limits:          limits,
 		priorities:      make([]priorityQueue[T], limits.Priorities),
-		promisedChanges: make([]int, limits.MaxRetryAfterS+1),
+		reservedChanges: make([]int, limits.MaxRetryAfterS+1),
 	}
 }
 
@@ -186,32 +186,32 @@
 // reserveRetryAfterS reserves capacity for shed changes and returns the delay in seconds. The reserved second
 // is after the queued changes are served and has capacity beside the changes deferred to it earlier.
 func (q *Queue[T]) reserveRetryAfterS(now int64, changes int, jitter float64) int {
-	q.expirePromises(now / 1000)
+	q.expireReservations(now / 1000)
 	rate := q.effectiveRate()
 	for second := q.RetryAfterS(); second < q.limits.MaxRetryAfterS; second++ {
-		if float64(q.promisedChanges[second]+changes) <= max(rate, float64(changes)) {
-			q.promisedChanges[second] += changes
+		if float64(q.reservedChanges[second]+changes) <= max(rate, float64(changes)) {
+			q.reservedChanges[second] += changes
 			return second
 		}
 	}
 	// All seconds are fully reserved: jitter spreads the retries over the later half, not the last second.
 	second := q.limits.MaxRetryAfterS - int(jitter*float64(q.limits.MaxRetryAfterS)/2)
-	q.promisedChanges[second] += changes
+	q.reservedChanges[second] += changes
 	return second
 }
 
-// expirePromises drops the reservations of seconds that have passed.
-func (q *Queue[T]) expirePromises(nowS int64) {
-	elapsedS := nowS - q.promisedFromS
+// expireReservations drops the reservations of seconds that have passed.
+func (q *Queue[T]) expireReservations(nowS int64) {
+	elapsedS := nowS - q.reservedFromS
 	if elapsedS <= 0 {
 		return
 	}
 	remaining := 0
-	if elapsedS < int64(len(q.promisedChanges)) {
-		remaining = copy(q.promisedChanges, q.promisedChanges[elapsedS:])
+	if elapsedS < int64(len(q.reservedChanges)) {
+		remaining = copy(q.reservedChanges, q.reservedChanges[elapsedS:])
 	}
-	clear(q.promisedChanges[remaining:])
-	q.promisedFromS = nowS
+	clear(q.reservedChanges[remaining:])
+	q.reservedFromS = nowS
 }
 
 // RetryAfterS returns the delay for a client that is rejected for another reason. It reserves no capacity.
