--- a/access/lease_keeper_test.go
+++ b/access/lease_keeper_test.go
@@ -103,7 +103,8 @@
 		keeper.CompleteLeaseRequest(sentAt+delayMS, OK, 0) // renewed by a request sent at 200
 		current := keeper.CompleteMirrorRead(sentAt+delayMS, action.ReadID, OK, 0)
 		if got := keeper.MirrorReadSentAt(); !current || got != sentAt {
-			t.Errorf("delayed by %d ms: got current %v, mirror read sent at %d, want true, %d", delayMS, current, got, sentAt)
+			t.Errorf("delayed by %d ms: got current %v, mirror read sent at %d, want true, %d",
+				delayMS, current, got, sentAt)
 		}
 		authorityEnd := sentAt + settings.LeaseTTLMS
 		if keeper.HasAuthority(authorityEnd) || !keeper.HasAuthority(authorityEnd-200) {
--- a/availability/clustering.go
+++ b/availability/clustering.go
@@ -2,24 +2,24 @@
 
 import "container/heap"
 
-// cluster is a function in the order of a round, with the ones that it was merged from.
+// cluster is a function in the order of a round, with the functions that it was merged from.
 type cluster struct {
 	merged       *node
 	sources      []*node
-	sourceCounts []int64 // of queues, indexed as sources
-	prev, next   int     // its neighbours in the order that are not absorbed
-	absorbed     bool    // merged into another
-	version      int     // grows with each that it absorbs
+	sourceCounts []int64 // number of queues of each source, in the same order
+	prev, next   int     // its nearest neighbours that are not absorbed
+	absorbed     bool    // merged into another cluster
+	version      int     // incremented with each cluster that it absorbs
 }
 
-// mergeCandidate is a pair of neighbours that might be merged, as long as neither has changed since.
+// mergeCandidate is a pair of neighbours that may be merged if neither has changed since.
 type mergeCandidate struct {
 	left, right               int
 	leftVersion, rightVersion int
 	loss                      float64
 }
 
-// mergeHeap has the candidate that loses least at its top, the first in order among equals.
+// mergeHeap has the candidate with the smallest loss at its top. Among equals, the first in order is at the top.
 type mergeHeap []*mergeCandidate
 
 func (h mergeHeap) Len() int { return len(h) }
@@ -35,13 +35,13 @@
 	return x
 }
 
-// maxSources bounds the functions that a cluster remembers for its distances. The paper remembers all of them; beyond
-// this, the cluster's own minimum stands for the ones that it already lost against.
+// maxSources is the maximum number of source functions that a cluster keeps to compute its distances. The paper keeps
+// all of them. Beyond this number, the cluster's own minimum replaces its sources.
 const maxSources = 4
 
-// mergeLoss is what merging two neighbours loses: the sum over their sources of the paper's distance to the merge,
-// ((f-h)/(δ-now+1))² over δ by the functions' points, and of the resources, times the queues that a source stands for.
-// The merge itself is made only for those that lose least.
+// mergeLoss returns the loss of merging two neighbours. It is the sum over their sources of the paper's distance to the
+// merged function, times the number of queues that a source represents. The distance is ((f-h)/(δ-now+1))² over δ, by
+// the functions' points, plus that of the resources. Only the neighbours with the smallest loss are actually merged.
 func (r *Reducer) mergeLoss(a, b *cluster) (loss float64) {
 	minimum := a.merged.points
 	for i := range r.norm.pointCount {
@@ -56,18 +56,18 @@
 	return loss
 }
 
-// preMergeFactor is how many times the limit of functions are compared by their distances. More than that are first
-// merged in short runs.
+// preMergeFactor is the maximum number of functions that are compared by their distances, as a multiple of the limit of
+// functions. A larger number is first merged in short runs.
 const preMergeFactor = 8
 
-// mergeRuns merges runs of neighbours of one kind and equal resources, without weighing what is lost. Where a run ends
-// depends on the functions near it alone: with runs of one length, one more function would move all that follow.
+// mergeRuns merges runs of neighbours of one kind with equal resources, without regard to the loss. The end of a run
+// depends only on the functions near it. With runs of a fixed length, one more function would shift all later runs.
 func (r *Reducer) mergeRuns() []cluster {
 	limit := preMergeFactor * r.maxFunctions
 	runLength := (len(r.input) + limit - 1) / limit
 	minLength, maxLength := (runLength+1)/2, runLength+runLength/2
 	clusters := make([]cluster, 0, min(len(r.input), 2*limit))
-	length := 0 // of the current run
+	length := 0 // length of the current run
 	for i := range r.input {
 		current := r.input[i].node
 		if runLength > 1 && length > 0 && length < maxLength && r.continuesRun(i, length, minLength, maxLength) {
@@ -90,28 +90,28 @@
 	return clusters
 }
 
-// continuesRun reports whether the ith function belongs to the run of the one before it, which has some length.
+// continuesRun reports whether the ith function belongs to the run of its predecessor, which has the given length.
 func (r *Reducer) continuesRun(i, length, minLength, maxLength int) bool {
 	previous := &r.input[i-1]
 	endsRun := length >= minLength && previous.hash%uint64(maxLength-minLength+1) == 0
 	return !endsRun && previous.rank == r.input[i].rank
 }
 
-// merger merges neighbours among clusters, those that lose least first.
+// merger merges neighbouring clusters in ascending order of loss.
 type merger struct {
 	reducer    *Reducer
 	clusters   []cluster
 	candidates mergeHeap
-	pool       []mergeCandidate // memory of the candidates; it must not grow
+	pool       []mergeCandidate // memory of the candidates; it must not be reallocated
 }
 
-// mergeNeighbours merges neighbours until the round's limit of functions is met, or only kinds differ.
+// mergeNeighbours merges neighbours until the round's limit of functions is met or all neighbours differ in kind.
 func (r *Reducer) mergeNeighbours(clusters []cluster) {
 	m := merger{
 		reducer:    r,
 		clusters:   clusters,
 		candidates: make(mergeHeap, 0, 2*len(clusters)),
-		pool:       make([]mergeCandidate, 0, 3*len(clusters)), // each merge offers two more
+		pool:       make([]mergeCandidate, 0, 3*len(clusters)), // each merge adds two candidates
 	}
 	for i := range clusters {
 		m.addCandidate(i, i+1)
@@ -126,7 +126,7 @@
 	}
 }
 
-// addCandidate offers two clusters for a merge, if there are such and they are of one kind.
+// addCandidate adds two clusters as a candidate, if both exist and are of one kind.
 func (m *merger) addCandidate(left, right int) {
 	if left < 0 || right < 0 || right >= len(m.clusters) {
 		return
@@ -139,14 +139,14 @@
 	heap.Push(&m.candidates, &m.pool[len(m.pool)-1])
 }
 
-// isCurrent reports whether neither cluster of a candidate has changed since it was offered.
+// isCurrent reports whether neither cluster of a candidate has changed since the candidate was added.
 func (m *merger) isCurrent(candidate *mergeCandidate) bool {
 	a, b := &m.clusters[candidate.left], &m.clusters[candidate.right]
 	isChanged := a.version != candidate.leftVersion || b.version != candidate.rightVersion
 	return !a.absorbed && !b.absorbed && !isChanged
 }
 
-// merge merges a cluster into its left neighbour, and offers the result to its neighbours.
+// merge merges a cluster into its left neighbour and adds the result and its neighbours as candidates.
 func (m *merger) merge(left, right int) {
 	a, b := &m.clusters[left], &m.clusters[right]
 	a.merged = m.reducer.mergeNodes(a.merged, b.merged)
@@ -165,7 +165,7 @@
 	m.addCandidate(left, a.next)
 }
 
-// queueCount is how many queues the cluster stands for.
+// queueCount returns the number of queues that the cluster represents.
 func (c *cluster) queueCount() (n int64) {
 	for _, count := range c.sourceCounts {
 		n += count
--- a/availability/deadline_queue.go
+++ b/availability/deadline_queue.go
@@ -5,37 +5,37 @@
 	"sort"
 )
 
-// Entry is Count tasks of one group that run one after the other in a queue, each of them by Deadline.
+// Entry is Count tasks of one group that run one after the other in a queue. Each of them ends by Deadline.
 type Entry struct {
 	Deadline int64
-	Length   int64 // of one task
+	Length   int64 // length of one task
 	Count    int64
 }
 
 func (e Entry) totalLength() int64 { return e.Length * e.Count }
 
-// Queue is a non-preemptive earliest-deadline queue of speed 1. What runs at its head cannot be stopped, so nothing
-// admitted starts before EarliestStart. The zero value is an empty queue that can start at 0.
+// Queue is a non-preemptive earliest-deadline queue of speed 1. The running task at its head cannot be stopped, so
+// admitted tasks start at EarliestStart or later. The zero value is an empty queue with an earliest start of 0.
 type Queue struct {
 	EarliestStart int64
 	entries       []Entry
-	totalLength   int64 // of all entries
+	totalLength   int64 // total length of all entries
 }
 
-// Reset empties the queue for another round with another earliest start. It keeps its memory: a planner that fills a
-// thousand queues a second makes no garbage.
+// Reset empties the queue for another round with another earliest start. It reuses the memory, so that a planner that
+// fills a thousand queues per second creates no garbage.
 func (q *Queue) Reset(earliestStart int64) {
 	q.EarliestStart, q.entries, q.totalLength = earliestStart, q.entries[:0], 0
 }
 
-// Entries returns the admitted entries in the order in which they would run. The caller must not change them, and they
-// are good until the next Admit or Reset.
+// Entries returns the admitted entries in the order in which they would run. The caller must not modify them. They are
+// valid until the next Admit or Reset.
 func (q *Queue) Entries() []Entry { return q.entries }
 
-// End is when the last admitted task would end.
+// End returns the time at which the last admitted task would end.
 func (q *Queue) End() int64 { return q.EarliestStart + q.totalLength }
 
-// LastDeadline is the latest deadline that was admitted; ok is false if none was.
+// LastDeadline returns the latest admitted deadline. ok is false if the queue is empty.
 func (q *Queue) LastDeadline() (deadline int64, ok bool) {
 	if n := len(q.entries); n > 0 {
 		return q.entries[n-1].Deadline, true
@@ -43,8 +43,8 @@
 	return 0, false
 }
 
-// MayAdmit reports, at little cost, whether a task might be admitted: if not, Admit admits none. l(δ) is at most the
-// time from EarliestStart to δ, and at most what the queue has free up to its last deadline, or behind it.
+// MayAdmit is an inexpensive check whether a task might be admitted: if it returns false, Admit admits none. l(δ) is at
+// most the time from EarliestStart to δ, and at most the free time up to the later of δ and the last deadline.
 func (q *Queue) MayAdmit(deadline, length int64) bool {
 	if deadline-q.EarliestStart < length {
 		return false
@@ -53,15 +53,15 @@
 	return n == 0 || max(deadline, q.entries[n-1].Deadline)-q.End() >= length
 }
 
-// insertionIndex is where a task with this deadline would be inserted: behind every entry with the same or an earlier
-// deadline.
+// insertionIndex returns the index at which a task with this deadline would be inserted: after every entry with the
+// same or an earlier deadline.
 func (q *Queue) insertionIndex(deadline int64) int {
 	return sort.Search(len(q.entries), func(i int) bool { return q.entries[i].Deadline > deadline })
 }
 
-// insertionWindow returns when the tasks before the insertion point of a deadline have ended (the paper's e), and the
-// latest start of the tasks behind it that still keeps all their deadlines (the paper's x). ok is false if there is
-// nothing behind it.
+// insertionWindow returns the time at which the tasks before the insertion point of a deadline have ended (the paper's
+// e), and the latest start of the tasks after it that keeps all their deadlines (the paper's x). ok is false if there
+// are no tasks after it.
 func (q *Queue) insertionWindow(deadline int64) (predecessorsEnd, latestStart int64, ok bool) {
 	index := q.insertionIndex(deadline)
 	predecessorsEnd = q.EarliestStart
@@ -79,11 +79,11 @@
 	return predecessorsEnd, latestStart, ok
 }
 
-// Available is l(δ) = min(δ, x) − e: how long the queue can work for a new task that must end by a deadline, with every
-// admitted deadline kept. See insertionWindow for e and x.
+// Available returns l(δ) = min(δ, x) − e: the time that the queue has for a new task that must end by a deadline, while
+// it keeps every admitted deadline. See insertionWindow for e and x.
 func (q *Queue) Available(deadline int64) int64 {
 	if n := len(q.entries); n == 0 || q.entries[n-1].Deadline <= deadline {
-		return max(0, deadline-q.End()) // nothing is behind it
+		return max(0, deadline-q.End()) // no tasks after the insertion point
 	}
 	predecessorsEnd, latestStart, ok := q.insertionWindow(deadline)
 	end := deadline
@@ -93,7 +93,7 @@
 	return max(0, end-predecessorsEnd)
 }
 
-// Admit adds as many of count tasks as the queue can end by a deadline without breaking one that it already holds, and
+// Admit adds as many of count tasks as the queue can end by a deadline without missing an admitted deadline, and
 // returns their number.
 func (q *Queue) Admit(deadline, length, count int64) int64 {
 	length = max(length, 1)
@@ -109,9 +109,9 @@
 	return n
 }
 
-// Samples returns the breakpoints of l(δ) up to a horizon: the queue's earliest start, and for each entry the end of
-// what is before an insertion point, the latest start of what is behind it, and the deadline that moves the insertion
-// point.
+// Samples returns the breakpoints of l(δ) up to a horizon. These are the queue's earliest start and, for each entry,
+// the end of the tasks before an insertion point, the latest start of those after it, and the deadline at which the
+// insertion point moves.
 func (q *Queue) Samples(horizon int64) []Sample {
 	if q.EarliestStart >= horizon {
 		return []Sample{{TimeMS: horizon}}
@@ -119,8 +119,8 @@
 	times := make([]int64, 0, 2+6*len(q.entries))
 	times = append(times, q.EarliestStart, horizon)
 	for _, e := range q.entries {
-		// l(δ) jumps where δ passes an entry's deadline, unless the entries leave no slack: a sample just before it
-		// keeps the function a minimum of the true one on both sides.
+		// l(δ) jumps where δ passes an entry's deadline, unless the entries leave no slack. A sample just before the
+		// deadline keeps the sampled function at or below l(δ) on both sides.
 		times = append(times, e.Deadline-1, e.Deadline)
 		if predecessorsEnd, latestStart, ok := q.insertionWindow(e.Deadline - 1); ok {
 			times = append(times, predecessorsEnd, latestStart)
--- a/availability/distance.go
+++ b/availability/distance.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// points are a function's values at times from now that double from one to the next, from a second on.
+// points are a function's values at times after now. The first is one second after now, and each doubles the last.
 type points [24]float64
 
-// firstPointMS is how long from now the first of points is, in ms.
+// firstPointMS is the time of the first of points after now, in ms.
 const firstPointMS = 1000
 
-// distanceNorm divides each resource's distance by the square of its range in a round, so that none dominates.
+// distanceNorm normalizes the distance of each resource by the square of its range in a round, so that none dominates.
 type distanceNorm struct {
 	resourceRanges Resources
-	timeRange      float64 // ms that a queue can be free for: up to the horizon
-	pointCount     int     // of points, before the horizon
+	timeRange      float64 // longest free time of a queue, up to the horizon, in ms
+	pointCount     int     // number of points before the horizon
 }
 
 func newDistanceNorm(input []rankedNode, span int64) distanceNorm {
@@ -38,7 +38,7 @@
 	return n
 }
 
-// quadraticTerm is the square of a difference as a share of a scale; 0 where all are equal and the scale is 0.
+// quadraticTerm returns the square of diff/scale, or 0 if the scale is 0 because all values are equal.
 func quadraticTerm(diff, scale float64) float64 {
 	if scale <= 0 {
 		return 0
@@ -46,8 +46,8 @@
 	return diff * diff / (scale * scale)
 }
 
-// distance is how far a function is above a minimum of it and others, given by points and resources that are nowhere
-// above the function's. In time it is the integral of the square, by one point for each doubling.
+// distance returns the distance of a function from a minimum of it and others. The points and resources of the minimum
+// never exceed those of the function. The distance in time is the integral of the square, with one point per doubling.
 func (n *distanceNorm) distance(source *node, minimum *points, resources Resources) float64 {
 	from, scale := &source.function.Resources, &n.resourceRanges
 	resourceDistance := quadraticTerm(from.CPUs-resources.CPUs, scale.CPUs) +
--- a/availability/function.go
+++ b/availability/function.go
@@ -7,7 +7,7 @@
 }
 
 // Function is a sampled availability function of Count queues of one Kind, each of which has at least these Resources
-// and this availability. Kind is opaque here; only functions of one kind are merged.
+// and this availability. Kind is opaque to this package. Only functions of one kind are merged.
 type Function struct {
 	Kind      string
 	Count     int64
@@ -15,14 +15,14 @@
 	Samples   []Sample
 }
 
-// interpolate is the value at a time of the line through two samples.
+// interpolate returns the value at a time on the line through two samples.
 func interpolate(a, b Sample, timeMS int64) float64 {
 	rise, run := float64(b.AvailableMS-a.AvailableMS), float64(b.TimeMS-a.TimeMS)
 	return float64(a.AvailableMS) + rise*float64(timeMS-a.TimeMS)/run
 }
 
-// AvailableBy interpolates l(δ): 0 before the first sample, constant after the last one, so that it never promises more
-// than was sampled.
+// AvailableBy interpolates l(δ). It returns 0 before the first sample and the last value after the last sample, so that
+// it never promises more than was sampled.
 func (f *Function) AvailableBy(deadline int64) float64 {
 	s := f.Samples
 	if len(s) == 0 || deadline < s[0].TimeMS {
@@ -59,8 +59,8 @@
 	return interpolate(samples[c.next-1], samples[c.next], deadline)
 }
 
-// TaskCapacity is how many tasks of a group, at most limit, the queues of f can end by a deadline: floor(l(δ) / length)
-// in each, times the copies that fit side by side.
+// TaskCapacity returns the number of tasks of a group, at most limit, that the queues of f can end by a deadline. It is
+// floor(l(δ) / length) for each queue, times the number of copies that run side by side.
 func (f *Function) TaskCapacity(request Resources, deadline, length int64, limit int) int {
 	if !f.Resources.Contains(request) || length <= 0 {
 		return 0
--- a/availability/function_test.go
+++ b/availability/function_test.go
@@ -10,13 +10,13 @@
 )
 
 func init() {
-	// The same inputs every time, so that the verdict is the same.
+	// A fixed seed gives the same inputs and the same result in every run.
 	if err := errors.Join(flag.Set("rapid.seed", "11"), flag.Set("rapid.checks", "400")); err != nil {
 		panic(err)
 	}
 }
 
-// genQueue draws a queue by admitting tasks, as its callers do.
+// genQueue draws a queue by admitting tasks, as callers do.
 func genQueue(t *rapid.T) *Queue {
 	q := &Queue{EarliestStart: rapid.Int64Range(0, 50).Draw(t, "earliest start")}
 	for range rapid.IntRange(0, 8).Draw(t, "groups") {
@@ -31,8 +31,8 @@
 
 type task struct{ deadline, length int64 }
 
-// meetsDeadlines runs tasks one after the other, earliest deadline first, from a start on. It reports whether all end
-// in time.
+// meetsDeadlines runs tasks one after the other, earliest deadline first, after a start. It reports whether all meet
+// their deadlines.
 func meetsDeadlines(end int64, tasks []task) bool {
 	sort.SliceStable(tasks, func(i, j int) bool { return tasks[i].deadline < tasks[j].deadline })
 	for _, x := range tasks {
@@ -58,7 +58,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := genQueue(t)
 		if !meetsDeadlines(q.EarliestStart, tasksOf(q)) {
-			t.Fatalf("a queue breaks a deadline that it admitted: earliest start %d, %v", q.EarliestStart, q.Entries())
+			t.Fatalf("queue misses an admitted deadline: earliest start %d, %v", q.EarliestStart, q.Entries())
 		}
 	})
 }
@@ -75,7 +75,7 @@
 			want++
 		}
 		if got := q.Available(deadline); got != want {
-			t.Fatalf("l(%d) = %d, a brute-force queue gives %d; earliest start %d, %v",
+			t.Fatalf("got l(%d) = %d, want %d by brute force; earliest start %d, %v",
 				deadline, got, want, q.EarliestStart, q.Entries())
 		}
 	})
@@ -99,18 +99,18 @@
 		for at := int64(0); at <= 450; at++ {
 			want := float64(q.Available(min(at, 400)))
 			if got := f.AvailableBy(at); got != want && (got > want || at >= q.EarliestStart) {
-				t.Fatalf("at %d the samples give %v, the queue %v; %v %v", at, got, want, q, f.Samples)
+				t.Fatalf("at %d: got %v from the samples, want %v as in the queue; %v %v", at, got, want, q, f.Samples)
 			}
 		}
 	})
 }
 
-// requireNotAbove fails when f promises more than g anywhere.
+// requireNotAbove fails if f promises more than g for any deadline.
 func requireNotAbove(t *rapid.T, name string, f, g *Function) {
 	t.Helper()
 	for at := int64(0); at <= 450; at++ {
 		if f.AvailableBy(at) > g.AvailableBy(at)+1e-6 {
-			t.Fatalf("%s: %v at %d, where it was %v\n%v\n%v",
+			t.Fatalf("%s: got %v at %d, want at most %v\n%v\n%v",
 				name, f.AvailableBy(at), at, g.AvailableBy(at), f.Samples, g.Samples)
 		}
 	}
@@ -124,7 +124,7 @@
 		requireNotAbove(t, "merged", &merged, &g)
 		if merged.Count != f.Count+g.Count || !f.Resources.Contains(merged.Resources) ||
 			!g.Resources.Contains(merged.Resources) {
-			t.Fatalf("merged %+v of %+v and %+v", merged, f, g)
+			t.Fatalf("got merged %+v of %+v and %+v", merged, f, g)
 		}
 	})
 }
@@ -137,7 +137,7 @@
 		limit := rapid.IntRange(2, 12).Draw(t, "limit")
 		merged.Reduce(limit)
 		if len(merged.Samples) > limit {
-			t.Fatalf("%d samples are left of at most %d", len(merged.Samples), limit)
+			t.Fatalf("got %d samples, want at most %d", len(merged.Samples), limit)
 		}
 		requireNotAbove(t, "reduced", &merged, &before)
 	})
@@ -169,7 +169,7 @@
 		reduced := Reduce(all, limit, 6, 0)
 		after, queues := count(reduced)
 		if len(reduced) > limit || queues != machines || after > before {
-			t.Fatalf("%d functions of at most %d, %d machines of %d, %d tasks where there were %d",
+			t.Fatalf("got %d functions, want at most %d; got %d machines, want %d; got %d tasks, want at most %d",
 				len(reduced), limit, queues, machines, after, before)
 		}
 	})
--- a/availability/hash.go
+++ b/availability/hash.go
@@ -8,7 +8,7 @@
 	otherHashFactor = 0xc2b2ae3d27d4eb4f
 )
 
-// hashKind is a hash of a kind and resources.
+// hashKind returns a hash of a kind and resources.
 func hashKind(kind string, resources Resources) uint64 {
 	h := uint64(len(kind))
 	for i := range len(kind) {
@@ -18,7 +18,7 @@
 	return mixHash(h, math.Float64bits(resources.GPUs)+math.Float64bits(resources.DiskGB)*hashFactor)
 }
 
-// mixHash folds a number into a hash (Murmur3's finalizer).
+// mixHash mixes a number into a hash with the finalizer of MurmurHash3.
 func mixHash(h, x uint64) uint64 {
 	h ^= x
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
--- a/availability/merge.go
+++ b/availability/merge.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Merge is the paper's SUM: counts add up, everything else is the minimum, so that every queue behind the result has at
-// least what it says. Both must be of one kind.
+// Merge is the paper's SUM. It adds the counts and takes the minimum of everything else, so that every queue of the
+// result has at least the resulting resources and availability. Both functions must be of one kind.
 func Merge(f, g Function) Function {
 	var buffers mergeBuffers
 	return Function{
@@ -14,17 +14,17 @@
 	}
 }
 
-// mergeBuffers is memory that merges reuse: they are most of what a summary costs.
+// mergeBuffers is memory that merges reuse, since merges are most of the cost of a summary.
 type mergeBuffers struct {
 	times   []int64
 	samples []Sample
 }
 
-// mergeTimes returns the sample times of both functions in order, with the times at which the functions cross.
+// mergeTimes returns, sorted, the sample times of both functions and the times at which the functions cross.
 func (b *mergeBuffers) mergeTimes(f, g *Function) []int64 {
 	times := b.times[:0]
 	cursorF, cursorG := cursor{samples: f.Samples}, cursor{samples: g.Samples}
-	difference := 0.0 // how far f is above g at the last time
+	difference := 0.0 // f minus g at the last time
 	i, j := 0, 0
 	for i < len(f.Samples) || j < len(g.Samples) {
 		var t int64
@@ -50,8 +50,8 @@
 	return times
 }
 
-// appendCrossing appends both neighbours of the time, between the last of times and next, at which a difference that is
-// linear in time changes sign: it may lie between two milliseconds.
+// appendCrossing appends the milliseconds before and after the crossing of two functions. The crossing is the time
+// between the last of times and next at which the difference, linear in time, changes sign.
 func appendCrossing(times []int64, next int64, previousDifference, difference float64) []int64 {
 	previous := times[len(times)-1]
 	share := float64(next-previous) * previousDifference / (previousDifference - difference)
@@ -64,7 +64,8 @@
 	return times
 }
 
-// minimum returns the lower of two functions, in the buffers' memory: it is good until the next call.
+// minimum returns the samples of the minimum of two functions, in the buffers' memory. They are valid until the next
+// call.
 func (b *mergeBuffers) minimum(f, g *Function) []Sample {
 	times := b.mergeTimes(f, g)
 	samples := b.samples[:0]
@@ -74,7 +75,7 @@
 		samples = append(samples, Sample{TimeMS: t, AvailableMS: int64(available)})
 	}
 	b.samples = samples
-	// A function that starts later is 0 until then: interpolating towards its first sample must not promise more.
+	// A function is 0 before its first sample. Interpolation towards that sample must not promise more.
 	start := max(firstSampleTime(f), firstSampleTime(g))
 	for len(samples) > 1 && samples[0].TimeMS < start {
 		samples = samples[1:]
@@ -89,8 +90,8 @@
 	return f.Samples[0].TimeMS
 }
 
-// chordCost is what replacing the ith sample by the line between its neighbours loses, infinite where the line would
-// raise the function.
+// chordCost returns the loss when the line between its neighbours replaces the ith sample. It is infinite if the line
+// would raise the function.
 func chordCost(s []Sample, i int) float64 {
 	a, b, c := s[i-1], s[i], s[i+1]
 	chord := interpolate(a, c, b.TimeMS)
@@ -100,8 +101,8 @@
 	return (float64(b.AvailableMS) - chord) * float64(c.TimeMS-a.TimeMS)
 }
 
-// Reduce drops samples until at most limit (at least 2) are left, each time the one whose loss costs least, and never
-// raises the function. It changes the samples in place.
+// Reduce drops samples until at most limit (at least 2) remain, each time the sample with the smallest loss. It never
+// raises the function. It modifies the samples in place.
 func (f *Function) Reduce(limit int) {
 	limit = max(limit, 2)
 	if len(f.Samples) <= limit {
@@ -124,15 +125,15 @@
 		}
 		f.Samples = append(f.Samples[:best], f.Samples[best+1:]...)
 		costs = append(costs[:best], costs[best+1:]...)
-		// The neighbours of the dropped sample have changed, and of a bend the sample behind it.
+		// The costs of the neighbours of the dropped sample have changed, also by a sample lowered after a bend.
 		for i := max(best-1, 1); i <= min(best+1, len(f.Samples)-2); i++ {
 			costs[i] = chordCost(f.Samples, i)
 		}
 	}
 }
 
-// lowerBehindBend makes room for dropping a sample where the function bends upwards everywhere: it lowers the sample
-// behind the bend that costs least onto the line into that bend, and returns the bend's sample, which may go.
+// lowerBehindBend allows a sample to be dropped where the function bends upwards everywhere. It lowers the sample after
+// the bend with the smallest loss onto the line into that bend. It returns the index of the bend, which may be dropped.
 func lowerBehindBend(samples []Sample) (best int) {
 	best, cost := 1, math.Inf(1)
 	var lowered int64
@@ -147,7 +148,7 @@
 		}
 	}
 	samples[best+1].AvailableMS = lowered
-	// Rounding down can leave the chord above the bend by a fraction.
+	// After rounding down, the chord can still be above the bend by a fraction.
 	a, b, c := samples[best-1], samples[best], samples[best+1]
 	for c.AvailableMS > 0 && interpolate(a, c, b.TimeMS) > float64(b.AvailableMS) {
 		c.AvailableMS--
--- a/availability/reducer.go
+++ b/availability/reducer.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Reducer reduces summaries one after the other, and keeps what it computed: the samples of a queue, the merge of two
-// functions. All of it follows from its inputs alone, so that what did not change costs little, and a summary equals,
-// to the bit, one that is reduced from nothing. What was not used for two rounds is forgotten. The zero value is ready
-// to use: Begin, then AddQueue and AddFunction, then Summary, and again.
+// Reducer reduces summaries in successive rounds and caches the samples of queues and the merges of pairs of functions.
+// Cached values depend only on their inputs, so unchanged queues cost little, and a summary is bit-identical to one
+// that is computed without a cache. Values that were not used for two rounds are evicted. The zero value is ready to
+// use. In each round, call Begin, then AddQueue and AddFunction, then Summary.
 //
-// Samples reach to a horizon that moves in steps: with a horizon of its own, each round would compute everything anew.
+// Samples reach up to a horizon that moves in steps. If each round had its own horizon, it would recompute everything.
 type Reducer struct {
 	CoarseStarts bool // see AddQueue
-	Recomputed   int  // functions and merges that were new in the last round
+	Recomputed   int  // number of functions and merges computed in the last round
 
 	maxFunctions, maxSamples int
 	now, horizon             int64
@@ -23,15 +23,15 @@
 	norm                     distanceNorm
 
 	groups      map[groupKey]*group
-	nodes       memo[uint64, *node]        // by hashFunction, or the next free key
-	queues      memo[uint64, *cachedQueue] // by hashQueue
+	nodes       memo[uint64, *node]        // keyed by hashFunction, or by the next free key
+	queues      memo[uint64, *cachedQueue] // keyed by hashQueue
 	mergedPairs memo[[2]*node, *node]
 
-	input   []rankedNode // the functions of the round, each once
+	input   []rankedNode // the distinct functions of the round
 	buffers mergeBuffers
 }
 
-// memo remembers what was looked up in this round or the last one.
+// memo is a cache of the values that were looked up in this round or the last one.
 type memo[K comparable, V any] struct{ current, previous map[K]V }
 
 func (m *memo[K, V]) nextRound() {
@@ -52,50 +52,50 @@
 	return v, ok
 }
 
-// groupKey is what functions of one kind with equal resources share.
+// groupKey identifies the functions of one kind with equal resources.
 type groupKey struct {
 	kind      string
 	resources Resources
 }
 
-// group is functions of one kind with equal resources, which are neighbours in the order.
+// group is the functions of one kind with equal resources, which are adjacent in the order.
 type group struct {
 	groupKey
 	rank      int
 	lastRound uint64
 }
 
-// rankedNode is a function with what it is sorted by, side by side in memory.
+// rankedNode is a function with its sort keys, contiguous in memory.
 type rankedNode struct {
 	rank   int
 	weight float64
 	*node
 }
 
-// node is a function that is kept once for as long as it is in use.
+// node is a function that is stored once for as long as it is in use.
 type node struct {
-	function  Function // without a count
+	function  Function // its Count is 0
 	group     *group
 	hash      uint64 // key in Reducer.nodes
 	points    points
-	weight    float64 // in the paper's distance; negative: not computed yet
-	weighedAt int64   // the time that points and weight are computed for
+	weight    float64 // weight in the paper's distance; negative: not computed yet
+	weighedAt int64   // the time for which points and weight are computed
 	lastRound uint64
-	count     int64 // of queues, in the last round
+	count     int64 // number of queues in the last round
 }
 
-// cachedQueue is the function of a queue, and what it is computed from.
+// cachedQueue is the function of a queue and the inputs that it is computed from.
 type cachedQueue struct {
 	earliestStart int64
 	entries       []Entry
 	node          *node
 }
 
-// horizonSteps is in how many steps of its distance the horizon moves.
+// horizonSteps divides the span from now to the horizon into the steps in which the horizon moves.
 const horizonSteps = 256
 
-// Begin starts a round: a summary of at most maxFunctions functions of at most maxSamples samples, of what queues do
-// between now and a span later.
+// Begin starts a round for a summary of at most maxFunctions functions with at most maxSamples samples each. The
+// summary covers the time from now to a span later.
 func (r *Reducer) Begin(maxFunctions, maxSamples int, now, span int64) {
 	maxFunctions, maxSamples, span = max(maxFunctions, 1), max(maxSamples, 2), max(span, horizonSteps)
 	step := span / horizonSteps
@@ -123,11 +123,11 @@
 	}
 }
 
-// startGranularity is by what part of its distance from now a queue's start may be put off.
+// startGranularity is the divisor of the time from now to a queue's start that gives the maximum delay of the start.
 const startGranularity = 16
 
-// roundUpStart puts a start off to the next multiple of a step that grows with its distance. A queue that starts later
-// can do no more: l(δ) only falls.
+// roundUpStart rounds a start up to the next multiple of a step that grows with its distance from now. A later start
+// never raises l(δ), so the queue promises no more than before.
 func (r *Reducer) roundUpStart(start int64) int64 {
 	ahead := start - r.now
 	if ahead <= 0 {
@@ -137,8 +137,8 @@
 	return (start + step - 1) / step * step
 }
 
-// AddQueue adds a queue of a machine of a kind, with resources for one task at a time. With CoarseStarts, a little of
-// its start is given up: what waits in queues comes from the same few groups, so that many are then equal.
+// AddQueue adds a queue of a machine of a kind, with resources for one task at a time. With CoarseStarts, it rounds the
+// queue's start up. Since the tasks in the queues belong to the same few groups, many queues then become equal.
 func (r *Reducer) AddQueue(kind string, resources Resources, q *Queue) {
 	if r.CoarseStarts {
 		q = &Queue{EarliestStart: r.roundUpStart(q.EarliestStart), entries: q.entries, totalLength: q.totalLength}
@@ -154,17 +154,17 @@
 	r.countQueues(cached.node, 1)
 }
 
-// isOf reports whether the function was computed from an equal queue: hashes can collide.
+// isOf reports whether the function was computed from an equal queue, since hashes can collide.
 func (c *cachedQueue) isOf(kind string, resources Resources, q *Queue) bool {
 	f := &c.node.function
 	return c.earliestStart == q.EarliestStart && f.Resources == resources && f.Kind == kind &&
 		slices.Equal(c.entries, q.entries)
 }
 
-// AddFunction adds a function. Its samples are not changed, and the caller must not change them later.
+// AddFunction adds a function. It does not modify the samples, and the caller must not modify them later.
 func (r *Reducer) AddFunction(f Function) { r.countQueues(r.intern(f), f.Count) }
 
-// countQueues adds queues to what a function of the round stands for.
+// countQueues adds to the number of queues that a function represents in the round.
 func (r *Reducer) countQueues(n *node, queues int64) {
 	if n.lastRound != r.round {
 		n.lastRound, n.count, n.group.lastRound = r.round, 0, r.round
@@ -173,7 +173,7 @@
 	n.count += queues
 }
 
-// intern returns the node of a function, reduced to the limit of samples: equal functions have one node.
+// intern returns the node of a function, reduced to the limit of samples. Equal functions share one node.
 func (r *Reducer) intern(f Function) *node {
 	if len(f.Samples) > r.maxSamples {
 		f.Samples = slices.Clone(f.Samples)
@@ -188,7 +188,7 @@
 		if equalFunctions(&n.function, &f) {
 			return n
 		}
-		hash++ // another function of the same hash
+		hash++ // another function has the same hash
 	}
 	f.Count = 0
 	key := groupKey{f.Kind, f.Resources}
@@ -204,10 +204,10 @@
 	return n
 }
 
-// updateWeight computes a function's points, and its weight in the paper's distance: the integral of f/(δ-now+1)².
-// Neighbours in the order of weights are alike both soon and later: in the order of first samples, and of what is free
-// at the end, a summary of 300 machines kept 0.31 of what their queues end within 100 s, and 0.65 but nothing of what
-// is free at once.
+// updateWeight computes a function's points and its weight in the paper's distance: the integral of f/(δ-now+1)².
+// Functions that are adjacent by weight have similar availability both soon and later. In the order of first samples, a
+// summary of 300 machines kept 0.31 of what their queues can end within 100 s. In the order of the availability at the
+// end, it kept 0.65 of that, but none of the immediate availability.
 func (r *Reducer) updateWeight(n *node) {
 	if n.weighedAt == r.now && n.weight >= 0 {
 		return
@@ -241,7 +241,7 @@
 	return n
 }
 
-// compare orders groups so that neighbours lose little by being merged.
+// compare orders groups so that merging neighbours loses little.
 func (k *groupKey) compare(other *groupKey) int {
 	return cmp.Or(
 		strings.Compare(k.kind, other.kind),
--- a/availability/resources.go
+++ b/availability/resources.go
@@ -2,9 +2,8 @@
 
 import "math"
 
-// Resources is what a queue's tasks may take of their machine, or what a task requests of one. The paper has memory and
-// disk; processors and accelerators are added, since the machines here are shared by tasks that request different
-// amounts of them.
+// Resources is the resources of a machine that a queue's tasks may use, or that a task requests. The paper has memory
+// and disk. This package adds CPUs and GPUs, since tasks that request different amounts of them share a machine.
 type Resources struct {
 	CPUs     float64 `json:"CPUs"     msgpack:"CPUs"`
 	GPUs     float64 `json:"GPUs"     msgpack:"GPUs"`
@@ -15,7 +14,7 @@
 // roundingTolerance absorbs the rounding of sums of decimal amounts.
 const roundingTolerance = 1e-6
 
-// Contains reports whether the resources suffice for a request.
+// Contains reports whether the resources are sufficient for a request.
 func (r Resources) Contains(request Resources) bool {
 	return request.CPUs <= r.CPUs+roundingTolerance &&
 		request.GPUs <= r.GPUs+roundingTolerance &&
@@ -23,8 +22,8 @@
 		request.DiskGB <= r.DiskGB+roundingTolerance
 }
 
-// MaxCopies is how many requests fit side by side, at most limit. Disk is not divided: tasks on one machine share its
-// images.
+// MaxCopies returns the number of equal requests, at most limit, that fit at the same time. Disk is not divided, since
+// tasks on one machine share its images.
 func (r Resources) MaxCopies(request Resources, limit int) int {
 	n := float64(limit)
 	dimensions := [...]struct{ available, requested float64 }{
@@ -40,7 +39,7 @@
 	return max(0, int(n))
 }
 
-// Add returns the resources with a request's processors, accelerators and memory added; disk stays.
+// Add returns the resources plus the CPUs, GPUs and memory of a request. Disk stays the same.
 func (r Resources) Add(request Resources) Resources {
 	r.CPUs += request.CPUs
 	r.GPUs += request.GPUs
@@ -48,7 +47,7 @@
 	return r
 }
 
-// Sub returns the resources without a request's processors, accelerators and memory; disk stays.
+// Sub returns the resources minus the CPUs, GPUs and memory of a request. Disk stays the same.
 func (r Resources) Sub(request Resources) Resources {
 	r.CPUs -= request.CPUs
 	r.GPUs -= request.GPUs
@@ -56,7 +55,7 @@
 	return r
 }
 
-// componentMin is the least of each resource.
+// componentMin returns the minimum of each resource.
 func (r Resources) componentMin(other Resources) Resources {
 	return Resources{
 		min(r.CPUs, other.CPUs),
@@ -66,7 +65,7 @@
 	}
 }
 
-// componentMax is the greatest of each resource.
+// componentMax returns the maximum of each resource.
 func (r Resources) componentMax(other Resources) Resources {
 	return Resources{
 		max(r.CPUs, other.CPUs),
--- a/availability/summary.go
+++ b/availability/summary.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// Summary is a set of sampled functions: the availability of a member's machines as its peers see it.
+// Summary is a set of sampled functions that describes the availability of a member's machines to its peers.
 type Summary []Function
 
-// Summary ends the round: the two functions that lose least by it are merged, again and again. Functions of different
-// kinds are never merged, so a summary with more kinds than the limit stays above it.
+// Summary ends the round and returns its summary. It repeatedly merges the two functions with the smallest loss, down
+// to the limit of functions. It never merges functions of different kinds, so a summary with more kinds than the limit
+// exceeds it.
 //
-// The paper compares every pair. Its cost grows with the cube of the number of queues, and a controller of a thousand
-// did nothing else. Here functions are sorted by kind, resources and weight, and only neighbours are compared; above a
-// few times the limit, short runs of neighbours are merged first.
+// The paper compares every pair, at a cost that grows with the cube of the number of queues. That cost took all the
+// time of a controller with a thousand queues. Here functions are sorted by kind, resources and weight, and only
+// neighbours are compared. Above a few times the limit, short runs of neighbours are merged first.
 func (r *Reducer) Summary() Summary {
 	r.rankGroups()
 	r.sortInput()
@@ -30,13 +31,13 @@
 		}
 		f := c.merged.function
 		f.Count += c.queueCount()
-		f.Samples = slices.Clone(f.Samples) // the caller may change them
+		f.Samples = slices.Clone(f.Samples) // the caller may modify them
 		summary = append(summary, f)
 	}
 	return summary
 }
 
-// rankGroups numbers the groups in their order. It forgets those that were not used for two rounds, as memo does.
+// rankGroups numbers the groups in sort order. It evicts groups that were not used for two rounds, as memo does.
 func (r *Reducer) rankGroups() {
 	var groups []*group
 	for key, g := range r.groups {
--- a/availability/summary_accuracy_bench_test.go
+++ b/availability/summary_accuracy_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkSummaryAccuracy is the paper's measure of a summary: what it promises of nodes with uniformly distributed
-// memory, disk and availability, as a share of what they have (its tables I and II, figure 5).
+// BenchmarkSummaryAccuracy measures the accuracy of summaries as the paper does (its tables I and II, figure 5): the
+// promised share of the resources of nodes with uniformly distributed memory, disk and availability.
 func BenchmarkSummaryAccuracy(b *testing.B) {
 	for _, c := range []struct{ nodes, functions int }{
 		{1024, 8},
--- a/availability/summary_test.go
+++ b/availability/summary_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// queueSet is queues that change from round to round.
+// queueSet is a set of queues that change from round to round.
 type queueSet struct {
 	queues    []*Queue
 	resources []Resources
@@ -32,15 +32,15 @@
 }
 
 func (s *queueSet) reduce(r *Reducer, functions int, now int64) Summary {
-	r.Begin(functions, 6, now, 1<<16) // the horizon stays for most rounds
+	r.Begin(functions, 6, now, 1<<16) // the horizon is the same in most rounds
 	for i, q := range s.queues {
 		r.AddQueue(s.kinds[i], s.resources[i], q)
 	}
 	return r.Summary()
 }
 
-// In each round, a reducer that has gone through rounds before gives what a new one gives, to the bit, and neither ever
-// promises more than the queues.
+// Tests that a reducer with a cache from earlier rounds returns, in each round, a summary bit-identical to that of a
+// new reducer, and that the summary never promises more than the queues.
 func TestIncrementalSummaryEqualsFreshSummary(t *testing.T) {
 	kept, rounds := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -53,11 +53,11 @@
 			fresh := Reducer{CoarseStarts: r.CoarseStarts}
 			got, want := set.reduce(&r, functions, now), set.reduce(&fresh, functions, now)
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("at %d:\ngot  %+v\nfrom nothing %+v", now, got, want)
+				t.Fatalf("at %d:\ngot  %+v\nwant %+v as from a new reducer", now, got, want)
 			}
 			again := set.reduce(&r, functions, now)
 			if !reflect.DeepEqual(again, want) || r.Recomputed > 0 {
-				t.Fatalf("without a change, %d functions and merges are computed anew:\n%+v\n%+v",
+				t.Fatalf("without a change: got %d functions and merges recomputed, want 0:\ngot  %+v\nwant %+v",
 					r.Recomputed, again, want)
 			}
 			request, length := Resources{CPUs: 1, MemoryGB: 1}, rapid.Int64Range(1, 60).Draw(t, "length")
@@ -70,7 +70,7 @@
 					all += int(q.Available(deadline) / length * int64(set.resources[i].MaxCopies(request, 1<<20)))
 				}
 				if tasks > all {
-					t.Fatalf("%d tasks are promised by %d, the queues end %d", tasks, deadline, all)
+					t.Fatalf("got %d tasks promised by %d, want at most %d as in the queues", tasks, deadline, all)
 				}
 			}
 			queues := int64(0)
@@ -78,7 +78,7 @@
 				queues += got[i].Count
 			}
 			if queues != int64(len(set.queues)) {
-				t.Fatalf("%d queues of %d", queues, len(set.queues))
+				t.Fatalf("got %d queues, want %d", queues, len(set.queues))
 			}
 			rounds++
 			kept += len(got)
@@ -86,11 +86,11 @@
 		}
 	})
 	if rounds < 200 || kept < rounds {
-		t.Errorf("%d functions in %d rounds", kept, rounds)
+		t.Errorf("got %d functions in %d rounds, want at least 200 rounds with a function each", kept, rounds)
 	}
 }
 
-// Two functions of one hash keep a node each.
+// Tests that two functions with the same hash have a node each.
 func TestFunctionsOfEqualHashStayDistinct(t *testing.T) {
 	var r Reducer
 	r.Begin(8, 6, 0, 1024)
@@ -99,8 +99,8 @@
 	n := r.intern(a)
 	delete(r.nodes.current, n.hash)
 	other := r.intern(b)
-	r.nodes.current[other.hash], r.nodes.current[other.hash+1] = n, other // as if both had the hash of the second
+	r.nodes.current[other.hash], r.nodes.current[other.hash+1] = n, other // simulates a collision of hashes
 	if r.intern(b) != other {
-		t.Error("the node of one function stands for the other")
+		t.Error("got the node of another function with the same hash")
 	}
 }
--- a/reconcile/machine.go
+++ b/reconcile/machine.go
@@ -37,8 +37,8 @@
 
 	state               MachineState
 	newestHeartbeat     struct{ incarnation, seq uint64 } // of heartbeats only, without query responses
-	notifiedIncarnation uint64                            // the newest incarnation that was sent the claim's fencing token
-	earlierTasksExpired bool                              // all tasks of earlier claims ended, yet it has an older token
+	notifiedIncarnation uint64                            // newest incarnation that was sent the claim's fencing token
+	earlierTasksExpired bool                              // tasks of earlier claims ended, yet its token is older
 	lastQueryAt         int64                             // when it became Notified, or was last queried for its tasks
 }
 
