--- a/access/lease_keeper.go
+++ b/access/lease_keeper.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	renewDivisor       = 8   // of the lease's TTL: interval between renewals, and duration of a watch
-	watchPauseDivisor  = 100 // of the lease's TTL: pause between watches, so that several changes share a response
-	retryDivisor       = 4   // of the request timeout: delay before a failed request is retried
-	watchJitterDivisor = 10  // of the request timeout: jitter that spreads retries of watches that failed together
+	renewDivisor       = 8   // divides the lease TTL: interval between renewals, and duration of a watch
+	watchPauseDivisor  = 100 // divides the lease TTL: pause between watches, so that several changes share a response
+	retryDivisor       = 4   // divides the request timeout: delay before a failed request is retried
+	watchJitterDivisor = 10  // divides the request timeout: jitter that spreads retries of watches that failed together
 )
 
 // LeaseKeeper is the state of a member's lease, mirror and link. Use NewLeaseKeeper to create one.
--- a/access/link.go
+++ b/access/link.go
@@ -89,7 +89,7 @@
 			k.scheduleProbe(now)
 		}
 	case Throttled:
-		// The member's own rate limit caused this, so it is no evidence about the service.
+		// The member's own rate limit caused this, not the service.
 	case Refused:
 		link.unansweredSince = 0
 		if link.state != LinkRefused {
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -184,7 +184,7 @@
 }
 
 // reserveRetryAfterS reserves capacity for shed changes and returns the delay in seconds. The reserved second
-// is after the queued changes are served and has capacity beside the changes deferred to it earlier.
+// is after the queued changes are served and has capacity left after the changes deferred to it earlier.
 func (q *Queue[T]) reserveRetryAfterS(now int64, changes int, jitter float64) int {
 	q.expireReservations(now / 1000)
 	rate := q.effectiveRate()
--- a/reconcile/machine.go
+++ b/reconcile/machine.go
@@ -36,7 +36,7 @@
 	Incarnation, Seq uint64
 
 	state               MachineState
-	newestHeartbeat     struct{ incarnation, seq uint64 } // of heartbeats only, without query responses
+	newestHeartbeat     struct{ incarnation, seq uint64 } // newest heartbeat received; excludes query responses
 	notifiedIncarnation uint64                            // newest incarnation that was sent the claim's fencing token
 	earlierTasksExpired bool                              // tasks of earlier claims ended, yet its token is older
 	lastQueryAt         int64                             // when it became Notified, or was last queried for its tasks
--- a/reconcile/model_test.go
+++ b/reconcile/model_test.go
@@ -30,7 +30,7 @@
 	fencingToken   uint64
 	claim          *Claim
 	workers        []*modelWorker
-	completed      []bool // as known to the owner
+	completed      []bool // tasks known to the owner as completed
 	resultStored   []bool
 	obsolete       []bool // its job is cancelled in the store
 	transferring   []bool // a peer may own it: the outcome of the write is unknown
--- a/reconcile/model_worker_test.go
+++ b/reconcile/model_worker_test.go
@@ -23,7 +23,7 @@
 	hung               bool
 	pendingCommands    []func() // commands in flight to the worker
 	maxTasks           int
-	orphanedTasks      int // as reported in its last heartbeat
+	orphanedTasks      int // number reported in its last heartbeat
 	machine            *Machine
 	ownedAttempts      map[attemptKey]bool // active attempts of the current claim
 	startedAtSeq       map[attemptKey]uint64
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -21,7 +21,7 @@
 // response, or from the claim if there was none.
 //
 //	from                     input                                     to           disposition
-//	any                      heartbeat not newer than the last         same         Stale: not a sign of life
+//	any                      heartbeat not newer than the last         same         Stale: renews no lease
 //	LeaseExpired             heartbeat of an ended incarnation         same         Stale: sent before the expiry
 //	any                      heartbeat superseded by a query response  same         RenewOnly
 //	any                      heartbeat with an older token             Notified (1) NotifyToken
@@ -154,8 +154,8 @@
 // ReceiveHeartbeat processes a worker's heartbeat. The caller has read the shard's progress.
 func (c *Claim) ReceiveHeartbeat(m *Machine, now int64, incarnation, seq, token uint64) Disposition {
 	// A worker waits only for the response to its newest heartbeat. The network may deliver a copy
-	// of an older one later, by a lease or more. Counted as a sign of life, such a copy delays the
-	// restart of the tasks of a lost machine by that time.
+	// of an older one later, by a lease or more. If such a copy renewed the lease, the tasks of a
+	// lost machine would be restarted later by that time.
 	if m.isOldHeartbeat(incarnation, seq) || m.hasEnded(incarnation) {
 		return Stale
 	}
