--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -117,7 +117,7 @@
 		return
 	}
 	unreachable := am.unreachableMachines(s)
-	if len(unreachable) > len(s.machines)/reconcile.GiveUpDivisor {
+	if len(unreachable) > len(s.machines)/reconcile.MaxMissingDivisor {
 		return
 	}
 	for _, mc := range unreachable {
@@ -162,7 +162,7 @@
 // queries machines that are slow to report, and adapts the pacer's rate to the running tasks.
 func (am *agentManager) tickReconcile(s *shard) {
 	now := am.now.MonotonicMS
-	for _, unreported := range s.reconciler.MachinesToGiveUp(now) {
+	for _, unreported := range s.reconciler.MachinesToDrain(now) {
 		if mc := am.registry.machines[unreported.ID]; mc != nil {
 			am.drain(s, mc, "no heartbeat since the claim")
 		}
