--- a/disruption/account.go
+++ b/disruption/account.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// StoppedTask is a reservation in a shard's record: the team and the attempt of a task to be stopped.
+// StoppedTask is a reservation in a shard's record: the team and the attempt of a task that is to be stopped.
 type StoppedTask struct {
 	Team    string `json:"t"`
 	Attempt uint64 `json:"a"`
 }
 
-// Record is a shard's record in the store, written under its claim.
+// Record is a shard's record in the state service, written with a precondition on the shard's claim.
 type Record struct {
-	Spent    map[string]uint64      `json:"spent,omitempty"`   // by team
-	Settled  map[string]uint64      `json:"settled,omitempty"` // by team
-	Reserved map[string]StoppedTask `json:"open,omitempty"`    // by task: spent and not settled
-	Lost     map[string]string      `json:"lost,omitempty"`    // team by task: lost and not running again
+	Spent    map[string]uint64      `json:"spent,omitempty"`   // tokens spent, keyed by team
+	Settled  map[string]uint64      `json:"settled,omitempty"` // tokens settled, keyed by team
+	Reserved map[string]StoppedTask `json:"open,omitempty"`    // spent and not settled, keyed by task
+	Lost     map[string]string      `json:"lost,omitempty"`    // teams of tasks lost and not running again, by task
 }
 
-// Account is a shard's side. A stop takes two steps: Reserve notes it, and it may be sent once a
-// record with the reservation is stored (ConfirmStored, CanStop). The account outlives the shard's
-// owner as the record.
+// Account holds the tokens that a shard spends and settles. A stop takes two steps: Reserve
+// reserves the task, and the stop may be sent once a record with the reservation is stored (ConfirmStored,
+// CanStop). A new owner of the shard restores the account from the record.
 type Account struct {
 	record            Record
-	reservationStored map[string]bool // by task: the store has its reservation
-	dirty             bool            // the store may have another record
+	reservationStored map[string]bool // reservation is in the state service, keyed by task
+	dirty             bool            // the stored record may differ
 	maxReserved       int
 }
 
-// OpenAccount continues from what an earlier owner stored. At most maxReserved tasks are reserved at
-// once, and as many lost, so that the record stays bounded.
+// OpenAccount restores an account from the record that an earlier owner stored. At most maxReserved tasks
+// are reserved at once, and at most maxReserved recorded as lost, so that the size of the record is bounded.
 func OpenAccount(record Record, maxReserved int) *Account {
 	account := &Account{
 		record: Record{
@@ -52,9 +52,9 @@
 	return account
 }
 
-// RecordLoss notes a task that was lost against the team's will, until RecordRecovery. A reserved
-// task counts already. Beyond maxReserved losses are no longer noted one by one, and weigh as
-// that many.
+// RecordLoss records the involuntary loss of a task until RecordRecovery. A reserved task is counted
+// already, so its loss is not recorded. Losses beyond maxReserved are not recorded either and do not
+// count.
 func (a *Account) RecordLoss(task, team string) {
 	if a.IsReserved(task) || a.record.Lost[task] != "" || len(a.record.Lost) >= a.maxReserved {
 		return
@@ -63,7 +63,7 @@
 	a.dirty = true
 }
 
-// RecordRecovery notes that a lost task runs again or need not.
+// RecordRecovery records that a lost task runs again or no longer has to run.
 func (a *Account) RecordRecovery(task string) {
 	if _, lost := a.record.Lost[task]; lost {
 		delete(a.record.Lost, task)
@@ -71,14 +71,14 @@
 	}
 }
 
-// EachLost visits the lost tasks, in order.
+// EachLost calls visit for each lost task, in the order of tasks.
 func (a *Account) EachLost(visit func(task, team string)) {
 	for _, task := range slices.Sorted(maps.Keys(a.record.Lost)) {
 		visit(task, a.record.Lost[task])
 	}
 }
 
-// LostCount returns how many tasks of a team are lost and do not run again.
+// LostCount returns how many tasks of a team are recorded as lost and not running again.
 func (a *Account) LostCount(team string) (n int) {
 	for _, lostBy := range a.record.Lost {
 		if lostBy == team {
@@ -88,19 +88,19 @@
 	return n
 }
 
-// Available returns how many more tasks of a team may be reserved with the tokens issued to the
-// shard, less what the team lost here against its will. It may be negative.
+// Available returns how many more tasks of a team may be reserved with the tokens issued to the shard, minus
+// the team's involuntary losses in the shard. It may be negative.
 func (a *Account) Available(team string, issued uint64) int {
 	return min(int(a.unspent(team, issued))-a.LostCount(team), a.maxReserved-len(a.record.Reserved))
 }
 
-// unspent returns how many of a team's issued tokens are not spent.
+// unspent returns how many of the tokens issued for a team are not spent.
 func (a *Account) unspent(team string, issued uint64) uint64 {
 	return issued - min(issued, a.record.Spent[team])
 }
 
-// Reserve notes that tasks (attempt by task) are to be stopped together, all or none: a gang is
-// reserved whole. It reports whether all are reserved now.
+// Reserve reserves tasks (attempts keyed by task) that are to be stopped together, either all or none of
+// them, since a gang must be stopped as a whole. It reports whether all of them are reserved now.
 func (a *Account) Reserve(team string, issued uint64, tasks map[string]uint64) bool {
 	n := 0
 	for task := range tasks {
@@ -122,27 +122,27 @@
 	return true
 }
 
-// CanStop reports whether the store has the reservation of a task's attempt: its stop may be sent.
+// CanStop reports whether the reservation of a task's attempt is stored, so that its stop may be sent.
 func (a *Account) CanStop(task string, attempt uint64) bool {
 	stopped, reserved := a.record.Reserved[task]
 	return reserved && stopped.Attempt == attempt && a.reservationStored[task]
 }
 
-// IsReserved reports whether a task is reserved, stored or not.
+// IsReserved reports whether a task is reserved, regardless of whether the reservation is stored.
 func (a *Account) IsReserved(task string) bool {
 	_, reserved := a.record.Reserved[task]
 	return reserved
 }
 
-// EachReserved visits the reservations, in the order of tasks.
+// EachReserved calls visit for each reservation, in the order of tasks.
 func (a *Account) EachReserved(visit func(task string, stopped StoppedTask)) {
 	for _, task := range slices.Sorted(maps.Keys(a.record.Reserved)) {
 		visit(task, a.record.Reserved[task])
 	}
 }
 
-// Release settles a reservation. The caller has evidence that the task runs again under another
-// attempt, is done, or is nobody's any more.
+// Release settles a reservation. The caller must have evidence that the task runs again under another
+// attempt, is done, or has left the shard.
 func (a *Account) Release(task string) {
 	stopped, reserved := a.record.Reserved[task]
 	if !reserved {
@@ -154,7 +154,7 @@
 	a.dirty = true
 }
 
-// ReturnUnspent settles tokens of a team that were issued and are not needed.
+// ReturnUnspent settles the team's issued but unspent tokens, which are not needed.
 func (a *Account) ReturnUnspent(team string, issued uint64) {
 	if n := a.unspent(team, issued); n > 0 {
 		a.record.Spent[team] += n
@@ -166,11 +166,11 @@
 // IsEmpty reports whether no task is reserved or lost.
 func (a *Account) IsEmpty() bool { return len(a.record.Reserved)+len(a.record.Lost) == 0 }
 
-// HasUnstoredChanges reports whether the store may have another record.
+// HasUnstoredChanges reports whether the stored record may differ from the account.
 func (a *Account) HasUnstoredChanges() bool { return a.dirty }
 
-// BuildRecord returns a copy of the record to be stored, and counts its changes as stored unless
-// MarkStoreFailed follows.
+// BuildRecord returns a copy of the record for the state service. It marks the changes as stored; if the
+// write fails, the caller must call MarkStoreFailed.
 func (a *Account) BuildRecord() Record {
 	a.dirty = false
 	return Record{
@@ -181,7 +181,7 @@
 	}
 }
 
-// ConfirmStored notes that the store has a record: stops that it reserves may be sent.
+// ConfirmStored records that the state service has stored a record: the stops that it reserves may be sent.
 func (a *Account) ConfirmStored(record Record) {
 	for task, stopped := range record.Reserved {
 		if a.record.Reserved[task] == stopped {
@@ -190,5 +190,5 @@
 	}
 }
 
-// MarkStoreFailed notes that the store may not have the record. Its reservations stay spent.
+// MarkStoreFailed records that a write may have failed. The tokens of its reservations remain spent.
 func (a *Account) MarkStoreFailed() { a.dirty = true }
--- a/disruption/budget.go
+++ b/disruption/budget.go
@@ -1,60 +1,62 @@
-// Package disruption bounds what a team loses by the operators' will: tasks that are stopped to
-// empty a machine. It is pure: events come in, and what may be stopped goes out. Nothing in it is safe
-// for concurrent use.
+// Package disruption limits how many of a team's tasks operators stop at once to empty machines. It
+// performs no I/O: callers pass in events and query which stops are allowed. Nothing in it is safe for
+// concurrent use.
 //
-// A budget holds over all members by means of tokens. The leader issues them to shards; a shard
-// spends one before it orders a stop, and settles it on evidence that the task runs again
-// or is done, or that its job is over. All three are counters that only grow, one row for each shard
-// and team:
+// Tokens enforce a team's budget across all members. The leader issues tokens to shards. A shard spends a
+// token before it orders a stop. It settles the token on evidence that the task runs again or is done, or
+// that its job is over. Three counters record this; they only grow, with one row for each shard and team:
 //
-//	counter   written by                                    when
-//	issued    the leader under its claim, in the plan's     before the shard may spend
-//	          record (Ledger)
-//	spent     the shard's owner under its claim (Account)   before the stop is sent
-//	settled   the shard's owner under its claim (Account)   after the evidence
+//	counter   written by                                        when
+//	issued    the leader, in the plan's record (Ledger), with   before the shard may spend
+//	          a precondition on its lease
+//	spent     the shard's owner (Account), with a               before the stop is sent
+//	          precondition on its claim
+//	settled   the shard's owner (Account), with a               after the evidence
+//	          precondition on its claim
 //
 //	settled <= spent <= issued, and over all shards issued - settled <= the budget
 //
-// So at no moment are more tasks of a team stopped and not running again than its budget allows,
-// whoever decides when, and whatever is lost on the way: a leader that does not see the newest
-// settled issues less, an owner that does not see the newest issued spends less, and whoever takes
-// over reads the same rows. A write whose outcome is unknown counts as spent, and its settling as not
-// written. Tokens that are no longer needed are settled unspent, which returns them.
+// So the number of a team's tasks that are stopped and not running again never exceeds its budget,
+// regardless of timing, lost messages and changes of leader or owner. A leader that does not see the latest
+// settled counters issues less; an owner that does not see the latest issued counters spends less. A new
+// leader or owner reads the same rows. If the outcome of a write is unknown, the tokens that it spends count
+// as spent, and those that it settles as not settled. Tokens that are no longer needed are settled without a
+// stop, which returns them.
 //
-// Losses that nobody chose count against the same budget: while they take a team beyond it, no
-// token is issued and no issued token is spent.
+// Involuntary losses count against the same budget: while they take a team beyond it, no token is
+// issued and no issued token is spent.
 //
 // A task in an Account:
 //
-//	state         input                                 to           what it allows
-//	-             Reserve, within what was issued       reserved     nothing yet
+//	state         input                                 to           effect
+//	-             Reserve, within the issued tokens     reserved     none yet
 //	reserved      ConfirmStored with its reservation    stored       CanStop: the stop may be sent
 //	reserved      MarkStoreFailed                       reserved     the record is written again
-//	reserved,     Release: it runs again, is done       settled      the leader may issue its token again
-//	stored        or is nobody's
+//	reserved,     Release: the task runs again, is      settled      the leader may issue its token again
+//	stored        done, or has left the shard
 //	-             RecordLoss                            lost         counts against the budget
 //	lost          RecordRecovery                        -
 //	any           a new owner opens the stored record   as stored
 package disruption
 
-// Budget is what a team may lose at a time. Zero values mean: no bound in the window, and no tasks
-// at all for MaxTasks and MaxShare together.
+// Budget limits how many of a team's tasks may be down at a time. If WindowS and MaxInWindow are zero, the
+// rate of issued tokens is not limited. If MaxTasks and MaxShare are both zero, no task may be stopped.
 type Budget struct {
-	// MaxTasks bounds the tasks that are stopped and not running again at once; MaxShare does so by
-	// their share of all running tasks, from 0 to 1. The larger bound counts.
+	// MaxTasks limits the number of tasks that are stopped and not running again at the same time.
+	// MaxShare limits them as a share of the team's running tasks, from 0 to 1. The larger limit applies.
 	MaxTasks int     `json:"tasks,omitempty" toml:"tasks"`
 	MaxShare float64 `json:"share,omitempty" toml:"share"`
-	// MaxInWindow bounds the tokens issued within any WindowS seconds.
+	// MaxInWindow limits the tokens issued within any period of WindowS seconds.
 	WindowS     float64 `json:"window_s,omitempty"  toml:"window_s"`
 	MaxInWindow int     `json:"in_window,omitempty" toml:"in_window"`
-	// MinReplicaShare is the share of a service's replicas that stays up.
+	// MinReplicaShare is the minimum share of a service's replicas that keep running.
 	MinReplicaShare float64 `json:"keep,omitempty" toml:"keep"`
 }
 
-// FieldError is the first invalid field of a budget.
+// FieldError reports the first invalid field of a budget.
 type FieldError struct {
-	Field string // as in JSON and TOML
-	Text  string // the whole text for operators; it begins with the field
+	Field string // name of the field in JSON and TOML
+	Text  string // complete message for operators; begins with the field
 }
 
 func (e *FieldError) Error() string { return e.Text }
@@ -79,7 +81,7 @@
 	return nil
 }
 
-// MaxDown returns how many tasks of a team may be down at once if so many run.
+// MaxDown returns how many tasks of a team may be down at once, given its number of running tasks.
 func (b Budget) MaxDown(running int) int {
 	return max(b.MaxTasks, int(b.MaxShare*float64(running)))
 }
--- a/disruption/disruption_test.go
+++ b/disruption/disruption_test.go
@@ -10,17 +10,17 @@
 )
 
 func init() {
-	// A fixed seed, so that the verdict is the same in every run.
+	// A fixed seed makes the result the same in every run.
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "1000")); err != nil {
 		panic(err)
 	}
 }
 
-// The texts reach operators as they are.
+// The API returns the texts to operators unchanged.
 func TestInvalidBudgetsAreRejectedNamingTheField(t *testing.T) {
 	for _, valid := range []Budget{{}, {MaxTasks: 3, MaxShare: 0.1, MinReplicaShare: 0.5}} {
 		if err := valid.Validate(); err != nil {
-			t.Errorf("%+v: %v", valid, err)
+			t.Errorf("Validate of %+v: got error %v, want none", valid, err)
 		}
 	}
 	for _, tc := range []struct {
@@ -45,18 +45,18 @@
 	}
 }
 
-// model has a leader that issues, shards that reserve, stop and settle, a store that applies
-// writes late, never or without an answer, and leaders and owners that end at any moment. It counts
-// the stops that were sent, not the ledger's tokens.
+// model simulates a leader that issues tokens and shards that reserve, stop and settle. Writes to the state
+// service are applied late, never, or without a response; leaders and owners are replaced at any time. The
+// model counts the stops that were sent, not the ledger's tokens.
 type model struct {
 	budget   Budget
-	issued   map[string]map[string]uint64 // in the store
-	records  map[string]Record            // in the store, by shard
+	issued   map[string]map[string]uint64 // stored, by shard and team
+	records  map[string]Record            // stored, by shard
 	ledger   *Ledger
 	accounts map[string]*Account
-	down     map[string]map[string]bool // by shard and task
+	down     map[string]map[string]bool // stopped and not running again, by shard and task
 	now      int64
-	// skipsReservation is planted: shards stop tasks that they have not reserved.
+	// skipsReservation injects a fault: shards stop tasks without reserving them.
 	skipsReservation bool
 }
 
@@ -68,7 +68,7 @@
 
 var modelShards = []string{"a", "b", "c"}
 
-// runModel returns the first violation in a random history, if there is one.
+// runModel returns the first violation in a random sequence of steps, empty if there is none.
 func runModel(t *rapid.T, skipsReservation bool) (violation string) {
 	m := &model{
 		budget: Budget{
@@ -110,12 +110,12 @@
 		m.settle(t, shard)
 	case 7:
 		m.store(t, shard)
-	case 8: // a new owner, which has what the store has
+	case 8: // a new owner, which reads the stored record
 		m.accounts[shard] = OpenAccount(m.records[shard], modelMaxReserve)
 	}
 }
 
-// issue has the leader issue by random demands and what the store has.
+// issue makes the leader issue tokens for random demands and the stored settled counters.
 func (m *model) issue(t *rapid.T) {
 	demands, settled := map[string]Demand{}, map[string]uint64{}
 	for _, shard := range modelShards {
@@ -131,7 +131,7 @@
 	}
 }
 
-// reserve has a shard reserve tasks, all of them or none, or lose one.
+// reserve makes a shard reserve tasks, all of them or none, after it records a loss or a recovery.
 func (m *model) reserve(t *rapid.T, shard string) {
 	tasks := map[string]uint64{}
 	for range rapid.IntRange(1, 3).Draw(t, "n") {
@@ -157,7 +157,7 @@
 	account.Reserve(modelTeam, m.issued[shard][modelTeam], tasks)
 }
 
-// stop has a shard stop the tasks whose reservations the store has.
+// stop makes a shard stop the tasks whose reservations are stored.
 func (m *model) stop(shard string) {
 	account := m.accounts[shard]
 	account.EachReserved(func(task string, stopped StoppedTask) {
@@ -167,7 +167,7 @@
 	})
 }
 
-// settle has stopped tasks run again, which the shard sees.
+// settle makes stopped tasks run again, and the shard releases their reservations.
 func (m *model) settle(t *rapid.T, shard string) {
 	account := m.accounts[shard]
 	account.EachReserved(func(task string, _ StoppedTask) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// store has a shard write its account. The write may be applied without an answer.
+// store makes a shard write its account. The write may be applied without a response.
 func (m *model) store(t *rapid.T, shard string) {
 	account := m.accounts[shard]
 	if !account.HasUnstoredChanges() {
@@ -198,7 +198,7 @@
 	account.MarkStoreFailed()
 }
 
-// violation returns which invariant is broken, if one is.
+// violation describes the invariant that is violated, empty if none is.
 func (m *model) violation() string {
 	down := 0
 	for _, shard := range modelShards {
@@ -206,20 +206,23 @@
 		record, issued := m.records[shard], m.issued[shard][modelTeam]
 		spent, settled := record.Spent[modelTeam], record.Settled[modelTeam]
 		if settled > spent || spent > issued {
-			return fmt.Sprintf("%s: issued %d, spent %d, settled %d", shard, issued, spent, settled)
+			return fmt.Sprintf(
+				"%s: got issued %d, spent %d, settled %d, want settled <= spent <= issued",
+				shard, issued, spent, settled,
+			)
 		}
 		if len(record.Reserved) > modelMaxReserve {
-			return fmt.Sprintf("%s: %d reservations exceed the bound", shard, len(record.Reserved))
+			return fmt.Sprintf("%s: got %d reservations, want at most %d", shard, len(record.Reserved), modelMaxReserve)
 		}
 	}
 	if maxDown := m.budget.MaxDown(len(modelShards) * modelRunning); down > maxDown {
-		return fmt.Sprintf("%d tasks are down, %d may be", down, maxDown)
+		return fmt.Sprintf("got %d tasks down, want at most %d", down, maxDown)
 	}
 	return ""
 }
 
-// Whatever is lost, late or taken over, no more tasks are down than the budget allows. Without
-// reservations, more are.
+// Tasks that are down never exceed the budget, despite lost or late writes and new leaders and owners. If
+// shards stop tasks without reservations, the model detects a violation.
 func TestTasksDownNeverExceedBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if violation := runModel(t, false); violation != "" {
@@ -231,10 +234,10 @@
 			return
 		}
 	}
-	t.Error("stops without reservations are not found")
+	t.Error("got no violation although shards stop tasks without reservations, want one")
 }
 
-// A window bounds what is issued within it, also if tokens are returned quickly.
+// The number of tokens issued within a window is limited even if tokens are returned quickly.
 func TestIssuesStayWithinWindow(t *testing.T) {
 	ledger := NewLedger(nil)
 	budget := Budget{MaxTasks: 10, WindowS: 60, MaxInWindow: 4}
@@ -247,14 +250,14 @@
 		settled["a"] = uint64(issued)
 	}
 	if issued != 4 {
-		t.Errorf("within a window: got %d, want 4", issued)
+		t.Errorf("tokens issued within one window: got %d, want 4", issued)
 	}
 	ledger.Issue(61_000, "ops", budget, demands, settled)
 	if issued := ledger.Issued()["a"]["ops"]; issued != 8 {
-		t.Errorf("after two windows: got %d, want 8", issued)
+		t.Errorf("tokens issued after two windows: got %d, want 8", issued)
 	}
 	demandsAfterLosses := map[string]Demand{"a": {Requested: 10, Running: 50, Lost: 25}}
 	if ledger.Issue(62_000, "ops", Budget{MaxTasks: 20}, demandsAfterLosses, settled) {
-		t.Error("issued while the team had lost more than its budget")
+		t.Error("got tokens issued while the team's losses exceed its budget, want none")
 	}
 }
--- a/disruption/ledger.go
+++ b/disruption/ledger.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Demand is what a shard requests and reports of a team.
+// Demand is a shard's request for a team's tokens, with the counts of the team's tasks in the shard.
 type Demand struct {
-	Requested int `msgpack:"Want"` // tasks that it would stop now
+	Requested int `msgpack:"Want"` // tasks that the shard would stop now
 	Running   int `msgpack:"Running"`
-	Lost      int `msgpack:"Lost"` // tasks lost against the team's will that do not run again yet
+	Lost      int `msgpack:"Lost"` // tasks lost involuntarily that do not run again yet
 }
 
-// Ledger is the leader's side: the tokens issued, by shard and team. The zero value is not
-// ready; use NewLedger.
+// Ledger holds the tokens that the leader has issued, by shard and team. The zero value is not ready for use;
+// use NewLedger.
 type Ledger struct {
 	issued map[string]map[string]uint64
-	recent map[string][]issuance // by team: what was issued within its window
+	recent map[string][]issuance // tokens issued within the team's window, keyed by team
 }
 
 type issuance struct {
@@ -24,13 +24,13 @@
 	count int
 }
 
-// NewLedger continues from what an earlier leader issued. When that was is unknown, so windows
-// begin empty; all that is not settled is outstanding.
+// NewLedger restores a ledger from the counters that an earlier leader stored. The times of issue are not
+// stored, so windows begin empty. All tokens that are not settled are outstanding.
 func NewLedger(issued map[string]map[string]uint64) *Ledger {
 	return &Ledger{issued: cloneCounters(issued), recent: map[string][]issuance{}}
 }
 
-// Issued returns a copy of the counters by shard and team, for the store.
+// Issued returns a copy of the counters by shard and team, for the plan's record.
 func (l *Ledger) Issued() map[string]map[string]uint64 { return cloneCounters(l.issued) }
 
 func cloneCounters(counters map[string]map[string]uint64) map[string]map[string]uint64 {
@@ -41,10 +41,10 @@
 	return cloned
 }
 
-// Issue issues tokens of a team to the shards that request them, within its budget, and reports
-// whether any were. now is monotonic time in milliseconds. demands and settled are by shard;
-// settled comes from the store, and a shard without an entry has settled nothing. The shard with
-// the least outstanding comes first, one token at a time, so that none takes all.
+// Issue issues a team's tokens to the shards that request them, within the team's budget, and reports
+// whether it issued any. now is monotonic time in milliseconds. demands and settled are keyed by shard;
+// settled holds stored counters, and a shard without an entry has settled nothing. Each token goes to the
+// shard with the fewest outstanding tokens, so that no shard takes all of them.
 func (l *Ledger) Issue(
 	now int64,
 	team string,
@@ -86,7 +86,7 @@
 	return true
 }
 
-// outstanding returns the tokens of a team that were issued and not settled, by shard.
+// outstanding returns the number of a team's tokens that were issued and not settled, by shard.
 func (l *Ledger) outstanding(team string, settled map[string]uint64) map[string]int {
 	byShard := map[string]int{}
 	for shard, byTeam := range l.issued {
@@ -97,8 +97,8 @@
 	return byShard
 }
 
-// issuedInWindow returns how many tokens of a team were issued within its window, and forgets
-// earlier ones.
+// issuedInWindow returns how many of a team's tokens were issued within its window, and discards the entries
+// of earlier ones.
 func (l *Ledger) issuedInWindow(now int64, team string, windowS float64) int {
 	l.recent[team] = slices.DeleteFunc(l.recent[team], func(issued issuance) bool {
 		return now-issued.atMS >= int64(windowS*1000)
@@ -110,8 +110,8 @@
 	return n
 }
 
-// nextRecipient returns the shard with the least outstanding of those that request more, the first
-// of several.
+// nextRecipient returns the shard with the fewest outstanding tokens among the shards that request more. On
+// a tie it returns the first of them.
 func nextRecipient(
 	shards []string,
 	demands map[string]Demand,
