--- a/rollout/errors.go
+++ b/rollout/errors.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// FieldError is a fault of one field of a plan, or of a command.
+// FieldError reports an invalid field of a plan, or an invalid command.
 type FieldError struct {
-	Field string // as in JSON and TOML
-	Text  string // the whole text for operators
+	Field string // name of the field in JSON and TOML
+	Text  string // complete message for operators
 }
 
 func (e *FieldError) Error() string { return e.Text }
@@ -18,7 +18,7 @@
 	return &FieldError{Field: field, Text: field + fmt.Sprintf(format, args...)}
 }
 
-// TerminalError refuses a command to a plan that is aborted or done.
+// TerminalError reports a command to a plan that is already aborted or done.
 type TerminalError struct {
 	PlanID string
 	State  State
@@ -26,5 +26,5 @@
 
 func (e *TerminalError) Error() string { return fmt.Sprintf("plan %s is %s", e.PlanID, e.State) }
 
-// ErrNoMachineSelected refuses a plan that selects no machine of the fleet.
+// ErrNoMachineSelected reports a plan that selects no machine of the fleet.
 var ErrNoMachineSelected = errors.New("no machine of the fleet is meant")
--- a/rollout/health.go
+++ b/rollout/health.go
@@ -2,17 +2,18 @@
 
 import "fmt"
 
-// HealthGates bound by how much counts may exceed the baseline from a step's beginning to the next
-// one's; 0: not checked.
+// HealthGates limits by how much each count may exceed its baseline between the beginning of a step and the
+// beginning of the next; 0 disables a gate.
 type HealthGates struct {
-	Errors            int `json:"errors,omitempty" toml:"errors"` // tasks that failed
+	Errors            int `json:"errors,omitempty" toml:"errors"` // failed tasks
 	Losses            int `json:"losses,omitempty" toml:"losses"` // tasks lost with their machines
-	LateStarts        int `json:"late,omitempty"   toml:"late"`   // starts later than their class allows
-	MissedDeadlines   int `json:"missed,omitempty" toml:"missed"` // of jobs
+	LateStarts        int `json:"late,omitempty"   toml:"late"`   // task starts later than their class allows
+	MissedDeadlines   int `json:"missed,omitempty" toml:"missed"` // missed deadlines of jobs
 	ReplacementErrors int `json:"fresh,omitempty"  toml:"fresh"`  // failed tasks on replacements; baseline 0
 }
 
-// HealthCounts is what gates count, since any beginning.
+// HealthCounts holds the cumulative counts that health gates check. The time from which they count is
+// arbitrary, since gates use only increases.
 type HealthCounts struct {
 	Errors            uint64 `json:"errors" msgpack:"e"`
 	Losses            uint64 `json:"losses" msgpack:"l"`
@@ -21,7 +22,7 @@
 	ReplacementErrors uint64 `json:"fresh"  msgpack:"f"`
 }
 
-// Add returns the sum.
+// Add returns the sum of both counts.
 func (c HealthCounts) Add(other HealthCounts) HealthCounts {
 	return HealthCounts{
 		c.Errors + other.Errors,
@@ -32,7 +33,7 @@
 	}
 }
 
-// Since returns the increase from earlier counts. A count that fell began anew from 0.
+// Since returns the increase from earlier counts. A count below its earlier value was reset to 0 in between.
 func (c HealthCounts) Since(earlier HealthCounts) HealthCounts {
 	increase := func(current, previous uint64) uint64 {
 		if current < previous {
@@ -49,7 +50,7 @@
 	}
 }
 
-// HealthRates is counts per second.
+// HealthRates holds health counts per second.
 type HealthRates struct {
 	Errors          float64 `json:"errors"`
 	Losses          float64 `json:"losses"`
@@ -57,7 +58,8 @@
 	MissedDeadlines float64 `json:"missed"`
 }
 
-// RatesOver returns counts that came within a number of milliseconds, at least a second, as rates.
+// RatesOver returns the counts as rates over a period in milliseconds. A period below one second counts as one
+// second.
 func (c HealthCounts) RatesOver(ms int64) HealthRates {
 	perSecond := 1000 / float64(max(ms, 1000))
 	return HealthRates{
@@ -68,8 +70,8 @@
 	}
 }
 
-// failedGate returns the reason to pause the plan, empty if no gate is exceeded.
-func (r *Record) failedGate(wallMS int64, counts HealthCounts) string {
+// gateExceededReason returns the reason to pause the plan if a gate is exceeded, empty otherwise.
+func (r *Record) gateExceededReason(wallMS int64, counts HealthCounts) string {
 	if r.Step == 0 || r.StepBaseAt == 0 {
 		return ""
 	}
@@ -87,11 +89,11 @@
 	return ""
 }
 
-// gate is a health gate with what it compares.
+// gate is a health gate with the values that it compares.
 type gate struct {
-	name     string // as in JSON and TOML
-	allowed  int    // beyond the baseline
-	count    uint64 // since the step's beginning
+	name     string // name in JSON and TOML
+	allowed  int    // increase allowed beyond the baseline
+	count    uint64 // increase since the beginning of the step
 	baseline float64
 }
 
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -2,21 +2,22 @@
 
 import "strings"
 
-// Mode is what a plan does with machines.
+// Mode determines what a plan does with its machines.
 type Mode string
 
-// The modes.
+// The modes of a plan.
 const (
 	Drain   Mode = "drain"   // machines are drained and released
-	Replace Mode = "replace" // before each, another of its offering is provisioned
+	Replace Mode = "replace" // as drain, but a replacement of the same offering is provisioned first
 )
 
-// Plan is what an operator applies.
+// Plan is a rollout plan that an operator applies.
 type Plan struct {
 	ID string `json:"id" toml:"id"`
 
-	// Which machines: named, all, or all that match Type, Zone, Spot and MinAgeS, of which zero values
-	// match any machine. MinAgeS is in seconds before the plan began.
+	// The plan selects the machines named in Machines, all machines, or those that match Type, Zone, Spot and
+	// MinAgeS. A zero value of a filter matches any machine. MinAgeS is the minimum age of a machine in seconds
+	// when the plan begins.
 	Machines []string `json:"machines,omitempty" toml:"machines"`
 	All      bool     `json:"all,omitempty"      toml:"all"`
 	Type     string   `json:"type,omitempty"     toml:"type"`
@@ -24,28 +25,28 @@
 	Spot     *bool    `json:"spot,omitempty"     toml:"spot"`
 	MinAgeS  float64  `json:"older_s,omitempty"  toml:"older_s"`
 
-	// Surge bounds the machines that replacements add at a time, and SurgeCostPerHour their price (0: no
-	// bound). Both are for mode replace.
+	// Surge limits the number of machines that replacements add to the fleet at a time, and SurgeCostPerHour
+	// limits their hourly price (0: unlimited). Both apply only to mode replace.
 	Mode             Mode    `json:"mode"                  toml:"mode"`
 	Surge            int     `json:"surge,omitempty"       toml:"surge"`
 	SurgeCostPerHour float64 `json:"surge_money,omitempty" toml:"surge_money"`
 
-	// StepShare is the share of all machines that each step after the first takes; 0: all that are
-	// left. StepPauseS follows each step. DeadlineS is from when a step's last machine is covered.
+	// StepShare is the share of the plan's machines in each step after the first; 0: all remaining machines.
+	// StepPauseS is the pause after each step. DeadlineS counts from when a step's last machine is covered.
 	FirstStepMachines int         `json:"first,omitempty"      toml:"first"`
 	StepShare         float64     `json:"step,omitempty"       toml:"step"`
-	ByZone            bool        `json:"by_zone,omitempty"    toml:"by_zone"` // one after the other
+	ByZone            bool        `json:"by_zone,omitempty"    toml:"by_zone"` // one zone after the other
 	StepPauseS        float64     `json:"pause_s,omitempty"    toml:"pause_s"`
 	DeadlineS         float64     `json:"deadline_s,omitempty" toml:"deadline_s"`
 	Gates             HealthGates `json:"gates"                toml:"gates"`
 }
 
-// hasFilter reports whether the plan selects machines by what they are.
+// hasFilter reports whether the plan selects machines by their attributes.
 func (p *Plan) hasFilter() bool {
 	return p.Type != "" || p.Zone != "" || p.Spot != nil || p.MinAgeS != 0
 }
 
-// passesFilter reports whether a machine matches a plan that began at a time of day.
+// passesFilter reports whether a machine matches the filters of a plan that began at startedAt.
 func (p *Plan) passesFilter(m *Machine, startedAt int64) bool {
 	return m.ProvisionedAt < startedAt-int64(p.MinAgeS*1000) &&
 		(p.Type == "" || p.Type == m.Type) &&
@@ -53,7 +54,7 @@
 		(p.Spot == nil || *p.Spot == m.Spot)
 }
 
-// stepSize returns how many of the remaining machines a step takes, of a plan for total machines.
+// stepSize returns the number of machines in a step of a plan with total machines, of which remaining are left.
 func (p *Plan) stepSize(first bool, total, remaining int) int {
 	switch {
 	case first && p.FirstStepMachines > 0:
@@ -64,7 +65,7 @@
 	return remaining
 }
 
-// maxNamedMachines bounds a plan by name, so that its record fits half a value of 8 KB.
+// maxNamedMachines limits the machines that a plan names, so that its record fits half of a value of 8 KB.
 const maxNamedMachines = 200
 
 // Validate returns a *FieldError for the first field that is out of its range, or nil.
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,28 +1,29 @@
-// Package rollout drains and replaces machines in steps. It is a pure state machine over one
-// record, which is kept in the state service: the plan that operators applied, and its progress. The
-// leader owns the record and advances it (Record.Advance); every other member reads from it which
-// of its machines are to be drained (Record.Covers). So no machine needs a record of its own, and a
-// plan for ten thousand stays small.
+// Package rollout drains and replaces machines in steps. It is a state machine over one record in the state
+// service, which holds the plan that an operator applied and its progress; the package performs no I/O. The
+// leader writes the record and advances it (Record.Advance). Every other member reads from it which of its
+// machines are to be drained (Record.Covers). No machine needs a record of its own, so the data of a plan for
+// ten thousand machines stays small.
 //
 //	state     input                                        to        effect
 //	running   the step's machines are gone, its pause      running   the next step begins
-//	          is over, and no gate is exceeded
+//	          has passed, and no gate is exceeded
 //	running   none of the plan's machines is left          done
 //	running   a gate is exceeded                           paused    the reason names the gate
-//	running   pause                                        paused    no more is drained, stopped, provisioned
-//	paused    resume                                       running   the gates count anew
-//	running,  abort                                        aborted   its machines take tasks again
+//	running   pause                                        paused    nothing more is drained, stopped or provisioned
+//	paused    resume                                       running   the gates count from 0 again
+//	running,  abort                                        aborted   its machines accept tasks again
 //	paused
 //
-// A plan selects machines that existed when it began; what is provisioned for it later is never one
-// of them. The covered machines are a prefix of the plan's machines in the order of zone (if it goes
-// by zone) and ID; Record.LastCovered is the last of them. In mode replace a machine is covered only
-// when as many replacements have come up as machines are covered, itself included.
+// A plan selects machines that existed when it began; machines that are provisioned for it later are never
+// selected. A machine is covered once the plan drains it. The covered machines are a prefix of the plan's
+// machines, ordered by zone (if the plan goes by zone) and ID; Record.LastCovered is the last of them. In mode
+// replace a machine is covered only when at least as many replacements have become live as machines are
+// covered, including this one.
 //
-// The package may assume that one leader at a time writes the record, under its claim and the
-// record's revision. It is built for leaders that change in any state, for replacements that fail to
-// boot or run tasks badly, and for machines that vanish. Only the owner of a Record may call its
-// methods that change it; they are not safe for concurrent use.
+// The package assumes that one leader at a time writes the record, with preconditions on the leader's lease
+// and the record's revision. It handles a change of leader in any state, replacements that fail to boot or
+// whose tasks fail, and machines that disappear. Only the owner of a Record may call its methods that change
+// it; they are not safe for concurrent use.
 package rollout
 
 import (
@@ -31,15 +32,15 @@
 	"strings"
 )
 
-// survey is the fleet as a plan sees it.
-type survey struct {
-	uncovered        []*Machine // of the plan's machines, in its order
-	covered          int        // of the plan's machines that are left
+// fleetSummary classifies the machines of the fleet for one plan.
+type fleetSummary struct {
+	uncovered        []*Machine // the plan's machines that are not covered, in the plan's order
+	covered          int        // covered machines that still exist
 	liveReplacements int
 	booting          int // replacements that are not up yet
 }
 
-func (r *Record) survey(fleet []Machine) (s survey) {
+func (r *Record) summarizeFleet(fleet []Machine) (s fleetSummary) {
 	for i := range fleet {
 		m := &fleet[i]
 		switch {
@@ -59,9 +60,9 @@
 	return s
 }
 
-// Advance moves a running plan on; only the leader may call it. The fleet is in the order of IDs, and
-// hourlyPrice returns the price of an offering. It returns whether the record changed, and how many
-// replacements are to be provisioned.
+// Advance updates the progress of a running plan; only the leader may call it. The fleet must be sorted by
+// ID, and hourlyPrice returns the price of an offering. Advance returns whether the record changed, and how
+// many replacements to provision by offering.
 func (r *Record) Advance(
 	wallMS int64,
 	fleet []Machine,
@@ -71,11 +72,11 @@
 	if r.State != Running {
 		return false, nil
 	}
-	if reason := r.failedGate(wallMS, counts); reason != "" {
+	if reason := r.gateExceededReason(wallMS, counts); reason != "" {
 		r.State, r.Reason = Paused, reason
 		return true, nil
 	}
-	s := r.survey(fleet)
+	s := r.summarizeFleet(fleet)
 	changed = r.countReplacements(s.liveReplacements)
 	if len(s.uncovered) == 0 && s.covered == 0 {
 		r.State, r.Reason, r.EndedAt = Done, "", wallMS
@@ -108,8 +109,8 @@
 	return changed, provision
 }
 
-// countReplacements reports whether the number of live replacements changed. One that became
-// live has replaced a machine, whatever becomes of it later.
+// countReplacements updates the counts of replacements and reports whether they changed. A replacement that
+// became live counts as ready even if it fails or is released later.
 func (r *Record) countReplacements(live int) (changed bool) {
 	if live == r.LiveReplacements {
 		return false
@@ -119,9 +120,9 @@
 	return true
 }
 
-// enterStep begins the next step if the last one and its pause are over, and reports whether a step
-// is in progress.
-func (r *Record) enterStep(wallMS int64, s survey, counts HealthCounts) (inStep, changed bool) {
+// enterStep begins the next step if the previous step is complete and its pause has passed. It reports
+// whether a step is in progress.
+func (r *Record) enterStep(wallMS int64, s fleetSummary, counts HealthCounts) (inStep, changed bool) {
 	incomplete := r.CoveredMachines < r.CoverLimit && len(s.uncovered) > 0
 	if r.Step > 0 && (s.covered > 0 || incomplete) {
 		return true, false
@@ -139,7 +140,7 @@
 	return true, true
 }
 
-// nextStepSize returns how many machines the step that begins has.
+// nextStepSize returns the number of machines in the step that begins now.
 func (r *Record) nextStepSize(uncovered []*Machine) int {
 	n := r.Plan.stepSize(r.Step == 1, r.TotalMachines, len(uncovered))
 	if !r.Plan.ByZone {
@@ -154,7 +155,7 @@
 	return min(n, sameZone)
 }
 
-// cover has machines drained from now on. The step's deadline counts from the last of them.
+// cover marks machines as covered, so that they are drained. The step's deadline counts from the last call.
 func (r *Record) cover(wallMS int64, machines []*Machine) {
 	last := machines[len(machines)-1]
 	r.LastCoveredZone, r.LastCovered = last.Zone, last.ID
@@ -162,19 +163,18 @@
 	r.StepCoveredAt = wallMS
 }
 
-// replacementsToProvision returns the replacements to provision now: one for each machine that is
-// covered next, no more at a time beyond the machines already gone than the surge and its cost
-// allow.
+// replacementsToProvision returns the replacements to provision now: one for each machine that is to be
+// covered next. Surge and SurgeCostPerHour limit the replacements in excess of the machines already gone.
 func (r *Record) replacementsToProvision(
-	s survey,
+	s fleetSummary,
 	hourlyPrice func(InstanceOffering) float64,
 ) map[InstanceOffering]int {
 	provision := map[InstanceOffering]int{}
 	gone := r.CoveredMachines - s.covered
 	limit := r.CoverLimit
 	if r.Step > 1 {
-		// The first step showed that replacements are good: those of the next step may boot
-		// while this one's machines are drained.
+		// The first step has shown that replacements work. From the second step on, replacements for
+		// the next step may boot while machines of the current step are drained.
 		limit = r.CoveredMachines + len(s.uncovered)
 	}
 	for i := r.ReadyReplacements + s.booting; i < limit && i-gone < r.Plan.Surge; i++ {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -22,11 +22,11 @@
 	return machines
 }
 
-// The texts reach operators as they are.
+// The API returns the texts to operators unchanged.
 func TestInvalidPlansAreRejectedNamingTheField(t *testing.T) {
 	validPlan := Plan{ID: "p", All: true, Mode: Replace, Surge: 2}
 	if err := validPlan.Validate(); err != nil {
-		t.Errorf("valid plan: %v", err)
+		t.Errorf("valid plan: got error %v, want none", err)
 	}
 	for _, tc := range []struct {
 		name, field, text string
@@ -74,16 +74,16 @@
 	_, err := NewRecord(unknownMachine, 100, testFleet(3), HealthRates{})
 	var fieldError *FieldError
 	if !errors.As(err, &fieldError) || fieldError.Field != "machines" || !strings.Contains(err.Error(), "i-9") {
-		t.Errorf("unknown machine: %v", err)
+		t.Errorf("unknown machine: got error %v, want a FieldError of machines that contains i-9", err)
 	}
 	selectsNone := Plan{ID: "p", Type: "large", Mode: Drain}
 	if _, err := NewRecord(selectsNone, 100, testFleet(3), HealthRates{}); !errors.Is(err, ErrNoMachineSelected) {
-		t.Errorf("plan that selects no machine: %v", err)
+		t.Errorf("plan that selects no machine: got error %v, want %v", err, ErrNoMachineSelected)
 	}
 }
 
-// simulation is a plan over a fleet in which covered machines are gone after a while, and replacements
-// that are provisioned come up.
+// simulation runs a plan on a fleet. Covered machines are gone after 7 seconds, and replacements are up 20
+// seconds after they are provisioned.
 type simulation struct {
 	record   *Record
 	machines []Machine
@@ -92,7 +92,7 @@
 	goneAt   map[string]int64
 }
 
-// run advances the plan until it is over or paused, an hour at most.
+// run advances the plan until it is done, aborted or paused, for at most one hour of simulated time.
 func (s *simulation) run(t *testing.T) {
 	t.Helper()
 	s.bootAt, s.goneAt = map[string]int64{}, map[string]int64{}
@@ -138,7 +138,7 @@
 	})
 }
 
-// A plan goes step by step, provisions before it drains, and never exceeds its surge.
+// A plan proceeds in steps, provisions replacements before it drains machines, and never exceeds its surge.
 func TestMachinesAreReplacedInStepsWithinSurge(t *testing.T) {
 	for _, byZone := range []bool{false, true} {
 		t.Run(fmt.Sprintf("by zone %v", byZone), func(t *testing.T) { testReplacement(t, byZone) })
@@ -175,7 +175,7 @@
 			}
 		}
 		if len(machines) > 20+3 {
-			t.Fatalf("got %d machines, want at most 20 and a surge of 3", len(machines))
+			t.Fatalf("got %d machines, want at most 20 plus a surge of 3", len(machines))
 		}
 		maxCoveredByStep[record.Step] = max(maxCoveredByStep[record.Step], covered)
 		return HealthCounts{}
@@ -185,21 +185,21 @@
 		t.Fatalf("got %+v and %d machines, want done and 20", record, len(s.machines))
 	}
 	if n := record.StepCount(map[string]int{"a": 10, "b": 10}); n != record.Step {
-		t.Errorf("got %d steps, want %d as predicted", record.Step, n)
+		t.Errorf("got %d steps, want %d as StepCount predicts", record.Step, n)
 	}
 	if maxCoveredByStep[1] > 2 || len(maxCoveredByStep) < 5 {
-		t.Errorf("covered at once in each step: got %v, want 5 steps or more, the first of 2", maxCoveredByStep)
+		t.Errorf("maximum covered by step: got %v, want at least 5 steps and at most 2 in the first", maxCoveredByStep)
 	}
 	if byZone && zoneOrder != "ab" {
 		t.Errorf("order of zones: got %q, want ab", zoneOrder)
 	}
 	if slices.ContainsFunc(s.machines, func(m Machine) bool { return m.ProvisionedAt < 1000 }) {
-		t.Error("an old machine is left")
+		t.Error("got a machine provisioned before the plan, want all replaced")
 	}
 }
 
-// A plan pauses within the step in which a gate is exceeded, with the reason; resumed, it counts
-// anew; aborted, it covers nothing.
+// A plan pauses in the step in which a gate is exceeded, and its reason names the gate. After resume the gates
+// count from 0 again, and after abort the plan covers no machine.
 func TestPlanPausesWhenHealthGateFails(t *testing.T) {
 	machines := testFleet(10)
 	plan := Plan{
@@ -219,7 +219,7 @@
 	s := simulation{record: record, machines: machines}
 	s.countsAt = func(wallMS int64, _ []Machine) HealthCounts {
 		if wallMS%2000 == 0 {
-			taskErrors++ // the baseline
+			taskErrors++ // errors at the baseline rate
 		}
 		if record.Step == 2 {
 			taskErrors += 2
@@ -228,29 +228,29 @@
 	}
 	s.run(t)
 	if record.State != Paused || record.Step != 2 || !strings.HasPrefix(record.Reason, "gate errors") {
-		t.Fatalf("got %+v, want a pause in step 2 by the gate of errors", record)
+		t.Fatalf("got %+v, want paused in step 2 by gate errors", record)
 	}
 	if len(s.machines) < 6 {
-		t.Fatalf("got %d machines left, want 6 or more", len(s.machines))
+		t.Fatalf("got %d machines left, want at least 6", len(s.machines))
 	}
 	if err := record.ApplyCommand(Resume, 90_000, HealthCounts{Errors: taskErrors}); err != nil {
-		t.Errorf("resume: %v", err)
+		t.Errorf("resume: got error %v, want none", err)
 	}
-	reason := record.failedGate(90_500, HealthCounts{Errors: taskErrors})
+	reason := record.gateExceededReason(90_500, HealthCounts{Errors: taskErrors})
 	if record.State != Running || reason != "" {
-		t.Errorf("resumed: got %+v, gate %q, want running and no gate exceeded", record, reason)
+		t.Errorf("after resume: got %+v, reason %q, want running and no gate exceeded", record, reason)
 	}
 	covered := slices.IndexFunc(s.machines, func(m Machine) bool { return record.Covers(&m) })
 	if err := record.ApplyCommand(Abort, 91_000, HealthCounts{}); err != nil {
-		t.Errorf("abort: %v", err)
+		t.Errorf("abort: got error %v, want none", err)
 	}
 	if covered >= 0 && record.Covers(&s.machines[covered]) {
-		t.Errorf("aborted, and covers %s: %+v", s.machines[covered].ID, record)
+		t.Errorf("aborted plan: got %s covered, want no machine covered: %+v", s.machines[covered].ID, record)
 	}
 	var terminal *TerminalError
 	err = record.ApplyCommand(Resume, 92_000, HealthCounts{})
 	if !errors.As(err, &terminal) || terminal.State != Aborted || err.Error() != "plan p is aborted" {
-		t.Errorf("resuming an aborted plan: got %v, want a TerminalError", err)
+		t.Errorf("resume after abort: got error %v, want a TerminalError with state aborted", err)
 	}
 }
 
