--- a/extension/extension.go
+++ b/extension/extension.go
@@ -1,13 +1,13 @@
-// Package extension is the base of state machines that extend the scheduler without being part of its core:
-// an extension keeps records in the state service under a shard's claim, and submits, queries and cancels
-// jobs as a user does.
+// Package extension is the base of state machines that extend the scheduler but are not part of its core. An
+// extension keeps records in the state service, with preconditions on a shard's claim. It submits, queries
+// and cancels jobs in the same way as a user.
 //
-// An extension embeds a Base, which owns the requests in flight: it numbers them, collects them until the
-// caller takes them, and passes each response once to the callback that waits for it. It has no input or
-// output of its own. It assumes that the caller passes the time with each input, takes the Outputs after it,
-// calls from one goroutine at a time, and passes a response for every request, if only one of unknown
-// outcome: a Base does not repeat a request and has no timeouts. It promises that a callback runs once at
-// most: a response to a request that is not in flight (duplicated, or of an earlier process) is ignored.
+// An extension embeds a Base, which manages the requests in flight: it assigns request IDs, collects requests
+// until the caller takes them, and passes each response once to its callback. A Base performs no I/O. The
+// caller must pass the time with each input, take the Outputs after it, and call from one goroutine at a
+// time. The caller must also pass a response for every request, if necessary with an unknown outcome, since a
+// Base neither retries requests nor has timeouts. A callback runs at most once: a response to a request that
+// is not in flight (a duplicate, or a response to an earlier process) is ignored.
 package extension
 
 import (
@@ -18,20 +18,21 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// CoreRequest is a request to the scheduler's core, by the extension's own number.
+// CoreRequest is a request to the scheduler's core. The extension assigns its ID.
 type CoreRequest struct {
 	ID          uint64
 	UserRequest scheduler.UserRequest
 }
 
-// Request is a request of an extension's own kind: to whatever it needs beside the state service and the core.
+// Request is a request of a kind that the extension defines, to a service other than the state service and the
+// core.
 type Request[Q any] struct {
 	ID   uint64
 	Body Q
 }
 
-// Outputs is what an extension wants done. Q is its own kind of request, A its response to users, by the
-// number that the caller gave with the user's request.
+// Outputs holds the requests, responses and log lines that an extension produced. Q is the extension's own kind
+// of request. A is its response to users, keyed by the ID that the caller passed with the user's request.
 type Outputs[Q, A any] struct {
 	Store     []scheduler.StoreOp
 	Core      []CoreRequest
@@ -40,10 +41,10 @@
 	Logs      []scheduler.LogLine
 }
 
-// Base keeps the requests of an extension that are in flight and collects its outputs: requests Q of its own
-// kind with results R, and responses A to users. The zero value is ready for use.
+// Base tracks the requests of an extension that are in flight and collects its outputs: requests Q of the
+// extension's own kind with results R, and responses A to users. The zero value is ready for use.
 type Base[Q, R, A any] struct {
-	Now     scheduler.Now // of the last input
+	Now     scheduler.Now // time of the last input
 	outputs Outputs[Q, A]
 	lastID  uint64
 
@@ -52,19 +53,19 @@
 	requestCallbacks callbacks[R]
 }
 
-// Take returns the outputs of the inputs since the last call.
+// Take returns the outputs collected since the last call.
 func (b *Base[Q, R, A]) Take() Outputs[Q, A] {
 	outputs := b.outputs
 	b.outputs = Outputs[Q, A]{}
 	return outputs
 }
 
-// Log writes a line at level Info. The message is fixed, values are attributes.
+// Log adds a log line at level Info. The message must be constant; values go into attributes.
 func (b *Base[Q, R, A]) Log(message string, args ...any) {
 	b.outputs.Logs = append(b.outputs.Logs, scheduler.LogLine{Level: scheduler.Info, Message: message, Args: args})
 }
 
-// Respond sends the response to a user's request.
+// Respond adds the response to a user's request.
 func (b *Base[Q, R, A]) Respond(id uint64, response A) {
 	if b.outputs.Responses == nil {
 		b.outputs.Responses = map[uint64]A{}
@@ -72,29 +73,29 @@
 	b.outputs.Responses[id] = response
 }
 
-// SendStore sends a request to the state service.
+// SendStore adds a request to the state service and calls onResult with its result.
 func (b *Base[Q, R, A]) SendStore(op scheduler.StoreOp, onResult func(scheduler.StoreResult)) {
 	op.ID = b.nextID()
 	b.storeCallbacks.add(op.ID, onResult)
 	b.outputs.Store = append(b.outputs.Store, op)
 }
 
-// SendCore sends a request to the scheduler's core.
+// SendCore adds a request to the scheduler's core and calls onResult with its response.
 func (b *Base[Q, R, A]) SendCore(request scheduler.UserRequest, onResult func(scheduler.UserResponse)) {
 	id := b.nextID()
 	b.coreCallbacks.add(id, onResult)
 	b.outputs.Core = append(b.outputs.Core, CoreRequest{id, request})
 }
 
-// SendRequest sends a request of the extension's own kind.
+// SendRequest adds a request of the extension's own kind and calls onResult with its result.
 func (b *Base[Q, R, A]) SendRequest(body Q, onResult func(R)) {
 	id := b.nextID()
 	b.requestCallbacks.add(id, onResult)
 	b.outputs.Requests = append(b.outputs.Requests, Request[Q]{id, body})
 }
 
-// Get reads one record. ok is false where the state service gave no usable response; a record that does not
-// exist has no Value, and ok is true.
+// Get reads one record. ok is false if the state service returned no usable response. If the record does not
+// exist, ok is true and the item has no Value.
 func (b *Base[Q, R, A]) Get(urgency scheduler.Urgency, key string, onResult func(item scheduler.KeyValue, ok bool)) {
 	op := scheduler.StoreOp{Kind: scheduler.StoreGet, Urgency: urgency, Key: key}
 	b.SendStore(op, func(r scheduler.StoreResult) {
@@ -109,8 +110,8 @@
 	})
 }
 
-// List reads all records with a prefix, page by page. It ends early, without a call of onDone, when onPage
-// returns false; otherwise onDone reports whether all records were read.
+// List reads all records with a prefix, page by page. If onPage returns false, List stops without a call of
+// onDone. Otherwise it calls onDone, where ok reports whether all records were read.
 func (b *Base[Q, R, A]) List(
 	urgency scheduler.Urgency,
 	prefix string,
@@ -140,31 +141,31 @@
 	})
 }
 
-// StoreDone takes the response of the state service to a request.
+// StoreDone passes the state service's response to the callback of a request.
 func (b *Base[Q, R, A]) StoreDone(now scheduler.Now, id uint64, result scheduler.StoreResult) {
 	b.Now = now
 	b.storeCallbacks.resolve(id, result)
 }
 
-// CoreDone takes the core's response to a request.
+// CoreDone passes the core's response to the callback of a request.
 func (b *Base[Q, R, A]) CoreDone(now scheduler.Now, id uint64, response scheduler.UserResponse) {
 	b.Now = now
 	b.coreCallbacks.resolve(id, response)
 }
 
-// RequestDone takes the result of a request of the extension's own kind.
+// RequestDone passes the result of a request of the extension's own kind to its callback.
 func (b *Base[Q, R, A]) RequestDone(now scheduler.Now, id uint64, result R) {
 	b.Now = now
 	b.requestCallbacks.resolve(id, result)
 }
 
-// nextID returns a number that no other request of the extension has.
+// nextID returns an ID that is unique among all requests of the extension.
 func (b *Base[Q, R, A]) nextID() uint64 {
 	b.lastID++
 	return b.lastID
 }
 
-// callbacks are what waits for responses, by the request's number.
+// callbacks holds the callbacks of requests in flight, keyed by request ID.
 type callbacks[T any] map[uint64]func(T)
 
 func (c *callbacks[T]) add(id uint64, onResult func(T)) {
@@ -174,7 +175,7 @@
 	(*c)[id] = onResult
 }
 
-// resolve passes a response to the callback that waits for it, once.
+// resolve removes the callback of a request and calls it with the result. It ignores an unknown ID.
 func (c callbacks[T]) resolve(id uint64, result T) {
 	if onResult := c[id]; onResult != nil {
 		delete(c, id)
@@ -182,19 +183,19 @@
 	}
 }
 
-// ShardOf returns the shard, among shards, that owns what has an ID: the same on all members that know the
-// same shards. shards must not be empty.
+// ShardOf returns the shard, among shards, that owns the object with an ID. The result is the same on all
+// members that know the same shards in the same order. shards must not be empty.
 func ShardOf(shards []string, id string) string {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
 	return shards[int(hash.Sum32()%uint32(len(shards)))]
 }
 
-// Encode returns a record's JSON. It panics where the type has none, which is a bug of the caller.
+// Encode returns a record as JSON. It panics if the record cannot be encoded, which is a bug in the caller.
 func Encode(record any) json.RawMessage {
 	b, err := json.Marshal(record)
 	if err != nil {
-		panic(fmt.Sprintf("extension: record %T does not encode: %v", record, err))
+		panic(fmt.Sprintf("extension: cannot encode record of type %T: %v", record, err))
 	}
 	return b
 }
--- a/extension/extension_test.go
+++ b/extension/extension_test.go
@@ -11,11 +11,10 @@
 
 var now = scheduler.Now{MonotonicMS: 1}
 
-// base is an extension whose own requests are strings with numbers as results; its responses to users are
-// errors.
+// base is a Base whose own requests are strings with integers as results. Its responses to users are errors.
 type base = Base[string, int, error]
 
-// Each response reaches its callback, once; one to an unknown request reaches none.
+// Each response is passed to its callback once. A response to an unknown request is ignored.
 func TestEachResponseIsDeliveredOnce(t *testing.T) {
 	var b base
 	var got []string
@@ -28,14 +27,14 @@
 	b.SendRequest("q", func(n int) { got = append(got, fmt.Sprint("own ", n)) })
 	outputs := b.Take()
 	if len(outputs.Store) != 1 || len(outputs.Core) != 1 || len(outputs.Requests) != 1 {
-		t.Fatalf("outputs %+v, want one request of each kind", outputs)
+		t.Fatalf("got outputs %+v, want one request of each kind", outputs)
 	}
 	if got := outputs.Requests[0].Body; got != "q" {
-		t.Fatalf("own request %q, want %q", got, "q")
+		t.Fatalf("got own request %q, want %q", got, "q")
 	}
 	storeID, coreID, ownID := outputs.Store[0].ID, outputs.Core[0].ID, outputs.Requests[0].ID
 	if storeID == coreID || coreID == ownID || storeID == ownID {
-		t.Errorf("IDs %d, %d, %d are not unique", storeID, coreID, ownID)
+		t.Errorf("got IDs %d, %d, %d, want unique IDs", storeID, coreID, ownID)
 	}
 	for range 2 {
 		b.RequestDone(now, ownID, 7)
@@ -44,17 +43,17 @@
 	}
 	b.StoreDone(now, 99, scheduler.StoreResult{})
 	if want := []string{"own 7", "core 201", "store 5"}; !slices.Equal(got, want) {
-		t.Errorf("delivered %v, want %v", got, want)
+		t.Errorf("got responses %v, want %v", got, want)
 	}
 	if b.Now != now {
-		t.Errorf("time %+v, want that of the last input, %+v", b.Now, now)
+		t.Errorf("got time %+v, want %+v, that of the last input", b.Now, now)
 	}
 	if again := b.Take(); len(again.Store)+len(again.Core)+len(again.Requests) != 0 {
-		t.Errorf("taken twice: %+v", again)
+		t.Errorf("second Take: got %+v, want no requests", again)
 	}
 }
 
-// Responses to users and log lines are taken once.
+// Take returns each response to a user and each log line once.
 func TestTakeReturnsOutputsOnce(t *testing.T) {
 	var b base
 	response := errors.New("no")
@@ -62,17 +61,17 @@
 	b.Log("line", "key", 1)
 	outputs := b.Take()
 	if got := outputs.Responses[3]; got != response {
-		t.Errorf("response %v, want %v", got, response)
+		t.Errorf("got response %v, want %v", got, response)
 	}
 	if len(outputs.Logs) != 1 || outputs.Logs[0].Message != "line" {
-		t.Errorf("log %+v, want one line %q", outputs.Logs, "line")
+		t.Errorf("got log %+v, want one line %q", outputs.Logs, "line")
 	}
 	if again := b.Take(); len(again.Responses)+len(again.Logs) != 0 {
-		t.Errorf("taken twice: %+v", again)
+		t.Errorf("second Take: got %+v, want no responses and no log lines", again)
 	}
 }
 
-// A record that does not exist differs from a state service that gives no usable response.
+// Get distinguishes a record that does not exist from a state service that returns no usable response.
 func TestGetDistinguishesMissingFromUnavailable(t *testing.T) {
 	found := scheduler.StoreResult{Outcome: scheduler.OK, KVs: []scheduler.KeyValue{{Key: "k", Rev: 4}}}
 	for _, tc := range []struct {
@@ -92,12 +91,12 @@
 			b.Get(scheduler.UrgencyRead, "k", func(record scheduler.KeyValue, ok bool) {
 				calls++
 				if record.Rev != tc.revision || ok != tc.ok {
-					t.Errorf("revision %d, ok %v, want %d, %v", record.Rev, ok, tc.revision, tc.ok)
+					t.Errorf("got revision %d, ok %v, want %d, %v", record.Rev, ok, tc.revision, tc.ok)
 				}
 			})
 			b.StoreDone(now, b.Take().Store[0].ID, tc.result)
 			if calls != 1 {
-				t.Errorf("%d calls, want 1", calls)
+				t.Errorf("got %d calls of onResult, want 1", calls)
 			}
 		})
 	}
@@ -107,21 +106,21 @@
 	return scheduler.StoreResult{Outcome: scheduler.OK, KVs: []scheduler.KeyValue{{Key: key}}, More: more}
 }
 
-// A list continues after the last key of a page, until all is read, a page is refused, or the caller stops.
+// List continues after the last key of a page until all records are read, a page fails, or the caller stops.
 func TestListReadsAllPagesOrStops(t *testing.T) {
-	refused := scheduler.StoreResult{Outcome: scheduler.Unknown}
+	failed := scheduler.StoreResult{Outcome: scheduler.Unknown}
 	for _, tc := range []struct {
 		name     string
 		results  []scheduler.StoreResult
 		maxPages int
 		keys     []string
-		done     string // the calls of onDone
+		done     string // concatenated arguments of the calls of onDone
 	}{
 		{
 			"all pages", []scheduler.StoreResult{page("a", true), page("b", true), page("c", false)}, 9,
 			[]string{"a", "b", "c"}, "true",
 		},
-		{"page refused", []scheduler.StoreResult{page("a", true), refused}, 9, []string{"a"}, "false"},
+		{"page failed", []scheduler.StoreResult{page("a", true), failed}, 9, []string{"a"}, "false"},
 		{"caller stops", []scheduler.StoreResult{page("a", true), page("b", true)}, 2, []string{"a", "b"}, ""},
 		{"no records", []scheduler.StoreResult{{Outcome: scheduler.OK}}, 9, nil, "true"},
 	} {
@@ -139,7 +138,7 @@
 			for _, result := range tc.results {
 				ops := b.Take().Store
 				if len(ops) != 1 || ops[0].StartAfter != after || ops[0].Key != "p/" {
-					t.Fatalf("requests %+v, want one for %q after %q", ops, "p/", after)
+					t.Fatalf("got requests %+v, want one for %q after %q", ops, "p/", after)
 				}
 				b.StoreDone(now, ops[0].ID, result)
 				if len(result.KVs) > 0 {
@@ -147,16 +146,16 @@
 				}
 			}
 			if !slices.Equal(keys, tc.keys) || done != tc.done {
-				t.Errorf("keys %v, done %q, want %v, %q", keys, done, tc.keys, tc.done)
+				t.Errorf("got keys %v, done %q, want %v, %q", keys, done, tc.keys, tc.done)
 			}
 			if ops := b.Take().Store; len(ops) != 0 {
-				t.Errorf("requests after the end: %+v", ops)
+				t.Errorf("got requests %+v after the last page, want none", ops)
 			}
 		})
 	}
 }
 
-// Members of different versions have to agree on the shard of an ID: the values are those of the first
+// Members of different versions must agree on the shard of an ID. The expected values are those of the first
 // version.
 func TestShardOfIsStableAcrossVersions(t *testing.T) {
 	shards := []string{"m-0", "m-1", "m-2"}
@@ -168,7 +167,7 @@
 		"hourly":  "m-2",
 	} {
 		if got := ShardOf(shards, id); got != want {
-			t.Errorf("shard of %q: %s, want %s", id, got, want)
+			t.Errorf("shard of %q: got %s, want %s", id, got, want)
 		}
 	}
 }
--- a/strict/strict.go
+++ b/strict/strict.go
@@ -1,5 +1,4 @@
-// Package strict reads TOML files of the project's own, in which an unknown name
-// is a mistake.
+// Package strict decodes TOML and rejects unknown fields. It is for file formats that this project defines.
 package strict
 
 import (
@@ -11,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads TOML whose every field is known. The error names line, column
-// and field of all that is wrong.
+// Decode decodes TOML into a value and rejects fields that the value does not have. The error names line,
+// column and field of every unknown field, or of the first syntax or type error.
 func Decode(b []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(into)
 	var unknownFields *toml.StrictMissingError
