--- a/recurrence/calendar.go
+++ b/recurrence/calendar.go
@@ -1,20 +1,20 @@
-// Package recurrence computes when something recurs: rules of RFC 5545, calendars of working days with
-// holidays, exceptions and moved days, and time zones with their clock changes. It is pure: equal
-// inputs give equal moments, and it reads no clock. Zone data is embedded, so that members of one
-// release agree whatever their hosts have installed.
+// Package recurrence computes the times at which schedules are due. It supports recurrence rules of RFC 5545,
+// calendars of working days with holidays, exceptions and moved days, and time zones with clock changes. It is
+// pure: equal inputs give equal results, and it reads no clock. Time zone data is embedded, so that members of
+// one release agree regardless of the data installed on their hosts.
 //
-// A rule names days. A calendar may shift a day that is not a working day, or drop it. Times of
-// day in a zone turn days into moments; what happens to a time that a clock change skips (Gap) or repeats
-// (Overlap) is the schedule's policy:
+// A rule selects days. A calendar may shift or drop a day that is not a working day. Times of day in a time
+// zone turn days into moments. The schedule's policies apply to times of day that a clock change skips (Gap) or
+// repeats (Overlap):
 //
 //	rule, From, Until   ->  nominal days
-//	Calendar, Shift     ->  shifted or dropped days; days that end up on one day become one
+//	Calendar, Shift     ->  shifted or dropped days; days that are shifted to the same day are merged
 //	At, Zone            ->  moments
 //	Gap, Overlap        ->  none, one or two instants for a time of day
 //
-// So a schedule has each moment once, and Moment.Key identifies it for whoever computes it. What
-// was dropped is reported with its reason. Values must be validated before use (ParseFile,
-// ValidateAll); after that they are read-only and safe for concurrent use.
+// A schedule therefore contains each moment once, and Moment.Key identifies a moment independently of the
+// process that computes it. Dropped days and times are reported with a reason. Values must be validated before
+// use (ParseFile, ValidateAll); after that they are read-only and safe for concurrent use.
 package recurrence
 
 import (
@@ -27,28 +27,28 @@
 	"time"
 )
 
-// Holidays is a named set of days: dates, or days of every year as MM-DD.
+// Holidays is a named set of days. Each day is a date (YYYY-MM-DD) or recurs every year (MM-DD).
 type Holidays struct {
 	Name  string   `toml:"name"  json:"name"`
 	Dates []string `toml:"dates" json:"dates"`
 }
 
-// Exception makes one day a working day or a day off, and takes precedence over holidays and weekdays.
+// Exception makes one day a working day or a day off. It takes precedence over holidays and weekdays.
 type Exception struct {
 	Date      Date   `toml:"date" json:"date"`
 	IsWorking bool   `toml:"work" json:"work"`
 	Reason    string `toml:"why"  json:"why"`
 }
 
-// Move shifts what is due on one day to another, whether or not either is a working day.
+// Move shifts the moments of one day to another day, regardless of whether either is a working day.
 type Move struct {
 	From   Date   `toml:"from" json:"from"`
 	To     Date   `toml:"to"   json:"to"`
 	Reason string `toml:"why"  json:"why"`
 }
 
-// Calendar defines working days; without Working they are Monday to Friday. Validate makes it ready for use;
-// then it may be read concurrently.
+// Calendar defines working days; if Working is empty, they are Monday to Friday. A calendar is ready for use
+// after Validate and may then be read concurrently.
 type Calendar struct {
 	Name       string      `toml:"name"       json:"name"`
 	Working    []string    `toml:"working"    json:"working"` // mon ... sun
@@ -64,16 +64,16 @@
 	moveByDate      map[Date]Move
 }
 
-// yearDay is a day of every year.
+// yearDay is a month and day, without a year.
 type yearDay struct {
 	month time.Month
 	day   int
 }
 
-// weekdays are the names of Working, in the order of time.Weekday.
+// weekdays lists the names that Working may contain, in the order of time.Weekday.
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-// Validate returns an error that names the first invalid field, and makes the calendar ready for use.
+// Validate makes the calendar ready for use, or returns an error that names the first invalid field.
 func (c *Calendar) Validate() error {
 	if err := c.indexWorking(); err != nil {
 		return err
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// parseYearDay reads MM-DD. The 29th of February is valid: it is a day of leap years.
+// parseYearDay parses MM-DD. February 29 is valid since it occurs in leap years.
 func parseYearDay(text string) (yearDay, bool) {
 	monthText, dayText, found := strings.Cut(text, "-")
 	month, monthErr := strconv.Atoi(monthText)
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// IsWorking reports whether a day is a working day, and why it is a day off. Of an exception it returns
-// the reason in either case. The calendar must be validated.
+// IsWorking reports whether a day is a working day, and the reason if it is a day off. For an exception it
+// returns the reason in both cases. The calendar must be validated.
 func (c *Calendar) IsWorking(d Date) (working bool, reason string) {
 	if e, exists := c.exceptionByDate[d]; exists {
 		return e.IsWorking, cmp.Or(e.Reason, "an exception")
@@ -192,23 +192,23 @@
 	return true, ""
 }
 
-// Shift is what happens to a day that is not a working day.
+// Shift is the policy for days that are not working days.
 type Shift string
 
-// The shifts. What NextInMonth and PreviousInMonth would move out of the month goes to the nearest
-// working day within it in the other direction.
+// The policies for shifts. If NextInMonth or PreviousInMonth would move a day out of its month, the day moves
+// to the nearest working day of the month in the other direction.
 const (
-	Run             Shift = "run"  // it stays: the calendar only applies its moves
-	Skip            Shift = "skip" // it is dropped
-	Next            Shift = "next" // to the next working day
-	Previous        Shift = "previous"
+	Run             Shift = "run"      // not shifted; only the calendar's moves apply
+	Skip            Shift = "skip"     // dropped
+	Next            Shift = "next"     // shifted to the next working day
+	Previous        Shift = "previous" // shifted to the previous working day
 	NextInMonth     Shift = "next_in_month"
 	PreviousInMonth Shift = "previous_in_month"
 )
 
 func (s Shift) staysInMonth() bool { return s == NextInMonth || s == PreviousInMonth }
 
-// step returns the direction of the search for a working day.
+// step returns the direction of the search for a working day: 1 (forward) or -1 (backward).
 func (s Shift) step() int {
 	if s == Previous || s == PreviousInMonth {
 		return -1
@@ -216,12 +216,12 @@
 	return 1
 }
 
-// maxShift bounds the search for a working day, in days.
+// maxShift limits the search for a working day, in days.
 const maxShift = 366
 
 var errNoWorkingDay = errors.New("no working day within a year")
 
-// shift returns the day that d ends up on, and why it differs; ok is false if d is dropped.
+// shift returns the day that d is shifted to and the reason for the shift. ok is false if d is dropped.
 func (c *Calendar) shift(d Date, s Shift) (to Date, reason string, ok bool, err error) {
 	if m, found := c.moveByDate[d]; found {
 		return m.To, cmp.Or(m.Reason, "moved by the calendar"), true, nil
@@ -243,7 +243,7 @@
 	return to, reason, true, nil
 }
 
-// nearestWorkingDay searches from the day after or before d, in the direction of step.
+// nearestWorkingDay returns the first working day after d (step 1) or before d (step -1).
 func (c *Calendar) nearestWorkingDay(d Date, step int, withinMonth bool) (Date, bool) {
 	candidate := d
 	for range maxShift {
--- a/recurrence/file.go
+++ b/recurrence/file.go
@@ -7,14 +7,14 @@
 	"github.com/grebedock/grebedock/strict"
 )
 
-// File holds calendars and schedules as operators write them in TOML.
+// File holds the calendars and schedules of an operator's TOML file.
 type File struct {
 	Calendars []*Calendar `toml:"calendar"`
 	Schedules []*Schedule `toml:"schedule"`
 }
 
-// ParseFile decodes and validates a file. Errors of syntax name line and field; errors of meaning name
-// the calendar or schedule and the field.
+// ParseFile decodes and validates a file. Syntax errors name the line and the field. Validation errors name the
+// calendar or schedule and the field.
 func ParseFile(b []byte) (*File, error) {
 	var f File
 	if err := strict.Decode(b, &f); err != nil {
@@ -23,7 +23,7 @@
 	return &f, ValidateAll(f.Calendars, f.Schedules)
 }
 
-// ValidateAll validates calendars and the schedules that refer to them, and returns all errors joined.
+// ValidateAll validates calendars and the schedules that refer to them. It returns all errors joined.
 func ValidateAll(calendars []*Calendar, schedules []*Schedule) error {
 	var errs []error
 	calendarByName := map[string]*Calendar{}
--- a/recurrence/instants.go
+++ b/recurrence/instants.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// instants returns the instants at which a day and time of day are due, by the policies for gaps and
-// overlaps, and the reason if a policy applied; none if the time is dropped.
+// instants returns the instants of a day and time of day after the policies for gaps and overlaps are applied.
+// If a policy applied, it also returns the reason. It returns no instant if the time is dropped.
 func (s *Schedule) instants(d Date, c Clock) (instants []time.Time, reason string) {
 	localTime := d.utc().Add(time.Duration(c) * time.Second)
 	instants = s.instantsOfLocalTime(localTime)
@@ -30,9 +30,9 @@
 	return instants, reason + ": both"
 }
 
-// instantsOfLocalTime returns the instants at which the zone's clocks show a local time (given as if in
-// UTC), in order. The offsets in force within a day and a half of it are all that can apply: a
-// zone may skip a whole day.
+// instantsOfLocalTime returns, in order, the instants at which clocks in the schedule's zone show a local time,
+// which is passed as a time in UTC. It tries the UTC offsets in force within 36 hours of that time; no other
+// offset can apply. The margin exceeds a day since a zone may skip a whole day.
 func (s *Schedule) instantsOfLocalTime(localTime time.Time) (instants []time.Time) {
 	const marginHours = 36
 	seen := map[int]bool{}
@@ -51,14 +51,14 @@
 	return instants
 }
 
-// afterGap returns the first instant whose local time is after localTime, which no clock shows: the
-// instant of the clock change.
+// afterGap returns the first instant whose local time is after localTime, for a local time that a clock change
+// skips. It is the instant of the clock change.
 func (s *Schedule) afterGap(localTime time.Time) time.Time {
 	local := func(t time.Time) time.Time {
 		_, offsetS := t.In(s.location).Zone()
 		return t.Add(time.Duration(offsetS) * time.Second)
 	}
-	const margin = 40 * time.Hour // beyond any offset and change
+	const margin = 40 * time.Hour // larger than any UTC offset or clock change
 	lo, hi := localTime.Add(-margin), localTime.Add(margin)
 	for hi.Sub(lo) > time.Second {
 		mid := lo.Add(hi.Sub(lo) / 2).Truncate(time.Second)
@@ -71,7 +71,7 @@
 	return hi.In(s.location)
 }
 
-// Midnight returns the first instant of a day in the schedule's zone.
+// Midnight returns the first instant of a day in the schedule's time zone.
 func (s *Schedule) Midnight(d Date) time.Time {
 	if instants := s.instantsOfLocalTime(d.utc()); len(instants) > 0 {
 		return instants[0]
--- a/recurrence/moments.go
+++ b/recurrence/moments.go
@@ -8,20 +8,21 @@
 	"github.com/teambition/rrule-go"
 )
 
-// Moment is a time at which a schedule is due, or would be but for its calendar or a clock change.
+// Moment is a time at which a schedule is due. A dropped moment is a day or time that the rule and At select but
+// the calendar or a clock change removes.
 type Moment struct {
-	At      time.Time // in the schedule's zone; zero if dropped
-	Date    Date      // the day that it ends up on
+	At      time.Time // in the schedule's time zone; zero if dropped
+	Date    Date      // the day after shifts
 	Clock   Clock
-	Nominal []Date // the days that the rule names, in order
-	Reason  string // why it differs from its nominal day and time, or was dropped
+	Nominal []Date // the days that the rule selects, in order
+	Reason  string // why it differs from its nominal day and time, or is dropped
 	Dropped bool
 }
 
-// Key identifies a moment within its schedule, however often and by whomever it is computed.
+// Key identifies a moment within its schedule. It is the same for every computation on every member.
 func (m Moment) Key() string { return m.At.UTC().Format("20060102T150405Z") }
 
-// dueAt returns when a moment is due, or would be if it was not dropped.
+// dueAt returns the time at which a moment is due, or would be due if it were not dropped.
 func (m Moment) dueAt(zone *time.Location) time.Time {
 	if m.Dropped {
 		return time.Date(m.Date.Year, m.Date.Month, m.Date.Day, 0, 0, int(m.Clock), 0, zone)
@@ -29,10 +30,10 @@
 	return m.At
 }
 
-// Between returns the moments in [from, to) in order, dropped ones among them. With an error, which
-// is about days that cannot be shifted, it returns all others.
+// Between returns the moments in [from, to) in order, including dropped ones. It returns an error if a day
+// cannot be shifted, together with all other moments.
 func (s *Schedule) Between(from, to time.Time) ([]Moment, error) {
-	// With a margin, since a gap may move a time to a later day.
+	// The margin of two days is needed since a gap may move a time to a later day.
 	days, err := s.shiftedDays(DateOf(from.In(s.location)).Add(-2), DateOf(to.In(s.location)).Add(2))
 	var moments []Moment
 	for _, day := range days {
@@ -48,8 +49,8 @@
 	return withoutRepeatedInstants(moments), err
 }
 
-// withoutRepeatedInstants keeps the first moment of each instant: a gap may put two times of a day on
-// one.
+// withoutRepeatedInstants keeps only the first moment at each instant, since a gap may map two times of day to
+// the same instant.
 func withoutRepeatedInstants(moments []Moment) []Moment {
 	var last *Moment
 	return slices.DeleteFunc(moments, func(m Moment) bool {
@@ -64,10 +65,10 @@
 	})
 }
 
-// horizonDays bounds the search for the next moment.
+// horizonDays limits the search for the next moment, in days.
 const horizonDays = 30 * 366
 
-// Next returns the first moment after a time; ok is false if there is none within thirty years.
+// Next returns the first moment after a time that is not dropped. ok is false if there is none within 30 years.
 func (s *Schedule) Next(after time.Time) (m Moment, ok bool) {
 	from := after.Add(time.Nanosecond)
 	for stepDays, searched := 8, 0; searched < horizonDays; searched, stepDays = searched+stepDays, stepDays*2 {
@@ -86,7 +87,7 @@
 	return Moment{}, false
 }
 
-// momentsOfDay turns a shifted day into a moment for each instant at which it is due.
+// momentsOfDay returns the moments of a shifted day, one for each instant at which it is due.
 func (s *Schedule) momentsOfDay(day Moment) (moments []Moment) {
 	if day.Dropped {
 		return []Moment{day}
@@ -115,8 +116,8 @@
 	return a + "; " + b
 }
 
-// shiftedDays returns the rule's days that end up in [from, to], in order, without times. Days that
-// end up on one day are one. The error is that of the last day that cannot be shifted.
+// shiftedDays returns the days of the rule that are in [from, to] after shifts, in order and without times. Days
+// that are shifted to the same day are merged. The error is that of the last day that cannot be shifted.
 func (s *Schedule) shiftedDays(from, to Date) (days []Moment, err error) {
 	first, last := s.nominalRange(from, to)
 	indexByDate := map[Date]int{}
@@ -144,7 +145,7 @@
 	return days, err
 }
 
-// shiftedDay returns a day of the rule as the calendar shifts or drops it.
+// shiftedDay returns a day of the rule after the calendar has shifted or dropped it.
 func (s *Schedule) shiftedDay(nominal Date) (Moment, error) {
 	shifted, reason, ok, err := s.calendar.shift(nominal, s.Shift)
 	if ok && shifted != nominal {
@@ -153,13 +154,13 @@
 	return Moment{Date: shifted, Nominal: []Date{nominal}, Reason: reason, Dropped: !ok}, err
 }
 
-// searchMarginDays bounds how far outside a range nominal days are searched: no shift goes further
-// (moves are treated by themselves), and zones differ by a day at most.
+// searchMarginDays limits the search for nominal days outside a range. No shift is longer (moves are handled
+// separately), and time zones differ by at most a day.
 const searchMarginDays = maxShift + 2
 
-// nominalRange returns the range of nominal days that may end up in [from, to].
+// nominalRange returns the range of nominal days that may be in [from, to] after shifts.
 func (s *Schedule) nominalRange(from, to Date) (first, last Date) {
-	marginDays := 2 // the days are not shifted
+	marginDays := 2 // sufficient if days are not shifted
 	if s.Shift != Run && s.Shift != Skip {
 		marginDays = s.maxShiftDays(from, to)
 	}
@@ -178,8 +179,8 @@
 	return first, last
 }
 
-// maxShiftDays bounds how far outside a range a day may be shifted from: the longest run of days off
-// that touches the range.
+// maxShiftDays returns an upper bound for the distance from a day outside a range to the range that it may be
+// shifted into: the longest run of days off that adjoins the range.
 func (s *Schedule) maxShiftDays(from, to Date) int {
 	n := max(s.calendar.daysOffBeyond(from, -1), s.calendar.daysOffBeyond(to, 1))
 	if s.Shift.staysInMonth() {
@@ -188,8 +189,8 @@
 	return n
 }
 
-// daysOffBeyond returns the distance from a day to the next working day in the direction of step, at
-// least 2 and at most searchMarginDays.
+// daysOffBeyond returns the distance in days from d to the next working day in the direction of step, at least
+// 2 and at most searchMarginDays.
 func (c *Calendar) daysOffBeyond(d Date, step int) int {
 	for distance := 1; distance < searchMarginDays; distance++ {
 		d = d.Add(step)
@@ -200,9 +201,9 @@
 	return searchMarginDays
 }
 
-// ruleStartingNear returns the rule counted from shortly before a day. The library iterates from the
-// rule's first day, through ten years each time if it began ten years ago. Daily and weekly
-// rules repeat, so whole periods can be left out.
+// ruleStartingNear returns the rule with a start shortly before a day. The library iterates from the rule's
+// first day on every call, for example through ten years if the rule began ten years ago. Daily and weekly
+// rules are periodic, so whole periods can be skipped.
 func (s *Schedule) ruleStartingNear(d Date) *rrule.RRule {
 	options := s.rule.OrigOptions
 	period := max(1, options.Interval)
--- a/recurrence/moments_test.go
+++ b/recurrence/moments_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, so that the verdict is the same in every run.
+// TestMain fixes the seed, so that the result is the same in every run.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "15"); err != nil {
 		panic(err)
@@ -32,9 +32,9 @@
 	return d
 }
 
-// bruteForce computes a year's moments the slow way: it matches every day against the rule, walks day by
-// day to where the calendar shifts it, and finds instants by reading the zone's clock every quarter of
-// an hour.
+// bruteForce is the reference implementation for a year's moments. It matches every day against the rule and
+// searches day by day for the day that the calendar shifts it to. It finds instants by computing the zone's
+// local time for every quarter of an hour.
 type bruteForce struct {
 	schedule    *Schedule
 	calendar    *Calendar
@@ -77,7 +77,7 @@
 	return d, false
 }
 
-// instantsByLocalTime returns every quarter of an hour by what the zone's clock shows then.
+// instantsByLocalTime returns every quarter of an hour in [from, to), keyed by the zone's local time.
 func instantsByLocalTime(zone *time.Location, from, to time.Time) map[string][]time.Time {
 	out := map[string][]time.Time{}
 	for t := from; t.Before(to); t = t.Add(15 * time.Minute) {
@@ -125,7 +125,7 @@
 	instants := instantsByClock[localTime]
 	switch {
 	case len(instants) == 0 && b.schedule.Gap == GapAfter:
-		// The first quarter of an hour whose local time is later.
+		// Return the first quarter of an hour whose local time is later.
 		for t := d.utc().Add(-30 * time.Hour); t.Before(to.AddDate(0, 0, 2)); t = t.Add(15 * time.Minute) {
 			if t.In(b.schedule.location).Format("2006-01-02 15:04") > localTime {
 				return []time.Time{t}
@@ -139,7 +139,8 @@
 	return instants
 }
 
-// zones have clock changes of an hour and of half an hour, at midnight, across the date line, and none.
+// zones covers clock changes of an hour, of half an hour, at midnight and across the date line, and zones without
+// changes.
 var zones = []string{
 	"Asia/Bangkok",
 	"America/Los_Angeles",
@@ -153,8 +154,8 @@
 	"UTC",
 }
 
-// Generated rules, calendars and zones over ten years equal the slow way: no moment is repeated or
-// missing.
+// For generated rules, calendars and zones over ten years, the moments equal those of the reference
+// implementation: no moment is repeated or missing.
 func TestMomentsEqualBruteForce(t *testing.T) {
 	changed := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -177,7 +178,7 @@
 		for _, m := range moments {
 			if m.Dropped {
 				if m.Reason == "" {
-					t.Fatalf("%v is dropped without a reason", m)
+					t.Fatalf("got %v dropped without a reason, want a reason", m)
 				}
 				continue
 			}
@@ -194,11 +195,11 @@
 		}
 	})
 	if changed < 100 {
-		t.Errorf("%d moments differ from their nominal days and times: too few for the test", changed)
+		t.Errorf("got %d moments that differ from their nominal days and times, want at least 100", changed)
 	}
 }
 
-// iterateNext collects the moments in [from, to) by Next, one more than maxMoments at most.
+// iterateNext returns the moments in [from, to) that Next yields, at most maxMoments+1 of them.
 func iterateNext(s *Schedule, from, to time.Time, maxMoments int) (moments []string) {
 	after := from.Add(-time.Nanosecond)
 	for len(moments) <= maxMoments {
@@ -234,7 +235,7 @@
 	return c
 }
 
-// drawSchedule returns a schedule of calendar c, and what its rule means.
+// drawSchedule returns a schedule with calendar c, and a function that reports whether its rule selects a day.
 func drawSchedule(t *rapid.T, year int) (s *Schedule, matchesRule func(Date) bool) {
 	zone := rapid.SampledFrom(zones).Draw(t, "zone")
 	age, startDay := rapid.IntRange(0, 2).Draw(t, "age"), rapid.IntRange(1, 28).Draw(t, "start")
@@ -251,7 +252,7 @@
 		s.At = append(s.At, Clock(rapid.IntRange(0, 95).Draw(t, "quarter")*900))
 	}
 	if rapid.Bool().Draw(t, "night") {
-		s.At = append(s.At, Clock(rapid.IntRange(0, 14).Draw(t, "quarter")*900)) // when clocks change
+		s.At = append(s.At, Clock(rapid.IntRange(0, 14).Draw(t, "quarter")*900)) // the hours of clock changes
 	}
 	interval := rapid.IntRange(1, 4).Draw(t, "interval")
 	switch rapid.IntRange(0, 3).Draw(t, "rule") {
@@ -271,7 +272,7 @@
 	return s, func(d Date) bool { return d.Month == 2 && d.Day == 29 }
 }
 
-// Difficult days, each computed by hand.
+// The expected moments around clock changes, holidays and leap days were computed by hand.
 func TestMomentsAroundClockChangesAndHolidays(t *testing.T) {
 	const (
 		daily      = `rule = "FREQ=DAILY"` + "\n"
@@ -366,7 +367,7 @@
 at = ["01:00"]
 `
 	if _, err := ParseFile([]byte(valid)); err != nil {
-		t.Errorf("valid file: %v", err)
+		t.Errorf("valid file: got error %v, want none", err)
 	}
 	replaced := func(old, with string) string { return strings.Replace(valid, old, with, 1) }
 	calendar := func(fields string) string { return "[[calendar]]\nname = \"c\"\n" + fields + "\n" }
@@ -388,13 +389,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseFile([]byte(c.text))
 			if err == nil || !strings.Contains(err.Error(), c.expected) {
-				t.Errorf("got %v, want %q", err, c.expected)
+				t.Errorf("got error %v, want one that contains %q", err, c.expected)
 			}
 		})
 	}
 }
 
-// A calendar without a working day leads to an error, not to an endless search.
+// A calendar without a working day results in an error instead of an endless search.
 func TestCalendarWithoutWorkingDayReturnsError(t *testing.T) {
 	c := &Calendar{Name: "c", Working: []string{"mon"}}
 	for d := mustParseDate("2027-01-01"); d.Year < 2030; d = d.Add(1) {
@@ -416,7 +417,7 @@
 	}
 	_, err := s.Between(mustParseDate("2028-01-01").utc(), mustParseDate("2028-01-03").utc())
 	if !errors.Is(err, errNoWorkingDay) || !strings.Contains(err.Error(), "no working day") {
-		t.Errorf("got %v, want %v", err, errNoWorkingDay)
+		t.Errorf("got error %v, want %v", err, errNoWorkingDay)
 	}
 }
 
--- a/recurrence/schedule.go
+++ b/recurrence/schedule.go
@@ -6,12 +6,12 @@
 	"slices"
 	"strings"
 	"time"
-	_ "time/tzdata" // members without zone files, or with others, must agree
+	_ "time/tzdata" // members must agree even if their hosts have no zone files or other versions
 
 	"github.com/teambition/rrule-go"
 )
 
-// Gap is what happens to a time of day that a clock change skips. A day that a zone skipped is one
+// Gap is the policy for times of day that a clock change skips. A day that a time zone skipped is handled as one
 // long gap.
 type Gap string
 
@@ -21,7 +21,7 @@
 	GapSkip  Gap = "skip"  // dropped
 )
 
-// Overlap is what happens to a time of day that a clock change repeats.
+// Overlap is the policy for times of day that a clock change repeats.
 type Overlap string
 
 // The policies for overlaps.
@@ -31,13 +31,13 @@
 	OverlapBoth   Overlap = "both"
 )
 
-// Schedule defines when something recurs. Validate makes it ready for use.
+// Schedule defines the times at which something recurs. It is ready for use after Validate.
 type Schedule struct {
 	Name     string  `toml:"name"     json:"name"`
-	Zone     string  `toml:"zone"     json:"zone"`     // of the IANA database
-	Calendar string  `toml:"calendar" json:"calendar"` // by name; empty: every day is a working day
-	Rule     string  `toml:"rule"     json:"rule"`     // an RRULE of RFC 5545, of days: FREQ from DAILY to YEARLY
-	From     Date    `toml:"from"     json:"from"`     // the first day, and what INTERVAL counts from
+	Zone     string  `toml:"zone"     json:"zone"`     // name in the IANA time zone database
+	Calendar string  `toml:"calendar" json:"calendar"` // name of the calendar; empty: every day is a working day
+	Rule     string  `toml:"rule"     json:"rule"`     // RRULE of RFC 5545 that selects days: FREQ from DAILY to YEARLY
+	From     Date    `toml:"from"     json:"from"`     // first day, from which INTERVAL counts
 	Until    *Date   `toml:"until"    json:"until,omitempty"`
 	At       []Clock `toml:"at"       json:"at"`
 	Shift    Shift   `toml:"shift"    json:"shift"`
@@ -49,14 +49,14 @@
 	rule     *rrule.RRule
 }
 
-// Errors of schedules, wrapped with the field and its value.
+// Validation errors of schedules. They are wrapped with the field and its value.
 var (
 	ErrInvalidZone = errors.New("is no time zone")
 	ErrInvalidRule = errors.New("is no rule")
 )
 
-// Validate returns an error that names the first invalid field, sets the defaults of Shift, Gap and
-// Overlap, sorts At, and makes the schedule ready for use. The calendars are by name.
+// Validate makes the schedule ready for use, or returns an error that names the first invalid field. It sets
+// the defaults of Shift, Gap and Overlap, and sorts At. calendars is keyed by name.
 func (s *Schedule) Validate(calendars map[string]*Calendar) error {
 	if s.Name == "" {
 		return errors.New("name is missing")
@@ -77,7 +77,7 @@
 }
 
 func (s *Schedule) loadZone() (err error) {
-	if s.Zone == "" || s.Zone == "Local" { // which LoadLocation takes for UTC and the host's zone
+	if s.Zone == "" || s.Zone == "Local" { // LoadLocation maps these to UTC and to the host's zone
 		return fmt.Errorf("zone: %q %w", s.Zone, ErrInvalidZone)
 	}
 	if s.location, err = time.LoadLocation(s.Zone); err != nil {
@@ -126,8 +126,8 @@
 	return ValidateChoice("overlap", &s.Overlap, OverlapFirst, OverlapSecond, OverlapBoth)
 }
 
-// ValidateChoice returns an error that names the field unless a value is one of the allowed ones. An
-// empty value becomes the first of them.
+// ValidateChoice returns an error that names the field if the value is not one of the allowed ones. It sets an
+// empty value to the first of them.
 func ValidateChoice[T ~string](field string, value *T, allowed ...T) error {
 	if *value == "" {
 		*value = allowed[0]
@@ -142,7 +142,7 @@
 	return fmt.Errorf("%s: %q is none of %s", field, *value, strings.Join(names, ", "))
 }
 
-// allowedRuleFields are the fields of an RRULE that concern days.
+// allowedRuleFields lists the fields of an RRULE that select days.
 var allowedRuleFields = []string{
 	"FREQ",
 	"INTERVAL",
