--- a/client/client_test.go
+++ b/client/client_test.go
@@ -12,7 +12,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// fakeMember responds by a script, and notes when requests came.
+// fakeMember is an HTTP server that returns scripted responses and records the times of requests.
 type fakeMember struct {
 	addr         string
 	mu           sync.Mutex
@@ -25,8 +25,8 @@
 	return slices.Clone(m.requestTimes)
 }
 
-// noteRequest returns the number of the request, from 1 on.
-func (m *fakeMember) noteRequest() int {
+// recordRequest records the time of a request and returns the number of the request, starting from 1.
+func (m *fakeMember) recordRequest() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.requestTimes = append(m.requestTimes, time.Now())
@@ -41,13 +41,13 @@
 	}
 	m := &fakeMember{addr: listener.Addr().String()}
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
-	app.All("/*", func(c *fiber.Ctx) error { return respond(m.noteRequest(), c) })
+	app.All("/*", func(c *fiber.Ctx) error { return respond(m.recordRequest(), c) })
 	go func() { _ = app.Listener(listener) }()
 	t.Cleanup(func() { _ = app.ShutdownWithTimeout(time.Second) })
 	return m
 }
 
-// unreachableAddress returns an address on which nothing listens.
+// unreachableAddress returns an address on which no server listens.
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 	return c.Status(201).JSON(fiber.Map{"ref": testJob.ID, "stance": "pending"})
 }
 
-// newClient returns a client whose pauses are scaled by timeScale.
+// newClient returns a client whose retry delays and retry timeout are scaled by timeScale.
 func newClient(t *testing.T, timeScale float64, members ...string) *Client {
 	t.Helper()
 	c, err := New(members...)
@@ -80,7 +80,7 @@
 	TaskResources: TaskResources{CPUs: 1, MemoryGB: 1},
 }
 
-// A member that is unreachable costs nothing but the next one's response.
+// If a member is unreachable, the client sends the request to the next member without a further attempt.
 func TestUnreachableMemberFailsOverToNext(t *testing.T) {
 	member := startFakeMember(t, respondPending)
 	status, err := newClient(t, 1, unreachableAddress(t), member.addr).Submit(t.Context(), testJob)
@@ -88,14 +88,14 @@
 		t.Fatal(err)
 	}
 	if status.State != Pending || status.ID != testJob.ID {
-		t.Errorf("status %+v, want %s, %s", status, testJob.ID, Pending)
+		t.Errorf("got status %+v, want %s, %s", status, testJob.ID, Pending)
 	}
 	if got := len(member.requestedAt()); got != 1 {
-		t.Errorf("%d requests, want 1", got)
+		t.Errorf("got %d requests, want 1", got)
 	}
 }
 
-// Retry-After is honoured, and without it no request is repeated sooner than after a pause.
+// The client waits for the time in Retry-After before it retries. Without the header it waits at least a second.
 func TestRetryWaitsForRetryAfter(t *testing.T) {
 	member := startFakeMember(t, func(n int, c *fiber.Ctx) error {
 		switch n {
@@ -112,17 +112,17 @@
 	}
 	at := member.requestedAt()
 	if len(at) != 3 {
-		t.Fatalf("requests at %v, want 3", at)
+		t.Fatalf("got requests at %v, want 3 requests", at)
 	}
 	if got, want := at[1].Sub(at[0]), 100*time.Millisecond; got < want {
-		t.Errorf("after Retry-After: pause of %v, want at least %v", got, want)
+		t.Errorf("after Retry-After: got a delay of %v, want at least %v", got, want)
 	}
 	if got, want := at[2].Sub(at[1]), 20*time.Millisecond; got < want {
-		t.Errorf("without Retry-After: pause of %v, want at least %v", got, want)
+		t.Errorf("without Retry-After: got a delay of %v, want at least %v", got, want)
 	}
 }
 
-// A response that repeating does not change ends the call.
+// A final response ends the call without a retry.
 func TestFinalStatusIsNotRetried(t *testing.T) {
 	isRejected := func(err error) bool {
 		var rejected *RejectedError
@@ -146,35 +146,36 @@
 			})
 			_, err := newClient(t, 1, member.addr).Cancel(t.Context(), testJob.ID)
 			if !tc.check(err) {
-				t.Errorf("status %d: error %v", tc.status, err)
+				t.Errorf("status %d: got error %v", tc.status, err)
 			}
 			if got := len(member.requestedAt()); got != 1 {
-				t.Errorf("status %d: %d requests, want 1", tc.status, got)
+				t.Errorf("status %d: got %d requests, want 1", tc.status, got)
 			}
 		})
 	}
 }
 
-// Without a final response a call ends with an UnavailableError after several attempts, or with its context.
+// Without a final response, a call returns an UnavailableError after several attempts, or the context's error
+// when the context ends.
 func TestCallEndsWithoutFinalResponse(t *testing.T) {
 	member := startFakeMember(t, func(_ int, c *fiber.Ctx) error { return c.SendStatus(503) })
 	t.Run("unavailable", func(t *testing.T) {
 		_, err := newClient(t, 0.01, member.addr).Job(t.Context(), testJob.ID)
 		var unavailable *UnavailableError
 		if !errors.As(err, &unavailable) || unavailable.Attempts < 3 {
-			t.Errorf("error %v, want an UnavailableError after at least 3 attempts", err)
+			t.Errorf("got error %v, want an UnavailableError after at least 3 attempts", err)
 		}
 	})
 	t.Run("context cancelled", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := newClient(t, 1, member.addr).Job(ctx, testJob.ID); !errors.Is(err, context.Canceled) {
-			t.Errorf("error %v, want %v", err, context.Canceled)
+			t.Errorf("got error %v, want %v", err, context.Canceled)
 		}
 	})
 }
 
-// An invalid job is rejected before a request is sent.
+// An invalid job is rejected before the client sends a request.
 func TestInvalidJobIsRejectedWithoutRequest(t *testing.T) {
 	member := startFakeMember(t, respondPending)
 	c := newClient(t, 1, member.addr)
@@ -192,22 +193,22 @@
 			tc.change(&job)
 			var rejected *RejectedError
 			if _, err := c.Submit(t.Context(), job); !errors.As(err, &rejected) {
-				t.Errorf("error %v, want a RejectedError", err)
+				t.Errorf("got error %v, want a RejectedError", err)
 			}
 		})
 	}
 	if got := len(member.requestedAt()); got > 0 {
-		t.Errorf("%d requests, want none", got)
+		t.Errorf("got %d requests, want none", got)
 	}
 }
 
 func TestNewRejectsAddressWithoutPort(t *testing.T) {
 	if _, err := New("nowhere"); err == nil {
-		t.Error("no error")
+		t.Error("got no error, want one")
 	}
 }
 
-// Wait goes on while members are unavailable, and ends with the job.
+// Wait continues to query while members are unavailable, and returns when the job is done.
 func TestWaitSurvivesUnavailableMembers(t *testing.T) {
 	member := startFakeMember(t, func(n int, c *fiber.Ctx) error {
 		switch {
@@ -223,9 +224,9 @@
 	c := newClient(t, 0.002, member.addr)
 	status, err := c.Wait(t.Context(), testJob.ID, time.Millisecond, progress)
 	if err != nil || status.State != Done || status.Done != 3 {
-		t.Errorf("status %+v, error %v, want %s with 3 tasks done", status, err, Done)
+		t.Errorf("got status %+v, error %v, want %s with 3 tasks done", status, err, Done)
 	}
 	if len(seen) != 3 || seen[0] != Running {
-		t.Errorf("progress %v, want 3 states from %s on", seen, Running)
+		t.Errorf("got progress %v, want 3 states, the first of them %s", seen, Running)
 	}
 }
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -7,8 +7,7 @@
 	"github.com/grebedock/grebedock/internal/wire"
 )
 
-// TestSubmissionsKeepTheirForm compares what a client sends for a job whose fields
-// are all set.
+// TestSubmissionsKeepTheirForm compares the request body for a job with all fields set with a golden file.
 func TestSubmissionsKeepTheirForm(t *testing.T) {
 	var j Job
 	golden.Fill(&j)
--- a/client/job.go
+++ b/client/job.go
@@ -10,11 +10,11 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Kinds of jobs.
+// The kinds of jobs.
 const (
-	Array   = string(scheduler.Array)   // each task runs to its end
+	Array   = string(scheduler.Array)   // each task runs to completion
 	Service = string(scheduler.Service) // tasks run until the job is cancelled
-	Gang    = string(scheduler.Gang)    // tasks run only all together
+	Gang    = string(scheduler.Gang)    // all tasks run at the same time or none
 )
 
 var prioritiesByName = map[string]scheduler.Priority{
@@ -27,17 +27,17 @@
 
 // Job is a job to submit.
 type Job struct {
-	ID          string // "job-" and digits; empty: a new one
+	ID          string // "job-" and digits; empty: Submit generates one
 	Class, Team string
 	Kind        string // Array if empty
 	Priority    string // low, standard (if empty), high, production
-	Tasks       int    // at least 1, at most 100,000
+	Tasks       int    // from 1 to 100,000
 	TaskResources
 	Placement
 	TaskTimes
 }
 
-// TaskResources is what each task needs.
+// TaskResources holds the resource requests of each task.
 type TaskResources struct {
 	CPUs, GPUs float64
 	MemoryGB   float64
@@ -54,22 +54,22 @@
 	Spot    bool     // may run on spot machines, which the cloud reclaims
 }
 
-// TaskTimes are in seconds.
+// TaskTimes holds durations of a job and its tasks, in seconds.
 type TaskTimes struct {
-	EstimateS           float64 // of a task's run time without fetching its image
-	CheckpointS         float64 // between two checkpoints; 0: tasks save nothing
-	CheckpointDurationS float64 // that a stopped task needs to save
-	DeadlineS           float64 // of the job, from its submission on; 0: none
+	EstimateS           float64 // estimated run time of a task, without the image fetch
+	CheckpointS         float64 // interval between checkpoints; 0: tasks save no checkpoints
+	CheckpointDurationS float64 // time that a stopped task needs to save a checkpoint
+	DeadlineS           float64 // deadline of the job, from its submission; 0: none
 }
 
-// NewID returns an ID that nobody has used.
+// NewID returns a random ID, which is unique with high probability.
 func NewID() string { return fmt.Sprintf("job-%018d", rand.Uint64N(1e18)) }
 
-// toSchedulerJob returns the submission of a job, or a RejectedError.
+// toSchedulerJob converts a job to the scheduler's form. It returns a *RejectedError if the job is invalid.
 func (j *Job) toSchedulerJob() (*scheduler.Job, error) {
 	priority, ok := prioritiesByName[j.Priority]
 	if !ok {
-		return nil, invalid("priority %q is none of low, standard, high, production", j.Priority)
+		return nil, invalid("priority %q is not one of low, standard, high, production", j.Priority)
 	}
 	submission := &scheduler.Job{
 		ID:       j.ID,
@@ -103,9 +103,9 @@
 	}
 	switch {
 	case !wire.IsValidJobID(submission.ID):
-		return nil, invalid("id %q is not \"job-\" and digits", submission.ID)
+		return nil, invalid("id %q must consist of \"job-\" and digits", submission.ID)
 	case !isKnownKind(submission.Kind):
-		return nil, invalid("kind %q is none of array, service, gang", j.Kind)
+		return nil, invalid("kind %q is not one of array, service, gang", j.Kind)
 	case submission.Tasks < 1 || submission.Tasks > wire.MaxTasks:
 		return nil, invalid("tasks must be from 1 to %d", wire.MaxTasks)
 	}
