--- a/workflow/calls.go
+++ b/workflow/calls.go
@@ -11,24 +11,24 @@
 // callPhase is the progress of a call's job.
 type callPhase int
 
-// The phases of a call. A call returns to pending or running if a response is missing or requires
-// it.
+// The phases of a call. A call returns to pending or running if a request fails, or if the response
+// requires another step.
 const (
-	pending    callPhase = iota // next to be submitted, queried or read
-	submitting                  // its description, then its submission, is in progress
-	running                     // its job runs
+	pending    callPhase = iota // its submission, a query or a read of its outputs is due
+	submitting                  // its description is written, then its job is submitted
+	running                     // its job is live
 	querying                    // the state of its job is queried
 	reading                     // the outputs of its job are read
-	cancelling                  // its job is being cancelled
+	cancelling                  // the cancellation of its job is requested
 )
 
-// callState is a call with the progress of its job.
+// callState is a call of an active run, with the progress of its job.
 type callState struct {
 	*Call
 	job     string
 	phase   callPhase
-	jobDone bool // its job is done
-	retryAt int64
+	jobDone bool  // its job is done, and only its outputs remain to be read
+	retryAt int64 // monotonic time in ms; no step is taken before it
 }
 
 func (d *activeRun) addCalls(calls []*Call) {
@@ -43,8 +43,9 @@
 	}
 }
 
-// advanceCall takes the next step of a call. Its job may have been submitted before, by this
-// member or another: the id is the same, and the response has the job's state.
+// advanceCall takes the next step of a call. This member or a previous owner of the shard may have
+// submitted its job before. The second submission has the same ID, and its response has the job's
+// state.
 func (h *Host) advanceCall(d *activeRun, c *callState) {
 	switch c.phase {
 	case pending:
@@ -60,25 +61,25 @@
 		switch {
 		case d.isEnding():
 			h.cancel(d, c)
-		case h.jobsOver[c.job]:
-			delete(h.jobsOver, c.job) // one query for each end
+		case h.endedJobs[c.job]:
+			delete(h.endedJobs, c.job) // one query for each reported end
 			h.query(d, c)
 		}
 	}
 }
 
-// isCurrent reports whether the run and the call that sent a request still exist when its response
-// arrives.
+// isCurrent reports whether the run and the call that sent a request are still active when its
+// response arrives.
 func (h *Host) isCurrent(d *activeRun, c *callState) bool {
 	return h.runs[d.id] == d && d.calls[c.Path] == c
 }
 
-// retryLater schedules the next step of a call in delayS seconds, at least one.
+// retryLater sets the next phase of a call, which starts after delayS seconds, at least 1 s.
 func (h *Host) retryLater(c *callState, next callPhase, delayS int) {
 	c.phase, c.retryAt = next, h.Now.MonotonicMS+int64(max(delayS, 1))*1000
 }
 
-// writeDescription writes the description for the workers, then submits the job.
+// writeDescription writes the call's description for the workers, then submits its job.
 func (h *Host) writeDescription(d *activeRun, c *callState) {
 	job, err := h.buildJob(d, c)
 	if err != nil {
@@ -100,8 +101,8 @@
 
 func (h *Host) submit(d *activeRun, c *callState, job *scheduler.Job) {
 	token := h.view.ClaimTokens[d.record.Shard]
-	// The run's record and the shard's claim are preconditions: a submission that the network
-	// delivers late fails if the run was given up or another member drives it.
+	// The run's live record and the shard's claim are preconditions. They reject a submission that
+	// the network delivers after the run failed, was cancelled or moved to another member.
 	preconditions := []scheduler.Precondition{
 		{Key: liveKey(d.id), Revision: d.revision},
 		{Key: scheduler.ClaimKey(d.record.Shard), Revision: token},
@@ -129,7 +130,7 @@
 	)
 }
 
-// query queries the state of a call's job.
+// query requests the state of a call's job.
 func (h *Host) query(d *activeRun, c *callState) {
 	c.phase = querying
 	h.SendCore(scheduler.UserRequest{Kind: scheduler.QueryJob, ID: c.job}, func(a scheduler.UserResponse) {
@@ -141,7 +142,7 @@
 			h.applyJobState(d, c, a)
 		case a.Status == 200 || a.Status == 404:
 			if d.isEnding() {
-				delete(d.calls, c.Path) // never started, and now it cannot be
+				delete(d.calls, c.Path) // never submitted; the preconditions reject a late submission
 				return
 			}
 			h.retryLater(c, pending, 1)
@@ -151,7 +152,7 @@
 	})
 }
 
-// applyJobState applies a response about a call's job.
+// applyJobState applies the state of a call's job from a response.
 func (h *Host) applyJobState(d *activeRun, c *callState, a scheduler.UserResponse) {
 	switch {
 	case a.State == scheduler.Done:
@@ -182,7 +183,7 @@
 	})
 }
 
-// readOutputs fetches the outputs of a call whose job is done.
+// readOutputs reads the outputs of a call whose job is done, and completes the call.
 func (h *Host) readOutputs(d *activeRun, c *callState) {
 	c.phase = reading
 	h.SendRequest(Data{Job: c.job, Tasks: len(c.Inputs)}, func(r DataResult) {
@@ -219,7 +220,7 @@
 	d.evaluation.FailCall(c.Path, err)
 }
 
-// Defaults of jobs without hints.
+// Defaults for jobs without hints.
 const (
 	defaultRetries   = 2
 	defaultEstimateS = 60
--- a/workflow/description.go
+++ b/workflow/description.go
@@ -7,23 +7,23 @@
 	"github.com/grebedock/grebedock/extension"
 )
 
-// Data is a request to the storage of job descriptions and outputs. With a Description it is
-// written, otherwise the outputs of all tasks are read.
+// Data is a request to the storage of job descriptions and outputs. It writes Description if that
+// is set, and otherwise reads the outputs of all tasks of the job.
 type Data struct {
 	Job         string
 	Description []byte
 	Tasks       int
 }
 
-// DataResult is the response to a Data request. Missing reports that there is no such data, which
-// a retry does not change.
+// DataResult is the response to a Data request. Missing is the reason why outputs are missing or
+// unreadable, which a retry does not change. After Err, a retry may succeed.
 type DataResult struct {
 	Outputs []map[string]any
 	Missing string
 	Err     error
 }
 
-// description is what a worker needs to run a call's tasks.
+// description is the stored form of a call, from which workers run its tasks.
 type description struct {
 	Tool   map[string]any   `json:"tool"`
 	Inputs []map[string]any `json:"inputs"`
@@ -34,7 +34,7 @@
 	return extension.Encode(description{cwl.Pack(c.Tool), c.Inputs})
 }
 
-// DecodeDescription decodes what EncodeDescription wrote.
+// DecodeDescription decodes the output of EncodeDescription: the tool and the inputs of its tasks.
 func DecodeDescription(b []byte) (*cwl.Process, []map[string]any, error) {
 	var d struct {
 		Tool   json.RawMessage `json:"tool"`
--- a/workflow/evaluation.go
+++ b/workflow/evaluation.go
@@ -1,15 +1,15 @@
-// Package workflow runs workflows of the Common Workflow Language as jobs.
+// Package workflow runs workflows of the Common Workflow Language (CWL) as jobs.
 //
-// Run is the evaluation of one workflow: from the outputs of its steps' jobs it derives which jobs
-// come next, and in the end the workflow's outputs or its failure. Host keeps the runs of a
-// member: their records in the state service, which of them this member drives, and the requests
-// to the core. Both are state machines without input or output; time comes with the inputs, and
-// only the bounds on expressions read a clock.
+// Run evaluates one workflow. From the outputs of finished jobs it derives the jobs to start next,
+// and finally the workflow's outputs or its error. Host manages the runs of a member: it writes
+// their records to the state service, drives the runs of the shards that the member owns, and sends
+// requests to the core. Both are state machines without I/O. The caller passes the time with each
+// input, and only the time limits of expressions read a clock.
 //
-// The state of a run is its document, its inputs and the results of its jobs, and nothing else: a
-// job's id follows from the run and the step, its submission is idempotent, and its result is in
-// the state service. So the owner of the run's shard can continue from the document alone, however
-// the previous owner ended, and starts no step twice.
+// The state of a run consists only of its document, its inputs and the results of its jobs. A job's
+// ID is derived from the run and the step, its submission is idempotent, and its result is in the
+// state service. The owner of the run's shard can therefore continue from the stored document
+// alone, however the previous owner stopped, and it starts no step twice.
 package workflow
 
 import (
@@ -21,26 +21,26 @@
 	"github.com/grebedock/grebedock/cwl"
 )
 
-// Call is a tool that a step runs: one job, with a task for each of Inputs.
+// Call is a tool that a step runs: one job, with one task for each element of Inputs.
 type Call struct {
-	Path   string // of steps, from the outermost to this one: "outer[3]/inner"
+	Path   string // step IDs, outermost first, with scatter indexes: "outer[3]/inner"
 	Tool   *cwl.Process
 	Inputs []map[string]any
 
 	step   *stepState
-	slots  []int // by task: index of the scattered value that it computes
+	slots  []int // for each task, the index of its value in step.values
 	isOver bool
 }
 
-// frame is a running workflow: the run's own or one that a step runs.
+// frame is a workflow in evaluation: the run's own or a subworkflow that a step runs.
 type frame struct {
 	process        *cwl.Process
 	path           string
 	inputs         map[string]any
 	steps          map[string]*stepState
-	remainingSteps int // steps that are not over
+	remainingSteps int // number of unfinished steps
 
-	parent *stepState // step whose value at slot the frame computes
+	parent *stepState // step whose value at slot the frame computes; nil: the run's own
 	slot   int
 }
 
@@ -50,17 +50,17 @@
 	step          *cwl.Step
 	path          string
 	scatter       cwl.Scatter
-	values        []map[string]any // by slot; nil: skipped
-	missingValues int              // slots without a value
-	outputs       map[string]any   // once it is over
+	values        []map[string]any // outputs by slot; nil: skipped or missing
+	missingValues int              // number of slots without a result
+	outputs       map[string]any   // set when the step is finished
 	isOver        bool
 }
 
-// Run is a workflow's evaluation.
+// Run is the evaluation of a workflow.
 type Run struct {
 	root          *frame
-	calls         map[string]*Call // started and not over
-	finishedCalls int              // calls that are over
+	calls         map[string]*Call // unfinished calls by path
+	finishedCalls int              // number of finished calls
 	newCalls      []*Call
 	err           error
 	outputs       map[string]any
@@ -69,12 +69,12 @@
 	exploring bool
 }
 
-// New starts a run. A process that is not a workflow runs as the only step of one.
+// New starts a run. It wraps a process that is not a workflow in a workflow with a single step.
 func New(p *cwl.Process, inputs map[string]any) (*Run, error) { return newRun(p, inputs, false) }
 
-// Explore starts a run that continues past failures and is never over. It serves to find every
-// call that may have been started before a run was given up: calls that do not depend on a failed
-// one are started all the same.
+// Explore starts a run that continues past failures and never ends. It finds every call that may
+// have been started before a run failed or was cancelled: after a failure it still starts the calls
+// that do not depend on the failed one.
 func Explore(p *cwl.Process, inputs map[string]any) (*Run, error) { return newRun(p, inputs, true) }
 
 func newRun(p *cwl.Process, inputs map[string]any, exploring bool) (*Run, error) {
@@ -112,24 +112,24 @@
 	return w
 }
 
-// TakeNewCalls returns the calls to start, each only once.
+// TakeNewCalls returns the calls that became ready since its last invocation, each exactly once.
 func (r *Run) TakeNewCalls() []*Call {
 	f := r.newCalls
 	r.newCalls = nil
 	return f
 }
 
-// IsOver reports whether the run has ended, with Outputs or Err. Calls may still be in progress if
-// it failed.
+// IsOver reports whether the run has ended, with Outputs or Err. After a failure, calls may still be
+// in progress.
 func (r *Run) IsOver() bool { return r.isOver }
 
 // Outputs returns the outputs of the workflow.
 func (r *Run) Outputs() map[string]any { return r.outputs }
 
-// Err returns why the workflow failed, or nil.
+// Err returns the error that failed the run, or nil.
 func (r *Run) Err() error { return r.err }
 
-// OpenCalls lists the calls that have started and are not over, by path.
+// OpenCalls returns the unfinished calls, sorted by path.
 func (r *Run) OpenCalls() []*Call {
 	out := slices.Collect(maps.Values(r.calls))
 	slices.SortFunc(out, func(a, b *Call) int {
@@ -168,7 +168,7 @@
 	r.finishStepIfComplete(c.step)
 }
 
-// FailCall applies the failure of a call: the run fails, and starts nothing more.
+// FailCall applies the failure of a call: the run fails and starts no more calls, unless it explores.
 func (r *Run) FailCall(path string, err error) {
 	if c := r.calls[path]; c != nil && !c.isOver {
 		c.isOver = true
@@ -188,8 +188,8 @@
 	r.err, r.isOver, r.newCalls = err, true, nil
 }
 
-// advance starts the steps of a frame whose sources are all available, and ends the frame after
-// the last step.
+// advance starts the steps of a frame whose sources are all available, and finishes the frame after
+// its last step.
 func (r *Run) advance(f *frame) {
 	for _, s := range f.process.Steps {
 		if r.isOver || f.steps == nil {
@@ -215,7 +215,7 @@
 	return true
 }
 
-// splitSource splits "step/output"; an input of the workflow has no step.
+// splitSource splits "step/output". A source without a step is an input of the workflow.
 func splitSource(src string) (step, out string, ok bool) {
 	for i := len(src) - 1; i > 0; i-- {
 		if src[i] == '/' {
@@ -232,9 +232,9 @@
 	return f.inputs[src]
 }
 
-// maxStepEvaluation bounds the evaluation of one step's expressions for all its tasks together:
-// each expression has a bound of its own, but a step may have 100,000 tasks, and other runs of the
-// member wait meanwhile.
+// maxStepEvaluation limits the total time to evaluate one step's expressions for all its tasks.
+// Each expression has its own time limit, but a step may have 100,000 tasks, and the evaluation
+// blocks the member's other runs.
 const maxStepEvaluation = 30 * time.Second
 
 func (r *Run) beginStep(f *frame, s *cwl.Step) {
@@ -288,8 +288,9 @@
 	r.finishStepIfComplete(st)
 }
 
-// addSlot processes one set of a step's inputs: it adds them to the call of a tool, evaluates an
-// expression, or returns the frame of a workflow. A step whose condition is false does not run.
+// addSlot processes a step's inputs for one slot: it adds a task to the call of a tool, evaluates an
+// expression, or returns the frame of a subworkflow. It skips the slot if the step's condition is
+// false.
 func (c *Call) addSlot(slot int, path string, inputs map[string]any) (*frame, error) {
 	st := c.step
 	s := st.step
@@ -329,7 +330,7 @@
 	return nil, nil
 }
 
-// finishStepIfComplete ends a step that has all its values, and advances its frame.
+// finishStepIfComplete finishes a step that has all its values, and advances its frame.
 func (r *Run) finishStepIfComplete(st *stepState) {
 	if st.missingValues > 0 || st.isOver || r.isOver {
 		return
--- a/workflow/host.go
+++ b/workflow/host.go
@@ -10,33 +10,34 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Params are the settings that a host needs.
+// Params are the settings of a host.
 type Params struct {
-	Members    []string // in order; each has a shard of its name
+	Members    []string // member IDs in a fixed order; each is also the name of a shard
 	Teams      map[string]scheduler.Team
-	ValueBytes int
-	TxnOps     int
+	ValueBytes int // limit of a value in the state service
+	TxnOps     int // limit of changes in a transaction
 	HeartbeatS float64
-	// Limits bound the documents of runs, because a member keeps those that it drives in memory.
+	// Limits bounds the documents of runs, because a member keeps the runs that it drives in memory.
 	Limits cwl.Limits
 }
 
-// Outputs are the requests and responses of a host. The caller takes all of them after each input.
+// Outputs are the requests, responses and log lines of a host. The caller takes all of them after
+// each input.
 type Outputs = extension.Outputs[Data, Response]
 
-// Host keeps the runs of a member.
+// Host manages the runs of a member.
 type Host struct {
 	params Params
 	extension.Base[Data, DataResult, Response]
 
-	view     scheduler.ExtensionView
-	jobsOver map[string]bool // ended jobs among the watched ones
-	runs     map[string]*activeRun
-	loading  int
-	Counters Counters
+	view      scheduler.ExtensionView
+	endedJobs map[string]bool // watched jobs that the last view reports as ended
+	runs      map[string]*activeRun
+	loading   int // number of runs whose records are being read
+	Counters  Counters
 }
 
-// Counters are counts for operators' metrics.
+// Counters count a host's events for the member's metrics.
 type Counters struct{ Accepted, Finished, Failed, Cancelled, JobsSubmitted, Loaded uint64 }
 
 // activeRun is a run that this member drives.
@@ -47,30 +48,31 @@
 	evaluation   *Run
 	submission   *Submission
 	jobNumbers   map[string]int
-	calls        map[string]*callState // started and not over
-	recordedDone map[string]bool       // over, according to the store's pages
-	busy         bool                  // a load or a write of its record is in progress
-	retryAt      int64
+	calls        map[string]*callState // unfinished calls by path
+	recordedDone map[string]bool       // set of donePaths
+	busy         bool                  // a load or a write of its records is in progress
+	retryAt      int64                 // monotonic time in ms; no step is taken before it
 
-	donePaths       []string // paths of calls that are over, in the order recorded
-	storedCount     int      // how many of them are certainly in the store
+	donePaths       []string // paths of completed calls, in order of completion
+	storedCount     int      // number of leading donePaths that are confirmed in the store
 	donePages       []pageState
 	writing         bool
 	nextDoneWriteAt int64
-	finishedCalls   int
+	finishedCalls   int // completed and failed calls
 }
 
+// pageState is a stored page of donePaths.
 type pageState struct {
 	revision uint64
-	upTo     int // calls before this index are in it or in earlier pages
+	upTo     int // this page and the earlier ones hold donePaths[:upTo]
 }
 
 // NewHost returns a host without runs.
 func NewHost(p Params) *Host {
-	return &Host{params: p, jobsOver: map[string]bool{}, runs: map[string]*activeRun{}}
+	return &Host{params: p, endedJobs: map[string]bool{}, runs: map[string]*activeRun{}}
 }
 
-// WatchedJobs lists the jobs whose end the runs wait for; the next ExtensionView must cover them.
+// WatchedJobs lists the jobs whose end the runs wait for. The next ExtensionView must cover them.
 func (h *Host) WatchedJobs() []string {
 	var out []string
 	for _, d := range h.runs {
@@ -83,17 +85,17 @@
 	return out
 }
 
-// maxConcurrentLoads bounds the runs that are read concurrently after a claim: their reads share
-// the member's share of the store's rate limit with everything else.
+// maxConcurrentLoads bounds the runs that are read concurrently after a claim. Their reads compete
+// with all other requests for the member's share of the state service's rate limit.
 const maxConcurrentLoads = 8
 
-// Tick takes a view of the core's state, and advances all runs of the shards that this member
+// Tick applies a view of the core's state, and advances all runs of the shards that this member
 // owns.
 func (h *Host) Tick(now scheduler.Now, v scheduler.ExtensionView) {
 	h.Now, h.view = now, v
-	clear(h.jobsOver)
+	clear(h.endedJobs)
 	for _, id := range v.EndedJobs {
-		h.jobsOver[id] = true
+		h.endedJobs[id] = true
 	}
 	if !v.HasAuthority {
 		return
@@ -117,8 +119,8 @@
 			h.loadRun(d)
 		} else if kv.Rev > d.revision {
 			if rec.State != d.record.State {
-				// Given up: the member that drives the run now searches from the beginning for
-				// what was started.
+				// The run failed or was cancelled. The next tick loads it again and explores the
+				// workflow from its first step for calls that may have been started.
 				delete(h.runs, id)
 				continue
 			}
@@ -128,7 +130,7 @@
 	for _, id := range sortedKeys(h.runs) {
 		d := h.runs[id]
 		if !liveRuns[id] {
-			// Over, or no longer ours: the owner of the shard continues from the store.
+			// The run has ended, or another member owns its shard and continues from the store.
 			delete(h.runs, id)
 			continue
 		}
@@ -145,10 +147,10 @@
 	return out
 }
 
-// isEnding reports whether the run was given up and only stops what it started.
+// isEnding reports whether the run failed or was cancelled, and now only stops its jobs.
 func (d *activeRun) isEnding() bool { return d.record.State != Running }
 
-// advanceRun advances a run as far as possible.
+// advanceRun takes all steps of a run that are possible now.
 func (h *Host) advanceRun(d *activeRun) {
 	if d.busy || h.Now.MonotonicMS < d.retryAt {
 		return
@@ -162,7 +164,7 @@
 		}
 	}
 	if d.evaluation != nil {
-		// Calls that became ready by the end of another one.
+		// Calls that became ready when another one ended.
 		d.addCalls(d.evaluation.TakeNewCalls())
 	}
 	switch {
--- a/workflow/record_writes.go
+++ b/workflow/record_writes.go
@@ -8,18 +8,18 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// failRun records that a run ends without outputs, before any of its jobs is stopped: from then on
-// no member submits a job of it.
+// failRun records that a run ends without outputs, before any of its jobs is cancelled. After this
+// write, no member submits a job of the run.
 func (h *Host) failRun(d *activeRun, state State, reason string) {
 	rec := d.record
 	rec.State, rec.Error = state, truncateReason(reason)
 	h.writeRun(d, []scheduler.Change{{Key: liveKey(d.id), Value: extension.Encode(rec)}}, nil, func(uint64) {
-		delete(h.runs, d.id) // loaded again, as after a claim
-		h.Log("run given up", "run", d.id, "state", state, "why", rec.Error)
+		delete(h.runs, d.id) // the next tick loads it again, as after a claim
+		h.Log("run failed; cancelling its jobs", "run", d.id, "state", state, "why", rec.Error)
 	})
 }
 
-// truncateReason bounds the length of a reason, which goes into records and lines.
+// truncateReason bounds the length of a failure reason, which is stored, logged and sent to users.
 func truncateReason(s string) string {
 	if len(s) > 1000 {
 		return s[:1000] + "..."
@@ -27,7 +27,7 @@
 	return s
 }
 
-// finishRun writes the run's final result and deletes its live records.
+// finishRun writes the run's final record, and deletes its live record and its pages.
 func (h *Host) finishRun(d *activeRun) {
 	final := finalRecord{State: Done, AcceptedMS: d.record.AcceptedMS, EndedMS: h.Now.WallMS, Jobs: d.finishedCalls}
 	switch d.record.State {
@@ -47,8 +47,8 @@
 		)
 		return
 	}
-	// Pages of finished calls are deleted first if one transaction cannot hold all: without them a
-	// successor only sends more queries.
+	// If one transaction cannot hold all changes, the pages of completed calls are deleted first.
+	// Without them, the next owner of the shard only sends more queries.
 	if n := len(d.donePages); n > 0 && d.record.Pages+2+n > h.params.TxnOps {
 		removable := min(n, h.params.TxnOps-1)
 		var changes []scheduler.Change
@@ -75,13 +75,13 @@
 		default:
 			h.Counters.Cancelled++
 		}
-		h.Log("run over", "run", d.id, "state", final.State, "jobs", final.Jobs)
+		h.Log("run finished", "run", d.id, "state", final.State, "jobs", final.Jobs)
 	})
 }
 
-// writeRun changes the stored records of a run, with its live record and the claim as
-// preconditions. The next view settles a write of unknown outcome: a changed record has another
-// revision, and a missing one ends the run here.
+// writeRun changes the stored records of a run, with its live record and the shard's claim as
+// preconditions. The next view resolves a write of unknown outcome: a changed live record has a new
+// revision, and without a live record the member drops the run.
 func (h *Host) writeRun(
 	d *activeRun,
 	changes []scheduler.Change,
@@ -115,11 +115,11 @@
 	)
 }
 
-// doneWriteHeartbeats is the interval, in heartbeat intervals of the workers, between writes of
-// finished calls. They only save a successor queries.
+// doneWriteHeartbeats is the interval between writes of completed calls, in heartbeat intervals of
+// the workers. These writes only save the next owner of the shard some queries.
 const doneWriteHeartbeats = 2
 
-// writeDonePaths writes the paths of calls that are over.
+// writeDonePaths writes the paths of completed calls that are not stored yet.
 func (h *Host) writeDonePaths(d *activeRun) {
 	if d.busy || d.writing || d.storedCount == len(d.donePaths) || h.Now.MonotonicMS < d.nextDoneWriteAt ||
 		h.runs[d.id] != d ||
@@ -128,7 +128,7 @@
 	}
 	n, from, upTo := d.nextDonePage(h.params.ValueBytes)
 	if upTo == from {
-		d.nextDoneWriteAt = h.Now.MonotonicMS + 60_000 // a path longer than a page
+		d.nextDoneWriteAt = h.Now.MonotonicMS + 60_000 // the next path is longer than a page
 		return
 	}
 	var oldRevision uint64
@@ -158,7 +158,8 @@
 	})
 }
 
-// rereadDonePage reads a page after a write of unknown outcome or a conflict.
+// rereadDonePage reads a page of done paths after a write of unknown outcome or a conflict, to get
+// its current revision.
 func (h *Host) rereadDonePage(d *activeRun, key string, n, from int) {
 	d.writing = true
 	h.Get(scheduler.UrgencyBackground, key, func(it scheduler.KeyValue, ok bool) {
@@ -170,8 +171,8 @@
 	})
 }
 
-// nextDonePage returns the page to write next and the range of calls in it. The last page is
-// filled up; a full one is never written again.
+// nextDonePage returns the index of the page to write next and the range of donePaths in it. It
+// extends the last page until that is full; a full page is never rewritten.
 func (d *activeRun) nextDonePage(valueBytes int) (n, from, upTo int) {
 	n = len(d.donePages)
 	if n > 0 {
@@ -188,7 +189,7 @@
 	return n, from, upTo
 }
 
-// fillPage returns the end of the range of finished calls, beginning with from, that fits a page.
+// fillPage returns the end of the longest range of donePaths that starts at from and fits in a page.
 func (d *activeRun) fillPage(from, valueBytes int) (upTo int) {
 	size := len("[]")
 	upTo = from
--- a/workflow/records.go
+++ b/workflow/records.go
@@ -17,13 +17,14 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Keys of the state service. Live records are small and in the state cache of every member;
-// documents and finished calls are read by the member that drives the run; final results are kept.
+// Keys in the state service. Live records are small, and every member has them in its state cache.
+// Only the member that drives a run reads its document and its completed calls. Final results are
+// kept after the run.
 //
-//	l/x/w/ID   that the run lives: its shard, its state
-//	w/ID/d0    its document and inputs, compressed, in pages
-//	w/ID/s0    paths of calls that are over, in pages
-//	wf/ID      its final result
+//	l/x/w/ID   live record of a run: its shard and its state
+//	w/ID/d0    document and inputs, compressed, in pages
+//	w/ID/s0    paths of completed calls, in pages
+//	wf/ID      final result
 const (
 	LivePrefix  = scheduler.ExtensionPrefix + "w/"
 	pagesPrefix = "w/"
@@ -41,8 +42,8 @@
 // State is the state of a run as users see it.
 type State string
 
-// The states of a run. Failing and Cancelling runs start nothing more and stop what still runs of
-// them; their final state is decided.
+// The states of a run. A run in state Failing or Cancelling starts no more jobs and cancels those
+// that are still live. Its final state is already decided.
 const (
 	Running    State = "running"
 	Failing    State = "failing"
@@ -55,14 +56,14 @@
 // IsFinal reports whether a run in this state never changes again.
 func (s State) IsFinal() bool { return s == Done || s == Failed || s == Cancelled }
 
-// liveRecord is the record of a run that is not over.
+// liveRecord is the record of a run that has not ended.
 type liveRecord struct {
 	Shard      string `json:"shard"`
 	State      State  `json:"state"`
 	Error      string `json:"error,omitempty"`
-	AcceptedMS int64  `json:"at"` // time of day, ms
+	AcceptedMS int64  `json:"at"` // wall-clock time, ms
 	Pages      int    `json:"pages"`
-	FirstJobID int64  `json:"first,omitempty"` // first of the job ids that its submitter reserved
+	FirstJobID int64  `json:"first,omitempty"` // first of the job IDs that the submitter reserved; 0: none
 }
 
 // finalRecord is a run's final result.
@@ -75,17 +76,17 @@
 	Jobs       int            `json:"jobs"`
 }
 
-// Submission is a user's request for a run. The document is one of Document, in JSON, or Packed,
-// the same compressed: a request has at most 64 KiB.
+// Submission is a user's request to start a run. The document is either Document, as JSON, or
+// Packed, its compressed form, because a request has at most 64 KiB.
 type Submission struct {
 	ID       string          `json:"id"`
 	Document json.RawMessage `json:"document,omitempty"`
 	Packed   []byte          `json:"packed,omitempty"` // zstd; base64 in JSON
 	Inputs   map[string]any  `json:"inputs"`
-	// Job has the defaults for steps whose hints do not set them.
+	// Job contains the defaults for steps whose hints do not set them.
 	Job *cwl.JobHint `json:"job,omitempty"`
-	// Jobs reserves the ids job-First to job-(First+Count-1) for the run's
-	// steps; without it the run derives its own.
+	// Jobs reserves the IDs job-First to job-(First+Count-1) for the run's steps. Without it, the
+	// run derives the job IDs from its own ID and the paths of the calls.
 	Jobs *struct {
 		First int64 `json:"first"`
 		Count int   `json:"count"`
@@ -104,7 +105,7 @@
 // Pack compresses a document for a submission.
 func Pack(document []byte) []byte { return compressor.EncodeAll(document, nil) }
 
-// decompress reverses Pack; it returns an error if the document has more than limit bytes.
+// decompress reverses Pack. It returns an error if the document has more than limit bytes.
 func decompress(b []byte, limit int) ([]byte, error) {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(limit)))
 	if err != nil {
@@ -121,11 +122,11 @@
 	return out, nil
 }
 
-// maxStoredChars bounds the characters of a run's compressed document and inputs in the store:
-// they go in one transaction of 64 KiB.
+// maxStoredChars bounds the characters of a run's compressed document and inputs in the state
+// service, because one transaction of at most 64 KiB writes all of them.
 const maxStoredChars = 48 << 10
 
-// encodePages encodes a submission as values of the store.
+// encodePages encodes a submission as values of at most valueBytes for the state service.
 func encodePages(s *Submission, valueBytes int) ([]json.RawMessage, error) {
 	text := base64.StdEncoding.EncodeToString(compressor.EncodeAll(extension.Encode(s), nil))
 	if len(text) > maxStoredChars {
@@ -140,7 +141,7 @@
 	return out, nil
 }
 
-// decodePages decodes what encodePages wrote.
+// decodePages decodes the output of encodePages.
 func decodePages(values []json.RawMessage) (*Submission, error) {
 	var text strings.Builder
 	for _, v := range values {
@@ -161,7 +162,7 @@
 	return &s, decodeSubmission(b, &s)
 }
 
-// decodeSubmission decodes JSON and keeps integers of the inputs as integers.
+// decodeSubmission decodes a submission from JSON. Integers in the inputs stay integers.
 func decodeSubmission(b []byte, s *Submission) error {
 	if err := json.Unmarshal(b, s); err != nil {
 		return err
@@ -179,7 +180,7 @@
 	return err
 }
 
-// loadDocument reads a submission's document.
+// loadDocument parses a submission's document. It first decompresses a packed one into Document.
 func (s *Submission) loadDocument(limits cwl.Limits) (*cwl.Process, error) {
 	if len(s.Packed) > 0 {
 		b, err := decompress(s.Packed, limits.Bytes)
@@ -199,8 +200,8 @@
 	})
 }
 
-// jobIDOf returns the id of a call's job: derived from the run and the path, or the reserved id at
-// the call's number.
+// jobIDOf returns the ID of a call's job: the reserved ID at the call's number if first is positive,
+// otherwise an ID derived from the run and the path.
 func jobIDOf(run, path string, first int64, numbers map[string]int) string {
 	if first > 0 {
 		return "job-" + strconv.FormatInt(first+int64(numbers[path]), 10)
@@ -212,8 +213,8 @@
 	return "job-" + strconv.FormatUint(1e15+h.Sum64()%9e15, 10)
 }
 
-// numberTools numbers the tools that a process's steps run, by path. In a scattered workflow their
-// number depends on its inputs, so they have no such numbers.
+// numberTools numbers the tools that a process's steps run, by path. It returns an error for a
+// scattered subworkflow, because the number of its tools depends on the inputs.
 func numberTools(p *cwl.Process, path string, numbers map[string]int) error {
 	if p.Class != cwl.Flow {
 		p = singleStepWorkflow(p)
--- a/workflow/requests.go
+++ b/workflow/requests.go
@@ -12,24 +12,24 @@
 // Kind is the kind of a user's request.
 type Kind int
 
-// The requests of users.
+// The kinds of user requests.
 const (
 	Submit Kind = iota
 	Query
 	Abort
 )
 
-// Request is a user's request. Body is a submission's.
+// Request is a user's request. Body is the body of a submission.
 type Request struct {
 	Kind Kind
 	ID   string
 	Body []byte
 }
 
-// Response is the response to a user.
+// Response is the response to a user's request.
 type Response struct {
 	Status      int            `json:"-"`
-	RetryAfterS int            `json:"-"` // seconds until a retry, if >0
+	RetryAfterS int            `json:"-"` // seconds until a retry, if > 0
 	ID          string         `json:"id,omitempty"`
 	State       State          `json:"state,omitempty"`
 	Error       string         `json:"error,omitempty"`
@@ -37,7 +37,7 @@
 	Steps       []Step         `json:"steps,omitempty"`
 }
 
-// Step is the progress of a call of a run.
+// Step is the progress of one call of a run.
 type Step struct {
 	Step  string `json:"step"`
 	State string `json:"state"`
@@ -45,15 +45,15 @@
 	Tasks int    `json:"tasks,omitempty"`
 }
 
-// maxStepsBytes bounds the steps of a response: a line to users has at most 64 KiB, and a run's
-// error and outputs take some of it.
+// maxStepsBytes bounds the steps in a response. A response to a user has at most 64 KiB, and a run's
+// error and outputs take part of that.
 const maxStepsBytes = 32 << 10
 
 func unavailable(id, reason string) Response {
 	return Response{Status: 503, ID: id, Error: reason, RetryAfterS: 1}
 }
 
-// HandleRequest handles a user's request; replyID identifies it in the responses of the outputs.
+// HandleRequest handles a user's request. The key of its response in Outputs.Responses is replyID.
 func (h *Host) HandleRequest(now scheduler.Now, replyID uint64, r Request) {
 	h.Now = now
 	if r.Kind != Submit && !runIDPattern.MatchString(r.ID) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// readRun reads a run from the store: the live record first, then the final one, in the order in
-// which a run moves. A live record is passed to onResponse.
+// readRun reads a run from the state service: the live record first, then the final one, because a
+// run moves in this order. If there is a live record, onResponse gets it too.
 func (h *Host) readRun(id string, steps bool, onResponse func(Response, *scheduler.KeyValue)) {
 	h.Get(scheduler.UrgencyRead, liveKey(id), func(it scheduler.KeyValue, ok bool) {
 		var rec liveRecord
@@ -92,7 +92,7 @@
 	})
 }
 
-// readFinalRecord reads the final result of a run from the store.
+// readFinalRecord reads the final result of a run from the state service.
 func (h *Host) readFinalRecord(id string, onResponse func(Response)) {
 	h.Get(scheduler.UrgencyRead, finalKey(id), func(it scheduler.KeyValue, ok bool) {
 		var f finalRecord
@@ -109,7 +109,7 @@
 	})
 }
 
-// addSteps adds the steps of a run that this member drives; other members know only that it is
+// addSteps adds the steps of a run that this member drives. Other members know only that the run is
 // live.
 func (h *Host) addSteps(a *Response) {
 	d := h.runs[a.ID]
@@ -134,7 +134,7 @@
 		}
 		a.Steps = append(a.Steps, Step{Step: p, State: state, Job: c.job, Tasks: len(c.Inputs)})
 	}
-	// The newest that fit: a line to users is bounded, and paths may be long.
+	// Keep the newest steps that fit: the size of a response is bounded, and paths may be long.
 	first, size := len(a.Steps), 0
 	for first > 0 && size+len(extension.Encode(a.Steps[first-1])) < maxStepsBytes {
 		first--
@@ -143,7 +143,7 @@
 	a.Steps = a.Steps[first:]
 }
 
-// accept handles a submission: it is validated completely before anything is stored.
+// accept handles a submission. It validates the submission completely before it stores anything.
 func (h *Host) accept(replyID uint64, body []byte) {
 	var s Submission
 	if err := decodeSubmission(body, &s); err != nil {
@@ -155,7 +155,7 @@
 		return
 	}
 	rejectUnlessKnown := func(a Response) {
-		// A repeated submission of a known run succeeds whatever its body is now.
+		// A repeated submission of a known run succeeds, whatever its body contains now.
 		h.readRun(s.ID, false, func(known Response, _ *scheduler.KeyValue) {
 			if known.Status == 404 {
 				known = a
@@ -182,8 +182,8 @@
 	h.writeSubmission(replyID, s.ID, rec, values)
 }
 
-// writeSubmission stores a run with the pages of its document and inputs, and
-// responds once the store has them.
+// writeSubmission stores a run with the pages of its document and inputs, and responds once the
+// state service has stored them.
 func (h *Host) writeSubmission(replyID uint64, id string, rec liveRecord, pages []json.RawMessage) {
 	changes := []scheduler.Change{{Key: liveKey(id), Value: extension.Encode(rec)}}
 	for i, v := range pages {
@@ -213,7 +213,8 @@
 	})
 }
 
-// validate parses a submission's document and inputs as a run of it would.
+// validate checks a submission's document and inputs as a run does, and sets the reserved job IDs in
+// rec.
 func (h *Host) validate(s *Submission, rec *liveRecord) (status int, err error) {
 	p, err := s.loadDocument(h.params.Limits)
 	if err != nil {
@@ -265,7 +266,7 @@
 	return 0, nil
 }
 
-// abortRun records that a run ends as cancelled. The member that drives it stops its jobs.
+// abortRun records that a run ends as cancelled. The member that drives the run cancels its jobs.
 func (h *Host) abortRun(replyID uint64, id string, attempts int) {
 	h.readRun(id, false, func(a Response, it *scheduler.KeyValue) {
 		if it == nil || a.State != Running {
@@ -288,7 +289,7 @@
 			func(r scheduler.StoreResult) {
 				switch {
 				case r.Outcome == scheduler.OK:
-					h.Log("run cancelled", "run", id)
+					h.Log("run cancellation requested", "run", id)
 					h.Respond(replyID, Response{Status: 200, ID: id, State: Cancelling})
 				case (r.Outcome == scheduler.Conflict || r.Outcome == scheduler.Unknown) && attempts > 0:
 					h.abortRun(replyID, id, attempts-1)
--- a/workflow/restore.go
+++ b/workflow/restore.go
@@ -9,7 +9,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// loadRun reads a run's document and its finished calls.
+// loadRun reads a run's document and its completed calls from the state service.
 func (h *Host) loadRun(d *activeRun) {
 	d.busy = true
 	h.loading++
@@ -29,12 +29,13 @@
 	})
 }
 
-// onRunLoaded continues a run whose records were read.
+// onRunLoaded restores a run from its records and continues it.
 func (h *Host) onRunLoaded(d *activeRun, items []scheduler.KeyValue) {
 	d.busy = false
 	if err := d.restore(items, h.params.Limits); err != nil {
-		// It was validated when submitted: only a change of the program's own parser leads here.
-		h.Log("run unreadable", "run", d.id, "error", err)
+		// The submission was valid when it was accepted, so only a change of this program's parser
+		// causes an error.
+		h.Log("failed to restore run", "run", d.id, "error", err)
 		d.record.State, d.record.Error = Failing, err.Error()
 	}
 	if h.runs[d.id] == d {
@@ -42,7 +43,7 @@
 	}
 }
 
-// restore rebuilds a run from its records.
+// restore rebuilds a run from its stored records.
 func (d *activeRun) restore(items []scheduler.KeyValue, limits cwl.Limits) error {
 	values := make([]json.RawMessage, d.record.Pages)
 	donePages := map[int]scheduler.KeyValue{}
