--- a/workflow/evaluation_test.go
+++ b/workflow/evaluation_test.go
@@ -11,8 +11,8 @@
 	"github.com/grebedock/grebedock/cwl"
 )
 
-// workflowGenerator generates random workflows. Values are integers and lists of them; its tools
-// add and sum, so that direct evaluation gives the same result.
+// workflowGenerator generates random workflows. Their values are integers and lists of integers.
+// Their tools only add and sum, so that direct evaluation gives the same result.
 type workflowGenerator struct {
 	rng   *rand.Rand
 	depth int
@@ -48,7 +48,7 @@
 }
 
 func (p *workflowGenerator) generate(steps int) object {
-	ints, lists, maybes := []string{"a", "b"}, []string{"l"}, []string{}
+	ints, lists, optionalInts := []string{"a", "b"}, []string{"l"}, []string{}
 	pick := func(of []string) string { return of[p.rng.IntN(len(of))] }
 	list := []any{}
 	for i := range steps {
@@ -74,10 +74,10 @@
 				"x": pick(ints),
 				"y": object{"source": pick(ints), "valueFrom": "$(self + 2)"},
 			}
-			maybes = append(maybes, id+"/z")
-		case k == 5 && len(maybes) > 0:
+			optionalInts = append(optionalInts, id+"/z")
+		case k == 5 && len(optionalInts) > 0:
 			step["run"], step["in"] = addTool, object{
-				"x": object{"source": []any{pick(maybes), pick(ints)}, "pickValue": "first_non_null"},
+				"x": object{"source": []any{pick(optionalInts), pick(ints)}, "pickValue": "first_non_null"},
 				"y": pick(ints),
 			}
 			ints = append(ints, id+"/z")
@@ -142,13 +142,13 @@
 	return p, b
 }
 
-// evaluateTool does what a worker does. Some inputs make it fail.
+// evaluateTool computes a tool's outputs, as a worker does. It fails for some inputs.
 func evaluateTool(p *cwl.Process, in map[string]any) (map[string]any, error) {
 	n := func(v any) int64 { i, _ := v.(int64); return i }
 	var z int64
 	if p.ID == "add" {
 		if z = n(in["x"])*3 + n(in["y"]) + 1; z%41 == 40 {
-			return nil, errors.New("the tool fails")
+			return nil, errors.New("tool failed")
 		}
 	} else {
 		for _, x := range in["xs"].([]any) {
@@ -158,7 +158,7 @@
 	return map[string]any{"z": z % 1000}, nil
 }
 
-// evaluateDirectly evaluates a process step after step, without any of Run's code.
+// evaluateDirectly evaluates a process step by step, without any code of Run.
 func evaluateDirectly(p *cwl.Process, in map[string]any) (map[string]any, error) {
 	switch p.Class {
 	case cwl.Tool:
@@ -217,8 +217,8 @@
 	return p, doc, map[string]any{"a": rng.Int64N(20), "b": rng.Int64N(20), "l": []any{rng.Int64N(9), rng.Int64N(9)}}
 }
 
-// Whatever the order in which jobs end, a run has the same outputs as direct evaluation, and fails
-// if that fails.
+// TestRunEqualsDirectEvaluation checks that a run gives the same outputs as direct evaluation, in
+// whatever order its jobs end, and that it fails if and only if direct evaluation fails.
 func TestRunEqualsDirectEvaluation(t *testing.T) {
 	failed, tasks := 0, 0
 	for seed := range uint64(250) {
@@ -234,7 +234,7 @@
 		for !r.IsOver() || len(open) > 0 {
 			for _, c := range r.TakeNewCalls() {
 				if started[c.Path] {
-					t.Fatalf("seed %d: %s is started twice", seed, c.Path)
+					t.Fatalf("seed %d: call %s was started twice", seed, c.Path)
 				}
 				started[c.Path] = true
 				open = append(open, c)
@@ -263,18 +263,18 @@
 			}
 		}
 		if !r.IsOver() {
-			t.Fatalf("seed %d: nothing is open and the run is not over", seed)
+			t.Fatalf("seed %d: no call is in progress, but the run has not ended", seed)
 		}
 		if (wantErr != nil) != (r.Err() != nil) {
-			t.Fatalf("seed %d: a run ends with %v, a plain evaluation with %v", seed, r.Err(), wantErr)
+			t.Fatalf("seed %d: got error %v, want as in direct evaluation: %v", seed, r.Err(), wantErr)
 		}
 		if wantErr != nil {
 			failed++
 		} else if !reflect.DeepEqual(r.Outputs(), want) {
-			t.Fatalf("seed %d: a run gives %v, a plain evaluation %v", seed, r.Outputs(), want)
+			t.Fatalf("seed %d: got outputs %v, want %v", seed, r.Outputs(), want)
 		}
 	}
 	if failed < 15 || failed > 200 || tasks < 1000 {
-		t.Errorf("%d of 250 workflows failed, %d tasks ran: the generator does not try enough", failed, tasks)
+		t.Errorf("%d of 250 workflows failed, want 15 to 200; %d tasks ran, want at least 1000", failed, tasks)
 	}
 }
--- a/workflow/golden_test.go
+++ b/workflow/golden_test.go
@@ -8,7 +8,8 @@
 	"github.com/grebedock/grebedock/internal/golden"
 )
 
-func record[T any](t *testing.T, path string) {
+// checkRecordForm compares the JSON form of a record type with a golden file, in both directions.
+func checkRecordForm[T any](t *testing.T, path string) {
 	t.Helper()
 	var v T
 	golden.Fill(&v)
@@ -17,9 +18,10 @@
 		func(b []byte) (v T, err error) { return v, json.Unmarshal(b, &v) })
 }
 
+// TestStoredRecordsKeepTheirForm compares the records of runs with golden files.
 func TestStoredRecordsKeepTheirForm(t *testing.T) {
-	record[liveRecord](t, "live.json")
-	record[finalRecord](t, "final.json")
+	checkRecordForm[liveRecord](t, "live.json")
+	checkRecordForm[finalRecord](t, "final.json")
 	golden.Compare(
 		t,
 		"empty.jsonl",
@@ -27,8 +29,8 @@
 	)
 }
 
-func TestAnswersKeepTheirForm(t *testing.T) {
-	record[Response](t, "answer.json")
+func TestResponsesKeepTheirForm(t *testing.T) {
+	checkRecordForm[Response](t, "answer.json")
 }
 
 func TestSubmissionsKeepTheirForm(t *testing.T) {
@@ -63,12 +65,12 @@
 		return *read, nil
 	})
 	if len(stored) < 2 {
-		t.Errorf("the submission takes %d pages, which tests no second one", len(stored))
+		t.Errorf("got %d pages, want at least 2", len(stored))
 	}
 }
 
-// TestDescriptionsKeepTheirForm compares the description of a call that workers read with a golden
-// file.
+// TestDescriptionsKeepTheirForm compares the description of a call, which workers read, with a
+// golden file.
 func TestDescriptionsKeepTheirForm(t *testing.T) {
 	golden.JSON[description](t, "description.json")
 }
@@ -84,11 +86,11 @@
 		{jobIDOf("run", "step/tool", 100, map[string]int{"step/tool": 2}), "job-102"},
 	} {
 		if k.key != k.expected {
-			t.Errorf("the key is %q, not %q", k.key, k.expected)
+			t.Errorf("got key %q, want %q", k.key, k.expected)
 		}
 	}
 }
 
-func TestStatesKeepTheirWords(t *testing.T) {
+func TestStateNamesKeepTheirForm(t *testing.T) {
 	golden.Compare(t, "states.json", extension.Encode([]State{Running, Failing, Cancelling, Done, Failed, Cancelled}))
 }
--- a/workflow/host_benchmark_test.go
+++ b/workflow/host_benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// chainWorkflow returns a workflow of n steps that follow each other.
+// chainWorkflow returns a workflow of n steps, each of which depends on the previous one.
 func chainWorkflow(n int) object {
 	steps, last := object{}, "a"
 	for i := range n {
@@ -33,7 +33,7 @@
 	}
 }
 
-// runToEnd advances a simulation without faults until its runs are over, and returns the time that
+// runToEnd advances a simulation without faults until its runs have ended, and returns the time that
 // its hosts took.
 func runToEnd(t testing.TB, w *simulation, ids []string) (hostTime time.Duration) {
 	remaining := map[string]bool{}
@@ -42,7 +42,7 @@
 	}
 	for n := 0; len(remaining) > 0; n++ {
 		if n > 100_000 {
-			t.Fatalf("%d runs do not end", len(remaining))
+			t.Fatalf("%d runs have not ended after 100,000 views", len(remaining))
 		}
 		w.now += 200
 		for _, m := range w.members {
@@ -72,8 +72,8 @@
 	return hostTime
 }
 
-// The cost of a step: the host's time, and writes and bytes in the state service beside those of
-// its job.
+// BenchmarkChainOf1000 measures the cost of a step: the host's time, and the changes and bytes
+// written to the state service in addition to those of its job.
 func BenchmarkChainOf1000(b *testing.B) {
 	_, doc := loadDocument(b, chainWorkflow(1000))
 	for b.Loop() {
@@ -86,7 +86,7 @@
 		}
 		host := runToEnd(b, w, []string{"run"})
 		if w.created != 1000 {
-			b.Fatalf("%d of 1000 steps ran", w.created)
+			b.Fatalf("got %d steps, want 1000", w.created)
 		}
 		b.ReportMetric(float64(w.created)/host.Seconds(), "steps/s")
 		b.ReportMetric(float64(w.writes)/1000, "changes/step")
@@ -98,7 +98,7 @@
 	_, doc := loadDocument(b, scatterWorkflow())
 	l := make([]any, 10_000)
 	for i := range l {
-		l[i] = int64(i%9) * 41 // none of them fails
+		l[i] = int64(i%9) * 41 // evaluateTool never fails for these
 	}
 	for b.Loop() {
 		w := newSimulation(b, 1, false)
@@ -115,7 +115,7 @@
 	}
 }
 
-// dispatchAll responds to one host's requests until it has none.
+// dispatchAll executes one host's requests until it sends no more.
 func (w *simulation) dispatchAll(m string) (requests int, host time.Duration) {
 	h := w.hosts[m]
 	for {
@@ -148,8 +148,9 @@
 	}
 }
 
-// The cost for a member to continue 1,000 live runs after it claimed all shards: the time of its
-// host, its requests, and how long that takes at ten views for a claim's worth of loads.
+// BenchmarkRecoveryOf1000Runs measures the cost to continue 1,000 live runs after a member claimed
+// all shards: the time of its host, its requests, and the number of views until all runs have
+// continued. The benchmark fails after ten views per run.
 func BenchmarkRecoveryOf1000Runs(b *testing.B) {
 	const runs = 1000
 	_, doc := loadDocument(b, chainWorkflow(10))
@@ -169,12 +170,12 @@
 			)
 			w.dispatchAll("m-0")
 		}
-		begin := func() (ticks, requests int, host time.Duration) {
+		tickUntilRunning := func() (ticks, requests int, host time.Duration) {
 			h := w.hosts["m-0"]
 			w.refreshView("m-0")
 			for ; len(h.WatchedJobs()) < runs; ticks++ {
 				if ticks > 10*runs {
-					b.Fatalf("%d of %d runs go on", len(h.WatchedJobs()), runs)
+					b.Fatalf("%d of %d runs continued within ten views per run", len(h.WatchedJobs()), runs)
 				}
 				w.now += 200
 				at := time.Now()
@@ -185,9 +186,9 @@
 			}
 			return ticks, requests, host
 		}
-		begin()
+		tickUntilRunning()
 		w.startHost("m-0")
-		ticks, requests, host := begin()
+		ticks, requests, host := tickUntilRunning()
 		b.ReportMetric(host.Seconds()*1000, "host-ms")
 		b.ReportMetric(float64(requests), "requests")
 		b.ReportMetric(float64(ticks), "views")
--- a/workflow/host_test.go
+++ b/workflow/host_test.go
@@ -15,8 +15,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// simulation is a state service, a core that runs jobs, and members' hosts, with all faults that
-// can occur between them.
+// simulation simulates a state service, a core that runs jobs, and the members' hosts, with all
+// faults that can occur between them.
 type simulation struct {
 	t                   testing.TB
 	rng                 *rand.Rand
@@ -25,13 +25,13 @@
 	members             []string
 	hosts               map[string]*Host
 	views               map[string]scheduler.ExtensionView // the last view of each member
-	queue               []func()                           // in progress, delivered in any order
-	delayed             []func()                           // delayed by the network for long
+	queue               []func()                           // requests and responses in progress, in any order
+	delayed             []func()                           // requests that the network delivers much later
 	jobs                map[string]*fakeJob
-	descriptions        map[string][]byte // descriptions of jobs
+	descriptions        map[string][]byte // by job ID
 	responses           map[uint64]Response
 	nextID              uint64
-	claims              map[string]uint64 // by shard, as stored
+	claims              map[string]uint64 // revision of each shard's claim
 	created             int
 	lostRequests        int // requests whose response or effect was lost
 	ignorePreconditions bool
@@ -98,14 +98,14 @@
 	return r
 }
 
-// claim makes a member the owner of a shard; the previous owner learns of it only with its next
+// claim makes a member the owner of a shard. The previous owner sees the change only in its next
 // view.
 func (w *simulation) claim(shard, member string) {
 	r := w.applyTxn(nil, scheduler.Change{Key: scheduler.ClaimKey(shard), Value: extension.Encode(member)})
 	w.claims[shard] = r.Rev
 }
 
-// refreshView gives a member a view of the current state.
+// refreshView sets a member's view to the current state.
 func (w *simulation) refreshView(m string) {
 	v := scheduler.ExtensionView{HasAuthority: true, ClaimTokens: map[string]uint64{}}
 	for s, rev := range w.claims {
@@ -131,7 +131,7 @@
 	w.views[m] = v
 }
 
-// dispatchOutputs carries out a host's requests, now or later, once or not at all.
+// dispatchOutputs queues a host's requests. Each one is executed now or later, at most once.
 func (w *simulation) dispatchOutputs(m string) {
 	h := w.hosts[m]
 	o := h.Take()
@@ -143,7 +143,7 @@
 		w.queue = append(w.queue, func() {
 			if chance(0.03) {
 				w.lostRequests++
-				do() // carried out, but the response is lost
+				do() // executed, but the response is lost
 				return
 			}
 			answer := do()
@@ -157,7 +157,7 @@
 	for _, op := range o.Store {
 		unknown := chance(0.03)
 		if unknown {
-			// The caller gives up on the request; it takes effect later, or never.
+			// The request times out for the caller, and takes effect later or never.
 			w.queue = append(w.queue, func() {
 				if w.hosts[m] == h {
 					h.StoreDone(w.clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
@@ -205,11 +205,15 @@
 		for _, c := range op.Changes {
 			w.bytes += len(c.Value)
 			if len(c.Value) > 1024 {
-				w.t.Errorf("%s takes %d bytes, more than a value may", c.Key, len(c.Value))
+				w.t.Errorf("value of %s: got %d bytes, want at most 1024", c.Key, len(c.Value))
 			}
 		}
 		if len(op.Changes) > 16 || len(op.Preconditions) > 64 {
-			w.t.Errorf("a transaction has %d changes and %d conditions", len(op.Changes), len(op.Preconditions))
+			w.t.Errorf(
+				"transaction: got %d changes and %d preconditions, want at most 16 and 64",
+				len(op.Changes),
+				len(op.Preconditions),
+			)
 		}
 	}
 	return r
@@ -238,7 +242,7 @@
 			return scheduler.UserResponse{Status: 409, ID: r.ID}
 		}
 		if w.store.Value(finalKey(r.Job.WorkflowRun)) != nil {
-			w.t.Errorf("a job of %s starts after its run is over", r.Job.WorkflowRun)
+			w.t.Errorf("job of run %s submitted after the run ended", r.Job.WorkflowRun)
 		}
 		w.created++
 		w.jobs[r.ID] = &fakeJob{
@@ -258,7 +262,7 @@
 
 func (w *simulation) handleData(d Data) DataResult {
 	if w.faults && w.rng.Float64() < 0.02 {
-		return DataResult{Err: fmt.Errorf("the directory is away")}
+		return DataResult{Err: fmt.Errorf("shared directory unavailable")}
 	}
 	if d.Description != nil {
 		w.descriptions[d.Job] = d.Description
@@ -267,7 +271,7 @@
 	return DataResult{Outputs: w.jobs[d.Job].outputs}
 }
 
-// finishRandomJob runs one of the live jobs.
+// finishRandomJob runs one of the live jobs to its end.
 func (w *simulation) finishRandomJob() {
 	var live []string
 	for id, j := range w.jobs {
@@ -282,7 +286,7 @@
 	j := w.jobs[live[w.rng.IntN(len(live))]]
 	p, ins, err := DecodeDescription(j.description)
 	if err != nil {
-		w.t.Fatalf("a description is unreadable: %v", err)
+		w.t.Fatalf("failed to decode a job description: %v", err)
 	}
 	j.state = scheduler.Done
 	for _, in := range ins {
@@ -294,7 +298,8 @@
 	}
 }
 
-// request sends a request to a member and waits for the response, with retries as users do.
+// request sends a request to a member and waits for the response. Like a user, it retries the
+// request at any member.
 func (w *simulation) request(m string, r Request) Response {
 	for range 200 {
 		w.nextID++
@@ -311,7 +316,7 @@
 		}
 		m = w.members[w.rng.IntN(len(w.members))]
 	}
-	w.t.Fatal("no answer")
+	w.t.Fatal("no final response after 200 attempts")
 	return Response{}
 }
 
@@ -320,7 +325,7 @@
 	w.now += int64(w.rng.IntN(120))
 	for _, m := range w.members {
 		if w.rng.IntN(4) > 0 || !w.faults {
-			w.refreshView(m) // otherwise it acts on an outdated view
+			w.refreshView(m) // otherwise the host uses an outdated view
 		}
 		w.hosts[m].Tick(w.clock(), w.views[m])
 		w.dispatchOutputs(m)
@@ -347,7 +352,7 @@
 		w.finishRandomJob()
 	}
 	if w.faults && w.rng.IntN(40) == 0 {
-		w.startHost(w.members[w.rng.IntN(len(w.members))]) // a crash
+		w.startHost(w.members[w.rng.IntN(len(w.members))]) // the member crashes and restarts
 	}
 	if w.faults && w.rng.IntN(60) == 0 {
 		w.claim(w.members[w.rng.IntN(len(w.members))], w.members[w.rng.IntN(len(w.members))])
@@ -365,7 +370,7 @@
 	)
 }
 
-// simulateRuns runs some workflows in a simulation and checks their results.
+// simulateRuns runs four random workflows in a simulation and checks their results.
 func simulateRuns(t testing.TB, seed uint64, faults, ignorePreconditions bool) *simulation {
 	w := newSimulation(t, seed, faults)
 	w.ignorePreconditions = ignorePreconditions
@@ -385,21 +390,21 @@
 			Body: submission(id, doc, in),
 		}); a.Status != 201 &&
 			a.Status != 200 {
-			t.Fatalf("seed %d: a submission gets %d %s", seed, a.Status, a.Error)
+			t.Fatalf("seed %d: submission: got status %d %s, want 200 or 201", seed, a.Status, a.Error)
 		}
-		// The same submission at another member.
+		// Repeat the submission at any member.
 		if a := w.request(w.members[w.rng.IntN(3)], Request{
 			Kind: Submit,
 			Body: submission(id, doc, in),
 		}); a.Status != 200 {
-			t.Fatalf("seed %d: a repeated submission gets %d", seed, a.Status)
+			t.Fatalf("seed %d: repeated submission: got status %d, want 200", seed, a.Status)
 		}
 		if w.rng.IntN(4) == 0 {
 			for range w.rng.IntN(60) {
 				w.step()
 			}
 			if a := w.request(w.members[w.rng.IntN(3)], Request{Kind: Abort, ID: id}); a.Status != 200 {
-				t.Fatalf("seed %d: a cancellation gets %d", seed, a.Status)
+				t.Fatalf("seed %d: cancellation: got status %d, want 200", seed, a.Status)
 			}
 			expectations[id].aborted = true
 		}
@@ -407,13 +412,13 @@
 	finalRecords := map[string]string{}
 	for n := 0; len(finalRecords) < len(expectations); n++ {
 		if n > 60_000 {
-			t.Fatalf("seed %d: %d of %d runs end", seed, len(finalRecords), len(expectations))
+			t.Fatalf("seed %d: %d of %d runs ended after 60,000 steps", seed, len(finalRecords), len(expectations))
 		}
 		w.step()
 		for id := range expectations {
 			if v := w.store.Value(finalKey(id)); v != nil {
 				if finalRecords[id] != "" && finalRecords[id] != string(v) {
-					t.Fatalf("seed %d: the answer of %s changed from %s to %s", seed, id, finalRecords[id], v)
+					t.Fatalf("seed %d: final record of %s changed from %s to %s", seed, id, finalRecords[id], v)
 				}
 				finalRecords[id] = string(v)
 			}
@@ -429,35 +434,38 @@
 		a := w.request("m-0", Request{Kind: Query, ID: id})
 		switch {
 		case string(w.store.Value(finalKey(id))) != finalRecords[id]:
-			t.Errorf("seed %d: the answer of %s changed", seed, id)
+			t.Errorf("seed %d: final record of %s changed after all runs ended", seed, id)
 		case a.State == Cancelled && e.aborted:
 		case e.err != nil && a.State == Failed && a.Error != "":
 		case e.err == nil && a.State == Done:
 			got, _ := cwl.DecodeJSON(extension.Encode(a.Outputs))
 			exp, _ := cwl.DecodeJSON(extension.Encode(e.outs))
 			if !reflect.DeepEqual(got, exp) {
-				t.Errorf("seed %d: %s gives %v, not %v", seed, id, got, exp)
+				t.Errorf("seed %d: outputs of %s: got %v, want %v", seed, id, got, exp)
 			}
 		default:
-			t.Errorf("seed %d: %s ends as %s %s, a plain evaluation as %v", seed, id, a.State, a.Error, e.err)
+			t.Errorf(
+				"seed %d: %s: got state %s, error %q; error of direct evaluation: %v",
+				seed, id, a.State, a.Error, e.err,
+			)
 		}
 	}
 	for id, j := range w.jobs {
 		if !j.state.IsTerminal() {
-			t.Errorf("seed %d: job %s of %s outlives it", seed, id, j.run)
+			t.Errorf("seed %d: job %s is still live after its run %s ended", seed, id, j.run)
 		}
 	}
 	if !faults {
 		r, _ := w.store.Apply(w.now, scheduler.StoreOp{Kind: scheduler.StoreList, Key: "w/"})
 		if len(r.KVs) > 0 {
-			t.Errorf("seed %d: %s is left behind", seed, r.KVs[0].Key)
+			t.Errorf("seed %d: key %s still exists after all runs ended", seed, r.KVs[0].Key)
 		}
 	}
 	return w
 }
 
-// Whatever faults occur, a run has one final result, that of direct evaluation; no step is started
-// twice, and nothing outlives its run.
+// TestEachRunEndsOnceUnderInjectedFaults checks that a run has one final result under injected
+// faults, that of direct evaluation. No step starts twice, and no job is live after its run ended.
 func TestEachRunEndsOnceUnderInjectedFaults(t *testing.T) {
 	lost, created := 0, 0
 	for seed := range uint64(30) {
@@ -466,14 +474,14 @@
 		created += w.created
 	}
 	if lost < 100 || created < 250 {
-		t.Errorf("%d requests were lost, %d jobs created: too few to say anything", lost, created)
+		t.Errorf("got %d lost requests and %d created jobs, want at least 100 and 250", lost, created)
 	}
 	for seed := range uint64(10) {
 		simulateRuns(t, seed, false, false)
 	}
 }
 
-// recorder records errors for a test that expects some.
+// recorder records errors for a test that expects them.
 type recorder struct {
 	testing.TB
 	errs []string
@@ -482,21 +490,22 @@
 func (r *recorder) Errorf(f string, a ...any) { r.errs = append(r.errs, fmt.Sprintf(f, a...)) }
 func (r *recorder) Helper()                   {}
 
-// Without the preconditions of submissions, jobs start after their runs are over: the check above
-// detects that.
+// TestSimulationDetectsLateSubmissionWithoutPreconditions checks the simulation itself. Without the
+// preconditions of submissions, jobs start after their runs ended, and simulateRuns must report it.
 func TestSimulationDetectsLateSubmissionWithoutPreconditions(t *testing.T) {
 	r := &recorder{TB: t}
 	for seed := uint64(0); seed < 60 && len(r.errs) == 0; seed++ {
 		simulateRuns(r, seed, true, true)
 	}
 	if len(r.errs) == 0 ||
-		!strings.Contains(strings.Join(r.errs, " "), "starts after its run is over") &&
-			!strings.Contains(strings.Join(r.errs, " "), "outlives") {
-		t.Errorf("submissions without guards go unseen: %v", r.errs)
+		!strings.Contains(strings.Join(r.errs, " "), "submitted after the run ended") &&
+			!strings.Contains(strings.Join(r.errs, " "), "is still live after its run") {
+		t.Errorf("late submissions without preconditions not detected; errors: %v", r.errs)
 	}
 }
 
-// An invalid submission is refused with the reason, and nothing of it is stored.
+// TestInvalidSubmissionIsRejectedNamingTheField checks that an invalid submission is rejected with
+// the reason, and that none of its records is stored.
 func TestInvalidSubmissionIsRejectedNamingTheField(t *testing.T) {
 	tool := func(extra string) string {
 		return `{"cwlVersion": "v1.2", "class": "CommandLineTool", "baseCommand": "x", "inputs": {"n": "int"}, ` +
@@ -527,22 +536,22 @@
 		status      int
 		expectedErr string
 	}{
-		{"no JSON", "{", 400, "not a submission"},
+		{"not JSON", "{", 400, "not a submission"},
 		{"no id", `{"document": {}}`, 400, "no run id"},
-		{"bad id", `{"id": "A b", "document": {}}`, 400, "no run id"},
+		{"invalid id", `{"id": "A b", "document": {}}`, 400, "no run id"},
 		{"no document", `{"id": "r"}`, 400, "document:1:1"},
-		{"wrong document", body(tool(`, "stdot": 1`), ops), 400, "document:1:"},
+		{"invalid document", body(tool(`, "stdot": 1`), ops), 400, "document:1:"},
 		{
-			"wrong input", strings.Replace(body(tool(""), ops), `"n": 1`, `"n": "x"`, 1), 400,
+			"input of the wrong type", strings.Replace(body(tool(""), ops), `"n": 1`, `"n": "x"`, 1), 400,
 			"n: got string, want integer",
 		},
 		{"no team", body(tool(""), ""), 422, `unknown team ""`},
 		{"unknown team", body(tool(""), `, "job": {"team": "x"}`), 422, `unknown team "x"`},
 		{"unknown priority", body(tool(""), `, "job": {"team": "ops", "priority": "now"}`), 400, `"now" is none of`},
-		{"too few ids", body(tool(""), ops+`, "jobs": {"first": 5, "count": 0}`), 400, "has 1 jobs, 0 ids"},
-		{"uncountable", body(flow, ops+`, "jobs": {"first": 5, "count": 9}`), 400, "cannot be counted"},
+		{"too few reserved ids", body(tool(""), ops+`, "jobs": {"first": 5, "count": 0}`), 400, "has 1 jobs, 0 ids"},
+		{"reserved ids, scatter", body(flow, ops+`, "jobs": {"first": 5, "count": 9}`), 400, "cannot be counted"},
 		{
-			"other files",
+			"reference to another file",
 			body(
 				`{"cwlVersion": "v1.2", "class": "Workflow", "inputs": {}, "outputs": {}, `+
 					`"steps": {"a": {"run": "b.cwl", `+
@@ -551,23 +560,27 @@
 			),
 			400, "pack it first",
 		},
-		{"a bomb", packed([]byte(strings.Repeat(" ", cwl.DefaultLimits.Bytes+1) + tool(""))), 400, "more than"},
+		{
+			"decompression bomb", packed([]byte(strings.Repeat(" ", cwl.DefaultLimits.Bytes+1) + tool(""))), 400,
+			"more than",
+		},
 		{"packed YAML", packed([]byte("cwlVersion: v1.2")), 400, "no JSON"},
-		{"not packed", strings.Replace(packed(nil), `"id"`, `"packed": "eHh4", "id"`, 1), 400, "packed"},
+		{"packed but not zstd", strings.Replace(packed(nil), `"id"`, `"packed": "eHh4", "id"`, 1), 400, "packed"},
 		{"too large", body(tool(`, "doc": "`+string(random)+`"`), ops), 400, "compressed, more than"},
 	} {
 		w := newSimulation(t, 1, false)
 		a := w.request("m-0", Request{Kind: Submit, Body: []byte(c.body)})
 		if a.Status != c.status || !strings.Contains(a.Error, c.expectedErr) {
-			t.Errorf("%s: %d %.200s, not %d %s", c.name, a.Status, a.Error, c.status, c.expectedErr)
+			t.Errorf("%s: got %d %.200s, want %d %s", c.name, a.Status, a.Error, c.status, c.expectedErr)
 		}
 		if w.writes != 0 {
-			t.Errorf("%s: %d changes were made", c.name, w.writes)
+			t.Errorf("%s: got %d changes in the state service, want 0", c.name, w.writes)
 		}
 	}
 }
 
-// Only reserved ids are used, in the order of the steps.
+// TestRunUsesReservedJobIDs checks that a run with reserved job IDs uses only these, in the order of
+// its steps.
 func TestRunUsesReservedJobIDs(t *testing.T) {
 	_, doc := loadDocument(t, chainWorkflow(3))
 	w := newSimulation(t, 1, false)
@@ -581,17 +594,17 @@
 	runToEnd(t, w, []string{"r"})
 	for _, id := range []string{"job-700", "job-701", "job-702"} {
 		if w.jobs[id] == nil || w.jobs[id].run != "r" {
-			t.Errorf("%s is not used", id)
+			t.Errorf("run r has no job with the reserved ID %s", id)
 		}
 	}
 	if len(w.jobs) != 3 {
-		t.Errorf("%d jobs were submitted", len(w.jobs))
+		t.Errorf("got %d jobs, want 3", len(w.jobs))
 	}
 }
 
-// The response for a run of many steps with long names stays within the limit of a line, with the
-// newest steps last.
-func TestStepsOfAResponseStayWithinLineLimit(t *testing.T) {
+// TestStepsOfAResponseStayWithinSizeLimit checks that the response for a run of many steps with
+// long names stays within its size limit and ends with the newest step.
+func TestStepsOfAResponseStayWithinSizeLimit(t *testing.T) {
 	w := newSimulation(t, 1, false)
 	h := w.hosts["m-0"]
 	d := &activeRun{id: "r", calls: map[string]*callState{}}
@@ -602,9 +615,9 @@
 	a := Response{ID: "r"}
 	h.addSteps(&a)
 	if n := len(extension.Encode(a)); n > 40<<10 || n < 20<<10 {
-		t.Errorf("an answer has %d bytes", n)
+		t.Errorf("got a response of %d bytes, want 20 to 40 KiB", n)
 	}
 	if last := a.Steps[len(a.Steps)-1].Step; !strings.HasSuffix(last, "-999") {
-		t.Errorf("the last step shown is %s", last)
+		t.Errorf("got last step %s, want the one that ends with -999", last)
 	}
 }
