--- a/workflow/calls.go
+++ b/workflow/calls.go
@@ -74,7 +74,7 @@
 	return h.runs[d.id] == d && d.calls[c.Path] == c
 }
 
-// retryLater sets the next phase of a call, which starts after delayS seconds, at least 1 s.
+// retryLater sets the phase of a call and delays its next step by delayS seconds, at least 1 s.
 func (h *Host) retryLater(c *callState, next callPhase, delayS int) {
 	c.phase, c.retryAt = next, h.Now.MonotonicMS+int64(max(delayS, 1))*1000
 }
