--- a/schedules/calendar_updates.go
+++ b/schedules/calendar_updates.go
@@ -8,63 +8,63 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// listCalendarUsers reads the schedules whose current version uses a calendar.
-func (h *Host) listCalendarUsers(calendar string, onUsers func(users []definitionRecord, ok bool)) {
-	var users []definitionRecord
+// listSchedulesWithCalendar reads the schedules whose current version uses a calendar.
+func (h *Host) listSchedulesWithCalendar(calendar string, onDefinitions func(definitions []definitionRecord, ok bool)) {
+	var definitions []definitionRecord
 	onPage := func(page []scheduler.KeyValue) bool {
 		for _, kv := range page {
 			var definition definitionRecord
-			if json.Unmarshal(kv.Value, &definition) == nil && definition.uses(calendar) {
-				users = append(users, definition)
+			if json.Unmarshal(kv.Value, &definition) == nil && definition.usesCalendar(calendar) {
+				definitions = append(definitions, definition)
 			}
 		}
 		return true
 	}
-	h.List(scheduler.UrgencyRead, definitionPrefix, onPage, func(ok bool) { onUsers(users, ok) })
+	h.List(scheduler.UrgencyRead, definitionPrefix, onPage, func(ok bool) { onDefinitions(definitions, ok) })
 }
 
-func (d *definitionRecord) uses(calendar string) bool {
+func (d *definitionRecord) usesCalendar(calendar string) bool {
 	return d.Calendar != nil && d.Calendar.Name == calendar
 }
 
 // calendarUpdate gives a calendar to the schedules that use it, one after the other. If it ends early, the
 // operator repeats the request, and finds done what is done.
 type calendarUpdate struct {
-	host     *Host
-	reply    uint64
-	calendar calendar
-	since    int64
-	users    []definitionRecord // not updated yet
-	response Response
+	host      *Host
+	replyID   uint64
+	calendar  calendar
+	since     int64
+	remaining []definitionRecord // not updated yet
+	response  Response
 }
 
 // applyCalendar makes a new version of each schedule that uses a calendar.
-func (h *Host) applyCalendar(reply uint64, r Request) {
+func (h *Host) applyCalendar(replyID uint64, r Request) {
 	f, err := ParseFile(r.Body)
 	if err != nil {
-		h.Respond(reply, Response{Status: 400, Name: r.Name, Error: err.Error()})
+		h.Respond(replyID, Response{Status: 400, Name: r.Name, Error: err.Error()})
 		return
 	}
 	i := slices.IndexFunc(f.Calendars, func(c *recurrence.Calendar) bool { return c.Name == r.Name })
 	if i < 0 {
-		h.Respond(reply, Response{Status: 400, Name: r.Name, Error: "the file has no calendar of this name"})
+		h.Respond(replyID, Response{Status: 400, Name: r.Name, Error: "the file has no calendar of this name"})
 		return
 	}
 	u := &calendarUpdate{
 		host:     h,
-		reply:    reply,
+		replyID:  replyID,
 		calendar: f.Calendars[i],
 		since:    max(r.EffectiveMS, h.Now.WallMS),
 		response: Response{Status: 200, Name: r.Name, State: stateUnchanged, Schedules: []Summary{}},
 	}
-	h.listCalendarUsers(r.Name, func(users []definitionRecord, ok bool) {
+	h.listSchedulesWithCalendar(r.Name, func(definitions []definitionRecord, ok bool) {
 		switch {
 		case !ok:
-			h.Respond(reply, unavailable(r.Name))
-		case len(users) == 0:
-			h.Respond(reply, Response{Status: 404, Name: r.Name, Error: calendarNotUsed})
+			h.Respond(replyID, unavailable(r.Name))
+		case len(definitions) == 0:
+			h.Respond(replyID, Response{Status: 404, Name: r.Name, Error: calendarNotUsed})
 		default:
-			u.users = users
+			u.remaining = definitions
 			u.updateNext()
 		}
 	})
@@ -72,17 +72,17 @@
 
 // updateNext updates the first of the remaining schedules, or responds if there is none.
 func (u *calendarUpdate) updateNext() {
-	if len(u.users) == 0 {
-		u.host.Respond(u.reply, u.response)
+	if len(u.remaining) == 0 {
+		u.host.Respond(u.replyID, u.response)
 		return
 	}
-	name := u.users[0].Spec.Name
-	u.users = u.users[1:]
+	name := u.remaining[0].Spec.Name
+	u.remaining = u.remaining[1:]
 	u.host.updateDefinition(name, u.change, u.onUpdated)
 }
 
 func (u *calendarUpdate) change(d *definitionRecord) (state string, err error) {
-	if !d.uses(u.calendar.Name) || encodesSame(d.Calendar, u.calendar) {
+	if !d.usesCalendar(u.calendar.Name) || sameEncoding(d.Calendar, u.calendar) {
 		return stateUnchanged, nil
 	}
 	v := version{Spec: d.Spec, Calendar: u.calendar}
@@ -91,7 +91,7 @@
 
 func (u *calendarUpdate) onUpdated(r Response) {
 	if r.Status != 200 {
-		u.host.Respond(u.reply, r)
+		u.host.Respond(u.replyID, r)
 		return
 	}
 	if r.State == stateApplied {
--- a/schedules/decisions.go
+++ b/schedules/decisions.go
@@ -15,8 +15,8 @@
 // maxMomentsPerDecision bounds the moments of one write: after a long outage a schedule needs several.
 const maxMomentsPerDecision = 20
 
-// retryMS is the delay before what could not be done is tried again.
-const retryMS = 1000
+// retryDelayMS is the delay before what could not be done is tried again.
+const retryDelayMS = 1000
 
 // maxPendingRuns bounds the runs of a schedule that are decided and not submitted.
 const maxPendingRuns = 8
@@ -25,13 +25,13 @@
 // transaction.
 func (h *Host) decideDue() {
 	batches := map[*shard][]*entry{}
-	for len(h.due) > 0 && h.due[0].dueAt <= h.certainWallMS() && h.tokens >= 1 {
+	for len(h.due) > 0 && h.due[0].dueAt <= h.minMemberWallMS() && h.decisionTokens >= 1 {
 		e := heap.Pop(&h.due).(*entry)
 		if !h.mayDecide(e) {
 			continue
 		}
-		h.tokens--
-		e.busy = true
+		h.decisionTokens--
+		e.inFlight = true
 		batch := append(batches[e.shard], e)
 		if len(batch) >= h.params.TxnOps/2 {
 			h.decideBatch(e.shard, batch)
@@ -50,16 +50,16 @@
 // answer that it waits for.
 func (h *Host) mayDecide(e *entry) bool {
 	switch {
-	case e.busy:
+	case e.inFlight:
 		return false
 	case e.definitionRev == 0:
 		h.reloadEntry(e.shard, e.name)
 		return false
 	case len(e.progress.Pending)-len(e.submitted) >= maxPendingRuns: // the core takes no jobs at present
-		h.enqueueAt(e, h.Now.WallMS+retryMS)
+		h.enqueueAt(e, h.Now.WallMS+retryDelayMS)
 		return false
 	}
-	return h.isPrecedingRunOver(e)
+	return h.checkPrecedingRun(e)
 }
 
 func sortedShards(batches map[*shard][]*entry) []*shard {
@@ -119,7 +119,7 @@
 		h.reloadEntry(e.shard, e.name)
 		return
 	}
-	e.busy, e.precedingRun = false, ""
+	e.inFlight, e.precedingRun = false, ""
 	h.countDecisions(e.progress, progress)
 	e.progress, e.progressRev = progress, r.Rev
 	clear(e.submitted)
@@ -141,8 +141,8 @@
 	}
 }
 
-// lateThresholdMS is how late a moment may be decided and still not count as missed.
-const lateThresholdMS = 30_000
+// missedThresholdMS is how late a moment may be decided and still not count as missed.
+const missedThresholdMS = 30_000
 
 // maxTxnBytes bounds the values of a transaction: the state service allows 64 KiB with keys and
 // preconditions.
@@ -171,9 +171,9 @@
 		if i > 0 && size > h.params.ValueBytes/2 {
 			break
 		}
-		newest := i == len(due)-1 && len(due) < maxMomentsPerDecision
-		behind := i > 0 && progress.Last != entry.progress.Last
-		decision := entry.decide(moment, h.Now.WallMS, newest, behind)
+		latest := i == len(due)-1 && len(due) < maxMomentsPerDecision
+		followsRun := i > 0 && progress.Last != entry.progress.Last
+		decision := entry.decide(moment, h.Now.WallMS, latest, followsRun)
 		progress.add(decision)
 		size += 2 * len(extension.Encode(decision)) // in Log and in Pending
 		if decision.Run && moment.version.Spec.Busy.runsOneAtATime() {
@@ -198,7 +198,7 @@
 func (h *Host) dueMoments(e *entry) (due []moment) {
 	for after := e.decidedUpTo(); len(due) < maxMomentsPerDecision; {
 		m, ok := e.nextMoment(after)
-		if !ok || m.at > h.certainWallMS() {
+		if !ok || m.at > h.minMemberWallMS() {
 			break
 		}
 		due = append(due, m)
@@ -209,9 +209,9 @@
 
 // decide returns the decision for a moment. newest: no later moment is due; behind: the run of an earlier
 // moment is decided together with this one.
-func (e *entry) decide(m moment, wallMS int64, newest, behind bool) Decision {
+func (e *entry) decide(m moment, wallMS int64, latest, followsRun bool) Decision {
 	d := Decision{AtMS: m.at, Version: m.version.Version, DecidedMS: wallMS}
-	skipReason, lateness := e.applyPolicies(m, wallMS, newest, behind)
+	skipReason, lateness := e.applyPolicies(m, wallMS, latest, followsRun)
 	d.Run = skipReason == ""
 	d.Reason = joinReasons(skipReason+lateness, m.reason)
 	if len(d.Reason) > maxReasonBytes {
@@ -224,19 +224,19 @@
 }
 
 // applyPolicies returns why a moment is not run, or, if it is run, how late it is; both may be empty.
-func (e *entry) applyPolicies(m moment, wallMS int64, newest, behind bool) (skipReason, lateness string) {
+func (e *entry) applyPolicies(m moment, wallMS int64, latest, followsRun bool) (skipReason, lateness string) {
 	spec, lateMS := &m.version.Spec, wallMS-m.at
-	missed := lateMS > lateThresholdMS
+	missed := lateMS > missedThresholdMS
 	switch {
 	case float64(lateMS) > spec.LateS*1000:
 		return fmt.Sprintf("missed: %d s late, %g allowed", lateMS/1000, spec.LateS), ""
 	case missed && spec.Missed == MissedSkip:
 		return "missed, and missed runs are skipped", ""
-	case missed && spec.Missed == MissedLatest && !newest:
+	case missed && spec.Missed == MissedLatest && !latest:
 		return "missed, and only the latest missed run is made up for", ""
-	case spec.Busy == BusyForbid && e.precedingRun == precedingRunBusy:
+	case spec.Busy == BusyForbid && e.precedingRun == precedingRunActive:
 		return "the run before is not over", ""
-	case spec.Busy != BusyAllow && behind:
+	case spec.Busy != BusyAllow && followsRun:
 		return "the run before, due at the same time, is not over", ""
 	case missed:
 		return "", fmt.Sprintf("%d s late", lateMS/1000)
--- a/schedules/golden_test.go
+++ b/schedules/golden_test.go
@@ -12,7 +12,7 @@
 	"github.com/grebedock/grebedock/strict"
 )
 
-func record[T any](t *testing.T, path string) {
+func checkRecord[T any](t *testing.T, path string) {
 	t.Helper()
 	var v T
 	golden.Fill(&v)
@@ -23,10 +23,10 @@
 }
 
 func TestStoredRecordsKeepTheirForm(t *testing.T) {
-	record[changeIndexRecord](t, "mark.json")
-	record[definitionRecord](t, "definition.json")
-	record[progressRecord](t, "progress.json")
-	record[[]Decision](t, "page.json")
+	checkRecord[changeIndexRecord](t, "mark.json")
+	checkRecord[definitionRecord](t, "definition.json")
+	checkRecord[progressRecord](t, "progress.json")
+	checkRecord[[]Decision](t, "page.json")
 	var all []byte
 	for _, v := range []any{changeIndexRecord{}, definitionRecord{}, progressRecord{}, Decision{}} {
 		all = append(append(all, extension.Encode(v)...), '\n')
@@ -34,8 +34,8 @@
 	golden.Compare(t, "empty.jsonl", all)
 }
 
-func TestAnswersKeepTheirForm(t *testing.T) {
-	record[Response](t, "answer.json")
+func TestResponsesKeepTheirForm(t *testing.T) {
+	checkRecord[Response](t, "answer.json")
 }
 
 // Operators keep files of calendars and schedules.
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestPoliciesKeepTheirWords(t *testing.T) {
+func TestPolicyValuesKeepTheirForm(t *testing.T) {
 	golden.Compare(t, "policies.json", extension.Encode([]any{
 		recurrence.Run, recurrence.Skip, recurrence.Next, recurrence.Previous, recurrence.GapAfter, recurrence.GapSkip,
 		recurrence.OverlapFirst, recurrence.OverlapSecond, recurrence.OverlapBoth,
--- a/schedules/host.go
+++ b/schedules/host.go
@@ -31,11 +31,11 @@
 	params Params
 	extension.Base[WorkflowRequest, WorkflowResult, Response]
 
-	view       scheduler.ExtensionView
-	shards     map[string]*shard
-	due        dueQueue
-	tokens     float64
-	lastTickMS int64
+	view           scheduler.ExtensionView
+	shards         map[string]*shard
+	due            dueQueue
+	decisionTokens float64
+	lastTickMS     int64
 
 	Counters Counters
 }
@@ -59,15 +59,15 @@
 	current, previous *version // validated; nil: none, or unusable
 	progress          progressRecord
 	progressRev       uint64
-	busy              bool            // a read or a write is pending
+	inFlight          bool            // a read or a write is pending
 	dueAt             int64           // time of day in milliseconds
 	index             int             // in the due queue; -1: not in it
 	submitted         map[string]bool // pending jobs that the core has taken or refused
 	precedingRun      string          // the preceding job if it is over, or precedingRunBusy
 }
 
-// precedingRunBusy stands for a preceding run that is not over.
-const precedingRunBusy = "-"
+// precedingRunActive stands for a preceding run that is not over.
+const precedingRunActive = "-"
 
 // NewHost returns a host without schedules; Tick has it load those of owned shards.
 func NewHost(p Params) *Host {
@@ -78,9 +78,9 @@
 // when the next moment is due.
 func (h *Host) WatchedJobs() []string { return nil }
 
-// certainWallMS returns the time of day that has come on every member's clock: this one may be ahead of
+// minMemberWallMS returns the time of day that has come on every member's clock: this one may be ahead of
 // others by twice the platform's bound.
-func (h *Host) certainWallMS() int64 { return h.Now.WallMS - int64(2*h.params.ClockErrorMS) }
+func (h *Host) minMemberWallMS() int64 { return h.Now.WallMS - int64(2*h.params.ClockErrorMS) }
 
 // Tick takes the core's view, follows claims and changes, and decides what is due.
 func (h *Host) Tick(now scheduler.Now, v scheduler.ExtensionView) {
@@ -113,10 +113,10 @@
 func (h *Host) refillTokens() {
 	burst := max(1, h.params.Rate)
 	if h.lastTickMS == 0 {
-		h.tokens = burst
+		h.decisionTokens = burst
 	} else {
 		elapsedMS := float64(h.Now.MonotonicMS - h.lastTickMS)
-		h.tokens = min(h.tokens+h.params.Rate*elapsedMS/1000, burst)
+		h.decisionTokens = min(h.decisionTokens+h.params.Rate*elapsedMS/1000, burst)
 	}
 	h.lastTickMS = h.Now.MonotonicMS
 }
--- a/schedules/host_test.go
+++ b/schedules/host_test.go
@@ -125,8 +125,8 @@
 		}
 	}
 	sim.settle()
-	if faults && injectFault == nil && sim.lostRequests < 100 {
-		t.Errorf("seed %d: %d requests were lost: too few for the test", seed, sim.lostRequests)
+	if faults && injectFault == nil && sim.lostResponses < 100 {
+		t.Errorf("seed %d: %d requests were lost: too few for the test", seed, sim.lostResponses)
 	}
 	for _, s := range specs {
 		violations = append(violations, sim.violations(s, since[s.Name], sim.now)...)
@@ -146,8 +146,8 @@
 	}
 }
 
-// passUntil lets time pass in steps of at most stepMS.
-func (sim *simulation) passUntil(end time.Time, stepMS int64) {
+// advanceUntil lets time pass in steps of at most stepMS.
+func (sim *simulation) advanceUntil(end time.Time, stepMS int64) {
 	for sim.now < end.UnixMilli() {
 		sim.step(min(stepMS, end.UnixMilli()-sim.now))
 	}
@@ -195,7 +195,7 @@
 		return response
 	}
 	sim.apply(dailyText("v", "06:00"))
-	sim.passUntil(noonOf(2), 10_000)
+	sim.advanceUntil(noonOf(2), 10_000)
 	v2 := []byte(dailyText("v", "18:00"))
 	effective := time.Date(2027, 1, 4, 0, 0, 0, 0, time.UTC).UnixMilli()
 	response := request(Request{Kind: Apply, Name: "v", Body: v2, EffectiveMS: effective}, "applied")
@@ -203,13 +203,13 @@
 		t.Fatalf("new version: got %+v, want version 2", response)
 	}
 	request(Request{Kind: Apply, Name: "v", Body: v2}, "unchanged")
-	sim.passUntil(noonOf(6), 10_000)
+	sim.advanceUntil(noonOf(6), 10_000)
 	request(Request{Kind: Pause, Name: "v"}, "paused")
-	sim.passUntil(noonOf(8), 10_000)
+	sim.advanceUntil(noonOf(8), 10_000)
 	request(Request{Kind: Resume, Name: "v"}, "resumed")
-	sim.passUntil(noonOf(9), 10_000)
+	sim.advanceUntil(noonOf(9), 10_000)
 	request(Request{Kind: Remove, Name: "v"}, "removed")
-	sim.passUntil(noonOf(12), 10_000)
+	sim.advanceUntil(noonOf(12), 10_000)
 	var decided []string
 	for _, d := range sim.history("v") {
 		at := time.UnixMilli(d.AtMS).UTC().Format("02T15")
@@ -239,7 +239,7 @@
 `))
 	sim.apply(dailyText("other", "06:00"))
 	due := time.Date(2027, 3, 11, 6, 0, 0, 0, time.UTC)
-	sim.passUntil(due.Add(-10*time.Second), 5000)
+	sim.advanceUntil(due.Add(-10*time.Second), 5000)
 	changed := strings.Replace(calendarText, "2027-03-15", "2027-03-11", 1)
 	response := sim.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)})
 	if response.State != "applied" || len(response.Schedules) != 1 || response.Schedules[0].Version != 2 {
@@ -261,7 +261,7 @@
 	if response.Status != 404 {
 		t.Errorf("calendar that no schedule uses: got %+v, want status 404", response)
 	}
-	sim.passUntil(time.Date(2027, 3, 16, 12, 0, 0, 0, time.UTC), 5000)
+	sim.advanceUntil(time.Date(2027, 3, 16, 12, 0, 0, 0, time.UTC), 5000)
 	for name, expected := range map[string]string{"s": "09 10 12 15 16", "other": "09 10 11 12 13 14 15 16"} {
 		var days []string
 		for _, d := range sim.history(name) {
@@ -315,7 +315,7 @@
 				const n = 5000
 				sim.storeSchedules(n, "06:00")
 				due := time.Date(2027, 1, 1, 6, 0, 0, 0, time.UTC)
-				sim.passUntil(due, 60_000)
+				sim.advanceUntil(due, 60_000)
 				for len(sim.jobs) < n {
 					sim.step(200)
 				}
--- a/schedules/load.go
+++ b/schedules/load.go
@@ -88,11 +88,11 @@
 	if e == nil {
 		e = s.addEntry(name)
 	}
-	e.busy = true
+	e.inFlight = true
 	h.dequeue(e)
 	onUnavailable := func() {
-		e.busy = false
-		h.retryLater(e)
+		e.inFlight = false
+		h.reloadLater(e)
 	}
 	h.Get(scheduler.UrgencyBackground, definitionKey(s.name, name), func(definition scheduler.KeyValue, ok bool) {
 		switch {
@@ -117,15 +117,15 @@
 	})
 }
 
-// retryLater has a schedule read again in a second.
-func (h *Host) retryLater(e *entry) {
+// reloadLater has a schedule read again in a second.
+func (h *Host) reloadLater(e *entry) {
 	e.definitionRev = 0
-	h.enqueueAt(e, h.Now.WallMS+retryMS)
+	h.enqueueAt(e, h.Now.WallMS+retryDelayMS)
 }
 
 // setEntry takes a definition and its progress as the store has them.
 func (h *Host) setEntry(e *entry, definition, progress scheduler.KeyValue) {
-	e.busy = false
+	e.inFlight = false
 	e.definition, e.definitionRev = definitionRecord{}, definition.Rev
 	e.progress, e.progressRev = progressRecord{}, progress.Rev
 	e.current, e.previous, e.precedingRun = nil, nil, ""
--- a/schedules/preceding_run.go
+++ b/schedules/preceding_run.go
@@ -6,10 +6,10 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// isPrecedingRunOver reports whether the next moment may be decided as far as the preceding run is
+// checkPrecedingRun reports whether the next moment may be decided as far as the preceding run is
 // concerned. If that is not known, it queries (or, for BusyReplace, cancels) the run and returns false;
 // the answer queues the entry again.
-func (h *Host) isPrecedingRunOver(e *entry) bool {
+func (h *Host) checkPrecedingRun(e *entry) bool {
 	preceding, policy := e.progress.Last, e.current.Spec.Busy
 	switch {
 	case preceding == "" || policy == BusyAllow || e.precedingRun == preceding:
@@ -17,7 +17,7 @@
 	case policy == BusyForbid && e.precedingRun != "":
 		return true
 	}
-	e.busy = true
+	e.inFlight = true
 	replace := policy == BusyReplace
 	if strings.HasPrefix(preceding, workflowRunPrefix) {
 		h.SendRequest(WorkflowRequest{Run: preceding, Abort: replace}, func(r WorkflowResult) {
@@ -37,7 +37,7 @@
 
 // onPrecedingRun takes the state of the preceding run.
 func (h *Host) onPrecedingRun(e *entry, preceding string, status int, over bool) {
-	e.busy = false
+	e.inFlight = false
 	if !h.owns(e) {
 		return
 	}
@@ -46,10 +46,10 @@
 	case status == 200 && over, neverSubmitted:
 		e.precedingRun = preceding
 	case status == 200 && e.current.Spec.Busy == BusyForbid:
-		e.precedingRun = precedingRunBusy
+		e.precedingRun = precedingRunActive
 	default: // it is not over, or its state is not known
-		h.enqueueAt(e, h.Now.WallMS+retryMS)
+		h.enqueueAt(e, h.Now.WallMS+retryDelayMS)
 		return
 	}
-	h.enqueueAt(e, min(e.dueAt, h.certainWallMS()))
+	h.enqueueAt(e, min(e.dueAt, h.minMemberWallMS()))
 }
--- a/schedules/queries.go
+++ b/schedules/queries.go
@@ -10,26 +10,26 @@
 )
 
 // showCalendar responds with a calendar as it is stored with the schedules that use it.
-func (h *Host) showCalendar(reply uint64, name string) {
-	h.listCalendarUsers(name, func(found []definitionRecord, ok bool) {
+func (h *Host) showCalendar(replyID uint64, name string) {
+	h.listSchedulesWithCalendar(name, func(found []definitionRecord, ok bool) {
 		switch {
 		case !ok:
-			h.Respond(reply, unavailable(name))
+			h.Respond(replyID, unavailable(name))
 			return
 		case len(found) == 0:
-			h.Respond(reply, Response{Status: 404, Name: name, Error: calendarNotUsed})
+			h.Respond(replyID, Response{Status: 404, Name: name, Error: calendarNotUsed})
 			return
 		}
 		response := Response{Status: 200, Name: name, Calendar: found[0].Calendar}
 		for _, definition := range found {
 			response.Schedules = append(response.Schedules, definition.summary())
 		}
-		h.Respond(reply, response)
+		h.Respond(replyID, response)
 	})
 }
 
 // list responds with a page of all schedules, by shard and name.
-func (h *Host) list(reply uint64, startAfter string) {
+func (h *Host) list(replyID uint64, startAfter string) {
 	request := scheduler.StoreOp{
 		Kind:       scheduler.StoreList,
 		Urgency:    scheduler.UrgencyRead,
@@ -38,7 +38,7 @@
 	}
 	h.SendStore(request, func(r scheduler.StoreResult) {
 		if r.Outcome != scheduler.OK {
-			h.Respond(reply, unavailable(""))
+			h.Respond(replyID, unavailable(""))
 			return
 		}
 		response := Response{Status: 200, Schedules: []Summary{}}
@@ -51,21 +51,21 @@
 		if r.More && len(r.KVs) > 0 {
 			response.More = r.KVs[len(r.KVs)-1].Key
 		}
-		h.Respond(reply, response)
+		h.Respond(replyID, response)
 	})
 }
 
 // showDecisions responds with a schedule, or with a page of what it decided: the oldest page first.
-func (h *Host) showDecisions(reply uint64, r Request) {
-	h.readOrRespond(reply, progressKey(h.shardOf(r.Name), r.Name), func(kv scheduler.KeyValue) {
+func (h *Host) showDecisions(replyID uint64, r Request) {
+	h.readOrRespond(replyID, progressKey(h.shardOf(r.Name), r.Name), func(kv scheduler.KeyValue) {
 		var progress progressRecord
 		switch {
 		case !decode(kv, &progress):
-			h.Respond(reply, unavailable(r.Name))
+			h.Respond(replyID, unavailable(r.Name))
 		case r.Kind == History:
-			h.showHistory(reply, r, progress, kv.Rev != 0)
+			h.showHistory(replyID, r, progress, kv.Rev != 0)
 		default:
-			h.showSchedule(reply, r.Name, progress)
+			h.showSchedule(replyID, r.Name, progress)
 		}
 	})
 }
@@ -74,10 +74,10 @@
 func (h *Host) shardOf(name string) string { return extension.ShardOf(h.params.Members, name) }
 
 // readOrRespond reads a record for an operator, and responds itself if the state service is unavailable.
-func (h *Host) readOrRespond(reply uint64, key string, onRecord func(scheduler.KeyValue)) {
+func (h *Host) readOrRespond(replyID uint64, key string, onRecord func(scheduler.KeyValue)) {
 	h.Get(scheduler.UrgencyRead, key, func(kv scheduler.KeyValue, ok bool) {
 		if !ok {
-			h.Respond(reply, unavailable(""))
+			h.Respond(replyID, unavailable(""))
 			return
 		}
 		onRecord(kv)
@@ -86,44 +86,44 @@
 
 // showHistory responds with a page of decisions; those in the progress record are the last page. decided:
 // there is a progress record.
-func (h *Host) showHistory(reply uint64, r Request, progress progressRecord, decided bool) {
+func (h *Host) showHistory(replyID uint64, r Request, progress progressRecord, decided bool) {
 	page := 0
 	if r.From != "" {
 		if _, err := fmt.Sscanf(r.From, "%d", &page); err != nil || page < 0 {
-			h.Respond(reply, Response{Status: 400, Error: "from is no page"})
+			h.Respond(replyID, Response{Status: 400, Error: "from is no page"})
 			return
 		}
 	}
 	switch {
 	case page < progress.Pages:
-		h.showHistoryPage(reply, r.Name, page)
+		h.showHistoryPage(replyID, r.Name, page)
 	case !decided:
-		h.Respond(reply, Response{Status: 404, Name: r.Name, Error: "nothing was decided"})
+		h.Respond(replyID, Response{Status: 404, Name: r.Name, Error: "nothing was decided"})
 	default:
-		h.Respond(reply, Response{Status: 200, Name: r.Name, Decisions: progress.Log})
+		h.Respond(replyID, Response{Status: 200, Name: r.Name, Decisions: progress.Log})
 	}
 }
 
-func (h *Host) showHistoryPage(reply uint64, name string, page int) {
-	h.readOrRespond(reply, historyKey(h.shardOf(name), name, page), func(kv scheduler.KeyValue) {
+func (h *Host) showHistoryPage(replyID uint64, name string, page int) {
+	h.readOrRespond(replyID, historyKey(h.shardOf(name), name, page), func(kv scheduler.KeyValue) {
 		response := Response{Status: 200, Name: name, More: fmt.Sprint(page + 1)}
 		if kv.Rev != 0 {
 			_ = json.Unmarshal(kv.Value, &response.Decisions) // an unreadable page is shown as empty
 		}
-		h.Respond(reply, response)
+		h.Respond(replyID, response)
 	})
 }
 
 // showSchedule responds with a schedule's definition and its latest decisions.
-func (h *Host) showSchedule(reply uint64, name string, progress progressRecord) {
-	h.readOrRespond(reply, definitionKey(h.shardOf(name), name), func(kv scheduler.KeyValue) {
+func (h *Host) showSchedule(replyID uint64, name string, progress progressRecord) {
+	h.readOrRespond(replyID, definitionKey(h.shardOf(name), name), func(kv scheduler.KeyValue) {
 		var definition definitionRecord
 		switch {
 		case kv.Rev == 0:
-			h.Respond(reply, Response{Status: 404, Name: name, Error: noSuchSchedule})
+			h.Respond(replyID, Response{Status: 404, Name: name, Error: noSuchSchedule})
 			return
 		case !decode(kv, &definition):
-			h.Respond(reply, unavailable(name))
+			h.Respond(replyID, unavailable(name))
 			return
 		}
 		response := Response{
@@ -139,7 +139,7 @@
 		if progress.DecidedUpToMS > 0 {
 			response.UpTo = time.UnixMilli(progress.DecidedUpToMS).UTC().Format(time.RFC3339)
 		}
-		h.Respond(reply, response)
+		h.Respond(replyID, response)
 	})
 }
 
--- a/schedules/requests.go
+++ b/schedules/requests.go
@@ -142,10 +142,10 @@
 }
 
 // applySchedule stores a schedule's new version.
-func (h *Host) applySchedule(reply uint64, r Request) {
+func (h *Host) applySchedule(replyID uint64, r Request) {
 	v, failure := h.parseVersion(r)
 	if failure != nil {
-		h.Respond(reply, *failure)
+		h.Respond(replyID, *failure)
 		return
 	}
 	h.updateDefinition(v.Spec.Name, func(d *definitionRecord) (string, error) {
@@ -154,11 +154,11 @@
 		case d.Version == 0:
 			*d = definitionRecord{Version: 1, SinceMS: since, Spec: v.Spec, Calendar: v.Calendar}
 			return stateApplied, d.checkSize(h.params.ValueBytes)
-		case encodesSame(d.Spec, v.Spec) && encodesSame(d.Calendar, v.Calendar):
+		case sameEncoding(d.Spec, v.Spec) && sameEncoding(d.Calendar, v.Calendar):
 			return stateUnchanged, nil
 		}
 		return stateApplied, d.replace(v, since, h.params.ValueBytes)
-	}, func(response Response) { h.Respond(reply, response) })
+	}, func(response Response) { h.Respond(replyID, response) })
 }
 
 // parseVersion reads the schedule that a request applies; failure is the response if it is invalid.
@@ -190,7 +190,7 @@
 	return v, nil
 }
 
-func encodesSame(a, b any) bool { return bytes.Equal(extension.Encode(a), extension.Encode(b)) }
+func sameEncoding(a, b any) bool { return bytes.Equal(extension.Encode(a), extension.Encode(b)) }
 
 // replace puts a new version in effect from a time of day on. The version before is kept for the moments until
 // then; what is decided stays as it is.
--- a/schedules/simulation_test.go
+++ b/schedules/simulation_test.go
@@ -33,7 +33,7 @@
 	responses            map[uint64]Response
 	nextID               uint64
 	storeOutageUntil     int64 // until then the state service refuses all requests
-	lostRequests         int
+	lostResponses        int
 	faults               bool
 	duplicateSubmissions bool // planted: a repeated submission makes another job
 	dropSubmissions      bool // planted: one submission in fifty is confirmed and forgotten
@@ -196,7 +196,7 @@
 	}
 	for _, op := range outputs.Store {
 		sim.queue = append(sim.queue, func() {
-			if sim.loseRequest(0.03, func() { sim.applyStoreOp(op) }) {
+			if sim.loseResponse(0.03, func() { sim.applyStoreOp(op) }) {
 				h.StoreDone(sim.clock(), op.ID, scheduler.StoreResult{Outcome: scheduler.Unknown})
 				return
 			}
@@ -205,7 +205,7 @@
 	}
 	for _, request := range outputs.Core {
 		sim.queue = append(sim.queue, func() {
-			if sim.loseRequest(0.05, func() { sim.handleCoreRequest(request.UserRequest) }) {
+			if sim.loseResponse(0.05, func() { sim.handleCoreRequest(request.UserRequest) }) {
 				h.CoreDone(sim.clock(), request.ID, scheduler.UserResponse{Status: 503, RetryAfterS: 1})
 				return
 			}
@@ -214,13 +214,13 @@
 	}
 }
 
-// loseRequest reports, with a probability, that a request's answer is lost. The request is performed
+// loseResponse reports, with a probability, that a request's answer is lost. The request is performed
 // at once or later.
-func (sim *simulation) loseRequest(probability float64, perform func()) bool {
+func (sim *simulation) loseResponse(probability float64, perform func()) bool {
 	if !sim.faults || sim.rng.Float64() >= probability {
 		return false
 	}
-	sim.lostRequests++
+	sim.lostResponses++
 	if sim.rng.IntN(2) == 0 {
 		perform()
 	} else {
--- a/schedules/submissions.go
+++ b/schedules/submissions.go
@@ -72,8 +72,8 @@
 	case refused:
 		e.submitted[d.Job] = true
 		h.Log("run refused", "schedule", e.name, "job", d.Job, "error", joinReasons(r.err, fmt.Sprint(r.status)))
-	case !e.busy: // no answer, or the claim or the definition changed
-		h.retryLater(e)
+	case !e.inFlight: // no answer, or the claim or the definition changed
+		h.reloadLater(e)
 	}
 }
 
