--- a/schedules/calendar_updates.go
+++ b/schedules/calendar_updates.go
@@ -9,7 +9,7 @@
 )
 
 // listSchedulesWithCalendar reads the schedules whose current version uses a calendar.
-func (h *Host) listSchedulesWithCalendar(calendar string, onDefinitions func(definitions []definitionRecord, ok bool)) {
+func (h *Host) listSchedulesWithCalendar(calendar string, onDefinitions func(found []definitionRecord, ok bool)) {
 	var definitions []definitionRecord
 	onPage := func(page []scheduler.KeyValue) bool {
 		for _, kv := range page {
@@ -27,18 +27,18 @@
 	return d.Calendar != nil && d.Calendar.Name == calendar
 }
 
-// calendarUpdate gives a calendar to the schedules that use it, one after the other. If it ends early, the
-// operator repeats the request, and finds done what is done.
+// calendarUpdate applies a calendar to the schedules that use it, one after the other. If it fails midway, the
+// operator repeats the request; schedules that are already updated stay unchanged.
 type calendarUpdate struct {
 	host      *Host
 	replyID   uint64
 	calendar  calendar
 	since     int64
-	remaining []definitionRecord // not updated yet
+	remaining []definitionRecord // schedules that are not updated yet
 	response  Response
 }
 
-// applyCalendar makes a new version of each schedule that uses a calendar.
+// applyCalendar creates a new version of each schedule that uses a calendar.
 func (h *Host) applyCalendar(replyID uint64, r Request) {
 	f, err := ParseFile(r.Body)
 	if err != nil {
@@ -70,7 +70,7 @@
 	})
 }
 
-// updateNext updates the first of the remaining schedules, or responds if there is none.
+// updateNext updates the first of the remaining schedules, or responds if none remains.
 func (u *calendarUpdate) updateNext() {
 	if len(u.remaining) == 0 {
 		u.host.Respond(u.replyID, u.response)
--- a/schedules/decisions.go
+++ b/schedules/decisions.go
@@ -12,17 +12,18 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// maxMomentsPerDecision bounds the moments of one write: after a long outage a schedule needs several.
+// maxMomentsPerDecision bounds the moments that one write decides for a schedule. After a long outage a
+// schedule needs several writes.
 const maxMomentsPerDecision = 20
 
-// retryDelayMS is the delay before what could not be done is tried again.
+// retryDelayMS is the delay before the host retries a read, submission or decision that it could not complete.
 const retryDelayMS = 1000
 
-// maxPendingRuns bounds the runs of a schedule that are decided and not submitted.
+// maxPendingRuns bounds the runs of a schedule that are decided but not yet submitted.
 const maxPendingRuns = 8
 
-// decideDue decides what is due, the oldest and most urgent first, several schedules of a shard in one
-// transaction.
+// decideDue decides the schedules that are due, by due time and then by priority. Several schedules of a
+// shard share a transaction.
 func (h *Host) decideDue() {
 	batches := map[*shard][]*entry{}
 	for len(h.due) > 0 && h.due[0].dueAt <= h.minMemberWallMS() && h.decisionTokens >= 1 {
@@ -46,8 +47,8 @@
 	}
 }
 
-// mayDecide reports whether a due entry can be decided now. If not, it is queued again by itself or by the
-// answer that it waits for.
+// mayDecide reports whether a due entry can be decided now. Otherwise mayDecide queues the entry again, or the
+// callback of the response that the entry waits for does.
 func (h *Host) mayDecide(e *entry) bool {
 	switch {
 	case e.inFlight:
@@ -55,7 +56,7 @@
 	case e.definitionRev == 0:
 		h.reloadEntry(e.shard, e.name)
 		return false
-	case len(e.progress.Pending)-len(e.submitted) >= maxPendingRuns: // the core takes no jobs at present
+	case len(e.progress.Pending)-len(e.submitted) >= maxPendingRuns: // the core does not accept jobs at present
 		h.enqueueAt(e, h.Now.WallMS+retryDelayMS)
 		return false
 	}
@@ -70,7 +71,8 @@
 	return slices.ContainsFunc(e.progress.Pending, func(d Decision) bool { return d.Job == job })
 }
 
-// decideBatch writes the decisions for the due moments of some schedules of a shard.
+// decideBatch stores the decisions for the due moments of several schedules of a shard in one transaction. It
+// splits a batch that exceeds maxTxnBytes.
 func (h *Host) decideBatch(s *shard, batch []*entry) {
 	preconditions := []scheduler.Precondition{{Key: scheduler.ClaimKey(s.name), Revision: s.token}}
 	var changes []scheduler.Change
@@ -111,11 +113,11 @@
 	})
 }
 
-// onDecided takes the result of a decision's write.
+// onDecided handles the result of writing a decision.
 func (h *Host) onDecided(e *entry, progress progressRecord, r scheduler.StoreResult) {
 	if r.Outcome != scheduler.OK {
-		// An operator changed the schedule, another owner decided, or the outcome is unknown: the
-		// stored records are what counts.
+		// An operator changed the schedule, another owner decided, or the outcome is unknown. The stored
+		// records are authoritative.
 		h.reloadEntry(e.shard, e.name)
 		return
 	}
@@ -141,20 +143,21 @@
 	}
 }
 
-// missedThresholdMS is how late a moment may be decided and still not count as missed.
+// missedThresholdMS is the lateness above which a moment counts as missed.
 const missedThresholdMS = 30_000
 
-// maxTxnBytes bounds the values of a transaction: the state service allows 64 KiB with keys and
+// maxTxnBytes bounds the values of a transaction. The state service allows 64 KiB including keys and
 // preconditions.
 const maxTxnBytes = 48 << 10
 
-// maxReasonBytes bounds a reason in a record: operators write some of them.
+// maxReasonBytes bounds a reason in a record, because some reasons contain text of any length that operators
+// write in calendars.
 const maxReasonBytes = 120
 
-// nextProgress returns a schedule's progress with its due moments decided, as many as the record
-// holds; the rest is due again at once. Earlier decisions move to a page of history first if they
-// take a quarter of the record. A record that the state service refuses for its size would stop its
-// schedule for good.
+// nextProgress returns a schedule's progress with its due moments decided. It decides at least one and stops once
+// the record exceeds half the maximum value size; the remaining moments are due again at once. If the log of
+// earlier decisions exceeds a quarter of the maximum, it becomes a page of history first. The state service
+// refuses a record above the maximum on every attempt, which would stop the schedule permanently.
 func (h *Host) nextProgress(entry *entry) (progress progressRecord, page json.RawMessage) {
 	progress = entry.progress
 	if previousLog := extension.Encode(progress.Log); len(previousLog) > h.params.ValueBytes/4 {
@@ -175,7 +178,7 @@
 		followsRun := i > 0 && progress.Last != entry.progress.Last
 		decision := entry.decide(moment, h.Now.WallMS, latest, followsRun)
 		progress.add(decision)
-		size += 2 * len(extension.Encode(decision)) // in Log and in Pending
+		size += 2 * len(extension.Encode(decision)) // a run is stored in Log and in Pending
 		if decision.Run && moment.version.Spec.Busy.runsOneAtATime() {
 			break
 		}
@@ -183,7 +186,7 @@
 	return progress, page
 }
 
-// add appends a decision, and its run to those to be submitted.
+// add appends a decision to the log and, if it is a run, to the pending runs.
 func (p *progressRecord) add(d Decision) {
 	if d.Run {
 		p.Pending = append(p.Pending, d)
@@ -193,8 +196,8 @@
 	p.DecidedUpToMS = d.AtMS
 }
 
-// dueMoments returns the moments of a schedule that have come and are not decided, the oldest first,
-// maxMomentsPerDecision at most.
+// dueMoments returns the undecided moments of a schedule that have passed on every member's clock, oldest
+// first, at most maxMomentsPerDecision.
 func (h *Host) dueMoments(e *entry) (due []moment) {
 	for after := e.decidedUpTo(); len(due) < maxMomentsPerDecision; {
 		m, ok := e.nextMoment(after)
@@ -207,8 +210,8 @@
 	return due
 }
 
-// decide returns the decision for a moment. newest: no later moment is due; behind: the run of an earlier
-// moment is decided together with this one.
+// decide returns the decision for a moment. latest means that no later moment is due. followsRun means that the
+// same write decides the run of an earlier moment.
 func (e *entry) decide(m moment, wallMS int64, latest, followsRun bool) Decision {
 	d := Decision{AtMS: m.at, Version: m.version.Version, DecidedMS: wallMS}
 	skipReason, lateness := e.applyPolicies(m, wallMS, latest, followsRun)
@@ -223,7 +226,8 @@
 	return d
 }
 
-// applyPolicies returns why a moment is not run, or, if it is run, how late it is; both may be empty.
+// applyPolicies returns the reason for which a moment is skipped, or how late its run is. Both are empty for a
+// run that is not late.
 func (e *entry) applyPolicies(m moment, wallMS int64, latest, followsRun bool) (skipReason, lateness string) {
 	spec, lateMS := &m.version.Spec, wallMS-m.at
 	missed := lateMS > missedThresholdMS
--- a/schedules/definition_updates.go
+++ b/schedules/definition_updates.go
@@ -5,11 +5,11 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// maxUpdateAttempts bounds how often an update is repeated after conflicts and unknown outcomes.
+// maxUpdateAttempts bounds the attempts of an update, which is repeated after a conflict or an unknown outcome.
 const maxUpdateAttempts = 4
 
-// definitionUpdate is a change of a definition on its way. It reads the definition and its shard's
-// change index, and writes both under their revisions.
+// definitionUpdate is an update of a definition in progress. It reads the definition and its shard's change
+// index, and writes both in one transaction with their revisions as preconditions.
 type definitionUpdate struct {
 	name, shard  string
 	attemptsLeft int
@@ -17,8 +17,8 @@
 	onResponse   func(Response)
 }
 
-// updateDefinition changes a definition. change edits the stored one, or an empty one (version 0) if there is
-// none, and returns the state for the response; it may be called repeatedly. With stateUnchanged
+// updateDefinition updates a definition. change edits the stored definition, or an empty one (version 0) if none
+// exists, and returns the state for the response. It may be called several times. If it returns stateUnchanged,
 // nothing is written.
 func (h *Host) updateDefinition(
 	name string,
@@ -51,7 +51,7 @@
 	})
 }
 
-// writeUpdate changes the records that were read, and writes them.
+// writeUpdate applies the change to the records that were read, and writes them.
 func (h *Host) writeUpdate(u *definitionUpdate, definitionKV, indexKV scheduler.KeyValue) {
 	var definition definitionRecord
 	var index changeIndexRecord
@@ -86,7 +86,7 @@
 	})
 }
 
-// txn writes a definition, or removes it, with its shard's change index.
+// txn returns the transaction that writes or deletes a definition together with its shard's change index.
 func (u *definitionUpdate) txn(
 	definition definitionRecord,
 	definitionRev uint64,
--- a/schedules/due_queue.go
+++ b/schedules/due_queue.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// dueQueue is a heap of entries by when they are due, then by priority, so that the cost of a tick follows
-// what is due and not what exists.
+// dueQueue is a heap of entries, ordered by due time, then by priority. The cost of a tick therefore depends on
+// the number of due schedules, not on the number of all schedules.
 type dueQueue []*entry
 
 func (q dueQueue) Len() int { return len(q) }
@@ -54,7 +54,8 @@
 	}
 }
 
-// decidedUpTo returns the time of day up to which an entry has decided, or has nothing to decide.
+// decidedUpTo returns the time (Unix ms) up to which all moments of an entry are decided. Moments before its
+// oldest known version took effect count as decided.
 func (e *entry) decidedUpTo() int64 {
 	since := e.definition.SinceMS
 	if e.previous != nil {
@@ -63,14 +64,14 @@
 	return max(e.progress.DecidedUpToMS, since-1)
 }
 
-// moment is a time of day in milliseconds with the version that it follows.
+// moment is a time at which a schedule is due.
 type moment struct {
-	at      int64
-	version *version
+	at      int64    // Unix ms
+	version *version // the version in effect at that time
 	reason  string
 }
 
-// nextMoment returns the first moment after a time of day.
+// nextMoment returns the first moment after a time (Unix ms). ok is false if there is none.
 func (e *entry) nextMoment(after int64) (m moment, ok bool) {
 	if e.previous != nil && after < e.current.SinceMS-1 {
 		if m, ok = e.previous.nextMoment(after); ok && m.at < e.current.SinceMS {
@@ -85,7 +86,7 @@
 	return moment{at: next.At.UnixMilli(), version: v, reason: next.Reason}, ok
 }
 
-// enqueueNext queues an entry for its next moment, unless it is paused or unusable.
+// enqueueNext queues an entry for its next moment, unless it is paused or its definition is invalid.
 func (h *Host) enqueueNext(e *entry) {
 	h.dequeue(e)
 	if e.current == nil || e.definition.Paused {
--- a/schedules/host.go
+++ b/schedules/host.go
@@ -8,22 +8,22 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Params are a host's settings.
+// Params holds the settings of a host.
 type Params struct {
-	Members      []string // in order; each gives its name to a shard
+	Members      []string // IDs in the same order on all members; each is also the name of a shard
 	Teams        map[string]scheduler.Team
-	ValueBytes   int // of a value in the state service
-	TxnOps       int // changes of a transaction
-	ClockErrorMS float64
-	// Rate bounds decisions per second. It is a part of the member's share of the state service's writes,
-	// so that interactive jobs keep theirs when many schedules are due on the hour.
+	ValueBytes   int     // maximum size of a value in the state service
+	TxnOps       int     // maximum number of changes in a transaction
+	ClockErrorMS float64 // bound on the error of each member's clock
+	// Rate bounds decisions per second. It is a fraction of the member's share of the state service's write
+	// rate. The rest remains available to interactive jobs when many schedules are due on the hour.
 	Rate float64
 }
 
-// Outputs are the requests and responses of a host.
+// Outputs holds the requests and responses of a host.
 type Outputs = extension.Outputs[WorkflowRequest, Response]
 
-// Counters are a host's metrics.
+// Counters counts the moments that a host decided, the runs and skips among them, and its loads of shards.
 type Counters struct{ Decided, Runs, Skipped, Loaded uint64 }
 
 // Host runs the schedules of the shards that a member owns.
@@ -40,12 +40,12 @@
 	Counters Counters
 }
 
-// shard is a shard that this member owns.
+// shard is the state of a shard that this member owns.
 type shard struct {
 	name     string
 	token    uint64 // fencing token of the claim
-	sequence int    // of the change index that was applied last
-	indexRev uint64 // its revision
+	sequence int    // sequence number of the change index that was applied last
+	indexRev uint64 // revision of that change index
 	loading  bool
 	entries  map[string]*entry
 }
@@ -56,33 +56,33 @@
 	name              string
 	definition        definitionRecord
 	definitionRev     uint64
-	current, previous *version // validated; nil: none, or unusable
+	current, previous *version // validated; nil: missing or invalid
 	progress          progressRecord
 	progressRev       uint64
-	inFlight          bool            // a read or a write is pending
-	dueAt             int64           // time of day in milliseconds
-	index             int             // in the due queue; -1: not in it
-	submitted         map[string]bool // pending jobs that the core has taken or refused
-	precedingRun      string          // the preceding job if it is over, or precedingRunBusy
+	inFlight          bool            // a read, a write, or a request about the preceding run is in flight
+	dueAt             int64           // Unix ms
+	index             int             // position in the due queue; -1: not queued
+	submitted         map[string]bool // pending runs that were accepted or rejected, by ID
+	precedingRun      string          // ID of the preceding run if it has ended, or precedingRunActive; empty: unknown
 }
 
-// precedingRunActive stands for a preceding run that is not over.
+// precedingRunActive is the value of entry.precedingRun while the preceding run has not ended.
 const precedingRunActive = "-"
 
-// NewHost returns a host without schedules; Tick has it load those of owned shards.
+// NewHost returns a host without schedules. Tick loads the schedules of the shards that the member owns.
 func NewHost(p Params) *Host {
 	return &Host{params: p, shards: map[string]*shard{}}
 }
 
-// WatchedJobs returns the jobs whose end the host waits for: none, since it queries a preceding run only
-// when the next moment is due.
+// WatchedJobs returns the jobs whose end the host waits for. There are none: the host queries a preceding run
+// only when the next moment is due.
 func (h *Host) WatchedJobs() []string { return nil }
 
-// minMemberWallMS returns the time of day that has come on every member's clock: this one may be ahead of
-// others by twice the platform's bound.
+// minMemberWallMS returns a time (Unix ms) that has passed on every member's clock. The clock of this member may
+// be ahead of another one by twice the platform's bound on clock errors.
 func (h *Host) minMemberWallMS() int64 { return h.Now.WallMS - int64(2*h.params.ClockErrorMS) }
 
-// Tick takes the core's view, follows claims and changes, and decides what is due.
+// Tick applies the core's view (claims and changed schedules), and decides the schedules that are due.
 func (h *Host) Tick(now scheduler.Now, v scheduler.ExtensionView) {
 	h.Now, h.view = now, v
 	h.refillTokens()
@@ -91,7 +91,7 @@
 	}
 	for name, s := range h.shards {
 		if v.ClaimTokens[name] == 0 {
-			h.dropShard(s) // its new owner continues from the store
+			h.dropShard(s) // the new owner continues from the stored records
 		} else {
 			s.token = v.ClaimTokens[name]
 		}
@@ -109,7 +109,8 @@
 	h.decideDue()
 }
 
-// refillTokens adds the decisions that the time since the last tick allows, a second's at most.
+// refillTokens adds decision tokens for the time since the last tick. The burst is the tokens of one second, and
+// at least one.
 func (h *Host) refillTokens() {
 	burst := max(1, h.params.Rate)
 	if h.lastTickMS == 0 {
@@ -128,7 +129,7 @@
 	}
 }
 
-// owns reports whether an entry is still one of this member's: answers may come after it was dropped.
+// owns reports whether this member still owns an entry. Responses may arrive after the entry was dropped.
 func (h *Host) owns(e *entry) bool {
 	return h.shards[e.shard.name] == e.shard && e.shard.entries[e.name] == e
 }
--- a/schedules/load.go
+++ b/schedules/load.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// applyChangeIndex loads the schedules of a shard that changed: by name if the index has all changes
-// since the last time, otherwise all.
+// applyChangeIndex loads a new shard, or reloads the changed schedules of a loaded one. If the index does not
+// cover all changes since the last one applied, it drops the shard, and the next tick loads all its schedules.
 func (h *Host) applyChangeIndex(name string, index changeIndexRecord, revision uint64) {
 	s := h.shards[name]
 	if s == nil {
@@ -22,7 +22,7 @@
 	}
 	changed, ok := index.changesSince(s.sequence)
 	if !ok {
-		h.dropShard(s) // the next tick loads it anew
+		h.dropShard(s) // the next tick loads it again
 		return
 	}
 	for _, schedule := range changed {
@@ -31,7 +31,7 @@
 	s.sequence, s.indexRev = index.Seq, revision
 }
 
-// loadShard reads all definitions of a shard and their progress.
+// loadShard reads all definitions and progress records of a shard.
 func (h *Host) loadShard(s *shard, index changeIndexRecord, revision uint64) {
 	s.loading = true
 	h.listRecords(s, definitionPrefix+s.name+"/", func(definitions []scheduler.KeyValue) {
@@ -40,12 +40,13 @@
 			s.loading = false
 			s.sequence, s.indexRev = index.Seq, revision
 			h.Counters.Loaded++
-			h.Log("schedules read", "shard", s.name, "schedules", len(s.entries))
+			h.Log("schedules loaded", "shard", s.name, "schedules", len(s.entries))
 		})
 	})
 }
 
-// listRecords reads all records with a prefix, unless the shard is dropped meanwhile.
+// listRecords reads all records with a prefix. It does not call onRecords if the shard is dropped during the
+// read; if the read fails, it drops the shard.
 func (h *Host) listRecords(s *shard, prefix string, onRecords func([]scheduler.KeyValue)) {
 	var records []scheduler.KeyValue
 	onPage := func(page []scheduler.KeyValue) bool {
@@ -56,14 +57,14 @@
 		switch {
 		case h.shards[s.name] != s:
 		case !ok:
-			h.dropShard(s) // the next tick loads it anew
+			h.dropShard(s) // the next tick loads it again
 		default:
 			onRecords(records)
 		}
 	})
 }
 
-// setEntries takes all definitions of a shard and their progress.
+// setEntries adds an entry for each definition of a shard, with its progress.
 func (h *Host) setEntries(s *shard, definitions, progress []scheduler.KeyValue) {
 	progressByName := map[string]scheduler.KeyValue{}
 	for _, kv := range progress {
@@ -75,14 +76,15 @@
 	}
 }
 
-// addEntry adds the entry of a schedule that was not known.
+// addEntry adds an entry for a schedule that the shard does not have.
 func (s *shard) addEntry(name string) *entry {
 	e := &entry{shard: s, name: name, index: -1, submitted: map[string]bool{}}
 	s.entries[name] = e
 	return e
 }
 
-// reloadEntry reads one schedule. It is not decided meanwhile.
+// reloadEntry reads a schedule's definition and progress again. The host does not decide the schedule until both
+// are read.
 func (h *Host) reloadEntry(s *shard, name string) {
 	e := s.entries[name]
 	if e == nil {
@@ -117,31 +119,31 @@
 	})
 }
 
-// reloadLater has a schedule read again in a second.
+// reloadLater queues an entry to be read again after retryDelayMS. A definitionRev of 0 makes mayDecide reload it.
 func (h *Host) reloadLater(e *entry) {
 	e.definitionRev = 0
 	h.enqueueAt(e, h.Now.WallMS+retryDelayMS)
 }
 
-// setEntry takes a definition and its progress as the store has them.
+// setEntry sets an entry's state from the stored definition and progress.
 func (h *Host) setEntry(e *entry, definition, progress scheduler.KeyValue) {
 	e.inFlight = false
 	e.definition, e.definitionRev = definitionRecord{}, definition.Rev
 	e.progress, e.progressRev = progressRecord{}, progress.Rev
 	e.current, e.previous, e.precedingRun = nil, nil, ""
 	if err := json.Unmarshal(definition.Value, &e.definition); err != nil {
-		h.Log("schedule unreadable", "schedule", e.name, "error", err)
+		h.Log("cannot decode schedule definition", "schedule", e.name, "error", err)
 		return
 	}
 	if progress.Value != nil {
 		if err := json.Unmarshal(progress.Value, &e.progress); err != nil {
-			h.Log("progress unreadable", "schedule", e.name, "error", err)
+			h.Log("cannot decode schedule progress", "schedule", e.name, "error", err)
 			return
 		}
 	}
 	current := e.definition.version()
 	if err := current.validate(); err != nil {
-		h.Log("schedule unreadable", "schedule", e.name, "error", err)
+		h.Log("invalid schedule definition", "schedule", e.name, "error", err)
 		return
 	}
 	e.current = current
--- a/schedules/preceding_run.go
+++ b/schedules/preceding_run.go
@@ -6,9 +6,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// checkPrecedingRun reports whether the next moment may be decided as far as the preceding run is
-// concerned. If that is not known, it queries (or, for BusyReplace, cancels) the run and returns false;
-// the answer queues the entry again.
+// checkPrecedingRun reports whether the state of the preceding run allows deciding the next moment. If the state
+// is unknown, it queries the run (or cancels it, for BusyReplace) and returns false. The response queues the
+// entry again.
 func (h *Host) checkPrecedingRun(e *entry) bool {
 	preceding, policy := e.progress.Last, e.current.Spec.Busy
 	switch {
@@ -35,7 +35,7 @@
 	return false
 }
 
-// onPrecedingRun takes the state of the preceding run.
+// onPrecedingRun handles the response about the preceding run.
 func (h *Host) onPrecedingRun(e *entry, preceding string, status int, over bool) {
 	e.inFlight = false
 	if !h.owns(e) {
@@ -47,7 +47,7 @@
 		e.precedingRun = preceding
 	case status == 200 && e.current.Spec.Busy == BusyForbid:
 		e.precedingRun = precedingRunActive
-	default: // it is not over, or its state is not known
+	default: // the run has not ended, or its state is unknown
 		h.enqueueAt(e, h.Now.WallMS+retryDelayMS)
 		return
 	}
--- a/schedules/queries.go
+++ b/schedules/queries.go
@@ -9,7 +9,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// showCalendar responds with a calendar as it is stored with the schedules that use it.
+// showCalendar responds with a calendar and the schedules that use it. The calendar is the copy stored with the
+// first of them.
 func (h *Host) showCalendar(replyID uint64, name string) {
 	h.listSchedulesWithCalendar(name, func(found []definitionRecord, ok bool) {
 		switch {
@@ -28,7 +29,7 @@
 	})
 }
 
-// list responds with a page of all schedules, by shard and name.
+// list responds with a page of all schedules, ordered by shard and name.
 func (h *Host) list(replyID uint64, startAfter string) {
 	request := scheduler.StoreOp{
 		Kind:       scheduler.StoreList,
@@ -55,7 +56,8 @@
 	})
 }
 
-// showDecisions responds with a schedule, or with a page of what it decided: the oldest page first.
+// showDecisions responds with a schedule and its latest decisions (Show), or with a page of its decisions
+// (History), the oldest page first.
 func (h *Host) showDecisions(replyID uint64, r Request) {
 	h.readOrRespond(replyID, progressKey(h.shardOf(r.Name), r.Name), func(kv scheduler.KeyValue) {
 		var progress progressRecord
@@ -70,10 +72,11 @@
 	})
 }
 
-// shardOf returns the shard that runs a schedule.
+// shardOf returns the shard of a schedule.
 func (h *Host) shardOf(name string) string { return extension.ShardOf(h.params.Members, name) }
 
-// readOrRespond reads a record for an operator, and responds itself if the state service is unavailable.
+// readOrRespond reads a record for an operator's request, and responds with an error if the state service is
+// unavailable.
 func (h *Host) readOrRespond(replyID uint64, key string, onRecord func(scheduler.KeyValue)) {
 	h.Get(scheduler.UrgencyRead, key, func(kv scheduler.KeyValue, ok bool) {
 		if !ok {
@@ -84,8 +87,8 @@
 	})
 }
 
-// showHistory responds with a page of decisions; those in the progress record are the last page. decided:
-// there is a progress record.
+// showHistory responds with a page of decisions. The decisions in the progress record are the last page. decided
+// reports whether the progress record exists.
 func (h *Host) showHistory(replyID uint64, r Request, progress progressRecord, decided bool) {
 	page := 0
 	if r.From != "" {
@@ -114,7 +117,7 @@
 	})
 }
 
-// showSchedule responds with a schedule's definition and its latest decisions.
+// showSchedule responds with a schedule's definition and the decisions in its progress record.
 func (h *Host) showSchedule(replyID uint64, name string, progress progressRecord) {
 	h.readOrRespond(replyID, definitionKey(h.shardOf(name), name), func(kv scheduler.KeyValue) {
 		var definition definitionRecord
--- a/schedules/records.go
+++ b/schedules/records.go
@@ -7,9 +7,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Keys of the state service. Only the change index of each shard is replicated to all members; by its
-// revision the owner knows that definitions changed. Definitions and progress are read by the owner
-// alone, so that their number costs others nothing.
+// Key prefixes in the state service. Only the change index of each shard is replicated to all members; its
+// revision tells the owner that definitions changed. Only the owner reads the definitions and progress, so their
+// number causes no load on other members.
 const (
 	ChangeIndexPrefix = scheduler.ExtensionPrefix + "s/"
 	definitionPrefix  = "s/"
@@ -27,15 +27,15 @@
 	return fmt.Sprintf("%s%s/%s/%06d", historyPrefix, shard, name, n)
 }
 
-// changeIndexRecord is the change index of a shard: which schedules changed last.
+// changeIndexRecord is the change index of a shard. It lists the schedules that changed most recently.
 type changeIndexRecord struct {
-	Seq   int      `json:"seq"`   // rises by 1 with each change
-	Names []string `json:"names"` // of the last changes, the newest last
+	Seq   int      `json:"seq"`   // incremented with each change
+	Names []string `json:"names"` // schedules of the latest maxIndexedChanges changes, newest last
 }
 
 const maxIndexedChanges = 16
 
-// addChange notes that a schedule changed.
+// addChange records a change of a schedule.
 func (r *changeIndexRecord) addChange(name string) {
 	r.Seq++
 	r.Names = append(r.Names, name)
@@ -44,8 +44,8 @@
 	}
 }
 
-// changesSince returns the names that changed after a sequence number; ok is false if the index does
-// not go back that far.
+// changesSince returns the schedules that changed after a sequence number. ok is false if the index does not
+// cover all of these changes, or if there are none.
 func (r *changeIndexRecord) changesSince(sequence int) (names []string, ok bool) {
 	n := r.Seq - sequence
 	if n <= 0 || n > len(r.Names) {
@@ -54,17 +54,18 @@
 	return r.Names[len(r.Names)-n:], true
 }
 
-// definitionRecord is a schedule's definition. A version is in effect from SinceMS on; moments before that
-// follow Previous.
+// definitionRecord is a schedule's definition. Its version is in effect from SinceMS on. Previous applies to
+// earlier moments.
 type definitionRecord struct {
 	Version  int      `json:"version"`
-	SinceMS  int64    `json:"since"` // time of day in milliseconds
+	SinceMS  int64    `json:"since"` // Unix ms
 	Spec     Spec     `json:"spec"`
 	Calendar calendar `json:"calendar"`
 	Paused   bool     `json:"paused,omitempty"`
 	Previous *version `json:"old,omitempty"`
 }
 
+// version is one version of a schedule, with its own copy of the calendar.
 type version struct {
 	Version  int      `json:"version"`
 	SinceMS  int64    `json:"since"`
@@ -77,29 +78,29 @@
 	return &version{Version: d.Version, SinceMS: d.SinceMS, Spec: d.Spec, Calendar: d.Calendar}
 }
 
-// calendar is nil if a schedule names none.
+// calendar is nil if the schedule has no calendar.
 type calendar = *recurrence.Calendar
 
-// Decision is what was decided for a moment. Times are times of day in milliseconds.
+// Decision is the decision for a moment: a run or a skip. Times are in Unix milliseconds.
 type Decision struct {
 	AtMS      int64  `json:"at"` // the moment
 	Run       bool   `json:"run"`
 	Job       string `json:"job,omitempty"`
-	Reason    string `json:"why,omitempty"` // why it is late, shifted or not run
+	Reason    string `json:"why,omitempty"` // why the run is late or shifted, or why it was skipped
 	Version   int    `json:"version"`
 	DecidedMS int64  `json:"decided"`
 }
 
-// progressRecord is what a schedule decided.
+// progressRecord is the progress of a schedule: its latest decisions and pending runs.
 type progressRecord struct {
-	DecidedUpToMS int64      `json:"upto"`              // all moments up to this time of day are decided
-	Pending       []Decision `json:"pending,omitempty"` // runs that may not be submitted yet
-	Last          string     `json:"last,omitempty"`    // the job of the newest run
-	Log           []Decision `json:"log,omitempty"`     // the newest decisions; earlier ones are in history
-	Pages         int        `json:"pages,omitempty"`   // of history
+	DecidedUpToMS int64      `json:"upto"`              // all moments up to this time (Unix ms) are decided
+	Pending       []Decision `json:"pending,omitempty"` // runs whose submission may not be confirmed yet
+	Last          string     `json:"last,omitempty"`    // ID of the job or workflow run of the latest run
+	Log           []Decision `json:"log,omitempty"`     // the latest decisions; earlier ones are in history
+	Pages         int        `json:"pages,omitempty"`   // number of history pages
 }
 
-// validate makes a version that came from the store ready for use.
+// validate validates a stored version and prepares it for use.
 func (v *version) validate() error {
 	calendars := map[string]*recurrence.Calendar{}
 	if v.Calendar != nil {
--- a/schedules/requests.go
+++ b/schedules/requests.go
@@ -11,10 +11,10 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Kind is the kind of an operator's request.
+// Kind is the operation of an operator's request.
 type Kind int
 
-// The kinds of requests.
+// The operations.
 const (
 	Apply Kind = iota
 	List
@@ -27,17 +27,17 @@
 	ShowCalendar
 )
 
-// Request is an operator's request.
+// Request is an operator's request for a schedule or calendar.
 type Request struct {
 	Kind Kind
 	Name string
-	Body []byte // Apply, ApplyCalendar: a TOML file with the schedule or calendar of this name
-	From string // List, History: Response.More of the page before
-	// EffectiveMS is the time of day from which an applied version is in effect, in milliseconds; 0: now.
+	Body []byte // Apply, ApplyCalendar: a TOML file that contains the schedule or calendar Name
+	From string // List, History: Response.More of the preceding page
+	// EffectiveMS is the time (Unix ms) from which an applied version is in effect; 0: now.
 	EffectiveMS int64
 }
 
-// Summary is a schedule in a list of schedules.
+// Summary is the entry of a schedule in a list.
 type Summary struct {
 	Name    string `json:"name"`
 	Version int    `json:"version"`
@@ -46,7 +46,7 @@
 	Rule    string `json:"rule"`
 }
 
-// Response answers an operator's request. Status is as in HTTP.
+// Response is the response to an operator's request. Status is an HTTP status code.
 type Response struct {
 	Status      int        `json:"-"`
 	RetryAfterS int        `json:"-"`
@@ -62,7 +62,7 @@
 	More        string     `json:"more,omitempty"` // Request.From of the next page
 }
 
-// The states of a Response.
+// Values of Response.State.
 const (
 	stateApplied   = "applied"
 	stateUnchanged = "unchanged"
@@ -71,7 +71,7 @@
 	stateRemoved   = "removed"
 )
 
-// Texts of responses with status 404.
+// Error texts of responses with status 404.
 const (
 	noSuchSchedule  = "no such schedule"
 	calendarNotUsed = "no schedule uses a calendar of this name"
@@ -81,7 +81,7 @@
 	return Response{Status: 503, Name: name, Error: "state service unavailable", RetryAfterS: 1}
 }
 
-// HandleRequest takes an operator's request. The response has the number replyID in the outputs.
+// HandleRequest starts an operator's request. The outputs contain its response under replyID once it is complete.
 func (h *Host) HandleRequest(now scheduler.Now, replyID uint64, r Request) {
 	h.Now = now
 	respond := func(response Response) { h.Respond(replyID, response) }
@@ -123,8 +123,8 @@
 	return statePaused, nil
 }
 
-// resume has the schedule continue from a time of day. Moments during the pause are not made up for: a pause
-// is no outage.
+// resume lets a schedule continue from a time (Unix ms). Moments during the pause are never run: unlike an outage,
+// a pause is intended.
 func (d *definitionRecord) resume(wallMS int64) (state string, err error) {
 	if !d.Paused {
 		return stateUnchanged, nil
@@ -133,7 +133,7 @@
 	return stateResumed, nil
 }
 
-// removedVersion marks a definition that is to be removed.
+// removedVersion is the Version of a definition that is to be deleted.
 const removedVersion = -1
 
 func (d *definitionRecord) remove() (state string, err error) {
@@ -141,7 +141,7 @@
 	return stateRemoved, nil
 }
 
-// applySchedule stores a schedule's new version.
+// applySchedule stores a new version of a schedule.
 func (h *Host) applySchedule(replyID uint64, r Request) {
 	v, failure := h.parseVersion(r)
 	if failure != nil {
@@ -161,7 +161,7 @@
 	}, func(response Response) { h.Respond(replyID, response) })
 }
 
-// parseVersion reads the schedule that a request applies; failure is the response if it is invalid.
+// parseVersion parses and validates the schedule that a request applies. failure is the response if it is invalid.
 func (h *Host) parseVersion(r Request) (v version, failure *Response) {
 	f, err := ParseFile(r.Body)
 	if err != nil {
@@ -192,8 +192,8 @@
 
 func sameEncoding(a, b any) bool { return bytes.Equal(extension.Encode(a), extension.Encode(b)) }
 
-// replace puts a new version in effect from a time of day on. The version before is kept for the moments until
-// then; what is decided stays as it is.
+// replace puts a new version into effect from a time (Unix ms) on. The previous version is kept for earlier
+// moments. Existing decisions do not change.
 func (d *definitionRecord) replace(v version, since int64, maxBytes int) error {
 	d.Previous = d.version()
 	d.Version, d.SinceMS, d.Spec, d.Calendar = d.Version+1, since, v.Spec, v.Calendar
@@ -211,7 +211,7 @@
 	)
 }
 
-// decode reads a record; one that does not exist leaves the value as it is.
+// decode decodes a record and reports success. A record that does not exist leaves the value unchanged.
 func decode(kv scheduler.KeyValue, into any) bool {
 	return kv.Rev == 0 || json.Unmarshal(kv.Value, into) == nil
 }
--- a/schedules/spec.go
+++ b/schedules/spec.go
@@ -1,27 +1,30 @@
-// Package schedules decides which recurring jobs are due, and has each due moment become exactly one
-// run, whatever members end, restart or take over. Host is a state machine without input or
-// output: time comes with the inputs, and it sends requests to the scheduler's core as a user does.
-// Calls must come from one goroutine at a time.
+// Package schedules runs recurring jobs. A moment is a time at which a schedule is due. Each moment that the
+// policies do not skip results in exactly one run, also when members stop, restart or take over shards.
+// Host is a state machine without I/O: each input carries the time, and the host sends requests to the
+// scheduler's core as a user does. It is not safe for concurrent use.
 //
-// It owns a shard's definitions, progress and history in the state service (records.go names the keys).
-// What a schedule decided for a moment (a run, or none and why) is one write under the shard's
-// claim and the revision of the schedule's progress. The ID of the run's job follows from
-// schedule and moment, so that any later owner can submit it again. Nothing is decided before a
-// moment has come on every member's clock, within the platform's bound on clock errors.
+// The host owns a shard's definitions, progress and history in the state service (records.go lists the keys).
+// A decision for a moment is a run, or a skip with its reason. The host stores it in one transaction whose
+// preconditions are the shard's claim and the revisions of the schedule's definition and progress. The ID of
+// the run's job is derived from the schedule and the moment, so any later owner can submit the same job again.
+// The host decides a moment only once it has passed on every member's clock, given the platform's bound on
+// clock errors.
 //
-//	moment      input                                       to          effect
-//	future      it has come on every clock                  due
-//	due         busy is queue or replace, the preceding     due         queried again in a second; replace
-//	            run is not over                                         cancels it
-//	due         missed, late or busy policies skip it       skipped     the decision has the reason
-//	due         the write of the decision is stored         pending     its job is submitted
-//	due         the write is refused or in doubt            due         the stored record is read again
-//	pending     submitted, or refused for good              done        left out of the next decision
-//	pending     no answer, or a conflict                    pending     read again and submitted again
+//	state       event                                       next state  effect
+//	future      the moment passes on every clock            due
+//	due         busy is queue or replace, and the           due         the run is queried again after 1 s;
+//	            preceding run is active                                 with replace, it is cancelled
+//	due         the missed, late or busy policy skips it    skipped     the decision records the reason
+//	due         the decision is stored                      pending     the run is submitted
+//	due         the write fails or its outcome is unknown   due         the stored records are read again
+//	pending     the run is accepted, or rejected            done        the next decision drops it from Pending
+//	            permanently
+//	pending     no response, or a conflict                  pending     the records are read again and the run
+//	                                                                    is submitted again
 //	any         another member claims the shard             as stored
 //
-// It is built for members that end or lose their claim at any point, clocks that differ within the
-// bound, store outages, and requests that are lost, late or repeated.
+// The design tolerates members that stop or lose their claim at any point, clocks that differ within the
+// bound, outages of the state service, and requests that are lost, delayed or repeated.
 package schedules
 
 import (
@@ -40,7 +43,7 @@
 	"github.com/grebedock/grebedock/strict"
 )
 
-// Job is what a schedule runs: an array job.
+// Job describes the job array that a schedule runs.
 type Job struct {
 	Team      string  `toml:"team"       json:"team"`
 	Class     string  `toml:"class"      json:"class"`
@@ -52,11 +55,11 @@
 	Image     string  `toml:"image"      json:"image"`
 	ImageGB   float64 `toml:"image_gb"   json:"image_gb"`
 	EstimateS float64 `toml:"estimate_s" json:"estimate_s"`
-	DeadlineS float64 `toml:"deadline_s" json:"deadline_s"` // from the run's submission; 0: none
+	DeadlineS float64 `toml:"deadline_s" json:"deadline_s"` // seconds after the run's submission; 0: no deadline
 	Spot      bool    `toml:"spot"       json:"spot"`
 }
 
-// MissedPolicy is which moments are run that passed while no member could decide.
+// MissedPolicy selects which missed moments are run: those that passed while no member could decide them.
 type MissedPolicy string
 
 // The policies for missed moments.
@@ -66,46 +69,46 @@
 	MissedSkip   MissedPolicy = "skip"
 )
 
-// BusyPolicy is what happens to a moment while the preceding run is not over.
+// BusyPolicy determines how a moment is handled while the preceding run is active.
 type BusyPolicy string
 
-// The policies for a preceding run that is not over.
+// The policies for a moment whose preceding run is active.
 const (
-	BusyAllow   BusyPolicy = "allow"   // both run
+	BusyAllow   BusyPolicy = "allow"   // both runs are active at the same time
 	BusyForbid  BusyPolicy = "forbid"  // the moment is skipped
-	BusyQueue   BusyPolicy = "queue"   // the moment waits
-	BusyReplace BusyPolicy = "replace" // the preceding run is cancelled
+	BusyQueue   BusyPolicy = "queue"   // the moment waits until the preceding run has ended
+	BusyReplace BusyPolicy = "replace" // the preceding run is cancelled first
 )
 
-// runsOneAtATime reports whether each run waits for the decision about the one before.
+// runsOneAtATime reports whether the preceding run must have ended before the next moment is decided.
 func (p BusyPolicy) runsOneAtATime() bool { return p == BusyQueue || p == BusyReplace }
 
-// Spec is a schedule with what it runs and its policies.
+// Spec is a schedule with its policies and the job or workflow that it runs.
 type Spec struct {
 	recurrence.Schedule
 	Missed MissedPolicy `toml:"missed"   json:"missed"`
-	// LateS is how late a moment may be decided and still run, in seconds; 0: an hour.
+	// LateS is the maximum lateness in seconds at which a moment is still run; 0: one hour.
 	LateS float64    `toml:"late_s"   json:"late_s"`
 	Busy  BusyPolicy `toml:"busy"     json:"busy"`
 	Job   Job        `toml:"job"      json:"job"`
-	// Workflow is run instead of a job; Job then only gives team, class and priority to steps that name
-	// none.
+	// Workflow is run instead of a job. Job then only provides the default team, class and priority of
+	// the steps.
 	Workflow *Workflow `toml:"workflow" json:"workflow,omitempty"`
 }
 
-// WorkflowInputs are the inputs of a workflow by name, of any type that its document declares.
+// WorkflowInputs holds the inputs of a workflow by name. The document declares their types.
 type WorkflowInputs map[string]any
 
 // Workflow is a workflow that a schedule runs.
 type Workflow struct {
-	// File is the document's path relative to the schedules' file. The command line packs the file into
+	// File is the document's path relative to the schedule file. The command line packs that file into
 	// Document before it applies the schedule.
 	File     string         `toml:"file,omitempty"     json:"file,omitempty"`
-	Document string         `toml:"document,omitempty" json:"document,omitempty"` // as JSON
+	Document string         `toml:"document,omitempty" json:"document,omitempty"` // JSON
 	Inputs   WorkflowInputs `toml:"inputs,omitempty"   json:"inputs,omitempty"`
 }
 
-// File holds calendars and schedules as operators write them in TOML.
+// File is an operator's TOML file of calendars and schedules.
 type File struct {
 	Calendars []*recurrence.Calendar `toml:"calendar" json:"calendar"`
 	Schedules []*Spec                `toml:"schedule" json:"schedule"`
@@ -121,8 +124,8 @@
 	}
 )
 
-// ParseFile decodes and validates a file, and sets defaults. Errors of syntax name line and field;
-// errors of meaning name the calendar or schedule and the field.
+// ParseFile decodes and validates a file, and sets defaults. Syntax errors include the line and the field,
+// validation errors the calendar or schedule and the field.
 func ParseFile(b []byte) (*File, error) {
 	var f File
 	if err := strict.Decode(b, &f); err != nil {
@@ -141,7 +144,8 @@
 	return &f, errors.Join(errs...)
 }
 
-// validate sets defaults and returns an error for the first invalid field beside the recurrence.
+// validate sets defaults and returns an error for the first invalid field. It does not check the recurrence,
+// which recurrence.Schedule validates.
 func (s *Spec) validate() error {
 	if !namePattern.MatchString(s.Name) {
 		return errors.New("name must be 1 to 63 of a-z, 0-9 and -")
@@ -193,7 +197,7 @@
 	return nil
 }
 
-// buildJob returns the job that runs a moment.
+// buildJob returns the scheduler's job for a run.
 func (s *Spec) buildJob(id, run string) *scheduler.Job {
 	j := s.Job
 	return &scheduler.Job{
@@ -217,18 +221,19 @@
 	}
 }
 
-// runName returns the name of the run of a moment (time of day, ms); the ID of its job follows from it.
+// runName returns the name of the run of a moment, given in Unix milliseconds. jobOrRunID derives the ID of
+// the run's job from it.
 func runName(schedule string, at int64) string {
 	return "schedule/" + schedule + "@" + time.UnixMilli(at).UTC().Format("20060102T150405Z")
 }
 
-// The prefixes of the IDs of jobs and of workflow runs.
+// Prefixes of the IDs of jobs and of workflow runs.
 const (
 	jobPrefix         = "job-"
 	workflowRunPrefix = "run-"
 )
 
-// jobOrRunID returns the ID of the job of a run, or of its workflow's run.
+// jobOrRunID returns the ID of a run's job, or of its workflow run. It is a hash of the run's name.
 func (s *Spec) jobOrRunID(run string) string {
 	h := fnv.New64a()
 	h.Write([]byte(run))
@@ -239,7 +244,7 @@
 	return prefix + strconv.FormatUint(1e15+h.Sum64()%9e15, 10) // 16 digits
 }
 
-// workflowSubmission is the body of a workflow's submission.
+// workflowSubmission is the request body that submits a workflow.
 type workflowSubmission struct {
 	Document json.RawMessage `json:"document"`
 	ID       string          `json:"id"`
@@ -251,7 +256,7 @@
 	} `json:"job"`
 }
 
-// encodeSubmission returns the body that submits the workflow under a run's ID.
+// encodeSubmission returns the request body that submits the workflow under a run's ID.
 func (s *Spec) encodeSubmission(id string) []byte {
 	submission := workflowSubmission{
 		Document: json.RawMessage(s.Workflow.Document),
--- a/schedules/submissions.go
+++ b/schedules/submissions.go
@@ -8,8 +8,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// submitPending submits the runs that are decided. A run may have been submitted before: its ID makes the
-// repetition harmless.
+// submitPending submits the pending runs that are not marked as submitted. A run may have been submitted before:
+// submissions are idempotent by the run's ID.
 func (h *Host) submitPending(e *entry) {
 	for _, d := range e.progress.Pending {
 		if !e.submitted[d.Job] {
@@ -24,7 +24,7 @@
 		v = e.previous
 	}
 	if strings.HasPrefix(d.Job, workflowRunPrefix) && v.Spec.Workflow != nil {
-		// Without preconditions: a decided run must exist, whoever submits it.
+		// The request has no preconditions, because a decided run must exist whichever member submits it.
 		request := WorkflowRequest{Run: d.Job, Body: v.Spec.encodeSubmission(d.Job)}
 		h.SendRequest(request, func(r WorkflowResult) {
 			accepted := r.Status == 200 || r.Status == 201
@@ -48,7 +48,7 @@
 	})
 }
 
-// submissionResult is the answer to a submission. A status of 200 that is not accepted means that the ID
+// submissionResult is the response to a submission. A status of 200 with accepted false means that the ID
 // belongs to another run.
 type submissionResult struct {
 	status   int
@@ -56,12 +56,12 @@
 	err      string
 }
 
-// onSubmitted takes the answer to a run's submission.
+// onSubmitted handles the response to a run's submission.
 func (h *Host) onSubmitted(e *entry, d Decision, r submissionResult) {
 	if !h.owns(e) || !e.isPending(d.Job) {
 		return
 	}
-	refused := r.status == 200 || r.status == 400 || r.status == 422
+	rejected := r.status == 200 || r.status == 400 || r.status == 422
 	switch {
 	case r.accepted:
 		e.submitted[d.Job] = true
@@ -69,23 +69,23 @@
 			at := time.UnixMilli(d.AtMS).UTC().Format(time.RFC3339)
 			h.Log("run submitted", "schedule", e.name, "at", at, "job", d.Job, "why", d.Reason)
 		}
-	case refused:
+	case rejected:
 		e.submitted[d.Job] = true
-		h.Log("run refused", "schedule", e.name, "job", d.Job, "error", joinReasons(r.err, fmt.Sprint(r.status)))
-	case !e.inFlight: // no answer, or the claim or the definition changed
+		h.Log("run rejected", "schedule", e.name, "job", d.Job, "error", joinReasons(r.err, fmt.Sprint(r.status)))
+	case !e.inFlight: // no response, or the claim or the definition changed
 		h.reloadLater(e)
 	}
 }
 
-// WorkflowRequest is a request to the workflow extension: to submit a run (Body is set), to query it, or to
-// cancel it.
+// WorkflowRequest is a request to the workflow extension. It submits a run if Body is set, aborts it if Abort is
+// set, and queries it otherwise.
 type WorkflowRequest struct {
 	Run   string
 	Body  []byte
 	Abort bool
 }
 
-// WorkflowResult answers a WorkflowRequest. Status is as in HTTP.
+// WorkflowResult is the response to a WorkflowRequest. Status is an HTTP status code.
 type WorkflowResult struct {
 	Status int
 	IsOver bool // the run has ended
