--- a/schedules/golden_test.go
+++ b/schedules/golden_test.go
@@ -38,7 +38,7 @@
 	checkRecord[Response](t, "answer.json")
 }
 
-// Operators keep files of calendars and schedules.
+// Operators keep calendar and schedule files, so files in the current format must remain valid.
 func TestFilesKeepTheirForm(t *testing.T) {
 	var f File
 	golden.Fill(&f)
--- a/schedules/host_test.go
+++ b/schedules/host_test.go
@@ -20,7 +20,7 @@
 dates = ["2027-03-15", "04-13", "12-31"]
 `
 
-// scheduleText returns the text of a schedule with the given lines.
+// scheduleText returns the TOML of a schedule with the given lines.
 func scheduleText(name, lines string) string {
 	return fmt.Sprintf(`[[schedule]]
 name = %q
@@ -32,12 +32,12 @@
 `, name, strings.TrimSpace(lines))
 }
 
-// dailyText returns the text of a schedule that is due every day at a time of day in UTC.
+// dailyText returns the TOML of a schedule that is due every day at the given UTC time.
 func dailyText(name, at string) string {
 	return scheduleText(name, fmt.Sprintf("zone = \"UTC\"\nrule = \"FREQ=DAILY\"\nat = [%q]", at))
 }
 
-// yearTexts are schedules of each policy, in zones with and without clock changes.
+// yearTexts returns schedules that cover each policy, in time zones with and without clock changes.
 func yearTexts() []string {
 	return []string{
 		calendarText + scheduleText("all", `
@@ -86,7 +86,7 @@
 	}
 }
 
-// simulateYear simulates a year, or a quarter with an injected fault, and returns the violations.
+// simulateYear simulates a year, or a quarter if injectFault is set, and returns the violations.
 func simulateYear(t testing.TB, seed uint64, faults bool, injectFault func(*simulation)) (violations []string) {
 	t.Helper()
 	sim := newSimulation(t, seed, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), faults)
@@ -113,7 +113,8 @@
 		end = time.Date(2027, 4, 1, 0, 0, 0, 0, time.UTC)
 	}
 	for sim.now < end.UnixMilli() {
-		// Mostly hours, at times to within 10 ms of a moment, and then some seconds.
+		// Steps are up to five hours. Two in three end within 10 ms of a moment if one is due earlier. Short steps
+		// of up to 700 ms follow each.
 		stepMS := int64(sim.rng.IntN(5 * 3600_000))
 		next, ok := specs[sim.rng.IntN(len(specs))].Next(time.UnixMilli(sim.now))
 		if ok && sim.rng.IntN(3) > 0 {
@@ -126,7 +127,7 @@
 	}
 	sim.settle()
 	if faults && injectFault == nil && sim.lostResponses < 100 {
-		t.Errorf("seed %d: %d requests were lost: too few for the test", seed, sim.lostResponses)
+		t.Errorf("seed %d: got %d lost responses, want at least 100", seed, sim.lostResponses)
 	}
 	for _, s := range specs {
 		violations = append(violations, sim.violations(s, since[s.Name], sim.now)...)
@@ -134,7 +135,8 @@
 	return violations
 }
 
-// settle ends all faults, delivers what is delayed, and lets time pass until all is decided.
+// settle ends all faults, performs the delayed requests, and advances the time by 20 minutes to let all due
+// moments be decided.
 func (sim *simulation) settle() {
 	sim.faults, sim.storeOutageUntil = false, 0
 	for len(sim.delayed) > 0 {
@@ -146,25 +148,25 @@
 	}
 }
 
-// advanceUntil lets time pass in steps of at most stepMS.
+// advanceUntil advances the time to end in steps of at most stepMS.
 func (sim *simulation) advanceUntil(end time.Time, stepMS int64) {
 	for sim.now < end.UnixMilli() {
 		sim.step(min(stepMS, end.UnixMilli()-sim.now))
 	}
 }
 
-// In a year of simulated time every moment is decided once, and run once if it is to be, whatever
-// faults occur at it.
+// In a simulated year, each moment is decided exactly once, and each decided run is run exactly once, with
+// (seed 1) and without faults (seed 0).
 func TestEachMomentIsDecidedOnceInAYearOfFaults(t *testing.T) {
 	for seed := range uint64(2) {
 		violations := simulateYear(t, seed, seed > 0, nil)
 		if n := len(violations); n > 0 {
-			t.Fatalf("seed %d: %d violations, the first: %s", seed, n, strings.Join(violations[:min(5, n)], "\n"))
+			t.Fatalf("seed %d: %d violations, want 0; first: %s", seed, n, strings.Join(violations[:min(5, n)], "\n"))
 		}
 	}
 }
 
-// The violations show runs that exist twice and runs that are missing.
+// The simulation's check detects duplicate and missing runs when such a fault is injected.
 func TestSimulationDetectsDuplicateAndMissingRuns(t *testing.T) {
 	for _, c := range []struct {
 		name, expected string
@@ -176,13 +178,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			violations := simulateYear(t, 1, true, c.injectFault)
 			if !strings.Contains(strings.Join(violations, "\n"), c.expected) {
-				t.Errorf("not detected: %v", violations)
+				t.Errorf("got violations %v, want one that contains %q", violations, c.expected)
 			}
 		})
 	}
 }
 
-// A new version applies from its effective time on; what is decided stays decided.
+// A new version applies from its effective time on, and existing decisions do not change. A paused or removed
+// schedule decides no moments.
 func TestChangedScheduleAppliesFromItsEffectiveTime(t *testing.T) {
 	sim := newSimulation(t, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
 	noonOf := func(day int) time.Time { return time.Date(2027, 1, day, 12, 0, 0, 0, time.UTC) }
@@ -226,8 +229,8 @@
 	}
 }
 
-// A calendar that changes seconds before a moment changes that moment for all schedules that use it, and
-// nothing that was decided.
+// A calendar change seconds before a moment applies to that moment, for all schedules that use the calendar.
+// Existing decisions and other schedules do not change.
 func TestCalendarChangeJustBeforeDueMomentApplies(t *testing.T) {
 	sim := newSimulation(t, 1, time.Date(2027, 3, 9, 0, 0, 0, 0, time.UTC), false)
 	sim.apply(calendarText + scheduleText("s", `
@@ -246,7 +249,7 @@
 		t.Fatalf("changed calendar: got %+v, want version 2 of one schedule", response)
 	}
 	if sim.now >= due.UnixMilli() {
-		t.Fatal("the change came too late for the test")
+		t.Fatal("the calendar changed only after the moment was due, want before")
 	}
 	response = sim.request(Request{Kind: ApplyCalendar, Name: "c", Body: []byte(changed)})
 	if response.State != "unchanged" {
@@ -273,7 +276,7 @@
 	}
 }
 
-// The cost of a tick follows what is due, not what exists.
+// The cost of a tick depends on the number of due schedules, not on the number of all schedules.
 func BenchmarkTickWithManySchedules(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -299,8 +302,8 @@
 	}
 }
 
-// How long 5,000 schedules take that are due at once, at the rates of the fleet sites: a quarter of a
-// member's share of 80 writes per second with three members, and of 50 with five.
+// Measures how long 5,000 schedules take that are due at the same time, at the rates of the fleet sites. The rate
+// is a quarter of a member's share of 80 writes per second with three members, and of 50 with five.
 func BenchmarkAllSchedulesDueAtOnce(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -325,7 +328,8 @@
 	}
 }
 
-// What a member does to continue 10,000 schedules after it claimed all shards.
+// Measures the host time and the requests that a member needs to load 10,000 schedules after it claimed all
+// shards.
 func BenchmarkShardLoadOf10000Schedules(b *testing.B) {
 	for b.Loop() {
 		sim := newSimulation(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
@@ -353,7 +357,7 @@
 			}
 		}
 		b.ReportMetric(took.Seconds()*1000, "host-ms")
-		b.ReportMetric(float64(requests)*50/500, "requests") // pages of 500, where the fake has 50
+		b.ReportMetric(float64(requests)*50/500, "requests") // pages hold 500 records, the fake's pages 50
 	}
 }
 
@@ -384,7 +388,7 @@
 func TestExampleFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../docs/examples/schedules/*.toml")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("got %d examples, %v, want 2 or more", len(files), err)
+		t.Fatalf("got %d examples and error %v, want at least 2 examples", len(files), err)
 	}
 	for _, name := range files {
 		b, err := os.ReadFile(name)
--- a/schedules/records.go
+++ b/schedules/records.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Key prefixes in the state service. Only the change index of each shard is replicated to all members; its
-// revision tells the owner that definitions changed. Only the owner reads the definitions and progress, so their
+// Key prefixes in the state service. Only the change index of each shard is replicated to all members. A new
+// revision of it shows the owner that definitions changed. Only the owner loads the definitions and progress, so their
 // number causes no load on other members.
 const (
 	ChangeIndexPrefix = scheduler.ExtensionPrefix + "s/"
@@ -94,7 +94,7 @@
 // progressRecord is the progress of a schedule: its latest decisions and pending runs.
 type progressRecord struct {
 	DecidedUpToMS int64      `json:"upto"`              // all moments up to this time (Unix ms) are decided
-	Pending       []Decision `json:"pending,omitempty"` // runs whose submission may not be confirmed yet
+	Pending       []Decision `json:"pending,omitempty"` // runs whose submission may be unconfirmed
 	Last          string     `json:"last,omitempty"`    // ID of the job or workflow run of the latest run
 	Log           []Decision `json:"log,omitempty"`     // the latest decisions; earlier ones are in history
 	Pages         int        `json:"pages,omitempty"`   // number of history pages
--- a/schedules/simulation_test.go
+++ b/schedules/simulation_test.go
@@ -16,12 +16,13 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// simulation has a state service, a core and members' hosts whose clocks differ within the platform's
-// bound, with restarts, claims by other members, store outages, and requests that are lost or late.
+// simulation simulates a state service, a core, and the hosts of members whose clocks differ within the
+// platform's bound. Its faults are restarts, claims by other members, store outages, and requests that are lost
+// or delayed.
 type simulation struct {
 	t                    testing.TB
 	rng                  *rand.Rand
-	now                  int64 // true time of day in milliseconds
+	now                  int64 // true time (Unix ms)
 	store                *platformfake.State
 	members              []string
 	hosts                map[string]*Host
@@ -32,11 +33,11 @@
 	jobs                 map[string]*fakeJob
 	responses            map[uint64]Response
 	nextID               uint64
-	storeOutageUntil     int64 // until then the state service refuses all requests
+	storeOutageUntil     int64 // the state service refuses all requests before this time
 	lostResponses        int
 	faults               bool
-	duplicateSubmissions bool // planted: a repeated submission makes another job
-	dropSubmissions      bool // planted: one submission in fifty is confirmed and forgotten
+	duplicateSubmissions bool // injected fault: a repeated submission creates another job
+	dropSubmissions      bool // injected fault: one submission in 50 is confirmed but not stored
 }
 
 type fakeJob struct {
@@ -48,10 +49,10 @@
 
 const clockErrorMS = 5
 
-// valueBytes is half of what the smaller deployment allows.
+// valueBytes is half the maximum value size of the smaller deployment.
 const valueBytes = 4 << 10
 
-// The state service's bounds of a transaction.
+// Bounds of the state service on a transaction.
 const (
 	txnOps           = 16
 	maxTxnValueBytes = 60 << 10
@@ -104,7 +105,7 @@
 	return r
 }
 
-// clock returns a member's time: within the bound of true time, at random.
+// clock returns a member's time, which differs from true time by a random error within the bound.
 func (sim *simulation) clock() scheduler.Now {
 	return scheduler.Now{MonotonicMS: sim.now, WallMS: sim.now + int64(sim.rng.IntN(2*clockErrorMS+1)-clockErrorMS)}
 }
@@ -132,12 +133,12 @@
 	total := 0
 	for _, c := range op.Changes {
 		if total += len(c.Value); len(c.Value) > valueBytes {
-			sim.t.Errorf("%s takes %d bytes, more than the %d of a value", c.Key, len(c.Value), valueBytes)
+			sim.t.Errorf("%s: got a value of %d bytes, want at most %d", c.Key, len(c.Value), valueBytes)
 		}
 	}
 	changes, preconditions := len(op.Changes), len(op.Preconditions)
 	if total > maxTxnValueBytes || changes > txnOps || preconditions > maxPreconditions {
-		sim.t.Errorf("a transaction has %d bytes, %d changes and %d preconditions", total, changes, preconditions)
+		sim.t.Errorf("oversized transaction: %d bytes, %d changes, %d preconditions", total, changes, preconditions)
 	}
 	r, _ := sim.store.Apply(sim.now, op)
 	return r
@@ -187,7 +188,7 @@
 	return created
 }
 
-// dispatchOutputs queues what a member's host sends.
+// dispatchOutputs records the responses of a member's host and queues its requests.
 func (sim *simulation) dispatchOutputs(m string) {
 	h := sim.hosts[m]
 	outputs := h.Take()
@@ -214,8 +215,8 @@
 	}
 }
 
-// loseResponse reports, with a probability, that a request's answer is lost. The request is performed
-// at once or later.
+// loseResponse reports, with a probability, that the response to a request is lost. It then performs the request
+// at once or delays it.
 func (sim *simulation) loseResponse(probability float64, perform func()) bool {
 	if !sim.faults || sim.rng.Float64() >= probability {
 		return false
@@ -229,7 +230,7 @@
 	return true
 }
 
-// takeRandom removes one of some functions at random and returns it.
+// takeRandom removes a random function from a list and returns it.
 func (sim *simulation) takeRandom(functions *[]func()) func() {
 	i := sim.rng.IntN(len(*functions))
 	f := (*functions)[i]
@@ -237,7 +238,7 @@
 	return f
 }
 
-// step lets time pass, and performs some requests and faults.
+// step advances the time, ticks all hosts, performs some queued requests and injects faults.
 func (sim *simulation) step(ms int64) {
 	sim.now += ms
 	for _, m := range sim.members {
@@ -270,8 +271,8 @@
 	}
 }
 
-// request sends a request to members at random until one responds other than unavailable; a store outage ends
-// after the first attempt.
+// request sends a request to random members until one responds with a status other than 503. A store outage ends
+// after the first failed attempt.
 func (sim *simulation) request(r Request) Response {
 	for range 300 {
 		m := sim.members[sim.rng.IntN(3)]
@@ -290,11 +291,11 @@
 		}
 		sim.storeOutageUntil = 0
 	}
-	sim.t.Fatal("no response")
+	sim.t.Fatal("no response other than status 503 after 300 attempts")
 	return Response{}
 }
 
-// apply applies the first schedule of a file.
+// apply applies the first schedule of a TOML file.
 func (sim *simulation) apply(text string) *Spec {
 	f, err := ParseFile([]byte(text))
 	if err != nil {
@@ -319,7 +320,7 @@
 	}
 }
 
-// violations compares what was decided and run with the moments of a schedule.
+// violations compares the decisions and jobs of a schedule with its moments, and returns the differences.
 func (sim *simulation) violations(s *Spec, since, until int64) (violations []string) {
 	report := func(format string, args ...any) {
 		violations = append(violations, s.Name+": "+fmt.Sprintf(format, args...))
@@ -329,7 +330,7 @@
 	for _, d := range sim.history(s.Name) {
 		at := time.UnixMilli(d.AtMS).UTC()
 		if _, exists := decided[d.AtMS]; exists {
-			report("%s is decided twice", at)
+			report("%s: got more than one decision, want one", at)
 		} else if d.Run {
 			runs++
 		}
@@ -337,13 +338,13 @@
 		j := sim.jobs[d.Job]
 		switch {
 		case d.Run && j == nil:
-			report("the run of %s is missing", at)
+			report("the job of the run of %s is missing", at)
 		case d.Run && j.submissions != 1:
-			report("the run of %s is there %d times", at, j.submissions)
+			report("the run of %s was stored %d times, want once", at, j.submissions)
 		case d.Run && j.created < d.AtMS:
-			report("the run of %s came %d ms early", at, d.AtMS-j.created)
+			report("the job of the run of %s was created %d ms early", at, d.AtMS-j.created)
 		case !d.Run && d.Reason == "":
-			report("%s is not run, without a reason", at)
+			report("%s was skipped without a reason", at)
 		}
 	}
 	moments, err := s.Between(time.UnixMilli(since), time.UnixMilli(until))
@@ -353,27 +354,27 @@
 	moments = slices.DeleteFunc(moments, func(m recurrence.Moment) bool { return m.Dropped })
 	for _, m := range moments {
 		if _, exists := decided[m.At.UnixMilli()]; !exists {
-			report("nothing was decided for %s", m.At.UTC())
+			report("no decision for %s", m.At.UTC())
 		}
 	}
 	if len(decided) != len(moments) {
-		report("%d decisions for %d moments", len(decided), len(moments))
+		report("got %d decisions, want %d, one per moment", len(decided), len(moments))
 	}
 	jobs := sim.jobsOf(s.Name)
 	submissions := 0
 	for i, j := range jobs {
 		submissions += j.submissions
 		if i > 0 && s.Busy != BusyAllow && j.created < jobs[i-1].endsAt {
-			report("%s begins while %s runs", j.name, jobs[i-1].name)
+			report("%s starts while %s is still running", j.name, jobs[i-1].name)
 		}
 	}
 	if submissions != runs {
-		report("%d jobs for %d runs", submissions, runs)
+		report("got %d jobs, want %d, one per run", submissions, runs)
 	}
 	return violations
 }
 
-// jobsOf returns the jobs of a schedule in the order of creation.
+// jobsOf returns the jobs of a schedule, ordered by creation time.
 func (sim *simulation) jobsOf(schedule string) (jobs []*fakeJob) {
 	for _, j := range sim.jobs {
 		if strings.HasPrefix(j.name, "schedule/"+schedule+"@") {
@@ -384,7 +385,7 @@
 	return jobs
 }
 
-// storeSchedules stores n daily schedules as operators' requests would.
+// storeSchedules stores n daily schedules directly, with the records that operators' requests would write.
 func (sim *simulation) storeSchedules(n int, at string) {
 	f, err := ParseFile([]byte(dailyText("x", at)))
 	if err != nil {
--- a/schedules/spec.go
+++ b/schedules/spec.go
@@ -59,7 +59,8 @@
 	Spot      bool    `toml:"spot"       json:"spot"`
 }
 
-// MissedPolicy selects which missed moments are run: those that passed while no member could decide them.
+// MissedPolicy selects which missed moments are run. A moment is missed if it passed while no member could
+// decide it.
 type MissedPolicy string
 
 // The policies for missed moments.
--- a/schedules/submissions.go
+++ b/schedules/submissions.go
@@ -8,8 +8,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// submitPending submits the pending runs that are not marked as submitted. A run may have been submitted before:
-// submissions are idempotent by the run's ID.
+// submitPending submits the pending runs that are not marked as submitted. A run may have been submitted before;
+// its ID makes the submission idempotent.
 func (h *Host) submitPending(e *entry) {
 	for _, d := range e.progress.Pending {
 		if !e.submitted[d.Job] {
