--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -9,11 +9,11 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// adminTimeout bounds an operator's request.
+// adminTimeout bounds a request of an operator.
 const adminTimeout = 5 * time.Second
 
-// readCore reads something of the core on the loop that owns it. After the loop
-// has ended it returns the zero value.
+// readCore reads from the core on the loop that owns it. After the loop has
+// ended, it returns the zero value.
 func readCore[T any](n *Node, read func(scheduler.Now) T) T {
 	ch := make(chan T, 1)
 	n.enqueueResponse(func(now scheduler.Now) { ch <- read(now) })
@@ -26,8 +26,9 @@
 	}
 }
 
-// submitAdminRequest has the loop start an operator's request and waits for the
-// response. Unlike a user's it is never refused for a full queue.
+// submitAdminRequest starts an operator's request on the loop and waits for the
+// response. Unlike a user's request, it is never refused because the queue is
+// full.
 func (n *Node) submitAdminRequest(submit func(now scheduler.Now, id uint64)) (scheduler.UserResponse, bool) {
 	e := newExchange(n.pending.users)
 	n.enqueueUserRequest(func(now scheduler.Now) {
@@ -46,28 +47,29 @@
 	return readCore(n, func(scheduler.Now) scheduler.Settings { return n.core.Settings() })
 }
 
-// ChangeSettings stores new settings; false means that there was no response in
-// time.
+// ChangeSettings stores new settings. It returns false if the core does not
+// respond in time.
 func (n *Node) ChangeSettings(s scheduler.Settings) (scheduler.UserResponse, bool) {
 	return n.submitAdminRequest(func(now scheduler.Now, id uint64) { n.core.ChangeSettings(now, id, s) })
 }
 
-// Rollout returns the state of the plan that drains or replaces machines, nil
-// without one.
+// Rollout returns the state of the plan that drains or replaces machines, or nil
+// without a plan.
 func (n *Node) Rollout() *scheduler.RolloutStatus { return readCore(n, n.core.Rollout) }
 
-// PreviewRollout returns what a plan would do.
+// PreviewRollout returns the effects that a plan would have.
 func (n *Node) PreviewRollout(p rollout.Plan) scheduler.RolloutPreview {
 	return readCore(n, func(now scheduler.Now) scheduler.RolloutPreview { return n.core.PreviewRollout(now, p) })
 }
 
-// ApplyRollout stores a plan; false means that there was no response in time.
+// ApplyRollout stores a plan. It returns false if the core does not respond in
+// time.
 func (n *Node) ApplyRollout(p rollout.Plan) (scheduler.UserResponse, bool) {
 	return n.submitAdminRequest(func(now scheduler.Now, id uint64) { n.core.ApplyRollout(now, id, p) })
 }
 
-// CommandRollout pauses, resumes or aborts the plan; false means that there was
-// no response in time.
+// CommandRollout pauses, resumes or aborts the plan. It returns false if the core
+// does not respond in time.
 func (n *Node) CommandRollout(c rollout.Command) (scheduler.UserResponse, bool) {
 	return n.submitAdminRequest(func(now scheduler.Now, id uint64) { n.core.CommandRollout(now, id, c) })
 }
--- a/internal/node/closing_listener.go
+++ b/internal/node/closing_listener.go
@@ -6,8 +6,8 @@
 )
 
 // closingListener can close the connections that it accepted. The HTTP library
-// closes those that are idle and leaves the rest: after an unfinished request
-// they would be served again, by a controller whose core has stopped.
+// closes idle connections and leaves the others open: after an unfinished
+// request, a controller whose core has stopped would serve them again.
 type closingListener struct {
 	net.Listener
 	mu        sync.Mutex
@@ -59,7 +59,7 @@
 	listener *closingListener
 }
 
-// Close closes the connection; its listener forgets it.
+// Close closes the connection and removes it from its listener.
 func (c *trackedConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.openConns, c)
--- a/internal/node/extension_runner.go
+++ b/internal/node/extension_runner.go
@@ -13,25 +13,26 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Flags in the IDs of the extensions' requests to the state service: they share
-// the core's client and its budget, and the flag routes the results back.
+// Flags in the IDs of the extensions' requests to the state service. Extensions
+// share the core's client and its budget; the flag routes results back to them.
 const (
 	workflowRequestFlag = 1 << 63
 	scheduleRequestFlag = 1 << 62
 )
 
-// inputQueueSize bounds the inputs that wait for an extension's loop.
+// inputQueueSize bounds the inputs queued for an extension's loop.
 const inputQueueSize = 256
 
-// viewInterval is how often an extension receives a view of the core: it learns
-// of a job's end that much later.
+// viewInterval is how often an extension receives a view of the core, and thus
+// the delay with which it detects the end of a job.
 const viewInterval = 2 * tick
 
-// coreRequestTimeout bounds a request to the core, as it would a user's.
+// coreRequestTimeout bounds a request to the core, as for a user's request.
 const coreRequestTimeout = 5 * time.Second
 
-// stateMachine is an extension of the core: requests Q of its own kind with
-// results R, and responses A to users. One goroutine at a time may call it.
+// stateMachine is an extension of the core. It makes requests Q of its own kind,
+// which have results R, and responds to users with A. It is not safe for
+// concurrent use.
 type stateMachine[Q, R, A any] interface {
 	Tick(scheduler.Now, scheduler.ExtensionView)
 	WatchedJobs() []string
@@ -44,20 +45,20 @@
 // counterSample is the value of an extension's counter.
 type counterSample struct {
 	desc  *prometheus.Desc
-	event string // the label's value; "": the metric has no label
+	event string // value of the label; "" if the metric has no label
 	value uint64
 }
 
-// extensionConfig is what distinguishes one extension's runner from another's.
+// extensionConfig holds the parameters that differ between extensions' runners.
 type extensionConfig[Q, R any] struct {
 	requestFlag uint64
-	prefix      string                 // of the extension's keys in the state cache
+	prefix      string                 // prefix of the extension's keys in the state cache
 	perform     func(Q) R              // carries out a request of the extension's own kind; may block
 	counters    func() []counterSample // called by the loop
 }
 
-// extensionRunner runs an extension on a loop of its own, which owns it: what
-// it computes may take longer than the core's loop can wait.
+// extensionRunner runs an extension on a loop of its own, which owns it: the
+// extension's computations may take longer than the core's loop can wait.
 type extensionRunner[Q, R, A any] struct {
 	extensionConfig[Q, R]
 	node            *Node
@@ -89,7 +90,7 @@
 
 func (r *extensionRunner[Q, R, A]) enqueue(f coreInput) { r.node.enqueue(r.inputs, f) }
 
-// loop feeds the extension until ctx ends. It owns the extension.
+// loop passes inputs to the extension until ctx ends. It owns the extension.
 func (r *extensionRunner[Q, R, A]) loop(ctx context.Context) {
 	ticker := time.NewTicker(viewInterval)
 	defer ticker.Stop()
@@ -109,9 +110,9 @@
 	}
 }
 
-// requestView has the core's loop make a view, and ticks the extension with it.
-// The two loops hand the view over by goroutines, so that they never wait for
-// each other.
+// requestView makes the core's loop create a view, and ticks the extension with
+// it. Separate goroutines pass the view between the two loops, so that neither
+// loop waits for the other.
 func (r *extensionRunner[Q, R, A]) requestView() {
 	r.viewPending = true
 	watched := r.machine.WatchedJobs()
@@ -124,7 +125,7 @@
 	})
 }
 
-// dispatchOutputs carries out what the extension wants done.
+// dispatchOutputs carries out the extension's outputs.
 func (r *extensionRunner[Q, R, A]) dispatchOutputs() {
 	o := r.machine.Take()
 	r.snapshotCounters()
@@ -151,8 +152,9 @@
 	r.enqueue(func(now scheduler.Now) { r.machine.RequestDone(now, request.ID, result) })
 }
 
-// sendToCore makes a request to the core as a user would. Without a response in
-// time the extension sees the refusal that a user would, and retries.
+// sendToCore makes a request to the core in the same way as a user. If the core
+// does not respond in time, the extension receives the same refusal as a user
+// would, and retries.
 func (r *extensionRunner[Q, R, A]) sendToCore(request extension.CoreRequest) {
 	response, ok := r.node.HandleUserRequest(request.UserRequest, coreRequestTimeout)
 	if !ok {
@@ -165,14 +167,14 @@
 	r.enqueue(func(now scheduler.Now) { r.machine.CoreDone(now, request.ID, response) })
 }
 
-// enqueueStoreResult takes the result of a request that carries the extension's
-// flag.
+// enqueueStoreResult queues the result of a request whose ID carries the
+// extension's flag.
 func (r *extensionRunner[Q, R, A]) enqueueStoreResult(id uint64, result scheduler.StoreResult) {
 	r.enqueue(func(now scheduler.Now) { r.machine.StoreDone(now, id&^r.requestFlag, result) })
 }
 
-// awaitResponse has the loop start a request to the extension and waits for the
-// response; false means that there was none in time.
+// awaitResponse starts a request to the extension on its loop and waits for the
+// response. It returns false if the extension does not respond in time.
 func (r *extensionRunner[Q, R, A]) awaitResponse(
 	timeout time.Duration,
 	submit func(now scheduler.Now, id uint64),
@@ -186,20 +188,20 @@
 	return e.wait(timeout, r.node.stopped, r.enqueue)
 }
 
-// snapshotCounters copies the counters for whoever collects them.
+// snapshotCounters copies the counters for the metrics collector.
 func (r *extensionRunner[Q, R, A]) snapshotCounters() {
 	samples := r.counters()
 	r.counterSnapshot.Store(&samples)
 }
 
-// Describe sends the metrics' descriptions.
+// Describe sends the descriptions of the metrics.
 func (r *extensionRunner[Q, R, A]) Describe(ch chan<- *prometheus.Desc) {
 	for _, c := range *r.counterSnapshot.Load() {
 		ch <- c.desc
 	}
 }
 
-// Collect sends the metrics' values.
+// Collect sends the values of the metrics.
 func (r *extensionRunner[Q, R, A]) Collect(ch chan<- prometheus.Metric) {
 	for _, c := range *r.counterSnapshot.Load() {
 		var labels []string
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -16,8 +16,8 @@
 
 var helpText = regexp.MustCompile(`(?m)^# HELP .*\n|help: "[^"]*", `)
 
-// TestMetricsKeepTheirNames holds the metrics of a controller's process: names,
-// types, labels and buckets, but not the texts that explain them.
+// TestMetricsKeepTheirNames compares the metrics of a controller's process with a
+// golden file: names, types, labels and buckets, but not the help texts.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	h := newHealth(1)
 	registry := prometheus.NewRegistry()
--- a/internal/node/input_queues.go
+++ b/internal/node/input_queues.go
@@ -7,31 +7,31 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// coreInput gives the core one input. The loop calls it.
+// coreInput passes one input to the core. The loop calls it.
 type coreInput func(scheduler.Now)
 
-// inputQueues are the loop's inputs, most urgent first. Responses of the state
-// service, the cloud, workers and peers come before new heartbeats, since claims
-// and the controller's lease depend on them; heartbeats come before users'
-// requests, since workers' leases depend on them. Hundreds of machines that send
-// heartbeats at once, or users who all come back, queue behind one another and
-// not in front of the rest.
+// inputQueues are the loop's inputs, most urgent first. Claims and the
+// controller's lease depend on responses of the state service, the cloud, workers
+// and peers, so these precede new heartbeats. Workers' leases depend on
+// heartbeats, so these precede users' requests. A burst of heartbeats from
+// hundreds of machines, or of requests from users who all reconnect, delays only
+// inputs of its own queue and of less urgent ones.
 type inputQueues struct {
 	responses, heartbeats, userRequests chan coreInput
 }
 
-// Depths of the queues. A response is never dropped, nor is a heartbeat: more of
-// them wait in their connections' goroutines, which the sockets bound. Users
-// past their depth are told to retry: waiting longer, each would only take the
-// place of the next.
+// Queue capacities. Responses and heartbeats are never dropped: the excess waits
+// in the connections' goroutines, whose number the sockets bound. User requests
+// beyond the capacity are refused with a retry time, since a longer queue would
+// only delay the requests after them.
 const (
 	responseQueueSize  = 256
 	heartbeatQueueSize = 256
 	userQueueSize      = 1024
 )
 
-// maxInputBatch bounds the inputs after the first that share one dispatch of
-// the outputs, and with it the delay of a tick.
+// maxInputBatch bounds the inputs after the first that share one dispatch of the
+// outputs, and thereby the delay of a tick.
 const maxInputBatch = 256
 
 func newInputQueues() inputQueues {
@@ -42,9 +42,9 @@
 	}
 }
 
-// next returns the most urgent input; if none waits, it waits for one or for a
-// tick. An input of nil means that the tick that was due then has come; ok is
-// false when ctx has ended.
+// next returns the most urgent input; if none is queued, it waits for one or for
+// a tick. A nil input means that the tick due at that time has fired. ok is false
+// when ctx has ended.
 func (q *inputQueues) next(ctx context.Context, ticks <-chan time.Time) (input coreInput, due time.Time, ok bool) {
 	if input := q.poll(); input != nil {
 		return input, time.Time{}, true
@@ -60,7 +60,7 @@
 	return input, due, true
 }
 
-// poll returns the most urgent input that waits, or nil.
+// poll returns the most urgent queued input, or nil.
 func (q *inputQueues) poll() coreInput {
 	for _, queue := range []chan coreInput{q.responses, q.heartbeats, q.userRequests} {
 		select {
--- a/internal/node/input_queues_test.go
+++ b/internal/node/input_queues_test.go
@@ -10,8 +10,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// However many heartbeats and requests wait, a response of the state service goes
-// before them, and heartbeats before requests; none is lost.
+// A queued response of the state service is processed before any queued
+// heartbeats, and heartbeats before user requests. No input is lost.
 func TestResponsesAreTakenBeforeHeartbeatsAndUserRequests(t *testing.T) {
 	queues := newInputQueues()
 	var got []string
@@ -26,12 +26,12 @@
 		}
 		f, _, ok := queues.next(t.Context(), nil)
 		if !ok {
-			t.Fatal("next returns no input")
+			t.Fatal("next: got no input, want one")
 		}
 		f(scheduler.Now{})
 	}
 	if got[50] != "response" || slices.Index(got, "user") != -1 || len(got) != 101 {
-		t.Errorf("order %v, want 101 inputs: the response at 50, heartbeats else", got)
+		t.Errorf("got order %v, want 101 inputs: the response at index 50, heartbeats elsewhere", got)
 	}
 	for f := queues.poll(); f != nil; f = queues.poll() {
 		f(scheduler.Now{})
@@ -42,11 +42,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, _, ok := queues.next(ctx, nil); ok {
-		t.Error("next returns an input after its context has ended")
+		t.Error("next after its context ended: got an input, want none")
 	}
 }
 
-// A user who finds the queue full is refused at once, with a time to retry.
+// A user request that finds the queue full is refused at once, with a retry time.
 func TestFullUserQueueIsRejectedAtOnceWithRetryAfter(t *testing.T) {
 	n := &Node{
 		queues:  newInputQueues(),
@@ -63,8 +63,8 @@
 }
 
 // BenchmarkStoreResponseBehindHeartbeats measures how long a response of the
-// state service waits behind a fleet whose heartbeats come at once, each of
-// which takes the loop ten microseconds.
+// state service waits while all machines send heartbeats at once. The loop takes
+// ten microseconds for each heartbeat.
 func BenchmarkStoreResponseBehindHeartbeats(b *testing.B) {
 	for _, machines := range []int{0, 800, 10_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
--- a/internal/node/load_shedding.go
+++ b/internal/node/load_shedding.go
@@ -12,10 +12,10 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// health measures what a small machine runs short of: memory, and time for the
-// loop.
+// health measures the two resources that a small machine runs short of: memory
+// and CPU time for the loop.
 type health struct {
-	memoryLimit   uint64 // bytes held by the runtime above which memory is short
+	memoryLimit   uint64 // bytes of runtime memory above which memory is short
 	memoryShort   atomic.Bool
 	nextSampleAt  time.Time        // owned by the loop
 	memorySamples []metrics.Sample // total and released; owned by the loop
@@ -27,16 +27,16 @@
 const memorySampleInterval = time.Second
 
 // shedMemoryShare is the share of its memory limit above which a controller
-// accepts no new work: a process over its limit is killed, and its shards'
-// users wait for a new owner. The garbage collector aims at a lower share, so
-// what is held above this one cannot be freed.
+// accepts no new work. The system kills a process over its limit, and the users
+// of its shards then wait for a new owner. The garbage collector aims at a lower
+// share, so it cannot free the memory in use above this one.
 const shedMemoryShare = 0.97
 
-// shedRetryAfterS is when a user who was refused for memory should retry: the
-// garbage collector needs a moment, and jobs must end.
+// shedRetryAfterS is the retry time, in seconds, for a user who was refused for
+// memory: the garbage collector needs some time, and jobs must end.
 const shedRetryAfterS = 5
 
-// newHealth returns the health of a process whose runtime may hold heapBytes.
+// newHealth returns the health of a process whose runtime may use heapBytes.
 func newHealth(heapBytes float64) *health {
 	return &health{
 		memoryLimit: uint64(heapBytes * shedMemoryShare),
@@ -60,8 +60,8 @@
 	return []prometheus.Collector{h.loopDelay, h.shedRequests, collectors.NewGoCollector()}
 }
 
-// observeTick records how late a tick is, and at most once in
-// memorySampleInterval reads the runtime's memory. The loop calls it.
+// observeTick records how late a tick is, and reads the runtime's memory at most
+// once per memorySampleInterval. The loop calls it.
 func (h *health) observeTick(due, now time.Time) {
 	h.loopDelay.Observe(now.Sub(due).Seconds())
 	if now.Before(h.nextSampleAt) {
@@ -74,8 +74,8 @@
 }
 
 // rejectIfMemoryShort returns the refusal of a request while memory is short, or
-// false if the core should have it. Only submissions are refused: queries and
-// cancellations take no lasting memory.
+// false if the core should handle the request. Only submissions are refused:
+// queries and cancellations take no lasting memory.
 func (h *health) rejectIfMemoryShort(r scheduler.UserRequest) (scheduler.UserResponse, bool) {
 	if r.Kind != scheduler.SubmitJob || !h.memoryShort.Load() {
 		return scheduler.UserResponse{}, false
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,12 +9,13 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// tick is the interval of the core's timer. Each tick wakes the process; at
-// twice the rate, ticks took a quarter of a 12 % share of a core.
+// tick is the interval of the core's timer. Each tick wakes the process: at twice
+// the rate, ticks took a quarter of the controller's CPU share, which is 12 % of
+// a core.
 const tick = 100 * time.Millisecond
 
-// enqueueResponse hands the loop a response to the core; after the loop has
-// ended it is lost.
+// enqueueResponse queues a response to the core for the loop. After the loop has
+// ended, the response is dropped.
 func (n *Node) enqueueResponse(f coreInput) { n.enqueue(n.queues.responses, f) }
 
 func (n *Node) enqueue(queue chan coreInput, f coreInput) {
@@ -24,7 +25,7 @@
 	}
 }
 
-// loop feeds the core until ctx ends. It owns the core.
+// loop passes inputs to the core until ctx ends. It owns the core.
 func (n *Node) loop(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -39,7 +40,7 @@
 			n.runBatch(input)
 		}
 		n.dispatchOutputs(n.core.TakeOutputs())
-		// A tick that is due goes before the next batch: it renews leases.
+		// A due tick runs before the next batch, because it renews leases.
 		select {
 		case due := <-ticker.C:
 			n.tickCore(due)
@@ -54,8 +55,8 @@
 	n.core.Tick(n.now())
 }
 
-// runBatch gives the core an input and those that wait already, so that they
-// share the dispatch of the outputs.
+// runBatch passes an input and the queued inputs after it to the core, so that
+// they share one dispatch of the outputs.
 func (n *Node) runBatch(input coreInput) {
 	for i := 0; input != nil; i++ {
 		input(n.now())
@@ -72,8 +73,7 @@
 	scheduler.Warn:  slog.LevelWarn,
 }
 
-// dispatchOutputs carries out what the core wants done. Nothing in it blocks
-// the loop.
+// dispatchOutputs carries out the core's outputs. It never blocks the loop.
 func (n *Node) dispatchOutputs(o scheduler.Outputs) {
 	for _, line := range o.Logs {
 		n.logger.Log(context.Background(), slogLevels[line.Level], line.Message, line.Args...)
@@ -102,8 +102,8 @@
 	n.usable.Store(n.core.IsReadyForUsers())
 }
 
-// directCommandTimeout bounds commands to a worker. After a timeout it is
-// unknown whether the worker received them.
+// directCommandTimeout bounds a request with commands to a worker. After a
+// timeout it is unknown whether the worker received them.
 const directCommandTimeout = 2 * time.Second
 
 func (n *Node) sendDirectCommand(command scheduler.DirectCommand) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,21 +1,22 @@
 // Package node runs a controller in a process: it connects the scheduler's core
 // to sockets, timers and the extensions for workflows and schedules.
 //
-// It owns the process's listeners, its clients of the state service, the cloud,
-// the peers and the workers, and one goroutine, the loop, which alone calls the
-// core. The other goroutines wait for sockets and hand the loop what arrives, by
-// inputQueues. Each extension has a loop of its own in the same way.
+// The package owns the process's listeners, its clients of the state service, the
+// cloud, the peers and the workers, and one goroutine, the loop, which alone
+// calls the core. The other goroutines wait for sockets and pass inputs to the
+// loop through inputQueues. Each extension has a loop of its own, which works the
+// same way.
 //
-// It may assume that the settings are valid and that ctx ends at most once.
+// It assumes that the settings are valid and that ctx ends at most once.
 //
-// It promises that nothing blocks the loop, that inputs are processed by
-// urgency (responses, then heartbeats, then users' requests), and that a
-// request from outside gets a response, an immediate refusal or a timeout.
-// Nothing is kept across a restart: what must last is in the state service.
+// It guarantees that nothing blocks the loop. Inputs are processed by urgency:
+// responses, then heartbeats, then users' requests. Each external request gets a
+// response, an immediate refusal or a timeout. The process keeps no state across
+// a restart: durable state is in the state service.
 //
-// It is built for a fleet or users that all come at once (bounded queues,
-// submissions shed while memory is short), for clients that stall (connlimit),
-// and for services that do not respond (timeouts at every client).
+// It handles bursts of heartbeats or user requests with bounded queues, and sheds
+// submissions while memory is short. Package connlimit bounds stalled clients,
+// and every client of a service has a timeout.
 package node
 
 import (
@@ -55,7 +56,7 @@
 	pending pendingRequests
 }
 
-// clients are the clients of all that a controller makes requests to.
+// clients are the clients of every service that a controller sends requests to.
 type clients struct {
 	store   *statestore.Client
 	cloud   *cloud.Client
@@ -98,8 +99,8 @@
 	}
 }
 
-// routeStoreResult hands a result of the state service to whoever made the
-// request: an extension, whose requests carry its flag, or the core.
+// routeStoreResult passes a result of the state service to the component that
+// made the request: an extension, whose request IDs carry its flag, or the core.
 func (n *Node) routeStoreResult(id uint64, r scheduler.StoreResult) {
 	switch {
 	case id&workflowRequestFlag != 0:
@@ -115,7 +116,7 @@
 	n.enqueueResponse(func(now scheduler.Now) { n.core.HandleCloudResult(now, id, r) })
 }
 
-// now returns the core's time. Its monotonic part counts from the start of the
+// now returns the core's time. The monotonic part counts from the start of the
 // process and is never 0.
 func (n *Node) now() scheduler.Now {
 	t := time.Now()
--- a/internal/node/params.go
+++ b/internal/node/params.go
@@ -11,10 +11,10 @@
 )
 
 // guaranteeObjective is the kind of objective that bounds how long a team may
-// wait for what it is guaranteed.
+// wait for its guarantee.
 const guaranteeObjective = "guarantee"
 
-// Params returns the core's parameters by the settings file alone, with every
+// Params returns the core's parameters from the settings file alone, with every
 // feature off.
 func Params(settings *config.File) scheduler.Params {
 	cluster := &settings.Cluster
@@ -49,7 +49,7 @@
 	return p
 }
 
-// coreParams returns the core's parameters by the settings and the features.
+// coreParams returns the core's parameters from the settings and the features.
 func (n *Node) coreParams(enabled features.Set) scheduler.Params {
 	p := Params(n.settings)
 	if enabled.Relay.Enabled {
@@ -66,8 +66,8 @@
 	return p
 }
 
-// writeRateShare returns this controller's share of the state service's rate of
-// writes, in changes a second.
+// writeRateShare returns this controller's share of the state service's write
+// rate, in changes per second.
 func writeRateShare(settings *config.File) float64 {
 	return settings.Cluster.State.WriteRPS / float64(len(settings.Peers)+1)
 }
--- a/internal/node/pending_responses.go
+++ b/internal/node/pending_responses.go
@@ -7,10 +7,10 @@
 )
 
 // pendingResponses are the requests that a loop has accepted and not responded
-// to, by ID. Owned by the loop.
+// to, by ID. They are owned by the loop.
 type pendingResponses[T any] map[uint64]chan T
 
-// deliver gives a response to whoever waits for it. A response that comes after
+// deliver passes a response to the goroutine that waits for it. A response after
 // the timeout is dropped.
 func (p pendingResponses[T]) deliver(id uint64, response T) {
 	if ch := p[id]; ch != nil {
@@ -19,8 +19,8 @@
 	}
 }
 
-// exchange is one request to a loop, on the side of the goroutine that waits
-// for the response.
+// exchange is one request to a loop, as seen by the goroutine that waits for the
+// response.
 type exchange[T any] struct {
 	response chan T
 	pending  pendingResponses[T]
@@ -31,7 +31,7 @@
 	return &exchange[T]{response: make(chan T, 1), pending: pending}
 }
 
-// register makes the exchange wait for a response with this ID. The loop calls
+// register makes the exchange wait for the response with this ID. The loop calls
 // it.
 func (e *exchange[T]) register(id uint64) {
 	e.id = id
@@ -39,7 +39,7 @@
 }
 
 // wait returns the response, or false after the timeout or when the loop has
-// ended. enqueue hands the loop an input on the queue that the request took.
+// ended. enqueue adds an input to the queue that the request used.
 func (e *exchange[T]) wait(timeout time.Duration, stopped <-chan struct{}, enqueue func(coreInput)) (T, bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// pendingRequests are the requests that the core has not responded to. Owned by
-// the loop.
+// pendingRequests are the requests that the core has not responded to. They are
+// owned by the loop.
 type pendingRequests struct {
 	lastID     uint64 // users and workers share the IDs
 	users      pendingResponses[scheduler.UserResponse]
@@ -27,16 +27,18 @@
 	return p.lastID
 }
 
-// queueFullRetryAfterS is when a user whose request found the queue full should
-// retry.
+// queueFullRetryAfterS is the retry time, in seconds, for a user whose request
+// finds the queue full.
 const queueFullRetryAfterS = 1
 
-// IsUsable reports whether the load balancer should send users here.
+// IsUsable reports whether the load balancer should send users to this
+// controller.
 func (n *Node) IsUsable() bool { return n.usable.Load() }
 
-// HandleUserRequest gives the core a user's request and waits for the response;
-// false means that there was none in time, and that the request may have been
-// executed. It refuses at once while memory is short or the queue is full.
+// HandleUserRequest passes a user's request to the core and waits for the
+// response. It returns false if the core does not respond in time; the request
+// may have been executed. It refuses requests at once while memory is short or
+// the queue is full.
 func (n *Node) HandleUserRequest(r scheduler.UserRequest, timeout time.Duration) (scheduler.UserResponse, bool) {
 	if refusal, ok := n.health.rejectIfMemoryShort(r); ok {
 		return refusal, true
@@ -61,8 +63,8 @@
 	}
 }
 
-// HandleHeartbeat gives the core a worker's heartbeat and waits for the
-// response; false means that there was none in time.
+// HandleHeartbeat passes a worker's heartbeat to the core and waits for the
+// response. It returns false if the core does not respond in time.
 func (n *Node) HandleHeartbeat(r scheduler.Heartbeat, timeout time.Duration) (scheduler.HeartbeatResponse, bool) {
 	e := newExchange(n.pending.heartbeats)
 	enqueue := func(f coreInput) { n.enqueue(n.queues.heartbeats, f) }
@@ -74,7 +76,7 @@
 	return e.wait(timeout, n.stopped, enqueue)
 }
 
-// HandlePeerMessage gives the core a peer's message.
+// HandlePeerMessage passes a peer's message to the core.
 func (n *Node) HandlePeerMessage(msg scheduler.PeerMessage) {
 	n.enqueueResponse(func(now scheduler.Now) { n.core.HandlePeerMessage(now, msg) })
 }
--- a/internal/node/schedule_runner.go
+++ b/internal/node/schedule_runner.go
@@ -11,9 +11,9 @@
 	"github.com/grebedock/grebedock/workflow"
 )
 
-// decisionWriteShare is the share of a controller's rate of writes that the
-// decisions of schedules may take: when thousands fall due at once, interactive
-// jobs keep the rest.
+// decisionWriteShare is the share of a controller's write rate that decisions of
+// schedules may use. When thousands of schedules fall due at once, the rest
+// remains for interactive jobs.
 const decisionWriteShare = 0.25
 
 // scheduleRunner runs the extension for schedules.
@@ -62,8 +62,8 @@
 	return schedules.WorkflowResult{Status: a.Status, IsOver: a.State.IsFinal(), Error: a.Error}
 }
 
-// HandleRequest carries out an operator's request and waits for the response;
-// false means that there was none in time.
+// HandleRequest carries out an operator's request and waits for the response. It
+// returns false if the extension does not respond in time.
 func (s *scheduleRunner) HandleRequest(q schedules.Request) (schedules.Response, bool) {
 	return s.awaitResponse(adminTimeout, func(now scheduler.Now, id uint64) { s.host.HandleRequest(now, id, q) })
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -22,7 +22,7 @@
 	peerAddressName = "mesh"
 )
 
-// shutdownTimeout bounds how long each server finishes what it has begun.
+// shutdownTimeout bounds how long each server may take to finish open requests.
 const shutdownTimeout = time.Second
 
 // serve listens and runs the loops until ctx ends or a listener fails.
@@ -68,8 +68,8 @@
 	return server
 }
 
-// newPeerServer returns the server of the peer address, where the administration
-// API is as well.
+// newPeerServer returns the server of the peer address, which also serves the
+// administration API.
 func (n *Node) newPeerServer(maxSockets int, limited bool) *fiber.App {
 	server := userapi.NewServer(maxSockets, peer.MaxMessageBytes, limited)
 	adminapi.Serve(server, n)
@@ -99,20 +99,22 @@
 }
 
 // Shares of a controller's sockets for inbound connections. The rest is for
-// outbound ones: to the state service, the cloud, the peers and the workers.
+// outbound connections to the state service, the cloud, the peers and the
+// workers.
 const (
 	userSocketShare = 5.0 / 8
 	peerSocketShare = 1.0 / 8
 )
 
-// minConnectionSlots is the least that an address may have.
+// minConnectionSlots is the minimum number of connection slots of an address.
 const minConnectionSlots = 8
 
-// Bounds on connections. A request takes milliseconds to arrive; a client that
-// takes a quarter of a lease to send one has given up on the response, since
-// workers wait four seconds and users two to five. Between two requests there
-// is a heartbeat's interval or a poll's, both well below two leases. Half-read
-// bodies may take a sixteenth of the heap on each address.
+// Bounds on connections. A request normally arrives within milliseconds.
+// Workers wait four seconds for a response and users two to five, so a client
+// that takes a quarter of a lease to send a request no longer waits for the
+// response. The interval between two requests is that of heartbeats or polls,
+// both well below two leases. Partially read bodies may take a sixteenth of the
+// heap on each address.
 const (
 	headerTimeoutLeases   = 1.0 / 4
 	bodyTimeoutLeases     = 1.0 / 4
@@ -121,8 +123,8 @@
 	bodyHeapShare         = 1.0 / 16
 )
 
-// limitConnections returns a listener that bounds what the connections of an
-// address may take: share is its part of the controller's sockets.
+// limitConnections returns a listener that bounds the resources of an address's
+// connections. share is the address's share of the controller's sockets.
 func (n *Node) limitConnections(
 	ctx context.Context,
 	name string,
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -8,7 +8,8 @@
 	"github.com/grebedock/grebedock/internal/golden"
 )
 
-// TestPeerRoutesKeepTheirForm holds the routes of the peer address.
+// TestPeerRoutesKeepTheirForm compares the routes of the peer address with a
+// golden file.
 func TestPeerRoutesKeepTheirForm(t *testing.T) {
 	n := &Node{health: newHealth(1)}
 	app := n.newPeerServer(100, false)
--- a/internal/node/workflow_runner.go
+++ b/internal/node/workflow_runner.go
@@ -15,12 +15,12 @@
 // workflowRunner runs the extension for workflows.
 type workflowRunner struct {
 	*extensionRunner[workflow.Data, workflow.DataResult, workflow.Response]
-	dir  toolrun.Dir // shared with the workers; "": there is none
+	dir  toolrun.Dir // shared with the workers; "" if there is none
 	host *workflow.Host
 }
 
-// What a document may take of the heap: its text a sixty-fourth, and its nodes a
-// quarter, at some 500 bytes each while it is parsed.
+// Bounds on the heap that a document may use: a sixty-fourth for its text, and a
+// quarter for its nodes, at about 500 bytes per node while it is parsed.
 const (
 	documentHeapDivisor = 64
 	nodeHeapDivisor     = 2048
@@ -53,8 +53,8 @@
 }
 
 // performDataRequest carries out a request to the shared directory. Without a
-// directory there is no description to write, since whoever submits describes
-// the tools to the workers, and every task has empty outputs.
+// directory there is no description to write, since the user who submits the
+// workflow describes the tools to the workers, and every task has empty outputs.
 func (w *workflowRunner) performDataRequest(request workflow.Data) workflow.DataResult {
 	switch {
 	case w.dir == "" && request.Description != nil:
@@ -71,9 +71,9 @@
 	return w.dir.ReadOutputs(request.Job, request.Tasks)
 }
 
-// HandleRequest carries out a user's request and waits for the response; false
-// means that there was none in time. Submissions are refused while memory is
-// short.
+// HandleRequest carries out a user's request and waits for the response. It
+// returns false if the extension does not respond in time. Submissions are
+// refused while memory is short.
 func (w *workflowRunner) HandleRequest(r workflow.Request, timeout time.Duration) (workflow.Response, bool) {
 	refusal, ok := w.node.health.rejectIfMemoryShort(scheduler.UserRequest{Kind: scheduler.SubmitJob})
 	if ok && r.Kind == workflow.Submit {
