--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -18,7 +18,8 @@
 	"github.com/grebedock/grebedock/schedules"
 )
 
-// filledCore responds with filled values and records what it receives.
+// filledCore responds with values whose fields are all set, and records its
+// inputs.
 type filledCore struct{ got []any }
 
 func filled[T any]() (v T) {
@@ -62,7 +63,7 @@
 	return a, true
 }
 
-// maxBody is that of the peer address.
+// maxBody is the limit of the peer address.
 const maxBody = 1 << 20
 
 func filledServer() (*fiber.App, *filledCore) {
@@ -88,7 +89,8 @@
 	return fmt.Sprintf("%d\n%s", res.StatusCode, b)
 }
 
-// TestAdministrationRequestsKeepTheirForm holds the bodies that operators send.
+// TestAdministrationRequestsKeepTheirForm compares the bodies of operators'
+// requests with golden files.
 func TestAdministrationRequestsKeepTheirForm(t *testing.T) {
 	golden.JSON[rollout.Plan](t, "plan.json")
 	golden.JSON[scheduler.Settings](t, "settings.json")
@@ -138,8 +140,8 @@
 
 var helpLines = regexp.MustCompile(`(?m)^# HELP .*\n`)
 
-// TestMetricsKeepTheirNames holds metrics with their types, labels and values,
-// but not the texts that explain them.
+// TestMetricsKeepTheirNames compares metrics with their types, labels and values
+// with a golden file, but not the help texts.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	app, _ := filledServer()
 	golden.Compare(t, "metrics.txt", helpLines.ReplaceAll([]byte(exchange(t, app, "GET", "/metrics", "")), nil))
--- a/internal/adminapi/metrics.go
+++ b/internal/adminapi/metrics.go
@@ -85,17 +85,17 @@
 	descTeam, descMachines, descEvents,
 }
 
-// collector makes metrics of the core's status when they are collected.
+// collector creates metrics from the core's status on each collection.
 type collector struct{ core Core }
 
-// Describe sends the metrics' descriptions.
+// Describe sends the descriptions of the metrics.
 func (c *collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range allDescs {
 		ch <- d
 	}
 }
 
-// Collect sends the metrics' values.
+// Collect sends the values of the metrics.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	s := sender(ch)
 	status := c.core.Status()
@@ -181,8 +181,8 @@
 	}
 }
 
-// sendEvents sends the core's counters under the names that the metric has had
-// from the start, whatever the core calls them.
+// sendEvents sends the core's counters under the names that the metric has always
+// had, which differ from the core's names.
 func (s sender) sendEvents(status *scheduler.Status) {
 	c := status.Counters
 	for _, event := range []struct {
--- a/internal/adminapi/schedules.go
+++ b/internal/adminapi/schedules.go
@@ -14,8 +14,8 @@
 	calendarPath = "/v1/calendars/:name"
 )
 
-// ScheduleHost is what the administration API needs of the extension for
-// schedules; false means that there was no response in time.
+// ScheduleHost is the interface of the extension for schedules to the
+// administration API. A false result means that there was no response in time.
 type ScheduleHost interface {
 	HandleRequest(schedules.Request) (schedules.Response, bool)
 }
@@ -39,13 +39,14 @@
 	app.Put(calendarPath, applierFor(schedules.ApplyCalendar))
 }
 
-// handleSchedule completes a request by its path and query, and carries it out.
-// The host may keep the request, while fiber recycles its buffers.
+// handleSchedule adds the parameters of the path and the query to a request, and
+// carries it out. It copies them, since the host may retain the request while
+// fiber recycles its buffers.
 func handleSchedule(c *fiber.Ctx, host ScheduleHost, r schedules.Request) error {
 	r.Name, r.From = strings.Clone(c.Params("name")), strings.Clone(c.Query("from"))
 	response, ok := host.HandleRequest(r)
 	if !ok {
-		return fiber.NewError(fiber.StatusServiceUnavailable, lateError)
+		return fiber.NewError(fiber.StatusServiceUnavailable, timeoutMessage)
 	}
 	return c.Status(response.Status).JSON(response)
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,15 +1,16 @@
 // Package adminapi serves the administration API at the peer address: the state
 // of a controller, operators' settings, rollouts, schedules and metrics.
 //
-// It owns the routes and the form of requests, responses and metrics; what they
-// mean is the core's and the extension's for schedules. It may assume that the
-// core's reads come from the loop that owns the state, and that whoever reaches
-// the address is an operator: it authenticates nobody.
+// The package owns the routes and the form of requests, responses and metrics.
+// The core and the extension for schedules define their meaning. The package
+// assumes that the core's reads run on the loop that owns the state, and that
+// every client that can reach the address is an operator: it does no
+// authentication.
 //
-// It promises that a request with an unknown field changes nothing, and that a
-// change is stored before its response says so, or may have been if the
-// response is that there was none in time. It is built for operators' mistakes
-// and for a core that is late.
+// It guarantees that a request with an unknown field changes nothing, and that a
+// change is stored before a response confirms it. After a response that reports a
+// timeout, the change may have been stored. The package handles operators'
+// mistakes and a core that responds late.
 package adminapi
 
 import (
@@ -30,11 +31,12 @@
 	rolloutPath  = "/v1/rollout"
 )
 
-// lateError is what an operator receives when there is no response in time.
-const lateError = "no answer in time"
+// timeoutMessage is the error text that an operator receives when there is no
+// response in time.
+const timeoutMessage = "no answer in time"
 
-// Core is what the administration API shows and changes. Its methods may be
-// called from any goroutine; false means that there was no response in time.
+// Core is the node's interface to the administration API. Its methods are safe
+// for concurrent use. A false result means that there was no response in time.
 type Core interface {
 	Status() scheduler.Status
 	Settings() scheduler.Settings
@@ -46,7 +48,7 @@
 	CommandRollout(rollout.Command) (scheduler.UserResponse, bool)
 }
 
-// Serve adds the routes of the administration API but for schedules.
+// Serve adds the routes of the administration API, except those for schedules.
 func Serve(app *fiber.App, core Core) {
 	app.Get("/v1/status", func(c *fiber.Ctx) error { return c.JSON(core.Status()) })
 	app.Get(settingsPath, func(c *fiber.Ctx) error { return c.JSON(core.Settings()) })
@@ -64,7 +66,8 @@
 	serveMetrics(app, core)
 }
 
-// patchSettings changes the settings that the body has, and responds with all.
+// patchSettings changes the settings that the body contains, and responds with
+// all settings.
 func patchSettings(c *fiber.Ctx, core Core) error {
 	settings := core.Settings()
 	previous := settings.Disruption
@@ -93,7 +96,8 @@
 	return c.JSON(status)
 }
 
-// putRollout applies a plan, or with preview responds with what it would do.
+// putRollout applies a plan; with preview it responds with the effects that the
+// plan would have.
 func putRollout(c *fiber.Ctx, core Core) error {
 	var plan rollout.Plan
 	if err := decodeStrictJSON(c.Body(), &plan); err != nil {
@@ -112,8 +116,8 @@
 	return sendRollout(c, core)
 }
 
-// decodeStrictJSON reads one JSON value into what v points to, and refuses
-// unknown names. Its strings are copies: fiber recycles the body.
+// decodeStrictJSON decodes one JSON value into v and refuses unknown fields.
+// Decoded strings are copies, since fiber recycles the body.
 func decodeStrictJSON(body []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -126,11 +130,11 @@
 	return nil
 }
 
-// responseError returns the core's response as an error unless it is a success.
+// responseError returns an error unless the core's response is a success.
 func responseError(response scheduler.UserResponse, ok bool) error {
 	switch {
 	case !ok:
-		return fiber.NewError(fiber.StatusServiceUnavailable, lateError)
+		return fiber.NewError(fiber.StatusServiceUnavailable, timeoutMessage)
 	case response.Status != fiber.StatusOK:
 		return fiber.NewError(response.Status, response.Error)
 	}
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -1,15 +1,16 @@
 // Package userapi serves users, workers and health checks at a controller's user
 // address: jobs and workflows, heartbeats, and whether the load balancer should
-// send users here.
+// send users to this controller.
 //
-// It owns the HTTP server and its routes. Bodies are package wire's, decisions
-// the core's. It may assume that the core responds within the timeout that it is
-// given, if at all, and never blocks beyond it.
+// The package owns the HTTP server and its routes. Package wire defines the
+// bodies, and the core makes the decisions. The package assumes that the core
+// responds within the given timeout, if at all, and never blocks beyond it.
 //
-// It promises a response to every request that is complete: the core's, an error
-// in JSON, or 503 with a time to retry. What it hands on never refers to fiber's
-// buffers, which are recycled. It is built for malformed requests and for a core
-// that is late; package connlimit bounds clients that stall.
+// It guarantees a response to every complete request: the core's response, an
+// error in JSON, or 503 with a retry time. The values that it passes to the core
+// never refer to fiber's buffers, which are recycled. It handles malformed
+// requests and a core that responds late; package connlimit bounds stalled
+// clients.
 package userapi
 
 import (
@@ -39,15 +40,15 @@
 	minConcurrency = 16
 )
 
-// lateError and lateRetryAfterS are what a client receives when the core does
-// not respond in time.
+// Message and retry time that a client receives when the core does not respond in
+// time.
 const (
-	lateError       = "no answer in time"
-	lateRetryAfterS = 1
+	timeoutMessage     = "no answer in time"
+	timeoutRetryAfterS = 1
 )
 
-// Core is what the user address needs of the node. Each method may be called
-// from any goroutine; false means that there was no response in time.
+// Core is the node's interface to the user address. Each method is safe for
+// concurrent use. A false result means that there was no response in time.
 type Core interface {
 	HandleUserRequest(scheduler.UserRequest, time.Duration) (scheduler.UserResponse, bool)
 	HandleHeartbeat(scheduler.Heartbeat, time.Duration) (scheduler.HeartbeatResponse, bool)
@@ -55,8 +56,9 @@
 }
 
 // ConnectionClasses returns the classes of requests at the user address. Health
-// checks take one connection at a time; workers may all come to one controller
-// when it adopts the others' shards, and then are most of its connections.
+// checks use one connection at a time. When one controller adopts the shards of
+// all others, all workers may connect to it, and most of its connections are then
+// theirs.
 func ConnectionClasses() []connlimit.Class {
 	return []connlimit.Class{
 		{Name: "health", Prefix: "GET /up ", ReservedShare: 1.0 / 16},
@@ -65,8 +67,8 @@
 	}
 }
 
-// NewUserServer returns the server of the user address. With limited, its
-// listener must be a connlimit.Limiter's.
+// NewUserServer returns the server of the user address. If limited is true, its
+// listener must be from a connlimit.Limiter.
 func NewUserServer(core Core, maxSockets int, limited bool) *fiber.App {
 	app := NewServer(maxSockets, wire.MaxBody, limited)
 	app.Get("/up", func(c *fiber.Ctx) error { return handleHealthCheck(c, core) })
@@ -85,10 +87,11 @@
 	return app
 }
 
-// NewServer returns a server without routes, with this project's bounds and
-// errors in JSON; maxBody bounds a body in bytes. With limited, a
-// connlimit.Limiter counts connections and reads bodies as they come; the
-// server's own count lags behind, since it includes those just evicted.
+// NewServer returns a server without routes, with this project's bounds and with
+// errors in JSON. maxBody bounds a body in bytes. If limited is true, a
+// connlimit.Limiter counts connections and reads bodies as they arrive. The
+// server's own count then lags, since it includes connections that were just
+// evicted.
 func NewServer(maxSockets, maxBody int, limited bool) *fiber.App {
 	concurrency := max(minConcurrency, maxSockets*3/4)
 	if limited {
@@ -131,7 +134,7 @@
 	}
 }
 
-// idParam returns a copy of the ID in the path.
+// idParam returns a copy of the ID in the path, since fiber recycles its buffers.
 func idParam(c *fiber.Ctx) string { return strings.Clone(c.Params("id")) }
 
 func handleHealthCheck(c *fiber.Ctx, core Core) error {
@@ -141,8 +144,9 @@
 	return c.SendStatus(fiber.StatusOK)
 }
 
-// handleUserRequest refuses a request whose job cannot exist, and gives the core
-// the others: one that is malformed may yet be of a job that is known.
+// handleUserRequest refuses a request whose job cannot exist, and passes all
+// others to the core. A malformed submission may repeat that of a known job, so
+// the core handles it too.
 func handleUserRequest(c *fiber.Ctx, core Core, r scheduler.UserRequest, timeout time.Duration) error {
 	if r.Kind != scheduler.SubmitJob && !wire.IsValidJobID(r.ID) {
 		return fiber.NewError(fiber.StatusNotFound, "no such job")
@@ -155,8 +159,8 @@
 		response = scheduler.UserResponse{
 			Status:      fiber.StatusServiceUnavailable,
 			ID:          r.ID,
-			Error:       lateError,
-			RetryAfterS: lateRetryAfterS,
+			Error:       timeoutMessage,
+			RetryAfterS: timeoutRetryAfterS,
 		}
 	}
 	setRetryAfter(c, response.RetryAfterS)
--- a/internal/userapi/workflows.go
+++ b/internal/userapi/workflows.go
@@ -9,8 +9,8 @@
 	"github.com/grebedock/grebedock/workflow"
 )
 
-// Workflows is what the user address needs of the extension for workflows; false
-// means that there was no response in time.
+// Workflows is the interface of the extension for workflows to the user address.
+// A false result means that there was no response in time.
 type Workflows interface {
 	HandleRequest(workflow.Request, time.Duration) (workflow.Response, bool)
 }
@@ -35,8 +35,8 @@
 		response = workflow.Response{
 			Status:      fiber.StatusServiceUnavailable,
 			ID:          r.ID,
-			Error:       lateError,
-			RetryAfterS: lateRetryAfterS,
+			Error:       timeoutMessage,
+			RetryAfterS: timeoutRetryAfterS,
 		}
 	}
 	setRetryAfter(c, response.RetryAfterS)
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -174,11 +174,11 @@
 		if field.value == nil {
 			return missingError(field.name)
 		}
-		if !isAmount(*field.value) {
+		if !isNonNegative(*field.value) {
 			return negativeError(field.name)
 		}
 	}
-	if b.DeadlineS != nil && !isAmount(*b.DeadlineS) {
+	if b.DeadlineS != nil && !isNonNegative(*b.DeadlineS) {
 		return negativeError("dusk_s")
 	}
 	if *b.Tasks < 1 || *b.Tasks > MaxTasks {
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// isAmount reports whether v is a finite number that is not negative.
-func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// isNonNegative reports whether v is a finite number that is not negative.
+func isNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
 func missingError(field string) error { return fmt.Errorf("%s is missing", field) }
 
