--- a/internal/peer/clients.go
+++ b/internal/peer/clients.go
@@ -24,37 +24,38 @@
 	socketsPerRelay = 32
 )
 
-// messageTimeout bounds the sending of a message; the next one replaces it.
+// messageTimeout bounds the sending of a message. The next message replaces one
+// that timed out.
 const messageTimeout = 2 * time.Second
 
-// relayTimeout bounds a relayed request: half of what the state service has for
-// one, since its user has waited already.
+// relayTimeout bounds a relayed request. It is half the timeout of a request to
+// the state service, since the user has already waited.
 const relayTimeout = access.RequestTimeout / 2
 
-// MaxRelays returns how many requests a controller of so many sockets may have
-// its peers respond to at once; each peer takes a part of them.
+// MaxRelays returns how many requests a controller with maxSockets sockets may
+// relay to its peers at the same time. Each peer gets an equal share of them.
 func MaxRelays(maxSockets int) int { return max(minRelays, maxSockets/socketsPerRelay) }
 
 // Clients sends messages and relayed requests to the other controllers. It is
 // safe for concurrent use.
 type Clients struct {
-	clients map[string]*client // by member; not changed
+	clients map[string]*client // by member; immutable
 
 	mu sync.Mutex // guards the clients' queues
 }
 
-// client sends to one peer, one message at a time.
+// client sends messages to one peer, one at a time.
 type client struct {
 	messages *httpclient.Client
 	relays   *httpclient.Client
 
 	sending          bool
-	nextBody         []byte // nil: no message waits
+	nextBody         []byte // nil if no message is queued
 	nextHasSummaries bool
 }
 
-// NewClients returns clients of the peers; maxRelays bounds the requests that
-// they are to respond to at once, in all.
+// NewClients returns clients of the peers. maxRelays bounds the requests relayed
+// to all peers at the same time.
 func NewClients(peers []config.Peer, maxRelays int) *Clients {
 	c := &Clients{clients: map[string]*client{}}
 	for _, p := range peers {
@@ -66,8 +67,8 @@
 	return c
 }
 
-// Relay has a peer respond to a user's request. False means that there was no
-// response in time, and that the request may have been executed.
+// Relay sends a user's request to a peer and returns the peer's response. False
+// means that there was no response in time; the request may have been executed.
 func (c *Clients) Relay(r scheduler.RelayRequest) (scheduler.UserResponse, bool) {
 	target := c.clients[r.Peer]
 	body, err := msgpack.Marshal(&r.Request)
@@ -86,15 +87,15 @@
 	return response, true
 }
 
-// Send sends a message to all peers, with its summaries to summaryPeers alone
-// (nil: to all). A peer that has not taken the last message yet is sent the
-// newest when it has; if a message that it replaces had summaries, so has this
-// one. The message is encoded once, or twice if some get no summaries. Send does
-// not block.
+// Send sends a message to all peers, with its summaries only to summaryPeers
+// (nil: to all). While the previous message to a peer is in flight, only the
+// newest message is queued for that peer. If the queued message that it replaces
+// had summaries, the new one has them too. The message is encoded once, or twice
+// if some peers get no summaries. Send does not block.
 func (c *Clients) Send(msg *scheduler.PeerMessage, summaryPeers []string) {
 	body, err := encode(msg)
 	if err != nil {
-		return // nothing in a message cannot be encoded
+		return // unreachable: every field of a message can be encoded
 	}
 	shortBody := body
 	if summaryPeers != nil {
@@ -106,7 +107,7 @@
 	defer c.mu.Unlock()
 	for name, target := range c.clients {
 		isRecipient := summaryPeers == nil || slices.Contains(summaryPeers, name)
-		if isRecipient || target.summariesWait() {
+		if isRecipient || target.hasPendingSummaries() {
 			c.enqueue(target, body, true)
 		} else {
 			c.enqueue(target, shortBody, false)
@@ -114,11 +115,11 @@
 	}
 }
 
-// summariesWait reports whether the message that waits has summaries.
-func (t *client) summariesWait() bool { return t.nextBody != nil && t.nextHasSummaries }
+// hasPendingSummaries reports whether the queued message has summaries.
+func (t *client) hasPendingSummaries() bool { return t.nextBody != nil && t.nextHasSummaries }
 
-// enqueue sends a message or has it wait for the one under way. The caller holds
-// mu.
+// enqueue sends a message, or queues it while another is in flight. The caller
+// holds mu.
 func (c *Clients) enqueue(target *client, body []byte, hasSummaries bool) {
 	if target.sending {
 		target.nextBody, target.nextHasSummaries = body, hasSummaries
@@ -128,7 +129,7 @@
 	go c.sendLoop(target, body)
 }
 
-// sendLoop sends a message and those that came to wait meanwhile.
+// sendLoop sends a message and then every message queued in the meantime.
 func (c *Clients) sendLoop(target *client, body []byte) {
 	for body != nil {
 		request := wire.Request{Method: fiber.MethodPost, Path: messagePath, Body: body}
@@ -137,8 +138,8 @@
 	}
 }
 
-// dequeue returns the message that waits, or nil, after which target sends
-// nothing.
+// dequeue returns the queued message, or nil, which marks the client as not
+// sending.
 func (c *Clients) dequeue(target *client) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -9,8 +9,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// fillMessage fills what v points to, maps with one key: the encoder of messages
-// does not sort keys.
+// fillMessage sets all fields of the value that v points to. Maps get one key,
+// since the encoder of messages does not sort keys.
 func fillMessage(v any) { (&golden.Filler{Keys: 1}).Fill(v) }
 
 func TestPeerMessageKeepsItsForm(t *testing.T) {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -10,10 +10,10 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// message is the encoded form of a peer's message. Almost all of it are the
-// samples of summaries, once a second from every peer: field by field they took
-// an eighth of a controller's processor. They are one row of numbers, times as
-// differences.
+// message is the encoded form of a peer's message. Almost all of its bytes are
+// the samples of summaries, and every peer sends a message once a second. Encoded
+// field by field, samples took an eighth of a controller's CPU time. They are
+// therefore encoded as one sequence of numbers, with times as differences.
 type message struct {
 	From             string               `msgpack:"from"`
 	WallMS           int64                `msgpack:"wall"`
@@ -25,7 +25,7 @@
 	Shards           []shardReport        `msgpack:"shards"`
 }
 
-// shardReport is what a message has of one of the sender's shards.
+// shardReport is the part of a message for one of the sender's shards.
 type shardReport struct {
 	Shard     string                          `msgpack:"shard"`
 	Summary   summary                         `msgpack:"summary"`
@@ -36,7 +36,7 @@
 	Disruption map[string]disruption.Demand `msgpack:"disruption,omitempty"`
 }
 
-// encode writes a message.
+// encode encodes a message.
 func encode(msg *scheduler.PeerMessage) ([]byte, error) {
 	out := message{
 		From:             msg.From,
@@ -61,7 +61,7 @@
 	return msgpack.Marshal(&out)
 }
 
-// decode reads a message. It keeps nothing of body.
+// decode parses a message. It does not retain body.
 func decode(body []byte) (scheduler.PeerMessage, error) {
 	var in message
 	if err := msgpack.Unmarshal(body, &in); err != nil {
--- a/internal/peer/message_benchmark_test.go
+++ b/internal/peer/message_benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// sampleMessage returns the message of a controller of a large fleet: a summary of
-// 125 functions of ten samples, and the demands of 30 jobs.
+// sampleMessage returns the message of a controller of a large fleet: a summary
+// of 125 functions with ten samples each, and the demands of 30 jobs.
 func sampleMessage() *scheduler.PeerMessage {
 	rng := rand.New(rand.NewPCG(1, 2))
 	shard := scheduler.PeerShard{Shard: "berth-0", TaskCounts: map[string]scheduler.TaskCounts{}}
@@ -63,9 +63,9 @@
 	}
 }
 
-// BenchmarkPeers measures what a second's messages cost a controller: its own is
-// encoded, those of all others are decoded, of which as many have summaries as
-// have their turn.
+// BenchmarkPeers measures a controller's cost for one second of messages: it
+// encodes its own message and decodes those of all peers. Only the peers whose
+// turn it is include summaries.
 func BenchmarkPeers(b *testing.B) {
 	for _, peers := range []int{4, 19, 99} {
 		b.Run(fmt.Sprint(peers), func(b *testing.B) {
--- a/internal/peer/message_test.go
+++ b/internal/peer/message_test.go
@@ -13,7 +13,7 @@
 )
 
 func init() {
-	// The same inputs every time, so that the verdict is the same.
+	// A fixed seed, so that every run has the same inputs and the same result.
 	if err := flag.Set("rapid.seed", "13"); err != nil {
 		panic(err)
 	}
@@ -21,7 +21,7 @@
 
 var timeMS = rapid.Int64Range(0, 1<<45)
 
-// drawFunction draws a function with some samples.
+// drawFunction draws a function with one to ten samples.
 func drawFunction(t *rapid.T) availability.Function {
 	f := availability.Function{
 		Kind:  rapid.StringN(1, 60, 60).Draw(t, "kind"),
@@ -56,8 +56,8 @@
 	}
 }
 
-// A message arrives as it was sent, and a summary of up to 125 functions takes a
-// tenth of a message at most.
+// A decoded message equals the encoded one, and a summary of up to 125 functions
+// takes at most a tenth of the maximum message size.
 func TestPeerMessageSurvivesEncodingRoundTrip(t *testing.T) {
 	largest := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -76,11 +76,11 @@
 		}
 	})
 	if most := MaxMessageBytes / 10; largest > most {
-		t.Errorf("a shard takes %d bytes, want at most %d", largest, most)
+		t.Errorf("got a shard of %d bytes, want at most %d", largest, most)
 	}
 }
 
-// A message that was cut or changed is read or refused, and never read as more
+// A truncated or modified message is either refused, or decoded to no more
 // samples than its bytes can hold.
 func TestDamagedPeerMessageIsRejectedOrBounded(t *testing.T) {
 	valid, err := encode(sampleMessage())
@@ -102,12 +102,12 @@
 		}
 		for _, shard := range msg.OwnedShards {
 			if n := countSamples(shard.Summary); 2*n > len(body) {
-				t.Fatalf("%d samples of %d bytes, want at most one of two bytes", n, len(body))
+				t.Fatalf("got %d samples from %d bytes, want at most one per two bytes", n, len(body))
 			}
 		}
 	})
 	if refused == 0 {
-		t.Error("no damaged message is refused")
+		t.Error("got no refusal of a damaged message, want at least one")
 	}
 }
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,22 +1,24 @@
 // Package peer carries messages and relayed requests between controllers, in
 // msgpack over HTTP, at the peer address.
 //
-// It owns the encoded form of a message, the clients of the other controllers
-// and the routes that they use. What a message means is the core's. It may
-// assume that peers are controllers of a compatible version; what they send is
-// checked all the same.
+// The package owns the encoded form of a message, the clients of the other
+// controllers and the routes that they use. The core defines the meaning of a
+// message. The package assumes that peers are controllers of a compatible
+// version, but validates their messages all the same.
 //
-// It promises that a peer has at most one message under way and one that waits,
-// the newest, so that a slow peer delays nothing but itself; that a damaged
-// summary is refused or read as no more samples than its bytes can hold; and
-// that a relayed request was valid as a user's. Messages can be lost: the next
-// replaces what was lost, but for summaries, which come again by turns. It does
-// not bound the lengths that a message claims for its other lists: the decoder
-// of msgpack allocates them before it reads the elements.
+// It guarantees that each peer has at most one message in flight and one queued,
+// the newest, so that a slow peer delays only messages to itself. A damaged
+// summary is refused, or parsed as no more samples than its bytes can hold. A
+// relayed request satisfies the same rules as a user's request.
 //
-// It is built for peers that are slow, unreachable or restarted, and for a
-// controller that alone cannot reach the state service, whose users' requests
-// the peers respond to.
+// Messages can be lost: the next message replaces a lost one, except for
+// summaries, which are sent again in rotation. The package does not bound the
+// lengths that a message declares for its other lists: the msgpack decoder
+// allocates them before it reads the elements.
+//
+// It handles peers that are slow, unreachable or restarted. It also covers a
+// single controller that cannot reach the state service: the peers respond to
+// that controller's users.
 package peer
 
 import (
@@ -31,26 +33,26 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// MaxMessageBytes bounds a peer's message. A summary of 125 functions takes some
-// 40 KB, and a controller that adopted shards sends one for each.
+// MaxMessageBytes bounds a peer's message. A summary of 125 functions takes about
+// 40 KB, and a controller that adopted shards sends one summary per shard.
 const MaxMessageBytes = 1 << 20
 
-// Errors whose texts peers receive.
+// Errors whose texts are returned to peers.
 var (
-	errNoRelayedRequest = errors.New("not a relayed request")
-	errNoUserRequest    = errors.New("no request of a user")
+	errNotRelayRequest = errors.New("not a relayed request")
+	errNotUserRequest  = errors.New("no request of a user")
 )
 
-// Core is what peers need of the node. Its methods may be called from any
-// goroutine; false means that there was no response in time.
+// Core is the node's interface to peers. Its methods are safe for concurrent use.
+// A false result means that there was no response in time.
 type Core interface {
 	HandlePeerMessage(scheduler.PeerMessage)
 	HandleUserRequest(scheduler.UserRequest, time.Duration) (scheduler.UserResponse, bool)
 }
 
-// ConnectionClasses returns the classes of requests at the peer address: each
-// peer sends its messages on one connection and relayed requests on a few, and
-// the rest is operators'.
+// ConnectionClasses returns the classes of requests at the peer address. Each
+// peer sends its messages on one connection and relayed requests on a few; the
+// remaining connections are for operators.
 func ConnectionClasses() []connlimit.Class {
 	return []connlimit.Class{
 		{Name: "peers", Prefix: "POST " + messagePath + " ", ReservedShare: 1.0 / 4},
@@ -59,7 +61,8 @@
 	}
 }
 
-// Serve adds the peers' routes. The server must take bodies of MaxMessageBytes.
+// Serve adds the routes for peers. The server must accept bodies of
+// MaxMessageBytes.
 func Serve(app *fiber.App, core Core) {
 	app.Post(messagePath, func(c *fiber.Ctx) error {
 		msg, err := decode(c.Body())
@@ -72,8 +75,8 @@
 	app.Post(relayPath, func(c *fiber.Ctx) error { return handleRelay(c, core) })
 }
 
-// handleRelay responds for the core of the peer that relays: the status of the
-// user's response is in the body.
+// handleRelay responds to a relayed request. The status of the user's response is
+// in the body.
 func handleRelay(c *fiber.Ctx, core Core) error {
 	r, err := decodeRelay(c.Body())
 	if err != nil {
@@ -96,24 +99,24 @@
 	return c.Send(body)
 }
 
-// decodeRelay reads a relayed request. It checks again what the peer's own user
-// API has checked, since the core relies on it.
+// decodeRelay parses a relayed request. It repeats the checks of the peer's user
+// API, since the core relies on them.
 func decodeRelay(body []byte) (scheduler.UserRequest, error) {
 	var r scheduler.UserRequest
 	if err := msgpack.Unmarshal(body, &r); err != nil {
-		return r, errNoRelayedRequest
+		return r, errNotRelayRequest
 	}
 	isKnownKind := r.Kind >= scheduler.SubmitJob && r.Kind <= scheduler.CancelJob
-	if !isKnownKind || !wire.IsValidJobID(r.ID) || !hasFittingJob(&r) {
-		return r, errNoUserRequest
+	if !isKnownKind || !wire.IsValidJobID(r.ID) || !hasValidJob(&r) {
+		return r, errNotUserRequest
 	}
 	r.Relayed = true
 	return r, nil
 }
 
-// hasFittingJob reports whether a request has no job, or submits one under its
-// own ID.
-func hasFittingJob(r *scheduler.UserRequest) bool {
+// hasValidJob reports whether a request has no job, or submits a valid number of
+// tasks under its own ID.
+func hasValidJob(r *scheduler.UserRequest) bool {
 	if r.Job == nil {
 		return true
 	}
--- a/internal/peer/summary.go
+++ b/internal/peer/summary.go
@@ -8,22 +8,22 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// maxFunctions and maxSamples are the most that the operators' settings allow a
-// summary to have; kinds that cannot be merged may add some.
+// Bounds on a summary. maxFunctions and maxSamples are the maximum that the
+// operators' settings allow; kinds that cannot be merged may add some functions.
 const (
 	maxFunctions = 4000
 	maxSamples   = 100
-	maxNumber    = 1 << 50 // of which that many still add up
+	maxNumber    = 1 << 50 // a sum of maxSamples such numbers does not overflow
 )
 
-// initialSamples bounds the memory that a summary takes before its samples have
-// been read.
+// initialSamples bounds the memory allocated for a summary before its samples are
+// read.
 const initialSamples = 2048
 
 var errMalformedSummary = errors.New("not a summary")
 
-// summary is encoded as the kinds that its functions have, the number of its
-// functions and of all their samples, and the functions one after the other.
+// summary is encoded as the kinds of its functions, the number of functions, the
+// total number of samples, and then the functions one after another.
 type summary availability.Summary
 
 var (
@@ -31,7 +31,7 @@
 	_ msgpack.CustomDecoder = (*summary)(nil)
 )
 
-// EncodeMsgpack writes a summary.
+// EncodeMsgpack encodes a summary.
 func (s summary) EncodeMsgpack(e *msgpack.Encoder) error {
 	kinds := map[string]int{}
 	var names []string
@@ -87,8 +87,8 @@
 	}
 }
 
-// DecodeMsgpack reads a summary. What it claims to hold is bounded by what a
-// message can: each number takes a byte at least.
+// DecodeMsgpack decodes a summary. The bytes of the message bound the number of
+// samples that it decodes, since each number takes at least one byte.
 func (s *summary) DecodeMsgpack(d *msgpack.Decoder) error {
 	names, err := decodeNames(d)
 	if err != nil {
@@ -131,12 +131,12 @@
 type summaryReader struct {
 	decoder     *msgpack.Decoder
 	names       []string
-	samples     []availability.Sample // of all functions
+	samples     []availability.Sample // samples of all functions
 	samplesLeft int64
 	err         error
 }
 
-// number reads a number within bounds; after an error it is 0.
+// number reads a number and checks its bounds. After an error it returns 0.
 func (r *summaryReader) number(minimum, maximum int64) int64 {
 	if r.err != nil {
 		return 0
@@ -160,7 +160,7 @@
 	return n
 }
 
-// function reads a function; after an error it is not whole.
+// function reads a function. After an error the result is incomplete.
 func (r *summaryReader) function() availability.Function {
 	kind, count := r.count(int64(len(r.names))-1), r.count(maxNumber)
 	if r.err != nil {
