--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,15 +1,16 @@
 // Package cloud sends the core's requests to the cloud: for the catalog of
 // machine types, for the list of instances, to provision and to release.
 //
-// It owns the connections to the cloud and this controller's share of its rate.
+// The package owns the connections to the cloud and this controller's share of
+// its rate limit.
 //
-// It may assume that nearly all requests are the fleet leader's, and that the
+// It assumes that the fleet leader makes nearly all requests, and that the
 // caller's request IDs are unique while a request is open.
 //
-// It promises one result for each request while its context lasts, and never
-// sends one twice: whether one without a response was executed is for the core
-// to find out, by idempotency keys and the list of instances. It is built for a
-// cloud that is slow, that does not respond, or that refuses.
+// It guarantees one result for each request until its context ends, and never
+// sends a request twice. The core determines whether a request without a response
+// was executed, by idempotency keys and the list of instances. The package
+// handles a cloud that is slow, does not respond, or refuses requests.
 package cloud
 
 import (
@@ -25,12 +26,13 @@
 // maxConns bounds the connections to the cloud.
 const maxConns = 8
 
-// leaderRateShare is the share of the cloud's rate that one controller may use.
-// Nearly all requests are the fleet leader's; the others read the catalog once,
-// and a new leader may follow an old one at once.
+// leaderRateShare is the share of the cloud's rate limit that one controller may
+// use. The fleet leader makes nearly all requests. The rest is reserved because
+// the other controllers read the catalog once, and a new leader may take over
+// immediately.
 const leaderRateShare = 0.75
 
-// timeout bounds a request, apart from its wait for the budget.
+// timeout bounds a request, excluding the time that it waits for the budget.
 const timeout = 4 * time.Second
 
 // Client sends requests to the cloud. It is safe for concurrent use.
@@ -40,8 +42,8 @@
 	onResult func(uint64, scheduler.CloudResult)
 }
 
-// New returns a client that sends until ctx ends. onResult receives the ID and
-// the result of each request, on a goroutine of its own.
+// New returns a client that sends until ctx ends. It calls onResult with the ID
+// and the result of each request, on a separate goroutine.
 func New(ctx context.Context, settings *config.File, onResult func(uint64, scheduler.CloudResult)) *Client {
 	return &Client{
 		client:   httpclient.NewClient(settings.External.Cloud, maxConns),
@@ -51,7 +53,7 @@
 }
 
 // Send queues a request within the budget, by its urgency, and returns at once.
-// It waits for as long as it takes.
+// The request waits for the budget without a limit.
 func (c *Client) Send(op scheduler.CloudOp) {
 	send := func() {
 		status, body := c.client.Do(wire.CloudRequest(op), timeout)
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -1,15 +1,15 @@
 // Package statestore sends the core's requests to the state service.
 //
-// It owns the connections to the service and this controller's share of its
-// rate limits. It keeps no copy of what is stored: the core has the cache.
+// The package owns the connections to the service and this controller's share of
+// its rate limits. It keeps no copy of stored data: the core has the state cache.
 //
-// It may assume that the other controllers keep to their shares, and that the
+// It assumes that the other controllers stay within their shares, and that the
 // caller's request IDs are unique while a request is open.
 //
-// It promises one result for each request while its context lasts, and never
-// sends one twice: whether a write without a response took effect is for the
-// core to find out. It is built for a service that is slow, that does not
-// respond, or that refuses by rate.
+// It guarantees one result for each request until its context ends, and never
+// sends a request twice: the core determines whether a write without a response
+// took effect. It handles a service that is slow, does not respond, or throttles
+// requests.
 package statestore
 
 import (
@@ -23,8 +23,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// watchConns is the number of connections for watches. They have a client of
-// their own, so that long polls never take the place of a lease renewal.
+// watchConns is the number of connections for watches. Watches have a separate
+// client, so that long polls never delay a lease renewal.
 const watchConns = 2
 
 // Client sends requests to the state service. It is safe for concurrent use.
@@ -34,8 +34,8 @@
 	onResult                   func(uint64, scheduler.StoreResult)
 }
 
-// New returns a client that sends until ctx ends. onResult receives the ID and
-// the result of each request, on a goroutine of its own.
+// New returns a client that sends until ctx ends. It calls onResult with the ID
+// and the result of each request, on a separate goroutine.
 func New(ctx context.Context, settings *config.File, onResult func(uint64, scheduler.StoreResult)) *Client {
 	controllers := float64(len(settings.Peers) + 1)
 	limits := settings.Cluster.State
@@ -49,13 +49,13 @@
 	}
 }
 
-// timeout bounds a request; the service responds in hundredths of a second, now
-// and then in a few tenths.
+// timeout bounds a request. The service normally responds within hundredths of a
+// second, and occasionally takes a few tenths.
 const timeout = access.RequestTimeout
 
-// Send queues a request within the budget and returns at once. A read or a
-// user's request that would wait longer than timeout is throttled instead; what
-// leases and claims depend on waits for as long as it takes.
+// Send queues a request within the budget and returns at once. A read or a user's
+// request that would wait longer than timeout is throttled instead. Requests that
+// leases and claims depend on wait without a limit.
 func (s *Client) Send(op scheduler.StoreOp) {
 	client, limit := s.requestClient, timeout
 	if op.Kind == scheduler.StoreWatch {
