--- a/internal/connlimit/bodies.go
+++ b/internal/connlimit/bodies.go
@@ -10,14 +10,14 @@
 	"github.com/valyala/bytebufferpool"
 )
 
-// prefetchedBytes is what the HTTP library reads of a body before it calls a
-// handler.
+// prefetchedBytes is the part of a body that the HTTP library reads before it
+// calls a handler.
 const prefetchedBytes = 8 << 10
 
 // LimitBodies returns a handler that reads requests' bodies within the limits of
-// their connections before the other handlers see them; limit bounds one body in
-// bytes. The server must stream bodies, so that what is held grows with what
-// came, and not with what was announced.
+// their connections before the other handlers process them. limit bounds one body
+// in bytes. The server must stream bodies, so that the memory in use grows with
+// the bytes that arrive and not with the declared length.
 func LimitBodies(limit int) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		conn, ok := c.Context().Conn().(*limitedConn)
@@ -47,12 +47,13 @@
 	}
 }
 
-// receiveHeader refuses a request by its header or begins it. bodyPending
-// reports that some of the body has yet to come.
+// receiveHeader either refuses a request because of its header or begins it.
+// bodyPending reports that a part of the body has not arrived yet.
 func (c *limitedConn) receiveHeader(ctx *fiber.Ctx, limit int) (bodyPending bool, err error) {
 	request := ctx.Request()
 	if len(request.Header.ContentEncoding()) > 0 {
-		// A few kilobytes can unpack to gigabytes, and nobody sends any.
+		// A few kilobytes can decompress to gigabytes, and no client of the
+		// protocol sends compressed bodies.
 		return false, refuse(ctx, fiber.StatusUnsupportedMediaType, "compressed bodies are not taken")
 	}
 	length := request.Header.ContentLength()
@@ -71,20 +72,21 @@
 	}
 	if pipelined && !request.MayContinue() {
 		// The protocol has no pipelining, and a client that does not wait for a
-		// response may not take it either.
+		// response may not read it either.
 		return false, refuse(ctx, fiber.StatusBadRequest, "requests must not be pipelined")
 	}
 	return bodyPending, nil
 }
 
-// refuse returns the error of a request after which the connection is closed.
+// refuse returns the error for a request and closes the connection after the
+// response.
 func refuse(ctx *fiber.Ctx, status int, text string) error {
 	ctx.Context().SetConnectionClose()
 	return fiber.NewError(status, text)
 }
 
-// readBody reads a body of at most limit bytes into buf. With accountBytes the
-// table counts what buf takes.
+// readBody reads a body of at most limit bytes into buf. If accountBytes is true,
+// the table counts the size of buf.
 func (c *limitedConn) readBody(buf *bytebufferpool.ByteBuffer, from io.Reader, limit int, accountBytes bool) error {
 	var chunk [prefetchedBytes]byte
 	for {
--- a/internal/connlimit/connection_table.go
+++ b/internal/connlimit/connection_table.go
@@ -1,15 +1,15 @@
-// Package connlimit bounds what connections may take of a controller: how many
-// there are, how long a request may take to arrive and a response to be taken,
-// and how many bytes of half-read bodies are held.
+// Package connlimit bounds the resources that connections take of a controller:
+// how many there are, how long a request may take to arrive and a response to be
+// read, and how many bytes of partially read bodies are held.
 //
-// Table decides and owns the states of an address's connections. It has no
-// sockets and no clock: its caller passes what happens on connections and when,
-// and closes those that it evicts. Limiter owns a Table, a lock around it and
-// the sockets, and carries its decisions out.
+// Table makes the decisions and owns the states of an address's connections. It
+// has no sockets and no clock: its caller reports the events on connections with
+// their times, and closes the connections that the table evicts. Limiter owns a
+// Table, a lock for it and the sockets, and carries out the table's decisions.
 //
-// A Table may assume that one goroutine at a time calls it, and that its times
-// are of one monotonic clock. A connection is in one of five states; only one
-// in serving is never evicted:
+// A Table assumes that only one goroutine at a time calls it, and that all times
+// are from one monotonic clock. A connection is in one of five states. Only a
+// connection in state serving is never evicted:
 //
 //	state      event                                         next state
 //	reading    header complete, body still to come           body
@@ -19,18 +19,18 @@
 //	responding write complete                                idle
 //	idle       a further write of the response               responding
 //	idle       first byte of the next request                reading
-//	idle       header complete, read already with the last   body or serving
+//	idle       header complete, read with the last request   body or serving
 //	all but serving: too long in the state, or evicted       closed
 //
-// It promises that no more slots and bytes are in use than the limits allow,
-// and that the connection that has stalled longest goes first when slots run
-// out, so that a client whose request arrives within milliseconds is served
-// through any number of stalled ones.
+// It guarantees that the slots and bytes in use stay within the limits. When
+// slots run out, it evicts the connection that has stalled longest, so that a
+// client whose request arrives within milliseconds is served despite any number
+// of stalled connections.
 //
-// It is built for clients that send a request and never finish it, send it a
-// byte a second, do not take their responses, or open connections and leave
-// them. It does not tell a stalling client from one with a broken network, and
-// it does not defend against requests that arrive quickly.
+// It handles clients that send a request and never finish it, send it at a byte a
+// second, do not read their responses, or open connections and leave them idle.
+// It cannot distinguish a stalling client from one with a broken network, and it
+// does not defend against requests that arrive quickly.
 package connlimit
 
 import (
@@ -39,7 +39,7 @@
 	"time"
 )
 
-// State is what a connection is doing.
+// State is the state of a connection.
 type State uint8
 
 // The states of a connection.
@@ -47,7 +47,7 @@
 	Reading    State = iota // waits for the rest of a request's header
 	Body                    // waits for the rest of a request's body
 	Serving                 // its request is being handled
-	Responding              // waits for the client to take the response
+	Responding              // waits for the client to read the response
 	Idle                    // waits for the next request
 	stateCount
 )
@@ -57,18 +57,18 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// CloseReason is why the table closed a connection.
+// CloseReason is the reason why the table closed a connection.
 type CloseReason uint8
 
-// The reasons to close a connection: four for one that is late, then three for
-// want of room.
+// The reasons to close a connection: four timeouts, then three for exhausted
+// slots or bytes.
 const (
 	LateHeader   CloseReason = iota // the header took too long
 	LateBody                        // the body took too long
-	LateResponse                    // the client did not take the response
-	LateRequest                     // no further request came
-	Shed                            // its slot was needed
-	ShedBytes                       // half-read bodies held too much
+	LateResponse                    // the client took too long to read the response
+	LateRequest                     // no further request arrived in time
+	Shed                            // another connection needed its slot
+	ShedBytes                       // partially read bodies held too many bytes
 	Refused                         // no slot could be freed for it
 	closeReasonCount
 )
@@ -86,35 +86,35 @@
 
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// Class is a kind of request with slots that others cannot take.
+// Class is a kind of request with reserved slots.
 type Class struct {
 	Name string
-	// Prefix is how the first line of its requests begins, in any case. The
-	// last class of a table takes what fits no other.
+	// Prefix is the start of the first line of the class's requests, in any case.
+	// The last class of a table gets every request that matches no other.
 	Prefix string
-	// ReservedShare is its share of the slots: while it has less, its idle
-	// connections are not closed for others.
+	// ReservedShare is the class's share of the slots. While the class uses less,
+	// its idle connections are not closed for other classes.
 	ReservedShare float64
 }
 
-// matches reports whether a request that begins with b is of the class.
+// matches reports whether a request that begins with b belongs to the class.
 func (c *Class) matches(b []byte) bool {
 	n := len(c.Prefix)
 	return len(b) >= n && strings.EqualFold(string(b[:n]), c.Prefix)
 }
 
-// Limits bounds a table.
+// Limits holds the limits of a table.
 type Limits struct {
 	Slots     int
-	BodyBytes int           // of all half-read bodies
-	Header    time.Duration // from the first byte of a request
-	Body      time.Duration // from the end of the header
-	Response  time.Duration // for one write of the response
-	Idle      time.Duration // from the end of the response
+	BodyBytes int           // total of all partially read bodies
+	Header    time.Duration // starts at the first byte of a request
+	Body      time.Duration // starts at the end of the header
+	Response  time.Duration // for each write of the response
+	Idle      time.Duration // starts at the end of the response
 }
 
 // timeoutFor returns how long a connection may be in a state, and the reason to
-// close it after that.
+// close it after that time.
 func (l Limits) timeoutFor(s State) (time.Duration, CloseReason) {
 	switch s {
 	case Reading:
@@ -129,7 +129,7 @@
 
 // Socket is the caller's side of a connection.
 type Socket interface {
-	// abort closes the socket; the table has evicted its connection.
+	// abort closes the socket of a connection that the table has evicted.
 	abort(Closed)
 }
 
@@ -138,40 +138,41 @@
 	socket          Socket
 	state           State
 	class           int
-	awaitsFirstByte bool // nothing of the present request has come
+	awaitsFirstByte bool // no byte of the current request has arrived
 	closed          bool
-	since           time.Duration // in this state
+	since           time.Duration // time at which it entered its state
 	bodyBytes       int
 	element         *list.Element // nil while serving
 }
 
 // Closed is a connection that the table evicted. MidRequest reports that a part
-// of a request had come, so that its sender should receive a response.
+// of a request has arrived, so that the client should receive a response.
 type Closed struct {
 	*Entry
 	Reason     CloseReason
 	MidRequest bool
 }
 
-// Table holds the connections of one address. One goroutine at a time may call
-// it; times are those of any one monotonic clock.
+// Table holds the connections of one address. Only one goroutine at a time may
+// call it. All times are from one monotonic clock.
 type Table struct {
 	limits  Limits
 	classes []Class
-	// Connections by state, and idle ones by class too, oldest first.
+	// Connections by state, and idle ones also by class, oldest first.
 	stalled   [stateCount]*list.List
 	idle      []*list.List
-	open      []int // by class
+	open      []int // open connections by class
 	serving   int
 	bodyBytes int
-	closed    [][closeReasonCount]uint64 // by class
+	closed    [][closeReasonCount]uint64 // closed connections by class and reason
 
-	latest    time.Duration // the last effective time
-	suspended time.Duration // how long the process has stood still in all
+	latest    time.Duration // latest effective time
+	suspended time.Duration // total time for which the process was suspended
 	lastSweep time.Duration
 }
 
-// New returns an empty table. The last class takes what fits no other.
+// New returns an empty table. The last class gets every request that matches no
+// other.
 func New(l Limits, classes []Class) *Table {
 	t := &Table{
 		limits:  l,
@@ -188,17 +189,18 @@
 	return t
 }
 
-// Interval returns how often Sweep is to be called.
+// Interval returns the interval at which the caller must call Sweep.
 func (t *Table) Interval() time.Duration { return t.limits.Header / 4 }
 
-// effectiveTime returns the time without what the process stood still. It never
-// goes backwards, so that the lists stay in order.
+// effectiveTime returns the time without the periods for which the process was
+// suspended. It never goes backwards, so that the lists stay in order.
 func (t *Table) effectiveTime(now time.Duration) time.Duration {
 	t.latest = max(t.latest, now-t.suspended)
 	return t.latest
 }
 
-// listOf returns the list that holds a connection, nil while it is being served.
+// listOf returns the list that holds a connection, or nil while it is being
+// served.
 func (t *Table) listOf(e *Entry) *list.List {
 	switch e.state {
 	case Serving:
@@ -227,14 +229,14 @@
 	}
 }
 
-// Grace returns how long a connection may stall before its slot can go to
+// Grace returns how long a connection may stall before its slot can be given to
 // another.
 func (t *Table) Grace() time.Duration { return t.limits.Header / 32 }
 
-// Open takes a slot for a connection, of the last class until its first bytes
-// have come. The connection that had to go for it, if any, is in closed. Without
-// a slot the entry is nil: wait is when to try again, 0 if the connection is
-// refused.
+// Open takes a slot for a connection, which counts for the last class until its
+// first bytes arrive. closed has the connection that was evicted for it, if any.
+// Without a slot the entry is nil; wait is the time until the next attempt, or 0
+// if the connection is refused.
 func (t *Table) Open(now time.Duration, socket Socket) (e *Entry, closed []Closed, wait time.Duration) {
 	now = t.effectiveTime(now)
 	last := len(t.classes) - 1
@@ -266,8 +268,9 @@
 }
 
 // selectVictim returns the connection to evict first: the one that has stalled
-// longest, of whatever class, else the one that has been idle longest of the
-// class that is furthest above its share; nil if all are being served.
+// longest, of any class. If none has stalled, it is the longest idle connection
+// of the class that exceeds its share most. It returns nil if all connections are
+// being served.
 func (t *Table) selectVictim() *Entry {
 	if e := t.longestStalled(); e != nil {
 		return e
@@ -287,8 +290,8 @@
 	return victim
 }
 
-// longestStalled returns the connection that has stalled longest, nil if none
-// stalls.
+// longestStalled returns the connection that has stalled longest, or nil if none
+// has.
 func (t *Table) longestStalled() *Entry {
 	var longest *Entry
 	for _, l := range t.stalled {
@@ -307,7 +310,7 @@
 	return c
 }
 
-// Close frees a connection's slot. It may be called again.
+// Close frees a connection's slot. It is idempotent.
 func (t *Table) Close(e *Entry) {
 	if e.closed {
 		return
@@ -319,8 +322,8 @@
 	e.bodyBytes = 0
 }
 
-// ReceiveBytes records bytes that arrived. The first ones of a request decide its
-// class.
+// ReceiveBytes records bytes that arrived. The first bytes of a request determine
+// its class.
 func (t *Table) ReceiveBytes(now time.Duration, e *Entry, b []byte) {
 	if e.closed || len(b) == 0 {
 		return
@@ -338,7 +341,7 @@
 	e.awaitsFirstByte = false
 }
 
-// classify counts a connection for the class of the request that begins with b.
+// classify assigns a connection to the class of the request that begins with b.
 func (t *Table) classify(e *Entry, b []byte) {
 	class := len(t.classes) - 1
 	for i := range class {
@@ -352,16 +355,17 @@
 	e.class = class
 }
 
-// BeginRequest records that a request's header is complete; ok is as that of
-// Transition. A pipelined request was sent before the response to the last:
-// nothing was read since.
+// BeginRequest records that a request's header is complete. ok has the same
+// meaning as for Transition. A request is pipelined if the client sent it before
+// the response to the previous one: the connection has received no bytes after
+// that response.
 func (t *Table) BeginRequest(now time.Duration, e *Entry, s State) (ok, pipelined bool) {
 	pipelined = e.state != Reading
 	return t.Transition(now, e, s), pipelined
 }
 
 // Transition records a connection's new state. ok is false if the table has
-// evicted the connection, which then must not go on.
+// evicted the connection; the caller must then stop using it.
 func (t *Table) Transition(now time.Duration, e *Entry, s State) (ok bool) {
 	if e.closed {
 		return false
@@ -376,9 +380,9 @@
 	return true
 }
 
-// SetBodyBytes records how many bytes a half-read body takes by now. While all of
-// them take more than the limit, the one that has been under way longest is
-// evicted.
+// SetBodyBytes records how many bytes a partially read body currently takes.
+// While all such bodies together exceed the limit, the table evicts the
+// connection that has been reading its body longest.
 func (t *Table) SetBodyBytes(e *Entry, n int) (closed []Closed) {
 	if e.closed {
 		return nil
@@ -392,8 +396,9 @@
 	return closed
 }
 
-// Sweep evicts what took too long. After the process itself stood still nothing
-// is late that was not before: what came meanwhile is still unread.
+// Sweep evicts connections that have exceeded their timeouts. After the process
+// itself was suspended, no connection is late that was not late before: bytes
+// that arrived in the meantime are still unread.
 func (t *Table) Sweep(now time.Duration) (closed []Closed) {
 	sinceLastSweep := now - t.lastSweep
 	if t.lastSweep > 0 && sinceLastSweep > 2*t.Interval() {
@@ -415,8 +420,8 @@
 	return now-e.since > timeout
 }
 
-// front returns the connection that has been in a list longest, nil if there is
-// none.
+// front returns the connection that has been in a list longest, or nil if the
+// list is empty.
 func front(l *list.List) *Entry {
 	if element := l.Front(); element != nil {
 		return element.Value.(*Entry)
@@ -424,13 +429,13 @@
 	return nil
 }
 
-// Stats is the use of a table's slots and bytes, and how many connections it
-// closed since it was made.
+// Stats holds the slots and bytes that a table uses, and how many connections it
+// has closed since its creation.
 type Stats struct {
 	Slots, BodyBytes int
-	Open             map[string]int            // by class
-	State            map[string]int            // by state
-	Closed           map[string]map[string]int // by class and reason
+	Open             map[string]int            // open connections by class
+	State            map[string]int            // open connections by state
+	Closed           map[string]map[string]int // closed connections by class and reason
 }
 
 // Stats returns a copy of the table's counts.
--- a/internal/connlimit/connection_table_test.go
+++ b/internal/connlimit/connection_table_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestMain fixes the seed: the same inputs, the same verdict, every time. With
-// fewer steps, slots and bytes seldom run out.
+// TestMain fixes the seed, so that every run has the same inputs and the same
+// result. With fewer steps, slots and bytes seldom run out.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "14", "rapid.steps": "300"} {
 		if err := flag.Set(name, value); err != nil {
@@ -23,8 +23,8 @@
 	{Name: "users", ReservedShare: 0.375},
 }
 
-// The idle connections of a class below its share stay while another class is
-// above its own: idle users cannot take workers' slots.
+// The idle connections of a class below its share are kept while another class
+// exceeds its own: idle users cannot take workers' slots.
 func TestReservedSlotsAreNotTakenByOtherClasses(t *testing.T) {
 	tb := New(
 		Limits{Slots: 16, Header: time.Second, Body: time.Second, Response: time.Second, Idle: time.Hour},
@@ -47,13 +47,13 @@
 	}
 	for _, e := range append(workers, health) {
 		if e.closed {
-			t.Fatalf("users took a slot of %s", testClasses[e.class].Name)
+			t.Fatalf("a slot of class %s was given to users, want it kept", testClasses[e.class].Name)
 		}
 	}
 }
 
-// A process that stood still finds every connection late at once, though what
-// the clients sent meanwhile only waits to be read.
+// After the process was suspended, every connection appears late at once,
+// although the bytes that clients sent in the meantime only wait to be read.
 func TestProcessSuspensionDoesNotExpireConnections(t *testing.T) {
 	tb := New(
 		Limits{Slots: 4, Header: time.Second, Body: time.Second, Response: time.Second, Idle: 10 * time.Second},
@@ -63,12 +63,12 @@
 	e, _, _ := tb.Open(100*time.Millisecond, nil)
 	tb.ReceiveBytes(100*time.Millisecond, e, []byte("POST"))
 	if closed := tb.Sweep(20 * time.Second); len(closed) != 0 {
-		t.Fatalf("evicted for %v after a suspension, want none evicted", closed[0].Reason)
+		t.Fatalf("got an eviction for %v after a suspension, want none", closed[0].Reason)
 	}
 	for now := 20 * time.Second; now < 22*time.Second; now += tb.Interval() {
 		tb.Sweep(now)
 	}
 	if !e.closed {
-		t.Fatal("a late request is not evicted after a suspension")
+		t.Fatal("a late request after a suspension: not evicted, want it evicted")
 	}
 }
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -12,7 +12,8 @@
 
 var helpText = regexp.MustCompile(`help: "[^"]*", `)
 
-// TestMetricsKeepTheirNames holds the metrics of an address and their labels.
+// TestMetricsKeepTheirNames compares the metrics of an address and their labels
+// with a golden file.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	d := newMetricDescs("front")
 	var out []byte
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -8,8 +8,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Limiter holds the table of one address and the sockets behind it. It is safe
-// for concurrent use, and a collector of its own metrics.
+// Limiter holds the table and the sockets of one address. It is safe for
+// concurrent use, and it is a collector of its own metrics.
 type Limiter struct {
 	descs     metricDescs
 	startedAt time.Time
@@ -18,13 +18,13 @@
 	table *Table
 }
 
-// NewLimiter returns a limiter; name is the address's in metrics. Run must be
-// called once.
+// NewLimiter returns a limiter. name is the name of the address in metrics. Run
+// must be called once.
 func NewLimiter(name string, limits Limits, classes []Class) *Limiter {
 	return &Limiter{descs: newMetricDescs(name), startedAt: time.Now(), table: New(limits, classes)}
 }
 
-// Run evicts what took too long until ctx ends.
+// Run evicts connections that have exceeded their timeouts until ctx ends.
 func (l *Limiter) Run(ctx context.Context) {
 	ticker := time.NewTicker(l.table.Interval())
 	defer ticker.Stop()
@@ -38,8 +38,9 @@
 	}
 }
 
-// withTable calls f with the table and the time, and closes the sockets that f
-// evicts. They are closed on goroutines of their own, since that may block.
+// withTable calls f with the table and the time, and closes the sockets of the
+// connections that f evicts. They are closed on separate goroutines, since
+// closing may block.
 func (l *Limiter) withTable(f func(*Table, time.Duration) []Closed) {
 	l.mu.Lock()
 	closed := f(l.table, time.Since(l.startedAt))
@@ -49,15 +50,15 @@
 	}
 }
 
-// Stats returns the use of the address.
+// Stats returns the statistics of the address's table.
 func (l *Limiter) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Stats()
 }
 
-// metricDescs describes a limiter's metrics; the address is a constant label, so
-// that two limiters can share a registry.
+// metricDescs holds the descriptions of a limiter's metrics. The address is a
+// constant label, so that two limiters can share a registry.
 type metricDescs struct{ open, state, slots, bodyBytes, closed *prometheus.Desc }
 
 func newMetricDescs(address string) metricDescs {
@@ -73,7 +74,7 @@
 	}
 }
 
-// Describe sends the metrics' descriptions.
+// Describe sends the descriptions of the metrics.
 func (l *Limiter) Describe(ch chan<- *prometheus.Desc) {
 	d := l.descs
 	for _, desc := range []*prometheus.Desc{d.open, d.state, d.slots, d.bodyBytes, d.closed} {
@@ -81,7 +82,7 @@
 	}
 }
 
-// Collect sends the metrics' values.
+// Collect sends the values of the metrics.
 func (l *Limiter) Collect(ch chan<- prometheus.Metric) {
 	s := l.Stats()
 	gauge := func(d *prometheus.Desc, v int, labels ...string) {
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -9,7 +9,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// A response that nobody takes ends with its connection.
+// The limiter closes the connection of a client that does not read its response.
 func TestUnreadResponseIsClosedAfterTimeout(t *testing.T) {
 	limiter := NewLimiter("test", Limits{
 		Slots:     4,
@@ -37,11 +37,11 @@
 	if _, err := c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, 10*time.Second, "the response is given up", func() bool {
+	waitUntil(t, 10*time.Second, "connection closed for an unread response", func() bool {
 		return limiter.Stats().Closed["users"]["late_answer"] > 0
 	})
 	if s := limiter.Stats(); s.Open["users"] != 0 {
-		t.Errorf("the connection is still open: %+v", s)
+		t.Errorf("got open connections of users, want none: %+v", s)
 	}
 }
 
@@ -49,7 +49,7 @@
 	t.Helper()
 	for end := time.Now().Add(timeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", timeout, what)
+			t.Fatalf("timed out after %v waiting for: %s", timeout, what)
 		}
 	}
 }
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -13,8 +13,8 @@
 	unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\n" + retryHeaders
 )
 
-// responseWriteTimeout bounds the write of such a response, which a stalled
-// client may not take.
+// responseWriteTimeout bounds the write of such a response, since a stalled
+// client may not read it.
 const responseWriteTimeout = 100 * time.Millisecond
 
 func writeResponse(c net.Conn, response string) {
@@ -23,7 +23,8 @@
 	}
 }
 
-// Listen returns ln within the limiter's bounds.
+// Listen returns a listener that accepts connections of ln within the limiter's
+// limits.
 func (l *Limiter) Listen(ln net.Listener) net.Listener {
 	return &limitedListener{Listener: ln, limiter: l}
 }
@@ -33,8 +34,8 @@
 	limiter *Limiter
 }
 
-// Accept returns the next connection that has a slot. While there is none to
-// give, it waits or refuses connections.
+// Accept returns the next connection that has a slot. While no slot can be freed,
+// it waits or refuses connections.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -52,14 +53,14 @@
 	}
 }
 
-// limitedConn records in the table what happens on a connection.
+// limitedConn records the events of a connection in the table.
 type limitedConn struct {
 	net.Conn
 	limiter *Limiter
 	entry   *Entry
 }
 
-// open waits for a slot and reports whether the connection has one.
+// open waits for a slot and reports whether the connection got one.
 func (c *limitedConn) open() bool {
 	for wait := time.Duration(1); c.entry == nil && wait > 0; time.Sleep(wait) {
 		c.limiter.withTable(func(t *Table, now time.Duration) (closed []Closed) {
@@ -70,7 +71,7 @@
 	return c.entry != nil
 }
 
-// Read also decides the class of a request by its first bytes.
+// Read also determines the class of a request from its first bytes.
 func (c *limitedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -117,8 +118,8 @@
 	return c.Conn.Close()
 }
 
-// abort closes a connection that the table has evicted, after a response if a
-// part of a request had come.
+// abort closes a connection that the table has evicted. If a part of a request
+// has arrived, it sends a response first.
 func (c *limitedConn) abort(closed Closed) {
 	if closed.MidRequest {
 		response := unavailableResponse
--- a/internal/connlimit/table_model_test.go
+++ b/internal/connlimit/table_model_test.go
@@ -7,11 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// never is the time since which nothing has stalled.
+// never is the start of the longest stall if no connection has stalled.
 const never = time.Duration(1 << 62)
 
-// Whatever happens on connections, a table keeps its limits, evicts nothing that
-// is being served, and evicts first what has stalled longest.
+// For any sequence of events, a table stays within its limits, never evicts a
+// connection that is being served, and evicts the connection that has stalled
+// longest first.
 func TestTableStaysWithinLimitsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
@@ -26,7 +27,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"":          m.checkLimits,
 			"open":      m.open,
-			"open more": m.open, // so that slots run out
+			"open more": m.open, // drawn more often, so that slots run out
 			"read":      m.read,
 			"move":      m.move,
 			"serve":     m.finishServing,
@@ -45,7 +46,7 @@
 	now    time.Duration
 }
 
-// drawEntry draws a connection that is open and not being served.
+// drawEntry draws an open connection that is not being served.
 func (m *tableModel) drawEntry(t *rapid.T) *Entry {
 	var entries []*Entry
 	for _, list := range append(m.table.stalled[:], m.table.idle...) {
@@ -54,7 +55,7 @@
 		}
 	}
 	if len(entries) == 0 {
-		t.Skip("nothing is open")
+		t.Skip("no connection is open")
 	}
 	return rapid.SampledFrom(entries).Draw(t, "which")
 }
@@ -62,17 +63,17 @@
 func (m *tableModel) removeClosed(t *rapid.T, closed []Closed) {
 	for _, c := range closed {
 		if c.state == Serving {
-			t.Fatalf("a connection that is being served was evicted for %v", c.Reason)
+			t.Fatalf("a connection that is being served was evicted for %v, want it kept", c.Reason)
 		}
 		if !m.live[c.Entry] {
-			t.Fatal("a connection was evicted twice")
+			t.Fatal("got a second eviction of a connection, want one")
 		}
 		delete(m.live, c.Entry)
 	}
 }
 
-// longestSince returns since when the longest of the connections in one of the
-// states has been in it.
+// longestSince returns the time at which the longest waiting connection in one of
+// the states entered it.
 func (m *tableModel) longestSince(states ...State) time.Duration {
 	since := never
 	for e := range m.live {
@@ -87,7 +88,7 @@
 
 func (m *tableModel) checkLimits(t *rapid.T) {
 	if n := m.table.count(); n > m.limits.Slots || n != len(m.live) {
-		t.Fatalf("%d connections are counted, %d are open, %d allowed", n, len(m.live), m.limits.Slots)
+		t.Fatalf("table counts %d connections, want %d (open) and at most %d", n, len(m.live), m.limits.Slots)
 	}
 	bodyBytes, serving := 0, 0
 	for e := range m.live {
@@ -97,10 +98,10 @@
 		}
 	}
 	if bodyBytes != m.table.bodyBytes || bodyBytes > m.limits.BodyBytes {
-		t.Fatalf("%d bytes held, %d counted, %d allowed", bodyBytes, m.table.bodyBytes, m.limits.BodyBytes)
+		t.Fatalf("%d bytes held, table counts %d, want equal and at most %d", bodyBytes, m.table.bodyBytes, m.limits.BodyBytes)
 	}
 	if serving != m.table.serving {
-		t.Fatalf("%d connections being served, %d counted", serving, m.table.serving)
+		t.Fatalf("%d connections are being served, table counts %d, want equal", serving, m.table.serving)
 	}
 }
 
@@ -111,17 +112,17 @@
 	switch {
 	case wait > 0:
 		if latest+wait < longest+m.table.Grace() || longest == never {
-			t.Fatalf("told to wait %v at %v, while the longest stall began at %v", wait, latest, longest)
+			t.Fatalf("got wait %v at %v, but the longest stall began at %v", wait, latest, longest)
 		}
 	case e == nil:
 		if m.table.serving != m.limits.Slots {
-			t.Fatalf("refused while %d of %d slots are being served", m.table.serving, m.limits.Slots)
+			t.Fatalf("got a refusal while %d of %d slots are being served, want all", m.table.serving, m.limits.Slots)
 		}
 	default:
 		for _, c := range closed {
 			isWithinGrace := c.state != Idle && latest-c.since < m.table.Grace()
 			if c.since > longest || isWithinGrace {
-				t.Fatalf("evicted what stalls since %v at %v, while another stalls since %v", c.since, latest, longest)
+				t.Fatalf("evicted one stalled since %v at %v, another is stalled since %v", c.since, latest, longest)
 			}
 		}
 		m.removeClosed(t, closed)
@@ -139,7 +140,7 @@
 	}
 	m.table.ReceiveBytes(m.now, e, []byte(b))
 	if got := testClasses[e.class].Name; got != "users" && got != classOf[b[:4]] {
-		t.Fatalf("%q is counted for %s", b, got)
+		t.Fatalf("%q: got class %s", b, got)
 	}
 }
 
@@ -147,7 +148,7 @@
 	e := m.drawEntry(t)
 	state := rapid.SampledFrom([]State{Body, Serving, Responding, Idle}).Draw(t, "state")
 	if !m.table.Transition(m.now, e, state) {
-		t.Fatal("an open connection is taken for closed")
+		t.Fatal("Transition on an open connection: got false, want true")
 	}
 }
 
@@ -160,12 +161,12 @@
 	}
 }
 
-// fillBody records bytes as a body's reader does.
+// fillBody records body bytes as readBody does.
 func (m *tableModel) fillBody(t *rapid.T) {
 	e := m.drawEntry(t)
 	n := rapid.IntRange(0, 60).Draw(t, "bytes")
 	if e.state != Body && !m.table.Transition(m.now, e, Body) {
-		t.Fatal("an open connection is taken for closed")
+		t.Fatal("Transition on an open connection: got false, want true")
 	}
 	m.removeClosed(t, m.table.SetBodyBytes(e, n))
 }
@@ -183,13 +184,13 @@
 	latest := m.table.latest
 	for _, c := range closed {
 		if timeout, reason := m.limits.timeoutFor(c.state); reason != c.Reason || latest-c.since <= timeout {
-			t.Fatalf("evicted %v after %v for %v", c.state, latest-c.since, c.Reason)
+			t.Fatalf("got an eviction in state %v after %v for %v", c.state, latest-c.since, c.Reason)
 		}
 	}
 	m.removeClosed(t, closed)
 	for e := range m.live {
 		if timeout, _ := m.limits.timeoutFor(e.state); e.state != Serving && latest-e.since > timeout {
-			t.Fatalf("%v for %v is not evicted", e.state, latest-e.since)
+			t.Fatalf("a connection in state %v for %v is not evicted", e.state, latest-e.since)
 		}
 	}
 }
