--- a/internal/httpclient/budget.go
+++ b/internal/httpclient/budget.go
@@ -8,25 +8,26 @@
 	"golang.org/x/time/rate"
 )
 
-// urgencyLevels is the number of a Budget's queues; 0 is the most urgent.
+// urgencyLevels is the number of queues in a Budget. Urgency 0 is the most
+// urgent.
 const urgencyLevels = 4
 
-// queuedRequest is a request that waits for its turn.
+// queuedRequest is a request in a queue of a Budget.
 type queuedRequest struct {
 	writeOps  int
-	deadline  time.Time // dropped when it waits past this; zero: never
+	deadline  time.Time // dropped if still queued after this; zero: never
 	send      func()
 	onDropped func(time.Duration)
 }
 
-// isExpired reports whether the request waited past its deadline.
+// isExpired reports whether the request's deadline has passed.
 func (q *queuedRequest) isExpired(now time.Time) bool {
 	return !q.deadline.IsZero() && now.After(q.deadline)
 }
 
-// Budget lets requests through at a rate, most urgent first. Each controller
-// has its share of a service's limits, so that all together stay within them.
-// It is safe for concurrent use.
+// Budget limits the rate of requests and sends the most urgent first. Each
+// controller has a share of a service's limits, so that all controllers together
+// stay within them. It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
 	queues   [urgencyLevels][]queuedRequest
@@ -35,9 +36,9 @@
 	writes   *rate.Limiter
 }
 
-// NewBudget returns a budget of requests a second, and of writes a second if
-// writes is above 0, of which maxWriteBurst may come at once. It sends until ctx
-// ends; what waits then is neither sent nor dropped.
+// NewBudget returns a budget of requests per second, and, if writes is above 0,
+// of writes per second with bursts of up to maxWriteBurst. It sends until ctx
+// ends; requests queued at that time are neither sent nor dropped.
 func NewBudget(ctx context.Context, requests, writes float64, maxWriteBurst int) *Budget {
 	b := &Budget{wake: make(chan struct{}, 1), requests: rate.NewLimiter(rate.Limit(requests), max(1, int(requests)))}
 	if writes > 0 {
@@ -48,10 +49,11 @@
 }
 
 // Enqueue queues a request that changes writeOps keys; urgency 0 is the most
-// urgent. Either send or onDropped is called, on a goroutine of its own: send
-// when the budget allows the request, onDropped when it would wait or has waited
-// longer than maxWait, with the expected wait, or 0 if that is not known. With
-// maxWait 0 a request waits for as long as it takes and onDropped may be nil.
+// urgent. Either send or onDropped is called, on a separate goroutine. send is
+// called when the budget allows the request. onDropped is called when the request
+// would wait or has waited longer than maxWait; its argument is the expected
+// wait, or 0 if that is unknown. With a maxWait of 0, a request waits without a
+// limit and onDropped may be nil.
 func (b *Budget) Enqueue(
 	urgency, writeOps int,
 	maxWait time.Duration,
@@ -66,8 +68,8 @@
 	urgency = min(max(urgency, 0), len(b.queues)-1)
 	if maxWait > 0 {
 		if wait := b.estimateWait(urgency, writeOps); wait > maxWait {
-			// It would be dropped at its deadline; the caller is better off
-			// knowing now.
+			// The request would be dropped at its deadline, so the caller is
+			// notified at once.
 			b.mu.Unlock()
 			go onDropped(wait)
 			return
@@ -81,8 +83,8 @@
 	}
 }
 
-// estimateWait returns how long a new request would wait behind those that go
-// before it. The caller holds mu.
+// estimateWait returns how long a new request would wait for the queued requests
+// that precede it. The caller holds mu.
 func (b *Budget) estimateWait(urgency, writeOps int) time.Duration {
 	requests, writes := 1.0, float64(writeOps)
 	for _, queue := range b.queues[:urgency+1] {
@@ -98,10 +100,11 @@
 	return time.Duration(max(0, waitS) * float64(time.Second))
 }
 
-// dequeue removes the most urgent request if the budget allows it, or returns
-// how long until it does, -1 if none waits. An expired request comes without
-// send. Nothing is reserved for one that waits: a large write that was first in
-// line once held up lease renewals for longer than the leases lasted.
+// dequeue removes the most urgent request if the budget allows it. Otherwise it
+// returns the time until the budget allows it, or -1 if no request is queued. An
+// expired request is returned with a nil send. No tokens are reserved for a
+// queued request: a large write at the head of the queue once delayed lease
+// renewals for longer than the leases lasted.
 func (b *Budget) dequeue(now time.Time) (request queuedRequest, ok bool, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,7 +129,7 @@
 	return request, true, 0
 }
 
-// mostUrgent returns the first queue in which a request waits.
+// mostUrgent returns the urgency of the first non-empty queue.
 func (b *Budget) mostUrgent() (urgency int, found bool) {
 	for urgency := range b.queues {
 		if len(b.queues[urgency]) > 0 {
@@ -136,19 +139,20 @@
 	return 0, false
 }
 
-// removeFirst removes a queue's first request, and the references that the
-// array behind it would keep.
+// removeFirst removes a queue's first request, and clears its slot, since the
+// underlying array would retain the references.
 func (b *Budget) removeFirst(urgency int) {
 	queue := b.queues[urgency]
 	queue[0] = queuedRequest{}
 	b.queues[urgency] = queue[1:]
 }
 
-// limitsWrites reports whether the budget of writes applies to a request.
+// limitsWrites reports whether the write budget applies to a request.
 func (b *Budget) limitsWrites(writeOps int) bool { return b.writes != nil && writeOps > 0 }
 
-// delayUntilAllowed returns how long until a request may go, 0 if it may now. A
-// write of more keys than the burst goes when the burst is full.
+// delayUntilAllowed returns the time until the budget allows a request, or 0 if
+// it allows it now. A write of more keys than the burst is allowed when the burst
+// is full.
 func (b *Budget) delayUntilAllowed(now time.Time, writeOps int) time.Duration {
 	delayS := (1 - b.requests.TokensAt(now)) / float64(b.requests.Limit())
 	if b.limitsWrites(writeOps) {
@@ -161,8 +165,8 @@
 	return max(time.Millisecond, time.Duration(delayS*float64(time.Second)))
 }
 
-// loop sends what the budget allows, and sleeps until it allows more or a
-// request comes.
+// loop sends the requests that the budget allows, and sleeps until it allows more
+// or a request is queued.
 func (b *Budget) loop(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/internal/httpclient/budget_test.go
+++ b/internal/httpclient/budget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A request that would wait longer than its maxWait is dropped at once; one that
-// can wait is sent, and a more urgent one before it.
+// A request that would wait longer than its maxWait is dropped at once. A request
+// that can wait is sent, and a more urgent one is sent before it.
 func TestBudgetRejectsAtOnceWhatWouldExceedMaxWait(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -17,7 +17,7 @@
 		b.Enqueue(urgency, 0, maxWait, func() { sent <- n }, func(time.Duration) { dropped <- n })
 	}
 	for i := range 60 {
-		enqueue(1, i, 0) // a second's burst, and two seconds' more
+		enqueue(1, i, 0) // a burst of one second, then two seconds more
 	}
 	start := time.Now()
 	enqueue(1, 100, time.Second)
@@ -27,7 +27,7 @@
 			t.Errorf("dropped request %d after %v, want 100 within 500ms", n, time.Since(start))
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("a request that must wait two seconds with a maxWait of one second is kept")
+		t.Fatal("a request that must wait 2s with a maxWait of 1s: not dropped within 5s, want it dropped")
 	}
 	enqueue(0, 200, time.Second)
 	for {
@@ -37,16 +37,16 @@
 				return
 			}
 			if n == 59 {
-				t.Fatal("the most urgent request is sent last")
+				t.Fatal("the most urgent request was sent last, want it before request 59")
 			}
 		case n := <-dropped:
-			t.Fatalf("dropped request %d, want none dropped", n)
+			t.Fatalf("got request %d dropped, want none dropped", n)
 		}
 	}
 }
 
-// A large write that waits for its budget delays nothing that is more urgent: a
-// lease behind one was renewed too late, and its controller lost its shards.
+// A large write that waits for its budget does not delay more urgent requests.
+// Such a delay made a lease renewal late, and the controller lost its shards.
 func TestQueuedLargeWriteDoesNotDelayLeaseRenewal(t *testing.T) {
 	b := NewBudget(t.Context(), 1000, 20, 40)
 	sent := make(chan string, 10)
@@ -55,7 +55,7 @@
 	}
 	enqueue(3, 40, "burst")
 	if n := <-sent; n != "burst" {
-		t.Fatalf("first sent = %s, want burst", n)
+		t.Fatalf("first request sent: got %s, want burst", n)
 	}
 	enqueue(3, 40, "write") // must wait for two seconds
 	time.Sleep(20 * time.Millisecond)
@@ -66,6 +66,6 @@
 		order = append(order, <-sent)
 	}
 	if order[2] != "write" {
-		t.Errorf("order %v, want the write last", order)
+		t.Errorf("got order %v, want the write last", order)
 	}
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,14 +1,14 @@
 // Package httpclient makes HTTP requests to the services and workers that a
 // controller uses, and to controllers on behalf of a user.
 //
-// It owns connections, a Budget of requests and writes for each service, and
-// the retries of a FailoverClient. It knows paths and bodies only as
-// wire.Request hands them over.
+// The package owns the connections, a Budget of requests and writes for each
+// service, and the retries of a FailoverClient. It gets paths and bodies from
+// package wire as a wire.Request.
 //
-// It may assume nothing of the other side: a response may be late, cut short or
-// never come. It promises that a request ends within its timeout, that Client
-// and MultiHostClient send each request at most once, and that a Budget lets
-// more urgent requests go first and keeps to its rate.
+// It makes no assumptions about the server: a response may be late, truncated or
+// missing. It guarantees that a request ends within its timeout, and that Client
+// and MultiHostClient send each request at most once. A Budget sends more urgent
+// requests first and stays within its rate.
 package httpclient
 
 import (
@@ -39,9 +39,8 @@
 	}}
 }
 
-// Do makes a request and returns the status and the body of the response.
-// Without a response in time the status is 0: the request may have been
-// executed.
+// Do makes a request and returns the status and the body of the response. Without
+// a response in time, the status is 0, and the request may have been executed.
 func (c *Client) Do(r wire.Request, timeout time.Duration) (int, []byte) {
 	return c.DoType(r, jsonContentType, timeout)
 }
@@ -51,8 +50,8 @@
 	return roundTrip(c.host, c.host.Addr, r, contentType, timeout, nil)
 }
 
-// MultiHostClient makes requests to many hosts, few to each. It is safe for
-// concurrent use.
+// MultiHostClient makes requests to many hosts, with few connections to each. It
+// is safe for concurrent use.
 type MultiHostClient struct{ http *fasthttp.Client }
 
 // NewMultiHostClient returns a client for any address, with at most conns
@@ -67,20 +66,21 @@
 	}}
 }
 
-// Do makes a request to the host at addr; the result is as that of Client.Do.
+// Do makes a request to the host at addr. Its result is the same as that of
+// Client.Do.
 func (c *MultiHostClient) Do(addr string, r wire.Request, timeout time.Duration) (int, []byte) {
 	return roundTrip(c.http, addr, r, jsonContentType, timeout, nil)
 }
 
-// Response is a host's response; Status 0 means that there was none in time.
+// Response is a host's response. Status 0 means that there was none in time.
 type Response struct {
 	Status      int
 	Body        []byte
-	RetryAfterS int // the Retry-After header in seconds, 0 without one
+	RetryAfterS int // Retry-After header in seconds; 0 if absent
 }
 
-// DoWithRetryAfter makes a request to the host at addr and also reports when
-// the host wants the next one.
+// DoWithRetryAfter makes a request to the host at addr, and also returns the
+// retry time from the response.
 func (c *MultiHostClient) DoWithRetryAfter(addr string, r wire.Request, timeout time.Duration) Response {
 	var response Response
 	readRetryAfter := func(res *fasthttp.Response) {
@@ -90,16 +90,16 @@
 	return response
 }
 
-// neverRetry keeps the library from sending a request twice on its own: the
-// first may have been executed, and only the caller can find out.
+// neverRetry prevents the library from sending a request twice on its own: the
+// first may have been executed, and only the caller can determine that.
 func neverRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
 
 type timeoutDoer interface {
 	DoTimeout(*fasthttp.Request, *fasthttp.Response, time.Duration) error
 }
 
-// roundTrip makes one attempt at a request. onResponse, if any, sees the
-// response before its buffers are recycled and must not keep it.
+// roundTrip makes one attempt at a request. onResponse, if not nil, receives the
+// response before its buffers are recycled and must not retain it.
 func roundTrip(
 	c timeoutDoer,
 	addr string,
@@ -123,6 +123,6 @@
 	if onResponse != nil {
 		onResponse(res)
 	}
-	// The response's buffer is recycled.
+	// The body is copied, because the response's buffer is recycled.
 	return res.StatusCode(), append([]byte(nil), res.Body()...)
 }
--- a/internal/httpclient/failover.go
+++ b/internal/httpclient/failover.go
@@ -8,30 +8,29 @@
 	"github.com/grebedock/grebedock/internal/wire"
 )
 
-// Retry times that users are asked to keep to: a request without a final response
-// is repeated after a second or what Retry-After says, for up to a minute.
+// Retry policy for users: a request without a final response is repeated after a
+// second or the time in Retry-After, for up to a minute.
 const (
 	minRetryDelay = time.Second
 	maxRetryDelay = 30 * time.Second
 	retryTimeout  = time.Minute
 )
 
-// FailoverClient makes requests to the controllers in turn, as users are asked
-// to do it.
+// FailoverClient makes requests to the controllers in turn, as users should.
 type FailoverClient struct {
 	Addrs     []string
-	TimeScale float64 // of delays and the overall timeout; 1 except in tests
+	TimeScale float64 // factor for delays and the overall timeout; 1 except in tests
 	hosts     *MultiHostClient
 }
 
-// NewFailoverClient returns a client of the controllers at addrs, which it tries
-// in this order.
+// NewFailoverClient returns a client of the controllers at addrs. The client
+// tries them in this order.
 func NewFailoverClient(addrs []string) *FailoverClient {
 	return &FailoverClient{Addrs: addrs, TimeScale: 1, hosts: NewMultiHostClient(8)}
 }
 
-// isFinalStatus reports whether a status settles a request: a retry would change
-// nothing.
+// isFinalStatus reports whether a status is final: a retry would not change the
+// result.
 func isFinalStatus(status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusCreated,
@@ -42,10 +41,10 @@
 	return false
 }
 
-// DoUntilFinal makes a request until its response is final: the next controller
-// takes over from one that cannot respond. It returns the last response, the
-// address that gave it, and the number of attempts. ok reports whether the
-// response is final; err is ctx's error if ctx ended first, and nil otherwise.
+// DoUntilFinal repeats a request, each time at the next controller, until its
+// response is final. It returns the last response, the address that sent it, and
+// the number of attempts. ok reports whether the response is final. err is ctx's
+// error if ctx ended first, and nil otherwise.
 func (c *FailoverClient) DoUntilFinal(
 	ctx context.Context,
 	r wire.Request,
@@ -67,9 +66,9 @@
 	}
 }
 
-// retryDelay returns how long to wait after an attempt that had no final
-// response: not at all while there is a controller that was not tried yet in
-// this round.
+// retryDelay returns the delay after an attempt without a final response. It is 0
+// if the controller did not respond and the current round has controllers left to
+// try.
 func (c *FailoverClient) retryDelay(res Response, attempts int) time.Duration {
 	if res.Status == 0 && attempts%len(c.Addrs) != 0 {
 		return 0
@@ -81,7 +80,7 @@
 	return time.Duration(c.TimeScale * float64(d))
 }
 
-// sleep waits for d, or returns ctx's error when ctx ends first.
+// sleep waits for d. It returns ctx's error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
