--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,16 +1,16 @@
-// Package config reads and checks the settings file that the platform hands to
-// each controller. Operators' own settings are elsewhere: they go through the
-// administration API and are kept in the state service.
+// Package config reads and validates the settings file that the platform provides
+// to each controller. Operators' settings are separate: they are changed through
+// the administration API and stored in the state service.
 //
-// It owns the file's form and its rules, and keeps nothing. It may assume that
-// the platform writes the file before the process starts and does not change it
-// afterwards; fields that it does not know are the platform's, of a later
-// version, and are ignored.
+// The package owns the format and the rules of the file, and keeps no state. It
+// assumes that the platform writes the file before the process starts and does
+// not change it afterwards. Unknown fields belong to a later version of the
+// platform and are ignored.
 //
-// It promises that a File which was loaded satisfies every rule, so that its
-// users check nothing again, and that an error names every field that is wrong,
-// in one line. It is built for mistakes in the file: values that are missing,
-// out of range or inconsistent.
+// It guarantees that a loaded File satisfies every rule, so that its users need
+// no further checks, and that an error names every invalid field in one line. It
+// handles mistakes in the file: values that are missing, out of range or
+// inconsistent.
 package config
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// File is the settings file, under the platform's names of fields.
+// File is the settings file. Its tags are the platform's field names.
 type File struct {
 	Member      string   `toml:"member"`
 	Zone        string   `toml:"site"`
@@ -39,7 +39,7 @@
 	Addr   string `toml:"endpoint"`
 }
 
-// External names the services that the controllers use.
+// External holds the addresses of the services that the controllers use.
 type External struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -67,9 +67,10 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service objective: what a share of a class's jobs is to keep to,
-// in seconds (WithinS) or as a factor of the job's own deadline (Times), by its
-// kind: deadline, wait, finished or guarantee. The core ignores other kinds.
+// Objective is a service objective: a bound that a share of a class's jobs must
+// meet, in seconds (WithinS) or as a factor of the job's own deadline (Times).
+// The kind is deadline, wait, finished or guarantee. The core ignores other
+// kinds.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -78,7 +79,7 @@
 	WithinS float64 `toml:"within_s"`
 }
 
-// Workers holds the intervals between a worker's heartbeats, the length of its
+// Workers holds the interval between a worker's heartbeats, the duration of its
 // lease, and the bound on a cancellation, in seconds.
 type Workers struct {
 	HeartbeatS float64 `toml:"report_s"`
@@ -86,9 +87,9 @@
 	CancelS    float64 `toml:"cancel_s"`
 }
 
-// State holds the limits of the state service: requests and changes a second of
-// all controllers together, the size of a value in KB, and the operations in a
-// transaction.
+// State holds the limits of the state service: requests and changes per second
+// for all controllers together, the size of a value in KB, and the operations in
+// a transaction.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -96,33 +97,33 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud holds the limits of the cloud: requests a second of all controllers
-// together, and how far its list of instances may lag behind, in seconds.
+// Cloud holds the limits of the cloud: requests per second for all controllers
+// together, and the maximum lag of its list of instances in seconds.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits is what one controller may use of its machine: a share of a core, memory
-// in MB, and sockets.
+// Limits holds the resources that one controller may use of its machine: a share
+// of a core, memory in MB, and sockets.
 type Limits struct {
 	CPUShare   float64 `toml:"cpu_share"`
 	RAMMB      float64 `toml:"ram_mb"`
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// nonHeapMB is what a process holds that the Go runtime does not count: 12 MB of
-// the program itself when it was measured, the rest for libraries' pages and
-// what the system keeps for the process. It is the same on every machine, so it
-// is not a share: a heap of three quarters of 54 MB would have left it too
-// little.
+// nonHeapMB is the memory of a process that the Go runtime does not count: 12 MB
+// for the program itself, the rest for libraries' pages and the operating
+// system's memory for the process. It is a constant rather than a share, because
+// it is the same on every machine: on a machine with 54 MB, a heap of three
+// quarters would leave too little for it.
 const nonHeapMB = 16
 
-// HeapBytes returns how many bytes the Go runtime may hold.
+// HeapBytes returns how many bytes the Go runtime may use.
 func (l Limits) HeapBytes() float64 { return (l.RAMMB - nonHeapMB) * (1 << 20) }
 
-// Load reads and checks the file at path. An error names every field that is
-// wrong, in one line.
+// Load reads and validates the file at path. An error names every invalid field
+// in one line.
 func Load(path string) (*File, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -131,8 +132,8 @@
 	return Parse(b)
 }
 
-// Parse reads and checks settings. Unknown fields are ignored: the platform may
-// add some.
+// Parse parses and validates settings. Unknown fields are ignored, since the
+// platform may add fields.
 func Parse(b []byte) (*File, error) {
 	var f File
 	if err := toml.Unmarshal(b, &f); err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -18,7 +18,8 @@
 	golden.RoundTrip(t, "settings.toml", f, encode, decode)
 }
 
-// TestExampleIsReadAsBefore holds what is read of the example in docs.
+// TestExampleIsReadAsBefore compares the parsed example of the docs with a golden
+// file.
 func TestExampleIsReadAsBefore(t *testing.T) {
 	b, err := os.ReadFile("../../docs/example.toml")
 	if err != nil {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -11,19 +11,21 @@
 	"github.com/grebedock/grebedock/access"
 )
 
-// An idle controller takes a few thousandths of a core and some 20 MB, most of
-// it the program itself. With less than this it would be killed, or be behind,
-// before it did anything.
+// Minimum resources of a controller. An idle controller takes a few thousandths
+// of a core and about 20 MB, most of it for the program itself. With less than
+// the minimum, the system would kill it, or it would be too slow, before it did
+// any work.
 const (
 	minCPUShare = 0.01
 	minRAMMB    = 32
 )
 
-// minTxnOps is the least that the core needs of a transaction.
+// minTxnOps is the minimum number of operations per transaction that the core
+// needs.
 const minTxnOps = 4
 
-// validator collects what is wrong with a file. Its methods name the field as
-// the file does.
+// validator collects the problems of a file. Its methods take the name of a field
+// as in the file.
 type validator struct{ problems []string }
 
 func (v *validator) addProblem(format string, a ...any) {
@@ -50,11 +52,11 @@
 		return
 	}
 	if _, err := net.ResolveTCPAddr("tcp4", addr); err != nil {
-		v.addProblem("%s %q is no address", field, addr)
+		v.addProblem("%s %q is not a valid address", field, addr)
 	}
 }
 
-// The comparisons below are false for a NaN, which is refused as well.
+// The comparisons below are false for NaN, so that NaN is refused as well.
 
 func (v *validator) requirePositive(field string, n float64) {
 	if !(n > 0) || math.IsInf(n, 0) {
@@ -70,7 +72,7 @@
 
 func (v *validator) requireAtLeast(field string, n, minimum float64) {
 	if !(n >= minimum) || math.IsInf(n, 0) {
-		v.addProblem("%s must be a number from %g on: with less a member cannot run", field, minimum)
+		v.addProblem("%s must be a finite number of at least %g: a member cannot run with less", field, minimum)
 	}
 }
 
@@ -96,7 +98,7 @@
 		v.requireText(fmt.Sprintf("others[%d].member", i), peer.Member)
 		v.requireAddr(fmt.Sprintf("others[%d].endpoint", i), peer.Addr)
 		if peer.Member != "" && seen[peer.Member] {
-			v.addProblem("others[%d].member %q is named twice", i, peer.Member)
+			v.addProblem("others[%d].member %q is a duplicate", i, peer.Member)
 		}
 		seen[peer.Member] = true
 	}
@@ -125,7 +127,7 @@
 		field := fmt.Sprintf("cluster.teams[%d]", i)
 		v.requireText(field+".name", t.Name)
 		if seen[t.Name] {
-			v.addProblem("%s.name %q is named twice", field, t.Name)
+			v.addProblem("%s.name %q is a duplicate", field, t.Name)
 		}
 		seen[t.Name] = true
 		v.requireNotNegative(field+".cpus", t.CPUs)
@@ -141,9 +143,9 @@
 	}
 }
 
-// validate also checks that a cancellation can keep to its bound: tasks of a
-// machine that is lost run on for a lease, and a controller that is lost keeps
-// its shards for the rest of its own.
+// validate also checks that a cancellation can stay within its bound: tasks on a
+// lost machine run for up to a lease, and a lost controller keeps its shards
+// until its own lease expires.
 func (w Workers) validate(v *validator) {
 	v.requirePositive("cluster.workers.report_s", w.HeartbeatS)
 	v.requirePositive("cluster.workers.lease_s", w.LeaseS)
@@ -153,8 +155,8 @@
 	}
 	minCancelMS := access.MinCancelMS(secondsToMS(w.LeaseS))
 	if secondsToMS(w.CancelS) < minCancelMS {
-		v.addProblem("cluster.workers.cancel_s must be %g or more beside a lease_s of %g: "+
-			"a lost machine's tasks live for a lease, and a controller's holds for what is left",
+		v.addProblem("cluster.workers.cancel_s must be %g or more with a lease_s of %g: "+
+			"tasks on a lost machine run for up to a lease, and a lost controller's lease must expire",
 			ceilTenths(minCancelMS), w.LeaseS)
 	}
 }
@@ -178,7 +180,8 @@
 	}
 }
 
-// secondsToMS converts a duration, clamped to what is worth telling apart.
+// secondsToMS converts a duration, clamped to MaxInt32 seconds: differences
+// beyond that do not matter.
 func secondsToMS(s float64) int64 { return int64(math.Round(min(s, math.MaxInt32) * 1000)) }
 
 // ceilTenths converts milliseconds to seconds, rounded up to a tenth.
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,12 +1,13 @@
-// Package features reads the file that switches subsystems on: a table for each,
-// with `on`. The file stands beside the platform's settings file and holds
-// switches and paths; operators' settings go through the administration API.
+// Package features reads the file that enables subsystems: one table per
+// subsystem, with the field `on`. The file is separate from the platform's
+// settings file and contains switches and paths. Operators' settings are changed
+// through the administration API.
 //
-// It owns the file's form, and keeps nothing. It may assume that the file does
-// not change while the process runs. It promises that everything is off unless
-// the file says otherwise, and that an error names the file, the line and the
-// field. It is built for mistakes in the file: a misspelt name is refused, since
-// its subsystem would stay off unnoticed.
+// The package owns the format of the file, and keeps no state. It assumes that
+// the file does not change while the process runs. It guarantees that every
+// subsystem is off unless the file enables it, and that an error names the file,
+// the line and the field. It handles mistakes in the file: a misspelt name is
+// refused, since its subsystem would otherwise stay off unnoticed.
 package features
 
 import (
@@ -17,32 +18,33 @@
 	"github.com/grebedock/grebedock/strict"
 )
 
-// Switch is the table of a subsystem that has nothing but a switch.
+// Switch is the table of a subsystem that has only a switch.
 type Switch struct {
 	Enabled bool `toml:"on"`
 }
 
-// Set is the features that are switched on. The zero value has everything off.
+// Set holds the enabled features. In the zero value, every feature is off.
 type Set struct {
-	// Connections bounds what connections may take of a controller.
+	// Connections bounds the resources that connections take of a controller.
 	Connections Switch `toml:"connections"`
-	// Relay has a peer respond to users while the state service fails for this
-	// controller alone.
+	// Relay sends users' requests to a peer while only this controller cannot
+	// reach the state service.
 	Relay Switch `toml:"relay"`
-	// Admission accepts submissions in order of priority and fair between
-	// teams, several at once, and sheds what would wait too long.
+	// Admission accepts submissions by priority and fairly between teams, several
+	// at a time, and sheds submissions that would wait too long.
 	Admission Switch `toml:"admission"`
 	// Recovery paces the commands that follow a claim, and records for the next
-	// owner what heartbeats do not contain.
+	// owner the state that heartbeats do not contain.
 	Recovery Switch `toml:"recovery"`
-	// Quota gives teams their guarantees from what others run beyond theirs.
+	// Quota satisfies teams' guarantees by reclaiming what other teams use beyond
+	// their own.
 	Quota Switch `toml:"quota"`
-	// Aging places the first tasks of large jobs that waited too long to begin
-	// before others of their priority.
+	// Aging places the first tasks of large jobs that have waited too long to
+	// start before other jobs of their priority.
 	Aging Switch `toml:"aging"`
-	// Rollout drains and replaces machines in steps, by plans.
+	// Rollout drains and replaces machines in steps, according to plans.
 	Rollout Switch `toml:"rollout"`
-	// Workflows takes workflows of the Common Workflow Language.
+	// Workflows runs workflows of the Common Workflow Language.
 	Workflows Workflows `toml:"workflows"`
 	// Schedules runs jobs that follow calendars.
 	Schedules Switch `toml:"schedules"`
@@ -52,13 +54,13 @@
 type Workflows struct {
 	Switch
 	// DataDir is the absolute path of a directory that controllers and workers
-	// share, for descriptions of steps and their outputs. Without one, steps have
+	// share, for descriptions of steps and their outputs. Without it, steps have
 	// no outputs.
 	DataDir string `toml:"data"`
 }
 
-// Load reads and checks the file at path; with path "" everything is off. An
-// error names the file, the line and the field.
+// Load reads and validates the file at path. With an empty path, every feature is
+// off. An error names the file, the line and the field.
 func Load(path string) (Set, error) {
 	if path == "" {
 		return Set{}, nil
@@ -74,21 +76,21 @@
 	return s, nil
 }
 
-// Parse reads and checks a file's text. Unlike the platform's file, which may
-// gain fields, an unknown name here is a mistake.
+// Parse parses and validates the text of a file. The platform's file may gain
+// fields, but in this file an unknown name is a mistake.
 func Parse(b []byte) (Set, error) {
 	var s Set
 	if err := strict.Decode(b, &s); err != nil {
 		return Set{}, err
 	}
 	if s.Workflows.DataDir != "" && !filepath.IsAbs(s.Workflows.DataDir) {
-		return Set{}, fmt.Errorf("workflows.data %q is no absolute path", s.Workflows.DataDir)
+		return Set{}, fmt.Errorf("workflows.data %q is not an absolute path", s.Workflows.DataDir)
 	}
 	return s, nil
 }
 
-// EnabledNames returns the names of the features that are switched on, in the
-// order of Set's fields.
+// EnabledNames returns the names of the enabled features, in the order of Set's
+// fields.
 func (s Set) EnabledNames() []string {
 	features := []struct {
 		name string
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// The files in deploy are valid.
+// Every features file in deploy is valid.
 func TestDeployedFeatureFilesAreValid(t *testing.T) {
 	entries, err := os.ReadDir("../../deploy")
 	if err != nil {
@@ -48,6 +48,6 @@
 		seen++
 	}
 	if seen == 0 {
-		t.Error("deploy has no features file")
+		t.Error("got no features file in deploy, want at least one")
 	}
 }
--- a/internal/features/golden_test.go
+++ b/internal/features/golden_test.go
@@ -21,7 +21,8 @@
 	golden.Compare(t, "on.txt", fmt.Appendln(nil, s.EnabledNames()))
 }
 
-// TestDeployedFeaturesAreReadAsBefore holds what is read of the files that are deployed.
+// TestDeployedFeaturesAreReadAsBefore compares the parsed features files in
+// deploy with golden files.
 func TestDeployedFeaturesAreReadAsBefore(t *testing.T) {
 	for _, name := range []string{"rollout.toml", "run.toml", "schedules.toml", "workflows.toml"} {
 		s, err := Load(filepath.Join("../../deploy", name))
