--- a/internal/adminapi/metrics.go
+++ b/internal/adminapi/metrics.go
@@ -182,7 +182,7 @@
 }
 
 // sendEvents sends the core's counters under the names that the metric has always
-// had, which differ from the core's names.
+// had, independent of the core's names.
 func (s sender) sendEvents(status *scheduler.Status) {
 	c := status.Counters
 	for _, event := range []struct {
--- a/internal/adminapi/schedules.go
+++ b/internal/adminapi/schedules.go
@@ -15,7 +15,8 @@
 )
 
 // ScheduleHost is the interface of the extension for schedules to the
-// administration API. A false result means that there was no response in time.
+// administration API. A false result means that the extension did not respond in
+// time.
 type ScheduleHost interface {
 	HandleRequest(schedules.Request) (schedules.Response, bool)
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -31,12 +31,11 @@
 	rolloutPath  = "/v1/rollout"
 )
 
-// timeoutMessage is the error text that an operator receives when there is no
-// response in time.
+// timeoutMessage is the error text that an operator receives after a timeout.
 const timeoutMessage = "no answer in time"
 
 // Core is the node's interface to the administration API. Its methods are safe
-// for concurrent use. A false result means that there was no response in time.
+// for concurrent use. A false result means that the core did not respond in time.
 type Core interface {
 	Status() scheduler.Status
 	Settings() scheduler.Settings
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,9 +9,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// tick is the interval of the core's timer. Each tick wakes the process: at twice
-// the rate, ticks took a quarter of the controller's CPU share, which is 12 % of
-// a core.
+// tick is the interval of the core's timer. Each tick wakes the process: for a
+// controller with a CPU share of 12 % of a core, ticks at twice the rate took a
+// quarter of that share.
 const tick = 100 * time.Millisecond
 
 // enqueueResponse queues a response to the core for the loop. After the loop has
--- a/internal/node/workflow_runner.go
+++ b/internal/node/workflow_runner.go
@@ -53,8 +53,8 @@
 }
 
 // performDataRequest carries out a request to the shared directory. Without a
-// directory there is no description to write, since the user who submits the
-// workflow describes the tools to the workers, and every task has empty outputs.
+// directory, no description is written, since the user who submits the workflow
+// describes the tools to the workers, and every task has empty outputs.
 func (w *workflowRunner) performDataRequest(request workflow.Data) workflow.DataResult {
 	switch {
 	case w.dir == "" && request.Description != nil:
--- a/internal/peer/clients.go
+++ b/internal/peer/clients.go
@@ -39,7 +39,7 @@
 // Clients sends messages and relayed requests to the other controllers. It is
 // safe for concurrent use.
 type Clients struct {
-	clients map[string]*client // by member; immutable
+	clients map[string]*client // clients by member; immutable
 
 	mu sync.Mutex // guards the clients' queues
 }
@@ -67,8 +67,9 @@
 	return c
 }
 
-// Relay sends a user's request to a peer and returns the peer's response. False
-// means that there was no response in time; the request may have been executed.
+// Relay sends a user's request to a peer and returns the peer's response. A false
+// result means that the peer did not respond in time; the request may have been
+// executed.
 func (c *Clients) Relay(r scheduler.RelayRequest) (scheduler.UserResponse, bool) {
 	target := c.clients[r.Peer]
 	body, err := msgpack.Marshal(&r.Request)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -4,7 +4,7 @@
 // The package owns the encoded form of a message, the clients of the other
 // controllers and the routes that they use. The core defines the meaning of a
 // message. The package assumes that peers are controllers of a compatible
-// version, but validates their messages all the same.
+// version, but still validates their messages.
 //
 // It guarantees that each peer has at most one message in flight and one queued,
 // the newest, so that a slow peer delays only messages to itself. A damaged
@@ -16,9 +16,8 @@
 // lengths that a message declares for its other lists: the msgpack decoder
 // allocates them before it reads the elements.
 //
-// It handles peers that are slow, unreachable or restarted. It also covers a
-// single controller that cannot reach the state service: the peers respond to
-// that controller's users.
+// It handles peers that are slow, unreachable or restarted. If only one
+// controller cannot reach the state service, its peers respond to its users.
 package peer
 
 import (
@@ -44,7 +43,7 @@
 )
 
 // Core is the node's interface to peers. Its methods are safe for concurrent use.
-// A false result means that there was no response in time.
+// A false result means that the core did not respond in time.
 type Core interface {
 	HandlePeerMessage(scheduler.PeerMessage)
 	HandleUserRequest(scheduler.UserRequest, time.Duration) (scheduler.UserResponse, bool)
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -48,7 +48,7 @@
 )
 
 // Core is the node's interface to the user address. Each method is safe for
-// concurrent use. A false result means that there was no response in time.
+// concurrent use. A false result means that the core did not respond in time.
 type Core interface {
 	HandleUserRequest(scheduler.UserRequest, time.Duration) (scheduler.UserResponse, bool)
 	HandleHeartbeat(scheduler.Heartbeat, time.Duration) (scheduler.HeartbeatResponse, bool)
@@ -57,8 +57,8 @@
 
 // ConnectionClasses returns the classes of requests at the user address. Health
 // checks use one connection at a time. When one controller adopts the shards of
-// all others, all workers may connect to it, and most of its connections are then
-// theirs.
+// all others, all workers may connect to it and then hold most of its
+// connections.
 func ConnectionClasses() []connlimit.Class {
 	return []connlimit.Class{
 		{Name: "health", Prefix: "GET /up ", ReservedShare: 1.0 / 16},
--- a/internal/userapi/workflows.go
+++ b/internal/userapi/workflows.go
@@ -10,7 +10,7 @@
 )
 
 // Workflows is the interface of the extension for workflows to the user address.
-// A false result means that there was no response in time.
+// A false result means that the extension did not respond in time.
 type Workflows interface {
 	HandleRequest(workflow.Request, time.Duration) (workflow.Response, bool)
 }
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -126,7 +126,8 @@
 }
 
 // describeTypeError returns an error that names a field of the wrong type as the
-// protocol does: the decoder prefixes the name with those of embedded Go types.
+// protocol does: the decoder prefixes the name with the names of embedded Go
+// types.
 func describeTypeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) {
