--- a/internal/connlimit/table_model_test.go
+++ b/internal/connlimit/table_model_test.go
@@ -98,7 +98,7 @@
 		}
 	}
 	if bodyBytes != m.table.bodyBytes || bodyBytes > m.limits.BodyBytes {
-		t.Fatalf("%d bytes held, %d counted, want equal and at most %d", bodyBytes, m.table.bodyBytes, m.limits.BodyBytes)
+		t.Fatalf("%d bytes held, %d counted, want equal, at most %d", bodyBytes, m.table.bodyBytes, m.limits.BodyBytes)
 	}
 	if serving != m.table.serving {
 		t.Fatalf("%d connections are being served, table counts %d, want equal", serving, m.table.serving)
