--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -68,15 +68,15 @@
 }
 
 // Objective is a service objective: a bound that a share of a class's jobs must
-// meet, in seconds (WithinS) or as a factor of the job's own deadline (Times).
-// The kind is deadline, wait, finished or guarantee. The core ignores other
-// kinds.
+// meet, in seconds (WithinS) or as a factor of the job's own deadline
+// (DeadlineFactor). The kind is deadline, wait, finished or guarantee. The core
+// ignores other kinds.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
-	WithinS float64 `toml:"within_s"`
+	Kind           string  `toml:"kind"`
+	Class          string  `toml:"class"`
+	Share          float64 `toml:"share"`
+	DeadlineFactor float64 `toml:"times"`
+	WithinS        float64 `toml:"within_s"`
 }
 
 // Workers holds the interval between a worker's heartbeats, the duration of its
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -114,7 +114,7 @@
 		field := fmt.Sprintf("cluster.objectives[%d]", i)
 		v.requireText(field+".kind", o.Kind)
 		v.requireNotNegative(field+".within_s", o.WithinS)
-		v.requireNotNegative(field+".times", o.Times)
+		v.requireNotNegative(field+".times", o.DeadlineFactor)
 	}
 	c.Workers.validate(v)
 	c.validateServices(v)
--- a/internal/node/params.go
+++ b/internal/node/params.go
@@ -42,7 +42,7 @@
 			p.GuaranteeWithinS = o.WithinS
 		}
 		if o.Class != "" {
-			objective := scheduler.Objective{Kind: o.Kind, WithinS: o.WithinS, DeadlineFactor: o.Times}
+			objective := scheduler.Objective{Kind: o.Kind, WithinS: o.WithinS, DeadlineFactor: o.DeadlineFactor}
 			p.Objectives[o.Class] = append(p.Objectives[o.Class], objective)
 		}
 	}
