--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -333,9 +333,9 @@
 				silent++
 			case line.Message == "machine in a new incarnation" && duringCut:
 				returned++
-			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "silent" && duringCut:
+			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "lease expired" && duringCut:
 				drained++
-			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "silent":
+			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "lease expired":
 				drainedAlone++
 			}
 		})
--- a/scheduler/machine_lifecycle.go
+++ b/scheduler/machine_lifecycle.go
@@ -35,7 +35,7 @@
 	am.drainOnTermination(s, mc)
 	t := am.cache.machineTypes[mc.rec.Type]
 	if mc.State() == reconcile.LeaseExpired && am.isRetentionOver(s, mc, t) {
-		am.drain(s, mc, "silent")
+		am.drain(s, mc, "lease expired")
 	}
 	am.updateCordon(s, mc)
 	if mc.cordoned && mc.liveAttemptCount == 0 {
