--- a/scheduler/crash_of_all_members_test.go
+++ b/scheduler/crash_of_all_members_test.go
@@ -150,7 +150,7 @@
 		return requireAtLeast(1, "crash during a range move", &crashes)
 	},
 	// A transfer needs a home shard with spare capacity, which not every seed produces.
-	"while an allocation is transferred": crashAllScenario(1, "crash during a transfer", func(o *scheduler.Outputs) bool {
+	"while an allocation is transferred": crashAllScenario(1, "crash at a transfer", func(o *scheduler.Outputs) bool {
 		return hasWriteWithPrefix(o, "l/t/")
 	}),
 	"while a machine is provisioned": crashAllScenario(1, "crash while provisioning", func(o *scheduler.Outputs) bool {
@@ -186,7 +186,8 @@
 				started = started || strings.HasPrefix(id, "job-7") && len(j.DoneTasks) == j.Spec.Tasks
 			}
 			if crashes == 0 || !started {
-				t.Errorf("got %d crashes while a gang started, gang finished: %v; want at least 1 and true", crashes, started)
+				t.Errorf("got %d crashes while a gang started, gang finished: %v; want at least 1 and true",
+					crashes, started)
 			}
 		}
 	},
--- a/scheduler/fault_scenario_helpers_test.go
+++ b/scheduler/fault_scenario_helpers_test.go
@@ -8,7 +8,7 @@
 // faultWindowMS is the time after the start of a scenario at which the injection of faults ends.
 const faultWindowMS = 120_000
 
-// repeatAtRandom calls action at random times, on average every intervalMS, until the given time.
+// repeatAtRandom calls action at random times, on average every intervalMS, from 12 s until the given time.
 func (sim *testSimulation) repeatAtRandom(intervalMS, until int64, action func()) {
 	for at := 12_000 + sim.Rand.Int64N(intervalMS); at < until; at += intervalMS/2 + sim.Rand.Int64N(intervalMS) {
 		sim.After(at, action)
--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -110,7 +110,7 @@
 					pauseMS = 6000
 				}
 				sim.PauseMember(m, pauseMS)
-				// Users query the paused member as it resumes. Other members have already reported newer states.
+				// Users query the paused member as it resumes. Other members may have reported newer states.
 				for at := pauseMS - 4000; at < pauseMS+2000; at += 100 {
 					sim.After(at, func() {
 						if len(sim.JobIDs) == 0 {
@@ -257,7 +257,7 @@
 }
 
 // Misconfigured jobs run one at a time: each is cancelled before the next one is submitted. Their errors
-// come from the jobs themselves, so no machine is drained because of them.
+// are caused by the jobs themselves, so no machine is drained because of them.
 func TestMisconfiguredJobsDrainNoMachine(t *testing.T) {
 	t.Parallel()
 	drained, failed := 0, 0
@@ -333,7 +333,8 @@
 				expired++
 			case line.Message == "machine in a new incarnation" && duringPartition:
 				reconnected++
-			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "lease expired" && duringPartition:
+			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "lease expired" &&
+				duringPartition:
 				drained++
 			case line.Message == "machine draining" && line.Args[len(line.Args)-1] == "lease expired":
 				drainedAfterHang++
--- a/scheduler/indoubt_writes_test.go
+++ b/scheduler/indoubt_writes_test.go
@@ -36,7 +36,7 @@
 		rec := j.rec
 		rec.Ranges = []Range{{0, 2, "m0", false}, {2, 4, "m1", true}}
 		ctrl.peers.writeMove(s, tr, j, rec, j.rev)
-		// next advances the time until an operation on the key is sent, and returns its ID.
+		// next advances the time until an operation of this kind on the key is sent, and returns its ID.
 		next := func(kind StoreOpKind) uint64 {
 			for range 20 {
 				for _, op := range ctrl.TakeOutputs().StoreOps {
@@ -121,8 +121,8 @@
 	}
 }
 
-// A status record is bound only to the member's lease, so the state service may apply it late. Such a record
-// must not replace a newer one, and is ignored if it is too old.
+// A status record is attached to the member's lease and written without other preconditions. A record that is
+// applied late must not replace a newer one, and is ignored if it is too old.
 func TestLateStatusRecordIsIgnored(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
 	key := statusPrefix + "m1"
@@ -167,7 +167,7 @@
 		stored := []KeyValue{{Key: key, Value: c.storedClaim(op.Changes[0].Value), Rev: c.rev}}
 		ctrl.HandleStoreResult(ctrl.now, ctrl.TakeOutputs().StoreOps[0].ID, StoreResult{Rev: 30, KVs: stored})
 		if s := ctrl.shards.ownedShards["m0"]; (s != nil) != c.isOwn || c.isOwn && s.token != c.rev {
-			t.Errorf("%s: got owned shard %+v, want owned %v with token %d", c.name, s, c.isOwn, c.rev)
+			t.Errorf("%s: got owned shard %+v, want owned: %v (claim revision %d)", c.name, s, c.isOwn, c.rev)
 		}
 	}
 }
--- a/scheduler/overlapping_faults_test.go
+++ b/scheduler/overlapping_faults_test.go
@@ -43,7 +43,7 @@
 }
 
 // faultScenario is a scenario with certain overlapping faults. inject counts events by name, over all seeds.
-// With fewer events than in minCounts, the scenario would not test what it is meant to.
+// The test fails if there are fewer than minCounts, since the intended faults would be too rare.
 type faultScenario struct {
 	adjustJob func(sim *testSimulation, j *scheduler.Job, n int)
 	inject    func(t *testing.T, sim *testSimulation, counts map[string]int)
@@ -100,7 +100,7 @@
 					return false
 				}
 				if n > slices.Min(slices.Collect(maps.Values(writeCounts))) {
-					return false // prefer the kinds with fewer faults so far
+					return false // prefer the kinds with the fewest faults
 				}
 				writeCounts[kind]++
 				nextFaultAt = sim.Now + 2500 + sim.Rand.Int64N(4000)
--- a/scheduler/overlapping_machine_faults_test.go
+++ b/scheduler/overlapping_machine_faults_test.go
@@ -156,7 +156,8 @@
 				t.Logf("%d of %d jobs accepted within 1 s, %.1f store changes per job",
 					acceptedInTime, len(sim.JobIDs), changes)
 				if acceptedInTime*100 < 97*len(sim.JobIDs) {
-					t.Errorf("got %d of %d jobs accepted within 1 s, want at least 97 %%", acceptedInTime, len(sim.JobIDs))
+					t.Errorf("got %d of %d jobs accepted within 1 s, want at least 97 %%",
+						acceptedInTime, len(sim.JobIDs))
 				}
 				if changes > maxChangesPerJob {
 					t.Errorf("got %.1f store changes per job, want at most %d", changes, maxChangesPerJob)
@@ -216,7 +217,9 @@
 					})
 				}
 				if sim.Rand.IntN(3) == 0 {
-					sim.After(sim.Rand.Int64N(durationMS), func() { partitionedMember.Crash(300 + sim.Rand.Int64N(3000)) })
+					sim.After(sim.Rand.Int64N(durationMS), func() {
+						partitionedMember.Crash(300 + sim.Rand.Int64N(3000))
+					})
 				}
 			})
 			sim.countLogs(counts)
@@ -398,7 +401,12 @@
 			sim.repeatAtRandom(300, faultWindowMS, func() { sim.queryRandomJob(counts) })
 			sim.repeatAtRandom(2000, faultWindowMS, func() { sim.cancelThroughOther(nil, counts) })
 		},
-		minCounts: map[string]int{"outages": 12, "cancelled through others": 60, "responses": 300, "503 responses": 300},
+		minCounts: map[string]int{
+			"outages":                  12,
+			"cancelled through others": 60,
+			"responses":                300,
+			"503 responses":            300,
+		},
 	},
 }
 
--- a/scheduler/overlapping_request_faults_test.go
+++ b/scheduler/overlapping_request_faults_test.go
@@ -270,8 +270,8 @@
 		},
 	},
 	// A transaction is applied at once and only its response is lost, while users query all members. Some of
-	// the writers crash. The state caches of others lag, so that they stop waiting for the write before their
-	// cache contains it.
+	// the writers crash. The state caches of other writers lag, so that these members stop waiting for the
+	// write before their cache contains it.
 	"lost store responses": {
 		adjustJob: func(sim *testSimulation, j *scheduler.Job, n int) {
 			j.OneZone, j.Spread, j.Zone = false, false, "" // so that task ranges can move
@@ -403,7 +403,8 @@
 					for range 3 {
 						sim.After(sim.Rand.Int64N(7000), func() {
 							if reconciling[shard] {
-								counts["cancelled before reconciliation"] += sim.cancelRunningJobs(1, func(*emulator.Worker) {})
+								n := sim.cancelRunningJobs(1, func(*emulator.Worker) {})
+								counts["cancelled before reconciliation"] += n
 							}
 						})
 					}
@@ -414,7 +415,11 @@
 			sim.crashMembers(15_000, 200, 2500)
 			sim.crashMembers(40_000, 14_000, 6000)
 		},
-		minCounts: map[string]int{"claimed at a limit": 8, "cancelled before reconciliation": 30, "tasks of a whole limit": 12},
+		minCounts: map[string]int{
+			"claimed at a limit":              8,
+			"cancelled before reconciliation": 30,
+			"tasks of a whole limit":          12,
+		},
 	},
 	// Users cancel jobs within seconds of an ownership change of a shard, and while a task range of the job
 	// moves from one shard to another.
--- a/scheduler/query_flood_test.go
+++ b/scheduler/query_flood_test.go
@@ -9,7 +9,10 @@
 
 // floodWithQueries makes users query one member about random jobs every intervalMS until the given time. It
 // counts the queries, and the queries with a status 200 response within two seconds.
-func (sim *testSimulation) floodWithQueries(m *emulator.Member, intervalMS, until int64) (queries, timelyResponses *int) {
+func (sim *testSimulation) floodWithQueries(
+	m *emulator.Member,
+	intervalMS, until int64,
+) (queries, timelyResponses *int) {
 	queries, timelyResponses = new(int), new(int)
 	for at := int64(15_000); at < until; at += intervalMS {
 		sim.After(at, func() {
--- a/scheduler/simulation_checks_test.go
+++ b/scheduler/simulation_checks_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// The simulation detects the acceptance of a job that cannot run or misses a field, and the refusal of a valid
+// The simulation detects the acceptance of a job that cannot run or lacks a field, and the refusal of a valid
 // job.
 func TestWrongAcceptancesAreDetected(t *testing.T) {
 	t.Parallel()
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -157,7 +157,8 @@
 func TestInvariantsSurviveRandomFaults(t *testing.T) {
 	var priorityStops, failedAfterErrors, failedAtMostOnce atomic.Int64
 	t.Cleanup(func() {
-		if *traceSeed < 0 && (priorityStops.Load() == 0 || failedAfterErrors.Load() == 0 || failedAtMostOnce.Load() == 0) {
+		if *traceSeed < 0 &&
+			(priorityStops.Load() == 0 || failedAfterErrors.Load() == 0 || failedAtMostOnce.Load() == 0) {
 			t.Errorf("got %d tasks stopped for a higher priority, %d jobs failed after errors and "+
 				"%d at-most-once jobs failed, want at least 1 of each",
 				priorityStops.Load(), failedAfterErrors.Load(), failedAtMostOnce.Load())
--- a/scheduler/store_outage_cancellation_test.go
+++ b/scheduler/store_outage_cancellation_test.go
@@ -18,8 +18,8 @@
 // outageRun contains the results of one run.
 type outageRun struct {
 	sim                    *testSimulation
-	cancelledDuringRefusal int // jobs with running tasks that were cancelled while the owner was refused
-	renewedAfterCancel     int // heartbeats accepted while the owner was refused, after such a cancellation
+	cancelledDuringRefusal int   // jobs with running tasks that were cancelled while the owner was refused
+	renewedAfterCancel     int   // heartbeats accepted after such a cancellation, which the refused owner cannot know
 	longestRunMS           int64 // longest time that a cancelled job had tasks on machines after the confirmation
 	totalRunMS             int64 // the same time, summed over the cancelled jobs
 }
