--- a/scheduler/overlapping_request_faults_test.go
+++ b/scheduler/overlapping_request_faults_test.go
@@ -403,8 +403,8 @@
 					for range 3 {
 						sim.After(sim.Rand.Int64N(7000), func() {
 							if reconciling[shard] {
-								n := sim.cancelRunningJobs(1, func(*emulator.Worker) {})
-								counts["cancelled before reconciliation"] += n
+								counts["cancelled before reconciliation"] +=
+									sim.cancelRunningJobs(1, func(*emulator.Worker) {})
 							}
 						})
 					}
