--- a/emulator/events.go
+++ b/emulator/events.go
@@ -27,7 +27,7 @@
 	return last
 }
 
-// After schedules run for delayMS milliseconds from now.
+// After schedules a call of run in delayMS milliseconds of simulated time.
 func (sim *Simulation) After(delayMS int64, run func()) {
 	sim.eventSeq++
 	heap.Push(&sim.queue, event{sim.Now + delayMS, sim.eventSeq, run})
@@ -42,7 +42,7 @@
 	sim.After(at-sim.Now, run)
 }
 
-// Run advances the simulation to the time until, in ms, or until isOver returns true.
+// Run processes events up to the simulated time until, in ms, or until isOver returns true.
 func (sim *Simulation) Run(until int64, isOver func() bool) {
 	var tick func()
 	tick = func() {
--- a/emulator/experiment_parse.go
+++ b/emulator/experiment_parse.go
@@ -28,7 +28,7 @@
 	"replace": func(spec *FaultSpec) string { return requireParameters(spec.Count > 0, "count") },
 	"die":     func(spec *FaultSpec) string { return requireParameters(spec.Count > 0, "count") },
 	"lag": func(spec *FaultSpec) string {
-		return requireParameters(spec.DurationS > 0 && spec.Factor > 0, "for_s and factor, ms")
+		return requireParameters(spec.DurationS > 0 && spec.Factor > 0, "for_s and factor (ms)")
 	},
 	"burst": func(spec *FaultSpec) string {
 		return requireParameters(spec.DurationS > 0 && spec.Factor > 0 && spec.Class != "", "for_s, factor and class")
@@ -42,8 +42,8 @@
 	return "needs " + names
 }
 
-// ParseExperiment reads and checks an experiment. Its error gives the line and field of invalid
-// TOML or of an unknown field, and the contradiction of an inconsistent experiment.
+// ParseExperiment decodes and validates an experiment. Its error gives the line and field of
+// invalid TOML or of an unknown field, or describes each inconsistency of a decoded experiment.
 func ParseExperiment(b []byte) (*Experiment, error) {
 	experiment := &Experiment{}
 	if err := strict.Decode(b, experiment); err != nil {
@@ -61,10 +61,10 @@
 	return experiment, errors.Join(v.problems...)
 }
 
-// experimentValidator collects all problems of an experiment, so that users see them at once.
+// experimentValidator collects all problems of an experiment, so that users see them together.
 type experimentValidator struct {
 	experiment *Experiment
-	source     []byte // of the file, for line numbers
+	source     []byte // contents of the file, for line numbers
 	problems   []error
 }
 
@@ -99,13 +99,13 @@
 	if minCancelS := float64(
 		access.MinCancelMS(int64(platform.LeaseS*1000)),
 	) / 1000; !(platform.CancelS >= minCancelS) {
-		v.fail("platform.cancel_s must be above lease_s: %g or more", minCancelS)
+		v.fail("platform.cancel_s must be above lease_s: at least %g", minCancelS)
 	}
 	if len(experiment.Seeds) == 0 {
 		v.fail("seeds is empty")
 	}
 	if len(experiment.Types) == 0 || len(experiment.Classes) == 0 || len(experiment.Teams) == 0 {
-		v.fail("a type, a team and a class are needed")
+		v.fail("at least one type, one team and one class are required")
 	}
 }
 
@@ -113,13 +113,13 @@
 	for i, c := range v.experiment.Classes {
 		position := fmt.Sprintf("line %d: class %d (%s)", lineOf(v.source, "[[class]]", i), i+1, c.Name)
 		if !slices.ContainsFunc(v.experiment.Teams, func(t Team) bool { return t.Name == c.Team }) {
-			v.fail("%s: team %q is none of the teams", position, c.Team)
+			v.fail("%s: team %q is not defined", position, c.Team)
 		}
 		if _, ok := priorities[c.Priority]; !ok {
-			v.fail("%s: priority %q is none of low, standard, high, production", position, c.Priority)
+			v.fail("%s: priority %q is not one of low, standard, high, production", position, c.Priority)
 		}
 		if len(c.Tasks) != 2 || c.Tasks[0] < 1 || c.Tasks[1] < c.Tasks[0] {
-			v.fail("%s: tasks must be the smallest and the largest number", position)
+			v.fail("%s: tasks must be [smallest, largest] with 1 <= smallest <= largest", position)
 		}
 		v.requirePositive(position+": per_minute", c.PerMinute)
 		v.requirePositive(position+": run_s", c.RunS)
@@ -127,14 +127,14 @@
 	}
 }
 
-// faultSpan is the time for which a fault of a kind lasts on its target.
+// faultSpan is the interval during which a fault is active on its target.
 type faultSpan struct {
 	fromS, toS float64
 	index      int
 }
 
 func (v *experimentValidator) validateFaults() {
-	spans := map[string][]faultSpan{} // by kind and target
+	spans := map[string][]faultSpan{} // keyed by kind and target
 	for i := range v.experiment.Faults {
 		spec := &v.experiment.Faults[i]
 		line := lineOf(v.source, "[[fault]]", i)
@@ -147,14 +147,14 @@
 		target := spec.Kind + "|" + spec.Member + "|" + spec.Class + "|" + spec.OtherSide
 		for _, other := range spans[target] {
 			if spec.DurationS > 0 && spec.AtS < other.toS && other.fromS < spec.AtS+spec.DurationS {
-				v.fail("%s: overlaps fault %d of the same kind on the same", position, other.index+1)
+				v.fail("%s: overlaps fault %d of the same kind on the same target", position, other.index+1)
 			}
 		}
 		spans[target] = append(spans[target], faultSpan{spec.AtS, spec.AtS + spec.DurationS, i})
 	}
 }
 
-// validateFault reports whether the fault's kind is known.
+// validateFault validates a fault and reports whether its kind is known.
 func (v *experimentValidator) validateFault(spec *FaultSpec, position string) bool {
 	experiment := v.experiment
 	validate, ok := faultKinds[spec.Kind]
@@ -167,10 +167,10 @@
 	}
 	isClass := func(c Class) bool { return c.Name == spec.Class }
 	if spec.Class != "" && !slices.ContainsFunc(experiment.Classes, isClass) {
-		v.fail("%s: class %q is none of the classes", position, spec.Class)
+		v.fail("%s: class %q is not defined", position, spec.Class)
 	}
 	if spec.Member != "" && !slices.Contains(experiment.memberNames(), spec.Member) {
-		v.fail("%s: member %q is none of %v", position, spec.Member, experiment.memberNames())
+		v.fail("%s: member %q is not one of %v", position, spec.Member, experiment.memberNames())
 	}
 	if spec.AtS < 0 || spec.AtS > experiment.RunS {
 		v.fail("%s: at_s is not within run_s", position)
@@ -190,18 +190,18 @@
 	names := map[string]bool{}
 	for _, variant := range v.experiment.Variants {
 		if variant.Name == "" || names[variant.Name] {
-			v.fail("variant %q: each needs a name of its own", variant.Name)
+			v.fail("variant %q: name is empty or not unique", variant.Name)
 		}
 		names[variant.Name] = true
 		for _, kind := range variant.Without {
 			if _, ok := faultKinds[kind]; !ok || kind == "burst" {
-				v.fail("variant %s: without names %q, which is no kind of fault that a variant can be spared "+
-					"(bursts change the jobs)", variant.Name, kind)
+				v.fail("variant %s: without lists %q, which is not a fault kind that a variant can omit "+
+					"(bursts change the submitted jobs)", variant.Name, kind)
 			}
 		}
 		isPlan := func(r Rollout) bool { return r.Plan.ID == variant.Rollout }
 		if variant.Rollout != "" && !slices.ContainsFunc(v.experiment.Rollouts, isPlan) {
-			v.fail("variant %s: rollout %q is none of the plans", variant.Name, variant.Rollout)
+			v.fail("variant %s: rollout %q is not a defined plan", variant.Name, variant.Rollout)
 		}
 		if err := variant.settings().Validate(); err != nil {
 			v.fail("variant %s: %w", variant.Name, err)
@@ -209,7 +209,8 @@
 	}
 }
 
-// lineOf returns the line of the nth header, from 0, of an array of tables.
+// lineOf returns the line number of the nth header, counted from 0, of an array of tables, or 0 if
+// there is none.
 func lineOf(b []byte, header string, n int) int {
 	for i, line := range bytes.Split(b, []byte("\n")) {
 		if bytes.HasPrefix(bytes.TrimSpace(line), []byte(header)) {
--- a/emulator/experiment_result.go
+++ b/emulator/experiment_result.go
@@ -14,33 +14,33 @@
 type Result struct {
 	Experiment   string        `json:"experiment"`
 	Variant      string        `json:"variant"`
-	VariantIndex int           `json:"order"` // of the variant in the experiment
+	VariantIndex int           `json:"order"` // index of the variant in the experiment
 	Seed         uint64        `json:"seed"`
 	Classes      []ClassResult `json:"classes"`
-	// From the first submission to the acceptance.
+	// Time from the first submission of a job to its acceptance.
 	SubmitMS              Quantiles `json:"submit_ms"`
-	InconclusiveResponses int       `json:"refused"` // responses that decide nothing
+	InconclusiveResponses int       `json:"refused"` // requests with status 503 or no response
 	Machines              int       `json:"machines"`
-	// Cost relative to that of the useful work at the lowest price.
+	// Cost relative to the cost of the useful work at the lowest price per processor.
 	PriceRatio  float64      `json:"price"`
 	UsefulShare float64      `json:"useful"`
-	Requests    int          `json:"requests"` // of the state service
+	Requests    int          `json:"requests"` // to the state service
 	Changes     int          `json:"changes"`
 	Relayed     int          `json:"relayed"`
 	Teams       []TeamResult `json:"teams"`
-	TaskStarts  int          `json:"started"` // tasks
+	TaskStarts  int          `json:"started"` // task starts
 	// Starts of tasks that had started before.
 	RepeatedStarts int              `json:"again"`
-	CommandCounts  map[string][]int `json:"orders"` // by kind, for each second
+	CommandCounts  map[string][]int `json:"orders"` // per second, by kind
 	Rollout        *RolloutResult   `json:"rollout,omitempty"`
 	Timeline       []TimelinePoint  `json:"timeline"`
 	Faults         []RecordedFault  `json:"faults,omitempty"`
-	RuleViolations []string         `json:"broken,omitempty"` // rules
-	// Responses that no order of events explains.
+	RuleViolations []string         `json:"broken,omitempty"` // violated rules
+	// Responses that are not linearizable.
 	OrderViolations []string `json:"disorder,omitempty"`
 }
 
-// WorstSecond returns the largest number of starts, stops and clears within one second.
+// WorstSecond returns the largest number of start, stop and forget commands within one second.
 func (result *Result) WorstSecond() (worst int) {
 	var perSecond []int
 	for _, kind := range []scheduler.CommandKind{
@@ -59,13 +59,13 @@
 	return worst
 }
 
-// TimelinePoint is the state of the simulated platform at one time.
+// TimelinePoint is the state of the simulated platform at one point in time.
 type TimelinePoint struct {
 	AtS          float64 `json:"at_s"`
-	Machines     int     `json:"machines"` // up
-	RunningTasks int     `json:"running"`  // tasks
-	CPUs         float64 `json:"cpus"`     // in use
-	Jobs         int     `json:"jobs"`     // accepted and not done
+	Machines     int     `json:"machines"` // running machines
+	RunningTasks int     `json:"running"`
+	CPUs         float64 `json:"cpus"` // processors in use
+	Jobs         int     `json:"jobs"` // accepted jobs that are not done
 }
 
 // RecordedFault is a fault that was injected.
@@ -103,10 +103,10 @@
 	Class string `json:"class"`
 	Jobs  int    `json:"jobs"`
 	Done  int    `json:"done"`
-	// Share of those with a deadline that were done by it.
+	// Share of jobs that were done by their deadline; 0 without a deadline.
 	InTimeShare     float64   `json:"in_time"`
-	WaitWithinShare float64   `json:"within"` // share that started within the class's objective
-	WaitS           Quantiles `json:"wait_s"` // until the first task starts
+	WaitWithinShare float64   `json:"within"` // share of jobs that started within the class's objective
+	WaitS           Quantiles `json:"wait_s"` // from submission to the first task start
 	DoneS           Quantiles `json:"done_s"`
 }
 
@@ -115,16 +115,18 @@
 	Team            string  `json:"team"`
 	Jobs            int     `json:"jobs"`
 	Done            int     `json:"done"`
-	WaitWithinShare float64 `json:"within"` // share that started within its class's objective
-	// Tasks of jobs submitted within the team's guarantee: those that started as soon as the
-	// platform promises and were not stopped within 30 s, and how long their first starts took.
+	WaitWithinShare float64 `json:"within"` // share of jobs that started within their class's objective
+	// Tasks of jobs submitted within the team's guarantee: their number, the share that started
+	// within the platform's objective and was not stopped by command within 30 s, and the time
+	// until their first start.
 	Guaranteed  int       `json:"guaranteed"`
 	PromptShare float64   `json:"prompt"`
 	PromptWaitS Quantiles `json:"prompt_wait_s"`
-	// Mean share of the limit in use while demand exceeds it.
+	// Mean share of the limit in use while demand reaches or exceeds it.
 	LimitUsedShare  float64 `json:"limit_used"`
-	LimitContendedS int     `json:"limit_used_s"` // seconds in which demand exceeded it
-	// seconds below its guarantee while work within it waited for longer than promised
+	LimitContendedS int     `json:"limit_used_s"` // seconds in which demand reached or exceeded the limit
+	// Seconds in which the team was below its guarantee while tasks within it waited for longer
+	// than the platform's objective.
 	BelowGuaranteeS int `json:"below_guarantee_s"`
 }
 
@@ -134,14 +136,14 @@
 	State        rollout.State `json:"state"`
 	Reason       string        `json:"why,omitempty"`
 	Total        int           `json:"total"`
-	DurationS    float64       `json:"took_s"`  // until it was done
-	StoppedTasks int           `json:"stopped"` // tasks
-	// by team: most tasks at a time that were stopped and not running again, counted on the
-	// machines
+	DurationS    float64       `json:"took_s"` // from application to completion or to the last sample
+	StoppedTasks int           `json:"stopped"`
+	// Largest number of a team's tasks at one time that were stopped and not yet restarted, as
+	// observed on the machines, by team.
 	MaxDown map[string]int `json:"down"`
 }
 
-// Quantiles holds quantiles of a sample, in the unit of the field that has them.
+// Quantiles holds quantiles of a sample, in the unit of the enclosing field.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -198,7 +200,7 @@
 	return result
 }
 
-// addViolations adds the violated rules, and the responses that no order of events explains.
+// addViolations adds the violated rules, and the responses that are not linearizable.
 func (result *Result) addViolations(sim *Simulation) {
 	for rule, violation := range sim.Violations {
 		result.RuleViolations = append(result.RuleViolations, rule+" "+violation)
@@ -214,7 +216,7 @@
 	}
 }
 
-// classResult returns the results of a class's jobs, and the time in ms until each was accepted.
+// classResult returns the results of a class's jobs, and the time in ms to each one's acceptance.
 func (sim *Simulation) classResult(class *Class) (result ClassResult, submitMS []float64) {
 	result.Class = class.Name
 	var waitsS, doneS []float64
@@ -274,8 +276,8 @@
 	return result
 }
 
-// startedWithin reports whether the job's first task started within so many seconds of its
-// submission; 0: whether it started at all.
+// startedWithin reports whether the job's first task started within the given number of seconds of
+// its submission or, for 0 seconds, whether it started at all.
 func (j *Job) startedWithin(seconds float64) bool {
 	return j.FirstStartAt > 0 && (seconds == 0 || float64(j.FirstStartAt-j.SubmittedAt) <= seconds*1000)
 }
--- a/emulator/experiment_run.go
+++ b/emulator/experiment_run.go
@@ -45,7 +45,7 @@
 	return settings
 }
 
-// applyRollout applies a plan as operators do, and records its progress in result.
+// applyRollout applies a plan with an operator's request, and records its progress in result.
 func (sim *Simulation) applyRollout(plan Rollout, result *RolloutResult) {
 	counter := sim.CountStops(func(*platformfake.Task, int) {})
 	result.MaxDown = counter.MaxDown
@@ -129,7 +129,7 @@
 
 func (experiment *Experiment) newSimulation(variant Variant, seed uint64) *Simulation {
 	platform := experiment.Platform
-	spreads := map[string]float64{} // of run times, by class
+	spreads := map[string]float64{} // spread of run times, by class
 	for _, class := range experiment.Classes {
 		spreads[class.Name] = class.Spread
 	}
@@ -158,7 +158,7 @@
 	return sim
 }
 
-// storePageSize bounds the keys in one response of the simulated state service.
+// storePageSize is the maximum number of keys in one response of the simulated state service.
 const storePageSize = 500
 
 // params returns the parameters of the members' cores for a variant.
@@ -193,7 +193,7 @@
 	return params
 }
 
-// objectives are the service-level objectives of a class.
+// objectives returns the service-level objectives of a class.
 func (class *Class) objectives() []scheduler.Objective {
 	var objectives []scheduler.Objective
 	if class.DeadlineS > 0 {
@@ -222,8 +222,8 @@
 }
 
 // scheduleArrivals schedules a class's jobs as a Poisson process, with a higher rate during a
-// burst. With one seed all variants get the same jobs with the same run times: arrivals have a
-// random source of their own, so that pairs of runs differ only by their settings.
+// burst. Arrivals use a separate random source, so that with one seed all variants get the same
+// jobs with the same run times, and pairs of runs differ only by their settings.
 func (experiment *Experiment) scheduleArrivals(sim *Simulation, class *Class, seed uint64) {
 	classNumber := 1 + slices.IndexFunc(experiment.Classes, func(other Class) bool { return other.Name == class.Name })
 	rng := rand.New(rand.NewPCG(seed, uint64(classNumber)))
@@ -277,10 +277,10 @@
 	sim.After(3000, next)
 }
 
-// restartDelayMS is how long a crashed member stays down.
+// restartDelayMS is the minimum time for which a crashed member stays down.
 const restartDelayMS = 3000
 
-// injectFault injects a fault now.
+// injectFault starts a fault at the current simulated time.
 func (experiment *Experiment) injectFault(sim *Simulation, fault FaultSpec) {
 	durationMS := int64(fault.DurationS * 1000)
 	var members []*Member
@@ -317,7 +317,7 @@
 		}
 		sideB := fault.OtherSide
 		if sideB == "all" {
-			sideB = "" // a prefix of every name
+			sideB = "" // the empty prefix matches every endpoint
 		}
 		sim.Partitions = append(sim.Partitions, Partition{A: sideA, B: sideB, Until: sim.Now + durationMS})
 	case "zone":
--- a/emulator/experiment_test.go
+++ b/emulator/experiment_test.go
@@ -17,43 +17,43 @@
 	return ParseExperiment([]byte(change(string(data))))
 }
 
-// Problems of an experiment are reported with their line.
+// TestInvalidExperimentsAreRefused checks the error for each kind of mistake in an experiment file.
 func TestInvalidExperimentsAreRefused(t *testing.T) {
 	for name, replacement := range map[string]struct{ from, to, expected string }{
-		"a field that is none": {"run_s = 300.0", "runs_s = 300.0", "runs_s"},
-		"no team of the class": {
+		"an unknown field": {"run_s = 300.0", "runs_s = 300.0", "runs_s"},
+		"an undefined team": {
 			"[[class]]\nname = \"batch\"\nteam = \"ops\"", "[[class]]\nname = \"batch\"\nteam = \"x\"",
 			"line 51: class 2 (batch): team \"x\"",
 		},
-		"an unknown fault": {
+		"an unknown fault kind": {
 			"kind = \"outage\"", "kind = \"flood\"", "line 74: fault 2 (flood at 160 s): unknown kind",
 		},
-		"a fault without time":  {"kind = \"outage\"\nfor_s = 20.0", "kind = \"outage\"", "needs for_s"},
-		"a fault after the end": {"at_s = 160.0", "at_s = 1600.0", "is not within run_s"},
-		"two at once": {
+		"a fault without duration": {"kind = \"outage\"\nfor_s = 20.0", "kind = \"outage\"", "needs for_s"},
+		"a fault after run_s":      {"at_s = 160.0", "at_s = 1600.0", "is not within run_s"},
+		"overlapping faults": {
 			"[[variant]]\nname = \"longest\"",
 			"[[fault]]\nat_s = 170.0\nkind = \"outage\"\nfor_s = 20.0\n\n[[variant]]\nname = \"longest\"",
 			"fault 4 (outage at 170 s): overlaps fault 2",
 		},
-		"one name twice":                 {"name = \"half\"", "name = \"longest\"", "a name of its own"},
-		"settings out of range":          {"name = \"half\"", "name = \"half\"\nsamples = 1", "samples must be"},
-		"a lease above the cancellation": {"cancel_s = 42.5", "cancel_s = 10.0", "cancel_s must be above"},
+		"a duplicate variant name":            {"name = \"half\"", "name = \"longest\"", "name is empty or not unique"},
+		"settings out of range":               {"name = \"half\"", "name = \"half\"\nsamples = 1", "samples must be"},
+		"a cancellation time below the lease": {"cancel_s = 42.5", "cancel_s = 10.0", "cancel_s must be above"},
 	} {
 		_, err := loadExperiment(t, func(text string) string {
 			changed := strings.Replace(text, replacement.from, replacement.to, 1)
 			if changed == text {
-				t.Fatalf("%s: nothing is changed", name)
+				t.Fatalf("%s: the replacement changed nothing", name)
 			}
 			return changed
 		})
 		if err == nil || !strings.Contains(err.Error(), replacement.expected) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one with %q", name, err, replacement.expected)
 		}
 	}
 }
 
-// A repeated run gives the same result, and the experiment takes effect: jobs arrive at their
-// rate, faults occur, variants differ.
+// TestExperimentIsReproducible checks that a repeated run gives the same result, and that the
+// experiment takes effect: jobs arrive at their rate, faults occur, and variants differ.
 func TestExperimentIsReproducible(t *testing.T) {
 	experiment, err := loadExperiment(t, func(text string) string {
 		return strings.NewReplacer(
@@ -83,26 +83,26 @@
 	}
 	first := runAsJSON(experiment.Variants[0], 1)
 	if again := runAsJSON(experiment.Variants[0], 1); again != first {
-		t.Errorf("one seed gives\n%s\nand\n%s", first, again)
+		t.Errorf("two runs with the same seed differ:\n%s\n%s", first, again)
 	}
 	if runAsJSON(experiment.Variants[0], 2) == first ||
 		runAsJSON(experiment.Variants[2], 1) == strings.Replace(first, "longest", "quarter", 1) {
-		t.Error("another seed or variant gives the same")
+		t.Error("another seed or variant gives the same result, want a different one")
 	}
 	result := experiment.Run(experiment.Variants[0], 1)
 	if len(result.RuleViolations)+len(result.OrderViolations) > 0 {
-		t.Errorf("broken: %v %v", result.RuleViolations, result.OrderViolations)
+		t.Errorf("got violations %v and %v, want none", result.RuleViolations, result.OrderViolations)
 	}
 	if n := result.Classes[0].Jobs; n < 5 || n > 25 || result.InconclusiveResponses == 0 || result.PriceRatio < 1 ||
 		result.UsefulShare <= 0 ||
 		result.UsefulShare > 1 ||
 		result.Classes[0].Done == 0 {
-		t.Errorf("%+v", result)
+		t.Errorf("result out of bounds: %+v", result)
 	}
 }
 
-// BenchmarkSimulation measures simulated seconds per second with all machines busy and the rules
-// checked.
+// BenchmarkSimulation measures simulated seconds per second, with all machines busy and with rule
+// checks.
 func BenchmarkSimulation(b *testing.B) {
 	for _, machines := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
--- a/emulator/golden_test.go
+++ b/emulator/golden_test.go
@@ -11,6 +11,7 @@
 	"github.com/grebedock/grebedock/strict"
 )
 
+// TestExperimentFilesKeepTheirForm compares the TOML form of an experiment with its golden file.
 func TestExperimentFilesKeepTheirForm(t *testing.T) {
 	var e Experiment
 	golden.Fill(&e)
@@ -24,7 +25,7 @@
 func TestExperimentsAreReadAsBefore(t *testing.T) {
 	names, err := filepath.Glob("../docs/experiments/*.toml")
 	if err != nil || len(names) == 0 {
-		t.Fatalf("there are no experiments: %v", err)
+		t.Fatalf("got %d experiment files (error: %v), want at least one", len(names), err)
 	}
 	for _, name := range names {
 		b, err := os.ReadFile(name)
