--- a/emulator/checks.go
+++ b/emulator/checks.go
@@ -8,19 +8,18 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Checks of what users are told, of what starts, and of which jobs are accepted. Each relies only
-// on what the simulation observes, requests and responses of users and actions of machines, and
-// never on what a member believes.
+// Checks of responses to users, of task starts, and of the acceptance of jobs. Each relies only on
+// requests and responses of users and on actions of machines, never on the state of a member.
 
-// recordRequest adds a request to the history, as one without a response yet, and returns its
-// index. A scenario may end before the response arrives.
+// recordRequest adds a request without a response to the history and returns its index. A scenario
+// may end before the response arrives.
 func (sim *Simulation) recordRequest(req scheduler.UserRequest) int {
 	sim.historyClock++
 	sim.History = append(sim.History, history.Op{Job: req.ID, Kind: req.Kind, Call: sim.historyClock})
 	return len(sim.History) - 1
 }
 
-// recordResponse adds the response to a request to the history; ok is false if there was none.
+// recordResponse adds a response to the request at index; ok is false if there was no response.
 func (sim *Simulation) recordResponse(index int, resp scheduler.UserResponse, ok bool) {
 	sim.historyClock++
 	op := &sim.History[index]
@@ -30,8 +29,8 @@
 	}
 }
 
-// checkResponse checks a response as it leaves the member: tasks that its job still has at that
-// time may end before the user receives it.
+// checkResponse checks a response when the member sends it: tasks that are unfinished at that time
+// may end before the user receives the response.
 func (sim *Simulation) checkResponse(req scheduler.UserRequest, resp scheduler.UserResponse) {
 	j := sim.Jobs[req.ID]
 	if j != nil && resp.State == scheduler.Done && len(j.DoneTasks) < j.Spec.Tasks {
@@ -42,8 +41,8 @@
 	}
 }
 
-// checkStart checks a start as it happens, since a task may start and end between two sweeps over
-// the machines.
+// checkStart checks a task start when it occurs, because a task may start and end between two
+// sweeps over the machines.
 func (sim *Simulation) checkStart(worker *Worker, t *platformfake.Task) {
 	j := sim.Jobs[t.Job.ID]
 	if j.CancelConfirmedAt == 0 {
@@ -51,7 +50,7 @@
 	}
 	sim.StartsAfterCancel++
 	sinceCancelMS := sim.Now - j.CancelConfirmedAt
-	sim.Tracef("world: %s starts %d ms after its cancellation", t.Name, sinceCancelMS)
+	sim.Tracef("emulator: %s starts %d ms after its confirmed cancellation", t.Name, sinceCancelMS)
 	if sinceCancelMS > int64(sim.Params.CancelWithinS*1000) {
 		sim.recordViolation(
 			"ran_cancelled",
@@ -63,7 +62,7 @@
 	}
 }
 
-// wrongResponseRule is the rule that a job is accepted if, and only if, it can run.
+// wrongResponseRule is the rule that a job is accepted if and only if it can run.
 const wrongResponseRule = "wrong_answer"
 
 func (sim *Simulation) checkAccepted(j *Job) {
@@ -72,15 +71,15 @@
 	}
 }
 
-// checkRefused checks a response that rejects a job permanently.
+// checkRefused checks a response that rejects a request permanently.
 func (sim *Simulation) checkRefused(j *Job, resp scheduler.UserResponse) {
 	if resp.Status != 404 && sim.impossibilityReason(&j.Spec) == "" {
 		sim.recordViolation(wrongResponseRule, "%s gets %d (%s), and is right", j.Spec.ID, resp.Status, resp.Error)
 	}
 }
 
-// impossibilityReason returns the protocol's reason why a job can never run, or an empty string if
-// it can.
+// impossibilityReason returns the reason under the protocol why a job can never run, or an empty
+// string if it can.
 func (sim *Simulation) impossibilityReason(j *scheduler.Job) string {
 	team, ok := sim.Params.Teams[j.Team]
 	if !ok {
@@ -107,8 +106,8 @@
 	return ""
 }
 
-// makeImpossible are functions that turn a job into one that can never run, each for a different
-// reason.
+// makeImpossible holds functions that change a job into one that can never run, each for a
+// different reason.
 var makeImpossible = []func(*scheduler.Job){
 	func(j *scheduler.Job) { j.Request.CPUs = 1e6 },
 	func(j *scheduler.Job) { j.Request.MemoryGB = 1e6 },
--- a/emulator/group_progress.go
+++ b/emulator/group_progress.go
@@ -10,11 +10,12 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// GroupProgress counts the jobs of a group that were done, among those not cancelled.
+// GroupProgress counts the accepted jobs of a group that were not cancelled, and those that are
+// done.
 type GroupProgress struct {
 	Done, Jobs int
-	// LongestWaitMS is the longest time that one of them waited for its first task, after
-	// it was accepted.
+	// LongestWaitMS is the longest time from a job's acceptance to its first task start, or to now
+	// if none of its tasks has started.
 	LongestWaitMS int64
 }
 
@@ -22,14 +23,15 @@
 const (
 	classGroup   = "class "
 	teamGroup    = "team "
-	largestGroup = "largest " // quarter of a class, by what its tasks use together
-	longestGroup = "longest " // quarter of a class, by its tasks' run time
+	largestGroup = "largest " // quarter of a class with the largest total CPU requests
+	longestGroup = "longest " // quarter of a class with the longest run times
 )
 
-// MaxLargestJobWaitMS is the longest time until each of a class's largest jobs must start.
+// MaxLargestJobWaitMS is the time within which each of a class's largest jobs must start.
 const MaxLargestJobWaitMS = 240_000
 
-// ProgressByGroup counts jobs that were accepted and not cancelled, by group.
+// ProgressByGroup counts jobs that were accepted and not cancelled, by group. A job belongs to
+// several groups.
 func (sim *Simulation) ProgressByGroup() map[string]GroupProgress {
 	out := map[string]GroupProgress{}
 	count := func(group string, j *Job) {
@@ -72,11 +74,11 @@
 	return jobs[:(len(jobs)+3)/4]
 }
 
-// totalCPUs returns the processors that all tasks of a job use together.
+// totalCPUs returns the sum of the CPU requests of all tasks of a job.
 func (j *Job) totalCPUs() float64 { return j.Spec.Request.CPUs * float64(j.Spec.Tasks) }
 
-// runTimeMS returns the run time of a job's tasks in ms: the longest of those that ran, or else
-// what the job was submitted with.
+// runTimeMS returns the longest run time of a job's tasks in ms or, if none has run, the run time
+// or estimate that the job was submitted with.
 func (j *Job) runTimeMS() float64 {
 	if j.longestRunMS > 0 {
 		return float64(j.longestRunMS)
@@ -84,18 +86,18 @@
 	return 1000 * cmp.Or(j.TaskRunS, j.Spec.EstimateS)
 }
 
-// UnderservedGroups lists the groups of which less than half of the jobs were done, and the
-// largest jobs that started too late.
+// UnderservedGroups lists the groups of which less than half of the jobs are done, and the groups
+// of largest jobs in which a job started too late.
 func (sim *Simulation) UnderservedGroups() []string {
 	var out []string
 	served := sim.ProgressByGroup()
 	for _, group := range slices.Sorted(maps.Keys(served)) {
 		progress := served[group]
 		if progress.Done*2 < progress.Jobs {
-			out = append(out, fmt.Sprintf("%s: %d of %d served", group, progress.Done, progress.Jobs))
+			out = append(out, fmt.Sprintf("%s: %d of %d jobs done", group, progress.Done, progress.Jobs))
 		}
 		if strings.HasPrefix(group, largestGroup) && progress.LongestWaitMS > MaxLargestJobWaitMS {
-			out = append(out, fmt.Sprintf("%s: one began after %d ms", group, progress.LongestWaitMS))
+			out = append(out, fmt.Sprintf("%s: a job waited %d ms for its first task start", group, progress.LongestWaitMS))
 		}
 	}
 	return out
--- a/emulator/group_progress_test.go
+++ b/emulator/group_progress_test.go
@@ -9,8 +9,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// newServedSimulation returns a simulation with eight jobs of one class and two teams: all done,
-// and started at once.
+// newServedSimulation returns a simulation with eight done jobs of one class and two teams, each
+// started 1 s after its acceptance.
 func newServedSimulation() *Simulation {
 	sim := &Simulation{Jobs: map[string]*Job{}, Now: 1_000_000}
 	for n := range 8 {
@@ -25,13 +25,14 @@
 			},
 		)
 		j.Accepted, j.AcceptedAt, j.FirstStartAt, j.ObservedState = true, 1000, 2000, scheduler.Done
-		j.longestRunMS = int64(8-n) * 1000 // the largest are the shortest
+		j.longestRunMS = int64(8-n) * 1000 // the largest jobs are the shortest
 		sim.Jobs[id], sim.JobIDs = j, append(sim.JobIDs, id)
 	}
 	return sim
 }
 
-// Each group of which less than half is done is found, and no other group if it is small.
+// TestUnderservedGroupsAreDetected checks that each group is listed of which less than half is
+// done, or in which one of the largest jobs started too late, and no other group.
 func TestUnderservedGroupsAreDetected(t *testing.T) {
 	leaveUnfinished := func(sim *Simulation, jobs ...int) {
 		for _, n := range jobs {
@@ -42,43 +43,43 @@
 		prepare  func(*Simulation)
 		expected []string
 	}{
-		"all are served": {func(*Simulation) {}, nil},
-		"half is served": {func(sim *Simulation) { leaveUnfinished(sim, 0, 2, 3, 7) }, nil},
-		"the largest are left": {
+		"all done":  {func(*Simulation) {}, nil},
+		"half done": {func(sim *Simulation) { leaveUnfinished(sim, 0, 2, 3, 7) }, nil},
+		"largest jobs not done": {
 			func(sim *Simulation) { leaveUnfinished(sim, 6, 7) },
-			[]string{"largest batch: 0 of 2 served"},
+			[]string{"largest batch: 0 of 2 jobs done"},
 		},
-		"the longest are left": {
+		"longest jobs not done": {
 			func(sim *Simulation) { leaveUnfinished(sim, 0, 1) },
-			[]string{"longest batch: 0 of 2 served"},
+			[]string{"longest batch: 0 of 2 jobs done"},
 		},
-		"a team is left": {func(sim *Simulation) { leaveUnfinished(sim, 1, 3, 5) }, []string{"team t1: 1 of 4 served"}},
-		"one began late": {
+		"jobs of a team not done": {func(sim *Simulation) { leaveUnfinished(sim, 1, 3, 5) }, []string{"team t1: 1 of 4 jobs done"}},
+		"a large job started late": {
 			func(sim *Simulation) { sim.Jobs[sim.JobIDs[7]].FirstStartAt = 1001 + MaxLargestJobWaitMS },
-			[]string{"largest batch: one began after 240001 ms"},
+			[]string{"largest batch: a job waited 240001 ms for its first task start"},
 		},
-		"a small began late": {
+		"a small job started late": {
 			func(sim *Simulation) { sim.Jobs[sim.JobIDs[2]].FirstStartAt = 1001 + MaxLargestJobWaitMS },
 			nil,
 		},
-		"one never began": {
+		"a large job never started": {
 			func(sim *Simulation) { sim.Jobs[sim.JobIDs[7]].FirstStartAt = 0 },
-			[]string{"largest batch: one began after 999000 ms"},
+			[]string{"largest batch: a job waited 999000 ms for its first task start"},
 		},
-		"cancelled, so left": {func(sim *Simulation) {
+		"cancelled jobs not done": {func(sim *Simulation) {
 			leaveUnfinished(sim, 6, 7)
 			sim.Jobs[sim.JobIDs[6]].CancelRequested, sim.Jobs[sim.JobIDs[7]].CancelRequested = true, true
 		}, nil},
-		"the class is left": {
+		"most jobs of the class not done": {
 			func(sim *Simulation) { leaveUnfinished(sim, 1, 2, 3, 4, 5) },
-			[]string{"class batch: 3 of 8 served", "team t1: 1 of 4 served"},
+			[]string{"class batch: 3 of 8 jobs done", "team t1: 1 of 4 jobs done"},
 		},
-		"half of large is left": {func(sim *Simulation) { leaveUnfinished(sim, 7, 0) }, nil},
+		"half of the largest and longest not done": {func(sim *Simulation) { leaveUnfinished(sim, 7, 0) }, nil},
 	} {
 		sim := newServedSimulation()
 		c.prepare(sim)
 		if got := sim.UnderservedGroups(); !slices.Equal(got, c.expected) {
-			t.Errorf("%s: %q, want %q", name, got, c.expected)
+			t.Errorf("%s: got %q, want %q", name, got, c.expected)
 		}
 	}
 }
--- a/emulator/heartbeat_faults.go
+++ b/emulator/heartbeat_faults.go
@@ -6,13 +6,13 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// ReplayHeartbeats delivers copies of a share of the workers' heartbeats again, from 2 s to well
-// over a lease later, for ms milliseconds from now.
+// ReplayHeartbeats delivers copies of a share of the workers' heartbeats again, for ms milliseconds
+// from now. The delay is at least 2 s and up to 2 s plus 1.5 times the lease duration.
 func (sim *Simulation) ReplayHeartbeats(probability float64, ms int64) {
 	sim.heartbeatReplays = faultRate{probability, sim.Now + ms}
 }
 
-// replayHeartbeat delivers a copy of a heartbeat again to the member that it was sent to.
+// replayHeartbeat may deliver a copy of a heartbeat later to the member that received it.
 func (sim *Simulation) replayHeartbeat(worker *Worker, m *Member, hb scheduler.Heartbeat) {
 	if !sim.heartbeatReplays.occurs(sim) {
 		return
@@ -29,7 +29,7 @@
 		if epoch != m.epoch {
 			sim.DuplicateCounts["after an end of the member"]++
 		}
-		m.lastReplyID++ // nobody waits for the response
+		m.lastReplyID++ // a new ID, so that the response is discarded
 		m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, hb)
 		m.dispatchOutputs()
 	})
@@ -58,8 +58,8 @@
 	sim.claimHeartbeats = append(sim.claimHeartbeats, capturedHeartbeat{worker, hb})
 }
 
-// observeClaim is called with each result of the state service, and delivers the captured
-// heartbeats once a claim was carried out.
+// observeClaim is called with each result of the state service. After a successful claim it
+// delivers the captured heartbeats.
 func (sim *Simulation) observeClaim(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) {
 	if len(sim.claimHeartbeats)+len(sim.ownerHeartbeats) == 0 || op.Kind != scheduler.StoreTxn ||
 		result.Outcome != scheduler.OK {
@@ -80,7 +80,7 @@
 	sim.replayToAll(captured, "at a claim")
 }
 
-// replayToAll delivers heartbeats to every member shortly after each other.
+// replayToAll delivers heartbeats to every member, each after a random delay below 400 ms.
 func (sim *Simulation) replayToAll(captured []capturedHeartbeat, occasion string) {
 	for _, capture := range captured {
 		for _, m := range sim.Members {
@@ -90,13 +90,13 @@
 }
 
 // DelayHeartbeatsUntilNewOwnerActs delays a share of the workers' heartbeats, without a response,
-// until a member that claimed a shard or became leader has sent its first command to a worker.
-// They are delivered to every member then.
+// until a member that claimed a shard or became leader sends its first command to a worker. They
+// are then delivered to every member.
 func (sim *Simulation) DelayHeartbeatsUntilNewOwnerActs(probability float64, ms int64) {
 	sim.ownerReplays = faultRate{probability, sim.Now + ms}
 }
 
-// captureForNewOwner captures a heartbeat for the next owner, and reports whether it did.
+// captureForNewOwner may capture a heartbeat for the next owner, and reports whether it did.
 func (sim *Simulation) captureForNewOwner(worker *Worker, hb scheduler.Heartbeat) bool {
 	if !sim.ownerReplays.occurs(sim) {
 		return false
@@ -108,8 +108,8 @@
 	return true
 }
 
-// observeFirstCommands delivers the delayed heartbeats once a member that claimed something sends
-// its first command to a worker.
+// observeFirstCommands delivers the delayed heartbeats when a member that claimed a shard or the
+// leadership sends its first command to a worker.
 func (sim *Simulation) observeFirstCommands(m *Member, outputs *scheduler.Outputs) {
 	if !sim.newOwners[m.Name] {
 		return
@@ -130,7 +130,7 @@
 	sim.replayToAll(captured, "after a new holder acted")
 }
 
-// deliverDuplicate delivers a heartbeat to a member; nobody waits for the response.
+// deliverDuplicate delivers a copy of a heartbeat to a member; the response is discarded.
 func (sim *Simulation) deliverDuplicate(m *Member, capture capturedHeartbeat, occasion string) {
 	if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
 		return
@@ -144,5 +144,6 @@
 	m.dispatchOutputs()
 }
 
-// maxCapturedHeartbeats bounds the copies that wait for a claim; later ones replace the oldest.
+// maxCapturedHeartbeats is the maximum number of heartbeats kept for a claim, and of those kept for
+// a new owner; newer ones replace the oldest.
 const maxCapturedHeartbeats = 60
--- a/emulator/infrastructure_faults.go
+++ b/emulator/infrastructure_faults.go
@@ -1,7 +1,7 @@
 package emulator
 
 // StartOutage makes the state service unavailable to a member, or to "all", for durationMS.
-// Watches stay open, and the end of an outage for all gives every lease its full TTL again.
+// Watches stay open, and the end of an outage for all members renews every lease to its full TTL.
 func (sim *Simulation) StartOutage(target string, durationMS int64) {
 	sim.OutageUntil[target] = sim.Now + durationMS
 	sim.After(durationMS, func() {
@@ -11,7 +11,7 @@
 	})
 }
 
-// InjectInfrastructureFault injects one randomly chosen fault of limited duration.
+// InjectInfrastructureFault injects a random fault of limited duration.
 func (sim *Simulation) InjectInfrastructureFault() {
 	durationMS := 3000 + sim.Rand.Int64N(25000)
 	m := sim.Members[sim.Rand.IntN(len(sim.Members))]
@@ -71,7 +71,7 @@
 	}
 }
 
-// PartitionZone partitions the machines of a zone from everything for durationMS.
+// PartitionZone partitions the machines of a zone from all other endpoints for durationMS.
 func (sim *Simulation) PartitionZone(zone string, durationMS int64) {
 	for _, id := range sim.WorkerIDs {
 		if worker := sim.Workers[id]; !worker.Gone && worker.Instance.Zone == zone {
--- a/emulator/invariants.go
+++ b/emulator/invariants.go
@@ -12,15 +12,15 @@
 
 func (sim *Simulation) recordViolation(rule, format string, a ...any) {
 	if sim.Violations[rule] == "" {
-		sim.Tracef("BROKEN %s", rule)
+		sim.Tracef("VIOLATION %s", rule)
 		sim.Violations[rule] = fmt.Sprintf("at %d ms: ", sim.Now) + fmt.Sprintf(format, a...)
 	}
 }
 
-// checkCommands counts commands to workers, and checks that none stops a healthy attempt: one that
-// is stopped without grace although its job goes on and no other machine has the task. A stop for
-// an attempt other than the running one has no effect: it responds to a heartbeat that was delayed
-// for long.
+// checkCommands counts commands to workers, and checks that none stops a healthy attempt: a stop
+// without a grace period, while the job is active and no other machine has the task, is a
+// violation. A stop for an attempt other than the running one is allowed and has no effect: it
+// responds to a heartbeat with a long delay.
 func (sim *Simulation) checkCommands(commands []scheduler.Command) {
 	for _, command := range commands {
 		sim.countCommands(string(command.Kind), 1)
@@ -58,7 +58,7 @@
 	if job.AtMostOnce && j.StartCounts[t.Name] > 1 {
 		sim.recordViolation("began_again", "%s begins for the %d. time", t.Name, j.StartCounts[t.Name])
 	}
-	sim.Tracef("world: %s try %d starts on %s", t.Name, t.Attempt, worker.Instance.ID)
+	sim.Tracef("emulator: %s attempt %d starts on %s", t.Name, t.Attempt, worker.Instance.ID)
 	worker.taskStartedAt[t.Name] = sim.Now
 	delete(sim.startableSince, job.ID)
 	sim.checkStart(worker, t)
@@ -94,7 +94,7 @@
 	}
 }
 
-// checkPlacement checks where a task runs; zones are those of its job's tasks.
+// checkPlacement checks that a task may run on its machine; zones counts its job's tasks by zone.
 func (sim *Simulation) checkPlacement(worker *Worker, t *platformfake.Task, zones map[string]int) {
 	job := &sim.Jobs[t.Job.ID].Spec
 	if worker.Instance.Spot && !job.Spot || job.Zone != "" && job.Zone != worker.Instance.Zone ||
@@ -105,7 +105,7 @@
 	}
 }
 
-// sweep checks the rules on placements and limits over all tasks.
+// sweep checks the placements and limits of all tasks, at intervals of SweepIntervalMS.
 func (sim *Simulation) sweep() {
 	cpus, gpus := map[string]float64{}, map[string]float64{}
 	zones, workers := map[string]map[string]int{}, map[string]*Worker{}
@@ -121,7 +121,7 @@
 		}
 		zones[t.Job.ID][worker.Instance.Zone]++
 	})
-	// Sorted, so that the first violation is the same in every run.
+	// Sorted, so that all runs with the same seed record the same first violation.
 	for _, team := range slices.Sorted(maps.Keys(cpus)) {
 		sim.checkLimits(team, cpus[team], gpus[team])
 	}
--- a/emulator/protocol_faults.go
+++ b/emulator/protocol_faults.go
@@ -6,11 +6,12 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// The faults that the protocol's page names under "Delayed messages" and "Outages and cuts", alone
-// or overlapping: each begins now and lasts for so many milliseconds. infrastructure_faults.go has
-// the others: partitions that delay packets, outages, crashes of members and lost machines.
+// The faults that the protocol document lists under "Delayed messages" and "Outages and cuts". They
+// may overlap; each starts immediately and lasts for the given number of milliseconds. The other
+// faults are in infrastructure_faults.go: partitions that delay packets, outages, crashes of
+// members and lost machines.
 
-// faultRate is the probability of a fault until a time.
+// faultRate is the probability with which a fault affects a message, request or job until a time.
 type faultRate struct {
 	probability float64
 	until       int64
@@ -20,18 +21,18 @@
 	return rate.until > sim.Now && sim.Rand.Float64() < rate.probability
 }
 
-// DelayWrites makes a share of transactions get no response and take effect 2 to 12 s later, after
-// newer ones.
+// DelayWrites delays a share of transactions by 2 to 12 s. They get no response and take effect
+// after newer transactions.
 func (sim *Simulation) DelayWrites(probability float64, ms int64) {
 	sim.writeDelays = faultRate{probability, sim.Now + ms}
 }
 
-// LoseResponses makes a share of transactions take effect at once and loses only their response.
+// LoseResponses drops the responses to a share of transactions, which take effect immediately.
 func (sim *Simulation) LoseResponses(probability float64, ms int64) {
 	sim.responseLosses = faultRate{probability, sim.Now + ms}
 }
 
-// dropsStoreResponse reports whether to lose the response to a transaction that was carried out or
+// dropsStoreResponse reports whether to drop the response to a transaction that was applied or
 // whose precondition failed.
 func (sim *Simulation) dropsStoreResponse(m *Member, op scheduler.StoreOp, result scheduler.StoreResult) bool {
 	succeeded := result.Outcome == scheduler.OK
@@ -48,35 +49,35 @@
 	return true
 }
 
-// DelayCommands delays a share of direct commands by 2 to 16 s. They are carried out once, without
-// a response, if fencing token and incarnation still match.
+// DelayCommands delays a share of direct commands by 2 to 16 s. They are executed once, without a
+// response, if fencing token and incarnation still match.
 func (sim *Simulation) DelayCommands(probability float64, ms int64) {
 	sim.commandDelays = faultRate{probability, sim.Now + ms}
 }
 
-// connectTimeoutMS is how long a failing connection attempt takes.
+// connectTimeoutMS is the duration of a connection attempt that fails.
 const connectTimeoutMS = 500
 
-// PartitionOutbound keeps a machine from reaching any member, while direct commands still reach
-// it.
+// PartitionOutbound prevents a machine from connecting to any member, while direct commands still
+// reach it.
 func (sim *Simulation) PartitionOutbound(worker *Worker, ms int64) {
 	worker.outboundPartitionedUntil = max(worker.outboundPartitionedUntil, sim.Now+ms)
 }
 
-// IsOutboundPartitioned reports whether the machine can open no connection to a member.
+// IsOutboundPartitioned reports whether the machine cannot connect to any member.
 func (worker *Worker) IsOutboundPartitioned(sim *Simulation) bool {
 	return worker.outboundPartitionedUntil > sim.Now
 }
 
-// PartitionInbound loses heartbeat responses and direct commands to a machine, while its
-// heartbeats still arrive.
+// PartitionInbound drops heartbeat responses and direct commands to a machine, while its heartbeats
+// still arrive.
 func (sim *Simulation) PartitionInbound(worker *Worker, ms int64) {
 	worker.inboundPartitionedUntil = max(worker.inboundPartitionedUntil, sim.Now+ms)
 }
 
-// PartitionMember partitions a member from the state service and the other members, not from its
-// workers or users. Its messages are delayed until the end or, with refused, refused by the state
-// service and lost between members.
+// PartitionMember partitions a member from the state service and the other members, but not from
+// its workers or users. Its messages are delayed until the partition ends. With refused, the state
+// service refuses its requests, and messages between it and other members are dropped.
 func (sim *Simulation) PartitionMember(m *Member, ms int64, refused bool) {
 	if refused {
 		sim.StartOutage(m.Name, ms)
@@ -93,9 +94,9 @@
 	}
 }
 
-// PartitionZoneWithMember partitions the machines of a zone together with a member: they reach
-// each other and nobody else. Other messages are delayed until the end or, with dropsMessages,
-// lost.
+// PartitionZoneWithMember partitions the machines of a zone, together with a member, from the state
+// service, the cloud, and the other members and machines. Users still reach the member. Other
+// messages are delayed until the partition ends or, with dropsMessages, dropped.
 func (sim *Simulation) PartitionZoneWithMember(zone string, m *Member, ms int64, dropsMessages bool) {
 	partition := func(sideA, sideB string) {
 		sim.Partitions = append(
@@ -127,14 +128,14 @@
 	}
 }
 
-// SlowStore delays each message of the state service by a random time up to maxDelayMS, so that
-// responses overtake each other.
+// SlowStore delays each message from or to the state service by a random time below maxDelayMS, so
+// that responses arrive out of order.
 func (sim *Simulation) SlowStore(maxDelayMS, ms int64) {
 	sim.storeDelayMS, sim.storeSlowUntil = maxDelayMS, sim.Now+ms
 }
 
-// PauseMember pauses a member's process: its last outputs leave when it resumes, and what arrived
-// meanwhile is delivered at once.
+// PauseMember pauses a member's process. When it resumes, its last outputs are sent and the
+// messages that arrived during the pause are delivered.
 func (sim *Simulation) PauseMember(m *Member, ms int64) {
 	m.pausedUntil = max(m.pausedUntil, sim.Now+ms)
 }
@@ -148,11 +149,12 @@
 	}
 }
 
-// SetClockRate sets the rate of a member's monotonic clock relative to true time; call it before
-// the member starts.
+// SetClockRate sets the rate of a member's monotonic clock relative to simulated time. It must be
+// called before the member starts.
 func (m *Member) SetClockRate(rate float64) { m.clockRate = rate }
 
-// hasActiveFault reports whether a fault is active that may keep members from responding to users.
+// hasActiveFault reports whether a fault is active that may prevent members from responding to
+// users.
 func (sim *Simulation) hasActiveFault() bool {
 	for _, until := range []int64{
 		sim.writeDelays.until, sim.heartbeatReplays.until, sim.responseLosses.until,
@@ -185,11 +187,11 @@
 	return false
 }
 
-// forgottenMS is how long, once all faults are over, queries about a job may remain without a
-// response.
+// forgottenMS is the maximum time in ms, after the end of all faults, for which queries about a job
+// may remain without a response.
 const forgottenMS = 75_000
 
-// checkForgotten checks each job separately, so that progress of others hides nothing.
+// checkForgotten checks each job separately, so that responses about other jobs hide no violation.
 func (sim *Simulation) checkForgotten() {
 	if sim.hasActiveFault() {
 		sim.lastFaultAt = sim.Now
@@ -235,15 +237,15 @@
 	return parts[0]
 }
 
-// divertLateWrite reports whether it took a transaction over, to carry it out late without a
-// response.
+// divertLateWrite may intercept a transaction, to apply it later without a response, and reports
+// whether it did.
 func (sim *Simulation) divertLateWrite(m *Member, op scheduler.StoreOp) bool {
 	if op.Kind != scheduler.StoreTxn || sim.storeRefuses(m.Name) ||
 		!sim.writeDelays.occurs(sim) && !(sim.DelaysWrite != nil && sim.DelaysWrite(m, op)) {
 		return false
 	}
-	// The service already has the request: a later refusal of its sender cannot stop it, and only
-	// an outage delays it.
+	// The state service has already received the request: if it refuses the sender later, the
+	// request is not affected. Only an outage for all members delays it further.
 	var execute func()
 	execute = func() {
 		if outageLeft := sim.OutageUntil["all"] - sim.Now; outageLeft > 0 {
@@ -254,14 +256,14 @@
 			for _, c := range op.Changes {
 				sim.LateWriteCounts[KeyKind(c.Key)]++
 			}
-			sim.Tracef("world: a late write of %s works: %v", m.Name, op.Changes[0].Key)
+			sim.Tracef("emulator: late write of %s applied: %v", m.Name, op.Changes[0].Key)
 		}
 	}
 	sim.After(2000+sim.Rand.Int64N(10_000), execute)
 	return true
 }
 
-// runCommandLate carries out commands that were delayed on their way, without a response.
+// runCommandLate executes commands after a delay of 2 to 16 s, without a response.
 func (sim *Simulation) runCommandLate(worker *Worker, command scheduler.DirectCommand) {
 	var run func()
 	run = func() {
@@ -277,7 +279,7 @@
 	sim.After(2000+sim.Rand.Int64N(14_000), run)
 }
 
-// CrashAll crashes every member; they restart about three seconds later, at different times.
+// CrashAll crashes every member; each restarts after a random time of 2.5 to 4 s.
 func (sim *Simulation) CrashAll() {
 	for _, m := range sim.Members {
 		m.Crash(2500 + sim.Rand.Int64N(1500))
--- a/emulator/protocol_faults_test.go
+++ b/emulator/protocol_faults_test.go
@@ -8,7 +8,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// runWithFault runs a scenario with one fault that begins after 20 s, beside crashes of members.
+// runWithFault runs a scenario with one fault that begins after 20 s, and with crashes of members.
 func runWithFault(seed uint64, inject func(*Simulation)) *Simulation {
 	sim := New(Options{Seed: seed, Members: 3, CapacityPerOffering: 6, MessageLoss: 0.002,
 		Types: []scheduler.MachineType{
@@ -65,30 +65,31 @@
 
 const faultMS = 40_000
 
-// Each fault of a scenario takes effect, and violates no rule by itself.
+// TestFaultsTakeEffectAndBreakNoRule checks that each fault takes effect, and that no rule is
+// violated under it.
 func TestFaultsTakeEffectAndBreakNoRule(t *testing.T) {
 	for name, c := range map[string]struct {
 		inject   func(*Simulation)
 		count    func(*Simulation) int
 		minCount int
 	}{
-		"answers are lost": {
+		"responses are lost": {
 			func(sim *Simulation) { sim.LoseResponses(0.3, faultMS) },
 			func(sim *Simulation) int { return sim.LostResponseCount }, 20,
 		},
-		"transactions are carried out late": {
+		"transactions are applied late": {
 			func(sim *Simulation) { sim.DelayWrites(0.3, faultMS) },
 			func(sim *Simulation) int { return sim.LateWriteCounts["l/j/"] + sim.LateWriteCounts["p/"] }, 5,
 		},
-		"reports come again": {
+		"heartbeats are replayed": {
 			func(sim *Simulation) { sim.ReplayHeartbeats(0.3, faultMS) },
 			func(sim *Simulation) int { return sim.DuplicateCounts["all"] }, 20,
 		},
-		"copies of reports arrive at the next claim": {
+		"heartbeats are replayed at the next claim": {
 			func(sim *Simulation) { sim.ReplayHeartbeatsAtClaim(0.5, faultMS) },
 			func(sim *Simulation) int { return sim.DuplicateCounts["at a claim"] }, 50,
 		},
-		"reports arrive after a new holder acted": {
+		"heartbeats arrive after a new owner acted": {
 			func(sim *Simulation) { sim.DelayHeartbeatsUntilNewOwnerActs(0.2, faultMS) },
 			func(sim *Simulation) int { return sim.DuplicateCounts["after a new holder acted"] }, 20,
 		},
@@ -96,7 +97,7 @@
 			func(sim *Simulation) { sim.DelayCommands(0.5, faultMS) },
 			func(sim *Simulation) int { return sim.DuplicateCounts["late commands"] }, 3,
 		},
-		"machines open no connection": {
+		"machines cannot connect to members": {
 			func(sim *Simulation) {
 				sim.SampleLiveWorkers(0.9, func(worker *Worker) { sim.PartitionOutbound(worker, faultMS) })
 			},
@@ -110,15 +111,15 @@
 			func(sim *Simulation) { sim.CancelAtEnd(1, faultMS) },
 			(*Simulation).countCancelledJobs, 10,
 		},
-		"users send what makes no sense": {
+		"users send invalid requests": {
 			func(sim *Simulation) { sim.SendInvalidRequests(faultMS) },
 			func(sim *Simulation) int { return sim.invalidJobCount }, 20,
 		},
-		"users ask everywhere at once": {
+		"users query all members concurrently": {
 			func(sim *Simulation) { sim.ReadConcurrently(faultMS) },
 			func(sim *Simulation) int { return sim.ConcurrentReads }, 20,
 		},
-		"a zone is cut off with a member": {
+		"a zone is partitioned with a member": {
 			func(sim *Simulation) { sim.PartitionZoneWithMember("a", sim.Members[1], 12_000, true) },
 			func(sim *Simulation) int { return len(sim.Partitions) }, 5,
 		},
@@ -130,7 +131,7 @@
 				t.Errorf("%s: %s", rule, violation)
 			}
 			if n := c.count(sim); n < c.minCount {
-				t.Errorf("it came about %d times", n)
+				t.Errorf("the fault took effect %d times, want at least %d", n, c.minCount)
 			}
 		})
 	}
@@ -156,7 +157,8 @@
 	return n
 }
 
-// Heartbeats of a machine with an outbound partition reach nobody, while direct commands reach it.
+// TestOutboundPartitionedWorkerTakesCommands checks that heartbeats of a machine with an outbound
+// partition reach no member, while direct commands reach the machine.
 func TestOutboundPartitionedWorkerTakesCommands(t *testing.T) {
 	const token = 1 << 60
 	var partitioned *Worker
@@ -180,17 +182,18 @@
 					},
 				)
 				if got := worker.Agent.Heartbeat().Token; got != token {
-					t.Errorf("the command did not arrive: token %d", got)
+					t.Errorf("direct command not applied: got token %d, want %d", got, uint64(token))
 				}
 				sim.After(10_000, func() {
 					if worker.AcknowledgedAt != acknowledgedAt || worker.Agent.Incarnation == 1 {
-						t.Errorf("it was heard at %d, in session %d", worker.AcknowledgedAt, worker.Agent.Incarnation)
+						t.Errorf("heartbeat acknowledged at %d ms, incarnation %d; want none after %d ms and a new incarnation",
+							worker.AcknowledgedAt, worker.Agent.Incarnation, acknowledgedAt)
 					}
 				})
 			})
 		})
 	})
 	if partitioned == nil || sim.FailedConnections == 0 {
-		t.Errorf("%d connections failed", sim.FailedConnections)
+		t.Errorf("got %d failed connections, want at least one", sim.FailedConnections)
 	}
 }
--- a/emulator/random_faults.go
+++ b/emulator/random_faults.go
@@ -1,6 +1,6 @@
 package emulator
 
-// SampleLiveWorkers calls action for a random share of the machines that are up.
+// SampleLiveWorkers calls action for each running machine with the given probability.
 func (sim *Simulation) SampleLiveWorkers(probability float64, action func(*Worker)) {
 	for _, id := range sim.WorkerIDs {
 		if worker := sim.Workers[id]; worker.Up && !worker.Gone && sim.Rand.Float64() < probability {
@@ -11,19 +11,19 @@
 
 func (sim *Simulation) randomMember() *Member { return sim.Members[sim.Rand.IntN(len(sim.Members))] }
 
-// randomBetween draws a time in ms, at least from and less than to.
+// randomBetween returns a random time in ms, at least from and less than to.
 func (sim *Simulation) randomBetween(from, to int64) int64 { return from + sim.Rand.Int64N(to-from) }
 
-// Fault is a kind of fault with a random duration.
+// Fault is a kind of fault with random parameters.
 type Fault struct {
 	Name   string
 	Inject func(*Simulation)
 }
 
-// InjectRandomFault injects one of Faults.
+// InjectRandomFault injects a random one of Faults.
 func (sim *Simulation) InjectRandomFault() {
 	fault := Faults[sim.Rand.IntN(len(Faults))]
-	sim.Tracef("trouble: %s", fault.Name)
+	sim.Tracef("random fault: %s", fault.Name)
 	fault.Inject(sim)
 }
 
