--- a/emulator/determinism_test.go
+++ b/emulator/determinism_test.go
@@ -59,22 +59,22 @@
 	return sim
 }
 
-// The same seed gives the same history, line by line, whatever faults are injected; another seed
-// gives a different one.
+// TestSameSeedGivesSameHistory checks that two runs with the same seed give the same trace, line by
+// line, with injected faults, and that another seed gives a different trace.
 func TestSameSeedGivesSameHistory(t *testing.T) {
 	for seed := range uint64(3) {
 		a, b := runRandomScenario(seed), runRandomScenario(seed)
 		if len(a.TraceLog) < 100 {
-			t.Fatalf("%d lines", len(a.TraceLog))
+			t.Fatalf("seed %d: got %d trace lines, want at least 100", seed, len(a.TraceLog))
 		}
 		for i := range min(len(a.TraceLog), len(b.TraceLog)) {
 			if a.TraceLog[i] != b.TraceLog[i] {
-				t.Fatalf("seed %d, line %d:\n%s\n%s", seed, i, a.TraceLog[i], b.TraceLog[i])
+				t.Fatalf("seed %d: runs differ at trace line %d:\n%s\n%s", seed, i, a.TraceLog[i], b.TraceLog[i])
 			}
 		}
 		if len(a.TraceLog) != len(b.TraceLog) || !slices.Equal(a.History, b.History) {
 			t.Errorf(
-				"seed %d: %d and %d lines, %d and %d answers",
+				"seed %d: runs differ: %d and %d trace lines, %d and %d requests in the history",
 				seed,
 				len(a.TraceLog),
 				len(b.TraceLog),
@@ -83,7 +83,7 @@
 			)
 		}
 		if slices.Equal(a.TraceLog, runRandomScenario(seed+100).TraceLog) {
-			t.Error("two seeds give one history")
+			t.Errorf("seeds %d and %d give the same trace, want different ones", seed, seed+100)
 		}
 	}
 }
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -7,8 +7,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// InjectedFault alters what passes between the cores and the simulation, so that a test can see
-// the check of each rule fail.
+// InjectedFault alters messages between the cores and the simulation, so that tests can verify that
+// the check of each rule detects violations.
 type InjectedFault struct {
 	WorkerResponse func(*scheduler.HeartbeatResponse) // responses to workers
 	Heartbeat      func(*scheduler.Heartbeat)         // heartbeats of workers
@@ -19,7 +19,7 @@
 	ResponseToRequest func(scheduler.UserRequest, *scheduler.UserResponse)
 }
 
-// Member is a simulated member, with its core while it is up.
+// Member is a simulated member, which has a core while it is running.
 type Member struct {
 	Name          string
 	Core          *scheduler.Controller // nil while it is down
@@ -29,8 +29,8 @@
 	epoch        int
 	clockRate    float64
 	startedAt    int64
-	budgetFreeAt int64 // when its share of the store's rate limits allows the next request
-	// When its paused process resumes.
+	budgetFreeAt int64 // when the rate limits allow its next request to the state service
+	// Time at which its paused process resumes.
 	pausedUntil         int64
 	lastReplyID         uint64
 	pendingHeartbeats   map[uint64]func(scheduler.HeartbeatResponse)
@@ -71,7 +71,7 @@
 	m.tick(m.epoch)
 }
 
-// Crash ends a member at once; it restarts after downMS.
+// Crash stops a member immediately; it restarts after downMS.
 func (m *Member) Crash(downMS int64) {
 	if m.Core == nil {
 		return
@@ -94,7 +94,8 @@
 	m.sim.After(50+m.sim.lagDelay(m.Name), func() { m.tick(epoch) })
 }
 
-// inEpoch wraps callback so that it runs only if the member has not restarted since the request.
+// inEpoch wraps callback so that it runs only if the member has not restarted since the request,
+// and not while its process is paused.
 func (m *Member) inEpoch(epoch int, callback func()) func() {
 	var run func()
 	run = func() {
@@ -112,8 +113,8 @@
 
 const requestTimeoutMS = 2000
 
-// sendToStore sends a request to the state service, within the member's share of its rate limits,
-// if there are any. Requests go in order of arrival; in the real program lease renewals go first.
+// sendToStore sends a request to the state service, within the member's share of the rate limits,
+// if any. It sends requests in order of arrival; the production program sends lease renewals first.
 func (sim *Simulation) sendToStore(m *Member, op scheduler.StoreOp, send func()) {
 	if sim.StoreRPS == 0 {
 		sim.sendMessage(m.Name, "store", send)
@@ -125,10 +126,10 @@
 	sim.After(max(0, m.budgetFreeAt-sim.Now), func() { sim.sendMessage(m.Name, "store", send) })
 }
 
-// dispatchOutputs carries out the outputs of the member's core.
+// dispatchOutputs processes the outputs of the member's core.
 func (m *Member) dispatchOutputs() {
-	// An observer may crash the member: its outputs are sent all the same, as by a process that
-	// ends a moment later, but no response reaches its successor.
+	// The observer may crash the member. Its outputs are still sent, as by a process that ends a
+	// moment later, but the epoch keeps responses from the core that starts after it.
 	sim, epoch := m.sim, m.epoch
 	outputs := m.Core.TakeOutputs()
 	if sim.Observer != nil {
@@ -210,7 +211,7 @@
 	}))
 }
 
-// runStoreOp carries out a request at the state service.
+// runStoreOp executes a request at the state service.
 func (sim *Simulation) runStoreOp(m *Member, op scheduler.StoreOp, respond func(scheduler.StoreResult)) {
 	if sim.storeRefuses(m.Name) {
 		respond(scheduler.StoreResult{Outcome: scheduler.Refused})
@@ -321,7 +322,8 @@
 	}
 }
 
-// receivePeerMessage gives the core a copy of its own, as a message from a network would be.
+// receivePeerMessage passes a copy of the message to the core: messages from a network share no
+// memory.
 func (m *Member) receivePeerMessage(msg scheduler.PeerMessage) {
 	if m.Core == nil {
 		return
@@ -339,7 +341,7 @@
 		return
 	}
 	if worker.HangUntil > sim.Now {
-		// A machine that hangs carries the command out when it resumes.
+		// A machine that hangs executes the command when it resumes.
 		sim.After(worker.HangUntil-sim.Now+1, func() { sim.runDirectCommand(m, epoch, worker, command) })
 		return
 	}
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -3,19 +3,20 @@
 import "strings"
 
 // Partition delays messages between two groups of endpoints until it ends. The endpoint of a
-// member is its name, that of a machine "w" and its name; the others are "store", "cloud" and
+// member is its name, that of a machine "w" followed by its ID; the others are "store", "cloud" and
 // "users".
 type Partition struct {
-	A, B          string // prefixes of endpoints' names
+	A, B          string // prefixes of endpoint names
 	Until         int64
-	DropsMessages bool // messages are lost, not delayed
+	DropsMessages bool // messages are dropped, not delayed
 }
 
-// Lag delays a member that lacks processor time: its input waits, its output leaves late, and its
-// ticks are rare.
+// Lag simulates a member with too little processor time: its input, its output and its ticks are
+// each delayed by a random time below MaxDelayMS.
 type Lag struct{ Until, MaxDelayMS int64 }
 
-// sendMessage delivers a message: delayed, lost, or held by a partition until it ends.
+// sendMessage delivers a message after a random delay, or drops it. A partition delays it until the
+// partition ends, or drops it.
 func (sim *Simulation) sendMessage(from, to string, deliver func()) {
 	delay := 1 + sim.Rand.Int64N(12)
 	if sim.Rand.Float64() < 0.01 {
--- a/emulator/operator_requests.go
+++ b/emulator/operator_requests.go
@@ -7,7 +7,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// PickLiveWorkers returns up to n machines that are up, chosen at random.
+// PickLiveWorkers returns up to n random machines among those that are running.
 func (sim *Simulation) PickLiveWorkers(n int) (workers []*Worker) {
 	for _, id := range sim.WorkerIDs {
 		if worker := sim.Workers[id]; worker.Up && !worker.Gone {
@@ -18,8 +18,8 @@
 	return workers[:min(n, len(workers))]
 }
 
-// SendOperatorRequest sends an operator's request to the administration API of some member, and
-// repeats it until it is accepted (200) or rejected permanently (409).
+// SendOperatorRequest sends an operator's request to the administration API of a random member, and
+// retries until the request is accepted (200) or rejected permanently (409).
 func (sim *Simulation) SendOperatorRequest(
 	send func(m *scheduler.Controller, now scheduler.Now, replyID uint64),
 	onResponse func(scheduler.UserResponse),
@@ -37,7 +37,7 @@
 			return
 		}
 		if finished = true; resp.Status == 200 || resp.Status == 409 {
-			sim.Tracef("operator: gets %d %s", resp.Status, resp.Error)
+			sim.Tracef("operator: response %d %s", resp.Status, resp.Error)
 			onResponse(resp)
 		} else {
 			retry()
@@ -53,24 +53,24 @@
 	})
 }
 
-// StopCounter counts tasks that were stopped voluntarily and are not running again. It observes
-// the machines and not the disruption ledger, which it serves to check.
+// StopCounter counts tasks that were stopped voluntarily and have not restarted. It observes the
+// machines instead of the disruption ledger, because tests check the ledger against it.
 type StopCounter struct {
 	Total   int
-	MaxDown map[string]int // by team: most at a time
+	MaxDown map[string]int // largest number at one time, by team
 
 	sim         *Simulation
-	startCounts map[string]int // by task: number of starts when it was stopped
+	startCounts map[string]int // number of a task's starts when it was stopped, by task
 }
 
-// CountStops counts from now on; onStop is called for each stop with the number of tasks of its
-// team that are down.
+// CountStops counts stops from now on. It calls onStop for each stop with the number of tasks of
+// the same team that are down.
 func (sim *Simulation) CountStops(onStop func(t *platformfake.Task, down int)) *StopCounter {
 	counter := &StopCounter{sim: sim, MaxDown: map[string]int{}, startCounts: map[string]int{}}
 	sim.OnTaskStop = func(worker *Worker, t *platformfake.Task) {
 		j := sim.Jobs[t.Job.ID]
 		if worker.Agent.NoticeS != nil || j.DoneTasks[t.Name] {
-			return // involuntary, by the cloud, or nothing is lost
+			return // a reclaim by the cloud is involuntary; stopping a done task loses no work
 		}
 		counter.Total++
 		counter.startCounts[t.Name] = j.StartCounts[t.Name]
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -1,8 +1,8 @@
-// Package emulator is the project's own model of the systems that grebedock serves, in simulated
-// time: a state service, a cloud, workers, a network that loses, duplicates and
-// delays packets, clocks that drift, and users who submit, query, cancel and check the responses. It runs
-// real cores of the scheduler. One seed gives one history. The rules are checked against what ran
-// on the machines and what users were told, never against the state that a core believes.
+// Package emulator simulates, in simulated time, the systems that grebedock interacts with: a state
+// service, a cloud, workers, a network that drops, duplicates and delays messages, clocks that
+// drift, and users who submit, query and cancel jobs and check the responses. It runs the real
+// cores of the scheduler. The same seed gives the same history. The rules are checked against the
+// tasks on the machines and the responses to users, never against the state of a core.
 package emulator
 
 import (
@@ -19,137 +19,138 @@
 	Seed                uint64
 	Members             int
 	Types               []scheduler.MachineType
-	CapacityPerOffering int // machines of a type, zone and kind
+	CapacityPerOffering int // machines of each instance offering
 	Params              scheduler.Params
 	InjectedFault       InjectedFault
 	MessageLoss         float64 // share of messages that are lost
-	// TaskRunMS is how long a task runs; nil: some seconds.
+	// TaskRunMS returns the run time of a task in ms; nil: random, from 1 to 10 s.
 	TaskRunMS func(w *Simulation, j *Job, task string) int64
-	// SpeedSpread is the spread of the speed of machines of a type, and FetchSpread that of image
-	// fetches around size over the type's rate. Without the latter every fetch takes a machine the
-	// same time.
+	// SpeedSpread is the relative spread of the speeds of machines of a type. FetchSpread is that of
+	// image fetch times around the image size divided by the type's fetch rate; without it, all
+	// fetches of a machine take the same time.
 	SpeedSpread, FetchSpread float64
-	// SpotLossPerHour is the number of spot machines of a hundred that the cloud reclaims in an
-	// hour, with a notice of NoticeS seconds, give or take a half.
+	// SpotLossPerHour is the number of reclaims per hour per hundred spot machines. The notice is
+	// NoticeS seconds, varied randomly by up to half.
 	SpotLossPerHour, NoticeS float64
-	// How long a gang's tasks wait for each other; 0: they need not wait.
+	// GangWaitMS is how long a gang's tasks wait for each other; 0: they do not wait.
 	GangWaitMS int64
 }
 
-// Simulation is a simulated platform with a cluster of cores in it.
+// Simulation is a simulated platform with a cluster of cores.
 type Simulation struct {
 	Rand           *rand.Rand
-	Now            int64 // ms since the beginning
+	Now            int64 // simulated time in ms since the start
 	Store          *platformfake.State
 	Cloud          *platformfake.Cloud
 	Members        []*Member
 	Workers        map[string]*Worker
-	WorkerIDs      []string // of all machines that ever existed, in order
+	WorkerIDs      []string // of all machines ever provisioned, in order
 	Jobs           map[string]*Job
-	JobIDs         []string // of jobs
+	JobIDs         []string // in order of submission
 	Partitions     []Partition
 	OutageUntil    map[string]int64 // end of the state service's outage, for a member or "all"
 	Lags           map[string]Lag   // by member
 	Params         scheduler.Params
 	MessageLoss    float64
-	Violations     map[string]string // by rule: first violation
+	Violations     map[string]string // first violation, by rule
 	TraceEnabled   bool
 	TraceLog       []string
 	PriorityStops  int64             // tasks stopped for a higher priority
-	FailureReasons map[string]string // jobs that failed, and why
-	Relayed        int               // requests that members forwarded
+	FailureReasons map[string]string // reasons of failed jobs, by job ID
+	Relayed        int               // user requests that members forwarded
 	// Requests and writes per second that the state service allows; 0: unlimited.
 	StoreRPS      float64
 	StoreWriteRPS float64
 	StoreRequests map[scheduler.StoreOpKind]int
 	StoreChanges  int
-	// commands, queries to workers, machines provisioned and released: by kind, for each second
+	// Commands, queries to workers, and machines provisioned and released: counts per second, by
+	// kind.
 	CommandCounts  map[string][]int
 	RepeatedStarts int // starts of tasks that had started before
 	History        []history.Op
-	// ChecksDisabled turns the rules off. Their checks visit all tasks at each start, which
+	// ChecksDisabled disables the rule checks. They visit all tasks at each task start, which
 	// dominates measurements of large clusters.
 	ChecksDisabled bool
 	// SweepIntervalMS is the interval between checks of placements and limits over all tasks; 0:
-	// they are checked at each start, which dominates the run time at ten thousand machines.
+	// they are checked at each task start, which dominates the run time at ten thousand machines.
 	SweepIntervalMS int64
-	// PeerMessages counts messages between members, SummaryMessages those with summaries.
+	// PeerMessages counts messages between members; SummaryMessages counts those with summaries.
 	PeerMessages, SummaryMessages int
-	// Hooks for tests that inject a fault at a certain moment. ExtraDelay returns the additional
+	// Hooks for tests that inject a fault at a specific event. ExtraDelay returns the additional
 	// delay in ms of a message between two endpoints, RefusesConnection reports whether a member
-	// has no connection left for a worker, and Observer sees a member's outputs before they are
-	// carried out.
+	// has no connection left for a worker, and Observer receives a member's outputs before they are
+	// processed.
 	ExtraDelay        func(from, to string) int64
 	RefusesConnection func(member string) bool
 	// IsFaulty selects machines on which every task fails.
 	IsFaulty func(*Worker) bool
-	// IsMisconfigured selects jobs that were submitted with a mistake: their tasks fail on every
+	// IsMisconfigured selects jobs with an invalid configuration: their tasks fail on every
 	// machine.
 	IsMisconfigured func(*Job) bool
-	// BootDelay returns how long a machine takes to boot, in ms; below 0 it never does.
+	// BootDelay returns the boot time of a machine in ms; negative: the machine never boots.
 	BootDelay func(h *Worker, usual int64) int64
 	Observer  func(*Member, *scheduler.Outputs)
-	// OnTaskStop is called for each task that a worker is told to stop with a grace period
-	// although its job goes on. Stops without one are checked by the rule "stopped_well".
+	// OnTaskStop is called for each task that a worker is commanded to stop with a grace period
+	// while its job is active. The rule "stopped_well" checks stops without a grace period.
 	OnTaskStop func(*Worker, *platformfake.Task)
 	// OnTaskDone is called for each task that is done.
 	OnTaskDone func(*platformfake.Task)
 
-	// LateWriteCounts counts writes that were carried out late, by their keys' prefix,
-	// DuplicateCounts heartbeats that arrived again.
+	// LateWriteCounts counts writes that were applied late, by key prefix. DuplicateCounts counts
+	// duplicate and delayed heartbeats and late commands, by occasion.
 	LateWriteCounts, DuplicateCounts map[string]int
-	// LostResponseCount counts transactions that were carried out and whose response was lost.
+	// LostResponseCount counts transactions that were processed and whose response was dropped.
 	LostResponseCount int
-	// StartsAfterCancel counts tasks that started after their users were told that they
-	// are cancelled.
+	// StartsAfterCancel counts tasks that started after the cancellation of their job was confirmed
+	// to its user.
 	StartsAfterCancel int
-	// UpdatedTeams are the teams of new settings that members adopt one by one, if any: a job over
-	// their limits may wait.
+	// UpdatedTeams holds the teams of new settings, if any, that members adopt one after another: a
+	// job that exceeds their limits may wait.
 	UpdatedTeams map[string]scheduler.Team
 	// LongestStarvationMS is the longest time that a job waited although it could start.
 	LongestStarvationMS int64
-	// LostResponseKinds counts writes of which only the response was lost, by their keys' prefix.
+	// LostResponseKinds counts applied writes whose response was dropped, by key prefix.
 	LostResponseKinds map[string]int
-	// LosesResponse selects further transactions that are carried out and whose response is lost.
+	// LosesResponse selects further transactions that are applied and whose response is dropped.
 	LosesResponse func(*Member, scheduler.StoreOp) bool
 	// ConcurrentReads counts how often users queried all members at once.
 	ConcurrentReads int
-	// FailedConnections counts heartbeats of machines that could open no connection.
+	// FailedConnections counts heartbeats of machines that could not connect to a member.
 	FailedConnections int
-	// DelaysWrite selects further transactions that are carried out late.
+	// DelaysWrite selects further transactions that are applied late.
 	DelaysWrite func(*Member, scheduler.StoreOp) bool
 
 	options              Options
 	writeDelays          faultRate
 	heartbeatReplays     faultRate
-	responseLosses       faultRate // of transactions that are carried out at once
+	responseLosses       faultRate // of transactions that are applied immediately
 	claimReplays         faultRate // of heartbeats of which a copy is kept for the next claim
 	claimHeartbeats      []capturedHeartbeat
 	ownerReplays         faultRate // of heartbeats that are delayed until a new owner has acted
 	ownerHeartbeats      []capturedHeartbeat
-	newOwners            map[string]bool // members that claimed something and sent no command yet
+	newOwners            map[string]bool // members with a claim that have sent no command yet
 	commandDelays        faultRate       // of direct commands
 	cancelsAtEnd         faultRate       // of jobs that are cancelled as they end
-	concurrentReadsUntil int64           // until when users query all members at once
-	invalidRequestsUntil int64           // until when users send invalid requests
-	invalidJobCount      int             // how many such jobs were sent
+	concurrentReadsUntil int64           // end of the time in which users query all members concurrently
+	invalidRequestsUntil int64           // end of the time in which users send invalid requests
+	invalidJobCount      int             // number of invalid jobs sent
 	storeDelayMS         int64
 	storeSlowUntil       int64
-	lastFaultAt          int64 // when the last fault was over
-	// Since when each job waits although it could start.
+	lastFaultAt          int64 // last time at which a fault was active
+	// Time since which each job has waited although it could start.
 	startableSince       map[string]int64
 	eventSeq             int
 	queue                eventQueue
 	parkedWatches        []parkedWatch
-	usefulCPUMS          float64         // of done tasks, in processor milliseconds
-	usefulCost           float64         // the same times the price of the machines, per ms
-	completeGangAttempts map[string]bool // attempts of gangs that had all their tasks on machines
-	historyClock         int64           // orders requests and responses of users
+	usefulCPUMS          float64         // processor time of done tasks in ms
+	usefulCost           float64         // cost of that time at the machines' prices, per ms
+	completeGangAttempts map[string]bool // attempts of gangs of which all tasks were on machines
+	historyClock         int64           // logical clock of user requests and responses
 	operatorRequests     uint64
 	limitUse             map[string]limitSamples // by team
 }
 
-// New returns a simulation whose members start within its first 100 ms.
+// New returns a simulation. Its members start 37 ms after each other.
 func New(options Options) *Simulation {
 	if options.TaskRunMS == nil {
 		options.TaskRunMS = func(sim *Simulation, _ *Job, _ string) int64 { return 1000 + sim.Rand.Int64N(9000) }
@@ -190,7 +191,7 @@
 	return sim
 }
 
-// Tracef adds an event to the trace if TraceEnabled is set, for those who examine a seed.
+// Tracef adds an event to the trace if TraceEnabled is set. The trace helps to debug a seed.
 func (sim *Simulation) Tracef(format string, a ...any) {
 	if sim.TraceEnabled {
 		sim.TraceLog = append(sim.TraceLog, fmt.Sprintf("%7d ", sim.Now)+fmt.Sprintf(format, a...))
@@ -207,7 +208,7 @@
 	sim.CommandCounts[kind] = counts
 }
 
-// IsFinished reports whether the users of all jobs know how they ended.
+// IsFinished reports whether the users of all jobs have received a final state.
 func (sim *Simulation) IsFinished() bool {
 	for _, j := range sim.Jobs {
 		if !j.ObservedState.IsTerminal() {
--- a/emulator/starvation.go
+++ b/emulator/starvation.go
@@ -10,36 +10,37 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Once all faults are over, no job may be left waiting while a suitable machine has room and its
-// team is below its limit. The check uses the tasks on the machines, not what members believe.
+// After the end of all faults, no job may remain waiting while a suitable machine has capacity and
+// the job's team is below its limit. The check uses the tasks on the machines, not the state of
+// members.
 
 const (
 	maxStarvationMS         = 90_000
-	progressCheckIntervalMS = 1000 // between two checks
+	progressCheckIntervalMS = 1000
 )
 
-// workerUsage is the free capacity of a machine, and the images that its tasks keep there.
+// workerUsage is the free capacity of a machine, and the images that its tasks use.
 type workerUsage struct {
 	worker *Worker
-	free   availability.Resources // without the images
-	images map[string]float64
+	free   availability.Resources // without disk space, which images use
+	images map[string]float64     // size in GB, by image
 }
 
-// jobPlacement is where a job's tasks are, including those that wait for their image.
+// jobPlacement is the placement of a job's tasks, including those that wait for their image.
 type jobPlacement struct {
 	tasks map[string]bool
 	zones map[string]int
 }
 
-// clusterUsage is the usage of all machines at one time.
+// clusterUsage is the usage of all machines at one point in time.
 type clusterUsage struct {
 	machines []workerUsage
 	jobs     map[string]*jobPlacement
 	teams    map[string]availability.Resources
 }
 
-// measureUsage measures all machines. Those that accept no work, or will be gone soon, are not
-// listed, but their tasks count.
+// measureUsage measures all machines. Faulty machines, and those with a termination notice, are not
+// listed as capacity, but their tasks count.
 func (sim *Simulation) measureUsage() *clusterUsage {
 	usage := &clusterUsage{jobs: map[string]*jobPlacement{}, teams: map[string]availability.Resources{}}
 	for _, id := range sim.WorkerIDs {
@@ -65,7 +66,7 @@
 	return usage
 }
 
-// withoutImage drops the disk: an image is stored once for all tasks that need it.
+// withoutImage sets disk space to 0: an image is stored once for all tasks that use it.
 func withoutImage(r availability.Resources) availability.Resources {
 	r.DiskGB = 0
 	return r
@@ -89,7 +90,7 @@
 	usage.teams[t.Job.Team] = usage.teams[t.Job.Team].Add(t.Job.Request)
 }
 
-// fittingCopies returns how many tasks of a job the machine has room for, at most limit.
+// fittingCopies returns how many tasks of a job fit on the machine, at most limit.
 func (usage *workerUsage) fittingCopies(j *scheduler.Job, limit int) int {
 	instance := usage.worker.Instance
 	if instance.Spot && !j.Spot || j.Zone != "" && j.Zone != instance.Zone ||
@@ -98,19 +99,19 @@
 	}
 	if _, cached := usage.images[j.Image]; !cached {
 		cacheGB := j.Request.DiskGB
-		// Floating-point sum in a fixed order.
+		// Sorted, because the order of additions affects a floating-point sum.
 		for _, image := range slices.Sorted(maps.Keys(usage.images)) {
 			cacheGB += usage.images[image]
 		}
 		if cacheGB > usage.worker.machineType.Resources.DiskGB {
-			return 0 // the cache holds images that tasks there need
+			return 0 // images in use leave too little space in the cache
 		}
 	}
 	return usage.free.MaxCopies(withoutImage(j.Request), limit)
 }
 
-// findStartWorker reports whether a job's next task, or all tasks that a gang still lacks, could
-// start now, and returns a machine where it could.
+// findStartWorker reports whether a job's next task, or all missing tasks of a gang, could start
+// now, and returns a machine on which one could.
 func (usage *clusterUsage) findStartWorker(j *Job, limit scheduler.Team) (machine string, ok bool) {
 	job := &j.Spec
 	placement := usage.jobs[job.ID]
@@ -135,7 +136,7 @@
 		limit.MaxGPUs > 0 && used.GPUs+copies*job.Request.GPUs > limit.MaxGPUs {
 		return "", false
 	}
-	// zoneLimit returns how many more tasks a zone may have.
+	// zoneLimit returns how many more tasks the job may have in a zone.
 	zoneLimit := func(zone string) int {
 		switch {
 		case job.OneZone && len(placement.zones) > 0 && placement.zones[zone] == 0:
@@ -163,7 +164,7 @@
 	return "", false
 }
 
-// isQuiescent reports whether all faults are over, including those of machines.
+// isQuiescent reports whether no fault is active, including faults of machines.
 func (sim *Simulation) isQuiescent() bool {
 	if sim.hasActiveFault() || sim.commandDelays.until > sim.Now || sim.claimReplays.until > sim.Now {
 		return false
@@ -184,8 +185,8 @@
 	return true
 }
 
-// checkProgress checks periodically what each unfinished job waits for. The wait of a job begins
-// anew when one of its tasks starts, or when none could start.
+// checkProgress checks periodically that no unfinished job waits too long although it could start.
+// The wait of a job is reset when one of its tasks starts, or when none could start.
 func (sim *Simulation) checkProgress() {
 	sim.After(progressCheckIntervalMS, sim.checkProgress)
 	if !sim.isQuiescent() {
--- a/emulator/starvation_test.go
+++ b/emulator/starvation_test.go
@@ -8,7 +8,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// newWorkerUsage returns a machine of 8 processors and a cache of 10 GB, partly in use.
+// newWorkerUsage returns the usage of a machine with 8 processors, usedCPUs of them in use, and an
+// image cache of 10 GB.
 func newWorkerUsage(zone string, spot bool, usedCPUs float64, images map[string]float64) workerUsage {
 	machineType := scheduler.MachineType{
 		Name:      "small",
@@ -23,8 +24,9 @@
 	return workerUsage{worker: worker, free: availability.Resources{CPUs: 8 - usedCPUs, MemoryGB: 32}, images: images}
 }
 
-// Whether a task could start depends on room, type, zone, kind of machine, spread, a single zone,
-// image cache and the team's limit; for a gang, on all its tasks together.
+// TestStartableTasksAreRecognized checks whether a task could start, depending on free capacity,
+// machine type, zone, spot or on-demand, spread, a single zone, image cache and the team's limit.
+// A gang can start only with all its tasks.
 func TestStartableTasksAreRecognized(t *testing.T) {
 	a, b := newWorkerUsage("a", false, 0, nil), newWorkerUsage("b", false, 0, nil)
 	both := []workerUsage{a, b}
@@ -44,101 +46,101 @@
 		done      []string
 		expected  bool
 	}{
-		"room":         {machines: both, expected: true},
-		"no machine":   {},
-		"no room":      {machines: []workerUsage{newWorkerUsage("a", false, 5, nil)}},
-		"no memory":    {machines: both, job: func(j *scheduler.Job) { j.Request.MemoryGB = 33 }},
-		"another type": {machines: both, job: func(j *scheduler.Job) { j.Types = []string{"large"} }},
-		"its type": {
+		"free capacity":        {machines: both, expected: true},
+		"no machine":           {},
+		"no free processors":   {machines: []workerUsage{newWorkerUsage("a", false, 5, nil)}},
+		"no free memory":       {machines: both, job: func(j *scheduler.Job) { j.Request.MemoryGB = 33 }},
+		"another machine type": {machines: both, job: func(j *scheduler.Job) { j.Types = []string{"large"} }},
+		"the requested machine type": {
 			machines: both,
 			job:      func(j *scheduler.Job) { j.Types = []string{"large", "small"} },
 			expected: true,
 		},
-		"another zone":     {machines: []workerUsage{a}, job: func(j *scheduler.Job) { j.Zone = "b" }},
-		"its zone":         {machines: both, job: func(j *scheduler.Job) { j.Zone = "b" }, expected: true},
-		"no spot machines": {machines: []workerUsage{newWorkerUsage("a", true, 0, nil)}},
-		"spot machines": {
+		"another zone":                         {machines: []workerUsage{a}, job: func(j *scheduler.Job) { j.Zone = "b" }},
+		"the requested zone":                   {machines: both, job: func(j *scheduler.Job) { j.Zone = "b" }, expected: true},
+		"spot machine, job requires on-demand": {machines: []workerUsage{newWorkerUsage("a", true, 0, nil)}},
+		"spot machine, job allows spot": {
 			machines: []workerUsage{newWorkerUsage("a", true, 0, nil)},
 			job:      func(j *scheduler.Job) { j.Spot = true },
 			expected: true,
 		},
-		"the limit is reached": {machines: both, used: 17},
-		"below the limit":      {machines: both, used: 16, expected: true},
-		"all are on machines":  {machines: both, placement: placement(map[string]int{"a": 3}, "j/0", "j/1", "j/2")},
-		"all are done or on machines": {
+		"above the team's limit": {machines: both, used: 17},
+		"at the team's limit":    {machines: both, used: 16, expected: true},
+		"all tasks on machines":  {machines: both, placement: placement(map[string]int{"a": 3}, "j/0", "j/1", "j/2")},
+		"all tasks done or on machines": {
 			machines:  both,
 			placement: placement(map[string]int{"a": 2}, "j/0", "j/1"),
 			done:      []string{"j/2"},
 		},
-		"a done one is still there": {
+		"a done task still on its machine": {
 			machines:  both,
 			placement: placement(map[string]int{"a": 2}, "j/0", "j/1"),
 			done:      []string{"j/0"},
 			expected:  true,
 		},
-		"the cache is in use": {machines: []workerUsage{newWorkerUsage("a", false, 1, full)}},
-		"the image is there": {
+		"image cache in use": {machines: []workerUsage{newWorkerUsage("a", false, 1, full)}},
+		"image in the cache": {
 			machines: []workerUsage{newWorkerUsage("a", false, 1, map[string]float64{"x": 7, "img": 2})},
 			expected: true,
 		},
-		"room in the cache": {
+		"free space in the cache": {
 			machines: []workerUsage{newWorkerUsage("a", false, 1, map[string]float64{"x": 8})},
 			expected: true,
 		},
-		"one zone, elsewhere": {
+		"one zone, capacity in another": {
 			machines:  []workerUsage{b},
 			job:       func(j *scheduler.Job) { j.OneZone = true },
 			placement: placement(map[string]int{"a": 1}, "j/0"),
 		},
-		"one zone, there": {
+		"one zone, capacity in it": {
 			machines:  both,
 			job:       func(j *scheduler.Job) { j.OneZone = true },
 			placement: placement(map[string]int{"a": 1}, "j/0"),
 			expected:  true,
 		},
-		"spread, the zone has half": {
+		"spread, zone with half of the tasks": {
 			machines:  []workerUsage{a},
 			job:       func(j *scheduler.Job) { j.Spread = true },
 			placement: placement(map[string]int{"a": 2}, "j/0", "j/1"),
 		},
-		"spread, the other zone": {
+		"spread, capacity in the other zone": {
 			machines:  both,
 			job:       func(j *scheduler.Job) { j.Spread = true },
 			placement: placement(map[string]int{"a": 2}, "j/0", "j/1"),
 			expected:  true,
 		},
-		"a gang, room for two": {machines: []workerUsage{a}, job: func(j *scheduler.Job) { j.Kind = scheduler.Gang }},
-		"a gang, room for all": {
+		"a gang, capacity for two tasks": {machines: []workerUsage{a}, job: func(j *scheduler.Job) { j.Kind = scheduler.Gang }},
+		"a gang, capacity for all tasks": {
 			machines: both,
 			job:      func(j *scheduler.Job) { j.Kind = scheduler.Gang },
 			expected: true,
 		},
-		"a gang over the limit": {machines: both, job: func(j *scheduler.Job) { j.Kind = scheduler.Gang }, used: 10},
-		"a gang, its last task": {
+		"a gang above the limit": {machines: both, job: func(j *scheduler.Job) { j.Kind = scheduler.Gang }, used: 10},
+		"a gang, one task missing": {
 			machines:  []workerUsage{a},
 			job:       func(j *scheduler.Job) { j.Kind = scheduler.Gang },
 			placement: placement(map[string]int{"b": 2}, "j/0", "j/1"),
 			expected:  true,
 		},
-		"a gang in one zone, two": {
+		"a gang in one zone, capacity for two tasks": {
 			machines: both,
 			job:      func(j *scheduler.Job) { j.Kind, j.OneZone = scheduler.Gang, true },
 		},
-		"a gang in one zone, there": {
+		"a gang in one zone, capacity for all tasks": {
 			machines: []workerUsage{a, b, a},
 			job:      func(j *scheduler.Job) { j.Kind, j.OneZone = scheduler.Gang, true },
 			expected: true,
 		},
-		"a spread gang, one zone": {
+		"a spread gang, capacity in one zone": {
 			machines: []workerUsage{a, a},
 			job:      func(j *scheduler.Job) { j.Kind, j.Spread = scheduler.Gang, true },
 		},
-		"a spread gang, both": {
+		"a spread gang, capacity in both zones": {
 			machines: both,
 			job:      func(j *scheduler.Job) { j.Kind, j.Spread = scheduler.Gang, true },
 			expected: true,
 		},
-		"one more than half in a zone": {
+		"spread, a single task": {
 			machines: []workerUsage{a, a},
 			job:      func(j *scheduler.Job) { j.Tasks, j.Spread = 1, true },
 			expected: true,
@@ -169,7 +171,7 @@
 			usage.jobs["j"] = c.placement
 		}
 		if _, got := usage.findStartWorker(j, scheduler.Team{MaxCPUs: 20}); got != c.expected {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got %v, want %v", name, got, c.expected)
 		}
 	}
 }
--- a/emulator/team_results.go
+++ b/emulator/team_results.go
@@ -5,9 +5,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Team results are counted on the machines, not taken from what members report.
+// Team results are measured on the machines, not taken from reports of members.
 
-// minCountedRunMS is the shortest run time in ms for which the start of a task counts if the task
+// minCountedRunMS is the minimum run time in ms with which the start of a task counts if the task
 // is stopped by command (PROTOCOL).
 const minCountedRunMS = 30_000
 
@@ -33,7 +33,7 @@
 	return cpus <= team.CPUs && gpus <= team.GPUs
 }
 
-// discountEarlyStop discounts a start that was stopped by command before minCountedRunMS.
+// discountEarlyStop excludes the start of a task that is stopped by command before minCountedRunMS.
 func (sim *Simulation) discountEarlyStop(worker *Worker, t *platformfake.Task) {
 	j := sim.Jobs[t.Job.ID]
 	if at, ok := j.countedStartAt[t.Name]; ok && sim.Now-at < minCountedRunMS && worker.Agent.NoticeS == nil &&
@@ -42,7 +42,7 @@
 	}
 }
 
-// countPromptStarts counts how soon a team's work within its guarantee started, for jobs that
+// countPromptStarts measures how soon tasks within a team's guarantee started, for jobs that
 // arrived since sinceMS and were not cancelled.
 func (sim *Simulation) countPromptStarts(result *TeamResult, withinS float64, sinceMS int64) {
 	var waits []float64
@@ -64,7 +64,8 @@
 	if result.Guaranteed > 0 {
 		result.PromptShare = float64(prompt) / float64(result.Guaranteed)
 	}
-	// Tasks that never started count as the longest waits.
+	// For tasks without a counted start, the time since the start of the simulation counts as the
+	// wait, which is longer than any other.
 	for len(waits) < result.Guaranteed {
 		waits = append(waits, float64(sim.Now)/1000)
 	}
@@ -82,7 +83,7 @@
 	usedShareSum                float64
 }
 
-// sampleLimits samples once a second what teams use and wait for.
+// sampleLimits samples the usage and demand of teams once per second.
 func (sim *Simulation) sampleLimits() {
 	cpus, waitingCPUs := map[string]float64{}, map[string]float64{}
 	placedTasks := map[string]bool{}
--- a/emulator/user_requests.go
+++ b/emulator/user_requests.go
@@ -9,14 +9,14 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// What users do beside submitting jobs and polling them: many cancellations at once, cancellations
-// at a job's end, concurrent queries to all members, and invalid requests.
+// User requests other than submissions and polling: simultaneous cancellations of several jobs,
+// cancellations at a job's end, concurrent queries to all members, and invalid requests.
 
-// maxHungWorkers bounds the hanging machines of jobs that are cancelled together.
+// maxHungWorkers is the maximum number of machines that hang when jobs are cancelled together.
 const maxHungWorkers = 8
 
-// CancelRunningJobs cancels, within 200 ms, the count running jobs with the most work left. With
-// hangMS, up to maxHungWorkers of their machines hang that long from then on.
+// CancelRunningJobs cancels, within 200 ms, the count running jobs with the most unfinished tasks.
+// If hangMS is above 0, up to maxHungWorkers of their machines hang for hangMS from now.
 func (sim *Simulation) CancelRunningJobs(count int, hangMS int64) {
 	workers := map[string][]*Worker{}
 	sim.EachTask(func(worker *Worker, t *platformfake.Task) { workers[t.Job.ID] = append(workers[t.Job.ID], worker) })
@@ -41,12 +41,12 @@
 	}
 }
 
-// CancelAtEnd cancels a share of the jobs as their last task ends, for ms milliseconds from now.
+// CancelAtEnd cancels a share of the jobs when their last task ends, for ms milliseconds from now.
 func (sim *Simulation) CancelAtEnd(probability float64, ms int64) {
 	sim.cancelsAtEnd = faultRate{probability, sim.Now + ms}
 }
 
-// onJobDone is called as the last task of a job ends.
+// onJobDone is called when the last task of a job is done.
 func (sim *Simulation) onJobDone(j *Job) {
 	if j.Accepted && !j.CancelRequested && sim.cancelsAtEnd.occurs(sim) {
 		sim.After(sim.Rand.Int64N(30), func() { sim.CancelJob(j) })
@@ -54,17 +54,18 @@
 	sim.readAtAllMembers(j)
 }
 
-// ReadConcurrently makes users query all members within milliseconds after a job was accepted,
-// ended, or was reported as over.
+// ReadConcurrently makes users query all members within concurrentReadWindowMS after a job was
+// accepted, after its last task was done, and after its final state was reported, for ms
+// milliseconds from now.
 func (sim *Simulation) ReadConcurrently(ms int64) {
 	sim.concurrentReadsUntil = max(sim.concurrentReadsUntil, sim.Now+ms)
 }
 
-// concurrentReadWindowMS is the time within which concurrent queries are sent.
+// concurrentReadWindowMS is the time in ms within which concurrent queries are sent.
 const concurrentReadWindowMS = 40
 
-// readAtAllMembers queries each member twice, repeats the submission at one, and cancels every
-// eighth job.
+// readAtAllMembers queries each member twice, repeats the submission at one, and cancels one job in
+// eight on average.
 func (sim *Simulation) readAtAllMembers(j *Job) {
 	if sim.concurrentReadsUntil <= sim.Now || !j.Accepted {
 		return
@@ -99,8 +100,8 @@
 	})
 }
 
-// SendInvalidRequests makes users, for ms milliseconds, resubmit unfinished jobs, cancel jobs that
-// are done, and submit jobs that fit no machine or lack a field.
+// SendInvalidRequests makes users, for ms milliseconds, resubmit unfinished jobs, cancel done jobs,
+// and submit jobs that can never run or have a missing field.
 func (sim *Simulation) SendInvalidRequests(ms int64) {
 	active := sim.invalidRequestsUntil > sim.Now
 	sim.invalidRequestsUntil = max(sim.invalidRequestsUntil, sim.Now+ms)
@@ -136,8 +137,8 @@
 	}
 }
 
-// submitInvalidJob submits a job that lacks a field, or one that can never run. Valid responses
-// are 503 or the status that gives the reason.
+// submitInvalidJob submits a job with a missing field, or one that can never run. Valid responses
+// are 503 and the status of the reason.
 func (sim *Simulation) submitInvalidJob(template scheduler.Job, lacksField bool) {
 	sim.invalidJobCount++
 	id := fmt.Sprintf("job-8%05d", sim.invalidJobCount)
--- a/emulator/users.go
+++ b/emulator/users.go
@@ -6,31 +6,31 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Job is a job with what its user was told and what the machines did.
+// Job is a job with the observations of its user and of the machines.
 type Job struct {
 	Spec              scheduler.Job
 	Accepted          bool
 	ObservedState     scheduler.JobState
-	CancelRequested   bool  // its user requested it
-	CancelConfirmedAt int64 // when its user was told that it is cancelled
+	CancelRequested   bool  // by its user
+	CancelConfirmedAt int64 // when a response first confirmed its cancellation to its user
 	DoneTasks         map[string]bool
-	StartCounts       map[string]int // starts by task
-	TaskRunS          float64        // of its tasks, in seconds, for runners of real executions
+	StartCounts       map[string]int // number of starts, by task
+	TaskRunS          float64        // run time of its tasks in seconds, for TaskRunMS functions
 	SubmittedAt       int64
-	// AcceptedAt is when its user was first told that the job is accepted.
+	// AcceptedAt is when its user received the first response that the job is accepted.
 	AcceptedAt   int64
 	FirstStartAt int64 // when its first task started, 0: not yet
 	DoneAt       int64 // when its last task was done, 0: not yet
 
-	finalObservedAt int64 // when its user was told its final state
-	// When its user last got a response about it.
+	finalObservedAt int64 // when its user received its final state
+	// When its user last received a response with its state.
 	lastResponseAt  int64
 	longestRunMS    int64 // longest run time of its tasks that ran
 	withinGuarantee bool  // submitted within its team's guarantee
 	countedStartAt  map[string]int64
 }
 
-// NewJob returns a job that nobody has submitted yet.
+// NewJob returns a job that has not been submitted.
 func NewJob(j scheduler.Job) *Job {
 	return &Job{
 		Spec:           j,
@@ -82,8 +82,8 @@
 	sim.After(5000, func() { finish(scheduler.UserResponse{}, false) })
 }
 
-// ReceiveResponse checks a response to a query that was sent at requestedAt against what the user
-// had been told by then.
+// ReceiveResponse processes a response to a request that was sent at requestedAt, and checks it
+// against the responses that the user had received before.
 func (sim *Simulation) ReceiveResponse(j *Job, requestedAt int64, resp scheduler.UserResponse) {
 	switch resp.Status {
 	case 200, 201:
@@ -118,7 +118,7 @@
 	}
 }
 
-// Submit makes a job's user submit it until it is accepted, and poll it from then on.
+// Submit makes a job's user submit it until it is accepted, and poll it periodically.
 func (sim *Simulation) Submit(j *Job) {
 	id := j.Spec.ID
 	sim.Jobs[id] = j
@@ -137,7 +137,7 @@
 			func(resp scheduler.UserResponse, ok bool) {
 				if ok {
 					sim.ReceiveResponse(j, requestedAt, resp)
-					sim.Tracef("user: %s submitted, gets %d %s", id, resp.Status, resp.Error)
+					sim.Tracef("user: %s submitted, response %d %s", id, resp.Status, resp.Error)
 				}
 				if !j.Accepted {
 					sim.After(1000*int64(max(1, resp.RetryAfterS)), attempt)
@@ -162,7 +162,7 @@
 	m.dispatchOutputs()
 }
 
-// CancelJob makes a job's user cancel it, repeatedly until a member responds with status 200.
+// CancelJob makes a job's user cancel it, and retry until a member responds with status 200.
 func (sim *Simulation) CancelJob(j *Job) {
 	if !j.Accepted {
 		sim.After(1000, func() { sim.CancelJob(j) })
@@ -199,7 +199,7 @@
 	})
 }
 
-// QueryUnknownJobs queries jobs that nobody submitted.
+// QueryUnknownJobs periodically queries jobs that were never submitted.
 func (sim *Simulation) QueryUnknownJobs() {
 	id := fmt.Sprintf("job-9%05d", sim.Rand.IntN(100000))
 	sim.SendRequest(
--- a/emulator/workers.go
+++ b/emulator/workers.go
@@ -12,12 +12,12 @@
 
 // Worker is a provisioned machine.
 type Worker struct {
-	Agent          *platformfake.Worker // nil until it is up
+	Agent          *platformfake.Worker // nil until the machine has booted
 	Instance       *platformfake.Instance
 	Up, Gone       bool
 	ReleasedAt     int64
 	HangUntil      int64
-	AcknowledgedAt int64 // when a heartbeat of it was last accepted
+	AcknowledgedAt int64 // when a member last accepted a heartbeat of it
 
 	machineType              scheduler.MachineType
 	taskStartedAt            map[string]int64 // when each task last started here
@@ -26,16 +26,17 @@
 	nextHeartbeatAt          int64
 	lastHeartbeatAt          int64
 	retryHeartbeat           bool  // the last heartbeat had no valid response
-	inboundPartitionedUntil  int64 // responses and direct commands to it are lost
-	outboundPartitionedUntil int64 // it can open no connection to a member
-	// Until when direct commands to it, and their responses, are delayed.
+	inboundPartitionedUntil  int64 // responses and direct commands to it are dropped
+	outboundPartitionedUntil int64 // it cannot connect to any member
+	// Times until which direct commands to it, and their responses, are delayed.
 	commandsDelayedUntil, commandResultsDelayedUntil int64
-	// Until the next heartbeat if nothing changes.
+	// Time from the last heartbeat to the next one if nothing changes.
 	heartbeatIntervalMS int64
 	clockRate           float64
 }
 
-// erringExecution is a task that sometimes ends by itself with an error.
+// erringExecution is the execution of a task that ends at a given time, successfully or with an
+// error.
 type erringExecution struct {
 	sim      *Simulation
 	endsAt   int64
@@ -60,10 +61,10 @@
 // Clock returns the machine's own monotonic time in ms.
 func (worker *Worker) Clock(sim *Simulation) int64 { return int64(float64(sim.Now) * worker.clockRate) }
 
-// neverBootsShare is the share of provisioned instances that never boot.
+// neverBootsShare is the share of provisioned machines that never boot.
 const neverBootsShare = 0.05
 
-// provisioned adds an instance that the cloud has provisioned.
+// provisioned adds a machine for an instance that the cloud has provisioned.
 func (sim *Simulation) provisioned(instance *platformfake.Instance) {
 	worker := &Worker{
 		Instance:      instance,
@@ -102,7 +103,7 @@
 	sim.After(bootMS, func() { sim.bootWorker(worker, speedRatio, fetchRatio) })
 }
 
-// bootWorker starts the agent of a machine that has booted, unless it was released meanwhile.
+// bootWorker starts the agent of a machine that has booted, unless the machine was released before.
 func (sim *Simulation) bootWorker(worker *Worker, speedRatio, fetchRatio float64) {
 	if worker.Gone {
 		return
@@ -152,7 +153,7 @@
 	}
 }
 
-// onDone counts a task's result, and the useful part of its machine's time.
+// onDone records that a task is done, and adds its run time to the useful work.
 func (sim *Simulation) onDone(worker *Worker, t *platformfake.Task) {
 	if sim.OnTaskDone != nil {
 		sim.OnTaskDone(t)
@@ -169,7 +170,8 @@
 	}
 }
 
-// execute returns the execution of a task that may fail, or nil if it runs its time and succeeds.
+// execute returns the execution of a task that may fail, or nil for a task that runs for its run
+// time and succeeds.
 func (sim *Simulation) execute(worker *Worker, t *platformfake.Task) platformfake.Execution {
 	if sim.IsFaulty != nil && sim.IsFaulty(worker) ||
 		sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[t.Job.ID]) {
@@ -181,10 +183,11 @@
 	return &erringExecution{sim, sim.Now + 1000 + sim.Rand.Int64N(4000), sim.Rand.IntN(4) > 0}
 }
 
-// isGangComplete reports whether all tasks of a gang's attempt have their images.
+// isGangComplete reports whether all tasks of a gang's attempt have been on machines at the same
+// time, with their images.
 func (sim *Simulation) isGangComplete(t *platformfake.Task) bool {
 	attempt := fmt.Sprintf("%s %d", t.Job.ID, t.Attempt)
-	placed := len(sim.Jobs[t.Job.ID].DoneTasks) // those of an earlier attempt
+	placed := len(sim.Jobs[t.Job.ID].DoneTasks) // done in an earlier attempt
 	sim.EachTask(func(_ *Worker, other *platformfake.Task) {
 		if other.Job.ID == t.Job.ID && other.Attempt == t.Attempt {
 			placed++
@@ -194,7 +197,7 @@
 	return sim.completeGangAttempts[attempt]
 }
 
-// interruptSpot reclaims a spot machine for the cloud, after a notice.
+// interruptSpot makes the cloud reclaim a spot machine after a notice.
 func (sim *Simulation) interruptSpot(worker *Worker) {
 	if worker.Gone {
 		return
@@ -206,8 +209,8 @@
 	sim.After(int64(noticeS*1000), func() { sim.Cloud.Reclaim(worker.Instance.ID) })
 }
 
-// ReplaceWorkers removes machines and starts as many that nobody requested, as when old
-// provisioning requests are carried out late.
+// ReplaceWorkers makes the cloud reclaim machines and provision as many without a request, as when
+// old provisioning requests are executed late.
 func (sim *Simulation) ReplaceWorkers(workers []*Worker) {
 	for i, worker := range workers {
 		sim.Cloud.Reclaim(worker.Instance.ID)
@@ -225,8 +228,9 @@
 	}
 }
 
-// The pace of heartbeats: no two within minHeartbeatIntervalMS, the next member memberRetryMS
-// after a refusal, and a timeout of heartbeatTimeoutMS for a response.
+// Timing of heartbeats: at least minHeartbeatIntervalMS between two, except for retries;
+// memberRetryMS before a retry at the next member; and a timeout of heartbeatTimeoutMS for a
+// response. The network duplicates a share of duplicateHeartbeatShare.
 const (
 	minHeartbeatIntervalMS  = 500
 	memberRetryMS           = 1000
@@ -234,7 +238,7 @@
 	duplicateHeartbeatShare = 0.01
 )
 
-// stepWorker lets a worker act.
+// stepWorker advances a worker, and sends its next heartbeat when it is due.
 func (sim *Simulation) stepWorker(worker *Worker) {
 	if !worker.Up || worker.Gone || worker.HangUntil > sim.Now {
 		return
@@ -257,9 +261,9 @@
 	worker      *Worker
 	member      *Member
 	heartbeat   scheduler.Heartbeat
-	sentAt      int64  // by the worker's clock
-	incarnation uint64 // as it was sent
-	finished    bool   // responded to, refused or timed out
+	sentAt      int64  // on the worker's clock
+	incarnation uint64 // in the sent heartbeat
+	finished    bool   // response received, refused or timed out
 	delivered   bool   // a copy has arrived
 }
 
@@ -292,7 +296,7 @@
 
 func (worker *Worker) endpoint() string { return "w" + worker.Instance.ID }
 
-// fail ends an exchange without a response.
+// fail ends an exchange without a response, unless it has finished.
 func (x *heartbeatExchange) fail() {
 	if !x.finished {
 		x.finished = true
@@ -307,20 +311,20 @@
 	worker.nextHeartbeatAt, worker.retryHeartbeat = x.sim.Now+memberRetryMS, true
 }
 
-// deliver hands a copy of the heartbeat to the member.
+// deliver delivers a copy of the heartbeat to the member.
 func (x *heartbeatExchange) deliver() {
 	sim, worker, m := x.sim, x.worker, x.member
 	if worker.outboundPartitionedUntil > sim.Now || sim.captureForNewOwner(worker, x.heartbeat) {
 		return
 	}
 	if m.Core == nil || sim.RefusesConnection != nil && sim.RefusesConnection(m.Name) {
-		// Refused: nothing listens there, or it has no connection left.
+		// Refused: the member is down or has no connection left.
 		sim.sendMessage(m.Name, worker.endpoint(), x.fail)
 		return
 	}
 	m.lastReplyID++
 	replyID := m.lastReplyID
-	if x.delivered { // nobody waits for the response to a copy
+	if x.delivered { // the worker ignores the response to a duplicate
 		m.pendingHeartbeats[replyID] = func(scheduler.HeartbeatResponse) {
 			sim.sendMessage(m.Name, worker.endpoint(), func() {})
 		}
@@ -341,8 +345,8 @@
 	sim.captureForClaim(worker, x.heartbeat)
 }
 
-// receiveResponse takes the response at the worker. One that comes while the
-// machine hangs is dropped: responses are never carried out late.
+// receiveResponse applies the response at the worker. A response that arrives while the machine
+// hangs is dropped: heartbeat responses are never applied late.
 func (x *heartbeatExchange) receiveResponse(resp scheduler.HeartbeatResponse) {
 	sim, worker := x.sim, x.worker
 	isPartitioned := worker.inboundPartitionedUntil > sim.Now || worker.outboundPartitionedUntil > sim.Now
@@ -383,7 +387,7 @@
 }
 
 // costs returns the share of the cost that done tasks used, and the cost relative to that of the
-// same work at the lowest price of a processor. Lost work counts as useless.
+// same work at the lowest price per processor. Lost work does not count as useful.
 func (sim *Simulation) costs() (usefulShare, priceRatio float64) {
 	paidCost, lowestPrice := 0.0, 0.0
 	for _, id := range sim.WorkerIDs {
