--- a/emulator/events.go
+++ b/emulator/events.go
@@ -49,25 +49,25 @@
 		for _, id := range sim.WorkerIDs {
 			sim.stepWorker(sim.Workers[id])
 		}
-		stillParked := sim.parkedWatches[:0]
-		for _, watch := range sim.parkedWatches {
+		stillPending := sim.pendingWatches[:0]
+		for _, watch := range sim.pendingWatches {
 			if sim.storeRefuses(watch.member) {
-				stillParked = append(stillParked, watch)
+				stillPending = append(stillPending, watch)
 				continue
 			}
 			result, ready := sim.Store.Apply(sim.Now, watch.op)
 			if ready || sim.Now >= watch.until {
 				watch.respond(result)
 			} else {
-				stillParked = append(stillParked, watch)
+				stillPending = append(stillPending, watch)
 			}
 		}
-		sim.parkedWatches = stillParked
+		sim.pendingWatches = stillPending
 		if sim.OutageUntil["all"] <= sim.Now {
 			sim.Store.ExpireLeases(sim.Now)
 		}
 		sim.checkCancelled()
-		sim.checkForgotten()
+		sim.checkUnansweredQueries()
 		sim.After(40, tick)
 	}
 	tick()
--- a/emulator/group_progress.go
+++ b/emulator/group_progress.go
@@ -97,7 +97,7 @@
 			out = append(out, fmt.Sprintf("%s: %d of %d jobs done", group, progress.Done, progress.Jobs))
 		}
 		if strings.HasPrefix(group, largestGroup) && progress.LongestWaitMS > MaxLargestJobWaitMS {
-			out = append(out, fmt.Sprintf("%s: a job waited %d ms for its first task start", group, progress.LongestWaitMS))
+			out = append(out, fmt.Sprintf("%s: a job waited %d ms to start", group, progress.LongestWaitMS))
 		}
 	}
 	return out
--- a/emulator/group_progress_test.go
+++ b/emulator/group_progress_test.go
@@ -53,10 +53,13 @@
 			func(sim *Simulation) { leaveUnfinished(sim, 0, 1) },
 			[]string{"longest batch: 0 of 2 jobs done"},
 		},
-		"jobs of a team not done": {func(sim *Simulation) { leaveUnfinished(sim, 1, 3, 5) }, []string{"team t1: 1 of 4 jobs done"}},
+		"jobs of a team not done": {
+			func(sim *Simulation) { leaveUnfinished(sim, 1, 3, 5) },
+			[]string{"team t1: 1 of 4 jobs done"},
+		},
 		"a large job started late": {
 			func(sim *Simulation) { sim.Jobs[sim.JobIDs[7]].FirstStartAt = 1001 + MaxLargestJobWaitMS },
-			[]string{"largest batch: a job waited 240001 ms for its first task start"},
+			[]string{"largest batch: a job waited 240001 ms to start"},
 		},
 		"a small job started late": {
 			func(sim *Simulation) { sim.Jobs[sim.JobIDs[2]].FirstStartAt = 1001 + MaxLargestJobWaitMS },
@@ -64,7 +67,7 @@
 		},
 		"a large job never started": {
 			func(sim *Simulation) { sim.Jobs[sim.JobIDs[7]].FirstStartAt = 0 },
-			[]string{"largest batch: a job waited 999000 ms for its first task start"},
+			[]string{"largest batch: a job waited 999000 ms to start"},
 		},
 		"cancelled jobs not done": {func(sim *Simulation) {
 			leaveUnfinished(sim, 6, 7)
--- a/emulator/members.go
+++ b/emulator/members.go
@@ -25,11 +25,11 @@
 	Core          *scheduler.Controller // nil while it is down
 	ClockOffsetMS int64                 // error of its wall clock in ms
 
-	sim          *Simulation
-	epoch        int
-	clockRate    float64
-	startedAt    int64
-	budgetFreeAt int64 // when the rate limits allow its next request to the state service
+	sim                *Simulation
+	epoch              int
+	clockRate          float64
+	startedAt          int64
+	nextStoreRequestAt int64 // when the rate limits allow its next request to the state service
 	// Time at which its paused process resumes.
 	pausedUntil         int64
 	lastReplyID         uint64
@@ -37,7 +37,7 @@
 	pendingUserRequests map[uint64]func(scheduler.UserResponse)
 }
 
-type parkedWatch struct {
+type pendingWatch struct {
 	op      scheduler.StoreOp
 	until   int64
 	member  string
@@ -122,14 +122,14 @@
 	}
 	memberCount := float64(len(sim.Members))
 	cost := max(1, memberCount/sim.StoreRPS*1000, memberCount/sim.StoreWriteRPS*1000*float64(len(op.Changes)))
-	m.budgetFreeAt = max(m.budgetFreeAt, sim.Now-1000) + int64(cost)
-	sim.After(max(0, m.budgetFreeAt-sim.Now), func() { sim.sendMessage(m.Name, "store", send) })
+	m.nextStoreRequestAt = max(m.nextStoreRequestAt, sim.Now-1000) + int64(cost)
+	sim.After(max(0, m.nextStoreRequestAt-sim.Now), func() { sim.sendMessage(m.Name, "store", send) })
 }
 
 // dispatchOutputs processes the outputs of the member's core.
 func (m *Member) dispatchOutputs() {
 	// The observer may crash the member. Its outputs are still sent, as by a process that ends a
-	// moment later, but the epoch keeps responses from the core that starts after it.
+	// moment later, but responses do not reach the restarted core, because its epoch differs.
 	sim, epoch := m.sim, m.epoch
 	outputs := m.Core.TakeOutputs()
 	if sim.Observer != nil {
@@ -217,12 +217,12 @@
 		respond(scheduler.StoreResult{Outcome: scheduler.Refused})
 		return
 	}
-	if sim.divertLateWrite(m, op) {
+	if sim.interceptLateWrite(m, op) {
 		return
 	}
 	result, ready := sim.Store.Apply(sim.Now, op)
 	if op.Kind == scheduler.StoreWatch && !ready {
-		sim.parkedWatches = append(sim.parkedWatches, parkedWatch{op, sim.Now + op.DurationMS, m.Name, respond})
+		sim.pendingWatches = append(sim.pendingWatches, pendingWatch{op, sim.Now + op.DurationMS, m.Name, respond})
 		return
 	}
 	sim.observeClaim(m, op, result)
--- a/emulator/protocol_faults.go
+++ b/emulator/protocol_faults.go
@@ -187,22 +187,23 @@
 	return false
 }
 
-// forgottenMS is the maximum time in ms, after the end of all faults, for which queries about a job
-// may remain without a response.
-const forgottenMS = 75_000
+// maxUnansweredMS is the maximum time in ms, after the end of all faults, for which queries about a
+// job may remain without a response.
+const maxUnansweredMS = 75_000
 
-// checkForgotten checks each job separately, so that responses about other jobs hide no violation.
-func (sim *Simulation) checkForgotten() {
+// checkUnansweredQueries checks each job separately, so that responses about other jobs hide no
+// violation.
+func (sim *Simulation) checkUnansweredQueries() {
 	if sim.hasActiveFault() {
 		sim.lastFaultAt = sim.Now
 		return
 	}
-	if sim.ChecksDisabled || sim.Now-sim.lastFaultAt <= forgottenMS {
+	if sim.ChecksDisabled || sim.Now-sim.lastFaultAt <= maxUnansweredMS {
 		return
 	}
 	for _, id := range sim.JobIDs {
 		if j := sim.Jobs[id]; j.Accepted && !j.CancelRequested &&
-			sim.Now-max(j.lastResponseAt, j.AcceptedAt) > forgottenMS {
+			sim.Now-max(j.lastResponseAt, j.AcceptedAt) > maxUnansweredMS {
 			sim.recordViolation(
 				"forgotten",
 				"no question about %s is answered for %d ms",
@@ -237,9 +238,9 @@
 	return parts[0]
 }
 
-// divertLateWrite may intercept a transaction, to apply it later without a response, and reports
+// interceptLateWrite may intercept a transaction, to apply it later without a response, and reports
 // whether it did.
-func (sim *Simulation) divertLateWrite(m *Member, op scheduler.StoreOp) bool {
+func (sim *Simulation) interceptLateWrite(m *Member, op scheduler.StoreOp) bool {
 	if op.Kind != scheduler.StoreTxn || sim.storeRefuses(m.Name) ||
 		!sim.writeDelays.occurs(sim) && !(sim.DelaysWrite != nil && sim.DelaysWrite(m, op)) {
 		return false
--- a/emulator/protocol_faults_test.go
+++ b/emulator/protocol_faults_test.go
@@ -186,7 +186,7 @@
 				}
 				sim.After(10_000, func() {
 					if worker.AcknowledgedAt != acknowledgedAt || worker.Agent.Incarnation == 1 {
-						t.Errorf("heartbeat acknowledged at %d ms, incarnation %d; want none after %d ms and a new incarnation",
+						t.Errorf("last acknowledged at %d ms, incarnation %d; want %d ms and a new incarnation",
 							worker.AcknowledgedAt, worker.Agent.Incarnation, acknowledgedAt)
 					}
 				})
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -14,7 +14,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Options configure a simulation.
+// Options holds the configuration of a simulation.
 type Options struct {
 	Seed                uint64
 	Members             int
@@ -141,7 +141,7 @@
 	startableSince       map[string]int64
 	eventSeq             int
 	queue                eventQueue
-	parkedWatches        []parkedWatch
+	pendingWatches       []pendingWatch
 	usefulCPUMS          float64         // processor time of done tasks in ms
 	usefulCost           float64         // cost of that time at the machines' prices, per ms
 	completeGangAttempts map[string]bool // attempts of gangs of which all tasks were on machines
@@ -177,7 +177,7 @@
 		Params:               options.Params,
 		options:              options,
 	}
-	sim.Cloud.OnProvisioned = func(instance *platformfake.Instance) { sim.provisioned(instance) }
+	sim.Cloud.OnProvisioned = func(instance *platformfake.Instance) { sim.addWorker(instance) }
 	sim.Cloud.OnReleased = func(instance *platformfake.Instance) {
 		if worker := sim.Workers[instance.ID]; worker != nil {
 			worker.Gone, worker.ReleasedAt = true, sim.Now
--- a/emulator/starvation_test.go
+++ b/emulator/starvation_test.go
@@ -56,10 +56,10 @@
 			job:      func(j *scheduler.Job) { j.Types = []string{"large", "small"} },
 			expected: true,
 		},
-		"another zone":                         {machines: []workerUsage{a}, job: func(j *scheduler.Job) { j.Zone = "b" }},
-		"the requested zone":                   {machines: both, job: func(j *scheduler.Job) { j.Zone = "b" }, expected: true},
-		"spot machine, job requires on-demand": {machines: []workerUsage{newWorkerUsage("a", true, 0, nil)}},
-		"spot machine, job allows spot": {
+		"another zone":              {machines: []workerUsage{a}, job: func(j *scheduler.Job) { j.Zone = "b" }},
+		"the requested zone":        {machines: both, job: func(j *scheduler.Job) { j.Zone = "b" }, expected: true},
+		"spot machine, not allowed": {machines: []workerUsage{newWorkerUsage("a", true, 0, nil)}},
+		"spot machine, allowed": {
 			machines: []workerUsage{newWorkerUsage("a", true, 0, nil)},
 			job:      func(j *scheduler.Job) { j.Spot = true },
 			expected: true,
@@ -109,7 +109,10 @@
 			placement: placement(map[string]int{"a": 2}, "j/0", "j/1"),
 			expected:  true,
 		},
-		"a gang, capacity for two tasks": {machines: []workerUsage{a}, job: func(j *scheduler.Job) { j.Kind = scheduler.Gang }},
+		"a gang, capacity for two tasks": {
+			machines: []workerUsage{a},
+			job:      func(j *scheduler.Job) { j.Kind = scheduler.Gang },
+		},
 		"a gang, capacity for all tasks": {
 			machines: both,
 			job:      func(j *scheduler.Job) { j.Kind = scheduler.Gang },
--- a/emulator/team_results.go
+++ b/emulator/team_results.go
@@ -33,8 +33,8 @@
 	return cpus <= team.CPUs && gpus <= team.GPUs
 }
 
-// discountEarlyStop excludes the start of a task that is stopped by command before minCountedRunMS.
-func (sim *Simulation) discountEarlyStop(worker *Worker, t *platformfake.Task) {
+// excludeEarlyStop excludes the start of a task that is stopped by command before minCountedRunMS.
+func (sim *Simulation) excludeEarlyStop(worker *Worker, t *platformfake.Task) {
 	j := sim.Jobs[t.Job.ID]
 	if at, ok := j.countedStartAt[t.Name]; ok && sim.Now-at < minCountedRunMS && worker.Agent.NoticeS == nil &&
 		!j.CancelRequested {
--- a/emulator/user_requests.go
+++ b/emulator/user_requests.go
@@ -139,12 +139,12 @@
 
 // submitInvalidJob submits a job with a missing field, or one that can never run. Valid responses
 // are 503 and the status of the reason.
-func (sim *Simulation) submitInvalidJob(template scheduler.Job, lacksField bool) {
+func (sim *Simulation) submitInvalidJob(template scheduler.Job, fieldMissing bool) {
 	sim.invalidJobCount++
 	id := fmt.Sprintf("job-8%05d", sim.invalidJobCount)
 	req := scheduler.UserRequest{Kind: scheduler.SubmitJob, ID: id, Malformed: "a field is missing"}
 	wantedStatus := 400
-	if !lacksField {
+	if !fieldMissing {
 		template.ID = id
 		makeImpossible[sim.Rand.IntN(len(makeImpossible))](&template)
 		req.Job, req.Malformed, wantedStatus = &template, "", 422
--- a/emulator/users.go
+++ b/emulator/users.go
@@ -6,7 +6,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Job is a job with the observations of its user and of the machines.
+// Job is a job with the responses that its user received and the progress of its tasks on machines.
 type Job struct {
 	Spec              scheduler.Job
 	Accepted          bool
--- a/emulator/workers.go
+++ b/emulator/workers.go
@@ -35,15 +35,15 @@
 	clockRate           float64
 }
 
-// erringExecution is the execution of a task that ends at a given time, successfully or with an
+// timedExecution is the execution of a task that ends at a given time, successfully or with an
 // error.
-type erringExecution struct {
+type timedExecution struct {
 	sim      *Simulation
 	endsAt   int64
 	succeeds bool
 }
 
-func (execution *erringExecution) IsFinished() (bool, error) {
+func (execution *timedExecution) IsFinished() (bool, error) {
 	if execution.sim.Now < execution.endsAt {
 		return false, nil
 	}
@@ -53,7 +53,7 @@
 	return true, errors.New("failed")
 }
 
-func (execution *erringExecution) Stop() {}
+func (execution *timedExecution) Stop() {}
 
 // MemberName returns the member that the machine sends heartbeats to.
 func (worker *Worker) MemberName(sim *Simulation) string { return sim.Members[worker.memberIndex].Name }
@@ -64,8 +64,8 @@
 // neverBootsShare is the share of provisioned machines that never boot.
 const neverBootsShare = 0.05
 
-// provisioned adds a machine for an instance that the cloud has provisioned.
-func (sim *Simulation) provisioned(instance *platformfake.Instance) {
+// addWorker adds a machine for an instance that the cloud has provisioned.
+func (sim *Simulation) addWorker(instance *platformfake.Instance) {
 	worker := &Worker{
 		Instance:      instance,
 		taskStartedAt: map[string]int64{},
@@ -143,7 +143,7 @@
 		GangTimeoutMS: sim.options.GangWaitMS,
 		OnStarted:     func(_ *platformfake.Worker, t *platformfake.Task) { sim.onStart(worker, t) },
 		OnStopping: func(_ *platformfake.Worker, t *platformfake.Task) {
-			sim.discountEarlyStop(worker, t)
+			sim.excludeEarlyStop(worker, t)
 			if sim.OnTaskStop != nil {
 				sim.OnTaskStop(worker, t)
 			}
@@ -175,12 +175,12 @@
 func (sim *Simulation) execute(worker *Worker, t *platformfake.Task) platformfake.Execution {
 	if sim.IsFaulty != nil && sim.IsFaulty(worker) ||
 		sim.IsMisconfigured != nil && sim.IsMisconfigured(sim.Jobs[t.Job.ID]) {
-		return &erringExecution{sim, sim.Now + 1000, false}
+		return &timedExecution{sim, sim.Now + 1000, false}
 	}
 	if t.Job.MaxTaskErrors == 0 {
 		return nil
 	}
-	return &erringExecution{sim, sim.Now + 1000 + sim.Rand.Int64N(4000), sim.Rand.IntN(4) > 0}
+	return &timedExecution{sim, sim.Now + 1000 + sim.Rand.Int64N(4000), sim.Rand.IntN(4) > 0}
 }
 
 // isGangComplete reports whether all tasks of a gang's attempt have been on machines at the same
@@ -228,9 +228,9 @@
 	}
 }
 
-// Timing of heartbeats: at least minHeartbeatIntervalMS between two, except for retries;
-// memberRetryMS before a retry at the next member; and a timeout of heartbeatTimeoutMS for a
-// response. The network duplicates a share of duplicateHeartbeatShare.
+// Timing of heartbeats: at least minHeartbeatIntervalMS between two, except for retries and
+// redirects; memberRetryMS before a retry at the next member; and a timeout of heartbeatTimeoutMS
+// for a response. The network duplicates a share of duplicateHeartbeatShare.
 const (
 	minHeartbeatIntervalMS  = 500
 	memberRetryMS           = 1000
@@ -264,7 +264,7 @@
 	sentAt      int64  // on the worker's clock
 	incarnation uint64 // in the sent heartbeat
 	finished    bool   // response received, refused or timed out
-	delivered   bool   // a copy has arrived
+	delivered   bool   // a copy has reached the member
 }
 
 func (sim *Simulation) sendHeartbeat(worker *Worker) {
