--- a/emulator/events.go
+++ b/emulator/events.go
@@ -27,7 +27,7 @@
 	return last
 }
 
-// After schedules run for delayMS milliseconds from now.
+// After schedules a call of run in delayMS milliseconds of simulated time.
 func (sim *Simulation) After(delayMS int64, run func()) {
 	sim.eventSeq++
 	heap.Push(&sim.queue, event{sim.Now + delayMS, sim.eventSeq, run})
@@ -42,32 +42,32 @@
 	sim.After(at-sim.Now, run)
 }
 
-// Run advances the simulation to the time until, in ms, or until isOver returns true.
+// Run processes events up to the simulated time until, in ms, or until isOver returns true.
 func (sim *Simulation) Run(until int64, isOver func() bool) {
 	var tick func()
 	tick = func() {
 		for _, id := range sim.WorkerIDs {
 			sim.stepWorker(sim.Workers[id])
 		}
-		stillParked := sim.parkedWatches[:0]
-		for _, watch := range sim.parkedWatches {
+		stillPending := sim.pendingWatches[:0]
+		for _, watch := range sim.pendingWatches {
 			if sim.storeRefuses(watch.member) {
-				stillParked = append(stillParked, watch)
+				stillPending = append(stillPending, watch)
 				continue
 			}
 			result, ready := sim.Store.Apply(sim.Now, watch.op)
 			if ready || sim.Now >= watch.until {
 				watch.respond(result)
 			} else {
-				stillParked = append(stillParked, watch)
+				stillPending = append(stillPending, watch)
 			}
 		}
-		sim.parkedWatches = stillParked
+		sim.pendingWatches = stillPending
 		if sim.OutageUntil["all"] <= sim.Now {
 			sim.Store.ExpireLeases(sim.Now)
 		}
 		sim.checkCancelled()
-		sim.checkForgotten()
+		sim.checkUnansweredQueries()
 		sim.After(40, tick)
 	}
 	tick()
