--- a/scheduler/controller_test.go
+++ b/scheduler/controller_test.go
@@ -12,7 +12,8 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
-// testParams are a member's, with limits of the store that are small.
+// testParams returns the parameters of a member, with small limits for values and transactions of the
+// state service.
 func testParams(memberID string, peerIDs ...string) Params {
 	return Params{
 		MemberID:      memberID,
@@ -30,17 +31,17 @@
 	return New(testParams("m0", "m1"), 1, Now{1, 1})
 }
 
-// putRecord has the cache see a record of the store.
+// putRecord applies a record with the given revision to the state cache.
 func putRecord(ctrl *Controller, key string, rec any, rev uint64) {
 	ctrl.cache.applyChange(KeyValue{Key: key, Value: mustEncode(rec), Rev: rev})
 }
 
-// putTestJob puts the record of newTestJobRecord.
+// putTestJob applies the record that newTestJobRecord returns to the state cache.
 func putTestJob(ctrl *Controller, rev uint64, ranges ...Range) {
 	putRecord(ctrl, jobKey("job-000001"), newTestJobRecord(ranges...), rev)
 }
 
-// testHeartbeat is a heartbeat of a machine of newControllerWithShard's type.
+// testHeartbeat returns a heartbeat of a machine of the type smallMachineType.
 func testHeartbeat(machineID string, seq, token uint64, tasks ...TaskStatus) Heartbeat {
 	return Heartbeat{
 		Machine:     machineID,
@@ -54,7 +55,7 @@
 	}
 }
 
-// smallMachineType is the type of newControllerWithShard's machine.
+// smallMachineType returns the type of the machine in newControllerWithShard.
 func smallMachineType() MachineType {
 	return MachineType{
 		Name:      "small",
@@ -75,8 +76,8 @@
 	}
 }
 
-// A read that was pending while the job was cancelled arrives after the watch has
-// delivered the cancellation: the job stays removed.
+// A read that was pending while a job was cancelled returns after the watch has delivered the
+// cancellation. The job stays removed.
 func TestLateReadDoesNotRestoreCancelledJob(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
@@ -91,11 +92,12 @@
 	clear(ctrl.cache.tombstones) // the watch has passed the removal
 	ctrl.cache.applyChange(put)
 	if ctrl.cache.jobs["job-000001"] != nil {
-		t.Error("a late read brought a cancelled job back")
+		t.Error("a late read restored a cancelled job")
 	}
 }
 
-// A watch that lags behind this member's own removal of a job delivers its creation last.
+// The watch lags behind this member's own removal of a job and delivers the job's creation after it.
+// The job stays removed.
 func TestLaggingWatchDoesNotRestoreRemovedJob(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
@@ -106,12 +108,12 @@
 	ctrl.cache.applyChange(KeyValue{Key: put.Key, Rev: 9})
 	ctrl.cache.applyChange(put)
 	if ctrl.cache.jobs["job-000001"] != nil {
-		t.Error("a lagging watch brought a job back that this member had removed")
+		t.Error("a lagging watch restored a job that this member had removed")
 	}
 }
 
-// A member that adopted a shard, handed it back, and then gets a range of it by a move
-// must run that range: task ranges of an ended claim are replaced.
+// A member adopts a shard, hands it back, and then receives one of its ranges by a move. The member
+// must run that range, so the task range of the ended claim is replaced.
 func TestRangeOfEndedClaimIsReplaced(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
@@ -122,12 +124,12 @@
 	putTestJob(ctrl, 6, Range{Lo: 0, Hi: 2, Shard: "m0", MovedFromPeer: true})
 	tr := ctrl.cache.jobs["job-000001"].taskRanges[0]
 	if tr == nil || tr.claim != ownShard || tr.shardName != "m0" {
-		t.Errorf("the range is run as %+v", tr)
+		t.Errorf("task range %+v, want one of the member's own shard", tr)
 	}
 }
 
-// Authority counts from the sending of the last renewal and of the last watch that
-// returned, whichever is older, and never outlasts the lease.
+// Authority expires one lease TTL after the older of two send times: of the last lease renewal and of
+// the last watch that returned. It never outlasts the lease.
 func TestAuthorityExpiresWithOlderOfLeaseAndWatch(t *testing.T) {
 	ctrl := newTestController(t)
 	ttl := ctrl.store.leaseTTLMS()
@@ -138,7 +140,7 @@
 	}{
 		{"half a lease later", 1000, 1000, 1000 + ttl/2, true},
 		{"a lease later", 1000, 1000, 1000 + ttl, false},
-		{"the watch is stuck", 1000 + ttl, 1000, 1000 + ttl, false},
+		{"the watch does not return", 1000 + ttl, 1000, 1000 + ttl, false},
 		{"the lease is not renewed", 1000, 1000 + ttl, 1000 + ttl, false},
 		{"both just succeeded", 1000 + ttl, 1000 + ttl, 1000 + ttl, true},
 	} {
@@ -146,7 +148,8 @@
 			ctrl.now.MonotonicMS = c.at
 			ctrl.store.storeAccess.SetState(1, c.leaseRenewedAt, c.watchedAt)
 			if got := ctrl.store.hasAuthority(); got != c.expected {
-				t.Errorf("lease renewed at %d, watch at %d, now %d: got %v", c.leaseRenewedAt, c.watchedAt, c.at, got)
+				t.Errorf("lease renewed at %d ms, watch at %d ms, now %d ms: got authority %v",
+					c.leaseRenewedAt, c.watchedAt, c.at, got)
 			}
 		})
 	}
@@ -155,8 +158,8 @@
 	}
 }
 
-// A shard that gave a part of a team's limit away by a write whose outcome is unknown uses
-// what the store then has, never what it had before.
+// A shard transfers a part of a team's limit by a write whose outcome is unknown. The shard then uses
+// the allocation that it reads from the state service, never the one before the write.
 func TestInDoubtTeamWriteIsResolvedFromStore(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 64}}
@@ -174,12 +177,12 @@
 	)
 	ctrl.quotas.proposeAllocations(s)
 	if allocation := ctrl.quotas.quotaLedgers["ops"].Allocation("m0"); allocation.CPUs != 0 {
-		t.Fatalf("uses an allocation of %v while the write is pending, want none", allocation)
+		t.Fatalf("allocation %v while the write is pending, want none", allocation)
 	}
 	write := ctrl.TakeOutputs().StoreOps[0]
 	ctrl.HandleStoreResult(ctrl.now, write.ID, StoreResult{Outcome: Unknown})
 	read := ctrl.TakeOutputs().StoreOps[0]
-	ctrl.cache.appliedRevision = 30 // the watch has passed by then
+	ctrl.cache.appliedRevision = 30 // the watch has passed the write
 	ctrl.HandleStoreResult(
 		ctrl.now,
 		read.ID,
@@ -187,28 +190,28 @@
 	)
 	allocations := ctrl.quotas.quotaLedgers["ops"].Allocations()
 	if allocations["m0"].CPUs != 0 || allocations["m1"].CPUs != 64 {
-		t.Errorf("allocations %v after the write had succeeded, want all 64 at m1", allocations)
+		t.Errorf("allocations %v after the successful write, want all 64 CPUs at m1", allocations)
 	}
 }
 
-// A member without the store refuses users only while a peer has the store.
-func TestMemberStaysUsableUnlessPeerHasStore(t *testing.T) {
+// A member without authority reports that it is not ready for users only while a peer owns shards.
+func TestMemberIsReadyForUsersUnlessPeerHasAuthority(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.now.MonotonicMS = 10_000
 	if !ctrl.IsReadyForUsers() {
-		t.Error("refuses users while no peer is known to have the store")
+		t.Error("not ready for users while no message of a peer has arrived")
 	}
 	ctrl.peers.peers["m1"] = &peerState{receivedAtMS: 9_500, message: PeerMessage{From: "m1"}}
 	if !ctrl.IsReadyForUsers() {
-		t.Error("refuses users in favor of a peer without authority")
+		t.Error("not ready for users while the only peer owns no shard")
 	}
 	ctrl.peers.peers["m1"].message.OwnedShards = []PeerShard{{Shard: "m1"}}
 	if ctrl.IsReadyForUsers() {
-		t.Error("accepts users while a peer can take requests")
+		t.Error("ready for users while a peer owns a shard")
 	}
 }
 
-// newControllerWithShard makes a member that owns its own shard, with one machine of 8 CPUs.
+// newControllerWithShard returns a member that owns its own shard, with one machine of 8 CPUs.
 func newControllerWithShard(t *testing.T) (*Controller, *shard, *machine) {
 	t.Helper()
 	ctrl := newTestController(t)
@@ -230,22 +233,22 @@
 	return ctrl, s, ctrl.registry.machines["i-1"]
 }
 
-// The response to a direct command overtakes a heartbeat; the response to that heartbeat
-// still renews the worker's lease, so silence counts from there.
+// The response to a direct command overtakes a heartbeat. The response to that heartbeat still renews
+// the worker's lease, so the shard's owner counts a full lease from it.
 func TestOvertakenHeartbeatRenewsWorkerLease(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
-	mc.Seq = 9 // the direct command's response
+	mc.Seq = 9 // the response to the direct command set it
 	ctrl.HandleHeartbeat(Now{2000, 2000}, 2, testHeartbeat("i-1", 8, 11))
 	if resp := ctrl.TakeOutputs().HeartbeatResponses[2]; !resp.Accepted || len(resp.Commands) > 0 {
-		t.Fatalf("response to an overtaken heartbeat: %+v", resp)
+		t.Fatalf("response to an overtaken heartbeat: %+v, want accepted without commands", resp)
 	}
 	if leaseEnd := s.reconciler.LeaseExpiresAt(mc.Machine); leaseEnd < 2000+secondsToMS(ctrl.params.LeaseS) {
-		t.Errorf("the lease expires at %d, want a full lease from 2000", leaseEnd)
+		t.Errorf("the lease expires at %d ms, want a full lease from 2000 ms", leaseEnd)
 	}
 }
 
-// A direct start without a response stays on its machine until a worker has seen a higher
-// token; raising the token is retried until it succeeds.
+// The attempt of a direct start without a response stays on its machine until the worker has seen a
+// higher fencing token. Raising the token is retried until it succeeds.
 func TestUnacknowledgedStartIsFencedByHigherToken(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	putTestJob(ctrl, 13, Range{Lo: 0, Hi: 1, Shard: "m0"})
@@ -259,7 +262,7 @@
 	ctrl.HandleDirectCommandResult(ctrl.now, outputs.DirectCommands[0].ID, DirectCommandResult{Outcome: Unknown})
 	tokenRaise := ctrl.TakeOutputs().StoreOps
 	if len(tokenRaise) != 1 || tokenRaise[0].Changes[0].Key != claimKey("m0") {
-		t.Fatalf("the token is not raised: %+v", tokenRaise)
+		t.Fatalf("store operations %+v, want a write that raises the token", tokenRaise)
 	}
 	ctrl.HandleStoreResult(ctrl.now, tokenRaise[0].ID, StoreResult{Outcome: Refused})
 	ctrl.now.MonotonicMS += 1000
@@ -274,24 +277,24 @@
 	}
 	heartbeat(20, 11)
 	if mc.liveAttemptCount != 1 {
-		t.Error("an unacknowledged start is given up while it may still run")
+		t.Error("an unacknowledged attempt is removed while it may still run")
 	}
 	ctrl.HandleStoreResult(ctrl.now, tokenRaise[0].ID, StoreResult{Rev: 30})
 	heartbeat(21, 11)
 	if mc.liveAttemptCount != 1 {
-		t.Error("an unacknowledged start is given up before its worker saw the higher token")
+		t.Error("an unacknowledged attempt is removed before its worker saw the higher token")
 	}
 	attemptsBefore := len(mc.attempts)
 	heartbeat(22, 30)
 	for _, attempt := range mc.attempts {
 		if attempt.directCommandToken == 11 {
-			t.Errorf("a start that can no longer run is kept: %d attempts before, %+v", attemptsBefore, attempt)
+			t.Errorf("an attempt that can no longer run is kept: %d attempts before, %+v", attemptsBefore, attempt)
 		}
 	}
 }
 
-// A job of the largest size fits the store's values: its record, and the progress of each
-// of its ranges, however scattered.
+// A job of the largest size fits the value limit of the state service. This holds for its record and
+// for the progress record of each range, even if every other task is done.
 func TestLargestJobFitsStoreValueLimit(t *testing.T) {
 	ctrl := newTestController(t)
 	j := &Job{ID: "job-000001", Kind: Array, Tasks: 100_000}
@@ -299,7 +302,7 @@
 	covered := 0
 	for _, r := range rec.Ranges {
 		if r.Lo != covered || r.Hi <= r.Lo {
-			t.Fatalf("ranges %v", rec.Ranges)
+			t.Fatalf("ranges %v, want no gap, overlap or empty range", rec.Ranges)
 		}
 		covered = r.Hi
 		done := newBitset(r.Hi - r.Lo)
@@ -308,15 +311,15 @@
 		}
 		progress := progressRecord{map[string][]byte{"job-000001/100000": done}}
 		if n := len(mustEncode(progress)); n > ctrl.params.MaxValueBytes {
-			t.Errorf("progress of %v takes %d bytes", r, n)
+			t.Errorf("progress record of range %v takes %d bytes, want at most MaxValueBytes", r, n)
 		}
 	}
 	if n := len(mustEncode(rec)); covered != j.Tasks || n > ctrl.params.MaxValueBytes {
-		t.Errorf("%d tasks in a record of %d bytes", covered, n)
+		t.Errorf("record of %d tasks takes %d bytes, want all tasks in at most MaxValueBytes", covered, n)
 	}
 }
 
-// A gang starts only when all of it can.
+// A gang starts only if all its tasks can start.
 func TestGangStartsAllTasksOrNone(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t) // 8 CPUs
 	for _, c := range []struct {
@@ -334,13 +337,13 @@
 			n += planned.count
 		}
 		if n != c.expected {
-			t.Errorf("%d of a gang of %d start on 8 CPUs", n, c.tasks)
+			t.Errorf("%d tasks of a gang of %d start on 8 CPUs, want all or none", n, c.tasks)
 		}
 		if n == 0 {
 			continue
 		}
-		// Workers match the tasks of a gang by their attempt: one number for all tasks of a
-		// start, another for the next, and no task twice in one.
+		// Workers match the tasks of a gang by their attempt number. All tasks of one start have the
+		// same number, the next start has another, and no task occurs twice in one start.
 		attemptNumbers := map[uint64]int{}
 		for try := range 2 {
 			mc.commands = nil
@@ -364,14 +367,15 @@
 			ctrl.placer.planShard(s)
 		}
 		if len(attemptNumbers) != 2 || slices.Max(slices.Collect(maps.Values(attemptNumbers))) != 8 {
-			t.Errorf("starts by attempt, of a gang of 8 started twice: %v, want two attempts, one of 8", attemptNumbers)
+			t.Errorf("starts by attempt number, for a gang of 8 started twice: %v, want two numbers, one with 8",
+				attemptNumbers)
 		}
 	}
 }
 
-// While the store gives no response at all, users are refused at once with a time to
-// retry; its first response ends that.
-func TestRequestsAreRefusedImmediatelyWhileStoreIsSilent(t *testing.T) {
+// While the state service sends no response, users are refused immediately with a retry delay. The
+// first response ends the refusals.
+func TestRequestsAreRefusedImmediatelyWhileStoreDoesNotRespond(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
 	query := func(replyID uint64) (UserResponse, bool) {
 		ctrl.HandleUserRequest(ctrl.now, replyID, UserRequest{Kind: QueryJob, ID: "job-000009"})
@@ -379,19 +383,19 @@
 		return resp, ok
 	}
 	if _, ok := query(1); ok {
-		t.Fatal("a query is answered without the store")
+		t.Fatal("a query is answered without the state service")
 	}
 	unansweredOps := ctrl.TakeOutputs().StoreOps
 	ctrl.HandleStoreResult(Now{2000, 2000}, unansweredOps[0].ID, StoreResult{Outcome: Unknown})
 	ctrl.now = Now{3000, 3000}
 	if resp, ok := query(2); !ok || resp.Status != 503 || resp.RetryAfterS < 1 {
-		t.Errorf("response to a query while the store is silent: %+v, want 503 with a time to retry", resp)
+		t.Errorf("response to a query while the state service does not respond: %+v, want 503 with a retry delay", resp)
 	}
 	ctrl.outputs = Outputs{}
 	ctrl.store.sendStore(StoreOp{Kind: StoreGet, Key: "x"}, func(StoreResult) {})
 	ctrl.HandleStoreResult(ctrl.now, ctrl.TakeOutputs().StoreOps[0].ID, StoreResult{Outcome: NotFound})
 	if _, ok := query(3); ok {
-		t.Error("users are refused after the store has responded")
+		t.Error("users are refused after the state service has responded")
 	}
 }
 
@@ -402,8 +406,8 @@
 	return nil
 }
 
-// The whole limit of a team is allocated to one shard, the same for every member, and the
-// team's jobs go there.
+// The whole limit of a team is allocated to its home shard, which all members compute alike. The
+// team's jobs are assigned to that shard.
 func TestTeamLimitHasOneHomeShard(t *testing.T) {
 	teams := map[string]Team{"a": {MaxCPUs: 64}, "b": {MaxCPUs: 64}, "free": {}}
 	homes := map[string]map[string]string{}
@@ -432,12 +436,12 @@
 		}
 	}
 	if !maps.Equal(homes["m0"], homes["m1"]) || homes["m0"]["a"] == homes["m0"]["b"] {
-		t.Errorf("homes %v", homes)
+		t.Errorf("home shards by member %v, want the same at both, and different ones for a and b", homes)
 	}
 }
 
-// A team's limit admits jobs in order: one that cannot meet its deadline goes behind one
-// that can, though its deadline is earlier.
+// Within a team's limit, a job that cannot meet its deadline ranks behind a job that can, even if its
+// deadline is earlier.
 func TestTeamLimitAdmitsJobsThatMeetTheirDeadlines(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 4}}
@@ -448,15 +452,16 @@
 		rec.AcceptedAtMS = ctrl.now.WallMS
 		putRecord(ctrl, jobKey(id), rec, rev)
 	}
-	put("job-000001", 40, 50, 21) // 100 s of the whole limit
-	put("job-000002", 8, 60, 22)  // 20 s
+	put("job-000001", 40, 50, 21) // takes 100 s with the whole limit
+	put("job-000002", 8, 60, 22)  // takes 20 s
 	gs := ctrl.placer.waitingTaskGroups(s)
 	if len(gs) != 2 || gs[0].job.ID != "job-000002" || !gs[1].MissedObjectives {
-		t.Errorf("%s goes first, the other misses its deadline: %v", gs[0].job.ID, gs[1].MissedObjectives)
+		t.Errorf("first group of %s, the second misses its objectives: %v; want job-000002 and true",
+			gs[0].job.ID, gs[1].MissedObjectives)
 	}
 }
 
-// On-demand machines are not provisioned for an objective that they come too late for.
+// On-demand machines are not provisioned for an objective that has passed by the time they are booted.
 func TestOnDemandMachineIsNotProvisionedTooLate(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
 	small := smallMachineType()
@@ -475,13 +480,13 @@
 			},
 		}
 		if offering, ok := ctrl.scaler.cheapestOffering(g, false, map[offering]offering{}); ok != expected {
-			t.Errorf("with %d ms left: %v, %v", dueInMS, offering, ok)
+			t.Errorf("with %d ms left: offering %v, found %v", dueInMS, offering, ok)
 		}
 	}
 }
 
-// Machines come and go with the records of the registry and of live machines, and one that
-// is listed as live before its registry page is known counts as up.
+// Machines are added and removed with their registry pages. A machine that is listed as live before its
+// registry page is known counts as up.
 func TestMachinesFollowRegistryAndLiveRecords(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
@@ -489,40 +494,42 @@
 	page := registryRecord{Shard: "m0", Type: "small", MachineIDs: []string{"i-1", "i-2"}}
 	putRecord(ctrl, registryPrefix+"1-1", page, 5)
 	if len(ctrl.registry.machines) != 2 || !ctrl.registry.machines["i-1"].Up || ctrl.registry.machines["i-2"].Up {
-		t.Fatalf("machines %v", ctrl.registry.machines)
+		t.Fatalf("machines %v, want i-1 up and i-2 not up", ctrl.registry.machines)
 	}
 	if ctrl.registry.machines["i-1"].IsAccountedFor() || !ctrl.registry.machines["i-2"].IsAccountedFor() {
-		t.Error("only a machine that is up may run what an earlier claim started")
+		t.Error("want i-2 accounted for and i-1 not: only a live machine may run tasks of an earlier claim")
 	}
 	page.MachineIDs = []string{"i-2"}
 	putRecord(ctrl, registryPrefix+"1-1", page, 6)
 	if len(ctrl.registry.machines) != 1 || ctrl.registry.machines["i-2"] == nil {
-		t.Errorf("machines %v", ctrl.registry.machines)
+		t.Errorf("machines %v, want only i-2", ctrl.registry.machines)
 	}
 	ctrl.cache.applyChange(KeyValue{Key: registryPrefix + "1-1", Rev: 7})
 	if len(ctrl.registry.machines) != 0 {
-		t.Errorf("machines %v", ctrl.registry.machines)
+		t.Errorf("machines %v, want none", ctrl.registry.machines)
 	}
 }
 
-// A shard is ready only when the cache has passed its claim: machines that the earlier
-// owner listed as live last of all may run tasks that would start a second time.
-func TestShardIsNotReadyBeforeMirrorPassesItsClaim(t *testing.T) {
+// A shard is ready only once the cache has reached the revision of its claim. The previous owner may
+// have listed machines as live shortly before the claim. Tasks on these machines would otherwise start
+// a second time.
+func TestShardIsNotReadyBeforeCacheReachesItsClaim(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready, s.progressRead = false, true
 	ctrl.cache.appliedRevision = s.claimRev - 1
 	ctrl.shards.tickShard(s)
 	if s.ready {
-		t.Error("ready before the cache has passed the claim")
+		t.Error("ready before the cache has reached the claim's revision")
 	}
 	ctrl.cache.appliedRevision = s.claimRev
 	ctrl.shards.tickShard(s)
 	if !s.ready {
-		t.Error("not ready though everything is known")
+		t.Error("not ready although the cache has reached the claim's revision")
 	}
 }
 
-// Each member uses its share of a peer's capacity only, and uses it up.
+// Each member uses only its share of a peer's capacity. Capacity that it takes is subtracted from the
+// peer's summary.
 func TestPeerCapacityIsSharedAmongMembers(t *testing.T) {
 	ctrl := New(testParams("m0", "m1", "m2", "m3"), 1, Now{1000, 1000})
 	ctrl.store.storeAccess.SetState(0, 0, 0)
@@ -543,21 +550,21 @@
 	j := &Job{Request: availability.Resources{CPUs: 1}, Tasks: 100}
 	offers := ctrl.peers.peerCapacities(j, 10_000, 12_000, 100)
 	if len(offers) != 1 || offers[0].tasks != 10 {
-		t.Fatalf("offers %+v", offers)
+		t.Fatalf("offers %+v, want one of 10 tasks", offers)
 	}
 	if n := ctrl.peers.peerTaskCapacity(offers[0].peerShard, j, 10_000, 12_000, 10, true); n != 10 {
-		t.Errorf("%d tasks taken", n)
+		t.Errorf("capacity taken for %d tasks, want 10", n)
 	}
 	if n := ctrl.peers.peerTaskCapacity(offers[0].peerShard, j, 10_000, 12_000, 100, false); n != 20 {
-		t.Errorf("%d left", n)
+		t.Errorf("capacity left for %d tasks, want 20", n)
 	}
 }
 
-// A machine with capacity takes a task whose image it has before one that would have to
-// fetch its image, but not past the latter's start objective.
+// A machine with capacity starts a task with a cached image before one whose image it must fetch. It
+// does not if the delay made the latter miss its start objective.
 func TestImageLocalityYieldsToStartObjectives(t *testing.T) {
 	for _, c := range []struct {
-		slackMS  int64 // until the first job must end to have met its start objective
+		slackMS  int64 // time until the objective deadline of the first job
 		expected string
 	}{{40_000, "job-000002/0"}, {13_000, "job-000001/0"}} {
 		ctrl, s, mc := newControllerWithShard(t)
@@ -586,15 +593,15 @@
 		mc.commands = nil
 		ctrl.agents.startFromQueue(s, mc, &Heartbeat{Incarnation: 1, Seq: 4})
 		if len(mc.commands) != 1 || mc.commands[0].Task != c.expected {
-			t.Errorf("with %d ms to the objective: commands %+v, want a start of %s",
+			t.Errorf("with %d ms to the objective deadline: commands %+v, want a start of %s",
 				c.slackMS, mc.commands, c.expected)
 		}
 	}
 }
 
-// A team whose limit is filled by a lower priority gets its guarantee for a higher one by
-// stopping tasks that lose nothing: those with checkpoints, and those that still fetch their
-// image. What they free goes to the job that they were stopped for.
+// Tasks of a lower priority fill a team's limit, and a job of a higher priority needs the team's
+// guarantee. Tasks that lose no work are stopped, because they have checkpoints or still fetch their
+// image. The freed capacity goes to the job that they are stopped for.
 func TestCheckpointedTasksAreStoppedForGuarantee(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -649,7 +656,7 @@
 				t.Fatalf("commands %+v, want a stop with time for a checkpoint", commands)
 			}
 			if usedCPUs := s.usage["ops"].CPUs; usedCPUs != 4 {
-				t.Errorf("a task that is being stopped no longer counts: %g CPUs in use, want 4", usedCPUs)
+				t.Errorf("%g CPUs in use while a task is being stopped, want 4", usedCPUs)
 			}
 			ctrl.now = Now{ctrl.now.MonotonicMS + 2000, ctrl.now.WallMS + 2000}
 			ctrl.store.storeAccess.SetState(1, ctrl.now.MonotonicMS, ctrl.now.MonotonicMS)
@@ -662,7 +669,7 @@
 				}
 			}
 			if want := []string{"job-000002/0", "job-000002/1"}; !slices.Equal(started, want) {
-				t.Errorf("%v start once it has stopped, want %v", started, want)
+				t.Errorf("%v start after the stop, want %v", started, want)
 			}
 			if mc.liveAttemptCount != 2 {
 				t.Errorf("%d attempts on the machine, want 2", mc.liveAttemptCount)
@@ -671,8 +678,8 @@
 	}
 }
 
-// A machine that was taken for lost sends a result while the range that the task belongs to
-// is moving to a peer. What remains of the range still ends.
+// A machine that was considered lost sends the result of a task in a range whose tail is moving to a
+// peer. The remaining part of the range still ends.
 func TestResultsOfMovedRangeDoNotCount(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	put := func(rev uint64, ranges ...Range) {
@@ -691,7 +698,8 @@
 	ctrl.agents.reconcileTasks(s, mc, &Heartbeat{Machine: "i-1", Incarnation: 1, Seq: 9, Tasks: statuses})
 	isStopped := len(mc.commands) == 1 && mc.commands[0].Kind == CommandStop && mc.commands[0].Task == "job-000001/2"
 	if tr.doneCount != 2 || tr.assignedCount != 0 || !isStopped {
-		t.Fatalf("while moving: %d done, %d assigned, commands %+v", tr.doneCount, tr.assignedCount, mc.commands)
+		t.Fatalf("while moving: %d done, %d assigned, commands %+v; want 2, 0 and a stop of job-000001/2",
+			tr.doneCount, tr.assignedCount, mc.commands)
 	}
 	put(22, Range{Lo: 0, Hi: 2, Shard: "m0"}, Range{Lo: 2, Hi: 4, Shard: "m1", MovedFromPeer: true})
 	tr.moving = false
@@ -706,12 +714,12 @@
 		return op.Kind == StoreTxn && slices.ContainsFunc(op.Changes, changesJob)
 	}
 	if ops := ctrl.TakeOutputs().StoreOps; !slices.ContainsFunc(ops, writesJob) {
-		t.Errorf("the end of the job is not written: %+v", ops)
+		t.Errorf("store operations %+v, want a write of the job's end", ops)
 	}
 }
 
-// A termination notice forecasts demand for the tasks that the machine will not finish,
-// beyond the capacity of other machines.
+// After a termination notice, the shard forecasts demand for the tasks that the machine will not
+// finish, less the capacity of other machines.
 func TestTerminationNoticeForecastsDemand(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	for i, length := range []float64{5, 60} {
@@ -723,11 +731,11 @@
 	ctrl.placer.planShard(s)
 	ctrl.agents.dispatchPlannedStarts(s, mc, &Heartbeat{Incarnation: 1, Seq: 3})
 	if mc.liveAttemptCount != 4 {
-		t.Fatalf("%d tasks run", mc.liveAttemptCount)
+		t.Fatalf("%d tasks run, want 4", mc.liveAttemptCount)
 	}
 	ctrl.placer.planShard(s)
 	if len(s.forecastDemand) != 0 {
-		t.Fatalf("without a notice: %+v", s.forecastDemand)
+		t.Fatalf("without a notice: %+v, want no demand", s.forecastDemand)
 	}
 	mc.terminatesAt = ctrl.now.MonotonicMS + 20_000
 	ctrl.placer.planShard(s)
@@ -741,12 +749,12 @@
 	page.MachineIDs = []string{"i-2"}
 	putRecord(ctrl, registryPrefix+"1-2", page, 30)
 	if ctrl.placer.planShard(s); len(s.forecastDemand) != 0 {
-		t.Errorf("with a machine that boots: %+v", s.forecastDemand)
+		t.Errorf("with a booting machine: %+v, want no demand", s.forecastDemand)
 	}
 }
 
-// A claim whose progress is not read renews no worker's lease: it could not stop a task whose
-// job was cancelled while its shard had no owner.
+// A claim whose progress records are not read yet renews no worker's lease. Its owner could not stop a
+// task whose job was cancelled while the shard had no owner.
 func TestWorkerLeaseIsNotRenewedBeforeShardIsReady(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	s.ready = false
@@ -756,7 +764,7 @@
 	}
 }
 
-// A machine that an operator drains starts nothing; once off the drain list, it does again.
+// A machine on the drain list starts no tasks. Once it is removed from the list, it starts tasks again.
 func TestUndrainedMachineStartsTasksAgain(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	putTestJob(ctrl, 13, Range{Lo: 0, Hi: 2, Shard: "m0"})
@@ -771,29 +779,30 @@
 		ctrl.shards.tickShard(s)
 	}
 	heartbeatAndTick("i-1")
-	startsBefore := ctrl.Counters.Starts // the first heartbeat came before the list
+	startsBefore := ctrl.Counters.Starts // the first heartbeat preceded the cordon
 	heartbeatAndTick("i-1")
 	if !mc.cordoned || ctrl.Counters.Starts != startsBefore || mc.releasing {
-		t.Errorf("drained: %+v, %d starts", mc, ctrl.Counters.Starts-startsBefore)
+		t.Errorf("on the drain list: %+v, %d starts; want cordoned, not releasing, 0 starts",
+			mc, ctrl.Counters.Starts-startsBefore)
 	}
 	heartbeatAndTick()
 	heartbeatAndTick()
 	if mc.cordoned || ctrl.Counters.Starts == startsBefore || mc.releasing {
-		t.Errorf("undrained: cordoned %v, releasing %v, %d starts",
+		t.Errorf("off the drain list: cordoned %v, releasing %v, %d starts; want false, false and some",
 			mc.cordoned, mc.releasing, ctrl.Counters.Starts-startsBefore)
 	}
 }
 
-// After a claim, a few machines that stay silent are released after half a lease; where most
-// are silent, the network is suspected, and they are waited for.
-func TestFewSilentMachinesAreReleasedAfterHalfALease(t *testing.T) {
-	for _, silent := range []int{1, 3} {
+// After a claim, a few unreported machines are released after half a lease. If most machines are
+// unreported, the network is the probable cause, and the shard keeps them.
+func TestFewUnreportedMachinesAreReleasedAfterHalfALease(t *testing.T) {
+	for _, unreported := range []int{1, 3} {
 		ctrl, s, _ := newControllerWithShard(t)
 		ids := []string{"i-2", "i-3", "i-4"}
 		page := registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: ids}
 		putRecord(ctrl, registryPrefix+"1-2", page, 30)
 		putRecord(ctrl, liveMachinesPrefix+"m0/1", liveMachinesRecord{ids}, 31)
-		for _, id := range ids[silent:] {
+		for _, id := range ids[unreported:] {
 			ctrl.HandleHeartbeat(ctrl.now, 7, testHeartbeat(id, 3, 11))
 		}
 		for _, halfLeasePassed := range []bool{false, true} {
@@ -808,12 +817,12 @@
 				}
 			}
 			want := 0
-			if halfLeasePassed && silent == 1 {
+			if halfLeasePassed && unreported == 1 {
 				want = 1
 			}
 			if released != want {
-				t.Errorf("%d of 4 silent, half a lease passed %v: %d released, want %d",
-					silent, halfLeasePassed, released, want)
+				t.Errorf("%d of 4 machines unreported, half a lease passed %v: %d released, want %d",
+					unreported, halfLeasePassed, released, want)
 			}
 		}
 	}
--- a/scheduler/counters_test.go
+++ b/scheduler/counters_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Operators read the counters as JSON: a flat object, with these names in this order.
+// Operators read the counters as a flat JSON object with these names in this order.
 func TestCountersKeepTheirForm(t *testing.T) {
 	want := `{"starts":0,"lost":0,"errors":0,"claims":0,"rented":0,"returned":0,"moved":0,"replans":0,` +
 		`"accepted":0,"finished":0,"preempted":0,"refused":0,"relayed":0,"read_batches":0,"shed":0,` +
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -10,9 +10,9 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// record checks the form of a record as the scheduler writes it to the store, and as it reads it
-// back, against a golden file.
-func record[T any](t *testing.T, path string) {
+// checkRecord compares the encoding of a record in the state service with a golden file, and checks
+// that the record is decoded from it unchanged.
+func checkRecord[T any](t *testing.T, path string) {
 	t.Helper()
 	var v T
 	golden.Fill(&v)
@@ -22,23 +22,23 @@
 }
 
 func TestStoredRecordsKeepTheirForm(t *testing.T) {
-	record[jobRecord](t, "job.json")
-	record[terminalRecord](t, "final.json")
-	record[progressRecord](t, "progress.json")
-	record[recoveryRecord](t, "memory.json")
-	record[claimRecord](t, "shard.json") // the leader's too
-	record[registryRecord](t, "roster.json")
-	record[liveMachinesRecord](t, "up.json")
-	record[catalogRecord](t, "catalog.json")
-	record[Settings](t, "settings.json")
-	record[quota.Record](t, "team.json")
-	record[statusRecord](t, "note.json")
-	record[rollout.Record](t, "rollout.json")
-	record[disruption.Record](t, "disruption.json")
+	checkRecord[jobRecord](t, "job.json")
+	checkRecord[terminalRecord](t, "final.json")
+	checkRecord[progressRecord](t, "progress.json")
+	checkRecord[recoveryRecord](t, "memory.json")
+	checkRecord[claimRecord](t, "shard.json") // also used by the leader's claim
+	checkRecord[registryRecord](t, "roster.json")
+	checkRecord[liveMachinesRecord](t, "up.json")
+	checkRecord[catalogRecord](t, "catalog.json")
+	checkRecord[Settings](t, "settings.json")
+	checkRecord[quota.Record](t, "team.json")
+	checkRecord[statusRecord](t, "note.json")
+	checkRecord[rollout.Record](t, "rollout.json")
+	checkRecord[disruption.Record](t, "disruption.json")
 }
 
-// TestStoredRecordsLeaveOutWhatIsEmpty checks which fields of an empty record are written.
-func TestStoredRecordsLeaveOutWhatIsEmpty(t *testing.T) {
+// TestStoredRecordsOmitEmptyFields checks which fields of an empty record are encoded.
+func TestStoredRecordsOmitEmptyFields(t *testing.T) {
 	var all []byte
 	for _, v := range []any{
 		jobRecord{Ranges: []Range{{}}},
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestStoredWordsKeepTheirForm checks the values of enumerations in records and responses.
-func TestStoredWordsKeepTheirForm(t *testing.T) {
+// TestStoredEnumValuesKeepTheirForm checks the values of enumerations in records and responses.
+func TestStoredEnumValuesKeepTheirForm(t *testing.T) {
 	golden.Compare(t, "words.json", mustEncode([]any{
 		Pending, Running, Done, Cancelled,
 		Low, Normal, High, Production,
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// guaranteeCase is one task of another team, the victim, on the only machine that a job within
-// a guarantee can use.
+// guaranteeCase describes a task of another team, the victim. It runs on the only machine that a job
+// within a guarantee can use.
 type guaranteeCase struct {
 	name            string
 	configureVictim func(*Job)
-	ranMS           int64   // until the guaranteed job is submitted
-	victimGuarantee float64 // the other team's guarantee, in CPUs
-	guarantee       float64 // in CPUs
-	reclaimedBefore string  // the team that the task was stopped for before
+	ranMS           int64   // run time of the victim when the guaranteed job is submitted
+	victimGuarantee float64 // guarantee of the victim's team, in CPUs
+	guarantee       float64 // guarantee of the requesting team, in CPUs
+	reclaimedBefore string  // team that the victim was stopped for earlier
 	stopped         bool
 }
 
-// A task is stopped for a guarantee only if that loses little, and if it is beyond its own
+// A task is stopped for a guarantee only if the stop loses little work and the task exceeds its own
 // team's guarantee.
 func TestGuaranteeStopsOnlyTasksThatLoseLittle(t *testing.T) {
 	checkpointing := func(j *Job) { j.CheckpointIntervalS, j.CheckpointDurationS = 5, 1 }
@@ -24,13 +24,13 @@
 	unchanged := func(*Job) {}
 	for _, c := range []guaranteeCase{
 		{"checkpointed task", checkpointing, 30_000, 0, 8, "", true},
-		{"task that ran shortly", unchanged, 5_000, 0, 8, "", true},
-		{"more lost than started", unchanged, 30_000, 0, 8, "", false},
-		{"task that may begin once", atMostOnce, 30_000, 0, 8, "", false},
+		{"task that ran for a short time", unchanged, 5_000, 0, 8, "", true},
+		{"stop that loses more work than it makes room for", unchanged, 30_000, 0, 8, "", false},
+		{"at-most-once task", atMostOnce, 30_000, 0, 8, "", false},
 		{"replica of a service", func(j *Job) { j.Kind = Service }, 5_000, 0, 8, "", false},
 		{"task within its own team's guarantee", checkpointing, 30_000, 8, 8, "", false},
 		{"job beyond its team's guarantee, team within", threeTasks, 30_000, 8, 8, "", false},
-		{"task that ends as soon by itself", shortTask, 30_000, 0, 8, "", false},
+		{"task that ends within the stop delay", shortTask, 30_000, 0, 8, "", false},
 		{"task stopped for that team before", checkpointing, 30_000, 0, 8, "ops", false},
 		{"task stopped for another team before", checkpointing, 30_000, 0, 8, "third", true},
 		{"requesting team beyond its guarantee", checkpointing, 30_000, 0, 7, "", false},
@@ -94,10 +94,10 @@
 		t.Fatalf("direct commands %+v, want a stop of the victim", sent)
 	}
 	if checkpointS := s.taskRanges[0].job.rec.Job.CheckpointDurationS; sent[0].GraceS < checkpointS {
-		t.Fatalf("a stop with %v s of grace, want at least the %v s of a checkpoint", sent[0].GraceS, checkpointS)
+		t.Fatalf("stop with a grace period of %v s, want at least %v s for a checkpoint", sent[0].GraceS, checkpointS)
 	}
-	// The capacity goes to the job that the task was stopped for, not to its own job or to a
-	// newer one of higher priority.
+	// The freed capacity goes to the job that the task was stopped for. Neither the task's own job
+	// nor a newer job of higher priority gets it.
 	put("job-000003", "third", func(j *Job) { j.Priority = High }, 23)
 	advance(2000)
 	task.State, task.Reason, task.Checkpointed = "exited", "stopped", true
@@ -108,12 +108,13 @@
 		}
 	}
 	if len(started) != 1 || started[0] != "job-000002/0" || mc.reservation != nil {
-		t.Errorf("%v start once it has stopped, reservation %+v; want job-000002/0 and none", started, mc.reservation)
+		t.Errorf("after the stop %v start, reservation %+v; want job-000002/0 and no reservation",
+			started, mc.reservation)
 	}
 }
 
-// A range that moves to a peer loses its reservations here: when one was used all the same, its
-// tasks ran twice.
+// A range that moves to a peer loses its reservations at this member. When a reservation was still used
+// after the move, tasks of the range ran twice.
 func TestMovedRangeLosesItsReservation(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	ctrl.params.Quota = true
@@ -134,8 +135,8 @@
 	}
 }
 
-// Free capacity goes to the team with the least above its guarantee, whoever requests first;
-// deadlines count among teams that are about even.
+// Free capacity goes to the team that exceeds its guarantee the least, regardless of which team
+// requests first. Deadlines decide only between teams in the same usage tier.
 func TestFreeCapacityGoesToTeamWithLeastAboveGuarantee(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Quota = true
@@ -155,7 +156,8 @@
 	for _, g := range ctrl.placer.waitingTaskGroups(s) {
 		order = append(order, g.job.ID)
 	}
-	// Of 8 CPUs a tier is 2: the flood's second job starts at 3, its third at 6.
+	// For two teams and 8 CPUs, a tier is 2 CPUs. The second job of team flood starts at a usage of
+	// 3 CPUs, its third at 6.
 	if len(order) != 4 || order[0] != "job-000001" || order[1] != "job-000004" {
 		t.Errorf("order %v, want job-000001 and job-000004 first", order)
 	}
--- a/scheduler/shared_reads_test.go
+++ b/scheduler/shared_reads_test.go
@@ -7,14 +7,14 @@
 	"github.com/grebedock/grebedock/access"
 )
 
-// queryAll sends a query for each job of newControllerWithJobs, from reply 100 on.
+// queryAll sends a query for each job of newControllerWithJobs, with reply IDs from 100 on.
 func queryAll(ctrl *Controller, jobs int) {
 	for n := range jobs {
 		ctrl.HandleUserRequest(ctrl.now, uint64(100+n), UserRequest{Kind: QueryJob, ID: fmt.Sprintf("job-%06d", n)})
 	}
 }
 
-// newControllerWithJobs returns a member whose cache has live jobs, and that has just sent a query batch.
+// newControllerWithJobs returns a member that has live jobs in its cache and has just sent a query batch.
 func newControllerWithJobs(t *testing.T, jobs int) *Controller {
 	t.Helper()
 	ctrl, _, _ := newControllerWithShard(t)
@@ -29,14 +29,14 @@
 	return ctrl
 }
 
-// Queries that come together share one read that is sent after all of them, and none is
-// answered before it has returned.
+// Queries that arrive within one batch interval share one read, which is sent after all of them. No
+// query is answered before the read has returned.
 func TestConcurrentQueriesShareOneRead(t *testing.T) {
 	const jobs = 12
 	ctrl := newControllerWithJobs(t, jobs)
 	queryAll(ctrl, jobs)
 	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps) > 0 || len(outputs.UserResponses) > 0 {
-		t.Fatalf("%d store operations and %d responses before the batch",
+		t.Fatalf("%d store operations and %d responses before the batch, want none",
 			len(outputs.StoreOps), len(outputs.UserResponses))
 	}
 	ctrl.now.MonotonicMS = ctrl.requests.queryBatcher.nextBatchAtMS
@@ -49,7 +49,7 @@
 	if read.Kind != StoreWatch || read.DurationMS != 0 || read.Rev != ctrl.cache.appliedRevision {
 		t.Fatalf("read %+v, want a watch from the cache's revision that returns at once", read)
 	}
-	// One that comes while the read is pending is not answered by it.
+	// A query that arrives while the read is pending is not answered by it.
 	ctrl.HandleUserRequest(ctrl.now, 200, UserRequest{Kind: QueryJob, ID: "job-000000"})
 	// Meanwhile a peer has confirmed that job 3 is cancelled.
 	ctrl.HandleStoreResult(
@@ -70,11 +70,11 @@
 	result := StoreResult{Outcome: OK, KVs: []KeyValue{{Key: terminalKey("job-000003"), Value: terminal, Rev: 88}}}
 	ctrl.HandleStoreResult(ctrl.now, outputs.StoreOps[0].ID, result)
 	if resp := ctrl.TakeOutputs().UserResponses[103]; resp.State != Cancelled {
-		t.Errorf("response for the cancelled job: %+v", resp)
+		t.Errorf("response for the cancelled job: %+v, want state cancelled", resp)
 	}
 }
 
-// A read that fails answers nothing from the cache.
+// After a failed read, no query of the batch is answered from the cache.
 func TestFailedReadAnswersNoQuery(t *testing.T) {
 	for outcome, reads := range map[Outcome]int{Refused: 0, Throttled: 0, Unknown: 0, Gone: 5} {
 		ctrl := newControllerWithJobs(t, 5)
@@ -91,7 +91,7 @@
 		}
 		for replyID, resp := range outputs.UserResponses {
 			if resp.Status != 503 || resp.RetryAfterS == 0 {
-				t.Errorf("outcome %v: response %d is %+v, want 503 with a time to retry", outcome, replyID, resp)
+				t.Errorf("outcome %v: response %d is %+v, want 503 with a retry delay", outcome, replyID, resp)
 			}
 		}
 		if gets != reads || len(outputs.UserResponses)+gets != 5 {
@@ -101,8 +101,8 @@
 	}
 }
 
-// A cache that is being reloaded answers nothing, also if a read succeeds meanwhile.
-func TestReloadingMirrorAnswersNoQuery(t *testing.T) {
+// While the cache is being reloaded, no query is answered from it, even if a batch read succeeds.
+func TestReloadingCacheAnswersNoQuery(t *testing.T) {
 	ctrl := newControllerWithJobs(t, 5)
 	queryAll(ctrl, 5)
 	ctrl.now.MonotonicMS = ctrl.requests.queryBatcher.nextBatchAtMS
--- a/scheduler/submission_random_test.go
+++ b/scheduler/submission_random_test.go
@@ -10,22 +10,22 @@
 )
 
 func init() {
-	// The same cases each time.
+	// A fixed seed, so that each run generates the same cases.
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "2000")); err != nil {
 		panic(err)
 	}
 }
 
-// singleJobStore is a store that keeps one job, and whose watch delivers its changes late.
+// singleJobStore is a fake of the state service that stores one job. Its watch delivers changes late.
 type singleJobStore struct {
 	id                 string
 	revision           uint64
-	live               []byte // its live record
+	live               []byte // the live record; nil if the job is not live
 	liveRevision       uint64
-	final              []byte
+	terminal           []byte
 	pendingWatchEvents []KeyValue // changes that the watch has not delivered yet
 	step               int
-	lastLiveStep       int // the last step at which it was live
+	lastLiveStep       int // the last step at which the job was live
 }
 
 func (store *singleJobStore) change(value []byte) {
@@ -42,7 +42,7 @@
 
 func (store *singleJobStore) execute(op StoreOp) StoreResult {
 	switch {
-	case op.Kind == StoreTxn && (store.live != nil || store.final != nil):
+	case op.Kind == StoreTxn && (store.live != nil || store.terminal != nil):
 		return StoreResult{Outcome: Conflict, Rev: store.revision, FailedKeys: []string{jobKey(store.id)}}
 	case op.Kind == StoreTxn:
 		store.change(op.Changes[0].Value)
@@ -50,24 +50,27 @@
 	case op.Key == jobKey(store.id) && store.live != nil:
 		live := KeyValue{Key: op.Key, Value: store.live, Rev: store.liveRevision}
 		return StoreResult{Rev: store.revision, KVs: []KeyValue{live}}
-	case op.Key == terminalKey(store.id) && store.final != nil:
-		return StoreResult{Rev: store.revision, KVs: []KeyValue{{Key: op.Key, Value: store.final, Rev: store.revision}}}
+	case op.Key == terminalKey(store.id) && store.terminal != nil:
+		return StoreResult{
+			Rev: store.revision,
+			KVs: []KeyValue{{Key: op.Key, Value: store.terminal, Rev: store.revision}},
+		}
 	}
 	return StoreResult{Outcome: NotFound, Rev: store.revision}
 }
 
-// cancelByPeer cancels the job as another member would.
+// cancelByPeer cancels the job as a peer does.
 func (store *singleJobStore) cancelByPeer() {
 	if store.live != nil {
 		store.lastLiveStep = store.step
 		store.change(nil)
-		store.final = mustEncode(terminalRecord{State: Cancelled, Tasks: 1})
+		store.terminal = mustEncode(terminalRecord{State: Cancelled, Tasks: 1})
 	}
 }
 
-// Repeated submissions of one job, whose writes and reads are applied in any order, at once, late or
-// never, with lost responses, while a peer cancels the job and the cache lags: no response says that
-// the job is accepted unless the store had it since that request, and every request gets a response
+// One job is submitted repeatedly. Its writes and reads are applied in any order, at once, late or never,
+// and responses are lost. Meanwhile a peer cancels the job and the cache lags. No response accepts the
+// job unless it was live in the state service at or after the request. Every request gets a response
 // once all operations have ended.
 func TestSubmissionIsAcceptedOnlyWithStoredRecord(outer *testing.T) {
 	confirmed := uint64(0)
@@ -79,9 +82,9 @@
 		ctrl.requests.submissionQueue = newSubmissionQueue(&ctrl.params)
 		store := &singleJobStore{id: "job-000001", revision: ctrl.cache.appliedRevision}
 		requestedAtStep, answered := map[uint64]int{}, map[uint64]bool{}
-		var openOps []StoreOp               // pending for the member
-		var lateOps []StoreOp               // timed out for it, and yet to be applied
-		results := map[uint64]StoreResult{} // applied, without a response yet
+		var openOps []StoreOp               // sent by the member, which has no result yet
+		var lateOps []StoreOp               // timed out for the member, not applied yet
+		results := map[uint64]StoreResult{} // results of applied operations, by operation ID
 		collect := func() {
 			outputs := ctrl.TakeOutputs()
 			for _, op := range outputs.StoreOps {
@@ -91,16 +94,16 @@
 			}
 			for replyID, resp := range outputs.UserResponses {
 				if answered[replyID] {
-					t.Fatalf("%d is answered twice", replyID)
+					t.Fatalf("request %d is answered twice", replyID)
 				}
 				answered[replyID] = true
 				wasLive := store.live != nil || store.lastLiveStep >= requestedAtStep[replyID]
 				isAccepted := (resp.Status == 200 || resp.Status == 201) && resp.State != Cancelled
 				if isAccepted && !wasLive {
-					t.Fatalf("response %d is %+v, requested at %d, live until %d, now %d",
+					t.Fatalf("response %d accepts a job that is not live: %+v; requested at %d, live until %d, now %d",
 						replyID, resp, requestedAtStep[replyID], store.lastLiveStep, store.step)
 				}
-				if resp.State == Cancelled && store.final == nil {
+				if resp.State == Cancelled && store.terminal == nil {
 					t.Fatalf("response %d reports a cancellation that did not happen", replyID)
 				}
 			}
@@ -137,7 +140,7 @@
 					execute(openOps[index])
 					complete(index, results[openOps[index].ID])
 				}
-			case 3: // it times out
+			case 3: // the operation times out
 				if len(openOps) > 0 {
 					if _, ok := results[openOps[index].ID]; !ok && openOps[index].Kind == StoreTxn {
 						lateOps = append(lateOps, openOps[index])
@@ -176,6 +179,6 @@
 		confirmed += ctrl.Counters.ConfirmedSubmissions
 	})
 	if confirmed == 0 {
-		outer.Error("no submission was confirmed by its record")
+		outer.Error("no submission was confirmed by its record, want at least one")
 	}
 }
--- a/scheduler/submission_test.go
+++ b/scheduler/submission_test.go
@@ -8,7 +8,7 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// newAcceptingController is a member that accepts submissions at a rate, in changes a second.
+// newAcceptingController returns a member that accepts submissions at a rate, in changes per second.
 func newAcceptingController(t *testing.T, acceptRate float64) *Controller {
 	t.Helper()
 	ctrl, _, _ := newControllerWithShard(t)
@@ -37,8 +37,8 @@
 	}
 }
 
-// Submissions that come while writes are pending share the next one. A known job among them does
-// not delay the others.
+// Submissions that arrive while the maximum number of writes is pending share the next write. If one of
+// their jobs already exists, it does not delay the others.
 func TestConcurrentSubmissionsShareOneWrite(t *testing.T) {
 	ctrl := newAcceptingController(t, 1000)
 	for n := range 12 {
@@ -66,7 +66,8 @@
 		}
 	}
 	if len(reads) != 1 || reads[0].Key != jobKey("job-000007") || len(writes) != 1 || len(writes[0].Changes) != 7 {
-		t.Fatalf("after a conflict %d reads, writes %+v", len(reads), writes)
+		t.Fatalf("after a conflict %d reads, writes %+v; want a read of job-000007 and a write of the other 7",
+			len(reads), writes)
 	}
 	ctrl.HandleStoreResult(ctrl.now, writes[0].ID, StoreResult{Rev: 101})
 	for id, resp := range ctrl.TakeOutputs().UserResponses {
@@ -76,7 +77,7 @@
 	}
 }
 
-// A job that is submitted twice while writes are pending is written once: only its first submission
+// A job that is submitted twice while writes are pending is written once. Only its first submission
 // gets 201.
 func TestJobSubmittedTwiceIsAcceptedOnce(t *testing.T) {
 	ctrl := newAcceptingController(t, 1000)
@@ -106,8 +107,8 @@
 	}
 }
 
-// Beyond the store's rate, every submission gets a response at once: urgent ones are accepted; of
-// the others those that wait longest are shed, with different times to retry.
+// Above the rate limit, the member sheds the submissions that would wait longest, and no urgent ones.
+// Submissions that are shed get a response at once, with different retry delays.
 func TestOverloadIsAnsweredImmediately(t *testing.T) {
 	ctrl := newAcceptingController(t, 5)
 	responses := map[uint64]UserResponse{}
@@ -130,7 +131,7 @@
 	retrySeconds := map[int]int{}
 	for id, resp := range responses {
 		if resp.Status != 503 || resp.RetryAfterS < 1 || resp.RetryAfterS > maxSubmissionRetryAfterS {
-			t.Errorf("response %d is %+v, want 503 with a time to retry", id, resp)
+			t.Errorf("response %d is %+v, want 503 with a retry delay", id, resp)
 		}
 		retrySeconds[resp.RetryAfterS]++
 	}
@@ -141,9 +142,10 @@
 		t.Error("the only submission of its team is shed")
 	}
 	if len(responses) < 150 || len(retrySeconds) < 20 {
-		t.Errorf("%d are shed, by time to retry %v; want at least 150 and 20 times", len(responses), retrySeconds)
+		t.Errorf("%d submissions are shed, by retry delay: %v; want at least 150 and 20 different delays",
+			len(responses), retrySeconds)
 	}
-	// The store becomes unavailable: nobody waits for it.
+	// The state service becomes unavailable: the queued submissions get a response at once.
 	answeredBefore := len(responses)
 	for _, op := range writes {
 		ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Refused})
@@ -151,13 +153,14 @@
 	ctrl.Tick(Now{ctrl.now.MonotonicMS + 100, ctrl.now.WallMS + 100})
 	collectOutputs()
 	if len(responses) != 202 {
-		t.Errorf("%d of 202 got a response, %d of them before the outage", len(responses), answeredBefore)
+		t.Errorf("%d of 202 submissions got a response, %d of them before the outage; want all",
+			len(responses), answeredBefore)
 	}
 }
 
-// Tasks that begin at most once stay where they may have begun: the shard that may have lost them
-// with an earlier owner decides about them.
-func TestOnceTasksThatMayHaveStartedAreNotMoved(t *testing.T) {
+// The tasks of an at-most-once job are not moved once they may have started. Some may be lost since an
+// earlier owner of the shard, which only the owner of their range can determine.
+func TestAtMostOnceTasksThatMayHaveStartedAreNotMoved(t *testing.T) {
 	for _, mayHaveStarted := range []bool{false, true} {
 		ctrl, s, _ := newControllerWithShard(t)
 		ctrl.params.Teams = map[string]Team{"ops": {}}
@@ -181,34 +184,36 @@
 		ctrl.TakeOutputs()
 		ctrl.peers.moveUnplaceableTasks(s)
 		if moved := len(ctrl.TakeOutputs().StoreOps) > 0; moved == mayHaveStarted {
-			t.Errorf("begun %v: moved %v", mayHaveStarted, moved)
+			t.Errorf("may have started %v: moved %v, want the opposite", mayHaveStarted, moved)
 		}
 	}
 }
 
-// A request that waits in the member's own rate budget says nothing about the store: taken for an
-// overdue response, it made peers skip a healthy member.
+// A request that waits for the member's own rate budget does not count as an overdue response of the
+// state service. When it did, peers skipped a healthy member.
 func TestRequestsQueuedForBudgetDoNotMarkStoreUnavailable(t *testing.T) {
 	ctrl, _, _ := newControllerWithShard(t)
 	ctrl.store.sendStore(StoreOp{Kind: StoreTxn, Urgency: UrgencyBackground}, func(StoreResult) {})
 	ctrl.now.MonotonicMS += 3 * ctrl.store.storeAccess.OverdueAfterMS()
 	if !ctrl.requests.canServeUsers() {
-		t.Errorf("the link is %v while a write waits in the budget", ctrl.store.storeAccess.Link(ctrl.now.MonotonicMS))
+		t.Errorf("the link is %v while a write waits for the rate budget, want usable",
+			ctrl.store.storeAccess.Link(ctrl.now.MonotonicMS))
 	}
 	ctrl.store.sendStore(StoreOp{Kind: StoreGet, Urgency: UrgencyRead}, func(StoreResult) {})
 	ctrl.now.MonotonicMS += 3 * ctrl.store.storeAccess.OverdueAfterMS()
 	if ctrl.requests.canServeUsers() {
-		t.Error("the link is up while a response is overdue")
+		t.Error("the member can serve users while a response is overdue")
 	}
 	for _, op := range ctrl.TakeOutputs().StoreOps {
 		ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: NotFound})
 	}
 	if !ctrl.requests.canServeUsers() {
-		t.Error("the link stays down after a response")
+		t.Error("the member cannot serve users after a response")
 	}
 }
 
-// submitWithoutStoreResponse has a member send a submission's write, whose response is overdue.
+// submitWithoutStoreResponse sends a submission to a member. Its write takes longer than the typical
+// latency of the state service.
 func submitWithoutStoreResponse(t *testing.T) (ctrl *Controller, write StoreOp, record KeyValue) {
 	t.Helper()
 	ctrl = newAcceptingController(t, 1000)
@@ -220,13 +225,13 @@
 	ctrl.now.MonotonicMS += ctrl.store.storeAccess.OverdueAfterMS() / 2
 	ctrl.requests.confirmCachedSubmissions()
 	if outputs := ctrl.TakeOutputs(); len(outputs.StoreOps)+len(outputs.UserResponses) > 0 {
-		t.Fatalf("a record that the cache lacks is read: %+v", outputs)
+		t.Fatalf("outputs %+v for a record that is missing from the cache, want none", outputs)
 	}
 	return ctrl, ops[0], KeyValue{Key: jobKey("job-000001"), Value: ops[0].Changes[0].Value, Rev: 40}
 }
 
-// The response to a write is lost, and its record is in the cache: the record is read, once, and
-// the user gets a response. Nothing more is sent when the write times out.
+// The response to a write is lost, but its record is in the cache. The member reads the record once and
+// answers the user. It sends nothing more when the write times out.
 func TestSubmissionWithLostResponseIsConfirmedByItsRecord(t *testing.T) {
 	ctrl, write, record := submitWithoutStoreResponse(t)
 	ctrl.cache.applyChange(record)
@@ -247,7 +252,7 @@
 	}
 }
 
-// A failed read of the record decides nothing: the write's own outcome does.
+// A failed read of the record does not decide the response. The outcome of the write does.
 func TestFailedConfirmingReadLeavesOutcomeToTheWrite(t *testing.T) {
 	for _, outcome := range []Outcome{Unknown, Refused, Throttled} {
 		ctrl, write, record := submitWithoutStoreResponse(t)
@@ -268,9 +273,9 @@
 	}
 }
 
-// Polls leave a part of the budget for expedited requests to submissions: all of it went to polls
-// that waited in the member's own rate budget.
-func TestPollsLeaveHedgeBudgetToSubmissions(t *testing.T) {
+// Queries leave a part of the budget for hedged requests to submissions. Without this reserve, queries
+// that waited for the member's own rate budget used up all of it.
+func TestQueriesLeaveHedgeBudgetToSubmissions(t *testing.T) {
 	ctrl := newAcceptingController(t, 1000)
 	ctrl.params.MaxPendingRelays = 100
 	message := PeerMessage{From: "m1", ServesUsers: true}
@@ -284,6 +289,7 @@
 	ctrl.requests.hedgeSlowRequests()
 	relays := ctrl.TakeOutputs().Relays
 	if n := len(relays); n != hedgeBurst-hedgeReserve+1 || relays[n-1].Request.Kind != SubmitJob {
-		t.Errorf("%d requests go to a peer, the last %+v", n, relays[n-1].Request)
+		t.Errorf("%d requests are relayed to a peer, the last is %+v; want the reserve kept for the submission",
+			n, relays[n-1].Request)
 	}
 }
--- a/scheduler/summaries_and_bounds_test.go
+++ b/scheduler/summaries_and_bounds_test.go
@@ -8,8 +8,8 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// Beyond a few peers, summaries go to some of them at a time and to all in turn; the last summary that
-// a peer received stands until then, less what was used of it.
+// With more peers than maxSummaryRecipients, each message sends summaries to some peers, in rotation.
+// Until the next one arrives, a peer uses the last summary, less the capacity it has taken from it.
 func TestSummariesRotateAmongPeers(t *testing.T) {
 	cfg := testParams("m00")
 	for i := 1; i < 100; i++ {
@@ -21,7 +21,7 @@
 	for range 3 * turns {
 		peersWithSummaries := ctrl.peers.summaryRecipients()
 		if len(peersWithSummaries) == 0 || len(peersWithSummaries) > maxSummaryRecipients {
-			t.Fatalf("%d peers get summaries at once", len(peersWithSummaries))
+			t.Fatalf("%d peers get summaries at once, want 1 to maxSummaryRecipients", len(peersWithSummaries))
 		}
 		for _, name := range peersWithSummaries {
 			summariesReceived[name]++
@@ -29,11 +29,11 @@
 	}
 	for _, name := range cfg.PeerIDs {
 		if summariesReceived[name] != 3 {
-			t.Errorf("%s got %d summaries in three rounds", name, summariesReceived[name])
+			t.Errorf("%s got %d summaries in three rotations, want 3", name, summariesReceived[name])
 		}
 	}
 	if ctrl.params.PeerIDs = cfg.PeerIDs[:maxSummaryRecipients]; ctrl.peers.summaryRecipients() != nil {
-		t.Error("a few peers get summaries in turn, want all at a time")
+		t.Error("a few peers get summaries in rotation, want all at a time")
 	}
 	room := availability.Resources{CPUs: 8, MemoryGB: 32}
 	msg := PeerMessage{
@@ -47,7 +47,7 @@
 	ctrl.peers.peers["m01"].message.OwnedShards[0].Summary[0].Count = 2 // one was used
 	withoutSummaries := msg.WithoutSummaries()
 	if msg.OwnedShards[0].Summary == nil {
-		t.Fatal("the message has lost its summaries")
+		t.Fatal("WithoutSummaries removed the summaries of the original message")
 	}
 	withoutSummaries.WallMS, withoutSummaries.OwnedShards[0].Demands = 2, []CapacityDemand{{Job: "job-1"}}
 	withoutSummaries.OwnedShards = append(withoutSummaries.OwnedShards, PeerShard{Shard: "adopted"})
@@ -61,8 +61,8 @@
 	}
 }
 
-// A peer that sent no message for a while offers no capacity, whatever its last summary has, and
-// neither does a summary for a time that has passed.
+// A peer that has sent no message for two minutes offers no capacity, whatever its last summary
+// contains. Neither does a recent message whose summary covers only a past time.
 func TestStaleSummariesOfferNoCapacity(t *testing.T) {
 	ctrl, _ := newControllerWithFleet(t, 10, 2)
 	now := ctrl.now
@@ -90,13 +90,14 @@
 	}
 	sendSummary(now, now.WallMS)
 	if countOffered() == 0 {
-		t.Fatal("a summary of this moment offers nothing")
+		t.Fatal("a current summary offers no capacity")
 	}
 	ctrl.now = Now{now.MonotonicMS + 120_000, now.WallMS + 120_000}
 	if n := countOffered(); n != 0 {
-		t.Errorf("two minutes later it offers %d", n)
+		t.Errorf("two minutes later the summary offers capacity for %d tasks, want 0", n)
 	}
-	// Received now, but with samples of two minutes ago: constant after the last one.
+	// The message is received now, but its samples are from two minutes ago. The availability is constant
+	// after the last sample.
 	sendSummary(ctrl.now, now.WallMS)
 	peerShard := &ctrl.peers.peers["m1"].message.OwnedShards[0]
 	if n := ctrl.peers.peerTaskCapacity(peerShard, j, 100_000, ctrl.now.WallMS+60_000, 40, false); n != 0 {
@@ -104,8 +105,8 @@
 	}
 }
 
-// BenchmarkMemory is what a member keeps, in bytes: of a machine that another member owns, of an idle
-// one of its own, of a live job and of a running task.
+// BenchmarkMemory measures the heap of a member in bytes: per machine that another member owns, per idle
+// machine of its own, per live job and per running task.
 func BenchmarkMemory(b *testing.B) {
 	heapBytes := func() float64 {
 		runtime.GC()
@@ -165,9 +166,9 @@
 	}
 }
 
-// The steps of a plan stay within a bound of the machines and the task groups, however they come: after
-// the adoption of a shard of thousands, in a burst, with one very large job, and when all machines
-// changed at once. Steps are counted, not seconds.
+// The number of steps of a plan is bounded by the numbers of machines and task groups. The cases are the
+// adoption of a shard of thousands of machines, a burst of jobs, one very large job, and a change of
+// many machines at once. The test counts steps, not seconds.
 func TestPlanningStepsAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		machines, jobs int
@@ -207,8 +208,8 @@
 			ctrl.placer.planShard(s)
 			c.change(ctrl, s)
 			ctrl.placer.planShard(s)
-			// Candidate searches visit blocks; what is placed is visited machine by machine, and
-			// a job of many tasks once for each queue that takes some.
+			// Candidate searches visit blocks of machines. Placement visits single machines, and a job
+			// of many tasks once for each queue that takes some of them.
 			const filters, block = 14, 32
 			slots, placed := 0, 0
 			for _, planMachine := range s.clusterView.Machines() {
@@ -223,7 +224,7 @@
 					s.planSteps, c.machines, len(s.queue), slots, placed, bound)
 			}
 			if sum := ctrl.placer.availabilitySummary(s); len(sum) > ctrl.cache.settings.Functions {
-				t.Errorf("a summary of %d functions", len(sum))
+				t.Errorf("the summary has %d functions, more than the setting allows", len(sum))
 			}
 		})
 	}
--- a/scheduler/takeover_state_test.go
+++ b/scheduler/takeover_state_test.go
@@ -9,21 +9,21 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// addSilentMachine adds a machine that is listed as live and has sent no heartbeat.
-func addSilentMachine(ctrl *Controller, spot bool) *machine {
+// addUnreportedMachine adds a machine that is listed as live but has sent no heartbeat.
+func addUnreportedMachine(ctrl *Controller, spot bool) *machine {
 	page := registryRecord{Shard: "m0", Type: "small", Zone: "a", Spot: spot, MachineIDs: []string{"i-2"}}
 	putRecord(ctrl, registryPrefix+"1-2", page, 30)
 	putRecord(ctrl, liveMachinesPrefix+"m0/1", liveMachinesRecord{[]string{"i-2"}}, 31)
 	return ctrl.registry.machines["i-2"]
 }
 
-// One unreported machine blocks what may run on it: of a team's limit its own size, of ranges
-// those that are allowed there; with a stored entry, what the entry says.
-func TestSilentMachineBlocksOnlyTasksItMayRun(t *testing.T) {
+// An unreported machine blocks its own capacity of a team's limit, and the ranges that may use it. With
+// a stored ledger entry, it blocks only the usage and the ranges of that entry.
+func TestUnreportedMachineBlocksOnlyTasksItMayRun(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Teams = map[string]Team{"ops": {MaxCPUs: 12}, "": {}}
 	ctrl.quotas.initTeamLedgers()
-	addSilentMachine(ctrl, true)
+	addUnreportedMachine(ctrl, true)
 	addJob := func(id string, spotRange bool) *taskRange {
 		rec := newTestJobRecord(Range{Lo: 0, Hi: 4, Shard: "m0"})
 		rec.Job.ID, rec.Job.Spot, rec.Job.Team = id, spotRange, "ops"
@@ -37,7 +37,7 @@
 		t.Errorf("of 12 CPUs, with 8 unreported, %v are free, want 4", free.CPUs)
 	}
 	if !ctrl.agents.isBlockedByUnreported(s, spotRange) || ctrl.agents.isBlockedByUnreported(s, onDemandRange) {
-		t.Error("a range is blocked by a spot machine that it may not use, or not by one that it may use")
+		t.Error("got a range blocked by a spot machine that it may not use, or not blocked by one that it may use")
 	}
 	for _, ranges := range [][]string{{"job-000009/0"}, {spotRange.name()}} {
 		usage := map[string]reconcile.ResourceUsage{"ops": {CPUs: 2}}
@@ -46,13 +46,14 @@
 		spotRange.recovered = true
 		blocked, expected := ctrl.agents.isBlockedByUnreported(s, spotRange), ranges[0] == spotRange.name()
 		if blocked != expected {
-			t.Errorf("with a stored entry that names %v: blocked %v", ranges, blocked)
+			t.Errorf("with a stored entry for ranges %v: blocked %v, want blocked if it names the range",
+				ranges, blocked)
 		}
 	}
 	if free, _ := ctrl.quotas.teamHeadroom(s, "ops"); free.CPUs != 10 {
 		t.Errorf("with a stored entry of 2 CPUs, %v of 12 are free, want 10", free.CPUs)
 	}
-	// The machine of an orphaned task counts whole, but for its known tasks.
+	// A machine with an orphaned task may use all of its capacity beyond the known tasks, for any team.
 	ctrl.HandleHeartbeat(
 		ctrl.now,
 		5,
@@ -67,8 +68,8 @@
 	}
 }
 
-// takeMemoryWrite takes a member's outputs, and returns the write of a shard's recovery record.
-func takeMemoryWrite(ctrl *Controller) (StoreOp, recoveryRecord, bool) {
+// takeRecoveryRecordWrite takes a member's outputs and returns the write of a shard's recovery record.
+func takeRecoveryRecordWrite(ctrl *Controller) (StoreOp, recoveryRecord, bool) {
 	for _, op := range ctrl.TakeOutputs().StoreOps {
 		if op.Kind == StoreTxn && len(op.Changes) == 1 && strings.HasSuffix(op.Changes[0].Key, "/memory") {
 			var rec recoveryRecord
@@ -81,12 +82,12 @@
 	return StoreOp{}, recoveryRecord{}, false
 }
 
-// A machine that misses heartbeats gets a stored entry of what it may run. Nothing starts there
-// from then on until a record without the entry is certain to be stored.
+// A machine that misses heartbeats gets a stored ledger entry of the tasks that it may run. From then
+// on, nothing starts there until a record without the entry is known to be stored.
 func TestMachineIsUnusableUntilItsStoredEntryIsRemoved(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	ctrl.params.Recovery = true
-	for i := range 3 { // so that one is few
+	for i := range 3 { // so that one unreachable machine is a small part of the shard
 		id := fmt.Sprintf("i-%d", 5+i)
 		page := registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{id}}
 		putRecord(ctrl, registryPrefix+id, page, uint64(20+i))
@@ -109,25 +110,27 @@
 		}
 	}
 	advance(ctrl.maxHeartbeatIntervalMS() / 2)
-	if _, _, wrote := takeMemoryWrite(ctrl); wrote {
+	if _, _, wrote := takeRecoveryRecordWrite(ctrl); wrote {
 		t.Fatal("an entry is written for a healthy machine")
 	}
 	advance(ctrl.maxHeartbeatIntervalMS())
-	op, rec, wrote := takeMemoryWrite(ctrl)
+	op, rec, wrote := takeRecoveryRecordWrite(ctrl)
 	entry := rec.Unreachable["i-1"]
 	if !wrote || len(entry.Ranges) != 1 || entry.UsageByTeam[""].CPUs != 1 || ctrl.agents.isSchedulable(mc) {
-		t.Fatalf("written: %v %+v, schedulable %v", wrote, rec, ctrl.agents.isSchedulable(mc))
+		t.Fatalf("written %v: %+v, schedulable %v; want an entry of one range with 1 CPU, and not schedulable",
+			wrote, rec, ctrl.agents.isSchedulable(mc))
 	}
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Rev: 50})
 	if heartbeat(running); ctrl.agents.isSchedulable(mc) {
-		t.Fatal("schedulable after a heartbeat while the store may lack what runs on it")
+		t.Fatal("schedulable after a heartbeat although the store may lack tasks that run on it")
 	}
 	advance(ctrl.progressWriteInterval() + 200)
-	op, rec, wrote = takeMemoryWrite(ctrl)
+	op, rec, wrote = takeRecoveryRecordWrite(ctrl)
 	if !wrote || len(rec.Unreachable) != 0 || ctrl.agents.isSchedulable(mc) {
-		t.Fatalf("written: %v %+v, schedulable %v", wrote, rec, ctrl.agents.isSchedulable(mc))
+		t.Fatalf("written %v: %+v, schedulable %v; want no entry, and not schedulable",
+			wrote, rec, ctrl.agents.isSchedulable(mc))
 	}
-	// A response that did not come proves nothing.
+	// A write without a response may not have been applied.
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Outcome: Unknown})
 	read := ctrl.TakeOutputs().StoreOps[0]
 	stored := []KeyValue{{Key: read.Key, Value: op.Changes[0].Value, Rev: 51}}
@@ -137,25 +140,25 @@
 	}
 	heartbeat(running)
 	advance(ctrl.progressWriteInterval() + 200)
-	op, _, wrote = takeMemoryWrite(ctrl)
+	op, _, wrote = takeRecoveryRecordWrite(ctrl)
 	if !wrote || op.Preconditions[1].Revision != 51 {
-		t.Fatalf("not written again: %v %+v", wrote, op)
+		t.Fatalf("written again %v: %+v, want a write with a precondition on revision 51", wrote, op)
 	}
 	ctrl.HandleStoreResult(ctrl.now, op.ID, StoreResult{Rev: 60})
 	if !ctrl.agents.isSchedulable(mc) {
-		t.Error("not schedulable though the store has no entry of it")
+		t.Error("not schedulable although the stored record has no entry for it")
 	}
 }
 
-// A claim's runtime estimates serve the next one: how long classes take, and when a task that
-// goes on was started; its remaining time is not taken for its whole run.
+// The next claim restores a claim's runtime estimates: the corrections by class, and the start time of a
+// task that is still running. The remaining time of such a task does not count as its whole runtime.
 func TestRuntimeEstimatesSurviveTakeover(t *testing.T) {
 	ctrl, s, _ := newControllerWithShard(t)
 	ctrl.params.Recovery = true
 	ctrl.estimates.runtimeCorrections["c"] = &runtimeCorrection{ratio: 2.5, samples: 30}
 	s.recovery.writeState.nextWriteAt, s.recovery.nextRuntimeWriteAtMS = 0, 0
 	ctrl.agents.writeRecoveryRecord(s)
-	op, _, wrote := takeMemoryWrite(ctrl)
+	op, _, wrote := takeRecoveryRecordWrite(ctrl)
 	if !wrote {
 		t.Fatal("runtime estimates are not written")
 	}
@@ -185,17 +188,17 @@
 	}
 	remainingMS := attempt.expectedEnd(successor.now.WallMS) - successor.now.WallMS
 	if remainingMS < 3500 || remainingMS > 6500 {
-		t.Errorf("the task is expected to go on for %d ms, want 3500 to 6500", remainingMS)
+		t.Errorf("expected remaining time of the task: %d ms, want 3500 to 6500", remainingMS)
 	}
 	successor.now.WallMS += 1000
 	heartbeat(11, "exited")
 	if estimate := successor.estimates.runtimeCorrections["c"]; estimate.samples != 30 || estimate.ratio != 2.5 {
-		t.Errorf("a task's remaining time counts as its whole runtime: %+v", estimate)
+		t.Errorf("the remaining time of a task changed the estimate: %+v, want 30 samples and ratio 2.5", estimate)
 	}
 }
 
-// After a claim of 10,000 machines that all send a heartbeat within one interval, starts keep to the
-// pacer's rate, and hardly any store operations are sent.
+// After a claim, 10,000 machines all send a heartbeat within one interval. Starts do not exceed the
+// pacer's rate, and at most 20 store operations are sent.
 func TestTenThousandHeartbeatsInOneIntervalArePaced(t *testing.T) {
 	const machines = 10_000
 	ctrl, oldShard := newControllerWithFleet(t, machines, 300)
@@ -221,7 +224,7 @@
 	ctrl.TakeOutputs()
 	starts, ops := 0, 0
 	beginMS := ctrl.now.MonotonicMS
-	for round := range uint64(3) { // sent the token, reconciled, and in use again
+	for round := range uint64(3) { // the machines get the token, are reconciled, and start tasks again
 		for i, mc := range s.machines {
 			ctrl.now.MonotonicMS = beginMS + int64(round)*1000 + int64(i)/10
 			if i%1000 == 0 {
@@ -249,11 +252,11 @@
 			)
 			outputs := ctrl.TakeOutputs()
 			if !outputs.HeartbeatResponses[uint64(i)].Accepted {
-				t.Fatalf("report %d of round %d is not answered", i, round)
+				t.Fatalf("heartbeat %d of round %d is not accepted", i, round)
 			}
 			for _, c := range outputs.HeartbeatResponses[uint64(i)].Commands {
 				if c.Kind != CommandStart {
-					t.Fatalf("%s is told to %s %s", mc.id, c.Kind, c.Task)
+					t.Fatalf("machine %s gets a %s command for %s, want only starts", mc.id, c.Kind, c.Task)
 				}
 				starts++
 			}
@@ -261,13 +264,15 @@
 		}
 	}
 	if n := len(s.reconciler.Unreported()); n > 0 {
-		t.Fatalf("%d machines are not heard", n)
+		t.Fatalf("%d machines are unreported, want none", n)
 	}
-	// One order for each report, a second long, and what may pile up.
+	// The pacer allows one start per heartbeat, here over one second. The bound adds half of that for
+	// accumulated tokens.
 	if paceLimit := machines / 3 * 3 / 2; starts < paceLimit/2 || starts > paceLimit+1 {
-		t.Errorf("%d starts within a second, where the line lets %d pass", starts, paceLimit)
+		t.Errorf("%d starts within a second, want at least half of and at most the pacer's %d", starts, paceLimit)
 	}
 	if ctrl.Counters.AdoptedTasks < 5000 || ops > 20 {
-		t.Errorf("%d tasks adopted, %d requests to the store", ctrl.Counters.AdoptedTasks, ops)
+		t.Errorf("%d tasks adopted, %d store operations; want at least 5000, and at most 20",
+			ctrl.Counters.AdoptedTasks, ops)
 	}
 }
