--- a/scheduler/aging_test.go
+++ b/scheduler/aging_test.go
@@ -13,13 +13,14 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// drawLognormal draws around a median, with 0.95 of what it draws below p95.
+// drawLognormal draws from a lognormal distribution with a median and a 95th percentile. It returns
+// at most limit.
 func drawLognormal(r *rand.Rand, median, p95, limit float64) float64 {
 	return min(limit, median*math.Exp(r.NormFloat64()*math.Log(p95/median)/1.645))
 }
 
-// runAboveTeamLimit runs a team that requests several times its limit, with jobs of all sizes and
-// runtimes, and urgent small ones beside them. It returns the simulation at its end.
+// runAboveTeamLimit runs a team that requests several times its limit: jobs of all sizes and runtimes,
+// and small urgent jobs. It returns the simulation at its end.
 func runAboveTeamLimit(seed uint64, aging bool) *emulator.Simulation {
 	const until = 480_000
 	cfg := newParams(500)
@@ -87,8 +88,9 @@
 	return sim
 }
 
-// countStartedInTime counts the jobs of a class's largest or longest quarter that began within four
-// minutes, and those that had the time to.
+// countStartedInTime considers the quarter of a class's accepted jobs that is largest by size. started
+// is the number of jobs that started within four minutes of acceptance. total also includes the jobs
+// that were accepted more than four minutes ago.
 func countStartedInTime(sim *emulator.Simulation, class string, size func(*emulator.Job) float64) (started, total int) {
 	var jobs []*emulator.Job
 	for _, id := range sim.JobIDs {
@@ -109,8 +111,8 @@
 	return started, total
 }
 
-// Where a team requests several times its limit, seven in ten of the largest and of the longest
-// jobs begin within four minutes, two in ten only by aging.
+// If a team requests several times its limit, at least 70 % of its largest and of its longest jobs
+// start within four minutes. Without aging, the share is lower by at least 20 percentage points.
 func TestAgingStartsLargeJobsOfTeamAtItsLimit(t *testing.T) {
 	t.Parallel()
 	sizes := map[string]func(*emulator.Job) float64{
@@ -138,13 +140,13 @@
 	t.Logf("%v", shares)
 	for name, s := range shares {
 		if s[true] < 0.7 || s[true] < s[false]+0.2 {
-			t.Errorf("of the %s %.2f began in time, without aging %.2f", name, s[true], s[false])
+			t.Errorf("share of %s jobs started in time: got %.2f, without aging %.2f; want at least 0.7, and 0.2 more",
+				name, s[true], s[false])
 		}
 	}
 }
 
-// Jobs age all the time, at their teams' limits, under random faults: the invariants hold, and
-// all jobs end.
+// Jobs at their teams' limits age after 2 s, under random faults. The invariants hold, and all jobs end.
 func TestInvariantsSurviveFaultsWithAging(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -172,8 +174,8 @@
 	}
 }
 
-// Where smaller tasks use what others release of a limit before it is enough for a large one, the
-// limit is reserved for the large one: its first task starts all the same.
+// Smaller tasks would use the released parts of a team's limit before enough of it is free for a large
+// task. The limit is therefore reserved for the first task of the large job, which starts in time.
 func TestLimitIsReservedForLargeTaskAheadOfSmallOnes(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -219,7 +221,7 @@
 			t.Errorf("seed %d: %s: %s", seed, rule, what)
 		}
 		if large.FirstStartAt == 0 || large.FirstStartAt-large.AcceptedAt > 60_000 {
-			t.Errorf("seed %d: the large job was accepted after %d ms and began after %d, want within 60000",
+			t.Errorf("seed %d: the large job was accepted at %d ms and started at %d ms, want a start within 60000 ms",
 				seed, large.AcceptedAt, large.FirstStartAt)
 		}
 	}
--- a/scheduler/large_fleet_benchmark_test.go
+++ b/scheduler/large_fleet_benchmark_test.go
@@ -11,9 +11,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// BenchmarkLargeFleet is twenty members with machines that are all there when they start: they record
-// them, divide them, and run jobs, in simulated time and with the invariants checked each second.
-// A hundred thousand machines take minutes:
+// BenchmarkLargeFleet runs twenty members, with all machines present when the members start. The
+// members register the machines, divide them among themselves, and run jobs. It runs in simulated time
+// and checks the invariants each second. A run with 100,000 machines takes minutes:
 //
 //	go test -run none -bench 'LargeFleet/100000' -benchtime 1x -timeout 2h ./scheduler
 func BenchmarkLargeFleet(b *testing.B) {
@@ -49,7 +49,7 @@
 			})
 		}
 	})
-	// Enough for half of the machines, in jobs that no shard has capacity for alone.
+	// Enough tasks for half of the machines. No shard has the capacity for all of them alone.
 	const jobs = 200
 	submitFrom := int64(40_000)
 	var acceptDelays []int64
@@ -90,7 +90,7 @@
 		tasks += len(j.DoneTasks)
 	}
 	if done < jobs {
-		b.Errorf("%d of %d jobs are done", done, jobs)
+		b.Errorf("%d of %d jobs are done, want all", done, jobs)
 	}
 	slices.Sort(acceptDelays)
 	slices.Sort(startDelays)
@@ -114,7 +114,7 @@
 		"requests/s":        float64(requests) / seconds,
 		"changes/s":         float64(sim.StoreChanges) / seconds,
 		"summaries/message": float64(sim.SummaryMessages) / float64(sim.PeerMessages),
-		"MB/member":         float64(memStats.HeapAlloc) / 1e6 / float64(len(sim.Members)), // with the simulation's own
+		"MB/member":         float64(memStats.HeapAlloc) / 1e6 / float64(len(sim.Members)), // with the simulation
 	} {
 		b.ReportMetric(v, name)
 	}
--- a/scheduler/quota_faults_test.go
+++ b/scheduler/quota_faults_test.go
@@ -13,12 +13,12 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// quotaScenario is a hard case of teams' limits and guarantees with several members.
+// quotaScenario is a fault scenario for teams' limits and guarantees with several members.
 type quotaScenario struct {
 	members   int
 	teams     map[string]scheduler.Team
 	jobs      int
-	adjustJob func(w *testSimulation, j *scheduler.Job, n int) // of the nth job, whose team is set
+	adjustJob func(w *testSimulation, j *scheduler.Job, n int) // changes the nth job, whose team is already set
 	inject    func(w *testSimulation) outcomeCheck
 }
 
@@ -30,15 +30,15 @@
 	return teams
 }
 
-// partitionFromStore partitions a member from the store alone.
+// partitionFromStore partitions a member from the state service only.
 func (sim *testSimulation) partitionFromStore(m int, from, ms int64) {
 	sim.After(from, func() {
 		sim.partition(emulator.Partition{A: sim.Members[m].Name, B: "store", Until: sim.Now + ms})
 	})
 }
 
-// quotaScenarios are run with the invariants, the limits among them, checked on the machines at each
-// start; all jobs must end.
+// quotaScenarios are run with the invariants, including the limits, checked on the machines at each
+// start. All jobs must end.
 var quotaScenarios = map[string]quotaScenario{
 	"twelve teams above their limits": {
 		members:   3,
@@ -53,7 +53,7 @@
 		adjustJob: func(_ *testSimulation, j *scheduler.Job, _ int) { j.Tasks, j.Request.CPUs = 1+j.Tasks%3, 4 },
 		inject:    func(sim *testSimulation) outcomeCheck { sim.crashAllAt(40_000); return nil },
 	},
-	"many small tasks beside a huge one": {
+	"many small tasks and a huge one": {
 		members: 3,
 		teams:   map[string]scheduler.Team{"t0": {CPUs: 20, MaxCPUs: 40}, "t1": {CPUs: 64, MaxCPUs: 64}},
 		jobs:    50,
@@ -113,8 +113,8 @@
 		teams:   equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}),
 		jobs:    80,
 		inject: func(sim *testSimulation) outcomeCheck {
-			// Limits are lower from the second start on; the higher ones hold until all members
-			// have the lower ones.
+			// A member has the lower limits from its second start on. The higher limits apply until
+			// all members have the lower ones.
 			for i, m := range sim.Members {
 				sim.After(40_000+int64(i)*8000, func() {
 					sim.startsWithLowerLimits[m.Name] = true
@@ -155,8 +155,8 @@
 			return nil
 		},
 	},
-	// The giver of an allocation crashes while its write is pending; the network delays the
-	// write until its shard has been adopted.
+	// The member that transfers an allocation crashes while its write is pending. The network delays
+	// the write until the member's shard has been adopted.
 	"transfer applied late": {
 		members: 3,
 		teams:   equalTeams(3, scheduler.Team{CPUs: 40, MaxCPUs: 96}),
@@ -267,9 +267,9 @@
 	}
 }
 
-// Members stop tasks for guarantees, all at once, while peers are partitioned, slow or crashed: on
-// the machines, no team is left below its guarantee by that. Tasks that ended in the last moments,
-// which others may not know yet, count as if they ran.
+// Several members stop tasks for guarantees at the same time, while peers are partitioned, slow or
+// crashed. No team is left below its guarantee, as counted on the machines. Tasks that ended within the
+// last 5 s count as running, because other members may not know of their end yet.
 func TestReclaimLeavesEveryTeamItsGuarantee(t *testing.T) {
 	stops := 0
 	for seed := range uint64(6) {
@@ -284,11 +284,11 @@
 			return
 		}
 	}
-	t.Error("members that do not know a team's guarantee were not seen to violate it")
+	t.Error("no violation was detected although members did not know a team's guarantee")
 }
 
-// runGuaranteeScenario runs teams that fill the fleet beside others that request within their
-// guarantees. With a fault, members do not know the guarantee of one of the former.
+// runGuaranteeScenario runs teams that fill the fleet together with teams that request within their
+// guarantees. With a fault, members do not know the guarantee of one of the teams that fill the fleet.
 func runGuaranteeScenario(seed uint64, stops *int, withFault bool) *testSimulation {
 	taskEnds := map[string][]int64{}
 	sim := &testSimulation{
@@ -353,14 +353,14 @@
 					usedCPUs += 4
 				}
 			}
-			for task, at := range startedAt { // starts that may not have arrived
+			for task, at := range startedAt { // starts that may not have reached their workers
 				isOfTeam := sim.Jobs[task[:strings.IndexByte(task, '/')]].Spec.Team == team
 				if isOfTeam && sim.Now-at < 5000 && !counted[task] && !stoppedTasks[task] {
 					usedCPUs += 4
 				}
 			}
 			if guarantee := cfg.Teams[team].CPUs; usedCPUs < guarantee {
-				sim.Violations["guarantee"] = fmt.Sprintf("at %d ms: %s is left with %g of %g CPUs",
+				sim.Violations["guarantee"] = fmt.Sprintf("at %d ms: %s is left with %g CPUs, want its guarantee of %g",
 					sim.Now, team, usedCPUs, guarantee)
 			}
 		}
--- a/scheduler/recovery_benchmark_test.go
+++ b/scheduler/recovery_benchmark_test.go
@@ -10,9 +10,10 @@
 )
 
 // BenchmarkRecoveryOfAllMembers crashes all members of a busy fleet at once and restarts them after
-// three seconds, in simulated time, within the rates of a store. It reports when, counted from the
-// restart, a submission is first accepted, a task first starts, and nineteen of twenty machines
-// have had a heartbeat accepted, and how many store operations the members send until then.
+// three seconds, in simulated time, within the rate limits of the state service. It reports three times
+// from the restart on: to the first accepted submission, to the first start of a task, and to full
+// recovery. Full recovery means that 95 % of the machines have had a heartbeat accepted. It also
+// reports the number of store operations that the members send until full recovery.
 func BenchmarkRecoveryOfAllMembers(b *testing.B) {
 	for _, machines := range []int{800, 1500, 10_000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -38,8 +39,8 @@
 
 func measureRecovery(tb testing.TB, machines int) (result recoveryResult) {
 	tb.Helper()
-	// Tasks end all the time, after very different runtimes, and more wait. Each job fills a
-	// fiftieth of the fleet.
+	// Tasks with very different runtimes end continuously, and further tasks wait. Each job fills 2 %
+	// of the fleet.
 	taskRunMS := taskRunsFor(30_000, 90_000)
 	size := simScale{members: 3, capacityPerOffering: machines * 3 / 4}
 	sim := newTestSimulationWith(size, emulator.Options{Seed: 5, TaskRunMS: taskRunMS})
--- a/scheduler/relay_test.go
+++ b/scheduler/relay_test.go
@@ -10,9 +10,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// runWithoutStoreAtOneMember runs a small scenario in which loseStore takes the store away, and
-// returns how long the users of m0 waited for a response, and how many of their requests were
-// refused.
+// runWithoutStoreAtOneMember runs a small scenario in which loseStore makes the state service
+// unavailable. It returns the longest time that a user of m0 waited for a response, and the number of
+// requests to m0 that were refused.
 func runWithoutStoreAtOneMember(
 	t *testing.T,
 	relays int,
@@ -50,7 +50,7 @@
 	return longestWaitMS, refused, requests
 }
 
-// newRelayTestJob is an array job of the team without a limit.
+// newRelayTestJob returns an array job of the team without a limit.
 func newRelayTestJob(id string, tasks int, cpus, estimateS float64) *emulator.Job {
 	return emulator.NewJob(scheduler.Job{
 		ID:        id,
@@ -65,40 +65,44 @@
 	})
 }
 
-// The store fails for one member only, by 503 or without any response: its users get their response
-// by a peer, within a second. Without relays they are refused.
+// The state service fails for one member only, either with 503 or without any response. A peer answers
+// the users of that member within a second. Without relays they are refused, otherwise the scenario
+// would not test relays.
 func TestPeersAnswerForMemberWithoutStore(t *testing.T) {
 	for name, loseStore := range map[string]func(*testSimulation){
 		"refused": func(sim *testSimulation) { sim.StartOutage("m0", 9_000) },
-		"silent": func(sim *testSimulation) {
+		"no response": func(sim *testSimulation) {
 			sim.partition(emulator.Partition{A: "m0", B: "store", Until: sim.Now + 9_000})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			longestWaitMS, refused, requests := runWithoutStoreAtOneMember(t, 16, loseStore)
 			if requests < 60 || refused > 0 || longestWaitMS > 1000 {
-				t.Errorf("of %d requests %d are refused, the longest takes %d ms", requests, refused, longestWaitMS)
+				t.Errorf("of %d requests %d are refused, the longest takes %d ms; want 60, 0 and at most 1000 ms",
+					requests, refused, longestWaitMS)
 			}
 			if _, refused, _ := runWithoutStoreAtOneMember(t, 0, loseStore); refused < requests/2 {
-				t.Errorf("without relays only %d of %d are refused: the scenario tests nothing", refused, requests)
+				t.Errorf("without relays %d of %d requests are refused, want at least half", refused, requests)
 			}
 		})
 	}
 }
 
-// When the store is unavailable to all members, requests are not relayed in circles, and users are
-// refused at once.
+// When the state service is unavailable to all members, requests are not relayed in a loop, and users
+// are refused immediately.
 func TestRequestsAreRefusedImmediatelyInFullOutage(t *testing.T) {
 	longestWaitMS, refused, requests := runWithoutStoreAtOneMember(t, 16, func(sim *testSimulation) {
 		sim.StartOutage("all", 8_000)
 	})
 	if refused < requests*2/3 || longestWaitMS > 1000 {
-		t.Errorf("of %d requests %d are refused, the longest takes %d ms", requests, refused, longestWaitMS)
+		t.Errorf("of %d requests %d are refused, the longest takes %d ms; want at least 2/3, and at most 1000 ms",
+			requests, refused, longestWaitMS)
 	}
 }
 
-// The members are partitioned from each other, and one that does not lead gets a job for which there
-// are no machines: the leader provisions them though no message reaches it.
+// The members are partitioned from each other, and a member that does not lead receives a job without
+// machines for it. The leader reads the demand from a status record and provisions machines, although
+// no message of a peer reaches it.
 func TestDemandReachesIsolatedLeaderThroughStore(t *testing.T) {
 	firstStartWith := func(relays int) (firstStartAt int64) {
 		sim := newTestSimulation(78, emulator.InjectedFault{}, smallScale)
@@ -133,9 +137,9 @@
 		return firstStartAt
 	}
 	if startedAt := firstStartWith(16); startedAt == 0 || startedAt > 45_000 {
-		t.Errorf("the first task, submitted at 14000 ms, starts at %d ms, want by 45000", startedAt)
+		t.Errorf("the first task, submitted at 14000 ms, starts at %d ms, want at most 45000", startedAt)
 	}
 	if startedAt := firstStartWith(0); startedAt != 0 && startedAt < 68_000 {
-		t.Errorf("without status records a task starts at %d ms: the scenario tests nothing", startedAt)
+		t.Errorf("without status records a task starts at %d ms, want none before 68000 ms", startedAt)
 	}
 }
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -13,11 +13,11 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// countStops reports a violation when more tasks of a team are stopped at once than its budget allows.
+// countStops reports a violation if more tasks of a team are stopped at a time than its budget allows.
 func countStops(sim *testSimulation, budget int) *emulator.StopCounter {
 	return sim.CountStops(func(task *platformfake.Task, down int) {
 		if down > budget {
-			sim.Violations["disruption"] = fmt.Sprintf("at %d ms: %d tasks of %s are down, %s last",
+			sim.Violations["disruption"] = fmt.Sprintf("at %d ms: %d tasks of %s are stopped, %s last",
 				sim.Now, down, task.Job.Team, task.Name)
 		}
 	})
@@ -39,7 +39,7 @@
 	})
 }
 
-// applyPlanAt sets a budget for all teams and applies a plan at a time.
+// applyPlanAt sets a budget for all teams and then applies a plan, at the given time.
 func (sim *testSimulation) applyPlanAt(at int64, budget disruption.Budget, plan rollout.Plan) {
 	settings := scheduler.DefaultSettings()
 	settings.Disruption = map[string]disruption.Budget{"*": budget}
@@ -54,7 +54,7 @@
 	})
 }
 
-// rolloutStatus is the plan by the first member that knows one.
+// rolloutStatus returns the status of the plan from the first member that knows one.
 func (sim *testSimulation) rolloutStatus() *scheduler.RolloutStatus {
 	for _, m := range sim.Members {
 		if m.Core != nil {
@@ -75,7 +75,7 @@
 	return sim
 }
 
-// replaceAll replaces all machines, a few at first and then 30 % in each step.
+// replaceAll replaces all machines: two in the first step, then 30 % in each step.
 var replaceAll = rollout.Plan{
 	ID:                "p1",
 	All:               true,
@@ -87,8 +87,8 @@
 	DeadlineS:         8,
 }
 
-// Whatever fails while all machines are replaced, no team has more tasks stopped at once than
-// its budget, as counted on the machines, and the invariants hold.
+// While random faults occur and all machines are replaced, no team has more tasks stopped at a time than
+// its budget allows, as counted on the machines. The invariants hold.
 func TestRolloutKeepsDisruptionBudget(t *testing.T) {
 	var ended, stops int
 	results := make(chan [2]int, *seedCount)
@@ -107,7 +107,7 @@
 				sim.checkInvariants(t)
 				done := 0
 				if status := sim.rolloutStatus(); status == nil {
-					t.Error("there is no plan")
+					t.Error("no member knows the plan")
 				} else if status.State == rollout.Done {
 					done = 1
 				}
@@ -120,11 +120,12 @@
 		ended, stops = ended+result[0], stops+result[1]
 	}
 	if *traceSeed < 0 && (ended < *seedCount/2 || stops < *seedCount) {
-		t.Errorf("%d of %d plans were done in time, %d tasks were stopped", ended, *seedCount, stops)
+		t.Errorf("%d of %d plans were done in time, %d tasks were stopped; want at least half, and one per plan",
+			ended, *seedCount, stops)
 	}
 }
 
-// The count of stopped tasks detects a budget that the controllers do not keep.
+// The count of stopped tasks detects controllers that exceed a disruption budget.
 func TestExceededDisruptionBudgetIsDetected(t *testing.T) {
 	for seed := range uint64(8) {
 		sim := newRolloutSimulation(700 + seed)
@@ -136,17 +137,17 @@
 			return
 		}
 	}
-	t.Error("a budget of 20 was not seen to exceed one of 3")
+	t.Error("controllers with a budget of 20 tasks were not detected to exceed a budget of 3")
 }
 
-// hastyPlan is replaceAll with one second for each step.
-func hastyPlan() rollout.Plan {
+// shortDeadlinePlan returns replaceAll with a deadline of one second for each step.
+func shortDeadlinePlan() rollout.Plan {
 	plan := replaceAll
 	plan.DeadlineS = 1
 	return plan
 }
 
-// gatedPlan replaces all machines, three at a time, under health gates.
+// gatedPlan returns a plan that replaces all machines, three at a time, with health gates.
 func gatedPlan(id string, stepPauseS, deadlineS float64, gates rollout.HealthGates) rollout.Plan {
 	return rollout.Plan{
 		ID:                id,
@@ -161,7 +162,8 @@
 	}
 }
 
-// pauseThenAbort commands both, and reports a violation if a task is stopped in between.
+// pauseThenAbort pauses the plan and aborts it 20 s later. It reports a violation if a task is stopped
+// after the first 6 s of the pause.
 func pauseThenAbort(sim *testSimulation, c *emulator.StopCounter) {
 	stopsBefore := 0
 	sim.After(40_000, func() { sim.commandRollout(rollout.Pause) })
@@ -174,7 +176,8 @@
 	})
 }
 
-// watchReplicas submits a service of ten replicas, and reports a violation if fewer than eight run.
+// watchReplicas submits a service of ten replicas, and reports a violation if fewer than eight run
+// between 25 s and 200 s.
 func watchReplicas(sim *testSimulation, _ *emulator.StopCounter) {
 	j := emulator.NewJob(scheduler.Job{
 		ID:       "job-900000",
@@ -197,7 +200,7 @@
 			}
 		})
 		if n < 8 {
-			sim.Violations["replicas"] = fmt.Sprintf("at %d ms %d of 10 run, 8 are to be kept", sim.Now, n)
+			sim.Violations["replicas"] = fmt.Sprintf("at %d ms: %d of 10 replicas run, want at least 8", sim.Now, n)
 		}
 		if sim.Now < 200_000 {
 			sim.After(50, countReplicas)
@@ -208,7 +211,7 @@
 	sim.After(25_000, countReplicas)
 }
 
-// crashLeaderRepeatedly crashes whoever leads, every nine seconds.
+// crashLeaderRepeatedly crashes the current leader every nine seconds.
 func crashLeaderRepeatedly(sim *testSimulation, _ *emulator.StopCounter) {
 	for at := int64(30_000); at < 100_000; at += 9000 {
 		sim.After(at, func() {
@@ -221,8 +224,8 @@
 	}
 }
 
-// A plan is in the state that its budget, gates and commands ask for at the end, and tasks are
-// stopped for it only where the budget allows it.
+// A plan ends in the state that its budget, gates and commands require. Tasks are stopped for it only
+// if the budget allows it.
 func TestRolloutScenariosReachExpectedState(t *testing.T) {
 	drainPlan := rollout.Plan{ID: "p2", All: true, Mode: rollout.Drain, DeadlineS: 4}
 	fiveTasks := disruption.Budget{MaxTasks: 5}
@@ -250,12 +253,13 @@
 		stops  bool
 	}{
 		"no budget, tasks end by themselves": {disruption.Budget{}, drainPlan, nil, rollout.Done, false},
-		"paused, then aborted":               {fiveTasks, hastyPlan(), pauseThenAbort, rollout.Aborted, true},
+		"paused, then aborted":               {fiveTasks, shortDeadlinePlan(), pauseThenAbort, rollout.Aborted, true},
 		"gate of lost tasks": {
 			fiveTasks, gatedPlan("p3", 3, 6, rollout.HealthGates{Losses: 3}), reclaimSix, rollout.Paused, false,
 		},
 		"service keeps its replicas": {
-			disruption.Budget{MaxTasks: 5, MinReplicaShare: 0.8}, hastyPlan(), watchReplicas, rollout.Done, true,
+			disruption.Budget{MaxTasks: 5, MinReplicaShare: 0.8}, shortDeadlinePlan(), watchReplicas,
+			rollout.Done, true,
 		},
 		"faulty replacements in the first step": {
 			fiveTasks, gatedPlan("p4", 30, 2, rollout.HealthGates{ReplacementErrors: 2}), faultyReplacements,
@@ -288,7 +292,7 @@
 	}
 }
 
-// longArrayJob is an array job of the team without a limit.
+// longArrayJob returns an array job of the team without a limit.
 func longArrayJob(id string, tasks int, estimateS float64) scheduler.Job {
 	return scheduler.Job{
 		ID:        id,
@@ -303,11 +307,11 @@
 	}
 }
 
-// Whatever else fails while machines are replaced, the budget is kept, the invariants hold, and
-// the plan is done or reports what it waits for.
+// While machines are replaced and other faults occur, the budget is kept and the invariants hold. The
+// plan is done, makes progress, or reports the reason for its wait.
 func TestRolloutKeepsBudgetThroughFailures(t *testing.T) {
 	crashAllOn := func(trigger func(*scheduler.Outputs) bool) func(*testSimulation) outcomeCheck {
-		return crashAllScenario(1, "all members crashed there", trigger)
+		return crashAllScenario(1, "crash of all members at this point", trigger)
 	}
 	hasGracefulStop := func(o *scheduler.Outputs) bool {
 		return hasCommand(o, func(c scheduler.Command) bool { return c.Kind == scheduler.CommandStop && c.GraceS > 0 })
@@ -384,7 +388,7 @@
 			})
 			return func(t *testing.T, sim *testSimulation) {
 				if status := sim.rolloutStatus(); refused == 0 || status == nil || status.Plan.ID != "p1" {
-					t.Errorf("a second plan got %d responses, and %+v goes on; want one response, and p1",
+					t.Errorf("a second plan got %d responses, and the status is %+v; want a response, and plan p1",
 						refused, status)
 				}
 			}
@@ -406,7 +410,7 @@
 			}
 			return nil
 		},
-		"tasks that are long, begin once, or form a gang": func(sim *testSimulation) outcomeCheck {
+		"long tasks, at-most-once tasks and a gang": func(sim *testSimulation) outcomeCheck {
 			submitLongJob(sim, "job-810000", func(j *scheduler.Job) { j.AtMostOnce = true })
 			submitLongJob(sim, "job-820000", func(j *scheduler.Job) { j.Kind, j.Tasks = scheduler.Gang, 3 })
 			submitLongJob(sim, "job-830000", func(j *scheduler.Job) {
@@ -415,7 +419,7 @@
 			submitLongJob(sim, "job-840000", func(j *scheduler.Job) { j.EstimateS, j.Tasks = 60, 40 })
 			return func(t *testing.T, sim *testSimulation) {
 				if j := sim.Jobs["job-810000"]; sim.FailureReasons["job-810000"] != "" && len(j.DoneTasks) == 0 {
-					t.Errorf("a job whose tasks begin once failed: %s", sim.FailureReasons["job-810000"])
+					t.Errorf("an at-most-once job failed without a finished task: %s", sim.FailureReasons["job-810000"])
 				}
 			}
 		},
@@ -438,8 +442,8 @@
 			return requireAtLeast(3, "a machine of the plan was reclaimed", &interrupted)
 		},
 		"teams at their limits": func(sim *testSimulation) outcomeCheck {
-			// Without guarantees: the count cannot tell a stop for a team's own priority from one
-			// for the plan.
+			// The teams have no guarantees, because the count cannot distinguish a stop for a team's own
+			// priority from a stop for the plan.
 			sim.Params.Teams = map[string]scheduler.Team{"t0": {MaxCPUs: 48}, "t1": {MaxCPUs: 64}}
 			sim.crashAllAt(60_000)
 			return nil // the limits are checked on the machines at each start
@@ -458,9 +462,9 @@
 				sim.noRandomFaults = true
 				sim.TraceEnabled = *traceSeed == int(seed)
 				countStops(sim, 3)
-				hasty := replaceAll
-				hasty.DeadlineS = 2
-				sim.applyPlanAt(25_000, disruption.Budget{MaxTasks: 3}, hasty)
+				plan := replaceAll
+				plan.DeadlineS = 2
+				sim.applyPlanAt(25_000, disruption.Budget{MaxTasks: 3}, plan)
 				checkOutcome := inject(sim)
 				sim.runScenario(120_000, 900_000, 50)
 				sim.checkInvariants(t)
@@ -469,7 +473,7 @@
 				}
 				status := sim.rolloutStatus()
 				if status == nil {
-					t.Fatal("there is no plan")
+					t.Fatal("no member knows the plan")
 				}
 				isProgressing := status.Draining > 0 || status.Booting > 0
 				if status.State != rollout.Done && status.Reason == "" && !isProgressing {
--- a/scheduler/scale_benchmark_test.go
+++ b/scheduler/scale_benchmark_test.go
@@ -10,8 +10,8 @@
 	"github.com/grebedock/grebedock/availability"
 )
 
-// newControllerWithFleet makes a member that owns a shard of busy machines and a backlog of jobs, for
-// the benchmarks: two tasks run on each machine, and each job has twenty that wait.
+// newControllerWithFleet returns a member that owns a shard of busy machines and a backlog of jobs, for
+// the benchmarks. At most two tasks run on each machine, and at least twenty tasks of each job wait.
 func newControllerWithFleet(tb testing.TB, machines, jobs int) (*Controller, *shard) {
 	tb.Helper()
 	params := testParams("m0", "m1")
@@ -105,8 +105,8 @@
 	}
 }
 
-// changingFleet makes a fleet in which, at each step, a second passes and the tasks of a
-// hundredth of the machines end and others begin.
+// changingFleet is a fleet that changes by 1 % per step: a second passes, and the tasks of 1 % of the
+// machines are replaced by new ones.
 type changingFleet struct {
 	ctrl  *Controller
 	s     *shard
@@ -132,9 +132,10 @@
 	}
 }
 
-// BenchmarkPlanChanged is a plan after a change of a hundredth, BenchmarkSummaryChanged
-// the summary that follows.
-func BenchmarkPlanChanged(b *testing.B)    { benchmarkChanged(b, true) }
+// BenchmarkPlanChanged measures a plan after a change of 1 % of the machines.
+func BenchmarkPlanChanged(b *testing.B) { benchmarkChanged(b, true) }
+
+// BenchmarkSummaryChanged measures the summary after such a plan.
 func BenchmarkSummaryChanged(b *testing.B) { benchmarkChanged(b, false) }
 
 func benchmarkChanged(b *testing.B, plan bool) {
@@ -158,9 +159,9 @@
 	}
 }
 
-// BenchmarkSummary also reports what the limits lose: the share of the tasks that the shard's own
-// queues can end in time which its summary still offers, for tasks to start now and for tasks with
-// some time.
+// BenchmarkSummary also reports the capacity that the limits on functions and samples preserve. The
+// metric is the share of the tasks in a summary without limits that the limited summary still offers.
+// It is reported for tasks that must start now and for tasks with later deadlines.
 func BenchmarkSummary(b *testing.B) {
 	for _, c := range fleetSizes {
 		for _, limit := range [][2]int{{125, 10}, {60, 10}, {30, 10}, {125, 4}} {
@@ -231,7 +232,7 @@
 			ctrl.placer.planShard(s)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.plannedAt = ctrl.now.MonotonicMS // without the planner
+				s.plannedAt = ctrl.now.MonotonicMS // the tick then does not plan
 				ctrl.shards.tickShard(s)
 				ctrl.TakeOutputs()
 			}
@@ -239,8 +240,8 @@
 	}
 }
 
-// BenchmarkSubmit is a submission that the store accepts at once, with the assignment of its tasks to
-// shards.
+// BenchmarkSubmit measures a submission that the state service accepts at once, including the assignment
+// of its tasks to shards.
 func BenchmarkSubmit(b *testing.B) {
 	for _, c := range fleetSizes {
 		b.Run(fmt.Sprintf("%dx%d", c.machines, c.jobs), func(b *testing.B) {
@@ -269,7 +270,7 @@
 	}
 }
 
-// BenchmarkRecovery is what a claim does with a page of five hundred live jobs.
+// BenchmarkRecovery measures the takeover of a shard with one page of 500 live jobs.
 func BenchmarkRecovery(b *testing.B) {
 	ctrl, _ := newControllerWithFleet(b, 0, 500)
 	var items []KeyValue
@@ -285,14 +286,14 @@
 		restarted.shards.ownedShards["m0"] = restarted.shards.newShard("m0", 7, 5)
 		restarted.shards.takeOverShard(restarted.shards.ownedShards["m0"])
 		if len(restarted.shards.ownedShards["m0"].taskRanges) != len(items) {
-			b.Fatal("jobs are missing")
+			b.Fatal("the shard has no task range for some jobs after the takeover")
 		}
 	}
 }
 
-// BenchmarkFleetRestart is what a member does when all machines of its shard report a new incarnation
-// at once, and with it the loss of what they ran: the cost of all heartbeats, the store operations,
-// and the plan that follows.
+// BenchmarkFleetRestart measures a member whose machines all report a new incarnation at once, and thus
+// the loss of their tasks. It measures all heartbeats and the plan that follows, and reports the number
+// of store operations.
 func BenchmarkFleetRestart(b *testing.B) {
 	for _, c := range fleetSizes {
 		b.Run(fmt.Sprintf("%dx%d", c.machines, c.jobs), func(b *testing.B) {
@@ -321,7 +322,7 @@
 				ctrl.shards.tickShard(s)
 				b.StopTimer()
 				if i := slices.IndexFunc(s.machines, func(mc *machine) bool { return mc.Incarnation != 2 }); i >= 0 {
-					b.Fatalf("%s is not in its new incarnation", s.machines[i].id)
+					b.Fatalf("machine %s is not in its new incarnation", s.machines[i].id)
 				}
 				for _, op := range ctrl.TakeOutputs().StoreOps {
 					ops++
@@ -337,9 +338,9 @@
 	}
 }
 
-// BenchmarkTeams is what teams cost a member: 300 of them with limits and guarantees, each with a
-// job, on 1,500 machines. A plan, the proposals that are made every quarter of a second (none of
-// which needs a write), and the usage that goes to peers.
+// BenchmarkTeams measures the cost of teams for a member: up to 300 teams with limits and guarantees,
+// each with a job, on 1,500 machines. It measures a plan, the usage snapshot for peers, and the
+// proposals of allocations. Proposals are made every quarter of a second; none of them needs a write.
 func BenchmarkTeams(b *testing.B) {
 	for _, teams := range []int{1, 12, 300} {
 		ctrl, s := newControllerWithFleet(b, 1500, 300)
@@ -357,14 +358,14 @@
 				ctrl.placer.planShard(s)
 			}
 		})
-		b.Run(fmt.Sprintf("draft/%d", teams), func(b *testing.B) {
+		b.Run(fmt.Sprintf("proposals/%d", teams), func(b *testing.B) {
 			for b.Loop() {
 				s.nextProposalAt = 0
 				ctrl.quotas.proposeAllocations(s)
 				ctrl.TakeOutputs()
 			}
 		})
-		b.Run(fmt.Sprintf("tell/%d", teams), func(b *testing.B) {
+		b.Run(fmt.Sprintf("usage/%d", teams), func(b *testing.B) {
 			for b.Loop() {
 				ctrl.quotas.usageSnapshot()
 			}
