--- a/scheduler/controller_test.go
+++ b/scheduler/controller_test.go
@@ -485,8 +485,8 @@
 	}
 }
 
-// Machines are added and removed with their registry pages. A machine that is listed as live before its
-// registry page is known counts as up.
+// Machines are added and removed with their registry pages, and are up if a record of live machines lists
+// them. A machine that is listed as live before its registry page is known also counts as up.
 func TestMachinesFollowRegistryAndLiveRecords(t *testing.T) {
 	ctrl := newTestController(t)
 	ctrl.store.storeAccess.SetState(0, 0, 0)
@@ -561,7 +561,7 @@
 }
 
 // A machine with capacity starts a task with a cached image before one whose image it must fetch. It
-// does not if the delay made the latter miss its start objective.
+// does not do so if the delay would make the latter miss its start objective.
 func TestImageLocalityYieldsToStartObjectives(t *testing.T) {
 	for _, c := range []struct {
 		slackMS  int64 // time until the objective deadline of the first job
--- a/scheduler/large_fleet_benchmark_test.go
+++ b/scheduler/large_fleet_benchmark_test.go
@@ -114,7 +114,7 @@
 		"requests/s":        float64(requests) / seconds,
 		"changes/s":         float64(sim.StoreChanges) / seconds,
 		"summaries/message": float64(sim.SummaryMessages) / float64(sim.PeerMessages),
-		"MB/member":         float64(memStats.HeapAlloc) / 1e6 / float64(len(sim.Members)), // with the simulation
+		"MB/member":         float64(memStats.HeapAlloc) / 1e6 / float64(len(sim.Members)), // includes the simulation
 	} {
 		b.ReportMetric(v, name)
 	}
--- a/scheduler/quota_faults_test.go
+++ b/scheduler/quota_faults_test.go
@@ -124,7 +124,7 @@
 			return nil
 		},
 	},
-	"crash of all members with every allocation lent": {
+	"crash of all members with every allocation transferred": {
 		members: 5,
 		teams:   equalTeams(5, scheduler.Team{CPUs: 40, MaxCPUs: 120}),
 		jobs:    100,
--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -241,7 +241,7 @@
 			return worker.Instance.StartedAtMS > 25_000 && sim.Now < 90_000
 		}
 	}
-	noCapacityForAWhile := func(sim *testSimulation, _ *emulator.StopCounter) {
+	temporarilyNoCapacity := func(sim *testSimulation, _ *emulator.StopCounter) {
 		sim.After(24_000, func() { sim.Cloud.Capacity = 0 })
 		sim.After(80_000, func() { sim.Cloud.Capacity = 10 })
 	}
@@ -266,7 +266,7 @@
 			rollout.Paused, false,
 		},
 		"leader crashes repeatedly":       {fiveTasks, replaceAll, crashLeaderRepeatedly, rollout.Done, true},
-		"cloud without capacity at first": {fiveTasks, replaceAll, noCapacityForAWhile, rollout.Done, false},
+		"cloud without capacity at first": {fiveTasks, replaceAll, temporarilyNoCapacity, rollout.Done, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -343,7 +343,7 @@
 			}
 			return func(t *testing.T, sim *testSimulation) {
 				if sim.LateWriteCounts["l/d/"]+sim.LateWriteCounts["l/r/"] < 1 {
-					t.Errorf("late writes: %v", sim.LateWriteCounts)
+					t.Errorf("late writes %v, want at least one of l/d/ or l/r/", sim.LateWriteCounts)
 				}
 			}
 		},
@@ -364,7 +364,7 @@
 			})
 			return nil
 		},
-		"leader partitioned from the store for a while": func(sim *testSimulation) outcomeCheck {
+		"leader temporarily partitioned from the store": func(sim *testSimulation) outcomeCheck {
 			sim.After(36_000, func() {
 				for _, m := range sim.Members {
 					if m.Core != nil && m.Core.Status(m.Clock()).Leading {
--- a/scheduler/submission_test.go
+++ b/scheduler/submission_test.go
@@ -273,8 +273,8 @@
 	}
 }
 
-// Queries leave a part of the budget for hedged requests to submissions. Without this reserve, queries
-// that waited for the member's own rate budget used up all of it.
+// Queries leave hedgeReserve tokens of the budget for hedged requests to submissions. Without this
+// reserve, queries that waited for the member's own rate budget used up all tokens.
 func TestQueriesLeaveHedgeBudgetToSubmissions(t *testing.T) {
 	ctrl := newAcceptingController(t, 1000)
 	ctrl.params.MaxPendingRelays = 100
--- a/scheduler/takeover_state_test.go
+++ b/scheduler/takeover_state_test.go
@@ -87,7 +87,7 @@
 func TestMachineIsUnusableUntilItsStoredEntryIsRemoved(t *testing.T) {
 	ctrl, s, mc := newControllerWithShard(t)
 	ctrl.params.Recovery = true
-	for i := range 3 { // so that one unreachable machine is a small part of the shard
+	for i := range 3 { // so that one unreachable machine is within the maximum share
 		id := fmt.Sprintf("i-%d", 5+i)
 		page := registryRecord{Shard: "m0", Type: "small", Zone: "a", MachineIDs: []string{id}}
 		putRecord(ctrl, registryPrefix+id, page, uint64(20+i))
