--- a/cmd/grebedock/lab.go
+++ b/cmd/grebedock/lab.go
@@ -21,19 +21,18 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// defaultUserPort is the first port of a lab's members, and the default port of the workflow
-// commands.
+// defaultUserPort is the first port of a lab's members, and the default port of the users' commands.
 const defaultUserPort = 8080
 
 func labCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "lab", Short: "Run everything on this machine, to try grebedock out"}
+	cmd := &cobra.Command{Use: "lab", Short: "Run a cluster on this machine, and load tests and experiments"}
 	var o lab.Options
 	up := &cobra.Command{
 		Use:   "up",
-		Short: "Start members, state service, cloud and workers on loopback; Ctrl-C ends them",
-		Long: "Starts members and stand-ins for all that they need, on loopback, in one process.\n" +
-			"Workers run the tools of workflows as plain processes of this user, isolated from\n" +
-			"nothing; tasks of other jobs are only waited for. Ctrl-C ends everything.",
+		Short: "Start members, state service, cloud and workers on loopback; Ctrl-C stops them",
+		Long: "Starts members and fakes of the services that they need, on loopback, in one process.\n" +
+			"Workers run the tools of workflows as plain processes of this user, without isolation;\n" +
+			"tasks of other jobs are simulated and only take time. Ctrl-C stops everything.",
 		Example: "  grebedock lab up\n  grebedock workflow run docs/examples/cwl/read-batch.cwl " +
 			"docs/examples/cwl/read-batch.json",
 		Args: cobra.NoArgs,
@@ -55,18 +54,18 @@
 		},
 	}
 	f := up.Flags()
-	f.IntVar(&o.Members, "members", 2, "how many members")
-	f.IntVar(&o.FirstPort, "front", defaultUserPort, "first port of the members' addresses; 0: any free ones")
-	f.IntVar(&o.MachinesPerType, "machines", 4, "how many machines of a zone and kind can be rented")
-	f.Float64Var(&o.MachineCPUs, "cpus", 4, "processors of a machine")
-	f.Float64Var(&o.SpeedFactor, "speed", 1, "how much faster than their estimates tasks are that are only waited for")
-	f.StringVar(&o.DataDir, "dir", "", "directory for the data of workflows; default: one that is removed at the end")
+	f.IntVar(&o.Members, "members", 2, "number of members")
+	f.IntVar(&o.FirstPort, "front", defaultUserPort, "first port of the members' user API; 0: any free ports")
+	f.IntVar(&o.MachinesPerType, "machines", 4, "number of machines available for each type, zone and kind")
+	f.Float64Var(&o.MachineCPUs, "cpus", 4, "CPUs of a machine")
+	f.Float64Var(&o.SpeedFactor, "speed", 1, "speed of simulated tasks relative to their estimates")
+	f.StringVar(&o.DataDir, "dir", "", "directory for workflow data; default: a temporary one, removed at the end")
 	cmd.AddCommand(up, loadCommand(), experimentCommand(), reportCommand())
 	return cmd
 }
 
-func isReady(front string) bool {
-	status, _ := httpclient.NewClient(front, 1).Do(wire.Request{Method: "GET", Path: "/up"}, time.Second)
+func isReady(userAddr string) bool {
+	status, _ := httpclient.NewClient(userAddr, 1).Do(wire.Request{Method: "GET", Path: "/up"}, time.Second)
 	return status == 200
 }
 
@@ -93,16 +92,16 @@
 		return err
 	}
 	out := cmd.OutOrStdout()
-	fmt.Fprintf(out, "lab: %d members take users' requests on %s\n", len(l.UserAddrs), strings.Join(l.UserAddrs, ", "))
-	fmt.Fprintf(out, "     administration on %s; workflows' data in %s\n", strings.Join(l.PeerAddrs, ", "), l.DataDir)
-	fmt.Fprintf(out, "     ready after %.1f s; Ctrl-C ends it\n", time.Since(startedAt).Seconds())
+	fmt.Fprintf(out, "lab: %d members serve the user API on %s\n", len(l.UserAddrs), strings.Join(l.UserAddrs, ", "))
+	fmt.Fprintf(out, "     administration API on %s; workflow data in %s\n", strings.Join(l.PeerAddrs, ", "), l.DataDir)
+	fmt.Fprintf(out, "     ready after %.1f s; Ctrl-C stops it\n", time.Since(startedAt).Seconds())
 	watchLab(ctx, out, l)
-	fmt.Fprintln(out, "lab: ending")
+	fmt.Fprintln(out, "lab: stopping")
 	return nil
 }
 
-// Intervals of the view: on a terminal it is redrawn, elsewhere a line is printed if something
-// changed.
+// Intervals of watchLab's output: on a terminal it redraws the table, elsewhere it prints a line if
+// the summary changed.
 const (
 	viewInterval = time.Second
 	lineInterval = 5 * time.Second
@@ -150,7 +149,7 @@
 // labSummary returns the state of a lab in one line.
 func labSummary(statuses []scheduler.Status) string {
 	if len(statuses) == 0 {
-		return "lab: no member answers"
+		return "lab: no member responds"
 	}
 	queued, running, liveMachines := 0, 0, 0
 	var accepted, finished uint64
@@ -184,7 +183,7 @@
 	)
 }
 
-// labTable returns the state of a lab in a few lines.
+// labTable returns the state of a lab as the summary and a table of members and teams.
 func labTable(statuses []scheduler.Status) string {
 	var b strings.Builder
 	fmt.Fprintln(&b, labSummary(statuses))
--- a/cmd/grebedock/lab_report.go
+++ b/cmd/grebedock/lab_report.go
@@ -33,7 +33,7 @@
 		}
 		var r emulator.Result
 		if err := json.Unmarshal(s.Bytes(), &r); err != nil || r.Variant == "" {
-			malformed = append(malformed, fmt.Sprintf("%s, line %d, is not whole", name, n))
+			malformed = append(malformed, fmt.Sprintf("%s: line %d is truncated or invalid", name, n))
 			continue
 		}
 		out = append(out, r)
@@ -45,11 +45,11 @@
 	var page string
 	cmd := &cobra.Command{
 		Use:   "report RESULTS.jsonl [RESULTS.jsonl]",
-		Short: "Compare the variants of an experiment, or two files of results",
-		Long: "Prints each figure's mean over the seeds with the half-width of its 95 % confidence\n" +
-			"interval, variants side by side. A figure is marked with * if it differs from the\n" +
-			"first variant's: the interval of the differences, seed by seed, leaves out 0. With two files, " +
-			"the first is the one compared against.",
+		Short: "Compare the variants of an experiment, or two results files",
+		Long: "Prints each metric's mean over the seeds with the half-width of its 95 % confidence\n" +
+			"interval, one column per variant. A metric is marked with * if it differs from that of\n" +
+			"the first variant: the confidence interval of the differences, paired by seed, excludes 0.\n" +
+			"With two files, the first is the baseline.",
 		Args: cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var all []emulator.Result
@@ -71,7 +71,7 @@
 			if len(all) == 0 {
 				return &codedError{errors.New("no results"), exitInvalid}
 			}
-			// In the order of the experiment, not that in which they finished.
+			// In the order of the experiment's file, not in the order of completion.
 			slices.SortStableFunc(all, func(a, b emulator.Result) int {
 				return cmp.Or(cmp.Compare(a.VariantIndex, b.VariantIndex), cmp.Compare(a.Seed, b.Seed))
 			})
@@ -89,7 +89,7 @@
 			return os.WriteFile(page, b, 0o644)
 		},
 	}
-	cmd.Flags().StringVar(&page, "html", "", "write a page with plots to this file")
+	cmd.Flags().StringVar(&page, "html", "", "write an HTML page with plots to this file")
 	return cmd
 }
 
@@ -209,7 +209,7 @@
 	n               int
 }
 
-// text formats the estimate; variants without the metric have none.
+// text formats the estimate; it is "-" for a variant that has no value of the metric.
 func (e meanEstimate) text() string {
 	if math.IsNaN(e.mean) {
 		return "-"
@@ -217,8 +217,8 @@
 	return fmt.Sprintf("%.3g ± %.2g", e.mean, e.halfWidth)
 }
 
-// studentT975 has the 97.5 % quantiles of Student's t, by degrees of freedom from 1 on; past the
-// end the normal quantile is close enough.
+// studentT975 holds the 97.5 % quantiles of Student's t distribution, by degrees of freedom from 1 on.
+// For more degrees of freedom the quantile of the normal distribution is close enough.
 var studentT975 = []float64{
 	12.71,
 	4.30,
@@ -242,7 +242,7 @@
 	2.09,
 }
 
-// estimateOf estimates the mean of xs, without the runs that have no value (NaN).
+// estimateOf estimates the mean of xs. It ignores NaN, the mark of runs without a value.
 func estimateOf(xs []float64) meanEstimate {
 	xs = slices.DeleteFunc(slices.Clone(xs), math.IsNaN)
 	n := float64(len(xs))
@@ -308,7 +308,7 @@
 	}
 	template := &all[0]
 	if at := slices.IndexFunc(all, func(r emulator.Result) bool { return r.Rollout != nil }); at >= 0 {
-		template = &all[at] // it has the most metrics
+		template = &all[at] // a result with a rollout has the most metrics
 	}
 	for _, f := range metricsOf(template) {
 		var row []cell
@@ -325,7 +325,7 @@
 			}
 			row = append(row, cell{estimateOf(xs), k > 0 && differsSignificantly(first, bySeed)})
 		}
-		// Metrics without a value in any variant are left out.
+		// Omit metrics that have no value in any variant.
 		if slices.ContainsFunc(row, func(c cell) bool { return !math.IsNaN(c.mean) }) {
 			t.rows, t.cells = append(t.rows, f.name), append(t.cells, row)
 		}
