--- a/cmd/grebedock/lab_report.go
+++ b/cmd/grebedock/lab_report.go
@@ -113,10 +113,10 @@
 	return append(
 		metrics,
 		metric{"tasks started again", func(r *emulator.Result) float64 { return float64(r.RepeatedStarts) }},
-		metric{"most orders in a second", func(r *emulator.Result) float64 { return float64(r.WorstSecond()) }},
+		metric{"most commands in a second", func(r *emulator.Result) float64 { return float64(r.WorstSecond()) }},
 		metric{"accepted p99, ms", func(r *emulator.Result) float64 { return r.SubmitMS.P99 }},
 		metric{
-			"answers that settle nothing",
+			"inconclusive responses",
 			func(r *emulator.Result) float64 { return float64(r.InconclusiveResponses) },
 		},
 		metric{"price", func(r *emulator.Result) float64 { return r.PriceRatio }},
@@ -142,7 +142,7 @@
 		}})
 	}
 	add("in time", func(c *emulator.ClassResult) float64 { return c.InTimeShare })
-	add("started within its aim", func(c *emulator.ClassResult) float64 { return c.WaitWithinShare })
+	add("started within its objective", func(c *emulator.ClassResult) float64 { return c.WaitWithinShare })
 	add("wait p50, s", func(c *emulator.ClassResult) float64 { return c.WaitS.P50 })
 	add("wait p90, s", func(c *emulator.ClassResult) float64 { return c.WaitS.P90 })
 	add("done p90, s", func(c *emulator.ClassResult) float64 { return c.DoneS.P90 })
@@ -171,9 +171,13 @@
 	guaranteed := func(t *emulator.TeamResult) int { return t.Guaranteed }
 	add("guaranteed work started in time", guaranteed, func(t *emulator.TeamResult) float64 { return t.PromptShare })
 	add("wait of guaranteed work p90, s", guaranteed, func(t *emulator.TeamResult) float64 { return t.PromptWaitS.P90 })
-	add("s below its guarantee", guaranteed, func(t *emulator.TeamResult) float64 { return float64(t.BelowGuaranteeS) })
 	add(
-		"limit in use while it is short",
+		"time below its guarantee, s",
+		guaranteed,
+		func(t *emulator.TeamResult) float64 { return float64(t.BelowGuaranteeS) },
+	)
+	add(
+		"limit in use under contention",
 		func(t *emulator.TeamResult) int { return t.LimitContendedS },
 		func(t *emulator.TeamResult) float64 { return t.LimitUsedShare },
 	)
@@ -191,9 +195,9 @@
 		}
 	}
 	return []metric{
-		{"plan: took, s", planMetric(func(p *emulator.RolloutResult) float64 { return p.DurationS })},
+		{"plan: duration, s", planMetric(func(p *emulator.RolloutResult) float64 { return p.DurationS })},
 		{"plan: tasks stopped", planMetric(func(p *emulator.RolloutResult) float64 { return float64(p.StoppedTasks) })},
-		{"plan: most down of a team", planMetric(func(p *emulator.RolloutResult) float64 {
+		{"plan: most tasks down of a team", planMetric(func(p *emulator.RolloutResult) float64 {
 			most := 0
 			for _, n := range p.MaxDown {
 				most = max(most, n)
--- a/cmd/grebedock/operator.go
+++ b/cmd/grebedock/operator.go
@@ -75,7 +75,7 @@
 			}
 			fmt.Fprintf(
 				w,
-				"member\t%s\nauthority\t%v\nstate service\t%s\nlead\t%s\njobs\t%d\nmachines\t%d, %d up\n",
+				"member\t%s\nauthority\t%v\nstate service\t%s\nleader\t%s\njobs\t%d\nmachines\t%d, %d up\n",
 				st.Member,
 				st.Authority,
 				st.StoreLink,
@@ -87,7 +87,8 @@
 			c := st.Counters
 			fmt.Fprintf(
 				w,
-				"since its start\t%d accepted, %d finished, %d starts, %d lost, %d refused, %d shed, %d relayed\n\n",
+				"since start\t%d accepted, %d finished, %d starts, %d tasks lost, %d unavailable (503), %d shed, "+
+					"%d relayed\n\n",
 				c.Accepted,
 				c.Finished,
 				c.Starts,
--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -117,7 +117,7 @@
 	if p.Mode == rollout.Replace {
 		fmt.Fprintf(
 			w,
-			"beyond the usual\tup to %d machines, %.2f an hour\n",
+			"surge\tup to %d machines, %.2f per hour\n",
 			min(p.Surge, preview.Machines),
 			preview.SurgeCostPerHour,
 		)
@@ -141,7 +141,7 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "plan\t%s, %s\nstate\t%s\n", st.Plan.ID, st.Plan.Mode, st.State)
 	if st.Reason != "" {
-		fmt.Fprintf(w, "why\t%s\n", st.Reason)
+		fmt.Fprintf(w, "reason\t%s\n", st.Reason)
 	}
 	fmt.Fprintf(
 		w,
