--- a/internal/platformfake/cloud.go
+++ b/internal/platformfake/cloud.go
@@ -7,7 +7,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Instance is a machine that the cloud has provisioned.
+// Instance is a provisioned machine.
 type Instance struct {
 	scheduler.CloudMachine
 	StartedAtMS int64
@@ -15,28 +15,30 @@
 
 // Cloud is a fake cloud that provisions and releases machines.
 type Cloud struct {
-	Types           []scheduler.MachineType
-	Capacity        int // machines available for each type, zone and kind
-	instances       map[string]*Instance
-	resultByRequest map[string][]string
-	nextNumber      int
-	// OnProvisioned and OnReleased are called for each machine.
+	Types                    []scheduler.MachineType
+	Capacity                 int // maximum number of instances per type, zone and kind (on-demand or spot)
+	instances                map[string]*Instance
+	machinesByIdempotencyKey map[string][]string
+	nextNumber               int
+	// OnProvisioned and OnReleased are called for each instance that is provisioned or removed.
 	OnProvisioned, OnReleased func(*Instance)
 }
 
-// NewCloud returns a cloud that offers the types, each with capacity machines per zone and kind.
+// NewCloud returns a cloud that offers the given machine types, with capacity instances for each
+// type, zone and kind.
 func NewCloud(types []scheduler.MachineType, capacity int) *Cloud {
 	return &Cloud{
-		Types:           types,
-		Capacity:        capacity,
-		instances:       map[string]*Instance{},
-		resultByRequest: map[string][]string{},
-		OnProvisioned:   func(*Instance) {},
-		OnReleased:      func(*Instance) {},
+		Types:                    types,
+		Capacity:                 capacity,
+		instances:                map[string]*Instance{},
+		machinesByIdempotencyKey: map[string][]string{},
+		OnProvisioned:            func(*Instance) {},
+		OnReleased:               func(*Instance) {},
 	}
 }
 
-// Reclaim takes an instance back, as the cloud does with spot machines.
+// Reclaim removes an instance, as a cloud does when it reclaims a spot instance. An unknown ID has
+// no effect.
 func (c *Cloud) Reclaim(id string) {
 	if r := c.instances[id]; r != nil {
 		delete(c.instances, id)
@@ -44,7 +46,8 @@
 	}
 }
 
-// Apply carries out an operation.
+// Apply executes an operation. A provision request with a known idempotency key returns the
+// machines of the first one.
 func (c *Cloud) Apply(now int64, op scheduler.CloudOp) (r scheduler.CloudResult) {
 	switch op.Kind {
 	case scheduler.CloudCatalog:
@@ -63,7 +66,7 @@
 			r.List = append(r.List, l)
 		}
 	case scheduler.CloudProvision:
-		if a, ok := c.resultByRequest[op.IdempotencyKey]; ok {
+		if a, ok := c.machinesByIdempotencyKey[op.IdempotencyKey]; ok {
 			r.Machines = a
 			return r
 		}
@@ -96,7 +99,7 @@
 			r.Machines = append(r.Machines, id)
 			c.OnProvisioned(m)
 		}
-		c.resultByRequest[op.IdempotencyKey] = r.Machines
+		c.machinesByIdempotencyKey[op.IdempotencyKey] = r.Machines
 	case scheduler.CloudRelease:
 		for _, id := range op.Machines {
 			c.Reclaim(id)
--- a/internal/platformfake/cloud_server.go
+++ b/internal/platformfake/cloud_server.go
@@ -60,22 +60,22 @@
 
 func (s *Platform) serveProvision(c *fiber.Ctx) error {
 	var b struct {
-		RequestID string `json:"charter"`
-		Type      string `json:"hull"`
-		Zone      string `json:"marsh"`
-		Spot      bool   `json:"driftwood"`
-		HowMany   int    `json:"how_many"`
+		IdempotencyKey string `json:"charter"`
+		Type           string `json:"hull"`
+		Zone           string `json:"marsh"`
+		Spot           bool   `json:"driftwood"`
+		Count          int    `json:"how_many"`
 	}
 	if err := json.Unmarshal(c.Body(), &b); err != nil {
 		return c.SendStatus(400)
 	}
 	result := s.applyCloudOp(scheduler.CloudOp{
 		Kind:           scheduler.CloudProvision,
-		IdempotencyKey: b.RequestID,
+		IdempotencyKey: b.IdempotencyKey,
 		Type:           b.Type,
 		Zone:           b.Zone,
 		Spot:           b.Spot,
-		Count:          b.HowMany,
+		Count:          b.Count,
 	})
 	if result.Outcome == scheduler.NotFound {
 		return c.Status(503).JSON(fiber.Map{"error": "no capacity"})
@@ -85,11 +85,11 @@
 
 func (s *Platform) serveRelease(c *fiber.Ctx) error {
 	var b struct {
-		Berths []string `json:"berths"`
+		Machines []string `json:"berths"`
 	}
 	if err := json.Unmarshal(c.Body(), &b); err != nil {
 		return c.SendStatus(400)
 	}
-	s.applyCloudOp(scheduler.CloudOp{Kind: scheduler.CloudRelease, Machines: b.Berths})
+	s.applyCloudOp(scheduler.CloudOp{Kind: scheduler.CloudRelease, Machines: b.Machines})
 	return c.JSON(fiber.Map{})
 }
--- a/internal/platformfake/platform.go
+++ b/internal/platformfake/platform.go
@@ -15,7 +15,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Platform serves a fake state service, cloud and workers over loopback, by the published
+// Platform serves a fake state service, cloud and workers over loopback, with the published
 // protocol, for tests of the real program.
 type Platform struct {
 	mu        sync.Mutex
@@ -26,7 +26,7 @@
 	workers   map[string]*Worker
 	members   []string
 	stop      chan struct{}
-	servers   map[string]*fiber.App // by machine, "state", "cloud"
+	servers   map[string]*fiber.App // key: machine ID, "state" or "cloud"
 
 	StateAddr, CloudAddr string
 }
@@ -35,23 +35,24 @@
 type Options struct {
 	Types    []scheduler.MachineType
 	Lease    time.Duration
-	Members  []string // front addresses, to which the workers send heartbeats
-	Capacity int      // machines available for each type, zone and kind
-	// RunTimeMS returns the run time in ms of a task that is simulated.
+	Members  []string // user API addresses, to which the workers send heartbeats
+	Capacity int      // maximum number of instances per type, zone and kind (on-demand or spot)
+	// RunTimeMS returns the run time of a simulated task in ms.
 	RunTimeMS func(j *scheduler.Job) int64
-	// Execute starts a task that is really run; it returns nil for tasks that are simulated.
+	// Execute starts a task that runs as a real process; it returns nil for simulated tasks.
 	Execute func(*Task) Execution
-	// OnTaskStarted is called for each task that starts, in order, with the processors in use
-	// including its own.
+	// OnTaskStarted is called for each task that starts, in start order. cpus is the number of
+	// processors in use on all machines, including the task's own.
 	OnTaskStarted func(machine string, t *Task, cpus float64)
 }
 
-// NewPlatform starts a platform with 8 machines for each type, zone and kind, which boot at once.
+// NewPlatform starts a platform with a capacity of 8 machines for each type, zone and kind.
+// Machines boot immediately.
 func NewPlatform(types []scheduler.MachineType, lease time.Duration, members []string) (*Platform, error) {
 	return StartPlatform(Options{Types: types, Lease: lease, Members: members, Capacity: 8})
 }
 
-// StartPlatform starts a platform. The caller must call Close.
+// StartPlatform starts a platform. The caller must close it.
 func StartPlatform(o Options) (*Platform, error) {
 	s := &Platform{
 		startedAt: time.Now(),
@@ -110,8 +111,8 @@
 	return s, err
 }
 
-// findJob returns a job that users submitted, from AddJob or else from the members' record in the
-// state service, or nil.
+// findJob returns a submitted job, or nil if it is unknown. It looks among the jobs of AddJob
+// first, then reads the members' job record in the state service.
 func (s *Platform) findJob(id string) *scheduler.Job {
 	if j := s.jobs[id]; j != nil {
 		return j
@@ -126,7 +127,7 @@
 	return &rec.Job
 }
 
-// Close ends the platform with all that runs on its machines.
+// Close stops the tasks on all machines and shuts down the servers.
 func (s *Platform) Close() {
 	close(s.stop)
 	s.mu.Lock()
@@ -141,10 +142,11 @@
 	}
 }
 
-// shutdownTimeout bounds the shutdown of a server: nobody waits for its responses any more.
+// shutdownTimeout bounds the shutdown of a server. It is short because clients no longer wait for
+// responses.
 const shutdownTimeout = 100 * time.Millisecond
 
-// workerServer serves direct commands to a worker.
+// workerServer returns the server of a worker's direct commands and status.
 func (s *Platform) workerServer(w *Worker) *fiber.App {
 	app := newServer()
 	app.Post("/do", func(c *fiber.Ctx) error {
@@ -219,14 +221,15 @@
 		"dive": r.Incarnation, "tally": r.Seq, "baton": r.Token, "ebb_s": nil, "chicks": tasks}
 }
 
-// AddJob makes a job known to the workers, as its user's upload does.
+// AddJob makes a job known to the workers, as an upload by its user does.
 func (s *Platform) AddJob(j scheduler.Job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.jobs[j.ID] = &j
 }
 
-// cpusInUse returns the processors of all tasks on machines. The caller holds mu.
+// cpusInUse returns the sum of the processors of all tasks that are on machines. The caller must
+// hold mu.
 func (s *Platform) cpusInUse() float64 {
 	sum := 0.0
 	for _, w := range s.workers {
@@ -239,7 +242,7 @@
 	return sum
 }
 
-// CountOnMachines counts the tasks of a job that are on machines.
+// CountOnMachines returns the number of a job's tasks that are on machines.
 func (s *Platform) CountOnMachines(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,8 +273,8 @@
 	return fiber.New(fiber.Config{DisableStartupMessage: true, Immutable: true})
 }
 
-// The protocol's words for states, causes and commands, repeated here so that a mistake in the
-// program's own table is detected.
+// Wire names of task states, exit reasons and commands. They are repeated here so that tests detect
+// a mistake in the program's own tables.
 var (
 	taskStateNames = map[string]string{
 		"fetching": "fetching",
@@ -295,7 +298,8 @@
 	}
 )
 
-// sendHeartbeats sends a worker's heartbeats until the platform or its machine ends.
+// sendHeartbeats sends a worker's heartbeats until the platform is closed or the machine released.
+// After a failed heartbeat it continues with the next member.
 func (s *Platform) sendHeartbeats(w *Worker) {
 	memberIndex := 0
 	client := &http.Client{
@@ -319,7 +323,7 @@
 		s.mu.Unlock()
 		body, err := json.Marshal(heartbeatBody(&r))
 		if err != nil {
-			panic(fmt.Sprintf("standin: a report does not encode: %v", err))
+			panic(fmt.Sprintf("platformfake: encode heartbeat: %v", err))
 		}
 		res, err := client.Post("http://"+s.members[memberIndex]+
 			"/v1/report", "application/json", bytes.NewReader(body))
--- a/internal/platformfake/state_server.go
+++ b/internal/platformfake/state_server.go
@@ -10,9 +10,9 @@
 )
 
 type stateKV struct {
-	K    string          `json:"k"`
-	V    json.RawMessage `json:"v"`
-	Mark uint64          `json:"mark"`
+	Key      string          `json:"k"`
+	Value    json.RawMessage `json:"v"`
+	Revision uint64          `json:"mark"`
 }
 
 func (s *Platform) applyStoreOp(c *fiber.Ctx, op scheduler.StoreOp) error {
@@ -40,15 +40,15 @@
 		}
 		return c.JSON(fiber.Map{"items": items, "more": r.More, "tide": r.Rev})
 	case scheduler.StoreWatch:
-		log := []fiber.Map{}
+		events := []fiber.Map{}
 		for _, it := range r.KVs {
 			if it.Value == nil {
-				log = append(log, fiber.Map{"remove": it.Key, "mark": it.Rev})
+				events = append(events, fiber.Map{"remove": it.Key, "mark": it.Rev})
 			} else {
-				log = append(log, fiber.Map{"put": it.Key, "v": it.Value, "mark": it.Rev})
+				events = append(events, fiber.Map{"put": it.Key, "v": it.Value, "mark": it.Rev})
 			}
 		}
-		return c.JSON(fiber.Map{"tide": r.Rev, "log": log})
+		return c.JSON(fiber.Map{"tide": r.Rev, "log": events})
 	}
 	return c.JSON(fiber.Map{"tide": r.Rev, "mooring": r.LeaseID})
 }
@@ -78,8 +78,8 @@
 		Changes       []struct {
 			Put     string          `json:"put"`
 			Remove  string          `json:"remove"`
-			V       json.RawMessage `json:"v"`
-			Mooring uint64          `json:"mooring"`
+			Value   json.RawMessage `json:"v"`
+			LeaseID uint64          `json:"mooring"`
 		} `json:"then"`
 	}
 	if err := json.Unmarshal(c.Body(), &b); err != nil {
@@ -87,13 +87,13 @@
 	}
 	op := scheduler.StoreOp{Kind: scheduler.StoreTxn}
 	for _, g := range b.Preconditions {
-		op.Preconditions = append(op.Preconditions, scheduler.Precondition{Key: g.K, Revision: g.Mark})
+		op.Preconditions = append(op.Preconditions, scheduler.Precondition{Key: g.Key, Revision: g.Revision})
 	}
 	for _, t := range b.Changes {
 		if t.Remove != "" {
 			op.Changes = append(op.Changes, scheduler.Change{Key: t.Remove})
 		} else {
-			op.Changes = append(op.Changes, scheduler.Change{Key: t.Put, Value: t.V, LeaseID: t.Mooring})
+			op.Changes = append(op.Changes, scheduler.Change{Key: t.Put, Value: t.Value, LeaseID: t.LeaseID})
 		}
 	}
 	return s.applyStoreOp(c, op)
@@ -109,7 +109,8 @@
 	return s.applyStoreOp(c, scheduler.StoreOp{Kind: scheduler.StoreGrantLease, DurationMS: b.TTLMS})
 }
 
-// serveWatch responds as soon as there is a change, or when the time to wait is over.
+// serveWatch responds as soon as there is a change, or without changes after the requested hold
+// time.
 func (s *Platform) serveWatch(c *fiber.Ctx) error {
 	from, _ := strconv.ParseUint(c.Query("from"), 10, 64)
 	op := scheduler.StoreOp{Kind: scheduler.StoreWatch, Key: c.Query("prefix"), Rev: from}
@@ -126,5 +127,5 @@
 	return s.applyStoreOp(c, op)
 }
 
-// watchPollInterval is the interval at which a watch checks for changes.
+// watchPollInterval is the interval at which serveWatch checks for changes.
 const watchPollInterval = 5 * time.Millisecond
--- a/internal/platformfake/state_service.go
+++ b/internal/platformfake/state_service.go
@@ -1,7 +1,7 @@
-// Package platformfake has fakes of the systems that a controller meets: the state service, the
-// cloud and the workers, written from their published protocol. They serve tests, in simulated time
-// and over loopback. State, Cloud and Worker are not safe for concurrent
-// use; Platform serializes access to them.
+// Package platformfake provides fakes of the systems that a controller uses: the state service, the
+// cloud and the workers. They implement the published protocols, for tests in simulated time and
+// over loopback. State, Cloud and Worker are not safe for concurrent use; Platform serializes access
+// to them.
 package platformfake
 
 import (
@@ -14,7 +14,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// maxEvents bounds the changes that are kept for watches.
+// maxEvents is the number of changes retained for watches. A watch from an older revision fails
+// with scheduler.Gone.
 const maxEvents = 10_000
 
 type entry struct {
@@ -27,9 +28,9 @@
 	ttl, expiresAt int64
 }
 
-// State is the state service. Times are milliseconds of any one clock.
+// State is a fake state service. Times are in milliseconds and all from one clock.
 type State struct {
-	PageSize int // items of a list's page; 0: 50, so that small clusters have several pages
+	PageSize int // items per page of a list; 0: 50, so that small clusters have several pages
 	rev      uint64
 	keys     map[string]entry
 	leases   map[uint64]lease
@@ -42,7 +43,7 @@
 	return &State{keys: map[string]entry{}, leases: map[uint64]lease{}}
 }
 
-// ExpireLeases ends the leases whose TTL is over and deletes the keys attached to them.
+// ExpireLeases removes the leases whose TTL has passed and deletes the keys attached to them.
 func (s *State) ExpireLeases(now int64) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		expiring := s.leases[id]
@@ -58,7 +59,8 @@
 	}
 }
 
-// RenewAllLeases gives every lease its full TTL again, as the end of an outage does.
+// RenewAllLeases renews every lease for its full TTL, as the state service does at the end of an
+// outage.
 func (s *State) RenewAllLeases(now int64) {
 	for id, renewed := range s.leases {
 		renewed.expiresAt = now + renewed.ttl
@@ -94,10 +96,10 @@
 	}
 }
 
-// Value returns a key's value, or nil.
+// Value returns the value of a key, or nil if the key does not exist.
 func (s *State) Value(key string) json.RawMessage { return s.keys[key].value }
 
-// Apply carries out an operation. ready is false for a watch without changes so far.
+// Apply executes an operation. ready is false for a watch that has no changes to return yet.
 func (s *State) Apply(now int64, op scheduler.StoreOp) (r scheduler.StoreResult, ready bool) {
 	s.ExpireLeases(now)
 	r.Rev = s.rev
--- a/internal/platformfake/worker.go
+++ b/internal/platformfake/worker.go
@@ -18,49 +18,52 @@
 	State        string
 	Reason       string
 	Checkpointed bool
-	stateEndsAt  int64 // when the current state ends
-	waitingSince int64 // when it began to wait for the other tasks of its gang
+	stateEndsAt  int64 // time in ms at which the current state ends
+	waitingSince int64 // time in ms at which the task began to wait for the other tasks of its gang
 	execution    Execution
 }
 
-// Execution is a task that really runs.
+// Execution is a task that runs as a real process.
 type Execution interface {
 	IsFinished() (bool, error)
 	Stop()
 }
 
-// IsOnMachine reports whether the task counts as being on its machine.
+// IsOnMachine reports whether the task counts as being on its machine: it has its image and has not
+// exited.
 func (t *Task) IsOnMachine() bool {
 	return t.State == "running" || t.State == "saving" || t.State == "waiting"
 }
 
-// Worker is a machine's worker. Its times are in ms of its own monotonic clock.
+// Worker is a fake worker of one machine. Times are in ms of its own monotonic clock.
 type Worker struct {
 	Machine   scheduler.CloudMachine
 	Resources availability.Resources
 	LeaseMS   int64
 	FetchMS   int64
-	// FetchTimeMS returns the fetch time of a job's image in ms; nil: FetchMS for each.
+	// FetchTimeMS returns the fetch time of a job's image in ms; nil: FetchMS for all images.
 	FetchTimeMS func(*scheduler.Job) int64
 	// IsGangReady reports whether all tasks of a gang's attempt are on their machines; nil: tasks
-	// do not wait for each other. A task that waited for GangTimeoutMS gives up.
+	// do not wait for each other. A task that has waited for longer than GangTimeoutMS exits as
+	// stopped.
 	IsGangReady   func(*Task) bool
 	GangTimeoutMS int64
-	// FindJob returns a job that users submitted, RunTimeMS the run time of a task in ms.
+	// FindJob returns a submitted job, or nil; RunTimeMS returns the run time of a task in ms.
 	FindJob   func(id string) *scheduler.Job
 	RunTimeMS func(task string) int64
-	// OnStarted is called when a task starts, OnDone when it is done, and OnStopping, if not nil,
-	// when it is told to stop with a grace period.
+	// OnStarted is called when a task starts and OnDone when it is done. OnStopping, if not nil, is
+	// called when the task receives a stop command with a grace period.
 	OnStarted  func(*Worker, *Task)
 	OnDone     func(*Worker, *Task)
 	OnStopping func(*Worker, *Task)
-	// Execute starts a task that is really run; it returns nil for tasks that are simulated.
+	// Execute starts a task that runs as a real process; it returns nil for simulated tasks.
 	Execute func(*Task) Execution
 
 	Incarnation, sequence, fencingToken uint64
 	lastResponseAt                      int64
 	tasks                               map[attemptKey]*Task
-	// Tasks ordered by name and attempt, so that floating-point sums over them are reproducible.
+	// byName holds the tasks ordered by name and attempt, so that floating-point sums over them are
+	// reproducible.
 	byName     []*Task
 	completed  map[string]bool
 	images     map[string]bool
@@ -80,7 +83,7 @@
 	w.byName = nil
 }
 
-// Tasks lists the tasks in a fixed order.
+// Tasks returns the tasks ordered by name and attempt.
 func (w *Worker) Tasks() []*Task {
 	return slices.Clone(w.byName)
 }
@@ -89,7 +92,7 @@
 	return cmp.Or(strings.Compare(t.Name, key.task), cmp.Compare(t.Attempt, key.number))
 }
 
-// ForEachOnMachine calls visit for the tasks that are on the machine, in a fixed order.
+// ForEachOnMachine calls visit for the tasks that are on the machine, ordered by name and attempt.
 func (w *Worker) ForEachOnMachine(visit func(*Task)) {
 	for _, t := range w.byName {
 		if t.IsOnMachine() {
@@ -98,7 +101,7 @@
 	}
 }
 
-// hasDueTask reports whether the current state of a task has ended.
+// hasDueTask reports whether some task is due for a state change.
 func (w *Worker) hasDueTask(now int64) bool {
 	for _, t := range w.byName {
 		if t.State != "exited" && now >= t.stateEndsAt {
@@ -108,7 +111,8 @@
 	return false
 }
 
-// Advance advances the worker to now: the lease may expire, and tasks change state.
+// Advance advances the worker to now. It applies the expiry of the lease and the state changes of
+// tasks that are due. After an expired lease, the worker has no tasks and a new incarnation.
 func (w *Worker) Advance(now int64) {
 	if w.IsLeaseExpired(now) {
 		w.Stop()
@@ -162,7 +166,8 @@
 	}
 }
 
-// startExecution starts a task that has its image.
+// startExecution starts a task whose image has been fetched. A task that this worker has completed
+// before finishes immediately.
 func (w *Worker) startExecution(now int64, t *Task) {
 	t.State, t.stateEndsAt = "running", now+w.RunTimeMS(t.Name)
 	if w.completed[t.Name] {
@@ -185,18 +190,18 @@
 	}
 }
 
-// Stop stops all executions.
+// Stop stops the executions of all tasks.
 func (w *Worker) Stop() {
 	for _, t := range w.byName {
 		t.stop()
 	}
 }
 
-// IsLeaseExpired reports whether the lease has expired: the tasks are killed then, even if the
+// IsLeaseExpired reports whether the lease has expired. The tasks are killed then, even if the
 // machine hangs.
 func (w *Worker) IsLeaseExpired(now int64) bool { return now-w.lastResponseAt > w.LeaseMS }
 
-// Heartbeat returns the worker's next heartbeat.
+// Heartbeat returns the worker's next heartbeat and increments the sequence number.
 func (w *Worker) Heartbeat() scheduler.Heartbeat {
 	w.sequence++
 	w.HasChanges = false
@@ -226,8 +231,9 @@
 	return r
 }
 
-// ApplyHeartbeatResponse applies the response to a heartbeat that was sent at sent in incarnation,
-// and reports whether it was valid.
+// ApplyHeartbeatResponse applies the response to a heartbeat that was sent at time sent in the given
+// incarnation. It reports whether the response was valid: one that was not accepted, belongs to
+// another incarnation or has an old fencing token is ignored.
 func (w *Worker) ApplyHeartbeatResponse(now, sent int64, incarnation uint64, a scheduler.HeartbeatResponse) bool {
 	if !a.Accepted || incarnation != w.Incarnation || a.Token < w.fencingToken {
 		return false
@@ -240,7 +246,8 @@
 	return true
 }
 
-// ApplyDirectCommand carries out direct commands to the worker.
+// ApplyDirectCommand executes commands that a member sends directly to the worker. It rejects an old
+// fencing token or another incarnation with scheduler.Conflict.
 func (w *Worker) ApplyDirectCommand(now int64, d scheduler.DirectCommand) scheduler.DirectCommandResult {
 	w.Advance(now)
 	r := scheduler.DirectCommandResult{}
@@ -336,7 +343,7 @@
 	return name[:i], name[i+1:], true
 }
 
-// Index returns the task's number in its job.
+// Index returns the task's index within its job.
 func (t *Task) Index() int {
 	_, n, _ := splitTaskName(t.Name)
 	i, _ := strconv.Atoi(n)
