--- a/internal/history/linearizability.go
+++ b/internal/history/linearizability.go
@@ -1,15 +1,16 @@
-// Package history checks that a service's answers to its users are linearizable: submissions, cancellations and queries
-// of each job must fit one order in which each takes effect at once, between its call and its return.
+// Package history checks that the responses of a service to its users are linearizable. For each job, one order of its
+// submissions, cancellations and queries must explain the responses, with each request taking effect atomically between
+// its call and its return.
 //
-// It owns nothing and keeps nothing between calls. It may assume that calls and returns are on one clock that orders
-// them strictly. It promises to report a job only if no order explains its answers, whatever answers were lost, late or
-// without a definite outcome, and to give up, with an error, on a job that takes longer than checkTimeout. Jobs are
-// independent of each other, so it can't find a contradiction between two jobs' answers.
+// The package has no state. It assumes that calls and returns are timestamps of one clock that orders them strictly. It
+// guarantees to report a job only if no order explains its responses, whichever responses were lost, late or without a
+// definite outcome. The check of a job that takes longer than checkTimeout ends with an error. Jobs are checked
+// independently of each other, so a contradiction between the responses of two jobs is not detected.
 //
-// A job's states, as its users may know them, and what takes it from one to the other:
+// The states of a job, as its users can observe them, and the transitions between them:
 //
-//	absent     submitted: live
-//	live       ends by itself: done; cancelled by a user, or by the system: cancelled
+//	absent     to live when submitted
+//	live       to done when it ends by itself; to cancelled when a user or the system cancels it
 //	done       final
 //	cancelled  final
 package history
@@ -24,8 +25,9 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// Op is one request of a user. Call and Return are in any unit that orders them strictly. Status is the HTTP status, or
-// 0 without an answer or with one of no definite outcome (503): the request may have been carried out, or may yet be.
+// Op is one request of a user. Call and Return are timestamps in any unit that orders them strictly. Status is the HTTP
+// status, or 0 if there was no response or one without a definite outcome (503). In that case, the request may have
+// taken effect, or may do so later.
 type Op struct {
 	Client       int
 	Job          string
@@ -38,7 +40,7 @@
 // CancelledBySystem reports whether a job may end as cancelled though no user cancelled it.
 type CancelledBySystem func(job string) bool
 
-// state is a job as its users may know it.
+// state is the state of a job as its users can observe it.
 type state int
 
 const (
@@ -46,11 +48,11 @@
 	live
 	done
 	cancelled
-	invalid // an answer's state that no job has
+	invalid // state in a response that no job can have
 )
 
-// modelState is the state in an answer. Pending and running are one state: a job may go back from the latter to the
-// former, as its tasks end, are lost and start again.
+// modelState returns the model's state for the state in a response. Pending and running are one state, because a job
+// can go back from running to pending as its tasks end, are lost and start again.
 func modelState(s scheduler.JobState) state {
 	switch s {
 	case scheduler.Pending, scheduler.Running:
@@ -73,13 +75,15 @@
 	state  state
 }
 
-// answersState reports whether an answer states what the job's state is. To a cancellation, that is never a live job.
-func answersState(in input, out output) bool {
+// hasValidState reports whether a response is a valid statement of the job's state. A successful cancellation never
+// returns a live job.
+func hasValidState(in input, out output) bool {
 	return out.status == 200 && (in.kind != scheduler.CancelJob || out.state != live)
 }
 
-// step returns the states in which a job can be after a request with this answer, if it was in state s before; none:
-// the answer is impossible there. Tasks end at times of their own: any answer may be the first to find a live job done.
+// step returns the states in which a job can be after a request with this response, if it was in state s before. The
+// result is empty if the response is impossible in state s. Tasks end independently of requests, so any response can be
+// the first to show that a live job is done.
 func step(s state, in input, out output) []any {
 	if out.status == 0 {
 		return stepWithoutOutcome(s, in)
@@ -97,7 +101,7 @@
 		}
 		return nil
 	}
-	if !answersState(in, out) {
+	if !hasValidState(in, out) {
 		return nil
 	}
 	endedByItself := s == live && out.state == done
@@ -108,7 +112,7 @@
 	return nil
 }
 
-// stepWithoutOutcome is step for a request that may have been carried out or not.
+// stepWithoutOutcome is the variant of step for a request that may or may not have taken effect.
 func stepWithoutOutcome(s state, in input) []any {
 	switch {
 	case in.kind == scheduler.SubmitJob && s == absent:
@@ -124,10 +128,10 @@
 	Step: func(s, in, out any) []any { return step(s.(state), in.(input), out.(output)) },
 }).ToModel()
 
-// Violation is a job whose answers no order of events explains.
+// Violation is a job whose responses no order of its requests explains.
 type Violation struct {
 	Job        string
-	Operations []Op // without those that change no verdict
+	Operations []Op // the job's operations without the redundant ones, which do not change the verdict
 }
 
 func (v Violation) String() string {
@@ -144,13 +148,13 @@
 	scheduler.CancelJob: "cancel",
 }
 
-// checkTimeout bounds the check of one job. Histories of a job are short and have four states, so it is there for the
-// unforeseen alone.
+// checkTimeout bounds the check of one job. It only guards against unforeseen cases: the history of a job is short and
+// has four states.
 const checkTimeout = 10 * time.Second
 
-// Validate returns the jobs whose history fits no order, in the order of their first operations. cancelledBySystem may
-// be nil: never. The error says which job's check took longer than checkTimeout; the violations found before it are
-// returned too.
+// Validate returns the jobs whose history is not linearizable, in the order of their first operations. A nil
+// cancelledBySystem means that the system cancels no jobs. The error names the job whose check took longer than
+// checkTimeout; Validate then also returns the violations found before it.
 func Validate(ops []Op, cancelledBySystem CancelledBySystem) ([]Violation, error) {
 	var order []string
 	byJob := map[string][]Op{}
@@ -173,7 +177,7 @@
 	return violations, nil
 }
 
-// checkLinearizable reports whether some order of a job's requests explains the answers.
+// checkLinearizable reports whether some order of a job's requests explains the responses.
 func checkLinearizable(ops []Op, cancelledBySystem bool) porcupine.CheckResult {
 	var operations []porcupine.Operation
 	for _, op := range ops {
@@ -188,10 +192,12 @@
 	return porcupine.CheckOperationsTimeout(model, operations, checkTimeout)
 }
 
-// completePendingOps prepares the operations without an outcome. Queries among them are left out. Submissions and
-// cancellations never return: of each kind the first is kept, which can take effect at any time at which the later ones
-// could. A submission that is answered with a known job (200) may have stored the job itself and then queried it, if
-// its write was in doubt: it becomes a submission without an outcome and a query.
+// completePendingOps prepares the operations without an outcome. It omits queries. Submissions and cancellations are
+// treated as if they never returned. Only the first call of each kind is kept, because it can take effect at any time
+// at which the later ones could.
+//
+// A submission with status 200 (the job is already known) may have stored the job itself and then queried it, if the
+// outcome of its write was unknown. It becomes a submission without an outcome and a query.
 func completePendingOps(ops []Op) []Op {
 	var out []Op
 	first := map[scheduler.UserRequestKind]int{} // position in out
@@ -222,9 +228,10 @@
 	return out
 }
 
-// withoutRedundantOps leaves out what constrains no more than others do, so that many requests that overlap have few
-// orders to try: a query during which another one was called and answered alike, which can stand next to it, and a
-// submission without an outcome during another one, which may have taken effect then too.
+// withoutRedundantOps omits operations that do not constrain the order further than the others do. This leaves few
+// orders to try when many requests overlap. Two kinds of operations are redundant. One is a query during which another
+// query was called and returned with the same response: the order can have them next to each other. The other is a
+// submission without an outcome that lies within another one, which can take effect at the same time.
 func withoutRedundantOps(ops []Op) []Op {
 	var out []Op
 	for i := range ops {
@@ -235,7 +242,7 @@
 	return out
 }
 
-// isRedundant reports whether another operation constrains the order as much as the ith does.
+// isRedundant reports whether another operation constrains the order at least as much as the ith one.
 func isRedundant(ops []Op, i int) bool {
 	op := ops[i]
 	for k, other := range ops {
@@ -251,8 +258,8 @@
 	return false
 }
 
-// isWithin reports whether the ith operation is called and returns during the kth; of two at the same time, the first
-// is within the second.
+// isWithin reports whether the ith operation is called and returns during the kth one. Of two operations with the same
+// call and return, the first is within the second.
 func isWithin(ops []Op, i, k int) bool {
 	inner, outer := ops[i], ops[k]
 	sameTime := inner.Call == outer.Call && inner.Return == outer.Return
--- a/internal/history/linearizability_test.go
+++ b/internal/history/linearizability_test.go
@@ -11,7 +11,7 @@
 )
 
 func init() {
-	// The same inputs every time, so that the verdict is the same.
+	// A fixed seed generates the same inputs on each run, so the verdict is reproducible.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
@@ -27,7 +27,7 @@
 	return Op{Job: "job-1", Kind: kind, Call: call, Return: returned, Status: status, State: s}
 }
 
-// historyCases are histories of one job, and whether no order of events explains them.
+// historyCases are histories of one job. expectViolation is true if no order of the requests explains the history.
 var historyCases = []struct {
 	name            string
 	ops             []Op
@@ -109,7 +109,7 @@
 		expectViolation: false,
 	},
 	{
-		name: "cancelled by nobody",
+		name: "cancelled without a request",
 		ops: []Op{
 			operation(1, 2, submit, 201, pending),
 			operation(3, 4, query, 200, isCancelled),
@@ -254,7 +254,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			violations, err := Validate(c.ops, nil)
 			if err != nil || len(violations) > 0 != c.expectViolation {
-				t.Errorf("got %v, %v", violations, err)
+				t.Errorf("got violations %v, error %v, want a violation: %t", violations, err, c.expectViolation)
 			}
 		})
 	}
@@ -264,12 +264,12 @@
 	ops := []Op{operation(1, 2, submit, 201, pending), operation(3, 4, query, 200, isCancelled)}
 	violations, err := Validate(ops, func(string) bool { return true })
 	if err != nil || len(violations) > 0 {
-		t.Errorf("got %v, %v", violations, err)
+		t.Errorf("got violations %v, error %v, want none", violations, err)
 	}
 }
 
-// generatedService is a service that serves one job, one request at a time; a stale one answers from the state before
-// the last change.
+// generatedService is a service for one job that executes one request at a time. A stale service responds with the
+// state before the last change.
 type generatedService struct {
 	current, previous state
 	stale             bool
@@ -279,7 +279,7 @@
 	service.previous, service.current = service.current, s
 }
 
-// serve carries out a request and returns the answer.
+// serve executes a request and returns the response.
 func (service *generatedService) serve(kind scheduler.UserRequestKind) (status int, jobState scheduler.JobState) {
 	switch {
 	case kind == submit && service.current == absent:
@@ -306,8 +306,8 @@
 	return 200, states[observed]
 }
 
-// drawHistory draws requests and answers of a service. Calls and returns are unique and lie around the time at which
-// the service carries the request out; some answers are lost.
+// drawHistory draws requests to a service and its responses. Calls and returns are unique and lie before and after the
+// time at which the service executes the request. Some responses are lost.
 func drawHistory(t *rapid.T, service *generatedService) []Op {
 	now := int64(0)
 	var ops []Op
@@ -334,8 +334,8 @@
 	return ops
 }
 
-// A service that carries out each request at once, at some time between call and return, is never reported, however its
-// answers overlap, are lost or come late; one that answers from an old state is.
+// A service that executes each request atomically at some time between call and return must never be reported, even if
+// requests overlap and responses are lost or late. A service that responds with a stale state must be reported.
 func TestLinearizableServiceIsNotReported(t *testing.T) {
 	reported := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -345,18 +345,18 @@
 			t.Fatal(err)
 		}
 		if len(violations) > 0 && !service.stale {
-			t.Fatalf("reported: %v", violations)
+			t.Fatalf("got violations %v of a linearizable service, want none", violations)
 		}
 		if len(violations) > 0 {
 			reported++
 		}
 	})
 	if reported == 0 {
-		t.Error("a service that answers from an old state is never reported")
+		t.Error("got no violations of services with a stale state, want at least one")
 	}
 }
 
-// The operations left out change no verdict: whatever the answers were, it is the same with and without them.
+// Omitting redundant operations must not change the verdict, whatever the responses are.
 func TestRedundantOpsDoNotChangeVerdict(t *testing.T) {
 	removed, verdicts := 0, map[porcupine.CheckResult]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -386,11 +386,11 @@
 		verdict := checkLinearizable(all, cancelledBySystem)
 		verdicts[verdict]++
 		if got := checkLinearizable(reduced, cancelledBySystem); got != verdict {
-			t.Fatalf("%v with all of %v, %v with %v", verdict, all, got, reduced)
+			t.Fatalf("got %v with reduced operations %v, want %v as with all of %v", got, reduced, verdict, all)
 		}
 	})
 	if removed == 0 || verdicts[porcupine.Ok] == 0 || verdicts[porcupine.Illegal] == 0 {
-		t.Errorf("%d left out, verdicts %v", removed, verdicts)
+		t.Errorf("got %d redundant operations and verdicts %v, want some of each", removed, verdicts)
 	}
-	t.Logf("%d left out, verdicts %v", removed, verdicts)
+	t.Logf("%d redundant operations, verdicts %v", removed, verdicts)
 }
