--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -1,21 +1,21 @@
-// Package knownred compares a run of the tests with the list of those that are known to fail
-// (KNOWN-RED.txt at the root). It starts no processes and reads no files: the input is the list's
-// text and the events of `go test -json`, the output a verdict and the text to print.
+// Package knownred compares a test run with the list of known failures (KNOWN-RED.txt at the root).
+// It starts no processes and reads no files. Its input is the text of the list and the events of
+// `go test -json`; its output is a verdict and the text to print.
 //
-// A line of the list names a test, its cause and its issue:
+// A line of the list contains a test, the cause of its failure and its issue:
 //
 //	scheduler.TestName/case; why it fails; #32
 //
-// The verdict:
+// The verdict on the run:
 //
-//	a test fails, listed                               printed, passed over
-//	a test fails because only listed cases of it do    passed over
-//	a test fails, not listed                           fails
-//	a build, a vet, a panic, a data race, a time-out   fails, whatever is listed
-//	a package fails without a failing test             fails
-//	a listed test passes                               printed: its line is to go
-//	a listed test is skipped or does not exist         fails
-//	the list is malformed or has more than three lines fails
+//	a listed test fails                                  ignored; the failure is printed
+//	a test fails only because listed subtests fail       ignored
+//	a test fails that is not listed                      fail
+//	failed build or vet, panic, data race or time-out    fail, even if tests of the package are listed
+//	a package fails without a failing test               fail
+//	a listed test passes                                 pass; a request to remove its line is printed
+//	a listed test is skipped or does not exist           fail
+//	the list is malformed or has more than three lines   fail
 package knownred
 
 import (
@@ -28,18 +28,18 @@
 	"strings"
 )
 
-// MaxEntries is the largest number of tests that may be listed.
+// MaxEntries is the maximum number of entries of a list.
 const MaxEntries = 3
 
-// Entry is a line of the list.
+// Entry is an entry (line) of the list.
 type Entry struct {
-	Package string // path relative to the module's
+	Package string // import path relative to the module path
 	Test    string
 	Cause   string
 	Issue   string
 }
 
-// Name returns the entry's test in the form of the list.
+// Name returns the entry's test as it is written in the list.
 func (e Entry) Name() string { return e.Package + "." + e.Test }
 
 var (
@@ -47,8 +47,8 @@
 	issuePattern = regexp.MustCompile(`^#[1-9][0-9]*$`)
 )
 
-// Parse parses a list, which may be empty. It returns an error for a malformed line or more than
-// MaxEntries entries.
+// Parse parses a list, which may be empty. It returns an error for a malformed line, a test that is
+// listed twice or more than MaxEntries entries.
 func Parse(text string) ([]Entry, error) {
 	var out []Entry
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
@@ -65,18 +65,18 @@
 		name := namePattern.FindStringSubmatch(parts[0])
 		switch {
 		case name == nil:
-			return nil, fmt.Errorf("line %d: test %q is no package.Test", i+1, parts[0])
+			return nil, fmt.Errorf("line %d: test %q does not have the form package.Test", i+1, parts[0])
 		case parts[1] == "":
 			return nil, fmt.Errorf("line %d: cause is missing", i+1)
 		case !issuePattern.MatchString(parts[2]):
-			return nil, fmt.Errorf("line %d: issue %q is no #number", i+1, parts[2])
+			return nil, fmt.Errorf("line %d: issue %q does not have the form #number", i+1, parts[2])
 		}
 		e := Entry{name[1], name[2], parts[1], parts[2]}
 		if slices.ContainsFunc(out, func(o Entry) bool { return o.Name() == e.Name() }) {
 			return nil, fmt.Errorf("line %d: %s is listed twice", i+1, e.Name())
 		}
 		if len(out) == MaxEntries {
-			return nil, fmt.Errorf("line %d: more than %d tests are listed", i+1, MaxEntries)
+			return nil, fmt.Errorf("line %d: more than %d entries", i+1, MaxEntries)
 		}
 		out = append(out, e)
 	}
@@ -96,28 +96,28 @@
 type testID struct{ pkg, test string }
 
 type result struct {
-	action string   // pass, fail, skip; empty: it started and never ended
-	output []string // its own output
+	action string   // pass, fail or skip; empty if the test started and did not end
+	output []string // output of the test itself, without its subtests
 }
 
-// Run is a run of the tests.
+// Run is a test run.
 type Run struct {
 	entries        []Entry
 	module         string
 	results        map[testID]*result
-	order          []testID
-	failedPackages []string            // packages
-	fatalOutputs   map[string][]string // by package: output that no list excuses
+	order          []testID // tests in the order in which they started
+	failedPackages []string
+	fatalOutputs   map[string][]string // key: package; output that fails the run, whatever is listed
 	failedBuilds   []string
 }
 
-// NewRun starts the evaluation of a run of a module's tests against a list.
+// NewRun returns a run of a module's tests, to be compared with a list.
 func NewRun(module string, list []Entry) *Run {
 	return &Run{entries: list, module: module, results: map[testID]*result{}, fatalOutputs: map[string][]string{}}
 }
 
-// ownFailure matches a failure that a test reports itself; fatal matches the end of a process or a
-// data race, which no list excuses.
+// ownFailure matches a failure that a test reports itself. fatalOutput matches the abnormal end of a
+// test process or a data race, which fail the run whatever is listed.
 var (
 	ownFailure  = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
 	fatalOutput = regexp.MustCompile(
@@ -126,14 +126,15 @@
 	)
 )
 
-// Read takes the events of a run and prints what go test would.
+// Read reads the events of a run and prints the output of failed tests, of builds and of packages,
+// as go test does.
 func (r *Run) Read(in io.Reader, out io.Writer) error {
 	sc := bufio.NewScanner(in)
 	sc.Buffer(nil, 16<<20)
 	for sc.Scan() {
 		var e event
 		if json.Unmarshal(sc.Bytes(), &e) != nil || e.Action == "" {
-			// Not an event: go test's own message, such as a package that cannot be loaded.
+			// The line is not an event but a message of go test, for example that a package cannot be loaded.
 			fmt.Fprintln(out, sc.Text())
 			continue
 		}
@@ -191,7 +192,7 @@
 	return nil
 }
 
-// isExcused reports whether a failing test is listed, or fails only because listed cases of it do.
+// isExcused reports whether a failed test is listed, or fails only because listed subtests fail.
 func (r *Run) isExcused(id testID) bool {
 	if r.findEntry(id) != nil {
 		return true
@@ -212,8 +213,8 @@
 	return cases > 0
 }
 
-// Verdict prints the results of the listed tests and of the run, and reports whether the run
-// passes. exitedOK is whether go test itself exited with 0.
+// Verdict prints the results of the listed tests and of the run, and reports whether the run passes.
+// A run without a passing test does not pass. exitedOK is whether go test exited with status 0.
 func (r *Run) Verdict(out io.Writer, exitedOK bool) bool {
 	passes := true
 	fail := func(format string, a ...any) {
@@ -224,7 +225,7 @@
 		fail("%s does not build", b)
 	}
 	passed, knownFailures, failures := 0, 0, 0
-	packagesWithFailures := map[string]bool{} // packages with a failing test
+	packagesWithFailures := map[string]bool{} // packages with a failed test
 	for _, id := range r.order {
 		name := strings.TrimPrefix(id.pkg, r.module+"/") + "." + id.test
 		switch res := r.results[id]; {
--- a/internal/knownred/verdict_test.go
+++ b/internal/knownred/verdict_test.go
@@ -12,10 +12,10 @@
 	three := "a.TestA; cause; #1\na.TestB; cause; #1\ninternal/b.TestC/3_of; cause: of it, mostly; #32\n"
 	list, err := Parse(three)
 	if err != nil || len(list) != 3 || list[2] != (Entry{"internal/b", "TestC/3_of", "cause: of it, mostly", "#32"}) {
-		t.Fatalf("%v, %v", list, err)
+		t.Fatalf("list of three entries: got %v, error %v", list, err)
 	}
 	if list, err := Parse(""); err != nil || len(list) != 0 {
-		t.Errorf("an empty list: %v, %v", list, err)
+		t.Errorf("empty list: got %v, error %v, want no entries and no error", list, err)
 	}
 	for text, want := range map[string]string{
 		"a.TestA; #1":                     "line 1: want",
@@ -32,13 +32,13 @@
 	} {
 		_, err := Parse(text)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.HasPrefix(err.Error(), want)) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got error %v, want prefix %q", text, err, want)
 		}
 	}
 }
 
-// The verdicts of the package's table, each on a real run of go test over a module
-// of a few lines.
+// Each verdict of the table in the package comment is checked with a real run of go test on a small
+// module.
 func TestVerdictOfRealTestRuns(t *testing.T) {
 	const head = "package p\n\nimport \"testing\"\n\n"
 	const pass = "func TestGood(t *testing.T) {}\n"
@@ -161,7 +161,8 @@
 			}
 			if passes := r.Verdict(&output, runErr == nil); passes != c.passes ||
 				!strings.Contains(output.String(), c.expectedOutput) {
-				t.Errorf("passes: %v, says\n%s", passes, &output)
+				t.Errorf("got passes %t, want %t and output with %q, got output\n%s",
+					passes, c.passes, c.expectedOutput, &output)
 			}
 		})
 	}
