--- a/internal/packagegraph/architecture_test.go
+++ b/internal/packagegraph/architecture_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// root is the module's directory, relative to this package.
+// root is the module's directory relative to this package.
 const root = "../.."
 
 var (
@@ -23,7 +23,7 @@
 )
 
 // TestArchitecturePageNamesWhatExists checks that each type, method, function and folder that
-// docs/architecture.md names in code quotes exists in the sources.
+// docs/architecture.md names in backquotes exists in the sources.
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs/architecture.md"))
 	if err != nil {
@@ -38,11 +38,11 @@
 			continue
 		case directory.MatchString(name):
 			if _, err := os.Stat(filepath.Join(root, name)); err != nil {
-				t.Errorf("the page names a folder that is not there: %s", name)
+				t.Errorf("docs/architecture.md names a folder that does not exist: %s", name)
 			}
 		case qualified.MatchString(name), mixedCase.MatchString(name):
 			if !declared[name] {
-				t.Errorf("the page names what is not declared: %s", name)
+				t.Errorf("docs/architecture.md names an identifier that is not declared: %s", name)
 			}
 		default:
 			continue
@@ -50,12 +50,12 @@
 		checked++
 	}
 	if checked < 50 {
-		t.Errorf("checked %d names of the page, want 50 or more: are they still quoted?", checked)
+		t.Errorf("got %d checked names of docs/architecture.md, want at least 50 (are they in backquotes?)", checked)
 	}
 }
 
-// declaredNames returns all names declared in the module's sources: Name, package.Name,
-// Type.Member and package.Type.Member.
+// declaredNames returns the names of all types, functions and methods that the module's sources
+// declare: Name, package.Name, Type.Method and package.Type.Method.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -101,7 +101,8 @@
 	}
 }
 
-// receiverType returns the name of a method's receiver type, or an empty string for a function.
+// receiverType returns the name of a method's receiver type, or an empty string for a function
+// without a receiver.
 func receiverType(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
--- a/internal/packagegraph/packagegraph.go
+++ b/internal/packagegraph/packagegraph.go
@@ -1,9 +1,9 @@
-// Package packagegraph reads which packages of a module import which, and writes
-// them as a page: a Mermaid graph by levels and a table. A package's level is one
-// above the highest of what it imports, so arrows lead downward only.
+// Package packagegraph reads the import graph of a module's packages and renders it as a Markdown
+// page with a Mermaid graph and a table. A package's level is one above the highest level among its
+// imports, so all arrows of the graph lead downward.
 //
-// It reads only source text, without the Go command: files for other operating systems count,
-// tests do not. The same sources give the same page.
+// The package parses source files and does not run the Go command. Files for other operating systems
+// are included, test files are not. The same sources give the same page.
 package packagegraph
 
 import (
@@ -21,17 +21,17 @@
 
 // Package is a package of the module.
 type Package struct {
-	Path     string // path relative to the module's
-	Synopsis string // the first sentence of its comment
-	Imports  []string
-	Level    int // 0: imports nothing of the module
+	Path     string   // import path relative to the module path
+	Synopsis string   // first sentence of the package comment
+	Imports  []string // imported packages of the module, sorted by path
+	Level    int      // 0: imports no package of the module
 }
 
-// Graph is a module's packages by path.
+// Graph maps the path of each package of a module to the package.
 type Graph map[string]*Package
 
-// Read reads the packages of a module below a directory. Imports from outside the module are left
-// out.
+// Read reads the packages of a module from its root directory. Imports from outside the module are
+// omitted.
 func Read(dir fs.FS, module string) (Graph, error) {
 	g := Graph{}
 	err := fs.WalkDir(dir, ".", func(name string, d fs.DirEntry, err error) error {
@@ -54,8 +54,8 @@
 	return g, nil
 }
 
-// skipped reports whether a directory has no packages: those that the Go command ignores, and
-// target, which has build output.
+// skipped reports whether a directory is not searched for packages. It is true for the directories
+// that the Go command ignores and for target, which holds build output.
 func skipped(dir string) bool {
 	return dir == "testdata" || dir == "vendor" || dir == "target" || dir[0] == '.' || dir[0] == '_'
 }
@@ -95,12 +95,12 @@
 
 const unknownLevel = -1
 
-// setLevel computes and returns a package's level. It terminates because the compiler refuses
+// setLevel computes, stores and returns a package's level. It terminates because the compiler rejects
 // import cycles.
 func (g Graph) setLevel(name string) int {
 	p := g[name]
 	if p == nil {
-		return unknownLevel // imported but missing: the build fails for it
+		return unknownLevel // the imported package does not exist, so the build fails
 	}
 	if p.Level == unknownLevel {
 		p.Level = 0
@@ -111,14 +111,14 @@
 	return p.Level
 }
 
-// Reaches reports whether a package imports another one, directly or through others.
+// Reaches reports whether a package imports another one directly or transitively.
 func (g Graph) Reaches(from, to string) bool {
 	p := g[from]
 	return p != nil && slices.ContainsFunc(p.Imports, func(i string) bool { return i == to || g.Reaches(i, to) })
 }
 
-// direct returns the imports of a package that it does not reach through another of its imports:
-// the arrows that the graph needs.
+// direct returns the imports of a package that it does not also reach through another import. Only
+// these need arrows in the graph.
 func (g Graph) direct(p *Package) []string {
 	return slices.DeleteFunc(slices.Clone(p.Imports), func(to string) bool {
 		return slices.ContainsFunc(p.Imports, func(by string) bool { return g.Reaches(by, to) })
@@ -137,7 +137,7 @@
 	return out
 }
 
-// Markdown returns the page.
+// Markdown renders the graph as a Markdown page.
 func (g Graph) Markdown() string {
 	var b strings.Builder
 	levels := g.levels()
@@ -191,6 +191,6 @@
 	b.WriteString("```\n")
 }
 
-// node returns the Mermaid name of a package, with a prefix because some plain words are keywords
-// there.
+// node returns the Mermaid node ID of a package. The prefix prevents collisions with Mermaid's
+// keywords.
 func node(p *Package) string { return "p_" + strings.NewReplacer("/", "_", "-", "_").Replace(p.Path) }
--- a/internal/packagegraph/packagegraph_test.go
+++ b/internal/packagegraph/packagegraph_test.go
@@ -47,11 +47,11 @@
 		p := g[path]
 		if p == nil || p.Level != want.level || !slices.Equal(p.Imports, want.imports) ||
 			!slices.Equal(g.direct(p), want.direct) {
-			t.Errorf("%s is read as %+v", path, p)
+			t.Errorf("package %s: got %+v, want %+v", path, p, want)
 		}
 	}
 	if len(g) != 4 {
-		t.Errorf("%d packages", len(g))
+		t.Errorf("got %d packages, want 4", len(g))
 	}
 	page := g.Markdown()
 	for _, want := range []string{
@@ -59,11 +59,11 @@
 		"| 1 | `mid` | `low` | Package mid is for a test. |", `p_internal_in["internal/in"]`,
 	} {
 		if !strings.Contains(page, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	if strings.Contains(page, "p_top --> p_low") {
-		t.Error("the picture has an arrow that follows from others")
+		t.Error("the graph has the redundant arrow p_top --> p_low")
 	}
 }
 
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	if len(g) < 30 {
-		t.Fatalf("only %d packages", len(g))
+		t.Fatalf("got %d packages, want at least 30", len(g))
 	}
 	return g
 }
@@ -89,13 +89,13 @@
 	}
 }
 
-// The core and its extensions can be imported by others and do no input or output, so nothing that
-// they import is internal.
+// Other modules can import the core and its extensions, which do no input or output. They must not
+// import internal packages, directly or transitively.
 func TestCoreImportsNothingInternal(t *testing.T) {
 	g := read(t)
 	for _, core := range []string{"scheduler", "workflow", "schedules", "extension"} {
 		if g[core] == nil {
-			t.Errorf("no package %s", core)
+			t.Errorf("package %s does not exist", core)
 		}
 		for name := range g {
 			if strings.HasPrefix(name, "internal/") && g.Reaches(core, name) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Every package has a comment that describes it.
+// Every package must have a package comment, since the page quotes its first sentence.
 func TestPackagesAreDescribed(t *testing.T) {
 	for name, p := range read(t) {
 		if p.Synopsis == "" {
