--- a/internal/golden/dump.go
+++ b/internal/golden/dump.go
@@ -6,19 +6,19 @@
 	"reflect"
 )
 
-// Dump writes a value as JSON without any name of a Go identifier: structs are
-// arrays of their exported fields, in order.
+// Dump returns a value as JSON that contains no names of Go identifiers: structs
+// are arrays of their exported fields, in order.
 func Dump(v any) []byte { return dump(reflect.ValueOf(v)) }
 
 func dump(v reflect.Value) []byte {
 	b, err := json.Marshal(plain(v))
 	if err != nil {
-		panic(fmt.Sprintf("golden: %v does not encode: %v", v.Type(), err))
+		panic(fmt.Sprintf("golden: encode %v: %v", v.Type(), err))
 	}
 	return b
 }
 
-// plain returns a value as slices, maps and scalars alone.
+// plain converts a value to slices, maps and scalars, for encoding as JSON.
 func plain(v reflect.Value) any {
 	if !v.IsValid() {
 		return nil
@@ -50,7 +50,7 @@
 	return v.Interface()
 }
 
-// plainFields returns the exported fields of a struct in order.
+// plainFields converts the exported fields of a struct, in order.
 func plainFields(v reflect.Value) []any {
 	fields := []any{}
 	for i := range v.NumField() {
--- a/internal/golden/filler.go
+++ b/internal/golden/filler.go
@@ -8,21 +8,23 @@
 	"time"
 )
 
-// Filler fills values. Its numbers rise from one value to the next.
+// Filler fills values with test data from a counter, which increases with each
+// number or string.
 type Filler struct {
-	// Keys is the number of keys of each map. An encoder that does not sort keys
-	// gives the same bytes again only with one.
+	// Keys is the number of keys of each map. With an encoder that does not sort
+	// keys, the encoded form is reproducible only with one key.
 	Keys int
 
 	last int64
-	path []reflect.Type // the struct types around the value; pointers to them stay nil
+	path []reflect.Type // struct types that contain the current value; pointers to them stay nil
 }
 
-// Fill sets all that v points to: numbers and strings ("s1", "s2"...) by a
-// counter, booleans to true, slices to two elements and maps to two keys.
+// Fill sets the value that v points to, including all nested values: numbers and
+// strings ("s1", "s2"...) from a counter, booleans to true, slices to two elements
+// and maps to two keys.
 func Fill(v any) { (&Filler{Keys: 2}).Fill(v) }
 
-// Fill sets all that v points to.
+// Fill sets the value that v points to, including all nested values.
 func (f *Filler) Fill(v any) { f.set(reflect.ValueOf(v).Elem()) }
 
 func (f *Filler) next() int64 {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,15 +1,15 @@
-// Package golden holds encoded forms fixed: what is stored, sent or printed is
-// compared byte for byte with files that are kept beside the tests. Only tests
-// import it.
+// Package golden compares the encoded form of stored, sent and printed data byte
+// for byte with golden files. Only tests import it.
 //
-// Values to encode are filled by reflection, by the order and the types of their
-// fields and never by a name, so that renaming Go identifiers changes neither
-// the values nor the files.
+// Filler sets the values to encode by reflection. The values depend on the order
+// and the types of the fields and never on a name, so that renaming Go
+// identifiers changes neither the values nor the files.
 //
-// It owns the comparison, and each package its own files. It promises that a
-// form cannot change unnoticed: not by a field that moves, that loses its tag or
-// that a decoder no longer reads. With -update-golden it writes the files, whose
-// difference is then to be reviewed as a change of the form.
+// This package implements the comparison; each package that uses it has its own
+// golden files. The comparison detects every change of a form, such as a field
+// that moves, that loses its tag or that a decoder no longer reads. With
+// -update-golden it writes the files. Review their difference as a change of the
+// encoded form.
 package golden
 
 import (
@@ -27,8 +27,8 @@
 // Dir is the directory of a package's golden files.
 const Dir = "testdata/golden"
 
-// Compare compares got with the file at path below Dir, or writes the file with
-// -update-golden.
+// Compare compares got with the file at path below Dir. With -update-golden, it
+// writes got to the file instead.
 func Compare(t testing.TB, path string, got []byte) {
 	t.Helper()
 	path = filepath.Join(Dir, path)
@@ -59,7 +59,7 @@
 }
 
 // RoundTrip compares the encoded form of v with the file at path. It then decodes
-// the file, and compares what that gives, encoded again, with the file.
+// the file, encodes the result and compares that with the file.
 func RoundTrip[T any](t testing.TB, path string, v T, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Helper()
 	compareEncoded(t, path, v, encode)
@@ -79,14 +79,14 @@
 	Compare(t, path, got)
 }
 
-// JSON is RoundTrip of a filled T with the standard JSON encoder and decoder. The
-// functions may change fields of the filled value first. All fields of T and of
-// the types within it must be tagged.
-func JSON[T any](t testing.TB, path string, sets ...func(*T)) {
+// JSON calls RoundTrip for a filled value of type T, with the standard JSON
+// encoder and decoder. The modifiers can change fields of the filled value
+// first. All fields of T and of the types within it must have a json tag.
+func JSON[T any](t testing.TB, path string, modifiers ...func(*T)) {
 	t.Helper()
 	var v T
 	Fill(&v)
-	for _, set := range sets {
+	for _, set := range modifiers {
 		set(&v)
 	}
 	CheckTags(t, "json", v)
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -22,8 +22,8 @@
 	H any
 }
 
-// TestFillGoesByOrderAndTypeAlone fills two types that differ in names only.
-func TestFillGoesByOrderAndTypeAlone(t *testing.T) {
+// TestFillDependsOnlyOnOrderAndTypes fills two types that differ only in names.
+func TestFillDependsOnlyOnOrderAndTypes(t *testing.T) {
 	type otherInner struct {
 		Z int
 		Y *string
@@ -46,20 +46,20 @@
 		t.Fatalf("got slices %+v and %+v, want two elements each", a.B, b.Y)
 	}
 	for name, ok := range map[string]bool{
-		"strings are equal":         a.A == b.Z,
-		"elements are equal":        a.B[1].A == b.Y[1].Z,
-		"pointers' values are":      *a.B[1].B == *b.Y[1].Y,
-		"a map has two keys":        len(a.C) == 2,
-		"maps' values are equal":    a.C["s6"] == b.X["s6"],
-		"raw JSON is equal":         string(a.D) == string(b.W),
-		"raw JSON is valid":         json.Valid(a.D),
-		"durations are equal":       a.E == b.V,
-		"a boolean is true":         a.F,
-		"a recursive pointer stays": a.G == nil,
-		"interfaces are equal":      a.H == b.S,
+		"strings are equal":             a.A == b.Z,
+		"elements are equal":            a.B[1].A == b.Y[1].Z,
+		"pointers' values are equal":    *a.B[1].B == *b.Y[1].Y,
+		"a map has two keys":            len(a.C) == 2,
+		"maps' values are equal":        a.C["s6"] == b.X["s6"],
+		"raw JSON is equal":             string(a.D) == string(b.W),
+		"raw JSON is valid":             json.Valid(a.D),
+		"durations are equal":           a.E == b.V,
+		"a boolean is true":             a.F,
+		"a recursive pointer stays nil": a.G == nil,
+		"interfaces are equal":          a.H == b.S,
 	} {
 		if !ok {
-			t.Errorf("not so: %s; got %+v and %+v", name, a, b)
+			t.Errorf("want that %s, got %+v and %+v", name, a, b)
 		}
 	}
 }
--- a/internal/golden/tags.go
+++ b/internal/golden/tags.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// CheckTags fails for each exported field, of the type of v or of one within
-// it, that has no tag under this key: a rename of the field would change its
-// encoded name. Types that encode themselves are not checked.
+// CheckTags reports a test error for each exported field that has no name in the
+// tag with the given key, because renaming the field would change its encoded
+// name. It checks the type of v and the types nested in it, except types with an
+// encoding method of their own.
 func CheckTags(t testing.TB, key string, v any) {
 	t.Helper()
 	checkTags(t, key, reflect.TypeOf(v), map[reflect.Type]bool{})
@@ -31,7 +32,7 @@
 }
 
 // checkField checks a field of typ. An embedded struct needs no tag, since its
-// fields are encoded as the outer type's.
+// fields are encoded as fields of the outer type.
 func checkField(t testing.TB, key string, typ reflect.Type, field reflect.StructField, seen map[reflect.Type]bool) {
 	t.Helper()
 	name, _, _ := strings.Cut(field.Tag.Get(key), ",")
@@ -40,12 +41,13 @@
 		return
 	}
 	if name == "" && !field.Anonymous {
-		t.Errorf("%v.%s has no name under %q", typ, field.Name, key)
+		t.Errorf("field %v.%s has no name in a %q tag", typ, field.Name, key)
 	}
 	checkTags(t, key, field.Type, seen)
 }
 
-// encodesItself reports whether a type decides its own encoded form.
+// encodesItself reports whether a type, or a pointer to it, has an encoding method
+// of its own.
 func encodesItself(typ reflect.Type) bool {
 	for _, name := range []string{"MarshalJSON", "MarshalText", "EncodeMsgpack"} {
 		if _, ok := reflect.PointerTo(typ).MethodByName(name); ok {
--- a/scripts/knownred/main.go
+++ b/scripts/knownred/main.go
@@ -1,5 +1,7 @@
-// Command knownred runs `go test -json` with its arguments and holds the result
-// against KNOWN-RED.txt (package internal/knownred).
+// Command knownred runs `go test -json` with its arguments and compares the result
+// with KNOWN-RED.txt, the list of known failures (package internal/knownred). It
+// exits with status 1 if the run does not pass. Run it in the module's root
+// directory.
 package main
 
 import (
--- a/scripts/packages/main.go
+++ b/scripts/packages/main.go
@@ -1,5 +1,6 @@
-// Command packages writes docs/packages.md: which packages import which, as a
-// picture and a table (package internal/packagegraph). It is run at the root.
+// Command packages writes docs/packages.md, which shows the import graph of the
+// module's packages as a diagram and a table (package internal/packagegraph). Run
+// it in the module's root directory.
 package main
 
 import (
