--- a/internal/toolrun/execute.go
+++ b/internal/toolrun/execute.go
@@ -15,21 +15,21 @@
 	"github.com/grebedock/grebedock/cwl"
 )
 
-// bytesPerMiB is the unit of the specification's runtime.ram.
+// bytesPerMiB converts bytes to MiB, the unit of runtime.ram in the CWL specification.
 const bytesPerMiB = 1 << 20
 
-// diskMiB is what expressions see as the size of the tool's directories. It is the specification's default: nothing
-// reserves or bounds disk here.
+// diskMiB is the size of the tool's directories in MiB that expressions read (runtime.outdirSize and tmpdirSize). It is
+// the default of the CWL specification, since toolrun neither reserves nor limits disk space.
 const diskMiB = int64(1024)
 
 // taskDirs are the directories of an attempt.
 type taskDirs struct {
-	base string // where its logs are
+	base string // the task's directory, with its logs
 	out  string // the tool's working directory
 	tmp  string
 }
 
-// newTaskDirs makes a task's directories below a path. What an earlier attempt left there is removed first.
+// newTaskDirs creates a task's directories below a path. It removes the directories of an earlier attempt first.
 func newTaskDirs(path string) (taskDirs, error) {
 	base, err := filepath.Abs(path)
 	if err != nil {
@@ -47,9 +47,9 @@
 	return dirs, nil
 }
 
-// Run runs a tool in a directory of its own and returns its outputs. It completes the files among the inputs in place.
-// The error says why the tool could not start, how it failed, or which outputs are not as the tool declares them; after
-// ctx ends, it is that the tool was stopped.
+// Run runs a tool in a directory of its own and returns its outputs. It adds requested contents and secondary files to
+// the inputs in place. The error describes why the tool could not start, how it failed, or which output does not match
+// its declaration. If ctx ends first, the error is that the tool was stopped.
 func Run(ctx context.Context, p *cwl.Process, inputs map[string]any, dir string) (map[string]any, error) {
 	dirs, err := newTaskDirs(dir)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return collectOutputs(p, inputs, runtime, dirs.out)
 }
 
-// isSuccess reports whether a tool takes an exit code as success: its own codes, or 0 if it names none.
+// isSuccess reports whether a tool declares an exit code as success. The default is 0.
 func isSuccess(p *cwl.Process, code int) bool {
 	if len(p.SuccessCodes) == 0 {
 		return code == 0
@@ -96,7 +96,7 @@
 	return slices.Contains(p.SuccessCodes, code)
 }
 
-// stageFiles puts files into the tool's directory before it starts.
+// stageFiles writes, copies or links files into the tool's directory before the tool starts.
 func stageFiles(files []cwl.Staged, out string) error {
 	for _, f := range files {
 		target := filepath.Join(out, f.Name)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// copyTree copies a file or directory, so that the tool may write to the copy.
+// copyTree copies a file or directory, so that the tool can modify the copy.
 func copyTree(from, to string) error {
 	info, err := os.Stat(from)
 	if err != nil {
@@ -135,13 +135,14 @@
 	return os.WriteFile(to, b, info.Mode().Perm()|0o200)
 }
 
-// killDelay is how long after a kill the streams of a tool are waited for.
+// killDelay bounds the time for which Run waits for the standard streams of a tool to close after the tool was killed.
 const killDelay = 2 * time.Second
 
 func (dirs taskDirs) defaultStdout() string { return filepath.Join(dirs.base, "stdout.log") }
 func (dirs taskDirs) defaultStderr() string { return filepath.Join(dirs.base, "stderr.log") }
 
-// createLog creates the file of a standard stream: by its name within the tool's directory, or by a default path.
+// createLog creates the file for a standard stream: the named file in the tool's directory, or the file at defaultPath
+// if name is empty.
 func (dirs taskDirs) createLog(name, defaultPath string) (*os.File, error) {
 	if name == "" {
 		return os.Create(defaultPath)
@@ -152,7 +153,8 @@
 	return os.Create(filepath.Join(dirs.out, name))
 }
 
-// newCmd prepares a command that ends with ctx, together with all processes that it starts, and with this process.
+// newCmd returns a command that is killed when ctx ends, together with its process group. The command is also killed
+// when this process dies.
 func newCmd(ctx context.Context, command *cwl.Command, dirs taskDirs) *exec.Cmd {
 	args := command.Args
 	if command.Shell {
@@ -160,7 +162,7 @@
 	}
 	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
 	cmd.Dir = dirs.out
-	// A process group of its own, which a kill reaches as a whole.
+	// The tool has its own process group, so that one signal kills all of its processes.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
 	cmd.WaitDelay = killDelay
@@ -211,7 +213,7 @@
 	return 0, err
 }
 
-// lastLine is the last line of a file behind a colon, or nothing.
+// lastLine returns ": " and the last line of a file, or an empty string if the file is empty or unreadable.
 func lastLine(name string) string {
 	b, err := os.ReadFile(name)
 	lines := bytes.Split(bytes.TrimSpace(b), []byte("\n"))
--- a/internal/toolrun/files.go
+++ b/internal/toolrun/files.go
@@ -1,7 +1,7 @@
 package toolrun
 
 import (
-	"crypto/sha1" //nolint:gosec // the specification's checksum
+	"crypto/sha1" //nolint:gosec // checksum algorithm of the CWL specification
 	"fmt"
 	"io"
 	"os"
@@ -11,10 +11,10 @@
 	"github.com/grebedock/grebedock/cwl"
 )
 
-// maxContentsBytes is the specification's bound on loadContents.
+// maxContentsBytes is the maximum size of a file for loadContents in the CWL specification.
 const maxContentsBytes = 64 << 10
 
-// completeInputs adds to the files among a tool's inputs, in place, the contents and secondary files that it requests.
+// completeInputs adds the contents and secondary files that a tool requests to its input files, in place.
 func completeInputs(p *cwl.Process, inputs map[string]any) error {
 	for _, input := range p.Inputs {
 		if input.LoadContents {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// describeFile makes the value of a file or directory, with its content if requested.
+// describeFile returns the CWL value of a file or directory, with the content of a file if contents is set.
 func describeFile(name string, contents bool) (map[string]any, error) {
 	info, err := os.Stat(name)
 	if err != nil {
@@ -52,21 +52,21 @@
 	return f, err
 }
 
-// checksumOf is a file's checksum as the specification writes it.
+// checksumOf returns a file's checksum in the format of the CWL specification.
 func checksumOf(name string) (string, error) {
 	r, err := os.Open(name)
 	if err != nil {
 		return "", err
 	}
 	defer r.Close()
-	sum := sha1.New() //nolint:gosec // the specification's checksum
+	sum := sha1.New() //nolint:gosec // checksum algorithm of the CWL specification
 	if _, err := io.Copy(sum, r); err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("sha1$%x", sum.Sum(nil)), nil
 }
 
-// loadContents reads the content of a file, or of each file in a list, into its value.
+// loadContents adds the content of a file, or of each file in a list, to its CWL value.
 func loadContents(v any) error {
 	switch v := v.(type) {
 	case []any:
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// addSecondaryFiles finds the files that go with a file, or with each file in a list, and adds them to its value. A
-// file whose value has secondary files already keeps those.
+// addSecondaryFiles finds the secondary files of a file, or of each file in a list, and adds them to its CWL value. It
+// does not change a value that already has secondary files.
 func addSecondaryFiles(p *cwl.Process, v any, patterns []cwl.Secondary, inputs map[string]any) error {
 	if len(patterns) == 0 {
 		return nil
@@ -139,8 +139,9 @@
 	return nil
 }
 
-// secondaryPath is the path of a secondary file: a pattern adds to the primary file's path, from which each leading ^
-// takes an extension away; an expression gives a name next to the primary file.
+// secondaryPath returns the path of a secondary file. A pattern is a suffix to the path of the primary file; each
+// leading ^ first removes an extension from that path. The result of an expression is a name in the directory of the
+// primary file.
 func secondaryPath(primary, pattern string, isExpr bool) string {
 	base := primary
 	for strings.HasPrefix(pattern, "^") {
--- a/internal/toolrun/outputs.go
+++ b/internal/toolrun/outputs.go
@@ -9,10 +9,10 @@
 	"github.com/grebedock/grebedock/cwl"
 )
 
-// outputObjectFile is the file in its directory in which a tool may write its outputs itself.
+// outputObjectFile is the file in the tool's directory to which a tool can write its outputs itself.
 const outputObjectFile = "cwl.output.json"
 
-// collectOutputs reads a tool's outputs from its directory, and checks their types.
+// collectOutputs reads a tool's outputs from its directory and checks their types.
 func collectOutputs(p *cwl.Process, inputs, runtime map[string]any, out string) (map[string]any, error) {
 	if b, err := os.ReadFile(filepath.Join(out, outputObjectFile)); err == nil {
 		return decodeOutputs(p, b)
@@ -29,7 +29,7 @@
 	return outputs, p.CheckOutputs(outputs)
 }
 
-// decodeOutputs reads the outputs that a tool wrote itself.
+// decodeOutputs decodes the outputs that a tool wrote to outputObjectFile and checks their types.
 func decodeOutputs(p *cwl.Process, b []byte) (map[string]any, error) {
 	v, err := cwl.DecodeJSON(b)
 	object, ok := v.(map[string]any)
@@ -43,7 +43,8 @@
 	return outputs, p.CheckOutputs(outputs)
 }
 
-// collectOutput reads one output: the files that match its patterns, or what it makes of them.
+// collectOutput returns the value of one output: the files that match its globs, or the result of its outputEval
+// expression for them.
 func collectOutput(p *cwl.Process, o *cwl.Output, scope cwl.Scope, out string) (any, error) {
 	files := []any{}
 	for _, glob := range o.Glob {
@@ -72,7 +73,8 @@
 	return files[0], nil
 }
 
-// collectGlob describes the files that match a glob, which may be an expression that gives one pattern or several.
+// collectGlob returns the CWL values of the files that match a glob. The glob can be an expression, whose result is one
+// pattern or a list of patterns.
 func collectGlob(p *cwl.Process, o *cwl.Output, glob string, scope cwl.Scope, out string) (files []any, err error) {
 	v, err := cwl.Eval(glob, scope, p.Req)
 	if err != nil {
--- a/internal/toolrun/toolrun.go
+++ b/internal/toolrun/toolrun.go
@@ -1,29 +1,34 @@
 // Package toolrun runs the command line tools of workflows as plain processes, for workers that share a directory with
-// the controllers. It isolates nothing: a tool does what its user may do on this machine.
+// the controllers. Tools are not isolated: a tool has all permissions that its user has on this machine.
 //
-// # What it owns
+// # Files
 //
-// A directory, with what a job's workers need and leave, by the job's id:
+// The package owns a directory for the files that a job's workers read and write:
 //
-//	JOB/job.json            the tool and the inputs of its tasks
-//	JOB/TASK/outputs.json   the outputs of a task, written last
-//	JOB/TASK/error.txt      why its last attempt failed
-//	JOB/TASK/out, tmp       the task's directories while it runs
-//	JOB/TASK/stdout.log     and stderr.log: its standard streams, where the tool names no files for them
+//	JOB/job.json            description of the job: the tool and the inputs of its tasks
+//	JOB/TASK/outputs.json   outputs of the task, written last
+//	JOB/TASK/error.txt      error of the task's last failed attempt
+//	JOB/TASK/out, tmp       directories of the task while it runs
+//	JOB/TASK/stdout.log     standard output, if the tool names no file for it
+//	JOB/TASK/stderr.log     standard error, if the tool names no file for it
 //
-// # What it may assume
+// JOB is the job's ID and TASK the task's index within the job.
 //
-// Controllers write a job's description before a worker starts its tasks, and one worker at a time runs a task.
+// # Assumptions
 //
-// # What it promises
+// Controllers write a job's description before a worker starts the job's tasks. At most one worker runs a task at a
+// time.
 //
-// Description and outputs are there whole or not at all. A task that ends, is stopped or exceeds its time limit leaves
-// no process behind. An attempt starts in empty directories.
+// # Guarantees
+//
+// Description and outputs are written atomically. A task that is stopped or exceeds its time limit is killed with all
+// processes of its process group. Each attempt starts in empty directories.
 //
 // # Failures
 //
-// A worker that dies takes its tools with it (Linux: SIGKILL with the death of the parent's thread); the next attempt
-// removes what it left. Without outputs, ReadOutputs says so for good; an error of the file system may pass.
+// When a worker dies, its tools are killed (Linux: SIGKILL at the death of the parent's thread). The next attempt
+// removes the files that they left. ReadOutputs reports missing outputs as a permanent failure, and an error of the file
+// system as one that may be temporary.
 package toolrun
 
 import (
@@ -46,7 +51,7 @@
 	errorFile       = "error.txt"
 )
 
-// Dir is the shared directory.
+// Dir is the path of the directory that workers and controllers share.
 type Dir string
 
 func (d Dir) jobPath(id string) string         { return filepath.Join(string(d), id) }
@@ -56,7 +61,7 @@
 	return filepath.Join(d.taskPath(id, n), outputsFile)
 }
 
-// WriteDescription writes what a job's workers need.
+// WriteDescription writes the description of a job, which its workers read.
 func (d Dir) WriteDescription(id string, description []byte) error {
 	if err := os.MkdirAll(d.jobPath(id), 0o755); err != nil {
 		return err
@@ -64,7 +69,7 @@
 	return writeAtomically(d.descriptionPath(id), description)
 }
 
-// writeAtomically writes a file whole or not at all.
+// writeAtomically writes a temporary file and renames it, so that readers never see a partial file.
 func writeAtomically(name string, b []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(name), ".new-*")
 	if err != nil {
@@ -81,8 +86,8 @@
 	return err
 }
 
-// ReadOutputs reads the outputs of a job's tasks. If one is missing or unreadable, reading again does not help; after
-// an error it may.
+// ReadOutputs reads the outputs of a job's tasks. Missing in the result means that the outputs of a task do not exist
+// or are malformed, and that a retry cannot succeed. After Err, a retry may succeed.
 func (d Dir) ReadOutputs(id string, tasks int) workflow.DataResult {
 	var result workflow.DataResult
 	for n := range tasks {
@@ -103,20 +108,20 @@
 	return result
 }
 
-// HasDescription reports whether a job's tasks are run here.
+// HasDescription reports whether the job has a description, so that its tasks run as tools of this package.
 func (d Dir) HasDescription(id string) bool {
 	_, err := os.Stat(d.descriptionPath(id))
 	return err == nil
 }
 
-// Execution is a task that runs, or ran.
+// Execution is a running or finished task.
 type Execution struct {
 	cancel context.CancelFunc
-	done   chan struct{} // closed when err is set
+	done   chan struct{} // closed after err is set
 	err    error
 }
 
-// Start begins the nth task of a job. The caller polls IsFinished, and may Stop it.
+// Start starts the nth task of a job in the background. The caller polls IsFinished and can call Stop.
 func (d Dir) Start(id string, n int) *Execution {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Execution{cancel: cancel, done: make(chan struct{})}
@@ -131,7 +136,7 @@
 	return e
 }
 
-// IsFinished reports whether the task has ended, and the error that it ended with.
+// IsFinished reports whether the task has ended, and returns its error.
 func (e *Execution) IsFinished() (bool, error) {
 	select {
 	case <-e.done:
@@ -141,7 +146,7 @@
 	}
 }
 
-// Stop ends the task with all processes that it started, and waits for it.
+// Stop kills the task with all processes of its process group, and waits until it has ended.
 func (e *Execution) Stop() {
 	e.cancel()
 	<-e.done
--- a/internal/toolrun/toolrun_test.go
+++ b/internal/toolrun/toolrun_test.go
@@ -12,7 +12,7 @@
 	"github.com/grebedock/grebedock/workflow"
 )
 
-// loadTool reads a command line tool from its fields, behind version and class.
+// loadTool loads a command line tool from the given fields. It adds the version and the class.
 func loadTool(t *testing.T, fields string) *cwl.Process {
 	t.Helper()
 	p, err := cwl.Load("tool.cwl", func(string) ([]byte, error) {
@@ -24,7 +24,7 @@
 	return p
 }
 
-// writeFile writes a file into a new directory and returns its name.
+// writeFile writes a file to a new directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -37,7 +37,7 @@
 const shellTool = "requirements: {ShellCommandRequirement: {}}\nbaseCommand: []\n" +
 	"arguments: [{valueFrom: '%', shellQuote: false}]\n"
 
-// shell is a tool that runs a shell script.
+// shell returns the fields of a tool that runs a shell script.
 func shell(script string) string { return strings.Replace(shellTool, "%", script, 1) }
 
 func TestStdoutIsCollectedAsFile(t *testing.T) {
@@ -86,7 +86,7 @@
 		"hints: {EnvVarRequirement: {envDef: {TEXT: '{\"n\": 7}'}}}\n")
 	outputs, err := Run(context.Background(), p, map[string]any{}, t.TempDir())
 	if err != nil || outputs["n"] != int64(7) {
-		t.Errorf("got %v, %v", outputs, err)
+		t.Errorf("got outputs %v, error %v, want n = 7", outputs, err)
 	}
 }
 
@@ -123,13 +123,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Run(context.Background(), loadTool(t, c.tool), map[string]any{}, t.TempDir())
 			if got := errorText(err); !strings.HasSuffix(got, c.expectedErr) || got == "" {
-				t.Errorf("got %q, want %q", got, c.expectedErr)
+				t.Errorf("got %q, want suffix %q", got, c.expectedErr)
 			}
 		})
 	}
 }
 
-func TestSuccessCodesAreTaken(t *testing.T) {
+func TestDeclaredSuccessCodesAreAccepted(t *testing.T) {
 	p := loadTool(t, shell("exit 3")+"successCodes: [3]\ninputs: {}\noutputs: {}\n")
 	if _, err := Run(context.Background(), p, map[string]any{}, t.TempDir()); err != nil {
 		t.Error(err)
@@ -158,7 +158,7 @@
 	file := in["f"].(map[string]any)
 	secondary, _ := file["secondaryFiles"].([]any)
 	if file["contents"] != "content" || len(secondary) != 1 || secondary[0].(map[string]any)["path"] != missing {
-		t.Errorf("got %v", file)
+		t.Errorf("got %v, want contents %q and the secondary file %s", file, "content", missing)
 	}
 }
 
@@ -181,10 +181,10 @@
 		}
 	}
 	if target, err := os.Readlink(filepath.Join(dir, "out", "link")); err != nil || target != name {
-		t.Errorf("link to %q, %v", target, err)
+		t.Errorf("link: got target %q, error %v, want %q", target, err, name)
 	}
 	if info, err := os.Lstat(filepath.Join(dir, "out", "copy")); err != nil || !info.Mode().IsRegular() {
-		t.Errorf("copy: %v, %v", info, err)
+		t.Errorf("copy: got %v, error %v, want a regular file", info, err)
 	}
 }
 
@@ -193,13 +193,13 @@
 	t.Helper()
 	call := &workflow.Call{Tool: p, Inputs: []map[string]any{{}}}
 	if dir.HasDescription("job") {
-		t.Fatal("a description before it is written")
+		t.Fatal("HasDescription before the description is written: got true, want false")
 	}
 	if err := dir.WriteDescription("job", workflow.EncodeDescription(call)); err != nil {
 		t.Fatal(err)
 	}
 	if !dir.HasDescription("job") {
-		t.Fatal("no description")
+		t.Fatal("HasDescription after the description is written: got false, want true")
 	}
 	e := dir.Start("job", 0)
 	t.Cleanup(e.Stop)
@@ -214,15 +214,15 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the task does not end")
+	t.Fatal("the task did not end within 10 s")
 	return nil
 }
 
-func TestTaskLeavesOutputs(t *testing.T) {
+func TestTaskWritesOutputs(t *testing.T) {
 	dir := Dir(t.TempDir())
 	p := loadTool(t, "baseCommand: [echo, hello]\ninputs: {}\noutputs: {o: stdout}\nstdout: greeting.txt\n")
 	if got := dir.ReadOutputs("job", 1).Missing; got != "task 0 of job left no outputs" {
-		t.Errorf("before the task: %q", got)
+		t.Errorf("before the task runs: got %q as missing outputs", got)
 	}
 	e := startTask(t, dir, p)
 	if err := waitFinished(t, e); err != nil {
@@ -230,33 +230,33 @@
 	}
 	result := dir.ReadOutputs("job", 1)
 	if result.Err != nil || result.Missing != "" || len(result.Outputs) != 1 {
-		t.Fatalf("got %+v", result)
+		t.Fatalf("got %+v, want the outputs of one task", result)
 	}
 	if file := result.Outputs[0]["o"].(map[string]any); file["size"] != int64(6) {
-		t.Errorf("got %v", file)
+		t.Errorf("got %v, want size 6", file)
 	}
 	if err := os.WriteFile(dir.outputsPath("job", 0), []byte("[]"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if got := dir.ReadOutputs("job", 1).Missing; got != "the outputs of task 0 of job are unreadable" {
-		t.Errorf("with other outputs: %q", got)
+		t.Errorf("with malformed outputs: got %q as missing outputs", got)
 	}
 }
 
-func TestFailedTaskLeavesError(t *testing.T) {
+func TestFailedTaskWritesErrorFile(t *testing.T) {
 	dir := Dir(t.TempDir())
 	e := startTask(t, dir, loadTool(t, shell("exit 3")+"inputs: {}\noutputs: {}\n"))
 	err := waitFinished(t, e)
 	text, readErr := os.ReadFile(filepath.Join(dir.taskPath("job", 0), "error.txt"))
 	if err == nil || readErr != nil || string(text) != err.Error()+"\n" {
-		t.Errorf("got %v, file %q, %v", err, text, readErr)
+		t.Errorf("got error %v, file %q, %v, want the error in the file", err, text, readErr)
 	}
 	if err := waitFinished(t, dir.Start("job", 1)); errorText(err) != "the job has 1 tasks, not 2" {
-		t.Errorf("a task beyond the job's: %v", err)
+		t.Errorf("task index outside the job: got error %v", err)
 	}
 }
 
-// A stopped task ends at once with the processes that it started.
+// Stop must end a task and the processes that it started without waiting for them to finish.
 func TestStoppedTaskEndsWithItsProcesses(t *testing.T) {
 	dir := Dir(t.TempDir())
 	e := startTask(t, dir, loadTool(t, shell("sleep 60 & sleep 60")+"inputs: {}\noutputs: {}\n"))
@@ -265,9 +265,9 @@
 	e.Stop()
 	finished, err := e.IsFinished()
 	if !finished || errorText(err) != "stopped" {
-		t.Errorf("got %v, %v", finished, err)
+		t.Errorf("got finished %t, error %v, want true and \"stopped\"", finished, err)
 	}
 	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("Stop took %v, want at most 10 s", took)
 	}
 }
