--- a/internal/toolrun/toolrun.go
+++ b/internal/toolrun/toolrun.go
@@ -27,8 +27,8 @@
 // # Failures
 //
 // When a worker dies, its tools are killed (Linux: SIGKILL at the death of the parent's thread). The next attempt
-// removes the files that they left. ReadOutputs reports missing outputs as a permanent failure, and an error of the file
-// system as one that may be temporary.
+// removes the files that they left. ReadOutputs reports missing outputs as a permanent failure, and an error of the
+// file system as one that may be temporary.
 package toolrun
 
 import (
--- a/internal/toolrun/toolrun_test.go
+++ b/internal/toolrun/toolrun_test.go
@@ -222,7 +222,7 @@
 	dir := Dir(t.TempDir())
 	p := loadTool(t, "baseCommand: [echo, hello]\ninputs: {}\noutputs: {o: stdout}\nstdout: greeting.txt\n")
 	if got := dir.ReadOutputs("job", 1).Missing; got != "task 0 of job left no outputs" {
-		t.Errorf("before the task runs: got %q as missing outputs", got)
+		t.Errorf("before the task runs: got Missing %q, want that task 0 left no outputs", got)
 	}
 	e := startTask(t, dir, p)
 	if err := waitFinished(t, e); err != nil {
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	if got := dir.ReadOutputs("job", 1).Missing; got != "the outputs of task 0 of job are unreadable" {
-		t.Errorf("with malformed outputs: got %q as missing outputs", got)
+		t.Errorf("with malformed outputs: got Missing %q, want that they are unreadable", got)
 	}
 }
 
@@ -252,7 +252,7 @@
 		t.Errorf("got error %v, file %q, %v, want the error in the file", err, text, readErr)
 	}
 	if err := waitFinished(t, dir.Start("job", 1)); errorText(err) != "the job has 1 tasks, not 2" {
-		t.Errorf("task index outside the job: got error %v", err)
+		t.Errorf("task index outside the job: got error %v, want that the job has 1 tasks", err)
 	}
 }
 
