--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -58,8 +58,8 @@
 	done   chan error
 }
 
-// Time-outs of the fake platform in seconds. They are short, so that users of a lab need not wait
-// long for a lease to expire.
+// Heartbeat interval, lease duration and maximum duration of a cancellation, in seconds. They are
+// short, so that users of a lab need not wait long for a lease to expire.
 const (
 	heartbeatS = 0.25
 	leaseS     = 4
