--- a/cwl/build.go
+++ b/cwl/build.go
@@ -17,8 +17,8 @@
 type builder struct {
 	*loader
 	graph   map[string]*value // processes of a $graph, by id
-	spaces  map[string]string // declared namespaces
-	running []string          // names of the processes that are being built, outermost first
+	namespaces  map[string]string // declared namespaces
+	processStack []string          // names of the processes that are being built, outermost first
 }
 
 // Load reads a process: name is a file, or a file and after a "#" a part of its $graph. The error is an Errors.
@@ -48,7 +48,7 @@
 		l.fail(v.Pos, "", "a process must be an object")
 		return nil
 	}
-	b := &builder{loader: l, spaces: namespacesOf(v), running: running}
+	b := &builder{loader: l, namespaces: namespacesOf(v), processStack: running}
 	if s, ok := textOf(v.get("cwlVersion")); !ok {
 		l.fail(v.Pos, "cwlVersion", "is missing")
 	} else if s != Version {
@@ -123,8 +123,8 @@
 	stepInputObject objectKind = "stepin"
 )
 
-// known are the fields of the language by the kind of object.
-var known = map[objectKind][]string{
+// allowedFields are the fields of the language by the kind of object.
+var allowedFields = map[objectKind][]string{
 	processObject: {
 		"id", "class", "label", "doc", "inputs", "outputs", "requirements", "hints", "cwlVersion",
 		"intent", "$namespaces", "$schemas", "$graph", "steps", "expression",
@@ -156,16 +156,16 @@
 	for _, f := range v.fields {
 		ok := strings.ContainsAny(f.key, ":")
 		for _, k := range kinds {
-			ok = ok || slices.Contains(known[k], f.key)
+			ok = ok || slices.Contains(allowedFields[k], f.key)
 		}
 		if !ok {
-			b.fail(f.at, join(at, f.key), "is no field of %s", Version)
+			b.fail(f.at, joinPath(at, f.key), "is no field of %s", Version)
 		}
 	}
 }
 
-// join is the path of a field of what is at a path.
-func join(at, key string) string {
+// joinPath is the path of a field of what is at a path.
+func joinPath(at, key string) string {
 	if at == "" {
 		return key
 	}
@@ -175,16 +175,16 @@
 // processOf builds a process, whose name must be unique among those that are being built. outer are the requirements
 // that it inherits.
 func (b *builder) processOf(v *value, name string, outer Requirements) *Process {
-	if slices.Contains(b.running, name) {
-		b.fail(v.Pos, "run", "runs itself: %s", strings.Join(append(b.running, name), ", "))
+	if slices.Contains(b.processStack, name) {
+		b.fail(v.Pos, "run", "runs itself: %s", strings.Join(append(b.processStack, name), ", "))
 		return nil
 	}
-	if len(b.running) > b.limits.Depth {
+	if len(b.processStack) > b.limits.Depth {
 		b.fail(v.Pos, "run", "processes run each other more than %d deep", b.limits.Depth)
 		return nil
 	}
-	b.running = append(b.running, name)
-	defer func() { b.running = b.running[:len(b.running)-1] }()
+	b.processStack = append(b.processStack, name)
+	defer func() { b.processStack = b.processStack[:len(b.processStack)-1] }()
 	p := &Process{Pos: v.Pos, src: v}
 	class, _ := textOf(v.get("class"))
 	p.Class = Class(class)
--- a/cwl/command.go
+++ b/cwl/command.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Args = p.joined(words)
+	c.Args = p.joinWords(words)
 	if err := p.redirect(c, sc); err != nil {
 		return nil, err
 	}
@@ -93,9 +93,9 @@
 	return words, nil
 }
 
-// joined is the command line of the base command and these words: for a shell one text, in which all words but raw ones
+// joinWords is the command line of the base command and these words: for a shell one text, in which all words but raw ones
 // are quoted.
-func (p *Process) joined(words []word) []string {
+func (p *Process) joinWords(words []word) []string {
 	args := slices.Clone(p.BaseCommand)
 	shell := p.Req.Shell
 	for _, w := range words {
@@ -185,7 +185,7 @@
 	if v == nil {
 		return nil, nil
 	}
-	t := pick(bound.typ, v)
+	t := matchingType(bound.typ, v)
 	sc.Self = v
 	if b == nil {
 		return p.innerWords(bound.name, t, v, key, sc)
@@ -247,8 +247,8 @@
 	return out, nil
 }
 
-// pick is the first type of a union that a value has.
-func pick(t *Type, v any) *Type {
+// matchingType is the first type of a union that a value has.
+func matchingType(t *Type, v any) *Type {
 	if t.Name != "union" {
 		return t
 	}
@@ -444,16 +444,16 @@
 // 1 GiB each for temporary files and results. The error names the field that is no amount.
 func (p *Process) Resources(in map[string]any) (Resources, error) {
 	sc := Scope{Inputs: in}
-	cpus, cpusErr := p.amount("cores", defaultCores, sc)
-	memory, memoryErr := p.amount("ram", defaultRAMMiB, sc)
-	tmp, tmpErr := p.amount("tmpdir", defaultTmpMiB, sc)
-	out, outErr := p.amount("outdir", defaultOutputMiB, sc)
+	cpus, cpusErr := p.resourceAmount("cores", defaultCores, sc)
+	memory, memoryErr := p.resourceAmount("ram", defaultRAMMiB, sc)
+	tmp, tmpErr := p.resourceAmount("tmpdir", defaultTmpMiB, sc)
+	out, outErr := p.resourceAmount("outdir", defaultOutputMiB, sc)
 	r := Resources{CPUs: cpus, MemoryGB: memory * gbPerMiB, DiskGB: (tmp + out) * gbPerMiB}
 	return r, cmp.Or(cpusErr, memoryErr, tmpErr, outErr)
 }
 
-// amount evaluates the least that ResourceRequirement requests of a resource, or else the most.
-func (p *Process) amount(resource string, byDefault float64, sc Scope) (float64, error) {
+// resourceAmount evaluates the least that ResourceRequirement requests of a resource, or else the most.
+func (p *Process) resourceAmount(resource string, byDefault float64, sc Scope) (float64, error) {
 	for _, field := range []string{resource + "Min", resource + "Max"} {
 		x := p.Req.Resources[field]
 		if x == nil {
--- a/cwl/javascript.go
+++ b/cwl/javascript.go
@@ -45,7 +45,7 @@
 // evalJS runs code. The same code in the same scope gives the same value.
 func evalJS(src string, sc Scope, lib []string) (any, error) {
 	vm := newVM()
-	stop := watch(vm)
+	stop := enforceLimits(vm)
 	defer stop()
 	v, err := runJS(vm, src, sc, lib)
 	if err != nil {
@@ -129,20 +129,20 @@
 	return fmt.Errorf("the expression fails: %v", err)
 }
 
-// watch interrupts an engine that runs too long or allocates too much, until it is stopped. The heap is that of the
+// enforceLimits interrupts an engine that runs too long or allocates too much, until it is stopped. The heap is that of the
 // whole process: others that allocate at the same time count.
-func watch(vm *goja.Runtime) (stop func()) {
+func enforceLimits(vm *goja.Runtime) (stop func()) {
 	done := make(chan struct{})
 	go func() {
-		if reason := waitForExcess(done); reason != "" {
+		if reason := waitForExceededLimit(done); reason != "" {
 			vm.Interrupt(reason)
 		}
 	}()
 	return func() { close(done) }
 }
 
-// waitForExcess waits until done is closed, or until a bound is exceeded, and says which.
-func waitForExcess(done <-chan struct{}) (reason string) {
+// waitForExceededLimit waits until done is closed, or until a bound is exceeded, and says which.
+func waitForExceededLimit(done <-chan struct{}) (reason string) {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample)
 	first := sample[0].Value.Uint64()
--- a/cwl/link.go
+++ b/cwl/link.go
@@ -45,18 +45,18 @@
 
 // picked is what pickValue leaves of a list.
 func (l Link) picked(list []any) (any, error) {
-	some := slices.DeleteFunc(slices.Clone(list), func(x any) bool { return x == nil })
+	nonNull := slices.DeleteFunc(slices.Clone(list), func(x any) bool { return x == nil })
 	switch l.Pick {
 	case "all_non_null":
-		return some, nil
+		return nonNull, nil
 	case "the_only_non_null":
-		if len(some) != 1 {
-			return nil, fmt.Errorf("the_only_non_null: %d of %d values are not null", len(some), len(list))
+		if len(nonNull) != 1 {
+			return nil, fmt.Errorf("the_only_non_null: %d of %d values are not null", len(nonNull), len(list))
 		}
 	case "first_non_null":
-		if len(some) == 0 {
+		if len(nonNull) == 0 {
 			return nil, errors.New("first_non_null: all values are null")
 		}
 	}
-	return some[0], nil
+	return nonNull[0], nil
 }
--- a/cwl/ports.go
+++ b/cwl/ports.go
@@ -20,7 +20,7 @@
 func (b *builder) input(p *Process, e entry, defs map[string]*Type) Input {
 	at := "inputs." + e.id
 	b.check(e.v, at, inputObject)
-	in := Input{Pos: e.at, ID: e.id, LoadContents: flag(e.v.get("loadContents"))}
+	in := Input{Pos: e.at, ID: e.id, LoadContents: boolOf(e.v.get("loadContents"))}
 	t := e.v.get("type")
 	name, _ := textOf(t)
 	switch {
@@ -78,7 +78,7 @@
 	}
 	if x := e.v.get("outputBinding"); x != nil {
 		o.Glob = texts(x.get("glob"))
-		o.LoadContents = flag(x.get("loadContents"))
+		o.LoadContents = boolOf(x.get("loadContents"))
 		o.OutputEval, _ = textOf(x.get("outputEval"))
 		b.expr(x.get("glob"), at+".outputBinding.glob", p.Req)
 		b.expr(x.get("outputEval"), at+".outputBinding.outputEval", p.Req)
@@ -102,8 +102,8 @@
 	return *name
 }
 
-// flag is the boolean that a value is, false if it is none.
-func flag(v *value) bool {
+// boolOf is the boolean that a value is, false if it is none.
+func boolOf(v *value) bool {
 	if v == nil {
 		return false
 	}
@@ -174,7 +174,7 @@
 
 // binding reads a CommandLineBinding.
 func (b *builder) binding(v *value, at string) *Binding {
-	bd := &Binding{LoadContents: flag(v.get("loadContents"))}
+	bd := &Binding{LoadContents: boolOf(v.get("loadContents"))}
 	if p := v.get("position"); p != nil {
 		bd.Position = fmt.Sprint(p.data)
 	}
@@ -191,7 +191,7 @@
 	}
 	for _, f := range v.fields {
 		if !slices.Contains(bindingFields, f.key) {
-			b.fail(f.at, join(at, f.key), "is no field of %s", Version)
+			b.fail(f.at, joinPath(at, f.key), "is no field of %s", Version)
 		}
 	}
 	return bd
--- a/cwl/requirements.go
+++ b/cwl/requirements.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// inherit adds to a process that is in a file of its own the requirements of the workflow above that it lacks.
-func inherit(p *Process, outer Requirements) {
-	p.Req = p.Req.under(outer)
+// inheritRequirements adds to a process that is in a file of its own the requirements of the workflow above that it lacks.
+func inheritRequirements(p *Process, outer Requirements) {
+	p.Req = p.Req.withDefaults(outer)
 	for _, s := range p.Steps {
-		s.Req = s.Req.under(outer)
+		s.Req = s.Req.withDefaults(outer)
 		if s.Run != nil {
-			inherit(s.Run, s.Req)
+			inheritRequirements(s.Run, s.Req)
 		}
 	}
 }
 
-// under returns r with what it lacks taken from outer requirements.
-func (r Requirements) under(outer Requirements) Requirements {
+// withDefaults returns r with what it lacks taken from outer requirements.
+func (r Requirements) withDefaults(outer Requirements) Requirements {
 	r.JS = r.JS || outer.JS
 	if len(r.Lib) == 0 {
 		r.Lib = outer.Lib
@@ -45,8 +45,8 @@
 	return r
 }
 
-// ignored requirements change nothing about how a process runs here.
-var ignored = []string{
+// ignoredRequirements requirements change nothing about how a process runs here.
+var ignoredRequirements = []string{
 	"SubworkflowFeatureRequirement",
 	"ScatterFeatureRequirement",
 	"MultipleInputFeatureRequirement",
@@ -73,18 +73,18 @@
 			at := list + "." + e.id
 			class := b.expandPrefix(e.id)
 			isKnown := b.requirement(&r, class, e, at, outer)
-			if !isKnown && list == "requirements" && !slices.Contains(ignored, class) {
+			if !isKnown && list == "requirements" && !slices.Contains(ignoredRequirements, class) {
 				b.fail(e.at, at, "is not supported")
 			}
 		}
 	}
-	return r.under(outer)
+	return r.withDefaults(outer)
 }
 
 // expandPrefix replaces the prefix of a declared namespace.
 func (b *builder) expandPrefix(class string) string {
-	if prefix, rest, ok := strings.Cut(class, ":"); ok && b.spaces[prefix] != "" {
-		return b.spaces[prefix] + rest
+	if prefix, rest, ok := strings.Cut(class, ":"); ok && b.namespaces[prefix] != "" {
+		return b.namespaces[prefix] + rest
 	}
 	return class
 }
@@ -171,7 +171,7 @@
 			r.WorkDir = append(r.WorkDir, Dirent{Entry: s})
 			continue
 		}
-		d := Dirent{Writable: flag(x.get("writable"))}
+		d := Dirent{Writable: boolOf(x.get("writable"))}
 		d.Name, _ = textOf(x.get("entryname"))
 		d.Entry, _ = textOf(x.get("entry"))
 		if x.get("entry") == nil {
@@ -193,9 +193,9 @@
 	for _, f := range v.fields {
 		isKnown, isValid := h.set(f)
 		if !isKnown {
-			b.fail(f.at, join(at, f.key), "is no field of the hint")
+			b.fail(f.at, joinPath(at, f.key), "is no field of the hint")
 		} else if !isValid {
-			b.fail(f.v.Pos, join(at, f.key), "has a wrong value")
+			b.fail(f.v.Pos, joinPath(at, f.key), "has a wrong value")
 		}
 	}
 	return h
@@ -214,15 +214,15 @@
 		h.Priority, _ = f.v.text()
 		isValid = slices.Contains(jobPriorities, h.Priority)
 	case "deadline":
-		h.DeadlineS, isValid = f.v.amount()
+		h.DeadlineS, isValid = f.v.nonNegative()
 	case "estimate":
-		h.EstimateS, isValid = f.v.amount()
+		h.EstimateS, isValid = f.v.nonNegative()
 	case "imageSize":
-		h.ImageGB, isValid = f.v.amount()
+		h.ImageGB, isValid = f.v.nonNegative()
 	case "spot":
-		h.Spot, isValid = f.v.truth()
+		h.Spot, isValid = f.v.boolean()
 	case "once":
-		h.Once, isValid = f.v.truth()
+		h.Once, isValid = f.v.boolean()
 	case "retries":
 		n, ok := f.v.data.(int64)
 		isValid = ok && n >= 0 && n <= maxRetries
@@ -234,15 +234,15 @@
 	return true, isValid
 }
 
-// amount is the number that a value is; ok is false if it is none or negative.
-func (v *value) amount() (x float64, ok bool) {
+// nonNegative is the number that a value is; ok is false if it is none or negative.
+func (v *value) nonNegative() (x float64, ok bool) {
 	x, isNumber := toFloat(v.data)
 	isNegative := x < 0
 	return x, isNumber && !isNegative
 }
 
-// truth is the boolean that a value is; ok is false if it is none.
-func (v *value) truth() (x *bool, ok bool) {
+// boolean is the boolean that a value is; ok is false if it is none.
+func (v *value) boolean() (x *bool, ok bool) {
 	t, ok := v.data.(bool)
 	return &t, ok
 }
--- a/cwl/scatter.go
+++ b/cwl/scatter.go
@@ -35,9 +35,9 @@
 		lists[i] = l
 	}
 	if s.Method == dotProduct {
-		return s.dealDot(in, lists)
+		return s.scatterDotProduct(in, lists)
 	}
-	return s.dealCross(in, lists)
+	return s.scatterCrossProduct(in, lists)
 }
 
 // taskInputs are the inputs of the task that takes the items at these positions of the scattered lists.
@@ -50,8 +50,8 @@
 	return inputs
 }
 
-// dealDot makes a task of the first items of all lists, one of the second, and so on.
-func (s *Step) dealDot(in map[string]any, lists [][]any) (Scatter, error) {
+// scatterDotProduct makes a task of the first items of all lists, one of the second, and so on.
+func (s *Step) scatterDotProduct(in map[string]any, lists [][]any) (Scatter, error) {
 	for i, l := range lists {
 		if len(l) != len(lists[0]) {
 			return Scatter{}, fmt.Errorf("dotproduct needs lists of one length: %s has %d, %s has %d",
@@ -69,8 +69,8 @@
 	return sc, nil
 }
 
-// dealCross makes a task of each combination of items, the last list's items fastest.
-func (s *Step) dealCross(in map[string]any, lists [][]any) (Scatter, error) {
+// scatterCrossProduct makes a task of each combination of items, the last list's items fastest.
+func (s *Step) scatterCrossProduct(in map[string]any, lists [][]any) (Scatter, error) {
 	var sc Scatter
 	tasks := 1
 	for _, l := range lists {
--- a/cwl/steps.go
+++ b/cwl/steps.go
@@ -38,7 +38,7 @@
 	if v.get("steps") == nil {
 		b.fail(v.Pos, "steps", "is missing")
 	}
-	l := &linker{builder: b, p: p, steps: map[string]*Step{}, after: map[*Step][]*Step{}}
+	l := &linker{builder: b, p: p, steps: map[string]*Step{}, dependencies: map[*Step][]*Step{}}
 	for _, e := range b.idMap(v.get("steps"), "steps", "id", "run") {
 		s := b.step(p, e, name)
 		l.steps[s.ID] = s
@@ -54,7 +54,7 @@
 		o := &p.Outputs[i]
 		l.connect(o.Pos, "outputs."+o.ID+".outputSource", &o.Link, o.Type, nil)
 	}
-	b.sortSteps(p, l.after)
+	b.sortSteps(p, l.dependencies)
 }
 
 // inputType is the type that the source of a step's input must have; nil: any.
@@ -86,7 +86,7 @@
 	*builder
 	p     *Process
 	steps map[string]*Step
-	after map[*Step][]*Step // what a step depends on
+	dependencies map[*Step][]*Step // what a step depends on
 }
 
 // source is the type of what a link refers to, and the step that it is an output of, nil for an input of the workflow.
@@ -147,17 +147,17 @@
 		if from != nil {
 			link.Source[i] = from.ID + "/" + parts[len(parts)-1]
 			if s != nil {
-				l.after[s] = append(l.after[s], from)
+				l.dependencies[s] = append(l.dependencies[s], from)
 			}
 		}
-		if to != nil && link.plain() && !t.feeds(to) {
+		if to != nil && link.isPassThrough() && !t.compatibleWith(to) {
 			l.fail(at, field, "%s gives %s, which is not taken as %s", src, t, to)
 		}
 	}
 }
 
-// plain reports whether a link passes the value of a single source unchanged.
-func (l *Link) plain() bool {
+// isPassThrough reports whether a link passes the value of a single source unchanged.
+func (l *Link) isPassThrough() bool {
 	return l.Merge == "" && l.Pick == "" && len(l.Source) == 1 && !l.Listed
 }
 
@@ -171,7 +171,7 @@
 )
 
 // sortSteps puts steps behind what they depend on; a cycle is an error.
-func (b *builder) sortSteps(p *Process, after map[*Step][]*Step) {
+func (b *builder) sortSteps(p *Process, dependencies map[*Step][]*Step) {
 	state := map[*Step]visitState{}
 	var out []*Step
 	var path []string
@@ -186,7 +186,7 @@
 		}
 		state[s] = onPath
 		path = append(path, s.ID)
-		for _, d := range after[s] {
+		for _, d := range dependencies[s] {
 			if !visit(d) {
 				return false
 			}
@@ -213,7 +213,7 @@
 	s.Run = b.stepProcess(e, at, name, s.Req)
 	b.stepInputs(s, e, at)
 	b.stepOutputs(s, e, at)
-	b.checkGiven(s, at)
+	b.checkRequiredInputs(s, at)
 	b.stepScatter(s, e, at)
 	if w := e.v.get("when"); w != nil {
 		s.When = scalarText(w.data)
@@ -246,13 +246,13 @@
 	if full == "" {
 		return nil
 	}
-	if slices.Contains(b.running, full) || slices.Contains(b.running, full+"#"+part) {
-		b.fail(r.Pos, at+".run", "runs itself: %s", strings.Join(append(b.running, full), ", "))
+	if slices.Contains(b.processStack, full) || slices.Contains(b.processStack, full+"#"+part) {
+		b.fail(r.Pos, at+".run", "runs itself: %s", strings.Join(append(b.processStack, full), ", "))
 		return nil
 	}
-	p := b.process(full, part, r.Pos, b.running)
+	p := b.process(full, part, r.Pos, b.processStack)
 	if p != nil {
-		inherit(p, req)
+		inheritRequirements(p, req)
 	}
 	return p
 }
@@ -266,7 +266,7 @@
 			Pos:          x.at,
 			ID:           x.id,
 			Link:         b.link(x.v, "source", iat),
-			LoadContents: flag(x.v.get("loadContents")),
+			LoadContents: boolOf(x.v.get("loadContents")),
 		}
 		if d := x.v.get("default"); d != nil {
 			in.Default, in.HasDefault = d.plain(), true
@@ -289,8 +289,8 @@
 	}
 }
 
-// checkGiven checks that a step gives a value to each input that the process it runs needs.
-func (b *builder) checkGiven(s *Step, at string) {
+// checkRequiredInputs checks that a step gives a value to each input that the process it runs needs.
+func (b *builder) checkRequiredInputs(s *Step, at string) {
 	if s.Run == nil {
 		return
 	}
--- a/cwl/tree.go
+++ b/cwl/tree.go
@@ -79,7 +79,7 @@
 	limits Limits
 	nodes  int
 	files  map[string]*value // by name, each read once
-	now    []string          // names of the files that are being read, outermost first
+	fileStack    []string          // names of the files that are being read, outermost first
 	errs   Errors
 }
 
@@ -95,8 +95,8 @@
 	if v, ok := l.files[name]; ok {
 		return v
 	}
-	if slices.Contains(l.now, name) {
-		l.fail(from, "", "%s includes itself: %s", name, strings.Join(append(l.now, name), ", "))
+	if slices.Contains(l.fileStack, name) {
+		l.fail(from, "", "%s includes itself: %s", name, strings.Join(append(l.fileStack, name), ", "))
 		return nil
 	}
 	b, err := l.open(name)
@@ -118,9 +118,9 @@
 		l.fail(Pos{name, 1, 1}, "", "more than one document in the file")
 		return nil
 	}
-	l.now = append(l.now, name)
+	l.fileStack = append(l.fileStack, name)
 	v := l.value(name, &n, 0)
-	l.now = l.now[:len(l.now)-1]
+	l.fileStack = l.fileStack[:len(l.fileStack)-1]
 	l.files[name] = v
 	return v
 }
--- a/cwl/types.go
+++ b/cwl/types.go
@@ -55,12 +55,12 @@
 	return []*Type{t}
 }
 
-// feeds reports whether some value of type t may be one of type u: a link between types that share nothing is a
+// compatibleWith reports whether some value of type t may be one of type u: a link between types that share nothing is a
 // mistake.
-func (t *Type) feeds(u *Type) bool {
+func (t *Type) compatibleWith(u *Type) bool {
 	for _, a := range t.options() {
 		for _, b := range u.options() {
-			if a.feedsOne(b) {
+			if a.nonUnionCompatibleWith(b) {
 				return true
 			}
 		}
@@ -71,8 +71,8 @@
 // numberTypes are the types of numbers, each of which takes the values of those before it.
 var numberTypes = []string{"int", "long", "float", "double"}
 
-// feedsOne is feeds for types that are no unions.
-func (t *Type) feedsOne(u *Type) bool {
+// nonUnionCompatibleWith is feeds for types that are no unions.
+func (t *Type) nonUnionCompatibleWith(u *Type) bool {
 	from, to := slices.Index(numberTypes, t.Name), slices.Index(numberTypes, u.Name)
 	switch {
 	case t.Name == "Any" || u.Name == "Any":
@@ -84,7 +84,7 @@
 	case t.Name != u.Name:
 		return false
 	case t.Name == "array":
-		return t.Items.feeds(u.Items)
+		return t.Items.compatibleWith(u.Items)
 	case t.Name == "enum":
 		return slices.ContainsFunc(t.Symbols, func(s string) bool { return slices.Contains(u.Symbols, s) })
 	}
--- a/cwl/values.go
+++ b/cwl/values.go
@@ -123,15 +123,15 @@
 			out[k] = Named(x)
 		}
 		if isFileOrDirectory(v) {
-			addNames(out)
+			addFileNames(out)
 		}
 		return out
 	}
 	return v
 }
 
-// addNames adds a file's or directory's names.
-func addNames(file map[string]any) {
+// addFileNames adds a file's or directory's names.
+func addFileNames(file map[string]any) {
 	at, _ := file["path"].(string)
 	if at == "" {
 		location, _ := file["location"].(string)
