--- a/cwl/build.go
+++ b/cwl/build.go
@@ -16,8 +16,8 @@
 // builder turns the values of one file into processes.
 type builder struct {
 	*loader
-	graph   map[string]*value // processes of a $graph, by id
-	namespaces  map[string]string // declared namespaces
+	graph        map[string]*value // processes of a $graph, by id
+	namespaces   map[string]string // declared namespaces
 	processStack []string          // names of the processes that are being built, outermost first
 }
 
@@ -152,24 +152,24 @@
 }
 
 // check reports the fields of an object that none of the kinds has. Extensions, whose names have a prefix, are let be.
-func (b *builder) check(v *value, at string, kinds ...objectKind) {
+func (b *builder) check(v *value, path string, kinds ...objectKind) {
 	for _, f := range v.fields {
 		ok := strings.ContainsAny(f.key, ":")
 		for _, k := range kinds {
 			ok = ok || slices.Contains(allowedFields[k], f.key)
 		}
 		if !ok {
-			b.fail(f.at, joinPath(at, f.key), "is no field of %s", Version)
+			b.fail(f.at, joinPath(path, f.key), "is no field of %s", Version)
 		}
 	}
 }
 
 // joinPath is the path of a field of what is at a path.
-func joinPath(at, key string) string {
-	if at == "" {
+func joinPath(path, key string) string {
+	if path == "" {
 		return key
 	}
-	return at + "." + key
+	return path + "." + key
 }
 
 // processOf builds a process, whose name must be unique among those that are being built. outer are the requirements
@@ -233,7 +233,7 @@
 
 // idMap reads a list of objects with ids (in the field idKey), or an object by id. In the latter, a value that is no
 // object stands for the field short alone; "": for none.
-func (b *builder) idMap(v *value, at, idKey, short string) []entry {
+func (b *builder) idMap(v *value, path, idKey, short string) []entry {
 	if v == nil || v.kind == scalar && v.data == nil {
 		return nil
 	}
@@ -241,7 +241,7 @@
 	switch v.kind {
 	case array:
 		for _, x := range v.items {
-			if e, ok := b.listEntry(x, at, idKey, short); ok {
+			if e, ok := b.listEntry(x, path, idKey, short); ok {
 				out = append(out, e)
 			}
 		}
@@ -250,12 +250,12 @@
 			out = append(out, fieldEntry(f, short))
 		}
 	default:
-		b.fail(v.Pos, at, "must be a list or an object")
+		b.fail(v.Pos, path, "must be a list or an object")
 	}
 	seen := map[string]bool{}
 	for _, e := range out {
 		if seen[e.id] && idKey != "class" {
-			b.fail(e.at, at, "%q is there twice", e.id)
+			b.fail(e.at, path, "%q is there twice", e.id)
 		}
 		seen[e.id] = true
 	}
@@ -263,7 +263,7 @@
 }
 
 // listEntry reads an entry of a list. Where short is "", a text stands for an object with this id alone.
-func (b *builder) listEntry(x *value, at, idKey, short string) (e entry, ok bool) {
+func (b *builder) listEntry(x *value, path, idKey, short string) (e entry, ok bool) {
 	id, hasID := textOf(x.get(idKey))
 	if x.kind == object && hasID {
 		if idKey == "id" || idKey == "name" {
@@ -274,7 +274,7 @@
 	if s, isText := x.text(); isText && short == "" {
 		return entry{shortID(s), &value{Pos: x.Pos, kind: object}, x.Pos}, true
 	}
-	b.fail(x.Pos, at, "needs %s", idKey)
+	b.fail(x.Pos, path, "needs %s", idKey)
 	return entry{}, false
 }
 
@@ -323,16 +323,16 @@
 }
 
 // argument reads an argument of a tool: a text or number, or a binding with valueFrom.
-func (b *builder) argument(a *value, at string, req Requirements) Binding {
+func (b *builder) argument(a *value, path string, req Requirements) Binding {
 	if a.kind != object {
-		b.expr(a, at, req)
+		b.expr(a, path, req)
 		return Binding{ValueFrom: scalarText(a.data)}
 	}
-	binding := b.binding(a, at)
+	binding := b.binding(a, path)
 	if a.get("valueFrom") == nil {
-		b.fail(a.Pos, at, "an argument needs valueFrom")
+		b.fail(a.Pos, path, "an argument needs valueFrom")
 	}
-	b.expr(a.get("valueFrom"), at+".valueFrom", req)
+	b.expr(a.get("valueFrom"), path+".valueFrom", req)
 	return *binding
 }
 
--- a/cwl/ports.go
+++ b/cwl/ports.go
@@ -18,8 +18,8 @@
 }
 
 func (b *builder) input(p *Process, e entry, defs map[string]*Type) Input {
-	at := "inputs." + e.id
-	b.check(e.v, at, inputObject)
+	path := "inputs." + e.id
+	b.check(e.v, path, inputObject)
 	in := Input{Pos: e.at, ID: e.id, LoadContents: boolOf(e.v.get("loadContents"))}
 	t := e.v.get("type")
 	name, _ := textOf(t)
@@ -28,23 +28,23 @@
 		in.Type = &Type{Name: "File"}
 		p.Stdin = "$(inputs." + e.id + ".path)"
 	case t == nil:
-		b.fail(e.at, at, "type is missing")
+		b.fail(e.at, path, "type is missing")
 		in.Type = &Type{Name: "Any"}
 	default:
-		in.Type = b.parseType(t, at, defs)
+		in.Type = b.parseType(t, path, defs)
 	}
 	if d := e.v.get("default"); d != nil {
 		in.Default, in.HasDefault = d.plain(), true
 		if err := checkValue(in.Type, in.Default); err != nil && in.Default != nil {
-			b.fail(d.Pos, at+".default", "%v", err)
+			b.fail(d.Pos, path+".default", "%v", err)
 		}
 	}
 	if x := e.v.get("inputBinding"); x != nil {
-		in.Binding = b.binding(x, at+".inputBinding")
-		b.expr(x.get("valueFrom"), at+".inputBinding.valueFrom", p.Req)
+		in.Binding = b.binding(x, path+".inputBinding")
+		b.expr(x.get("valueFrom"), path+".inputBinding.valueFrom", p.Req)
 		in.LoadContents = in.LoadContents || in.Binding.LoadContents
 	}
-	in.Secondary = b.secondary(e.v.get("secondaryFiles"), at+".secondaryFiles", p.Req)
+	in.Secondary = b.secondary(e.v.get("secondaryFiles"), path+".secondaryFiles", p.Req)
 	return in
 }
 
@@ -60,10 +60,10 @@
 
 // output reads an output of the process that v describes.
 func (b *builder) output(p *Process, v *value, e entry, defs map[string]*Type) Output {
-	at := "outputs." + e.id
-	b.check(e.v, at, outputObject)
+	path := "outputs." + e.id
+	b.check(e.v, path, outputObject)
 	o := Output{Pos: e.at, ID: e.id}
-	o.Secondary = b.secondary(e.v.get("secondaryFiles"), at+".secondaryFiles", p.Req)
+	o.Secondary = b.secondary(e.v.get("secondaryFiles"), path+".secondaryFiles", p.Req)
 	t := e.v.get("type")
 	switch name, _ := textOf(t); name {
 	case "stdout":
@@ -72,21 +72,21 @@
 		o.Type, o.Glob = &Type{Name: "File"}, []string{streamFile(&p.Stderr, v, name, p.ID, e.id)}
 	default:
 		if t == nil {
-			b.fail(e.at, at, "type is missing")
+			b.fail(e.at, path, "type is missing")
 		}
-		o.Type = b.parseType(t, at, defs)
+		o.Type = b.parseType(t, path, defs)
 	}
 	if x := e.v.get("outputBinding"); x != nil {
 		o.Glob = texts(x.get("glob"))
 		o.LoadContents = boolOf(x.get("loadContents"))
 		o.OutputEval, _ = textOf(x.get("outputEval"))
-		b.expr(x.get("glob"), at+".outputBinding.glob", p.Req)
-		b.expr(x.get("outputEval"), at+".outputBinding.outputEval", p.Req)
+		b.expr(x.get("glob"), path+".outputBinding.glob", p.Req)
+		b.expr(x.get("outputEval"), path+".outputBinding.outputEval", p.Req)
 	}
 	if p.Class == Flow {
-		o.Link = b.link(e.v, "outputSource", at)
+		o.Link = b.link(e.v, "outputSource", path)
 		if len(o.Link.Source) == 0 {
-			b.fail(e.at, at, "outputSource is missing")
+			b.fail(e.at, path, "outputSource is missing")
 		}
 	}
 	return o
@@ -129,7 +129,7 @@
 }
 
 // secondary reads secondaryFiles.
-func (b *builder) secondary(v *value, at string, req Requirements) []Secondary {
+func (b *builder) secondary(v *value, path string, req Requirements) []Secondary {
 	if v == nil {
 		return nil
 	}
@@ -141,9 +141,9 @@
 	for _, x := range items {
 		s := secondaryOf(x)
 		if s.Pattern == "" {
-			b.fail(x.Pos, at, "needs a pattern")
+			b.fail(x.Pos, path, "needs a pattern")
 		}
-		b.expr(&value{Pos: x.Pos, data: s.Pattern}, at, req)
+		b.expr(&value{Pos: x.Pos, data: s.Pattern}, path, req)
 		out = append(out, s)
 	}
 	return out
@@ -173,7 +173,7 @@
 }
 
 // binding reads a CommandLineBinding.
-func (b *builder) binding(v *value, at string) *Binding {
+func (b *builder) binding(v *value, path string) *Binding {
 	bd := &Binding{LoadContents: boolOf(v.get("loadContents"))}
 	if p := v.get("position"); p != nil {
 		bd.Position = fmt.Sprint(p.data)
@@ -191,7 +191,7 @@
 	}
 	for _, f := range v.fields {
 		if !slices.Contains(bindingFields, f.key) {
-			b.fail(f.at, joinPath(at, f.key), "is no field of %s", Version)
+			b.fail(f.at, joinPath(path, f.key), "is no field of %s", Version)
 		}
 	}
 	return bd
@@ -224,11 +224,11 @@
 }
 
 // addSchemaDefs reads types that have names. One may refer to those before it.
-func (b *builder) addSchemaDefs(defs map[string]*Type, types []*value, at string) {
+func (b *builder) addSchemaDefs(defs map[string]*Type, types []*value, path string) {
 	for _, x := range types {
 		if name, ok := textOf(x.get("name")); ok {
 			id := shortID(name)
-			defs[id] = b.parseType(x, at+"."+id, defs)
+			defs[id] = b.parseType(x, path+"."+id, defs)
 		}
 	}
 }
--- a/cwl/requirements.go
+++ b/cwl/requirements.go
@@ -70,11 +70,11 @@
 	r := Requirements{}
 	for _, list := range []string{"hints", "requirements"} {
 		for _, e := range b.idMap(v.get(list), list, "class", "") {
-			at := list + "." + e.id
+			path := list + "." + e.id
 			class := b.expandPrefix(e.id)
-			isKnown := b.requirement(&r, class, e, at, outer)
+			isKnown := b.requirement(&r, class, e, path, outer)
 			if !isKnown && list == "requirements" && !slices.Contains(ignoredRequirements, class) {
-				b.fail(e.at, at, "is not supported")
+				b.fail(e.at, path, "is not supported")
 			}
 		}
 	}
@@ -90,7 +90,7 @@
 }
 
 // requirement reads one requirement into r, and reports whether its class is one that has an effect here.
-func (b *builder) requirement(r *Requirements, class string, e entry, at string, outer Requirements) (isKnown bool) {
+func (b *builder) requirement(r *Requirements, class string, e entry, path string, outer Requirements) (isKnown bool) {
 	switch class {
 	case "InlineJavascriptRequirement":
 		r.JS = true
@@ -98,46 +98,46 @@
 	case "ShellCommandRequirement":
 		r.Shell = true
 	case "DockerRequirement":
-		r.Image = b.image(e, at)
+		r.Image = b.image(e, path)
 	case "ToolTimeLimit":
 		if x := e.v.get("timelimit"); x != nil {
 			r.TimeLimit = x.data
-			b.expr(x, at+".timelimit", outer)
+			b.expr(x, path+".timelimit", outer)
 		}
 	case "EnvVarRequirement":
-		r.Env = append(r.Env, b.env(e.v.get("envDef"), at)...)
+		r.Env = append(r.Env, b.env(e.v.get("envDef"), path)...)
 	case "ResourceRequirement":
-		r.Resources = b.resources(e.v, at)
+		r.Resources = b.resources(e.v, path)
 	case "InitialWorkDirRequirement":
 		if e.v.get("listing") == nil {
-			b.fail(e.at, at, "needs listing")
+			b.fail(e.at, path, "needs listing")
 		} else {
-			b.workDir(e.v.get("listing"), at, r)
+			b.workDir(e.v.get("listing"), path, r)
 		}
 	case JobHintClass:
-		r.Job = b.jobHint(e.v, at)
+		r.Job = b.jobHint(e.v, path)
 	default:
 		return false
 	}
 	return true
 }
 
-func (b *builder) image(e entry, at string) string {
+func (b *builder) image(e entry, path string) string {
 	image, _ := textOf(e.v.get("dockerPull"))
 	if image == "" {
 		image, _ = textOf(e.v.get("dockerImageId"))
 	}
 	if image == "" {
-		b.fail(e.at, at, "needs dockerPull: images are not built or loaded here")
+		b.fail(e.at, path, "needs dockerPull: images are not built or loaded here")
 	}
 	return image
 }
 
-func (b *builder) env(defs *value, at string) (env []EnvVar) {
-	for _, d := range b.idMap(defs, at+".envDef", "envName", "envValue") {
+func (b *builder) env(defs *value, path string) (env []EnvVar) {
+	for _, d := range b.idMap(defs, path+".envDef", "envName", "envValue") {
 		x := d.v.get("envValue")
 		if x == nil {
-			b.fail(d.at, at, "%s needs envValue", d.id)
+			b.fail(d.at, path, "%s needs envValue", d.id)
 			continue
 		}
 		env = append(env, EnvVar{d.id, scalarText(x.data)})
@@ -145,14 +145,14 @@
 	return env
 }
 
-func (b *builder) resources(v *value, at string) map[string]any {
+func (b *builder) resources(v *value, path string) map[string]any {
 	resources := map[string]any{}
 	for _, f := range v.fields {
 		if f.key == "class" {
 			continue
 		}
 		if !slices.Contains(resourceFields, f.key) {
-			b.fail(f.at, at+"."+f.key, "is no field of %s", Version)
+			b.fail(f.at, path+"."+f.key, "is no field of %s", Version)
 		}
 		resources[f.key] = f.v.data
 	}
@@ -160,7 +160,7 @@
 }
 
 // workDir reads the listing of InitialWorkDirRequirement.
-func (b *builder) workDir(v *value, at string, r *Requirements) {
+func (b *builder) workDir(v *value, path string, r *Requirements) {
 	if s, ok := v.text(); ok {
 		r.WorkDirAll = s
 		return
@@ -175,7 +175,7 @@
 		d.Name, _ = textOf(x.get("entryname"))
 		d.Entry, _ = textOf(x.get("entry"))
 		if x.get("entry") == nil {
-			b.fail(x.Pos, at+".listing", "needs entry: files and directories written out are not taken")
+			b.fail(x.Pos, path+".listing", "needs entry: files and directories written out are not taken")
 		}
 		r.WorkDir = append(r.WorkDir, d)
 	}
@@ -188,14 +188,14 @@
 var jobPriorities = []string{"low", "standard", "high", "production"}
 
 // jobHint reads grebedock's own hint.
-func (b *builder) jobHint(v *value, at string) *JobHint {
+func (b *builder) jobHint(v *value, path string) *JobHint {
 	h := &JobHint{}
 	for _, f := range v.fields {
 		isKnown, isValid := h.set(f)
 		if !isKnown {
-			b.fail(f.at, joinPath(at, f.key), "is no field of the hint")
+			b.fail(f.at, joinPath(path, f.key), "is no field of the hint")
 		} else if !isValid {
-			b.fail(f.v.Pos, joinPath(at, f.key), "has a wrong value")
+			b.fail(f.v.Pos, joinPath(path, f.key), "has a wrong value")
 		}
 	}
 	return h
@@ -248,13 +248,13 @@
 }
 
 // expr checks a text, or a list of texts, that may contain expressions.
-func (b *builder) expr(v *value, at string, req Requirements) {
+func (b *builder) expr(v *value, path string, req Requirements) {
 	if v == nil {
 		return
 	}
 	for _, s := range texts(v) {
 		if err := checkExpr(s, req); err != nil {
-			b.fail(v.Pos, at, "%v", err)
+			b.fail(v.Pos, path, "%v", err)
 		}
 	}
 }
--- a/cwl/steps.go
+++ b/cwl/steps.go
@@ -13,7 +13,7 @@
 )
 
 // link reads where a value comes from. key is the field that names the sources.
-func (b *builder) link(v *value, key, at string) Link {
+func (b *builder) link(v *value, key, path string) Link {
 	l := Link{Source: texts(v.get(key))}
 	if s := v.get(key); s != nil {
 		l.Listed = s.kind == array
@@ -24,11 +24,11 @@
 	l.Merge, _ = textOf(v.get("linkMerge"))
 	l.Pick, _ = textOf(v.get("pickValue"))
 	if !slices.Contains(mergeMethods, l.Merge) {
-		b.fail(v.get("linkMerge").Pos, at+".linkMerge", "%q is none of merge_nested, merge_flattened", l.Merge)
+		b.fail(v.get("linkMerge").Pos, path+".linkMerge", "%q is none of merge_nested, merge_flattened", l.Merge)
 	}
 	if !slices.Contains(pickMethods, l.Pick) {
 		pos := v.get("pickValue").Pos
-		b.fail(pos, at+".pickValue", "%q is none of first_non_null, the_only_non_null, all_non_null", l.Pick)
+		b.fail(pos, path+".pickValue", "%q is none of first_non_null, the_only_non_null, all_non_null", l.Pick)
 	}
 	return l
 }
@@ -84,8 +84,8 @@
 // linker checks the links of a workflow's steps and outputs, and records which steps depend on which.
 type linker struct {
 	*builder
-	p     *Process
-	steps map[string]*Step
+	p            *Process
+	steps        map[string]*Step
 	dependencies map[*Step][]*Step // what a step depends on
 }
 
@@ -206,28 +206,28 @@
 
 // step reads a step of a workflow. name is that of the workflow.
 func (b *builder) step(p *Process, e entry, name string) *Step {
-	at := "steps." + e.id
+	path := "steps." + e.id
 	s := &Step{Pos: e.at, ID: e.id, Out: []string{}}
-	b.check(e.v, at, stepObject)
+	b.check(e.v, path, stepObject)
 	s.Req = b.requirements(e.v, p.Req)
-	s.Run = b.stepProcess(e, at, name, s.Req)
-	b.stepInputs(s, e, at)
-	b.stepOutputs(s, e, at)
-	b.checkRequiredInputs(s, at)
-	b.stepScatter(s, e, at)
+	s.Run = b.stepProcess(e, path, name, s.Req)
+	b.stepInputs(s, e, path)
+	b.stepOutputs(s, e, path)
+	b.checkRequiredInputs(s, path)
+	b.stepScatter(s, e, path)
 	if w := e.v.get("when"); w != nil {
 		s.When = scalarText(w.data)
-		b.expr(w, at+".when", s.Req)
+		b.expr(w, path+".when", s.Req)
 	}
 	return s
 }
 
 // stepProcess reads the process that a step runs: written out, a part of the same file, or another file.
-func (b *builder) stepProcess(e entry, at, name string, req Requirements) *Process {
+func (b *builder) stepProcess(e entry, path, name string, req Requirements) *Process {
 	r := e.v.get("run")
 	switch {
 	case r == nil:
-		b.fail(e.at, at+".run", "is missing")
+		b.fail(e.at, path+".run", "is missing")
 		return nil
 	case r.kind == object:
 		return b.processOf(r, fmt.Sprintf("%s/%s", name, e.id), req)
@@ -239,7 +239,7 @@
 		return b.processOf(x, base+"#"+shortID(part), req)
 	}
 	if file == "" {
-		b.fail(r.Pos, at+".run", "%q names no process", ref)
+		b.fail(r.Pos, path+".run", "%q names no process", ref)
 		return nil
 	}
 	full := b.name(r.File, file, r.Pos)
@@ -247,7 +247,7 @@
 		return nil
 	}
 	if slices.Contains(b.processStack, full) || slices.Contains(b.processStack, full+"#"+part) {
-		b.fail(r.Pos, at+".run", "runs itself: %s", strings.Join(append(b.processStack, full), ", "))
+		b.fail(r.Pos, path+".run", "runs itself: %s", strings.Join(append(b.processStack, full), ", "))
 		return nil
 	}
 	p := b.process(full, part, r.Pos, b.processStack)
@@ -258,14 +258,14 @@
 }
 
 // stepInputs reads the inputs of a step.
-func (b *builder) stepInputs(s *Step, e entry, at string) {
-	for _, x := range b.idMap(e.v.get("in"), at+".in", "id", "source") {
-		iat := at + ".in." + x.id
-		b.check(x.v, iat, stepInputObject)
+func (b *builder) stepInputs(s *Step, e entry, path string) {
+	for _, x := range b.idMap(e.v.get("in"), path+".in", "id", "source") {
+		inputPath := path + ".in." + x.id
+		b.check(x.v, inputPath, stepInputObject)
 		in := StepIn{
 			Pos:          x.at,
 			ID:           x.id,
-			Link:         b.link(x.v, "source", iat),
+			Link:         b.link(x.v, "source", inputPath),
 			LoadContents: boolOf(x.v.get("loadContents")),
 		}
 		if d := x.v.get("default"); d != nil {
@@ -273,24 +273,24 @@
 		}
 		if f := x.v.get("valueFrom"); f != nil {
 			in.ValueFrom = scalarText(f.data)
-			b.expr(f, iat+".valueFrom", s.Req)
+			b.expr(f, inputPath+".valueFrom", s.Req)
 		}
 		s.In = append(s.In, in)
 	}
 }
 
 // stepOutputs reads the outputs of a step.
-func (b *builder) stepOutputs(s *Step, e entry, at string) {
-	for _, x := range b.idMap(e.v.get("out"), at+".out", "id", "") {
+func (b *builder) stepOutputs(s *Step, e entry, path string) {
+	for _, x := range b.idMap(e.v.get("out"), path+".out", "id", "") {
 		s.Out = append(s.Out, x.id)
 		if s.Run != nil && s.Run.Output(x.id) == nil {
-			b.fail(x.at, at+".out", "%q is no output of what the step runs", x.id)
+			b.fail(x.at, path+".out", "%q is no output of what the step runs", x.id)
 		}
 	}
 }
 
 // checkRequiredInputs checks that a step gives a value to each input that the process it runs needs.
-func (b *builder) checkRequiredInputs(s *Step, at string) {
+func (b *builder) checkRequiredInputs(s *Step, path string) {
 	if s.Run == nil {
 		return
 	}
@@ -299,7 +299,7 @@
 			continue
 		}
 		if !s.hasInput(in.ID) {
-			b.fail(s.Pos, at+".in", "the input %q of what the step runs gets no value", in.ID)
+			b.fail(s.Pos, path+".in", "the input %q of what the step runs gets no value", in.ID)
 		}
 	}
 }
@@ -310,12 +310,12 @@
 }
 
 // stepScatter reads over which inputs a step is scattered, and how.
-func (b *builder) stepScatter(s *Step, e entry, at string) {
+func (b *builder) stepScatter(s *Step, e entry, path string) {
 	s.Scatter = texts(e.v.get("scatter"))
 	for i, x := range s.Scatter {
 		s.Scatter[i] = shortID(x)
 		if !s.hasInput(s.Scatter[i]) {
-			b.fail(e.v.get("scatter").Pos, at+".scatter", "%q is no input of the step", x)
+			b.fail(e.v.get("scatter").Pos, path+".scatter", "%q is no input of the step", x)
 		}
 	}
 	s.Method, _ = textOf(e.v.get("scatterMethod"))
@@ -324,6 +324,6 @@
 	}
 	isKnown := slices.Contains([]string{dotProduct, nestedProduct, flatProduct}, s.Method)
 	if len(s.Scatter) > 1 && !isKnown {
-		b.fail(e.at, at+".scatterMethod", "must be one of dotproduct, nested_crossproduct, flat_crossproduct")
+		b.fail(e.at, path+".scatterMethod", "must be one of dotproduct, nested_crossproduct, flat_crossproduct")
 	}
 }
--- a/cwl/tree.go
+++ b/cwl/tree.go
@@ -75,12 +75,12 @@
 
 // loader reads files into values, following $import and $include.
 type loader struct {
-	open   Open
-	limits Limits
-	nodes  int
-	files  map[string]*value // by name, each read once
-	fileStack    []string          // names of the files that are being read, outermost first
-	errs   Errors
+	open      Open
+	limits    Limits
+	nodes     int
+	files     map[string]*value // by name, each read once
+	fileStack []string          // names of the files that are being read, outermost first
+	errs      Errors
 }
 
 // fail records a problem, up to maxErrors.
--- a/cwl/types.go
+++ b/cwl/types.go
@@ -157,79 +157,79 @@
 }
 
 // parseType reads a type. defs are the types that SchemaDefRequirement defines, by name. A wrong type reads as Any.
-func (b *builder) parseType(v *value, at string, defs map[string]*Type) *Type {
+func (b *builder) parseType(v *value, path string, defs map[string]*Type) *Type {
 	bad := &Type{Name: "Any"}
 	if v == nil {
 		return bad
 	}
 	if s, ok := v.text(); ok {
-		return b.namedType(v, at, s, defs)
+		return b.namedType(v, path, s, defs)
 	}
 	switch v.kind {
 	case array:
-		return b.unionType(v, at, defs)
+		return b.unionType(v, path, defs)
 	case object:
-		return b.objectType(v, at, defs)
+		return b.objectType(v, path, defs)
 	}
-	b.fail(v.Pos, at, "must name a type")
+	b.fail(v.Pos, path, "must name a type")
 	return bad
 }
 
 // unionType reads a list of types.
-func (b *builder) unionType(v *value, at string, defs map[string]*Type) *Type {
+func (b *builder) unionType(v *value, path string, defs map[string]*Type) *Type {
 	u := &Type{Name: "union"}
 	for _, x := range v.items {
-		u.Union = append(u.Union, b.parseType(x, at, defs).options()...)
+		u.Union = append(u.Union, b.parseType(x, path, defs).options()...)
 	}
 	if len(u.Union) == 1 {
 		return u.Union[0]
 	}
 	if len(u.Union) == 0 {
-		b.fail(v.Pos, at, "names no type")
+		b.fail(v.Pos, path, "names no type")
 	}
 	return u
 }
 
 // objectType reads a type that is written out.
-func (b *builder) objectType(v *value, at string, defs map[string]*Type) *Type {
+func (b *builder) objectType(v *value, path string, defs map[string]*Type) *Type {
 	name, _ := textOf(v.get("type"))
 	switch name {
 	case "array":
-		return b.arrayType(v, at, defs)
+		return b.arrayType(v, path, defs)
 	case "enum":
-		return b.enumType(v, at)
+		return b.enumType(v, path)
 	case "record":
-		return b.recordType(v, at, defs)
+		return b.recordType(v, path, defs)
 	}
-	b.itemBinding(v, at)
+	b.itemBinding(v, path)
 	if x := v.get("type"); x != nil {
-		return b.parseType(x, at, defs)
+		return b.parseType(x, path, defs)
 	}
-	b.fail(v.Pos, at, "a type needs type")
+	b.fail(v.Pos, path, "a type needs type")
 	return &Type{Name: "Any"}
 }
 
 // itemBinding reads the binding of what is at a path; nil: it has none.
-func (b *builder) itemBinding(v *value, at string) *Binding {
+func (b *builder) itemBinding(v *value, path string) *Binding {
 	x := v.get("inputBinding")
 	if x == nil {
 		return nil
 	}
-	return b.binding(x, at+".inputBinding")
+	return b.binding(x, path+".inputBinding")
 }
 
-func (b *builder) arrayType(v *value, at string, defs map[string]*Type) *Type {
-	binding := b.itemBinding(v, at)
+func (b *builder) arrayType(v *value, path string, defs map[string]*Type) *Type {
+	binding := b.itemBinding(v, path)
 	items := v.get("items")
 	if items == nil {
-		b.fail(v.Pos, at, "an array needs items")
+		b.fail(v.Pos, path, "an array needs items")
 		return &Type{Name: "Any"}
 	}
-	return &Type{Name: "array", Items: b.parseType(items, at+".items", defs), Binding: binding}
+	return &Type{Name: "array", Items: b.parseType(items, path+".items", defs), Binding: binding}
 }
 
-func (b *builder) enumType(v *value, at string) *Type {
-	b.itemBinding(v, at)
+func (b *builder) enumType(v *value, path string) *Type {
+	b.itemBinding(v, path)
 	t := &Type{Name: "enum"}
 	if x := v.get("symbols"); x != nil {
 		for _, s := range x.items {
@@ -239,31 +239,31 @@
 		}
 	}
 	if len(t.Symbols) == 0 {
-		b.fail(v.Pos, at, "an enum needs symbols")
+		b.fail(v.Pos, path, "an enum needs symbols")
 	}
 	return t
 }
 
-func (b *builder) recordType(v *value, at string, defs map[string]*Type) *Type {
-	t := &Type{Name: "record", Binding: b.itemBinding(v, at)}
-	for _, e := range b.idMap(v.get("fields"), at+".fields", "name", "type") {
-		fieldAt := at + "." + e.id
+func (b *builder) recordType(v *value, path string, defs map[string]*Type) *Type {
+	t := &Type{Name: "record", Binding: b.itemBinding(v, path)}
+	for _, e := range b.idMap(v.get("fields"), path+".fields", "name", "type") {
+		fieldPath := path + "." + e.id
 		t.Fields = append(t.Fields, TypeField{
 			Name:    e.id,
-			Type:    b.parseType(e.v.get("type"), fieldAt, defs),
-			Binding: b.itemBinding(e.v, fieldAt),
+			Type:    b.parseType(e.v.get("type"), fieldPath, defs),
+			Binding: b.itemBinding(e.v, fieldPath),
 		})
 	}
 	return t
 }
 
 // namedType reads a type by its name, with ? behind an optional one and [] behind the items of an array.
-func (b *builder) namedType(v *value, at, s string, defs map[string]*Type) *Type {
+func (b *builder) namedType(v *value, path, s string, defs map[string]*Type) *Type {
 	if t, ok := strings.CutSuffix(s, "?"); ok {
-		return optional(b.namedType(v, at, t, defs))
+		return optional(b.namedType(v, path, t, defs))
 	}
 	if t, ok := strings.CutSuffix(s, "[]"); ok {
-		return &Type{Name: "array", Items: b.namedType(v, at, t, defs)}
+		return &Type{Name: "array", Items: b.namedType(v, path, t, defs)}
 	}
 	if slices.Contains(primitives, s) {
 		return &Type{Name: s}
@@ -271,7 +271,7 @@
 	if t := defs[shortID(s)]; t != nil {
 		return t
 	}
-	b.fail(v.Pos, at, "%q is no type", s)
+	b.fail(v.Pos, path, "%q is no type", s)
 	return &Type{Name: "Any"}
 }
 
