--- a/cwl/model.go
+++ b/cwl/model.go
@@ -152,8 +152,8 @@
 	Once      *bool   `json:"once,omitempty"`    // a task that may have begun is never started again
 }
 
-// Under returns h with what it lacks taken from an outer hint.
-func (h *JobHint) Under(outer *JobHint) *JobHint {
+// WithDefaults returns h with what it lacks taken from an outer hint.
+func (h *JobHint) WithDefaults(outer *JobHint) *JobHint {
 	if h == nil {
 		return outer
 	}
--- a/cwl/requirements.go
+++ b/cwl/requirements.go
@@ -41,7 +41,7 @@
 	if r.WorkDir == nil && r.WorkDirAll == "" {
 		r.WorkDir, r.WorkDirAll = outer.WorkDir, outer.WorkDirAll
 	}
-	r.Job = r.Job.Under(outer.Job)
+	r.Job = r.Job.WithDefaults(outer.Job)
 	return r
 }
 
--- a/workflow/calls.go
+++ b/workflow/calls.go
@@ -239,7 +239,7 @@
 	if hint == nil {
 		hint = &cwl.JobHint{}
 	}
-	hint = hint.Under(d.submission.Job)
+	hint = hint.WithDefaults(d.submission.Job)
 	j := &scheduler.Job{
 		ID:          c.job,
 		WorkflowRun: d.id,
--- a/workflow/requests.go
+++ b/workflow/requests.go
@@ -235,7 +235,7 @@
 		if hint == nil {
 			hint = &cwl.JobHint{}
 		}
-		hint = hint.Under(s.Job)
+		hint = hint.WithDefaults(s.Job)
 		if _, ok := h.params.Teams[hint.Team]; !ok {
 			status, err = 422, fmt.Errorf(
 				"%s: unknown team %q: a step's hint or the submission's job names one",
