--- a/cwl/scatter.go
+++ b/cwl/scatter.go
@@ -21,8 +21,8 @@
 	shape  []int            // lengths of the lists of a nested cross product
 }
 
-// Deal distributes a step's inputs to its tasks: to a single one, unless the step is scattered.
-func (s *Step) Deal(in map[string]any) (Scatter, error) {
+// ScatterInputs distributes a step's inputs to its tasks: to a single one, unless the step is scattered.
+func (s *Step) ScatterInputs(in map[string]any) (Scatter, error) {
 	if len(s.Scatter) == 0 {
 		return Scatter{Inputs: []map[string]any{in}}, nil
 	}
--- a/workflow/evaluation.go
+++ b/workflow/evaluation.go
@@ -247,7 +247,7 @@
 	f.steps[s.ID] = st
 	in, err := s.StepInputs(f.valueOf)
 	if err == nil {
-		st.scatter, err = s.Deal(in)
+		st.scatter, err = s.ScatterInputs(in)
 	}
 	if err != nil {
 		r.fail(path, err)
--- a/workflow/evaluation_test.go
+++ b/workflow/evaluation_test.go
@@ -176,7 +176,7 @@
 		if err != nil {
 			return nil, err
 		}
-		sc, err := s.Deal(inputs)
+		sc, err := s.ScatterInputs(inputs)
 		if err != nil {
 			return nil, err
 		}
