--- a/cwl/values.go
+++ b/cwl/values.go
@@ -171,8 +171,8 @@
 	return in, nil
 }
 
-// Finish evaluates valueFrom and when for one task. run is false if the task is to be skipped.
-func (s *Step) Finish(in map[string]any) (out map[string]any, run bool, err error) {
+// EvalTaskInputs evaluates valueFrom and when for one task. run is false if the task is to be skipped.
+func (s *Step) EvalTaskInputs(in map[string]any) (out map[string]any, run bool, err error) {
 	out = make(map[string]any, len(in))
 	maps.Copy(out, in)
 	for _, x := range s.In {
--- a/workflow/evaluation.go
+++ b/workflow/evaluation.go
@@ -293,7 +293,7 @@
 func (c *Call) addSlot(slot int, path string, inputs map[string]any) (*frame, error) {
 	st := c.step
 	s := st.step
-	inputs, run, err := s.Finish(inputs)
+	inputs, run, err := s.EvalTaskInputs(inputs)
 	if err != nil {
 		return nil, err
 	}
--- a/workflow/evaluation_test.go
+++ b/workflow/evaluation_test.go
@@ -182,7 +182,7 @@
 		}
 		results := map[string][]any{}
 		for _, x := range sc.Inputs {
-			x, run, err := s.Finish(x)
+			x, run, err := s.EvalTaskInputs(x)
 			if err != nil {
 				return nil, err
 			}
