--- a/cwl/values.go
+++ b/cwl/values.go
@@ -93,7 +93,7 @@
 		if v == nil {
 			v = in.Default
 		}
-		out[in.ID] = Named(v)
+		out[in.ID] = WithFileNames(v)
 	}
 	return out
 }
@@ -108,19 +108,19 @@
 	return nil
 }
 
-// Named returns a copy of a value in which files and directories have their path, basename, nameroot and nameext.
-func Named(v any) any {
+// WithFileNames returns a copy of a value in which files and directories have their path, basename, nameroot and nameext.
+func WithFileNames(v any) any {
 	switch v := v.(type) {
 	case []any:
 		out := make([]any, len(v))
 		for i := range v {
-			out[i] = Named(v[i])
+			out[i] = WithFileNames(v[i])
 		}
 		return out
 	case map[string]any:
 		out := make(map[string]any, len(v)+3)
 		for k, x := range v {
-			out[k] = Named(x)
+			out[k] = WithFileNames(x)
 		}
 		if isFileOrDirectory(v) {
 			addFileNames(out)
@@ -166,7 +166,7 @@
 		if v == nil && x.HasDefault {
 			v = x.Default
 		}
-		in[x.ID] = Named(v)
+		in[x.ID] = WithFileNames(v)
 	}
 	return in, nil
 }
@@ -183,7 +183,7 @@
 		if err != nil {
 			return nil, false, fmt.Errorf("in.%s.valueFrom: %w", x.ID, err)
 		}
-		out[x.ID] = Named(v)
+		out[x.ID] = WithFileNames(v)
 	}
 	if s.When == "" {
 		return out, true, nil
@@ -222,7 +222,7 @@
 	}
 	out := map[string]any{}
 	for _, o := range p.Outputs {
-		out[o.ID] = Named(m[o.ID])
+		out[o.ID] = WithFileNames(m[o.ID])
 	}
 	return out, p.CheckOutputs(out)
 }
--- a/internal/toolrun/files.go
+++ b/internal/toolrun/files.go
@@ -38,14 +38,14 @@
 	f := map[string]any{"class": "File", "path": name, "location": "file://" + name}
 	if info.IsDir() {
 		f["class"] = "Directory"
-		return cwl.Named(f).(map[string]any), nil
+		return cwl.WithFileNames(f).(map[string]any), nil
 	}
 	checksum, err := checksumOf(name)
 	if err != nil {
 		return nil, err
 	}
 	f["size"], f["checksum"] = info.Size(), checksum
-	f = cwl.Named(f).(map[string]any)
+	f = cwl.WithFileNames(f).(map[string]any)
 	if contents {
 		err = loadContents(f)
 	}
--- a/internal/toolrun/outputs.go
+++ b/internal/toolrun/outputs.go
@@ -38,7 +38,7 @@
 	}
 	outputs := map[string]any{}
 	for id, x := range object {
-		outputs[id] = cwl.Named(x)
+		outputs[id] = cwl.WithFileNames(x)
 	}
 	return outputs, p.CheckOutputs(outputs)
 }
