--- a/cwl/values.go
+++ b/cwl/values.go
@@ -199,8 +199,8 @@
 	return out, ok, nil
 }
 
-// ForRun returns those of a step's inputs that the process it runs has, complete and checked.
-func (p *Process) ForRun(in map[string]any) (map[string]any, error) {
+// SelectInputs returns those of a step's inputs that the process it runs has, complete and checked.
+func (p *Process) SelectInputs(in map[string]any) (map[string]any, error) {
 	given := map[string]any{}
 	for _, x := range p.Inputs {
 		if v := in[x.ID]; v != nil {
--- a/workflow/evaluation.go
+++ b/workflow/evaluation.go
@@ -301,7 +301,7 @@
 		st.missingValues--
 		return nil, nil
 	}
-	if inputs, err = s.Run.ForRun(inputs); err != nil {
+	if inputs, err = s.Run.SelectInputs(inputs); err != nil {
 		return nil, err
 	}
 	switch s.Run.Class {
