--- a/cwl/command.go
+++ b/cwl/command.go
@@ -336,8 +336,8 @@
 // staged evaluates InitialWorkDirRequirement.
 func (p *Process) staged(sc Scope) ([]Staged, error) {
 	list := p.Req.WorkDir
-	if p.Req.WorkDirAll != "" {
-		list = []Dirent{{Entry: p.Req.WorkDirAll}}
+	if p.Req.WorkDirExpr != "" {
+		list = []Dirent{{Entry: p.Req.WorkDirExpr}}
 	}
 	var out []Staged
 	for i, d := range list {
--- a/cwl/model.go
+++ b/cwl/model.go
@@ -117,16 +117,16 @@
 // Requirements are what a process or step requires of the platform, its own and what it inherits from the workflow
 // above.
 type Requirements struct {
-	JS         bool     // JavaScript in expressions
-	Lib        []string // JavaScript that runs before each expression
-	Shell      bool
-	Image      string
-	Env        []EnvVar
-	TimeLimit  any // seconds or an expression
-	WorkDir    []Dirent
-	WorkDirAll string         // an expression that gives the listing
-	Resources  map[string]any // fields of ResourceRequirement: numbers or expressions
-	Job        *JobHint
+	JS          bool     // JavaScript in expressions
+	Lib         []string // JavaScript that runs before each expression
+	Shell       bool
+	Image       string
+	Env         []EnvVar
+	TimeLimit   any // seconds or an expression
+	WorkDir     []Dirent
+	WorkDirExpr string         // an expression that gives the listing
+	Resources   map[string]any // fields of ResourceRequirement: numbers or expressions
+	Job         *JobHint
 }
 
 // EnvVar is a variable of a tool's environment.
--- a/cwl/pack.go
+++ b/cwl/pack.go
@@ -62,8 +62,8 @@
 
 // listing writes the files that a tool finds in its directory; nil: there are none.
 func (r Requirements) listing() any {
-	if r.WorkDirAll != "" {
-		return r.WorkDirAll
+	if r.WorkDirExpr != "" {
+		return r.WorkDirExpr
 	}
 	if len(r.WorkDir) == 0 {
 		return nil
--- a/cwl/requirements.go
+++ b/cwl/requirements.go
@@ -38,8 +38,8 @@
 	if r.Resources == nil {
 		r.Resources = outer.Resources
 	}
-	if r.WorkDir == nil && r.WorkDirAll == "" {
-		r.WorkDir, r.WorkDirAll = outer.WorkDir, outer.WorkDirAll
+	if r.WorkDir == nil && r.WorkDirExpr == "" {
+		r.WorkDir, r.WorkDirExpr = outer.WorkDir, outer.WorkDirExpr
 	}
 	r.Job = r.Job.WithDefaults(outer.Job)
 	return r
@@ -162,7 +162,7 @@
 // workDir reads the listing of InitialWorkDirRequirement.
 func (b *builder) workDir(v *value, path string, r *Requirements) {
 	if s, ok := v.text(); ok {
-		r.WorkDirAll = s
+		r.WorkDirExpr = s
 		return
 	}
 	r.WorkDir = []Dirent{}
