--- a/cwl/build.go
+++ b/cwl/build.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// Version is the version of the language that is read.
+// Version is the supported version of CWL.
 const Version = "v1.2"
 
-// JobHintClass is the class of grebedock's hint, as documents write it: with the namespace of the project, or with any
-// prefix that is declared for it.
+// JobHintClass is the full class name of the grebedock job hint. Documents write it with any prefix that they declare
+// for the project's namespace.
 const JobHintClass = "https://grebedock.example/cwl#Job"
 
-// builder turns the values of one file into processes.
+// builder converts the values of one file into processes.
 type builder struct {
 	*loader
-	graph        map[string]*value // processes of a $graph, by id
-	namespaces   map[string]string // declared namespaces
-	processStack []string          // names of the processes that are being built, outermost first
+	graph        map[string]*value // processes of the $graph, keyed by ID
+	namespaces   map[string]string // declared namespaces, keyed by prefix
+	processStack []string          // names of the processes that are being built, outermost first; detects cycles
 }
 
-// Load reads a process: name is a file, or a file and after a "#" a part of its $graph. The error is an Errors.
+// Load reads a process. name is a file name, optionally followed by "#" and the ID of a process in the $graph of the
+// file. The returned error is of type Errors.
 func Load(name string, open Open) (*Process, error) { return DefaultLimits.Load(name, open) }
 
 // Load reads a process within these limits; see the function Load.
@@ -38,7 +39,8 @@
 	return p, nil
 }
 
-// process builds the process of a file, or of a part of it, which is referred to from a position.
+// process builds the process of a file, or one process of its $graph. from is the position of the reference, for
+// errors.
 func (l *loader) process(file, part string, from Pos, running []string) *Process {
 	v := l.file(file, from)
 	if v == nil {
@@ -67,7 +69,7 @@
 	return b.processOf(v, file, Requirements{})
 }
 
-// namespacesOf are the namespaces that a document declares, by prefix.
+// namespacesOf returns the namespaces that a document declares, keyed by prefix.
 func namespacesOf(v *value) map[string]string {
 	spaces := map[string]string{}
 	declared := v.get("$namespaces")
@@ -82,7 +84,8 @@
 	return spaces
 }
 
-// graphProcess builds a part of a $graph: without a name, the only one or "main".
+// graphProcess builds one process of a $graph. If part is empty, it builds the only process or else the one named
+// "main".
 func (b *builder) graphProcess(graph *value, file, part string, from Pos) *Process {
 	b.graph = map[string]*value{}
 	for _, x := range graph.items {
@@ -111,7 +114,7 @@
 	return b.processOf(x, file+"#"+shortID(part), Requirements{})
 }
 
-// objectKind is a kind of object of the language, by the fields that it may have.
+// objectKind is a kind of CWL object, which determines the permitted fields.
 type objectKind string
 
 const (
@@ -123,7 +126,7 @@
 	stepInputObject objectKind = "stepin"
 )
 
-// allowedFields are the fields of the language by the kind of object.
+// allowedFields are the permitted fields for each kind of object.
 var allowedFields = map[objectKind][]string{
 	processObject: {
 		"id", "class", "label", "doc", "inputs", "outputs", "requirements", "hints", "cwlVersion",
@@ -151,7 +154,8 @@
 	},
 }
 
-// check reports the fields of an object that none of the kinds has. Extensions, whose names have a prefix, are let be.
+// check reports the fields of an object that none of the kinds permits. It accepts extension fields, whose names
+// contain a prefix.
 func (b *builder) check(v *value, path string, kinds ...objectKind) {
 	for _, f := range v.fields {
 		ok := strings.ContainsAny(f.key, ":")
@@ -164,7 +168,7 @@
 	}
 }
 
-// joinPath is the path of a field of what is at a path.
+// joinPath returns the path of the field key of the object at a path.
 func joinPath(path, key string) string {
 	if path == "" {
 		return key
@@ -172,8 +176,8 @@
 	return path + "." + key
 }
 
-// processOf builds a process, whose name must be unique among those that are being built. outer are the requirements
-// that it inherits.
+// processOf builds a process. Its name must differ from those of the processes that are being built, so that a
+// process that runs itself is detected. outer are the requirements that the process inherits.
 func (b *builder) processOf(v *value, name string, outer Requirements) *Process {
 	if slices.Contains(b.processStack, name) {
 		b.fail(v.Pos, "run", "runs itself: %s", strings.Join(append(b.processStack, name), ", "))
@@ -224,15 +228,16 @@
 	return p
 }
 
-// entry is an object with an id.
+// entry is an object with an ID.
 type entry struct {
 	id string
 	v  *value
 	at Pos
 }
 
-// idMap reads a list of objects with ids (in the field idKey), or an object by id. In the latter, a value that is no
-// object stands for the field short alone; "": for none.
+// idMap reads either a list of objects that hold their IDs in the field idKey, or an object keyed by ID. In an object
+// keyed by ID, a value that is not an object is shorthand for an entry whose only field is short. If short is empty,
+// the entry has no fields.
 func (b *builder) idMap(v *value, path, idKey, short string) []entry {
 	if v == nil || v.kind == scalar && v.data == nil {
 		return nil
@@ -262,7 +267,7 @@
 	return out
 }
 
-// listEntry reads an entry of a list. Where short is "", a text stands for an object with this id alone.
+// listEntry reads an entry of a list. If short is empty, a string is shorthand for an object that has only this ID.
 func (b *builder) listEntry(x *value, path, idKey, short string) (e entry, ok bool) {
 	id, hasID := textOf(x.get(idKey))
 	if x.kind == object && hasID {
@@ -278,10 +283,10 @@
 	return entry{}, false
 }
 
-// fieldEntry reads an entry of an object by id.
+// fieldEntry reads an entry of an object keyed by ID.
 func fieldEntry(f field, short string) entry {
 	x := f.v
-	isTypeItself := short == "type" && x.get("type") == nil // an object that is a type, not one with a type
+	isTypeItself := short == "type" && x.get("type") == nil // x is a type, not an entry with a type field
 	if x.kind == object && !isTypeItself {
 		return entry{f.key, x, f.at}
 	}
@@ -293,7 +298,7 @@
 	return entry{f.key, v, f.at}
 }
 
-// tool reads what only a CommandLineTool has.
+// tool reads the fields that are specific to a CommandLineTool.
 func (b *builder) tool(p *Process, v *value) {
 	p.BaseCommand = texts(v.get("baseCommand"))
 	if x := v.get("arguments"); x != nil {
@@ -322,7 +327,7 @@
 	}
 }
 
-// argument reads an argument of a tool: a text or number, or a binding with valueFrom.
+// argument reads an argument of a tool: a string, a number, or a binding with valueFrom.
 func (b *builder) argument(a *value, path string, req Requirements) Binding {
 	if a.kind != object {
 		b.expr(a, path, req)
@@ -336,7 +341,7 @@
 	return *binding
 }
 
-// Walk visits a process and all processes that its steps run, outer ones first.
+// Walk visits a process and all processes that its steps run. It visits a workflow before the processes of its steps.
 func (p *Process) Walk(visit func(*Process)) {
 	visit(p)
 	for _, s := range p.Steps {
--- a/cwl/command.go
+++ b/cwl/command.go
@@ -7,36 +7,39 @@
 	"strings"
 )
 
-// Command is what a tool runs for given inputs.
+// Command is the command line and the environment of a tool for given inputs.
 type Command struct {
 	Args                  []string
-	Shell                 bool // Args is one text, for a shell
+	Shell                 bool // Args is a single string, to be run by a shell
 	Env                   []EnvVar
-	Stdin, Stdout, Stderr string  // names of files; empty: none is named
-	TimeLimitS            float64 // seconds; 0: none
+	Stdin, Stdout, Stderr string  // file names; empty if none is given
+	TimeLimitS            float64 // in seconds; 0 means no limit
 	Files                 []Staged
 }
 
-// Staged is a file or directory that is in the tool's directory when it starts: a text, or what is at a path.
+// Staged is a file or directory that is placed in the tool's working directory before the tool starts. Its source is
+// either Text or the file or directory at Path.
 type Staged struct {
-	Name     string // relative to the tool's directory, and within it
-	Text     string // if Path is empty
+	Name     string // path relative to the tool's working directory, and within it
+	Text     string // content of the file, used if Path is empty
 	Path     string
-	Writable bool // the tool may change it: a copy, not a link
+	Writable bool // the tool may modify it, so it must be a copy and not a link
 }
 
-// sortKey orders the words of a command line: float64 and string, compared one after the other.
+// sortKey determines the order of the arguments of a command line. Its elements are float64 or string and are
+// compared one by one.
 type sortKey []any
 
-// word is what one argument, input or field adds to a command line.
+// word holds the arguments that one entry of arguments, one input or one field adds to a command line.
 type word struct {
 	key  sortKey
 	text []string
-	raw  bool // not quoted for a shell
+	raw  bool // not quoted for the shell
 }
 
-// CommandLine builds a tool's command line. in are complete inputs (CheckInputs); runtime has outdir, tmpdir, cores and
-// ram, as expressions see them. The error names the argument, input or requirement whose expression fails.
+// CommandLine builds a tool's command line. in are the inputs as returned by CheckInputs. runtime holds the values
+// that expressions read as runtime, such as outdir, tmpdir, cores and ram. The error names the argument, input or
+// requirement whose expression fails.
 func (p *Process) CommandLine(in, runtime map[string]any) (*Command, error) {
 	sc := Scope{Inputs: in, Runtime: runtime}
 	c := &Command{Shell: p.Req.Shell}
@@ -66,7 +69,7 @@
 	return c, err
 }
 
-// words are what follows the base command, in order.
+// words returns the arguments that follow the base command, in order.
 func (p *Process) words(in map[string]any, sc Scope) ([]word, error) {
 	var words []word
 	for i, a := range p.Arguments {
@@ -93,8 +96,8 @@
 	return words, nil
 }
 
-// joinWords is the command line of the base command and these words: for a shell one text, in which all words but raw ones
-// are quoted.
+// joinWords returns the command line: the base command followed by these words. For a shell, it is a single string in
+// which all words except raw ones are quoted.
 func (p *Process) joinWords(words []word) []string {
 	args := slices.Clone(p.BaseCommand)
 	shell := p.Req.Shell
@@ -115,7 +118,7 @@
 	return []string{strings.Join(args, " ")}
 }
 
-// redirect evaluates the names of the files of a command's standard streams.
+// redirect evaluates the file names of the command's standard streams.
 func (p *Process) redirect(c *Command, sc Scope) error {
 	for _, f := range []struct {
 		from string
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// compareKeys orders numbers before texts, and a key before those that it begins.
+// compareKeys orders numbers before strings, and a key before the longer keys of which it is a prefix.
 func compareKeys(a, b sortKey) int {
 	for i := range min(len(a), len(b)) {
 		x, xn := a[i].(float64)
@@ -155,7 +158,7 @@
 	return cmp.Compare(len(a), len(b))
 }
 
-// position is the position of a binding, 0 without one.
+// position returns the position of a binding, or 0 if none is given.
 func position(b *Binding, sc Scope, req Requirements) (float64, error) {
 	if b == nil || b.Position == "" {
 		return 0, nil
@@ -170,7 +173,7 @@
 	return f, nil
 }
 
-// boundValue is a value that may become part of a command line: an input, an item of an array or a field of a record.
+// boundValue is a value that may be added to a command line: an input, an item of an array or a field of a record.
 type boundValue struct {
 	name    string
 	typ     *Type
@@ -178,8 +181,8 @@
 	value   any
 }
 
-// inputWords are what a value adds to the command line, those of its items and fields with bindings of their own among
-// them. key is the sort key of what the value is part of.
+// inputWords returns the words that a value adds to the command line, including those of its items and fields that
+// have bindings of their own. key is the sort key of the enclosing value.
 func (p *Process) inputWords(bound boundValue, key sortKey, sc Scope) ([]word, error) {
 	v, b := bound.value, bound.binding
 	if v == nil {
@@ -211,7 +214,7 @@
 	return append([]word{{key, []string{b.Prefix}, b.NoQuote}}, inner...), nil
 }
 
-// words are the words that a binding makes of a whole value.
+// words returns the words that a binding produces for a whole value.
 func (b *Binding) words(v any, key sortKey) []word {
 	text := b.bind(v)
 	if text == nil {
@@ -220,7 +223,7 @@
 	return []word{{key, text, b.NoQuote}}
 }
 
-// innerWords are the words of an array's items or a record's fields, as far as they have bindings of their own.
+// innerWords returns the words of an array's items or a record's fields that have bindings of their own.
 func (p *Process) innerWords(name string, t *Type, v any, key sortKey, sc Scope) ([]word, error) {
 	var out []word
 	switch {
@@ -247,7 +250,8 @@
 	return out, nil
 }
 
-// matchingType is the first type of a union that a value has.
+// matchingType returns the first member of a union that accepts the value, or Any if there is none. A type that is
+// not a union is returned unchanged.
 func matchingType(t *Type, v any) *Type {
 	if t.Name != "union" {
 		return t
@@ -260,7 +264,7 @@
 	return &Type{Name: "Any"}
 }
 
-// bind is the texts that a binding makes of a value; nil: none.
+// bind returns the arguments that a binding produces for a value, or nil if there are none.
 func (b *Binding) bind(v any) []string {
 	switch v := v.(type) {
 	case nil:
@@ -316,7 +320,8 @@
 	return []string{b.Prefix, s}
 }
 
-// wordOf is the text of a value on a command line: of a file or directory its path. ok is false for a record or null.
+// wordOf returns the argument for a value on a command line; for a file or directory it is the path. ok is false for
+// null and for a record.
 func wordOf(v any) (string, bool) {
 	if m, ok := v.(map[string]any); ok {
 		s, ok := m["path"].(string)
@@ -325,7 +330,7 @@
 	return scalarText(v), v != nil
 }
 
-// Quote quotes a text for a shell, if need be, so that it is one word.
+// Quote returns a string quoted for a shell, if necessary, so that the shell reads it as one word.
 func Quote(s string) string {
 	if s != "" && !strings.ContainsAny(s, " \t\n\"'\\$&|;<>()*?[]{}~#`!=%") {
 		return s
@@ -350,7 +355,7 @@
 	return out, nil
 }
 
-// stagedEntry evaluates one entry, which may give none, one or several files and directories.
+// stagedEntry evaluates one entry of the listing, which may produce any number of files and directories.
 func (p *Process) stagedEntry(d Dirent, sc Scope) ([]Staged, error) {
 	v, err := Eval(d.Entry, sc, p.Req)
 	if err != nil {
@@ -384,7 +389,7 @@
 	return out, nil
 }
 
-// isNamedEntry reports whether a value is a Dirent with a name, as an expression may give it.
+// isNamedEntry reports whether a value is a Dirent object with an entryname, which an expression may return.
 func isNamedEntry(x any) bool {
 	m, ok := x.(map[string]any)
 	if !ok || isFileOrDirectory(m) {
@@ -398,7 +403,8 @@
 	return m["class"] == "File" || m["class"] == "Directory"
 }
 
-// stagedItem is what a value puts into the tool's directory, under the value's own name if it has one.
+// stagedItem returns the file or directory that a value places in the tool's working directory. It uses the name that
+// the value itself contains, if any.
 func stagedItem(x any) Staged {
 	m, isObject := x.(map[string]any)
 	var s Staged
@@ -416,10 +422,10 @@
 	return s
 }
 
-// Resources is what a tool requests, in cores and gigabytes.
+// Resources are the resources that a tool requests. Memory and disk are in gigabytes.
 type Resources struct{ CPUs, MemoryGB, DiskGB float64 }
 
-// ResourcesVary reports whether what a tool requests depends on its inputs.
+// ResourcesVary reports whether the tool's resource request contains an expression and so may depend on the inputs.
 func (p *Process) ResourcesVary() bool {
 	for _, v := range p.Req.Resources {
 		if s, ok := v.(string); ok && HasExpr(s) {
@@ -429,7 +435,7 @@
 	return false
 }
 
-// The specification's defaults of ResourceRequirement, in cores and MiB.
+// Default values of ResourceRequirement in the CWL specification, in cores and MiB.
 const (
 	defaultCores     = 1
 	defaultRAMMiB    = 256
@@ -437,11 +443,12 @@
 	defaultOutputMiB = 1024
 )
 
-// gbPerMiB turns the specification's unit into gigabytes.
+// gbPerMiB converts MiB, the unit of the specification, to gigabytes.
 const gbPerMiB = 1 << 20 / 1e9
 
-// Resources evaluates ResourceRequirement for inputs. The specification's defaults are one core, 256 MiB of memory and
-// 1 GiB each for temporary files and results. The error names the field that is no amount.
+// Resources evaluates ResourceRequirement for the given inputs. The defaults of the specification are one core, 256
+// MiB of memory, and 1 GiB each for temporary files and results. The error names the field whose value is not a
+// non-negative number.
 func (p *Process) Resources(in map[string]any) (Resources, error) {
 	sc := Scope{Inputs: in}
 	cpus, cpusErr := p.resourceAmount("cores", defaultCores, sc)
@@ -452,7 +459,8 @@
 	return r, cmp.Or(cpusErr, memoryErr, tmpErr, outErr)
 }
 
-// resourceAmount evaluates the least that ResourceRequirement requests of a resource, or else the most.
+// resourceAmount evaluates the minimum that ResourceRequirement gives for a resource, or the maximum if there is no
+// minimum.
 func (p *Process) resourceAmount(resource string, byDefault float64, sc Scope) (float64, error) {
 	for _, field := range []string{resource + "Min", resource + "Max"} {
 		x := p.Req.Resources[field]
--- a/cwl/doc.go
+++ b/cwl/doc.go
@@ -1,28 +1,29 @@
-// Package cwl reads documents of the Common Workflow Language, version 1.2, and evaluates what they describe: processes
-// with their types, the values of links and expressions, and the command line of a tool.
+// Package cwl reads documents of the Common Workflow Language (CWL), version 1.2, and evaluates them: processes and
+// their types, the values of links and expressions, and the command lines of tools.
 //
-// # What it owns
+// # Scope
 //
-// Nothing beyond a call. It runs no tools and uses no network; files are opened by the caller's function. [Load] reads
-// a document and everything that it refers to, checks all of it, and returns a [Process]. [Pack] writes a process with
-// all that it refers to as one JSON document, which Load reads back. Which parts of the specification are supported,
-// refused or ignored is listed in docs/cwl.md.
+// The package keeps no state between calls. It runs no tools and does not use the network; the caller supplies the
+// function that opens files. [Load] reads a document and everything that the document refers to, checks all of it, and
+// returns a [Process]. [Pack] writes a process and everything that it refers to as one JSON document, which Load can
+// read. docs/cwl.md lists the parts of the specification that are supported, rejected or ignored.
 //
-// # What it may assume
+// # Assumptions
 //
-// Values are what [DecodeJSON] gives: null, bool, string, int64, float64, []any and map[string]any. A Process does not
-// change once it is loaded, and may then be used by several goroutines. Documents and expressions are not trusted.
+// Values have the types that [DecodeJSON] returns: null, bool, string, int64, float64, []any and map[string]any. A
+// Process is immutable once loaded and is safe for concurrent use. Documents and expressions are untrusted.
 //
-// # What it promises
+// # Guarantees
 //
-// All problems of a document, up to a bound, come back as [Errors], each with file, line, column and field. An
-// expression has the same value every time: there is neither a clock nor randomness. It can't change the values that it
-// reads.
+// Load returns all problems of a document, up to a limit, as [Errors], each with file, line, column and field. An
+// expression always evaluates to the same value, because it has access to neither a clock nor randomness. An expression
+// cannot modify the values that it reads.
 //
 // # Failures
 //
-// Hostile documents and expressions: [Limits] bound what a document costs its reader, and an evaluation ends after a
-// time and an amount of memory, with an error. A process that includes or runs itself is an error.
+// Documents and expressions may be hostile. [Limits] bound the cost of reading a document. The evaluation of an
+// expression stops with an error when it exceeds its time or memory limit. A process that includes or runs itself is
+// rejected with an error.
 package cwl
 
 import (
@@ -30,21 +31,21 @@
 	"strings"
 )
 
-// Limits bound what a document may cost its reader: a value takes some 500 bytes while a document is read.
+// Limits bound the cost of reading a document. A value takes about 500 bytes of memory while a document is read.
 type Limits struct {
-	Bytes int // of one file
-	Nodes int // values in a document with all that it includes, aliases counted each time
-	Depth int // of nested values, and of processes that run processes
+	Bytes int // maximum size of one file
+	Nodes int // maximum number of values in a document and its included files; an alias counts at each use
+	Depth int // maximum nesting depth, both of values and of processes that run other processes
 }
 
-// DefaultLimits are far above what people write, and low enough that a hostile document costs a reader with plenty of
-// memory little.
+// DefaultLimits are far above the size of documents written by people. They are low enough that a hostile document
+// uses little of the memory of a machine with plenty of it.
 var DefaultLimits = Limits{Bytes: 16 << 20, Nodes: 400_000, Depth: 200}
 
-// maxErrors bounds the errors that are reported of a document.
+// maxErrors is the maximum number of errors reported for one document.
 const maxErrors = 20
 
-// Pos is a position in a document; lines and columns count from 1.
+// Pos is a position in a document. Lines and columns start at 1.
 type Pos struct {
 	File         string
 	Line, Column int
@@ -52,7 +53,7 @@
 
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// Error is one problem of a document. Field is the path of the field that has it, or empty.
+// Error is one problem in a document. Field is the path of the affected field, or empty.
 type Error struct {
 	Pos
 	Field string
@@ -66,7 +67,7 @@
 	return fmt.Sprintf("%s: %s: %s", e.Pos, e.Field, e.Msg)
 }
 
-// Errors are the problems of a document, in the order found.
+// Errors are the problems of a document, in the order in which they were found.
 type Errors []Error
 
 func (es Errors) Error() string {
--- a/cwl/expr.go
+++ b/cwl/expr.go
@@ -12,37 +12,38 @@
 	"github.com/dop251/goja"
 )
 
-// Scope is what expressions see. Its values are not changed.
+// Scope holds the values that expressions can read. Evaluation does not modify them.
 type Scope struct {
 	Inputs  map[string]any
 	Self    any
 	Runtime map[string]any
 }
 
-// paramRef matches a parameter reference, which needs no JavaScript.
+// paramRef matches a parameter reference, which is evaluated without JavaScript.
 var paramRef = regexp.MustCompile(
 	`^\s*(inputs|self|runtime|null)((\.[A-Za-z_]\w*)|(\['[^'\\]*'\])|(\["[^"\\]*"\])|(\[\d+\]))*\s*$`,
 )
 
-// refPart matches one step of a reference: a name, a quoted key or an index.
+// refPart matches one segment of a parameter reference: a name, a quoted key or an index.
 var refPart = regexp.MustCompile(`\.([A-Za-z_]\w*)|\['([^'\\]*)'\]|\["([^"\\]*)"\]|\[(\d+)\]`)
 
-// partKind is what a part of a text is, by the bracket that begins it.
+// partKind is the kind of a part of a string. For an expression, it is the opening bracket after the dollar sign.
 type partKind byte
 
 const (
 	plainText    partKind = 0
-	inBrackets   partKind = '(' // a reference or an expression
-	functionBody partKind = '{'
+	inBrackets   partKind = '(' // $(...): a parameter reference or a JavaScript expression
+	functionBody partKind = '{' // ${...}: the body of a JavaScript function
 )
 
-// part is a piece of a text. Of an expression, text is what is between its brackets.
+// part is a piece of a string: plain text or an expression. For an expression, text is the content between the
+// brackets.
 type part struct {
 	text string
 	kind partKind
 }
 
-// split cuts a text into plain parts and expressions.
+// split divides a string into plain text and expressions.
 func split(s string) ([]part, error) {
 	var out []part
 	var plain strings.Builder
@@ -78,10 +79,11 @@
 	return out, nil
 }
 
-// openingOf are the brackets that closing ones end.
+// openingOf maps each closing bracket to its opening bracket.
 var openingOf = map[byte]byte{')': '(', ']': '[', '}': '{'}
 
-// closing finds the bracket that ends the one at start, past texts, comments and nested brackets.
+// closing returns the position of the bracket that closes the one at start. It skips string literals, comments and
+// nested brackets.
 func closing(s string, start int) (int, error) {
 	var open []byte
 	for i := start; i < len(s); i++ {
@@ -104,7 +106,8 @@
 	return 0, errors.New("the expression does not end")
 }
 
-// endOfText is where the text in quotes ends that begins at a position: at its closing quote, or behind s.
+// endOfText returns the position of the closing quote of the string literal that begins at start. If the literal is
+// not terminated, the result is at least len(s).
 func endOfText(s string, start int) int {
 	i := start + 1
 	for i < len(s) && s[i] != s[start] {
@@ -116,8 +119,8 @@
 	return i
 }
 
-// endOfComment is the last position of the comment that begins with a slash at a position, or len(s) if it does not
-// end. A slash that begins none is its own end.
+// endOfComment returns the last position of the comment that begins with the slash at start, or len(s) if the comment
+// is not terminated. If the slash does not begin a comment, the result is start.
 func endOfComment(s string, start int) int {
 	rest := s[start:]
 	length := 0
@@ -135,7 +138,7 @@
 	return start + length
 }
 
-// checkExpr returns what is wrong with a text's expressions, as far as it shows before they are evaluated.
+// checkExpr returns the first error in the expressions of a string that can be detected without evaluating them.
 func checkExpr(s string, req Requirements) error {
 	parts, err := split(s)
 	if err != nil {
@@ -158,7 +161,7 @@
 // isReference reports whether a part is a parameter reference.
 func (p part) isReference() bool { return p.kind == inBrackets && paramRef.MatchString(p.text) }
 
-// code is an expression as JavaScript.
+// code returns the JavaScript source of an expression.
 func (p part) code() string {
 	if p.kind == functionBody {
 		return "(function(){" + p.text + "\n})()"
@@ -166,11 +169,13 @@
 	return "(" + p.text + "\n)"
 }
 
-// HasExpr reports whether a text contains an expression.
+// HasExpr reports whether a string contains an expression.
 func HasExpr(s string) bool { return strings.Contains(s, "$(") || strings.Contains(s, "${") }
 
-// Eval evaluates a text: to itself, to the value of the one expression that it is, or to a text with its expressions'
-// values filled in. The error says what is wrong with an expression, or which bound it exceeded.
+// Eval evaluates a string that may contain expressions. A string without expressions evaluates to itself, with
+// escaped dollar signs unescaped. A string that consists of a single expression evaluates to the value of the
+// expression. In any other string, each expression is replaced by its value. The error describes the invalid
+// expression or names the limit that the evaluation exceeded.
 func Eval(s string, sc Scope, req Requirements) (any, error) {
 	if !HasExpr(s) {
 		return strings.ReplaceAll(s, `\$`, `$`), nil
@@ -204,7 +209,7 @@
 	return b.String(), nil
 }
 
-// singleExpr is the expression that a text is, but for white space around it.
+// singleExpr returns the expression if the parts consist of a single one, apart from surrounding white space.
 func singleExpr(parts []part) (expr part, ok bool) {
 	for _, p := range parts {
 		if p.kind == plainText && strings.TrimSpace(p.text) == "" {
@@ -218,7 +223,8 @@
 	return expr, ok
 }
 
-// EvalText is Eval for what must be a text or a number.
+// EvalText evaluates a string like Eval, and returns the result as a string. A result that is a list or an object is
+// an error.
 func EvalText(s string, sc Scope, req Requirements) (string, error) {
 	v, err := Eval(s, sc, req)
 	if err != nil {
@@ -231,7 +237,7 @@
 	return scalarText(v), nil
 }
 
-// Number evaluates a number or an expression that gives one; infinite ones are an error.
+// Number evaluates a number, or an expression that evaluates to one. An infinite number or NaN is an error.
 func Number(x any, sc Scope, req Requirements) (float64, error) {
 	if s, ok := x.(string); ok {
 		v, err := Eval(s, sc, req)
@@ -269,7 +275,7 @@
 	return evalJS(p.code(), sc, req.Lib)
 }
 
-// reference evaluates a parameter reference, such as inputs.file.path.
+// reference evaluates a parameter reference such as inputs.file.path.
 func reference(s string, sc Scope) (any, error) {
 	var v any
 	switch {
@@ -293,7 +299,7 @@
 	return v, nil
 }
 
-// elementOf is what a value has under a key or an index, one of which is empty.
+// elementOf returns the element of a value with the given key or index. One of key and index is empty.
 func elementOf(v any, key, index string) (any, error) {
 	switch x := v.(type) {
 	case map[string]any:
@@ -322,7 +328,7 @@
 	return nil, fmt.Errorf("%s has no %s%s", typeName(v), key, index)
 }
 
-// DecodeJSON reads JSON with whole numbers as int64, as values of the language have them.
+// DecodeJSON decodes JSON to values as this package uses them, with whole numbers as int64.
 func DecodeJSON(b []byte) (any, error) { return decode(b) }
 
 func decode(b []byte) (any, error) {
@@ -335,7 +341,8 @@
 	return numbers(v), nil
 }
 
-// numbers turns the numbers in a decoded value into int64 and float64, in place.
+// numbers converts the numbers in a decoded value to int64 or float64, in place. A float without a fraction becomes
+// an int64 if its magnitude is below 2^53.
 func numbers(v any) any {
 	switch v := v.(type) {
 	case json.Number:
--- a/cwl/javascript.go
+++ b/cwl/javascript.go
@@ -10,17 +10,18 @@
 	"github.com/dop251/goja"
 )
 
-// Limits on one evaluation. Time is the wall clock's: whatever an expression does, its evaluator is free again after
-// it. Memory is sampled, so a single statement may exceed the bound until the next sample.
+// Limits on one evaluation. The time limit is wall-clock time: whatever an expression does, its evaluation ends when
+// the limit expires. Memory is sampled, so a single statement may exceed the limit until the next sample.
 const (
 	evalTime       = time.Second
 	evalBytes      = 64 << 20
 	evalStack      = 500
-	evalResult     = 4 << 20 // characters of a text
+	evalResult     = 4 << 20 // maximum length of the resulting string, in bytes
 	sampleInterval = time.Millisecond
 )
 
-// allocationLimits keep single statements from allocating what no sample would see in time.
+// allocationLimits is JavaScript that restricts built-in functions with which a single statement could allocate too
+// much memory between two samples.
 const allocationLimits = `(function(){
 var max = 4194304;
 ["repeat","padStart","padEnd"].forEach(function(n){
@@ -42,7 +43,7 @@
 
 var allocationLimitProgram = goja.MustCompile("guards", allocationLimits, false)
 
-// evalJS runs code. The same code in the same scope gives the same value.
+// evalJS runs JavaScript code and returns its value. The same code in the same scope always gives the same value.
 func evalJS(src string, sc Scope, lib []string) (any, error) {
 	vm := newVM()
 	stop := enforceLimits(vm)
@@ -61,7 +62,8 @@
 	return decode([]byte(text))
 }
 
-// newVM makes an engine without a clock but a fixed one, and without randomness but a fixed sequence.
+// newVM returns a JavaScript engine whose clock is fixed and whose random numbers are a fixed sequence, so that
+// evaluation is deterministic.
 func newVM() *goja.Runtime {
 	vm := goja.New()
 	vm.SetMaxCallStackSize(evalStack)
@@ -74,7 +76,8 @@
 	return vm
 }
 
-// runJS runs code in a scope behind library code, and returns its value as JSON; nil: it has none.
+// runJS runs the library code and then src in a scope. It returns the value of src as JSON, or nil if src evaluates
+// to null or undefined.
 func runJS(vm *goja.Runtime, src string, sc Scope, lib []string) (goja.Value, error) {
 	if _, err := vm.RunProgram(allocationLimitProgram); err != nil {
 		return nil, err
@@ -93,11 +96,12 @@
 	if err != nil || goja.IsUndefined(v) || goja.IsNull(v) {
 		return nil, err
 	}
-	// Through JSON, so that the result is a value of the language and not an object of the engine.
+	// The conversion to JSON ensures that the result is a CWL value and not an object of the engine.
 	return jsonFunction(vm, "stringify")(goja.Undefined(), v)
 }
 
-// setCopy sets a variable to a copy of a value: an expression that writes to its inputs changes nobody else's.
+// setCopy sets a variable to a copy of a value, so that an expression that writes to the variable does not change the
+// original.
 func setCopy(vm *goja.Runtime, name string, x any) error {
 	b, err := json.Marshal(x)
 	if err != nil {
@@ -110,13 +114,13 @@
 	return vm.Set(name, object)
 }
 
-// jsonFunction is a function of the engine's JSON object.
+// jsonFunction returns a function of the engine's JSON object.
 func jsonFunction(vm *goja.Runtime, name string) goja.Callable {
 	f, _ := goja.AssertFunction(vm.Get("JSON").ToObject(vm).Get(name))
 	return f
 }
 
-// evalError is an error of the engine in the words of this package.
+// evalError converts an error of the JavaScript engine to an error message of this package.
 func evalError(err error) error {
 	var interrupted *goja.InterruptedError
 	if errors.As(err, &interrupted) {
@@ -129,8 +133,9 @@
 	return fmt.Errorf("the expression fails: %v", err)
 }
 
-// enforceLimits interrupts an engine that runs too long or allocates too much, until it is stopped. The heap is that of the
-// whole process: others that allocate at the same time count.
+// enforceLimits interrupts the engine when it exceeds the time or memory limit, until stop is called. Memory is
+// measured as the growth of the heap of the whole Go process. Concurrent allocations by other goroutines therefore
+// count towards the limit.
 func enforceLimits(vm *goja.Runtime) (stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -141,7 +146,8 @@
 	return func() { close(done) }
 }
 
-// waitForExceededLimit waits until done is closed, or until a bound is exceeded, and says which.
+// waitForExceededLimit waits until done is closed or a limit is exceeded. It returns a description of the exceeded
+// limit, or an empty string.
 func waitForExceededLimit(done <-chan struct{}) (reason string) {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample)
--- a/cwl/link.go
+++ b/cwl/link.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Value joins the values of a link's sources.
+// Value returns the value of a link. It combines the values of the link's sources as linkMerge and pickValue specify.
 func (l Link) Value(get func(source string) any) (any, error) {
 	if len(l.Source) == 0 {
 		return nil, nil
@@ -14,7 +14,7 @@
 	isSingle := len(l.Source) == 1 && l.Merge == ""
 	if l.Pick == "" {
 		if isSingle {
-			return get(l.Source[0]), nil // even of a list of one source
+			return get(l.Source[0]), nil // also if the source is written as a list of one
 		}
 		return l.merged(get), nil
 	}
@@ -29,7 +29,8 @@
 	return l.picked(list)
 }
 
-// merged is the list of the sources' values; merge_flattened puts the items of lists in their place.
+// merged returns the list of the values of the sources. With merge_flattened, a source that is a list contributes its
+// items instead of itself.
 func (l Link) merged(get func(source string) any) []any {
 	list := []any{}
 	for _, s := range l.Source {
@@ -43,7 +44,7 @@
 	return list
 }
 
-// picked is what pickValue leaves of a list.
+// picked applies pickValue to a list.
 func (l Link) picked(list []any) (any, error) {
 	nonNull := slices.DeleteFunc(slices.Clone(list), func(x any) bool { return x == nil })
 	switch l.Pick {
--- a/cwl/model.go
+++ b/cwl/model.go
@@ -2,17 +2,17 @@
 
 import "cmp"
 
-// Class is the class of a process.
+// Class is the CWL class of a process.
 type Class string
 
-// The classes of processes.
+// Supported process classes.
 const (
 	Tool       Class = "CommandLineTool"
 	Expression Class = "ExpressionTool"
 	Flow       Class = "Workflow"
 )
 
-// Process is a tool, an expression or a workflow.
+// Process is a CommandLineTool, an ExpressionTool or a Workflow.
 type Process struct {
 	Pos
 	Class   Class
@@ -21,22 +21,22 @@
 	Outputs []Output
 	Req     Requirements
 
-	// CommandLineTool.
+	// Fields of a CommandLineTool.
 	BaseCommand           []string
 	Arguments             []Binding
 	Stdin, Stdout, Stderr string
 	SuccessCodes          []int
 
-	// ExpressionTool.
+	// Fields of an ExpressionTool.
 	Expression string
 
-	// Workflow: each step follows what it depends on.
+	// Fields of a Workflow. Steps are in topological order: each step follows the steps that it depends on.
 	Steps []*Step
 
-	src *value // for Pack
+	src *value // the parsed document, from which Pack writes the process
 }
 
-// Input is an input of a process.
+// Input is an input parameter of a process.
 type Input struct {
 	Pos
 	ID           string
@@ -48,58 +48,59 @@
 	LoadContents bool
 }
 
-// Secondary is a pattern of the names of files that go with another.
+// Secondary is an entry of secondaryFiles: a pattern that derives the name of an accompanying file from the name of
+// the primary file.
 type Secondary struct {
 	Pattern  string
-	Required string // "", "true", "false" or an expression
+	Required string // "true", "false", an expression, or empty if not given
 }
 
-// Binding is how a value becomes part of a command line.
+// Binding is a CommandLineBinding: it defines how a value is added to a command line.
 type Binding struct {
-	Position      string // a number or an expression; empty: 0
+	Position      string // a number or an expression; empty means 0
 	Prefix        string
-	NoSeparate    bool // the prefix and the value are one word
+	NoSeparate    bool // the prefix and the value form a single argument
 	ItemSeparator string
 	HasSeparator  bool
 	ValueFrom     string
-	NoQuote       bool // not quoted for a shell, with ShellCommandRequirement
+	NoQuote       bool // not quoted for the shell; applies only with ShellCommandRequirement
 	LoadContents  bool
 }
 
-// Output is an output of a process.
+// Output is an output parameter of a process.
 type Output struct {
 	Pos
 	ID        string
 	Type      *Type
 	Secondary []Secondary
 
-	// Of tools.
+	// Fields for outputs of tools.
 	Glob         []string
 	LoadContents bool
 	OutputEval   string
 
-	// Of workflows.
+	// Field for outputs of workflows.
 	Link Link
 }
 
-// Link is where a value comes from.
+// Link defines the sources of a value and how their values are combined.
 type Link struct {
-	Source []string // INPUT of the workflow, or STEP/OUTPUT
-	Listed bool     // written as a list, even of a single source
-	Merge  string   // linkMerge
-	Pick   string   // pickValue
+	Source []string // each is INPUT for an input of the workflow, or STEP/OUTPUT
+	Listed bool     // the sources are written as a list, possibly of a single source
+	Merge  string   // value of linkMerge
+	Pick   string   // value of pickValue
 }
 
-// Step is a process within a workflow.
+// Step is a step of a workflow.
 type Step struct {
 	Pos
 	ID      string
 	In      []StepIn
 	Out     []string
 	Run     *Process
-	Scatter []string // inputs
-	Method  string   // dotProduct, nestedProduct or flatProduct, if it is scattered
-	When    string   // an expression; empty: always
+	Scatter []string // IDs of the scattered inputs
+	Method  string   // dotProduct, nestedProduct or flatProduct if the step is scattered
+	When    string   // an expression; empty means that the step always runs
 	Req     Requirements
 }
 
@@ -114,45 +115,46 @@
 	LoadContents bool
 }
 
-// Requirements are what a process or step requires of the platform, its own and what it inherits from the workflow
-// above.
+// Requirements are the requirements of a process or step, including those inherited from the enclosing workflow.
 type Requirements struct {
-	JS          bool     // JavaScript in expressions
-	Lib         []string // JavaScript that runs before each expression
+	JS          bool     // expressions may contain JavaScript
+	Lib         []string // JavaScript code that runs before each expression
 	Shell       bool
 	Image       string
 	Env         []EnvVar
-	TimeLimit   any // seconds or an expression
+	TimeLimit   any // seconds, or an expression; nil means no limit
 	WorkDir     []Dirent
-	WorkDirExpr string         // an expression that gives the listing
-	Resources   map[string]any // fields of ResourceRequirement: numbers or expressions
+	WorkDirExpr string         // an expression that evaluates to the whole listing
+	Resources   map[string]any // fields of ResourceRequirement, each a number or an expression
 	Job         *JobHint
 }
 
-// EnvVar is a variable of a tool's environment.
+// EnvVar is an environment variable of a tool. Value may contain expressions.
 type EnvVar struct{ Name, Value string }
 
-// Dirent is a file or directory that is in a tool's directory before it starts. Name and Entry may be expressions.
+// Dirent is a file or directory that is placed in a tool's working directory before the tool starts. Name and Entry
+// may be expressions.
 type Dirent struct {
 	Name     string
 	Entry    string
 	Writable bool
 }
 
-// JobHint is grebedock's own hint: how a step is scheduled. Zero fields are inherited from the workflow above.
+// JobHint is the grebedock extension hint that controls how a step is scheduled. Fields with the zero value are
+// inherited from the enclosing workflow.
 type JobHint struct {
 	Team      string  `json:"team,omitempty"`
 	Class     string  `json:"class,omitempty"`
 	Priority  string  `json:"priority,omitempty"`
-	DeadlineS float64 `json:"deadline,omitempty"`  // seconds from the step's submission
-	EstimateS float64 `json:"estimate,omitempty"`  // seconds a task runs
-	ImageGB   float64 `json:"imageSize,omitempty"` // gigabytes
+	DeadlineS float64 `json:"deadline,omitempty"`  // seconds after the step's submission
+	EstimateS float64 `json:"estimate,omitempty"`  // estimated run time of a task, in seconds
+	ImageGB   float64 `json:"imageSize,omitempty"` // size of the container image, in gigabytes
 	Spot      *bool   `json:"spot,omitempty"`
-	Retries   *int    `json:"retries,omitempty"` // of a task that failed; nil: 2
-	Once      *bool   `json:"once,omitempty"`    // a task that may have begun is never started again
+	Retries   *int    `json:"retries,omitempty"` // maximum number of retries of a failed task; nil means 2
+	Once      *bool   `json:"once,omitempty"`    // a task that may have started is never started again
 }
 
-// WithDefaults returns h with what it lacks taken from an outer hint.
+// WithDefaults returns h with its unset fields taken from the outer hint. Either hint may be nil.
 func (h *JobHint) WithDefaults(outer *JobHint) *JobHint {
 	if h == nil {
 		return outer
@@ -173,7 +175,7 @@
 	}
 }
 
-// Input returns the input of a name, nil if there is none.
+// Input returns the input with the given ID, or nil if there is none.
 func (p *Process) Input(id string) *Input {
 	for i := range p.Inputs {
 		if p.Inputs[i].ID == id {
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// Output returns the output of a name, nil if there is none.
+// Output returns the output with the given ID, or nil if there is none.
 func (p *Process) Output(id string) *Output {
 	for i := range p.Outputs {
 		if p.Outputs[i].ID == id {
--- a/cwl/pack.go
+++ b/cwl/pack.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Pack writes a process, with all processes that it runs in place of references, as one JSON document. Load reads it
-// back.
+// Pack writes a process as one JSON document, in which each reference is replaced by the process that it refers to.
+// Load can read the document.
 func Pack(p *Process) map[string]any {
 	doc := p.pack()
 	doc["requirements"] = p.Req.pack(doc["requirements"])
@@ -18,8 +18,9 @@
 	return doc
 }
 
-// pack writes requirements, the inherited ones among them: a tool that is packed by itself still means what it did
-// within its workflow. src are the requirements of the document, whose types are copied as they are.
+// pack writes requirements, including inherited ones, so that a tool that is packed separately behaves as it does
+// within its workflow. src are the requirements in the source document, from which the type definitions are copied
+// unchanged.
 func (r Requirements) pack(src any) []any {
 	out := []any{}
 	add := func(class string, fields map[string]any) {
@@ -60,7 +61,8 @@
 	return out
 }
 
-// listing writes the files that a tool finds in its directory; nil: there are none.
+// listing writes the listing of InitialWorkDirRequirement: the files placed in a tool's working directory. It returns
+// nil if there are none.
 func (r Requirements) listing() any {
 	if r.WorkDirExpr != "" {
 		return r.WorkDirExpr
@@ -83,7 +85,7 @@
 	return list
 }
 
-// schemaDefsOf copies the SchemaDefRequirement among a document's requirements.
+// schemaDefsOf returns copies of the SchemaDefRequirement entries among a document's requirements.
 func schemaDefsOf(requirements any) (defs []map[string]any) {
 	keep := func(class string, x any) {
 		if m, ok := x.(map[string]any); ok && class == "SchemaDefRequirement" {
@@ -105,7 +107,8 @@
 	return defs
 }
 
-// pack writes a process. Its job hint includes what it inherited, so that its meaning does not depend on where it is.
+// pack writes a process. Its job hint includes the inherited fields, so that the hint has the same meaning outside
+// the enclosing workflow.
 func (p *Process) pack() map[string]any {
 	doc := p.src.plain().(map[string]any)
 	doc = maps.Clone(doc)
@@ -125,10 +128,10 @@
 	return doc
 }
 
-// pack writes a step of the workflow that src describes.
+// pack writes a step of the workflow whose source is src.
 func (s *Step) pack(src *value) map[string]any {
 	var doc map[string]any
-	reader := &builder{loader: &loader{}} // whose errors were reported when the workflow was loaded
+	reader := &builder{loader: &loader{}} // its errors are discarded: Load has already reported them
 	for _, e := range reader.idMap(src.get("steps"), "steps", "id", "run") {
 		if e.id == s.ID {
 			doc = maps.Clone(e.v.plain().(map[string]any))
@@ -142,7 +145,7 @@
 	return doc
 }
 
-// withJobHint is a list of hints with the job hint first, in place of any that were there.
+// withJobHint returns a list of hints that begins with the job hint h. Other job hints in the list are removed.
 func withJobHint(hints any, h *JobHint) any {
 	list := []any{h.pack()}
 	switch hs := hints.(type) {
@@ -169,7 +172,7 @@
 	return list
 }
 
-// isJobHint reports whether a class is that of the job hint, with whatever prefix.
+// isJobHint reports whether a class is that of the job hint, with any namespace prefix.
 func isJobHint(class string) bool { return strings.HasSuffix(class, "Job") }
 
 // pack writes a job hint.
--- a/cwl/ports.go
+++ b/cwl/ports.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// inputs reads the inputs of a process. defs are the types that it defines.
+// inputs reads the inputs of a process. defs are the types that the process defines.
 func (b *builder) inputs(p *Process, v *value, defs map[string]*Type) {
 	if v.get("inputs") == nil {
 		b.fail(v.Pos, "inputs", "is missing")
@@ -48,7 +48,7 @@
 	return in
 }
 
-// outputs reads the outputs of a process. defs are the types that it defines.
+// outputs reads the outputs of a process. defs are the types that the process defines.
 func (b *builder) outputs(p *Process, v *value, defs map[string]*Type) {
 	if v.get("outputs") == nil {
 		b.fail(v.Pos, "outputs", "is missing")
@@ -58,7 +58,7 @@
 	}
 }
 
-// output reads an output of the process that v describes.
+// output reads an output of the process whose source is v.
 func (b *builder) output(p *Process, v *value, e entry, defs map[string]*Type) Output {
 	path := "outputs." + e.id
 	b.check(e.v, path, outputObject)
@@ -92,8 +92,8 @@
 	return o
 }
 
-// streamFile sets the file of a standard stream that is an output: the one that the tool v names, or one named after
-// the output.
+// streamFile sets and returns the file name of a standard stream that is used as an output. It is the name given in
+// the tool v, or else a name derived from the process and the output.
 func streamFile(name *string, v *value, stream, process, output string) string {
 	*name = process + "_" + output + "." + stream
 	if given, ok := textOf(v.get(stream)); ok {
@@ -102,7 +102,7 @@
 	return *name
 }
 
-// boolOf is the boolean that a value is, false if it is none.
+// boolOf returns the boolean in a value, or false if the value is not a boolean.
 func boolOf(v *value) bool {
 	if v == nil {
 		return false
@@ -111,7 +111,7 @@
 	return ok
 }
 
-// texts are the texts that a value is or lists.
+// texts returns the strings in a value that is a string or a list.
 func texts(v *value) []string {
 	if v == nil {
 		return nil
@@ -149,7 +149,8 @@
 	return out
 }
 
-// secondaryOf reads one pattern: a text, with ? behind an optional one, or an object.
+// secondaryOf reads one entry of secondaryFiles: an object, or a pattern to which ? is appended if the file is
+// optional.
 func secondaryOf(x *value) (s Secondary) {
 	if text, ok := x.text(); ok {
 		if pattern, isOptional := strings.CutSuffix(text, "?"); isOptional {
@@ -197,7 +198,7 @@
 	return bd
 }
 
-// scalarText is a scalar as a text.
+// scalarText returns a scalar as a string.
 func scalarText(x any) string {
 	switch x := x.(type) {
 	case nil:
@@ -210,7 +211,7 @@
 	return fmt.Sprint(x)
 }
 
-// schemaDefs reads the types that a process defines in SchemaDefRequirement, by name.
+// schemaDefs reads the types that a process defines in SchemaDefRequirement, keyed by name.
 func (b *builder) schemaDefs(v *value) map[string]*Type {
 	defs := map[string]*Type{}
 	for _, list := range []string{"hints", "requirements"} {
@@ -223,7 +224,7 @@
 	return defs
 }
 
-// addSchemaDefs reads types that have names. One may refer to those before it.
+// addSchemaDefs reads named types into defs. A type may refer to the types defined before it.
 func (b *builder) addSchemaDefs(defs map[string]*Type, types []*value, path string) {
 	for _, x := range types {
 		if name, ok := textOf(x.get("name")); ok {
--- a/cwl/requirements.go
+++ b/cwl/requirements.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// inheritRequirements adds to a process that is in a file of its own the requirements of the workflow above that it lacks.
+// inheritRequirements adds the requirements of the enclosing workflow to a process from another file and to its
+// steps. The requirements of the process itself take precedence.
 func inheritRequirements(p *Process, outer Requirements) {
 	p.Req = p.Req.withDefaults(outer)
 	for _, s := range p.Steps {
@@ -16,7 +17,8 @@
 	}
 }
 
-// withDefaults returns r with what it lacks taken from outer requirements.
+// withDefaults returns r with its unset requirements taken from outer. Environment variables are combined, and those
+// of r take precedence.
 func (r Requirements) withDefaults(outer Requirements) Requirements {
 	r.JS = r.JS || outer.JS
 	if len(r.Lib) == 0 {
@@ -45,7 +47,7 @@
 	return r
 }
 
-// ignoredRequirements requirements change nothing about how a process runs here.
+// ignoredRequirements are the requirements that are accepted but do not affect how grebedock runs a process.
 var ignoredRequirements = []string{
 	"SubworkflowFeatureRequirement",
 	"ScatterFeatureRequirement",
@@ -64,7 +66,7 @@
 	"coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax",
 }
 
-// requirements reads the requirements and hints of a process or step, and adds what it inherits. Requirements take
+// requirements reads the requirements and hints of a process or step, and adds the inherited ones. Requirements take
 // precedence over hints.
 func (b *builder) requirements(v *value, outer Requirements) Requirements {
 	r := Requirements{}
@@ -81,7 +83,7 @@
 	return r.withDefaults(outer)
 }
 
-// expandPrefix replaces the prefix of a declared namespace.
+// expandPrefix replaces the prefix of a declared namespace with the namespace.
 func (b *builder) expandPrefix(class string) string {
 	if prefix, rest, ok := strings.Cut(class, ":"); ok && b.namespaces[prefix] != "" {
 		return b.namespaces[prefix] + rest
@@ -89,7 +91,7 @@
 	return class
 }
 
-// requirement reads one requirement into r, and reports whether its class is one that has an effect here.
+// requirement reads one requirement into r. It reports whether the class is one that this package implements.
 func (b *builder) requirement(r *Requirements, class string, e entry, path string, outer Requirements) (isKnown bool) {
 	switch class {
 	case "InlineJavascriptRequirement":
@@ -181,13 +183,13 @@
 	}
 }
 
-// maxRetries is the most retries that a job hint may request.
+// maxRetries is the maximum number of retries that a job hint may request.
 const maxRetries = 1000
 
 // jobPriorities are the priorities that a job hint may request.
 var jobPriorities = []string{"low", "standard", "high", "production"}
 
-// jobHint reads grebedock's own hint.
+// jobHint reads the grebedock job hint.
 func (b *builder) jobHint(v *value, path string) *JobHint {
 	h := &JobHint{}
 	for _, f := range v.fields {
@@ -201,7 +203,7 @@
 	return h
 }
 
-// set sets a field of the hint, and reports whether there is such a field and whether it takes the value.
+// set sets a field of the hint. It reports whether the field exists and whether the value is valid.
 func (h *JobHint) set(f field) (isKnown, isValid bool) {
 	switch f.key {
 	case "class":
@@ -234,20 +236,20 @@
 	return true, isValid
 }
 
-// nonNegative is the number that a value is; ok is false if it is none or negative.
+// nonNegative returns the number in a value. ok is false if the value is not a number or is negative.
 func (v *value) nonNegative() (x float64, ok bool) {
 	x, isNumber := toFloat(v.data)
 	isNegative := x < 0
 	return x, isNumber && !isNegative
 }
 
-// boolean is the boolean that a value is; ok is false if it is none.
+// boolean returns the boolean in a value. ok is false if the value is not a boolean.
 func (v *value) boolean() (x *bool, ok bool) {
 	t, ok := v.data.(bool)
 	return &t, ok
 }
 
-// expr checks a text, or a list of texts, that may contain expressions.
+// expr checks the expressions in a string or a list of strings.
 func (b *builder) expr(v *value, path string, req Requirements) {
 	if v == nil {
 		return
--- a/cwl/scatter.go
+++ b/cwl/scatter.go
@@ -5,23 +5,24 @@
 	"maps"
 )
 
-// The values of scatterMethod.
+// Values of scatterMethod.
 const (
 	dotProduct    = "dotproduct"
 	nestedProduct = "nested_crossproduct"
 	flatProduct   = "flat_crossproduct"
 )
 
-// MaxTasks is the most tasks that a cross product can be scattered to: as many as a job of the platform can have.
+// MaxTasks is the maximum number of tasks of a cross product. It equals the maximum number of tasks of a grebedock
+// job.
 const MaxTasks = 100_000
 
-// Scatter is how a step's inputs are distributed to its tasks.
+// Scatter is the distribution of a step's inputs to its tasks.
 type Scatter struct {
-	Inputs []map[string]any // by task
-	shape  []int            // lengths of the lists of a nested cross product
+	Inputs []map[string]any // one element per task
+	shape  []int            // lengths of the scattered lists; set only for a nested cross product
 }
 
-// ScatterInputs distributes a step's inputs to its tasks: to a single one, unless the step is scattered.
+// ScatterInputs distributes a step's inputs to its tasks. A step that is not scattered has a single task.
 func (s *Step) ScatterInputs(in map[string]any) (Scatter, error) {
 	if len(s.Scatter) == 0 {
 		return Scatter{Inputs: []map[string]any{in}}, nil
@@ -40,7 +41,7 @@
 	return s.scatterCrossProduct(in, lists)
 }
 
-// taskInputs are the inputs of the task that takes the items at these positions of the scattered lists.
+// taskInputs returns the inputs of the task that takes the items at the given positions of the scattered lists.
 func (s *Step) taskInputs(in map[string]any, lists [][]any, positions []int) map[string]any {
 	inputs := make(map[string]any, len(in))
 	maps.Copy(inputs, in)
@@ -50,7 +51,8 @@
 	return inputs
 }
 
-// scatterDotProduct makes a task of the first items of all lists, one of the second, and so on.
+// scatterDotProduct creates one task per position: the first takes the first item of each list, the second the
+// second, and so on.
 func (s *Step) scatterDotProduct(in map[string]any, lists [][]any) (Scatter, error) {
 	for i, l := range lists {
 		if len(l) != len(lists[0]) {
@@ -69,7 +71,7 @@
 	return sc, nil
 }
 
-// scatterCrossProduct makes a task of each combination of items, the last list's items fastest.
+// scatterCrossProduct creates one task for each combination of items. The item of the last list varies fastest.
 func (s *Step) scatterCrossProduct(in map[string]any, lists [][]any) (Scatter, error) {
 	var sc Scatter
 	tasks := 1
@@ -91,7 +93,7 @@
 	return sc, nil
 }
 
-// Gather joins the tasks' values of one output, in the order of Inputs, to the value of the step's output.
+// Gather combines the tasks' values of one output, in the order of Inputs, into the value of the step's output.
 func (sc Scatter) Gather(s *Step, values []any) any {
 	if len(s.Scatter) == 0 {
 		return values[0]
--- a/cwl/steps.go
+++ b/cwl/steps.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// mergeMethods and pickMethods are the values of linkMerge and pickValue; empty: none is given.
+// mergeMethods and pickMethods are the permitted values of linkMerge and pickValue. The empty string means that the
+// field is not given.
 var (
 	mergeMethods = []string{"", "merge_nested", "merge_flattened"}
 	pickMethods  = []string{"", "first_non_null", "the_only_non_null", "all_non_null"}
 )
 
-// link reads where a value comes from. key is the field that names the sources.
+// link reads the sources of a value and how they are combined. key is the field that names the sources.
 func (b *builder) link(v *value, key, path string) Link {
 	l := Link{Source: texts(v.get(key))}
 	if s := v.get(key); s != nil {
@@ -33,7 +34,7 @@
 	return l
 }
 
-// flow reads what only a Workflow has: its steps, and their links. name is that of the process.
+// flow reads the fields that are specific to a Workflow: its steps and their links. name is the name of the process.
 func (b *builder) flow(p *Process, v *value, name string) {
 	if v.get("steps") == nil {
 		b.fail(v.Pos, "steps", "is missing")
@@ -57,7 +58,7 @@
 	b.sortSteps(p, l.dependencies)
 }
 
-// inputType is the type that the source of a step's input must have; nil: any.
+// inputType returns the type that the source of a step's input must have, or nil if any type is accepted.
 func (s *Step) inputType(in *StepIn) *Type {
 	if s.Run == nil || in.ValueFrom != "" {
 		return nil
@@ -76,21 +77,21 @@
 	return t
 }
 
-// optional is a type with null as one of its values.
+// optional returns the type that also accepts null.
 func optional(t *Type) *Type {
 	return &Type{Name: "union", Union: append([]*Type{{Name: "null"}}, t.options()...)}
 }
 
-// linker checks the links of a workflow's steps and outputs, and records which steps depend on which.
+// linker checks the links of the steps and outputs of a workflow, and records the dependencies between steps.
 type linker struct {
 	*builder
 	p            *Process
 	steps        map[string]*Step
-	dependencies map[*Step][]*Step // what a step depends on
+	dependencies map[*Step][]*Step // the steps that each step depends on
 }
 
-// source is the type of what a link refers to, and the step that it is an output of, nil for an input of the workflow.
-// The type is nil if there is no such source.
+// source returns the type of the source with the given name, and the step whose output it is. The step is nil for an
+// input of the workflow. The type is nil if there is no such source.
 func (l *linker) source(name string) (*Type, *Step) {
 	parts := strings.Split(name, "/")
 	last := parts[len(parts)-1]
@@ -115,7 +116,7 @@
 	return s.outputType(t), s
 }
 
-// outputType is the type of a step's output, from the type of that output of the process that the step runs.
+// outputType returns the type of a step's output. t is the type of the same output of the process that the step runs.
 func (s *Step) outputType(t *Type) *Type {
 	if s.When != "" {
 		t = optional(t)
@@ -133,8 +134,10 @@
 	return t
 }
 
-// connect resolves a link, checks the type of its sources against the type that takes it (nil: any), and records what
-// the step that takes it (nil: the workflow) depends on.
+// connect resolves the sources of a link. If the link passes the value of a single source unchanged, connect checks
+// the type of the source against to, the type of the receiving input or output. A nil to accepts any type. If the
+// receiver is an input of a step s, connect records the steps on which s depends. For an output of the workflow, s is
+// nil.
 func (l *linker) connect(at Pos, field string, link *Link, to *Type, s *Step) {
 	for i, src := range link.Source {
 		t, from := l.source(src)
@@ -161,7 +164,7 @@
 	return l.Merge == "" && l.Pick == "" && len(l.Source) == 1 && !l.Listed
 }
 
-// visitState is how far the depth-first search of sortSteps has come with a step.
+// visitState is the state of a step in the depth-first search of sortSteps.
 type visitState int
 
 const (
@@ -170,7 +173,7 @@
 	visited
 )
 
-// sortSteps puts steps behind what they depend on; a cycle is an error.
+// sortSteps sorts steps topologically, so that each step follows the steps that it depends on. A cycle is an error.
 func (b *builder) sortSteps(p *Process, dependencies map[*Step][]*Step) {
 	state := map[*Step]visitState{}
 	var out []*Step
@@ -204,7 +207,7 @@
 	p.Steps = out
 }
 
-// step reads a step of a workflow. name is that of the workflow.
+// step reads a step of a workflow. name is the name of the workflow.
 func (b *builder) step(p *Process, e entry, name string) *Step {
 	path := "steps." + e.id
 	s := &Step{Pos: e.at, ID: e.id, Out: []string{}}
@@ -222,7 +225,8 @@
 	return s
 }
 
-// stepProcess reads the process that a step runs: written out, a part of the same file, or another file.
+// stepProcess reads the process that a step runs: an embedded object, a process in the $graph of the same file, or a
+// process in another file.
 func (b *builder) stepProcess(e entry, path, name string, req Requirements) *Process {
 	r := e.v.get("run")
 	switch {
@@ -289,7 +293,7 @@
 	}
 }
 
-// checkRequiredInputs checks that a step gives a value to each input that the process it runs needs.
+// checkRequiredInputs checks that a step provides every required input of the process that it runs.
 func (b *builder) checkRequiredInputs(s *Step, path string) {
 	if s.Run == nil {
 		return
@@ -304,12 +308,12 @@
 	}
 }
 
-// hasInput reports whether a step has an input of this name.
+// hasInput reports whether a step has an input with this ID.
 func (s *Step) hasInput(input string) bool {
 	return slices.ContainsFunc(s.In, func(in StepIn) bool { return in.ID == input })
 }
 
-// stepScatter reads over which inputs a step is scattered, and how.
+// stepScatter reads the inputs over which a step is scattered, and the scatter method.
 func (b *builder) stepScatter(s *Step, e entry, path string) {
 	s.Scatter = texts(e.v.get("scatter"))
 	for i, x := range s.Scatter {
--- a/cwl/tree.go
+++ b/cwl/tree.go
@@ -10,7 +10,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// value is a document's value with its position. Its content is one of data (a scalar, nil for null), fields or items.
+// value is a value in a document, with its position. Depending on kind, its content is in data (a scalar, nil for
+// null), fields or items.
 type value struct {
 	Pos
 	data   any
@@ -19,7 +20,7 @@
 	kind   valueKind
 }
 
-// valueKind says which of a value's contents it has.
+// valueKind determines which field of a value holds its content.
 type valueKind uint8
 
 const (
@@ -28,14 +29,14 @@
 	array
 )
 
-// field is a field of an object; at is the position of its key.
+// field is a field of an object. at is the position of its key.
 type field struct {
 	key string
 	at  Pos
 	v   *value
 }
 
-// get is the value of an object's field, nil if there is none.
+// get returns the value of an object's field, or nil if there is no such field.
 func (v *value) get(key string) *value {
 	for _, f := range v.fields {
 		if f.key == key {
@@ -45,13 +46,13 @@
 	return nil
 }
 
-// text is the text that a value is; ok is false if it is none.
+// text returns the string in a value. ok is false if the value is not a string.
 func (v *value) text() (string, bool) {
 	s, ok := v.data.(string)
 	return s, ok && v.kind == scalar
 }
 
-// plain turns a value into what encoding/json would decode, but for whole numbers, which are int64.
+// plain converts a value to the types that encoding/json decodes to, except that whole numbers are int64.
 func (v *value) plain() any {
 	switch v.kind {
 	case object:
@@ -70,27 +71,29 @@
 	return v.data
 }
 
-// Open returns the content of a file that a document refers to. Its error becomes part of the text of an Error.
+// Open returns the content of a file that a document refers to. The text of its error is included in the resulting
+// Error.
 type Open func(name string) ([]byte, error)
 
-// loader reads files into values, following $import and $include.
+// loader reads files into values and resolves $import and $include.
 type loader struct {
 	open      Open
 	limits    Limits
 	nodes     int
-	files     map[string]*value // by name, each read once
-	fileStack []string          // names of the files that are being read, outermost first
+	files     map[string]*value // files already read, keyed by name
+	fileStack []string          // names of the files that are being read, outermost first; detects cycles
 	errs      Errors
 }
 
-// fail records a problem, up to maxErrors.
+// fail records a problem, unless maxErrors problems are already recorded.
 func (l *loader) fail(p Pos, field, format string, a ...any) {
 	if len(l.errs) < maxErrors {
 		l.errs = append(l.errs, Error{p, field, fmt.Sprintf(format, a...)})
 	}
 }
 
-// file reads a file that is referred to from a position, or returns what it read before; nil after an error.
+// file reads a file, or returns its value if the file was read before. It returns nil after an error. from is the
+// position of the reference to the file.
 func (l *loader) file(name string, from Pos) *value {
 	if v, ok := l.files[name]; ok {
 		return v
@@ -125,7 +128,7 @@
 	return v
 }
 
-// yamlPos finds the line in the message of the parser, whose errors have no fields.
+// yamlPos extracts the line number from an error message of the YAML parser, whose errors have no field for it.
 func yamlPos(file string, err error) Pos {
 	p := Pos{file, 1, 1}
 	if _, rest, ok := strings.Cut(err.Error(), "line "); ok {
@@ -134,7 +137,7 @@
 	return p
 }
 
-// value converts a node of a file, and what it contains, within the limits.
+// value converts a YAML node and its children to a value, within the limits.
 func (l *loader) value(file string, n *yaml.Node, depth int) *value {
 	at := Pos{file, max(1, n.Line), max(1, n.Column)}
 	if !l.isWithinLimits(at, depth) {
@@ -160,7 +163,7 @@
 	return &value{Pos: at}
 }
 
-// isWithinLimits counts a value, and reports whether it is within the limits.
+// isWithinLimits counts a value and reports whether the limits on count and depth are still met.
 func (l *loader) isWithinLimits(at Pos, depth int) bool {
 	l.nodes++
 	if l.nodes == l.limits.Nodes+1 {
@@ -176,7 +179,7 @@
 	return true
 }
 
-// mappingFields reads the fields of an object. Keys that are wrong are left out.
+// mappingFields reads the fields of an object. Fields with an invalid key are omitted.
 func (l *loader) mappingFields(file string, n *yaml.Node, depth int) (fields []field) {
 	seen := map[string]bool{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -199,7 +202,7 @@
 	return fields
 }
 
-// scalarData is the content of a scalar. Whole numbers beyond int64 become float64.
+// scalarData returns the content of a scalar. A whole number that does not fit in an int64 becomes a float64.
 func (l *loader) scalarData(n *yaml.Node, at Pos) (data any) {
 	switch n.Tag {
 	case "!!null":
@@ -220,7 +223,7 @@
 	return data
 }
 
-// directive replaces an object that is $import or $include by what it refers to.
+// directive replaces an $import or $include object with the content of the file that it refers to.
 func (l *loader) directive(file string, v *value) *value {
 	if len(v.fields) != 1 {
 		return v
@@ -256,7 +259,8 @@
 	return &value{Pos: v.Pos, data: string(b)}
 }
 
-// name is the name of a file that another file refers to; "" after an error.
+// name resolves a reference from one file to another, and returns the name of the referenced file. It returns an
+// empty string after an error.
 func (l *loader) name(from, name string, at Pos) string {
 	if strings.Contains(name, "://") {
 		l.fail(at, "", "%s: documents are not fetched from the network", name)
--- a/cwl/types.go
+++ b/cwl/types.go
@@ -7,24 +7,24 @@
 	"strings"
 )
 
-// Type is a type of the language. Name is one of primitives, or array, record, enum or union.
+// Type is a CWL type. Name is one of primitives, or "array", "record", "enum" or "union".
 type Type struct {
 	Name    string
-	Items   *Type       // of an array
-	Fields  []TypeField // of a record
-	Symbols []string    // of an enum
-	Union   []*Type     // of a union: none of them is one
-	Binding *Binding    // of an array's items or a record's fields
+	Items   *Type       // element type of an array
+	Fields  []TypeField // fields of a record
+	Symbols []string    // symbols of an enum
+	Union   []*Type     // members of a union; none of them is itself a union
+	Binding *Binding    // binding of an array's items or of a record's fields
 }
 
-// TypeField is a field of a record.
+// TypeField is a field of a record type.
 type TypeField struct {
 	Name    string
 	Type    *Type
 	Binding *Binding
 }
 
-// primitives are the types without parts, Any among them.
+// primitives are the types that are not composed of other types, including Any.
 var primitives = []string{"null", "boolean", "int", "long", "float", "double", "string", "File", "Directory", "Any"}
 
 func (t *Type) String() string {
@@ -41,13 +41,13 @@
 	return t.Name
 }
 
-// Optional reports whether a value may be missing.
+// Optional reports whether a value of this type may be omitted.
 func (t *Type) Optional() bool {
 	return t.Name == "null" ||
 		t.Name == "union" && slices.ContainsFunc(t.Union, func(u *Type) bool { return u.Name == "null" })
 }
 
-// options are the types of a union, or the type itself.
+// options returns the members of a union, or the type itself if it is not a union.
 func (t *Type) options() []*Type {
 	if t.Name == "union" {
 		return t.Union
@@ -55,8 +55,8 @@
 	return []*Type{t}
 }
 
-// compatibleWith reports whether some value of type t may be one of type u: a link between types that share nothing is a
-// mistake.
+// compatibleWith reports whether some value of type t may also be a value of type u. A link between types without a
+// common value is an error.
 func (t *Type) compatibleWith(u *Type) bool {
 	for _, a := range t.options() {
 		for _, b := range u.options() {
@@ -68,10 +68,10 @@
 	return false
 }
 
-// numberTypes are the types of numbers, each of which takes the values of those before it.
+// numberTypes are the numeric types. Each accepts the values of the types before it.
 var numberTypes = []string{"int", "long", "float", "double"}
 
-// nonUnionCompatibleWith is feeds for types that are no unions.
+// nonUnionCompatibleWith is compatibleWith for types that are not unions.
 func (t *Type) nonUnionCompatibleWith(u *Type) bool {
 	from, to := slices.Index(numberTypes, t.Name), slices.Index(numberTypes, u.Name)
 	switch {
@@ -91,7 +91,7 @@
 	return true
 }
 
-// schema is the JSON schema of a type's values. It allows fields of files that it does not know.
+// schema returns the JSON schema of a type's values. The schema permits unknown fields in files and directories.
 func (t *Type) schema() map[string]any {
 	switch t.Name {
 	case "Any":
@@ -124,10 +124,10 @@
 	return map[string]any{"anyOf": options}
 }
 
-// typeSchema is the JSON schema of all values of one of JSON's types.
+// typeSchema returns the JSON schema of all values of a JSON type.
 func typeSchema(name string) map[string]any { return map[string]any{"type": name} }
 
-// fileSchema is the JSON schema of files or directories.
+// fileSchema returns the JSON schema of files or directories.
 func fileSchema(class string) map[string]any {
 	return map[string]any{"type": "object", "required": []any{"class"}, "properties": map[string]any{
 		"class":          map[string]any{"const": class},
@@ -156,7 +156,8 @@
 	}
 }
 
-// parseType reads a type. defs are the types that SchemaDefRequirement defines, by name. A wrong type reads as Any.
+// parseType reads a type. defs are the types that SchemaDefRequirement defines, keyed by name. After an error, the
+// result is Any.
 func (b *builder) parseType(v *value, path string, defs map[string]*Type) *Type {
 	bad := &Type{Name: "Any"}
 	if v == nil {
@@ -175,7 +176,7 @@
 	return bad
 }
 
-// unionType reads a list of types.
+// unionType reads a union, which is written as a list of types.
 func (b *builder) unionType(v *value, path string, defs map[string]*Type) *Type {
 	u := &Type{Name: "union"}
 	for _, x := range v.items {
@@ -190,7 +191,7 @@
 	return u
 }
 
-// objectType reads a type that is written out.
+// objectType reads a type that is written as an object.
 func (b *builder) objectType(v *value, path string, defs map[string]*Type) *Type {
 	name, _ := textOf(v.get("type"))
 	switch name {
@@ -209,7 +210,7 @@
 	return &Type{Name: "Any"}
 }
 
-// itemBinding reads the binding of what is at a path; nil: it has none.
+// itemBinding reads the inputBinding of a type or field. It returns nil if there is none.
 func (b *builder) itemBinding(v *value, path string) *Binding {
 	x := v.get("inputBinding")
 	if x == nil {
@@ -257,7 +258,8 @@
 	return t
 }
 
-// namedType reads a type by its name, with ? behind an optional one and [] behind the items of an array.
+// namedType reads a type given by name. The suffix ? marks an optional type, and the suffix [] marks an array of the
+// named type.
 func (b *builder) namedType(v *value, path, s string, defs map[string]*Type) *Type {
 	if t, ok := strings.CutSuffix(s, "?"); ok {
 		return optional(b.namedType(v, path, t, defs))
@@ -275,7 +277,7 @@
 	return &Type{Name: "Any"}
 }
 
-// shortID is the last part of an identifier: what is behind its last # or /.
+// shortID returns the last part of an identifier, after the last # or /.
 func shortID(s string) string {
 	if i := strings.LastIndexAny(s, "#/"); i >= 0 {
 		return s[i+1:]
@@ -283,7 +285,7 @@
 	return s
 }
 
-// textOf is the text of a value that may be missing.
+// textOf returns the string in a value that may be nil. ok is false if there is none.
 func textOf(v *value) (string, bool) {
 	if v == nil {
 		return "", false
@@ -291,7 +293,7 @@
 	return v.text()
 }
 
-// typeName is what error texts call the type of a value.
+// typeName returns the name of the type of a value, as used in error messages.
 func typeName(x any) string {
 	switch x := x.(type) {
 	case nil:
--- a/cwl/values.go
+++ b/cwl/values.go
@@ -12,7 +12,7 @@
 	"golang.org/x/text/message"
 )
 
-// Schema is the JSON schema of a process's inputs, for those who submit them.
+// Schema returns the JSON schema of a process's inputs, for users who submit the process.
 func (p *Process) Schema() map[string]any {
 	props, req := map[string]any{}, []any{}
 	for _, in := range p.Inputs {
@@ -33,7 +33,8 @@
 	}
 }
 
-// validate returns why a value does not fit a JSON schema: the deepest of the reasons, which is the most specific.
+// validate checks a value against a JSON schema. The error gives the most deeply nested cause, which is the most
+// specific.
 func validate(schema map[string]any, v any) error {
 	c := jsonschema.NewCompiler()
 	if err := c.AddResource("value.json", schema); err != nil {
@@ -56,7 +57,8 @@
 	return errors.New(reason)
 }
 
-// deepestCause is the first cause below e, itself among them, that is deeper in the value than another one.
+// deepestCause returns the first of the causes below e, including e itself, that lies deepest in the validated value.
+// deepest is the deepest cause found so far.
 func deepestCause(e, deepest *jsonschema.ValidationError) *jsonschema.ValidationError {
 	isDeeper := len(deepest.Causes) > 0 || len(e.InstanceLocation) > len(deepest.InstanceLocation)
 	if len(e.Causes) == 0 && isDeeper {
@@ -68,11 +70,11 @@
 	return deepest
 }
 
-// checkValue returns why a value is not of a type.
+// checkValue returns an error if a value is not of a type.
 func checkValue(t *Type, v any) error { return validate(t.schema(), v) }
 
-// CheckInputs checks and completes the inputs of a process: defaults are filled in, files get the names that
-// expressions read. Inputs that the process does not have are an error, since they are mostly misspelt.
+// CheckInputs checks the inputs of a process and completes them with defaults and with the file names that
+// expressions read. Inputs that the process does not have are rejected, since they are usually misspelled.
 func (p *Process) CheckInputs(given map[string]any) (map[string]any, error) {
 	for k := range given {
 		if p.Input(k) == nil && !strings.Contains(k, ":") {
@@ -85,7 +87,7 @@
 	return p.Complete(given), nil
 }
 
-// Complete fills in defaults and the names of files. Values are not checked.
+// Complete returns the inputs of a process completed with defaults and file names. It does not check the values.
 func (p *Process) Complete(given map[string]any) map[string]any {
 	out := make(map[string]any, len(p.Inputs))
 	for _, in := range p.Inputs {
@@ -98,7 +100,7 @@
 	return out
 }
 
-// CheckOutputs returns why a tool's or expression's outputs are not of their types.
+// CheckOutputs returns an error if an output of a tool or expression is not of its declared type.
 func (p *Process) CheckOutputs(outs map[string]any) error {
 	for _, o := range p.Outputs {
 		if err := checkValue(o.Type, outs[o.ID]); err != nil {
@@ -108,7 +110,8 @@
 	return nil
 }
 
-// WithFileNames returns a copy of a value in which files and directories have their path, basename, nameroot and nameext.
+// WithFileNames returns a copy of a value in which files and directories have the fields path and basename, and files
+// also have nameroot and nameext.
 func WithFileNames(v any) any {
 	switch v := v.(type) {
 	case []any:
@@ -130,7 +133,7 @@
 	return v
 }
 
-// addFileNames adds a file's or directory's names.
+// addFileNames adds the name fields of a file or directory.
 func addFileNames(file map[string]any) {
 	at, _ := file["path"].(string)
 	if at == "" {
@@ -148,14 +151,14 @@
 	if file["class"] == "File" && base != "" {
 		ext := path.Ext(base)
 		if ext == base {
-			ext = "" // a dot file
+			ext = "" // a dotfile has no extension
 		}
 		file["nameroot"], file["nameext"] = strings.TrimSuffix(base, ext), ext
 	}
 }
 
-// StepInputs returns a step's inputs before they are scattered: sources joined, defaults filled in. valueFrom follows
-// with Finish, task by task.
+// StepInputs returns a step's inputs before scattering, with the values of links and defaults. EvalTaskInputs then
+// evaluates valueFrom for each task.
 func (s *Step) StepInputs(get func(source string) any) (map[string]any, error) {
 	in := map[string]any{}
 	for _, x := range s.In {
@@ -199,7 +202,8 @@
 	return out, ok, nil
 }
 
-// SelectInputs returns those of a step's inputs that the process it runs has, complete and checked.
+// SelectInputs returns those of a step's inputs that this process declares, completed and checked. The process is the
+// one that the step runs.
 func (p *Process) SelectInputs(in map[string]any) (map[string]any, error) {
 	given := map[string]any{}
 	for _, x := range p.Inputs {
