--- a/cwl/cwl_test.go
+++ b/cwl/cwl_test.go
@@ -22,7 +22,7 @@
 
 const head = "cwlVersion: v1.2\n"
 
-// Problems of a document are reported with their position and field.
+// Errors in a document are reported with the position and the field.
 func TestErrors(t *testing.T) {
 	tool := head + "class: CommandLineTool\nbaseCommand: echo\ninputs: {}\noutputs: {}\n"
 	flow := head + "class: Workflow\ninputs: {n: int}\noutputs: {}\n" +
@@ -167,7 +167,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := load(c.text)
 			if err == nil || !strings.Contains(err.Error(), c.expectedErr) {
-				t.Errorf("got %v, want %q", err, c.expectedErr)
+				t.Errorf("got error %v, want one that contains %q", err, c.expectedErr)
 			}
 		})
 	}
@@ -177,11 +177,11 @@
 	text := strings.Repeat("x", DefaultLimits.Bytes)
 	_, err := load(head + "class: CommandLineTool\nbaseCommand: x\ninputs: {}\noutputs: {}\ndoc: '" + text + "'\n")
 	if err == nil || !strings.Contains(err.Error(), "more than") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one that contains %q", err, "more than")
 	}
 }
 
-// Expressions that never end, allocate without bound or throw end soon, with a reason.
+// An expression that loops forever, allocates without bound or throws must end with an error, and soon.
 func TestExpressionsAreBounded(t *testing.T) {
 	req := Requirements{JS: true}
 	for _, c := range []struct{ text, expectedErr string }{
@@ -199,10 +199,10 @@
 		at := time.Now()
 		v, err := Eval(c.text, Scope{Inputs: map[string]any{"a": map[string]any{}}}, req)
 		if err == nil || !strings.Contains(err.Error(), c.expectedErr) {
-			t.Errorf("%s gives %.40v, %v, not %q", c.text, v, err, c.expectedErr)
+			t.Errorf("%s: got %.40v, error %v, want an error that contains %q", c.text, v, err, c.expectedErr)
 		}
 		if took := time.Since(at); took > 20*evalTime {
-			t.Errorf("%s took %v", c.text, took)
+			t.Errorf("%s took %v, want at most %v", c.text, took, 20*evalTime)
 		}
 	}
 }
@@ -236,15 +236,15 @@
 		{"${inputs.n = 9; return inputs.n}", int64(9)},
 	} {
 		if got, err := Eval(c.text, sc, Requirements{JS: true}); err != nil || !reflect.DeepEqual(got, c.expected) {
-			t.Errorf("%s gives %#v, %v, not %#v", c.text, got, err, c.expected)
+			t.Errorf("%s: got %#v, error %v, want %#v", c.text, got, err, c.expected)
 		}
 	}
 	if sc.Inputs["n"] != int64(3) {
-		t.Error("an expression changed its inputs")
+		t.Errorf("an expression changed its inputs: n is %v, want 3", sc.Inputs["n"])
 	}
 }
 
-// Command lines follow the specification's rules.
+// Command lines are built by the rules of the CWL specification.
 func TestCommandLines(t *testing.T) {
 	for _, c := range []struct{ name, doc, in, expected string }{
 		{
@@ -327,7 +327,7 @@
 			}
 			cmd, err := p.CommandLine(in, nil)
 			if err != nil || strings.Join(cmd.Args, "|") != c.expected {
-				t.Errorf("got %v, %v, want %s", cmd, err, c.expected)
+				t.Errorf("got command %v, error %v, want arguments %s", cmd, err, c.expected)
 			}
 		})
 	}
@@ -355,13 +355,13 @@
 		_, err = p.CheckInputs(v.(map[string]any))
 		if c.expectedErr == "" && err != nil ||
 			c.expectedErr != "" && (err == nil || !strings.Contains(err.Error(), c.expectedErr)) {
-			t.Errorf("%s: %v, not %q", c.in, err, c.expectedErr)
+			t.Errorf("%s: got error %v, want one that contains %q (empty: no error)", c.in, err, c.expectedErr)
 		}
 	}
 }
 
-// shape is what a process and those that it runs are made of.
-func shape(p *Process) (out string) {
+// structure describes a process and the processes that it runs, so that two processes can be compared.
+func structure(p *Process) (out string) {
 	p.Walk(func(p *Process) {
 		job, _ := json.Marshal(p.Req.Job)
 		counts := fmt.Sprint(len(p.Inputs), len(p.Outputs), len(p.Steps))
@@ -370,11 +370,11 @@
 	return out
 }
 
-// The worked examples are without errors, and mean the same once packed into one document.
+// The documented examples load without errors, and have the same structure after Pack and Load.
 func TestExamples(t *testing.T) {
 	files, err := filepath.Glob("../docs/examples/cwl/*.cwl")
 	if err != nil || len(files) < 3 {
-		t.Fatalf("%d examples, %v", len(files), err)
+		t.Fatalf("got %d examples, error %v, want at least 3", len(files), err)
 	}
 	for _, f := range files {
 		p, err := Load(f, os.ReadFile)
@@ -388,16 +388,16 @@
 		}
 		q, err := Load("packed.json", func(string) ([]byte, error) { return b, nil })
 		if err != nil {
-			t.Errorf("%s packed: %v", f, err)
+			t.Errorf("%s: loading the packed document: %v", f, err)
 			continue
 		}
-		if shape(p) != shape(q) {
-			t.Errorf("%s: packed it is\n%s, not\n%s", f, shape(q), shape(p))
+		if structure(p) != structure(q) {
+			t.Errorf("%s: got this structure of the packed document:\n%s\nwant:\n%s", f, structure(q), structure(p))
 		}
 	}
 }
 
-// Hostile documents end in an error or a process, and in no more time than the limits allow.
+// Loading a hostile document must return an error or a process, within the limits on its cost.
 func FuzzLoad(f *testing.F) {
 	files, _ := filepath.Glob("../docs/examples/cwl/*.cwl")
 	for _, name := range files {
