--- a/cwl/build.go
+++ b/cwl/build.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// Version is the version of the language that is read.
+// Version is the supported version of CWL.
 const Version = "v1.2"
 
-// JobHintClass is the class of grebedock's hint, as documents write it: with the namespace of the project, or with any
-// prefix that is declared for it.
+// JobHintClass is the full class name of the grebedock job hint. Documents write it with any prefix that they declare
+// for the project's namespace.
 const JobHintClass = "https://grebedock.example/cwl#Job"
 
-// builder turns the values of one file into processes.
+// builder converts the values of one file into processes.
 type builder struct {
 	*loader
-	graph   map[string]*value // processes of a $graph, by id
-	spaces  map[string]string // declared namespaces
-	running []string          // names of the processes that are being built, outermost first
+	graph        map[string]*value // processes of the $graph, keyed by ID
+	namespaces   map[string]string // declared namespaces, keyed by prefix
+	processStack []string          // names of the processes that are being built, outermost first; detects cycles
 }
 
-// Load reads a process: name is a file, or a file and after a "#" a part of its $graph. The error is an Errors.
+// Load reads a process. name is a file name, optionally followed by "#" and the ID of a process in the $graph of the
+// file. The returned error is of type Errors.
 func Load(name string, open Open) (*Process, error) { return DefaultLimits.Load(name, open) }
 
 // Load reads a process within these limits; see the function Load.
@@ -38,7 +39,8 @@
 	return p, nil
 }
 
-// process builds the process of a file, or of a part of it, which is referred to from a position.
+// process builds the process of a file, or one process of its $graph. from is the position of the reference, for
+// errors.
 func (l *loader) process(file, part string, from Pos, running []string) *Process {
 	v := l.file(file, from)
 	if v == nil {
@@ -48,7 +50,7 @@
 		l.fail(v.Pos, "", "a process must be an object")
 		return nil
 	}
-	b := &builder{loader: l, spaces: namespacesOf(v), running: running}
+	b := &builder{loader: l, namespaces: namespacesOf(v), processStack: running}
 	if s, ok := textOf(v.get("cwlVersion")); !ok {
 		l.fail(v.Pos, "cwlVersion", "is missing")
 	} else if s != Version {
@@ -67,7 +69,7 @@
 	return b.processOf(v, file, Requirements{})
 }
 
-// namespacesOf are the namespaces that a document declares, by prefix.
+// namespacesOf returns the namespaces that a document declares, keyed by prefix.
 func namespacesOf(v *value) map[string]string {
 	spaces := map[string]string{}
 	declared := v.get("$namespaces")
@@ -82,7 +84,8 @@
 	return spaces
 }
 
-// graphProcess builds a part of a $graph: without a name, the only one or "main".
+// graphProcess builds one process of a $graph. If part is empty, it builds the only process or else the one named
+// "main".
 func (b *builder) graphProcess(graph *value, file, part string, from Pos) *Process {
 	b.graph = map[string]*value{}
 	for _, x := range graph.items {
@@ -111,7 +114,7 @@
 	return b.processOf(x, file+"#"+shortID(part), Requirements{})
 }
 
-// objectKind is a kind of object of the language, by the fields that it may have.
+// objectKind is a kind of CWL object, which determines the permitted fields.
 type objectKind string
 
 const (
@@ -123,8 +126,8 @@
 	stepInputObject objectKind = "stepin"
 )
 
-// known are the fields of the language by the kind of object.
-var known = map[objectKind][]string{
+// allowedFields are the permitted fields for each kind of object.
+var allowedFields = map[objectKind][]string{
 	processObject: {
 		"id", "class", "label", "doc", "inputs", "outputs", "requirements", "hints", "cwlVersion",
 		"intent", "$namespaces", "$schemas", "$graph", "steps", "expression",
@@ -151,40 +154,41 @@
 	},
 }
 
-// check reports the fields of an object that none of the kinds has. Extensions, whose names have a prefix, are let be.
-func (b *builder) check(v *value, at string, kinds ...objectKind) {
+// check reports the fields of an object that none of the kinds permits. It accepts extension fields, whose names
+// contain a prefix.
+func (b *builder) check(v *value, path string, kinds ...objectKind) {
 	for _, f := range v.fields {
 		ok := strings.ContainsAny(f.key, ":")
 		for _, k := range kinds {
-			ok = ok || slices.Contains(known[k], f.key)
+			ok = ok || slices.Contains(allowedFields[k], f.key)
 		}
 		if !ok {
-			b.fail(f.at, join(at, f.key), "is no field of %s", Version)
+			b.fail(f.at, joinPath(path, f.key), "is no field of %s", Version)
 		}
 	}
 }
 
-// join is the path of a field of what is at a path.
-func join(at, key string) string {
-	if at == "" {
+// joinPath returns the path of the field key of the object at a path.
+func joinPath(path, key string) string {
+	if path == "" {
 		return key
 	}
-	return at + "." + key
+	return path + "." + key
 }
 
-// processOf builds a process, whose name must be unique among those that are being built. outer are the requirements
-// that it inherits.
+// processOf builds a process. Its name must differ from those of the processes that are being built, so that a
+// process that runs itself is detected. outer are the requirements that the process inherits.
 func (b *builder) processOf(v *value, name string, outer Requirements) *Process {
-	if slices.Contains(b.running, name) {
-		b.fail(v.Pos, "run", "runs itself: %s", strings.Join(append(b.running, name), ", "))
+	if slices.Contains(b.processStack, name) {
+		b.fail(v.Pos, "run", "runs itself: %s", strings.Join(append(b.processStack, name), ", "))
 		return nil
 	}
-	if len(b.running) > b.limits.Depth {
+	if len(b.processStack) > b.limits.Depth {
 		b.fail(v.Pos, "run", "processes run each other more than %d deep", b.limits.Depth)
 		return nil
 	}
-	b.running = append(b.running, name)
-	defer func() { b.running = b.running[:len(b.running)-1] }()
+	b.processStack = append(b.processStack, name)
+	defer func() { b.processStack = b.processStack[:len(b.processStack)-1] }()
 	p := &Process{Pos: v.Pos, src: v}
 	class, _ := textOf(v.get("class"))
 	p.Class = Class(class)
@@ -224,16 +228,17 @@
 	return p
 }
 
-// entry is an object with an id.
+// entry is an object with an ID.
 type entry struct {
 	id string
 	v  *value
 	at Pos
 }
 
-// idMap reads a list of objects with ids (in the field idKey), or an object by id. In the latter, a value that is no
-// object stands for the field short alone; "": for none.
-func (b *builder) idMap(v *value, at, idKey, short string) []entry {
+// idMap reads either a list of objects that hold their IDs in the field idKey, or an object keyed by ID. In an object
+// keyed by ID, a value that is not an object is shorthand for an entry whose only field is short. If short is empty,
+// the entry has no fields.
+func (b *builder) idMap(v *value, path, idKey, short string) []entry {
 	if v == nil || v.kind == scalar && v.data == nil {
 		return nil
 	}
@@ -241,7 +246,7 @@
 	switch v.kind {
 	case array:
 		for _, x := range v.items {
-			if e, ok := b.listEntry(x, at, idKey, short); ok {
+			if e, ok := b.listEntry(x, path, idKey, short); ok {
 				out = append(out, e)
 			}
 		}
@@ -250,20 +255,20 @@
 			out = append(out, fieldEntry(f, short))
 		}
 	default:
-		b.fail(v.Pos, at, "must be a list or an object")
+		b.fail(v.Pos, path, "must be a list or an object")
 	}
 	seen := map[string]bool{}
 	for _, e := range out {
 		if seen[e.id] && idKey != "class" {
-			b.fail(e.at, at, "%q is there twice", e.id)
+			b.fail(e.at, path, "%q is there twice", e.id)
 		}
 		seen[e.id] = true
 	}
 	return out
 }
 
-// listEntry reads an entry of a list. Where short is "", a text stands for an object with this id alone.
-func (b *builder) listEntry(x *value, at, idKey, short string) (e entry, ok bool) {
+// listEntry reads an entry of a list. If short is empty, a string is shorthand for an object that has only this ID.
+func (b *builder) listEntry(x *value, path, idKey, short string) (e entry, ok bool) {
 	id, hasID := textOf(x.get(idKey))
 	if x.kind == object && hasID {
 		if idKey == "id" || idKey == "name" {
@@ -274,14 +279,14 @@
 	if s, isText := x.text(); isText && short == "" {
 		return entry{shortID(s), &value{Pos: x.Pos, kind: object}, x.Pos}, true
 	}
-	b.fail(x.Pos, at, "needs %s", idKey)
+	b.fail(x.Pos, path, "needs %s", idKey)
 	return entry{}, false
 }
 
-// fieldEntry reads an entry of an object by id.
+// fieldEntry reads an entry of an object keyed by ID.
 func fieldEntry(f field, short string) entry {
 	x := f.v
-	isTypeItself := short == "type" && x.get("type") == nil // an object that is a type, not one with a type
+	isTypeItself := short == "type" && x.get("type") == nil // x is a type, not an entry with a type field
 	if x.kind == object && !isTypeItself {
 		return entry{f.key, x, f.at}
 	}
@@ -293,7 +298,7 @@
 	return entry{f.key, v, f.at}
 }
 
-// tool reads what only a CommandLineTool has.
+// tool reads the fields that are specific to a CommandLineTool.
 func (b *builder) tool(p *Process, v *value) {
 	p.BaseCommand = texts(v.get("baseCommand"))
 	if x := v.get("arguments"); x != nil {
@@ -322,21 +327,21 @@
 	}
 }
 
-// argument reads an argument of a tool: a text or number, or a binding with valueFrom.
-func (b *builder) argument(a *value, at string, req Requirements) Binding {
+// argument reads an argument of a tool: a string, a number, or a binding with valueFrom.
+func (b *builder) argument(a *value, path string, req Requirements) Binding {
 	if a.kind != object {
-		b.expr(a, at, req)
+		b.expr(a, path, req)
 		return Binding{ValueFrom: scalarText(a.data)}
 	}
-	binding := b.binding(a, at)
+	binding := b.binding(a, path)
 	if a.get("valueFrom") == nil {
-		b.fail(a.Pos, at, "an argument needs valueFrom")
+		b.fail(a.Pos, path, "an argument needs valueFrom")
 	}
-	b.expr(a.get("valueFrom"), at+".valueFrom", req)
+	b.expr(a.get("valueFrom"), path+".valueFrom", req)
 	return *binding
 }
 
-// Walk visits a process and all processes that its steps run, outer ones first.
+// Walk visits a process and all processes that its steps run. It visits a workflow before the processes of its steps.
 func (p *Process) Walk(visit func(*Process)) {
 	visit(p)
 	for _, s := range p.Steps {
--- a/cwl/ports.go
+++ b/cwl/ports.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// inputs reads the inputs of a process. defs are the types that it defines.
+// inputs reads the inputs of a process. defs are the types that the process defines.
 func (b *builder) inputs(p *Process, v *value, defs map[string]*Type) {
 	if v.get("inputs") == nil {
 		b.fail(v.Pos, "inputs", "is missing")
@@ -18,9 +18,9 @@
 }
 
 func (b *builder) input(p *Process, e entry, defs map[string]*Type) Input {
-	at := "inputs." + e.id
-	b.check(e.v, at, inputObject)
-	in := Input{Pos: e.at, ID: e.id, LoadContents: flag(e.v.get("loadContents"))}
+	path := "inputs." + e.id
+	b.check(e.v, path, inputObject)
+	in := Input{Pos: e.at, ID: e.id, LoadContents: boolOf(e.v.get("loadContents"))}
 	t := e.v.get("type")
 	name, _ := textOf(t)
 	switch {
@@ -28,27 +28,27 @@
 		in.Type = &Type{Name: "File"}
 		p.Stdin = "$(inputs." + e.id + ".path)"
 	case t == nil:
-		b.fail(e.at, at, "type is missing")
+		b.fail(e.at, path, "type is missing")
 		in.Type = &Type{Name: "Any"}
 	default:
-		in.Type = b.parseType(t, at, defs)
+		in.Type = b.parseType(t, path, defs)
 	}
 	if d := e.v.get("default"); d != nil {
 		in.Default, in.HasDefault = d.plain(), true
 		if err := checkValue(in.Type, in.Default); err != nil && in.Default != nil {
-			b.fail(d.Pos, at+".default", "%v", err)
+			b.fail(d.Pos, path+".default", "%v", err)
 		}
 	}
 	if x := e.v.get("inputBinding"); x != nil {
-		in.Binding = b.binding(x, at+".inputBinding")
-		b.expr(x.get("valueFrom"), at+".inputBinding.valueFrom", p.Req)
+		in.Binding = b.binding(x, path+".inputBinding")
+		b.expr(x.get("valueFrom"), path+".inputBinding.valueFrom", p.Req)
 		in.LoadContents = in.LoadContents || in.Binding.LoadContents
 	}
-	in.Secondary = b.secondary(e.v.get("secondaryFiles"), at+".secondaryFiles", p.Req)
+	in.Secondary = b.secondary(e.v.get("secondaryFiles"), path+".secondaryFiles", p.Req)
 	return in
 }
 
-// outputs reads the outputs of a process. defs are the types that it defines.
+// outputs reads the outputs of a process. defs are the types that the process defines.
 func (b *builder) outputs(p *Process, v *value, defs map[string]*Type) {
 	if v.get("outputs") == nil {
 		b.fail(v.Pos, "outputs", "is missing")
@@ -58,12 +58,12 @@
 	}
 }
 
-// output reads an output of the process that v describes.
+// output reads an output of the process whose source is v.
 func (b *builder) output(p *Process, v *value, e entry, defs map[string]*Type) Output {
-	at := "outputs." + e.id
-	b.check(e.v, at, outputObject)
+	path := "outputs." + e.id
+	b.check(e.v, path, outputObject)
 	o := Output{Pos: e.at, ID: e.id}
-	o.Secondary = b.secondary(e.v.get("secondaryFiles"), at+".secondaryFiles", p.Req)
+	o.Secondary = b.secondary(e.v.get("secondaryFiles"), path+".secondaryFiles", p.Req)
 	t := e.v.get("type")
 	switch name, _ := textOf(t); name {
 	case "stdout":
@@ -72,28 +72,28 @@
 		o.Type, o.Glob = &Type{Name: "File"}, []string{streamFile(&p.Stderr, v, name, p.ID, e.id)}
 	default:
 		if t == nil {
-			b.fail(e.at, at, "type is missing")
+			b.fail(e.at, path, "type is missing")
 		}
-		o.Type = b.parseType(t, at, defs)
+		o.Type = b.parseType(t, path, defs)
 	}
 	if x := e.v.get("outputBinding"); x != nil {
 		o.Glob = texts(x.get("glob"))
-		o.LoadContents = flag(x.get("loadContents"))
+		o.LoadContents = boolOf(x.get("loadContents"))
 		o.OutputEval, _ = textOf(x.get("outputEval"))
-		b.expr(x.get("glob"), at+".outputBinding.glob", p.Req)
-		b.expr(x.get("outputEval"), at+".outputBinding.outputEval", p.Req)
+		b.expr(x.get("glob"), path+".outputBinding.glob", p.Req)
+		b.expr(x.get("outputEval"), path+".outputBinding.outputEval", p.Req)
 	}
 	if p.Class == Flow {
-		o.Link = b.link(e.v, "outputSource", at)
+		o.Link = b.link(e.v, "outputSource", path)
 		if len(o.Link.Source) == 0 {
-			b.fail(e.at, at, "outputSource is missing")
+			b.fail(e.at, path, "outputSource is missing")
 		}
 	}
 	return o
 }
 
-// streamFile sets the file of a standard stream that is an output: the one that the tool v names, or one named after
-// the output.
+// streamFile sets and returns the file name of a standard stream that is used as an output. It is the name given in
+// the tool v, or else a name derived from the process and the output.
 func streamFile(name *string, v *value, stream, process, output string) string {
 	*name = process + "_" + output + "." + stream
 	if given, ok := textOf(v.get(stream)); ok {
@@ -102,8 +102,8 @@
 	return *name
 }
 
-// flag is the boolean that a value is, false if it is none.
-func flag(v *value) bool {
+// boolOf returns the boolean in a value, or false if the value is not a boolean.
+func boolOf(v *value) bool {
 	if v == nil {
 		return false
 	}
@@ -111,7 +111,7 @@
 	return ok
 }
 
-// texts are the texts that a value is or lists.
+// texts returns the strings in a value that is a string or a list.
 func texts(v *value) []string {
 	if v == nil {
 		return nil
@@ -129,7 +129,7 @@
 }
 
 // secondary reads secondaryFiles.
-func (b *builder) secondary(v *value, at string, req Requirements) []Secondary {
+func (b *builder) secondary(v *value, path string, req Requirements) []Secondary {
 	if v == nil {
 		return nil
 	}
@@ -141,15 +141,16 @@
 	for _, x := range items {
 		s := secondaryOf(x)
 		if s.Pattern == "" {
-			b.fail(x.Pos, at, "needs a pattern")
+			b.fail(x.Pos, path, "needs a pattern")
 		}
-		b.expr(&value{Pos: x.Pos, data: s.Pattern}, at, req)
+		b.expr(&value{Pos: x.Pos, data: s.Pattern}, path, req)
 		out = append(out, s)
 	}
 	return out
 }
 
-// secondaryOf reads one pattern: a text, with ? behind an optional one, or an object.
+// secondaryOf reads one entry of secondaryFiles: an object, or a pattern to which ? is appended if the file is
+// optional.
 func secondaryOf(x *value) (s Secondary) {
 	if text, ok := x.text(); ok {
 		if pattern, isOptional := strings.CutSuffix(text, "?"); isOptional {
@@ -173,8 +174,8 @@
 }
 
 // binding reads a CommandLineBinding.
-func (b *builder) binding(v *value, at string) *Binding {
-	bd := &Binding{LoadContents: flag(v.get("loadContents"))}
+func (b *builder) binding(v *value, path string) *Binding {
+	bd := &Binding{LoadContents: boolOf(v.get("loadContents"))}
 	if p := v.get("position"); p != nil {
 		bd.Position = fmt.Sprint(p.data)
 	}
@@ -191,13 +192,13 @@
 	}
 	for _, f := range v.fields {
 		if !slices.Contains(bindingFields, f.key) {
-			b.fail(f.at, join(at, f.key), "is no field of %s", Version)
+			b.fail(f.at, joinPath(path, f.key), "is no field of %s", Version)
 		}
 	}
 	return bd
 }
 
-// scalarText is a scalar as a text.
+// scalarText returns a scalar as a string.
 func scalarText(x any) string {
 	switch x := x.(type) {
 	case nil:
@@ -210,7 +211,7 @@
 	return fmt.Sprint(x)
 }
 
-// schemaDefs reads the types that a process defines in SchemaDefRequirement, by name.
+// schemaDefs reads the types that a process defines in SchemaDefRequirement, keyed by name.
 func (b *builder) schemaDefs(v *value) map[string]*Type {
 	defs := map[string]*Type{}
 	for _, list := range []string{"hints", "requirements"} {
@@ -223,12 +224,12 @@
 	return defs
 }
 
-// addSchemaDefs reads types that have names. One may refer to those before it.
-func (b *builder) addSchemaDefs(defs map[string]*Type, types []*value, at string) {
+// addSchemaDefs reads named types into defs. A type may refer to the types defined before it.
+func (b *builder) addSchemaDefs(defs map[string]*Type, types []*value, path string) {
 	for _, x := range types {
 		if name, ok := textOf(x.get("name")); ok {
 			id := shortID(name)
-			defs[id] = b.parseType(x, at+"."+id, defs)
+			defs[id] = b.parseType(x, path+"."+id, defs)
 		}
 	}
 }
--- a/cwl/requirements.go
+++ b/cwl/requirements.go
@@ -5,19 +5,21 @@
 	"strings"
 )
 
-// inherit adds to a process that is in a file of its own the requirements of the workflow above that it lacks.
-func inherit(p *Process, outer Requirements) {
-	p.Req = p.Req.under(outer)
+// inheritRequirements adds the requirements of the enclosing workflow to a process from another file and to its
+// steps. The requirements of the process itself take precedence.
+func inheritRequirements(p *Process, outer Requirements) {
+	p.Req = p.Req.withDefaults(outer)
 	for _, s := range p.Steps {
-		s.Req = s.Req.under(outer)
+		s.Req = s.Req.withDefaults(outer)
 		if s.Run != nil {
-			inherit(s.Run, s.Req)
+			inheritRequirements(s.Run, s.Req)
 		}
 	}
 }
 
-// under returns r with what it lacks taken from outer requirements.
-func (r Requirements) under(outer Requirements) Requirements {
+// withDefaults returns r with its unset requirements taken from outer. Environment variables are combined, and those
+// of r take precedence.
+func (r Requirements) withDefaults(outer Requirements) Requirements {
 	r.JS = r.JS || outer.JS
 	if len(r.Lib) == 0 {
 		r.Lib = outer.Lib
@@ -38,15 +40,15 @@
 	if r.Resources == nil {
 		r.Resources = outer.Resources
 	}
-	if r.WorkDir == nil && r.WorkDirAll == "" {
-		r.WorkDir, r.WorkDirAll = outer.WorkDir, outer.WorkDirAll
+	if r.WorkDir == nil && r.WorkDirExpr == "" {
+		r.WorkDir, r.WorkDirExpr = outer.WorkDir, outer.WorkDirExpr
 	}
-	r.Job = r.Job.Under(outer.Job)
+	r.Job = r.Job.WithDefaults(outer.Job)
 	return r
 }
 
-// ignored requirements change nothing about how a process runs here.
-var ignored = []string{
+// ignoredRequirements are the requirements that are accepted but do not affect how grebedock runs a process.
+var ignoredRequirements = []string{
 	"SubworkflowFeatureRequirement",
 	"ScatterFeatureRequirement",
 	"MultipleInputFeatureRequirement",
@@ -64,33 +66,33 @@
 	"coresMin", "coresMax", "ramMin", "ramMax", "tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax",
 }
 
-// requirements reads the requirements and hints of a process or step, and adds what it inherits. Requirements take
+// requirements reads the requirements and hints of a process or step, and adds the inherited ones. Requirements take
 // precedence over hints.
 func (b *builder) requirements(v *value, outer Requirements) Requirements {
 	r := Requirements{}
 	for _, list := range []string{"hints", "requirements"} {
 		for _, e := range b.idMap(v.get(list), list, "class", "") {
-			at := list + "." + e.id
+			path := list + "." + e.id
 			class := b.expandPrefix(e.id)
-			isKnown := b.requirement(&r, class, e, at, outer)
-			if !isKnown && list == "requirements" && !slices.Contains(ignored, class) {
-				b.fail(e.at, at, "is not supported")
+			isKnown := b.requirement(&r, class, e, path, outer)
+			if !isKnown && list == "requirements" && !slices.Contains(ignoredRequirements, class) {
+				b.fail(e.at, path, "is not supported")
 			}
 		}
 	}
-	return r.under(outer)
+	return r.withDefaults(outer)
 }
 
-// expandPrefix replaces the prefix of a declared namespace.
+// expandPrefix replaces the prefix of a declared namespace with the namespace.
 func (b *builder) expandPrefix(class string) string {
-	if prefix, rest, ok := strings.Cut(class, ":"); ok && b.spaces[prefix] != "" {
-		return b.spaces[prefix] + rest
+	if prefix, rest, ok := strings.Cut(class, ":"); ok && b.namespaces[prefix] != "" {
+		return b.namespaces[prefix] + rest
 	}
 	return class
 }
 
-// requirement reads one requirement into r, and reports whether its class is one that has an effect here.
-func (b *builder) requirement(r *Requirements, class string, e entry, at string, outer Requirements) (isKnown bool) {
+// requirement reads one requirement into r. It reports whether the class is one that this package implements.
+func (b *builder) requirement(r *Requirements, class string, e entry, path string, outer Requirements) (isKnown bool) {
 	switch class {
 	case "InlineJavascriptRequirement":
 		r.JS = true
@@ -98,46 +100,46 @@
 	case "ShellCommandRequirement":
 		r.Shell = true
 	case "DockerRequirement":
-		r.Image = b.image(e, at)
+		r.Image = b.image(e, path)
 	case "ToolTimeLimit":
 		if x := e.v.get("timelimit"); x != nil {
 			r.TimeLimit = x.data
-			b.expr(x, at+".timelimit", outer)
+			b.expr(x, path+".timelimit", outer)
 		}
 	case "EnvVarRequirement":
-		r.Env = append(r.Env, b.env(e.v.get("envDef"), at)...)
+		r.Env = append(r.Env, b.env(e.v.get("envDef"), path)...)
 	case "ResourceRequirement":
-		r.Resources = b.resources(e.v, at)
+		r.Resources = b.resources(e.v, path)
 	case "InitialWorkDirRequirement":
 		if e.v.get("listing") == nil {
-			b.fail(e.at, at, "needs listing")
+			b.fail(e.at, path, "needs listing")
 		} else {
-			b.workDir(e.v.get("listing"), at, r)
+			b.workDir(e.v.get("listing"), path, r)
 		}
 	case JobHintClass:
-		r.Job = b.jobHint(e.v, at)
+		r.Job = b.jobHint(e.v, path)
 	default:
 		return false
 	}
 	return true
 }
 
-func (b *builder) image(e entry, at string) string {
+func (b *builder) image(e entry, path string) string {
 	image, _ := textOf(e.v.get("dockerPull"))
 	if image == "" {
 		image, _ = textOf(e.v.get("dockerImageId"))
 	}
 	if image == "" {
-		b.fail(e.at, at, "needs dockerPull: images are not built or loaded here")
+		b.fail(e.at, path, "needs dockerPull: images are not built or loaded here")
 	}
 	return image
 }
 
-func (b *builder) env(defs *value, at string) (env []EnvVar) {
-	for _, d := range b.idMap(defs, at+".envDef", "envName", "envValue") {
+func (b *builder) env(defs *value, path string) (env []EnvVar) {
+	for _, d := range b.idMap(defs, path+".envDef", "envName", "envValue") {
 		x := d.v.get("envValue")
 		if x == nil {
-			b.fail(d.at, at, "%s needs envValue", d.id)
+			b.fail(d.at, path, "%s needs envValue", d.id)
 			continue
 		}
 		env = append(env, EnvVar{d.id, scalarText(x.data)})
@@ -145,14 +147,14 @@
 	return env
 }
 
-func (b *builder) resources(v *value, at string) map[string]any {
+func (b *builder) resources(v *value, path string) map[string]any {
 	resources := map[string]any{}
 	for _, f := range v.fields {
 		if f.key == "class" {
 			continue
 		}
 		if !slices.Contains(resourceFields, f.key) {
-			b.fail(f.at, at+"."+f.key, "is no field of %s", Version)
+			b.fail(f.at, path+"."+f.key, "is no field of %s", Version)
 		}
 		resources[f.key] = f.v.data
 	}
@@ -160,9 +162,9 @@
 }
 
 // workDir reads the listing of InitialWorkDirRequirement.
-func (b *builder) workDir(v *value, at string, r *Requirements) {
+func (b *builder) workDir(v *value, path string, r *Requirements) {
 	if s, ok := v.text(); ok {
-		r.WorkDirAll = s
+		r.WorkDirExpr = s
 		return
 	}
 	r.WorkDir = []Dirent{}
@@ -171,37 +173,37 @@
 			r.WorkDir = append(r.WorkDir, Dirent{Entry: s})
 			continue
 		}
-		d := Dirent{Writable: flag(x.get("writable"))}
+		d := Dirent{Writable: boolOf(x.get("writable"))}
 		d.Name, _ = textOf(x.get("entryname"))
 		d.Entry, _ = textOf(x.get("entry"))
 		if x.get("entry") == nil {
-			b.fail(x.Pos, at+".listing", "needs entry: files and directories written out are not taken")
+			b.fail(x.Pos, path+".listing", "needs entry: files and directories written out are not taken")
 		}
 		r.WorkDir = append(r.WorkDir, d)
 	}
 }
 
-// maxRetries is the most retries that a job hint may request.
+// maxRetries is the maximum number of retries that a job hint may request.
 const maxRetries = 1000
 
 // jobPriorities are the priorities that a job hint may request.
 var jobPriorities = []string{"low", "standard", "high", "production"}
 
-// jobHint reads grebedock's own hint.
-func (b *builder) jobHint(v *value, at string) *JobHint {
+// jobHint reads the grebedock job hint.
+func (b *builder) jobHint(v *value, path string) *JobHint {
 	h := &JobHint{}
 	for _, f := range v.fields {
 		isKnown, isValid := h.set(f)
 		if !isKnown {
-			b.fail(f.at, join(at, f.key), "is no field of the hint")
+			b.fail(f.at, joinPath(path, f.key), "is no field of the hint")
 		} else if !isValid {
-			b.fail(f.v.Pos, join(at, f.key), "has a wrong value")
+			b.fail(f.v.Pos, joinPath(path, f.key), "has a wrong value")
 		}
 	}
 	return h
 }
 
-// set sets a field of the hint, and reports whether there is such a field and whether it takes the value.
+// set sets a field of the hint. It reports whether the field exists and whether the value is valid.
 func (h *JobHint) set(f field) (isKnown, isValid bool) {
 	switch f.key {
 	case "class":
@@ -214,15 +216,15 @@
 		h.Priority, _ = f.v.text()
 		isValid = slices.Contains(jobPriorities, h.Priority)
 	case "deadline":
-		h.DeadlineS, isValid = f.v.amount()
+		h.DeadlineS, isValid = f.v.nonNegative()
 	case "estimate":
-		h.EstimateS, isValid = f.v.amount()
+		h.EstimateS, isValid = f.v.nonNegative()
 	case "imageSize":
-		h.ImageGB, isValid = f.v.amount()
+		h.ImageGB, isValid = f.v.nonNegative()
 	case "spot":
-		h.Spot, isValid = f.v.truth()
+		h.Spot, isValid = f.v.boolean()
 	case "once":
-		h.Once, isValid = f.v.truth()
+		h.Once, isValid = f.v.boolean()
 	case "retries":
 		n, ok := f.v.data.(int64)
 		isValid = ok && n >= 0 && n <= maxRetries
@@ -234,27 +236,27 @@
 	return true, isValid
 }
 
-// amount is the number that a value is; ok is false if it is none or negative.
-func (v *value) amount() (x float64, ok bool) {
+// nonNegative returns the number in a value. ok is false if the value is not a number or is negative.
+func (v *value) nonNegative() (x float64, ok bool) {
 	x, isNumber := toFloat(v.data)
 	isNegative := x < 0
 	return x, isNumber && !isNegative
 }
 
-// truth is the boolean that a value is; ok is false if it is none.
-func (v *value) truth() (x *bool, ok bool) {
+// boolean returns the boolean in a value. ok is false if the value is not a boolean.
+func (v *value) boolean() (x *bool, ok bool) {
 	t, ok := v.data.(bool)
 	return &t, ok
 }
 
-// expr checks a text, or a list of texts, that may contain expressions.
-func (b *builder) expr(v *value, at string, req Requirements) {
+// expr checks the expressions in a string or a list of strings.
+func (b *builder) expr(v *value, path string, req Requirements) {
 	if v == nil {
 		return
 	}
 	for _, s := range texts(v) {
 		if err := checkExpr(s, req); err != nil {
-			b.fail(v.Pos, at, "%v", err)
+			b.fail(v.Pos, path, "%v", err)
 		}
 	}
 }
--- a/cwl/steps.go
+++ b/cwl/steps.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// mergeMethods and pickMethods are the values of linkMerge and pickValue; empty: none is given.
+// mergeMethods and pickMethods are the permitted values of linkMerge and pickValue. The empty string means that the
+// field is not given.
 var (
 	mergeMethods = []string{"", "merge_nested", "merge_flattened"}
 	pickMethods  = []string{"", "first_non_null", "the_only_non_null", "all_non_null"}
 )
 
-// link reads where a value comes from. key is the field that names the sources.
-func (b *builder) link(v *value, key, at string) Link {
+// link reads the sources of a value and how they are combined. key is the field that names the sources.
+func (b *builder) link(v *value, key, path string) Link {
 	l := Link{Source: texts(v.get(key))}
 	if s := v.get(key); s != nil {
 		l.Listed = s.kind == array
@@ -24,21 +25,21 @@
 	l.Merge, _ = textOf(v.get("linkMerge"))
 	l.Pick, _ = textOf(v.get("pickValue"))
 	if !slices.Contains(mergeMethods, l.Merge) {
-		b.fail(v.get("linkMerge").Pos, at+".linkMerge", "%q is none of merge_nested, merge_flattened", l.Merge)
+		b.fail(v.get("linkMerge").Pos, path+".linkMerge", "%q is none of merge_nested, merge_flattened", l.Merge)
 	}
 	if !slices.Contains(pickMethods, l.Pick) {
 		pos := v.get("pickValue").Pos
-		b.fail(pos, at+".pickValue", "%q is none of first_non_null, the_only_non_null, all_non_null", l.Pick)
+		b.fail(pos, path+".pickValue", "%q is none of first_non_null, the_only_non_null, all_non_null", l.Pick)
 	}
 	return l
 }
 
-// flow reads what only a Workflow has: its steps, and their links. name is that of the process.
+// flow reads the fields that are specific to a Workflow: its steps and their links. name is the name of the process.
 func (b *builder) flow(p *Process, v *value, name string) {
 	if v.get("steps") == nil {
 		b.fail(v.Pos, "steps", "is missing")
 	}
-	l := &linker{builder: b, p: p, steps: map[string]*Step{}, after: map[*Step][]*Step{}}
+	l := &linker{builder: b, p: p, steps: map[string]*Step{}, dependencies: map[*Step][]*Step{}}
 	for _, e := range b.idMap(v.get("steps"), "steps", "id", "run") {
 		s := b.step(p, e, name)
 		l.steps[s.ID] = s
@@ -54,10 +55,10 @@
 		o := &p.Outputs[i]
 		l.connect(o.Pos, "outputs."+o.ID+".outputSource", &o.Link, o.Type, nil)
 	}
-	b.sortSteps(p, l.after)
+	b.sortSteps(p, l.dependencies)
 }
 
-// inputType is the type that the source of a step's input must have; nil: any.
+// inputType returns the type that the source of a step's input must have, or nil if any type is accepted.
 func (s *Step) inputType(in *StepIn) *Type {
 	if s.Run == nil || in.ValueFrom != "" {
 		return nil
@@ -76,21 +77,21 @@
 	return t
 }
 
-// optional is a type with null as one of its values.
+// optional returns the type that also accepts null.
 func optional(t *Type) *Type {
 	return &Type{Name: "union", Union: append([]*Type{{Name: "null"}}, t.options()...)}
 }
 
-// linker checks the links of a workflow's steps and outputs, and records which steps depend on which.
+// linker checks the links of the steps and outputs of a workflow, and records the dependencies between steps.
 type linker struct {
 	*builder
-	p     *Process
-	steps map[string]*Step
-	after map[*Step][]*Step // what a step depends on
+	p            *Process
+	steps        map[string]*Step
+	dependencies map[*Step][]*Step // the steps that each step depends on
 }
 
-// source is the type of what a link refers to, and the step that it is an output of, nil for an input of the workflow.
-// The type is nil if there is no such source.
+// source returns the type of the source with the given name, and the step whose output it is. The step is nil for an
+// input of the workflow. The type is nil if there is no such source.
 func (l *linker) source(name string) (*Type, *Step) {
 	parts := strings.Split(name, "/")
 	last := parts[len(parts)-1]
@@ -115,7 +116,7 @@
 	return s.outputType(t), s
 }
 
-// outputType is the type of a step's output, from the type of that output of the process that the step runs.
+// outputType returns the type of a step's output. t is the type of the same output of the process that the step runs.
 func (s *Step) outputType(t *Type) *Type {
 	if s.When != "" {
 		t = optional(t)
@@ -133,8 +134,10 @@
 	return t
 }
 
-// connect resolves a link, checks the type of its sources against the type that takes it (nil: any), and records what
-// the step that takes it (nil: the workflow) depends on.
+// connect resolves the sources of a link. If the link passes the value of a single source unchanged, connect checks
+// the type of the source against to, the type of the receiving input or output. A nil to accepts any type. If the
+// receiver is an input of a step s, connect records the steps on which s depends. For an output of the workflow, s is
+// nil.
 func (l *linker) connect(at Pos, field string, link *Link, to *Type, s *Step) {
 	for i, src := range link.Source {
 		t, from := l.source(src)
@@ -147,21 +150,21 @@
 		if from != nil {
 			link.Source[i] = from.ID + "/" + parts[len(parts)-1]
 			if s != nil {
-				l.after[s] = append(l.after[s], from)
+				l.dependencies[s] = append(l.dependencies[s], from)
 			}
 		}
-		if to != nil && link.plain() && !t.feeds(to) {
+		if to != nil && link.isPassThrough() && !t.compatibleWith(to) {
 			l.fail(at, field, "%s gives %s, which is not taken as %s", src, t, to)
 		}
 	}
 }
 
-// plain reports whether a link passes the value of a single source unchanged.
-func (l *Link) plain() bool {
+// isPassThrough reports whether a link passes the value of a single source unchanged.
+func (l *Link) isPassThrough() bool {
 	return l.Merge == "" && l.Pick == "" && len(l.Source) == 1 && !l.Listed
 }
 
-// visitState is how far the depth-first search of sortSteps has come with a step.
+// visitState is the state of a step in the depth-first search of sortSteps.
 type visitState int
 
 const (
@@ -170,8 +173,8 @@
 	visited
 )
 
-// sortSteps puts steps behind what they depend on; a cycle is an error.
-func (b *builder) sortSteps(p *Process, after map[*Step][]*Step) {
+// sortSteps sorts steps topologically, so that each step follows the steps that it depends on. A cycle is an error.
+func (b *builder) sortSteps(p *Process, dependencies map[*Step][]*Step) {
 	state := map[*Step]visitState{}
 	var out []*Step
 	var path []string
@@ -186,7 +189,7 @@
 		}
 		state[s] = onPath
 		path = append(path, s.ID)
-		for _, d := range after[s] {
+		for _, d := range dependencies[s] {
 			if !visit(d) {
 				return false
 			}
@@ -204,30 +207,31 @@
 	p.Steps = out
 }
 
-// step reads a step of a workflow. name is that of the workflow.
+// step reads a step of a workflow. name is the name of the workflow.
 func (b *builder) step(p *Process, e entry, name string) *Step {
-	at := "steps." + e.id
+	path := "steps." + e.id
 	s := &Step{Pos: e.at, ID: e.id, Out: []string{}}
-	b.check(e.v, at, stepObject)
+	b.check(e.v, path, stepObject)
 	s.Req = b.requirements(e.v, p.Req)
-	s.Run = b.stepProcess(e, at, name, s.Req)
-	b.stepInputs(s, e, at)
-	b.stepOutputs(s, e, at)
-	b.checkGiven(s, at)
-	b.stepScatter(s, e, at)
+	s.Run = b.stepProcess(e, path, name, s.Req)
+	b.stepInputs(s, e, path)
+	b.stepOutputs(s, e, path)
+	b.checkRequiredInputs(s, path)
+	b.stepScatter(s, e, path)
 	if w := e.v.get("when"); w != nil {
 		s.When = scalarText(w.data)
-		b.expr(w, at+".when", s.Req)
+		b.expr(w, path+".when", s.Req)
 	}
 	return s
 }
 
-// stepProcess reads the process that a step runs: written out, a part of the same file, or another file.
-func (b *builder) stepProcess(e entry, at, name string, req Requirements) *Process {
+// stepProcess reads the process that a step runs: an embedded object, a process in the $graph of the same file, or a
+// process in another file.
+func (b *builder) stepProcess(e entry, path, name string, req Requirements) *Process {
 	r := e.v.get("run")
 	switch {
 	case r == nil:
-		b.fail(e.at, at+".run", "is missing")
+		b.fail(e.at, path+".run", "is missing")
 		return nil
 	case r.kind == object:
 		return b.processOf(r, fmt.Sprintf("%s/%s", name, e.id), req)
@@ -239,58 +243,58 @@
 		return b.processOf(x, base+"#"+shortID(part), req)
 	}
 	if file == "" {
-		b.fail(r.Pos, at+".run", "%q names no process", ref)
+		b.fail(r.Pos, path+".run", "%q names no process", ref)
 		return nil
 	}
 	full := b.name(r.File, file, r.Pos)
 	if full == "" {
 		return nil
 	}
-	if slices.Contains(b.running, full) || slices.Contains(b.running, full+"#"+part) {
-		b.fail(r.Pos, at+".run", "runs itself: %s", strings.Join(append(b.running, full), ", "))
+	if slices.Contains(b.processStack, full) || slices.Contains(b.processStack, full+"#"+part) {
+		b.fail(r.Pos, path+".run", "runs itself: %s", strings.Join(append(b.processStack, full), ", "))
 		return nil
 	}
-	p := b.process(full, part, r.Pos, b.running)
+	p := b.process(full, part, r.Pos, b.processStack)
 	if p != nil {
-		inherit(p, req)
+		inheritRequirements(p, req)
 	}
 	return p
 }
 
 // stepInputs reads the inputs of a step.
-func (b *builder) stepInputs(s *Step, e entry, at string) {
-	for _, x := range b.idMap(e.v.get("in"), at+".in", "id", "source") {
-		iat := at + ".in." + x.id
-		b.check(x.v, iat, stepInputObject)
+func (b *builder) stepInputs(s *Step, e entry, path string) {
+	for _, x := range b.idMap(e.v.get("in"), path+".in", "id", "source") {
+		inputPath := path + ".in." + x.id
+		b.check(x.v, inputPath, stepInputObject)
 		in := StepIn{
 			Pos:          x.at,
 			ID:           x.id,
-			Link:         b.link(x.v, "source", iat),
-			LoadContents: flag(x.v.get("loadContents")),
+			Link:         b.link(x.v, "source", inputPath),
+			LoadContents: boolOf(x.v.get("loadContents")),
 		}
 		if d := x.v.get("default"); d != nil {
 			in.Default, in.HasDefault = d.plain(), true
 		}
 		if f := x.v.get("valueFrom"); f != nil {
 			in.ValueFrom = scalarText(f.data)
-			b.expr(f, iat+".valueFrom", s.Req)
+			b.expr(f, inputPath+".valueFrom", s.Req)
 		}
 		s.In = append(s.In, in)
 	}
 }
 
 // stepOutputs reads the outputs of a step.
-func (b *builder) stepOutputs(s *Step, e entry, at string) {
-	for _, x := range b.idMap(e.v.get("out"), at+".out", "id", "") {
+func (b *builder) stepOutputs(s *Step, e entry, path string) {
+	for _, x := range b.idMap(e.v.get("out"), path+".out", "id", "") {
 		s.Out = append(s.Out, x.id)
 		if s.Run != nil && s.Run.Output(x.id) == nil {
-			b.fail(x.at, at+".out", "%q is no output of what the step runs", x.id)
+			b.fail(x.at, path+".out", "%q is no output of what the step runs", x.id)
 		}
 	}
 }
 
-// checkGiven checks that a step gives a value to each input that the process it runs needs.
-func (b *builder) checkGiven(s *Step, at string) {
+// checkRequiredInputs checks that a step provides every required input of the process that it runs.
+func (b *builder) checkRequiredInputs(s *Step, path string) {
 	if s.Run == nil {
 		return
 	}
@@ -299,23 +303,23 @@
 			continue
 		}
 		if !s.hasInput(in.ID) {
-			b.fail(s.Pos, at+".in", "the input %q of what the step runs gets no value", in.ID)
+			b.fail(s.Pos, path+".in", "the input %q of what the step runs gets no value", in.ID)
 		}
 	}
 }
 
-// hasInput reports whether a step has an input of this name.
+// hasInput reports whether a step has an input with this ID.
 func (s *Step) hasInput(input string) bool {
 	return slices.ContainsFunc(s.In, func(in StepIn) bool { return in.ID == input })
 }
 
-// stepScatter reads over which inputs a step is scattered, and how.
-func (b *builder) stepScatter(s *Step, e entry, at string) {
+// stepScatter reads the inputs over which a step is scattered, and the scatter method.
+func (b *builder) stepScatter(s *Step, e entry, path string) {
 	s.Scatter = texts(e.v.get("scatter"))
 	for i, x := range s.Scatter {
 		s.Scatter[i] = shortID(x)
 		if !s.hasInput(s.Scatter[i]) {
-			b.fail(e.v.get("scatter").Pos, at+".scatter", "%q is no input of the step", x)
+			b.fail(e.v.get("scatter").Pos, path+".scatter", "%q is no input of the step", x)
 		}
 	}
 	s.Method, _ = textOf(e.v.get("scatterMethod"))
@@ -324,6 +328,6 @@
 	}
 	isKnown := slices.Contains([]string{dotProduct, nestedProduct, flatProduct}, s.Method)
 	if len(s.Scatter) > 1 && !isKnown {
-		b.fail(e.at, at+".scatterMethod", "must be one of dotproduct, nested_crossproduct, flat_crossproduct")
+		b.fail(e.at, path+".scatterMethod", "must be one of dotproduct, nested_crossproduct, flat_crossproduct")
 	}
 }
--- a/workflow/evaluation.go
+++ b/workflow/evaluation.go
@@ -247,7 +247,7 @@
 	f.steps[s.ID] = st
 	in, err := s.StepInputs(f.valueOf)
 	if err == nil {
-		st.scatter, err = s.Deal(in)
+		st.scatter, err = s.ScatterInputs(in)
 	}
 	if err != nil {
 		r.fail(path, err)
@@ -294,7 +294,7 @@
 func (c *Call) addSlot(slot int, path string, inputs map[string]any) (*frame, error) {
 	st := c.step
 	s := st.step
-	inputs, run, err := s.Finish(inputs)
+	inputs, run, err := s.EvalTaskInputs(inputs)
 	if err != nil {
 		return nil, err
 	}
@@ -302,7 +302,7 @@
 		st.missingValues--
 		return nil, nil
 	}
-	if inputs, err = s.Run.ForRun(inputs); err != nil {
+	if inputs, err = s.Run.SelectInputs(inputs); err != nil {
 		return nil, err
 	}
 	switch s.Run.Class {
--- a/workflow/evaluation_test.go
+++ b/workflow/evaluation_test.go
@@ -176,13 +176,13 @@
 		if err != nil {
 			return nil, err
 		}
-		sc, err := s.Deal(inputs)
+		sc, err := s.ScatterInputs(inputs)
 		if err != nil {
 			return nil, err
 		}
 		results := map[string][]any{}
 		for _, x := range sc.Inputs {
-			x, run, err := s.Finish(x)
+			x, run, err := s.EvalTaskInputs(x)
 			if err != nil {
 				return nil, err
 			}
