--- a/access/access.go
+++ b/access/access.go
@@ -1,11 +1,11 @@
 // Package access tracks a member's access to the state service. It keeps the member's lease alive and
-// its mirror (the local cache of the shared records) current, monitors the outcomes of requests (the
-// link), and derives from these the member's authority to act for its shards.
+// its state cache (the local copy of the shared records) current, monitors the outcomes of requests
+// (the link), and derives from these the member's authority to act for its shards.
 //
 // The package owns only the states below. It is a pure state machine: time is an input, in
 // milliseconds of one monotonic clock. Tick returns at most one request for the lease and one for the
-// mirror at a time, and the caller reports the outcome of each. A LeaseKeeper is used by one goroutine
-// at a time. The package assumes that the service counts a lease from the arrival of the request that
+// state cache at a time, and the caller reports the outcome of each. A LeaseKeeper is used by one
+// goroutine at a time. The package assumes that the service counts a lease from the arrival of the request that
 // grants or renews it, hence not from before its sending, and that clocks drift apart by at most
 // Settings.MaxClockDrift. It guarantees that authority ends before the lease can have expired, and that
 // the state machine never gets stuck, whatever the outcomes. It tolerates a service that is slow,
@@ -22,17 +22,17 @@
 //	Renewing   NotFound, Gone  Absent     grant immediately; the records under the lease are lost
 //	Renewing   any other       Granted    retry after the retry interval
 //
-// States of the mirror:
+// States of the state cache:
 //
-//	from              input         to        request
-//	Unsynced          due           Listing   list all records
-//	Listing           OK            Synced    watch immediately
-//	Listing           any other     Unsynced  retry after the retry interval
-//	Synced            due           Watching  watch
-//	Watching          OK            Synced    next watch after a pause
-//	Watching          Gone          Unsynced  list immediately
-//	Watching          any other     Synced    retry after 3/5 of the retry interval and jitter
-//	Synced, Watching  ResyncMirror  Unsynced  list immediately
+//	from              input        to        request
+//	Unsynced          due          Listing   list all records
+//	Listing           OK           Synced    watch immediately
+//	Listing           any other    Unsynced  retry after the retry interval
+//	Synced            due          Watching  watch
+//	Watching          OK           Synced    next watch after a pause
+//	Watching          Gone         Unsynced  list immediately
+//	Watching          any other    Synced    retry after 3/5 of the retry interval and jitter
+//	Synced, Watching  ResyncCache  Unsynced  list immediately
 //
 // States of the link. The inputs are the outcomes of all requests except watches, and the latency of
 // the requests that are not queued when the member reaches its own rate limit:
--- a/access/fault_history_test.go
+++ b/access/fault_history_test.go
@@ -15,11 +15,11 @@
 		LeaseGranted:   {LeaseRenewing},
 		LeaseRenewing:  {LeaseGranted, LeaseAbsent},
 	}
-	mirrorTransitions = map[MirrorState][]MirrorState{
-		MirrorUnsynced: {MirrorListing},
-		MirrorListing:  {MirrorSynced, MirrorUnsynced},
-		MirrorSynced:   {MirrorWatching, MirrorUnsynced},
-		MirrorWatching: {MirrorSynced, MirrorUnsynced},
+	cacheTransitions = map[CacheState][]CacheState{
+		CacheUnsynced: {CacheListing},
+		CacheListing:  {CacheSynced, CacheUnsynced},
+		CacheSynced:   {CacheWatching, CacheUnsynced},
+		CacheWatching: {CacheSynced, CacheUnsynced},
 	}
 	linkTransitions = map[LinkState][]LinkState{
 		LinkUp:       {LinkDoubtful, LinkRefused, LinkSilent},
@@ -31,13 +31,13 @@
 
 // seenTransitions is the set of transitions in all histories.
 type seenTransitions struct {
-	lease  map[[2]LeaseState]bool
-	mirror map[[2]MirrorState]bool
-	link   map[[2]LinkState]bool
+	lease map[[2]LeaseState]bool
+	cache map[[2]CacheState]bool
+	link  map[[2]LinkState]bool
 }
 
 func newSeenTransitions() *seenTransitions {
-	return &seenTransitions{map[[2]LeaseState]bool{}, map[[2]MirrorState]bool{}, map[[2]LinkState]bool{}}
+	return &seenTransitions{map[[2]LeaseState]bool{}, map[[2]CacheState]bool{}, map[[2]LinkState]bool{}}
 }
 
 func isAllowed[S comparable](transitions map[S][]S, from, to S) bool {
@@ -58,28 +58,28 @@
 type requestKind string
 
 const (
-	leaseRequest  requestKind = "lease"
-	mirrorRequest requestKind = "mirror"
-	otherRequest  requestKind = "other"
+	leaseRequest requestKind = "lease"
+	cacheRequest requestKind = "cache"
+	otherRequest requestKind = "other"
 )
 
 type request struct {
-	id     RequestID
-	sentAt int64
-	kind   requestKind
-	readID uint64
+	id        RequestID
+	sentAt    int64
+	kind      requestKind
+	refreshID uint64
 }
 
 // faultHistory is a LeaseKeeper and a service that responds, refuses, does not respond and loses leases,
 // in any order.
 type faultHistory struct {
-	t             *rapid.T
-	seen          *seenTransitions
-	keeper        *LeaseKeeper
-	now           int64
-	inFlight      []request
-	leaseProofAt  int64
-	mirrorProofAt int64
+	t            *rapid.T
+	seen         *seenTransitions
+	keeper       *LeaseKeeper
+	now          int64
+	inFlight     []request
+	leaseProofAt int64
+	cacheProofAt int64
 }
 
 // checkInvariants checks the transition from the state before an input, and the authority.
@@ -88,35 +88,35 @@
 	if !isAllowed(leaseTransitions, from, to) {
 		h.t.Fatalf("lease: unexpected transition from %v to %v", from, to)
 	}
-	mirrorFrom, mirrorTo := before.mirror.state, h.keeper.mirror.state
-	if !isAllowed(mirrorTransitions, mirrorFrom, mirrorTo) {
-		h.t.Fatalf("mirror: unexpected transition from %v to %v", mirrorFrom, mirrorTo)
+	cacheFrom, cacheTo := before.cache.state, h.keeper.cache.state
+	if !isAllowed(cacheTransitions, cacheFrom, cacheTo) {
+		h.t.Fatalf("cache: unexpected transition from %v to %v", cacheFrom, cacheTo)
 	}
 	linkFrom, linkTo := before.link.state, h.keeper.link.state
 	if !isAllowed(linkTransitions, linkFrom, linkTo) {
 		h.t.Fatalf("link: unexpected transition from %v to %v", linkFrom, linkTo)
 	}
 	h.seen.lease[[2]LeaseState{from, to}] = true
-	h.seen.mirror[[2]MirrorState{mirrorFrom, mirrorTo}] = true
+	h.seen.cache[[2]CacheState{cacheFrom, cacheTo}] = true
 	h.seen.link[[2]LinkState{linkFrom, linkTo}] = true
 
 	driftMS := int64(float64(testSettings.LeaseTTLMS) * testSettings.MaxClockDrift)
 	validMS := testSettings.LeaseTTLMS - driftMS - testSettings.AuthoritySlackMS
-	if h.keeper.HasAuthority(h.now) && h.now >= min(h.leaseProofAt, h.mirrorProofAt)+validMS {
-		h.t.Fatalf("authority at %d with proofs sent at %d and %d", h.now, h.leaseProofAt, h.mirrorProofAt)
+	if h.keeper.HasAuthority(h.now) && h.now >= min(h.leaseProofAt, h.cacheProofAt)+validMS {
+		h.t.Fatalf("authority at %d with proofs sent at %d and %d", h.now, h.leaseProofAt, h.cacheProofAt)
 	}
 }
 
-// send records a request. It checks that no other lease or mirror request of the same kind is in flight,
-// except for a mirror read that was superseded.
-func (h *faultHistory) send(kind requestKind, readID uint64) {
+// send records a request. It checks that no other lease or cache request of the same kind is in flight,
+// except for a cache refresh that was superseded.
+func (h *faultHistory) send(kind requestKind, refreshID uint64) {
 	for _, r := range h.inFlight {
-		superseded := kind == mirrorRequest && r.readID < readID
+		superseded := kind == cacheRequest && r.refreshID < refreshID
 		if r.kind == kind && kind != otherRequest && !superseded {
 			h.t.Fatalf("two %s requests in flight", kind)
 		}
 	}
-	h.inFlight = append(h.inFlight, request{h.keeper.BeginRequest(h.now), h.now, kind, readID})
+	h.inFlight = append(h.inFlight, request{h.keeper.BeginRequest(h.now), h.now, kind, refreshID})
 }
 
 func (h *faultHistory) tick() {
@@ -125,8 +125,8 @@
 	if action.GrantLease || action.RenewLease != 0 {
 		h.send(leaseRequest, 0)
 	}
-	if action.ListMirror || action.WatchMirror {
-		h.send(mirrorRequest, action.ReadID)
+	if action.ListRecords || action.WatchRecords {
+		h.send(cacheRequest, action.RefreshID)
 	}
 }
 
@@ -150,9 +150,9 @@
 	switch r.kind {
 	case leaseRequest:
 		h.completeLeaseRequest(r, outcome)
-	case mirrorRequest:
-		if h.keeper.CompleteMirrorRead(h.now, r.readID, outcome, 0.5) && outcome == OK {
-			h.mirrorProofAt = max(h.mirrorProofAt, r.sentAt)
+	case cacheRequest:
+		if h.keeper.CompleteCacheRefresh(h.now, r.refreshID, outcome, 0.5) && outcome == OK {
+			h.cacheProofAt = max(h.cacheProofAt, r.sentAt)
 		}
 	}
 	h.checkInvariants(before)
@@ -177,7 +177,7 @@
 	case 2:
 		h.send(otherRequest, 0)
 	case 3:
-		h.keeper.ResyncMirror(h.now)
+		h.keeper.ResyncCache(h.now)
 	case 4:
 		h.keeper.Link(h.now)
 	case 5:
@@ -188,23 +188,23 @@
 }
 
 // checkNotStuck ends all requests in flight without a response. Then a request for the lease and one for
-// the mirror must become due.
+// the cache must become due.
 func (h *faultHistory) checkNotStuck() {
 	for _, r := range h.inFlight {
 		h.keeper.CompleteRequest(h.now, r.id, 0, Unknown)
 		switch r.kind {
 		case leaseRequest:
 			h.keeper.CompleteLeaseRequest(h.now, Unknown, 0)
-		case mirrorRequest:
-			h.keeper.CompleteMirrorRead(h.now, r.readID, Unknown, 0.5)
+		case cacheRequest:
+			h.keeper.CompleteCacheRefresh(h.now, r.refreshID, Unknown, 0.5)
 		}
 	}
 	h.now += h.keeper.RenewIntervalMS() + testSettings.RequestTimeoutMS
 	action := h.keeper.Tick(h.now)
 	wantsLease := action.GrantLease || action.RenewLease != 0
-	wantsMirror := action.ListMirror || action.WatchMirror
-	if !wantsLease || !wantsMirror {
-		h.t.Fatalf("stuck with lease %v, mirror %v", h.keeper.lease.state, h.keeper.mirror.state)
+	wantsRefresh := action.ListRecords || action.WatchRecords
+	if !wantsLease || !wantsRefresh {
+		h.t.Fatalf("stuck with lease %v, cache %v", h.keeper.lease.state, h.keeper.cache.state)
 	}
 	if sentAt, ok := h.keeper.link.inFlight.oldest(0); ok {
 		h.t.Fatalf("request sent at %d is still counted as in flight", sentAt)
@@ -212,7 +212,7 @@
 }
 
 // Tests that only listed transitions occur under any behavior of the service. At most one request for the
-// lease and one for the mirror are in flight, authority requires two recent proofs, and neither gets stuck.
+// lease and one for the cache are in flight, authority requires two recent proofs, and neither gets stuck.
 func TestOnlyListedTransitionsUnderAnyServiceBehavior(t *testing.T) {
 	seen := newSeenTransitions()
 	rapid.Check(t, func(t *rapid.T) {
@@ -224,5 +224,5 @@
 	})
 	checkAllSeen(t, "link", linkTransitions, seen.link)
 	checkAllSeen(t, "lease", leaseTransitions, seen.lease)
-	checkAllSeen(t, "mirror", mirrorTransitions, seen.mirror)
+	checkAllSeen(t, "cache", cacheTransitions, seen.cache)
 }
--- a/access/lease_keeper.go
+++ b/access/lease_keeper.go
@@ -11,15 +11,15 @@
 	LeaseRenewing
 )
 
-// MirrorState is the state of the mirror.
-type MirrorState int
+// CacheState is the synchronization state of the member's state cache.
+type CacheState int
 
-// The states of the mirror.
+// The states of the state cache.
 const (
-	MirrorUnsynced MirrorState = iota
-	MirrorListing
-	MirrorSynced
-	MirrorWatching
+	CacheUnsynced CacheState = iota
+	CacheListing
+	CacheSynced
+	CacheWatching
 )
 
 const (
@@ -29,11 +29,11 @@
 	watchJitterDivisor = 10  // divides the request timeout: jitter that spreads retries of watches that failed together
 )
 
-// LeaseKeeper is the state of a member's lease, mirror and link. Use NewLeaseKeeper to create one.
+// LeaseKeeper is the state of a member's lease, state cache and link. Use NewLeaseKeeper to create one.
 type LeaseKeeper struct {
 	settings Settings
 	lease    lease
-	mirror   mirror
+	cache    cache
 	link     linkMonitor
 }
 
@@ -45,12 +45,12 @@
 	nextRequestAt int64
 }
 
-type mirror struct {
-	state         MirrorState
-	readSentAt    int64 // when the last successful list or watch was sent
+type cache struct {
+	state         CacheState
+	refreshSentAt int64 // when the last successful list or watch was sent
 	pendingSentAt int64 // when the list or watch in flight was sent
-	readID        uint64
-	nextReadAt    int64
+	refreshID     uint64
+	nextRefreshAt int64
 }
 
 // NewLeaseKeeper returns the state of a member that has just started.
@@ -66,46 +66,47 @@
 // LeaseID returns the ID of the lease, or 0 if there is none.
 func (k *LeaseKeeper) LeaseID() uint64 { return k.lease.id }
 
-// IsSynced reports whether the mirror has been listed.
-func (k *LeaseKeeper) IsSynced() bool { return k.mirror.state >= MirrorSynced }
+// IsSynced reports whether the state cache has been loaded by a list.
+func (k *LeaseKeeper) IsSynced() bool { return k.cache.state >= CacheSynced }
 
-// MirrorReadSentAt returns when the last successful read of the mirror was sent.
-func (k *LeaseKeeper) MirrorReadSentAt() int64 { return k.mirror.readSentAt }
+// CacheRefreshSentAt returns when the last successful refresh of the state cache (a list or a watch) was
+// sent.
+func (k *LeaseKeeper) CacheRefreshSentAt() int64 { return k.cache.refreshSentAt }
 
 // HasAuthority reports whether the member may act for its shards. Authority counts from the sending of
-// the last successful renewal or of the last successful mirror read, whichever is earlier, since one of
-// them may be stuck while the other works.
+// the last successful renewal or of the last successful refresh of the state cache, whichever is
+// earlier, since one of them may be stuck while the other works.
 func (k *LeaseKeeper) HasAuthority(now int64) bool {
 	if k.lease.id == 0 || !k.IsSynced() {
 		return false
 	}
-	provenAt := min(k.lease.renewalSentAt, k.mirror.readSentAt)
+	provenAt := min(k.lease.renewalSentAt, k.cache.refreshSentAt)
 	driftMS := int64(float64(k.settings.LeaseTTLMS) * k.settings.MaxClockDrift)
 	return now < provenAt+k.settings.LeaseTTLMS-driftMS-k.settings.AuthoritySlackMS
 }
 
 // SetState sets a lease that a request sent at renewalSentAt granted or renewed (leaseID 0: no lease),
-// and a mirror whose last read was sent at mirrorReadSentAt. It is for tests of code that depends on a
-// LeaseKeeper.
-func (k *LeaseKeeper) SetState(leaseID uint64, renewalSentAt, mirrorReadSentAt int64) {
+// and a state cache whose last refresh was sent at cacheRefreshSentAt. It is for tests of code that
+// depends on a LeaseKeeper.
+func (k *LeaseKeeper) SetState(leaseID uint64, renewalSentAt, cacheRefreshSentAt int64) {
 	k.lease.state, k.lease.id, k.lease.renewalSentAt = LeaseAbsent, leaseID, renewalSentAt
 	if leaseID != 0 {
 		k.lease.state = LeaseGranted
 	}
-	k.mirror.state, k.mirror.readSentAt = MirrorSynced, mirrorReadSentAt
+	k.cache.state, k.cache.refreshSentAt = CacheSynced, cacheRefreshSentAt
 }
 
 // Action lists the requests to send to the service.
 type Action struct {
-	GrantLease  bool
-	RenewLease  uint64 // the lease to renew, 0: none
-	ListMirror  bool
-	WatchMirror bool
-	ReadID      uint64 // ID of the list or watch
+	GrantLease   bool
+	RenewLease   uint64 // the lease to renew, 0: none
+	ListRecords  bool   // list all shared records, to load the state cache
+	WatchRecords bool   // watch the shared records, to update the state cache
+	RefreshID    uint64 // ID of the list or watch
 }
 
 // Tick returns the requests that are due at now and marks them as in flight. The caller reports the
-// outcome of each, once, with CompleteLeaseRequest or CompleteMirrorRead.
+// outcome of each, once, with CompleteLeaseRequest or CompleteCacheRefresh.
 func (k *LeaseKeeper) Tick(now int64) (action Action) {
 	if now >= k.lease.nextRequestAt {
 		switch k.lease.state {
@@ -117,23 +118,23 @@
 			action.RenewLease = k.lease.id
 		}
 	}
-	if now >= k.mirror.nextReadAt {
-		switch k.mirror.state {
-		case MirrorUnsynced:
-			k.mirror.begin(MirrorListing, now)
-			action.ListMirror = true
-		case MirrorSynced:
-			k.mirror.begin(MirrorWatching, now)
-			action.WatchMirror = true
+	if now >= k.cache.nextRefreshAt {
+		switch k.cache.state {
+		case CacheUnsynced:
+			k.cache.begin(CacheListing, now)
+			action.ListRecords = true
+		case CacheSynced:
+			k.cache.begin(CacheWatching, now)
+			action.WatchRecords = true
 		}
 	}
-	action.ReadID = k.mirror.readID
+	action.RefreshID = k.cache.refreshID
 	return action
 }
 
-func (m *mirror) begin(state MirrorState, now int64) {
-	m.state, m.pendingSentAt = state, now
-	m.readID++
+func (c *cache) begin(state CacheState, now int64) {
+	c.state, c.pendingSentAt = state, now
+	c.refreshID++
 }
 
 // CompleteLeaseRequest processes the outcome of the request that grants or renews the lease. grantedID is
@@ -167,35 +168,38 @@
 	k.lease.nextRequestAt = now + k.RenewIntervalMS()
 }
 
-// CompleteMirrorRead processes the outcome of a list or a watch. A read that ResyncMirror has superseded
-// is not current, and the caller drops its result. jitter, in [0,1), spreads the retries of members whose
-// reads failed together.
-func (k *LeaseKeeper) CompleteMirrorRead(now int64, readID uint64, outcome Outcome, jitter float64) (current bool) {
-	mirror := &k.mirror
-	listing := mirror.state == MirrorListing
-	if readID != mirror.readID || !listing && mirror.state != MirrorWatching {
+// CompleteCacheRefresh processes the outcome of a list or a watch. A refresh that ResyncCache has
+// superseded is not current, and the caller drops its result. jitter, in [0,1), spreads the retries of
+// members whose refreshes failed together.
+func (k *LeaseKeeper) CompleteCacheRefresh(
+	now int64, refreshID uint64, outcome Outcome, jitter float64,
+) (current bool) {
+	cache := &k.cache
+	listing := cache.state == CacheListing
+	if refreshID != cache.refreshID || !listing && cache.state != CacheWatching {
 		return false
 	}
 	switch {
 	case listing && outcome == OK:
-		mirror.state, mirror.readSentAt, mirror.nextReadAt = MirrorSynced, mirror.pendingSentAt, now
+		cache.state, cache.refreshSentAt, cache.nextRefreshAt = CacheSynced, cache.pendingSentAt, now
 	case listing:
-		mirror.state, mirror.nextReadAt = MirrorUnsynced, now+k.retryIntervalMS()
+		cache.state, cache.nextRefreshAt = CacheUnsynced, now+k.retryIntervalMS()
 	case outcome == OK:
-		mirror.state, mirror.readSentAt = MirrorSynced, max(mirror.readSentAt, mirror.pendingSentAt)
-		mirror.nextReadAt = now + k.settings.LeaseTTLMS/watchPauseDivisor
+		cache.state, cache.refreshSentAt = CacheSynced, max(cache.refreshSentAt, cache.pendingSentAt)
+		cache.nextRefreshAt = now + k.settings.LeaseTTLMS/watchPauseDivisor
 	case outcome == Gone:
-		mirror.state, mirror.nextReadAt = MirrorUnsynced, now
+		cache.state, cache.nextRefreshAt = CacheUnsynced, now
 	default:
 		jitterMS := int64(jitter * float64(k.settings.RequestTimeoutMS/watchJitterDivisor))
-		mirror.state, mirror.nextReadAt = MirrorSynced, now+k.retryIntervalMS()*3/5+jitterMS
+		cache.state, cache.nextRefreshAt = CacheSynced, now+k.retryIntervalMS()*3/5+jitterMS
 	}
 	return true
 }
 
-// ResyncMirror lists the mirror again. The caller uses it when the mirror contradicts other information.
-func (k *LeaseKeeper) ResyncMirror(now int64) {
-	if k.mirror.state >= MirrorSynced {
-		k.mirror.state, k.mirror.nextReadAt = MirrorUnsynced, now
+// ResyncCache reloads the state cache by a new list. The caller uses it when the cache contradicts other
+// information.
+func (k *LeaseKeeper) ResyncCache(now int64) {
+	if k.cache.state >= CacheSynced {
+		k.cache.state, k.cache.nextRefreshAt = CacheUnsynced, now
 	}
 }
--- a/access/lease_keeper_test.go
+++ b/access/lease_keeper_test.go
@@ -97,13 +97,13 @@
 		keeper.SetState(1, 100, 100)
 		sentAt := int64(200)
 		action := keeper.Tick(sentAt)
-		if !action.WatchMirror {
+		if !action.WatchRecords {
 			t.Fatal("got no watch request")
 		}
 		keeper.CompleteLeaseRequest(sentAt+delayMS, OK, 0) // renewed by a request sent at 200
-		current := keeper.CompleteMirrorRead(sentAt+delayMS, action.ReadID, OK, 0)
-		if got := keeper.MirrorReadSentAt(); !current || got != sentAt {
-			t.Errorf("delayed by %d ms: got current %v, mirror read sent at %d, want true, %d",
+		current := keeper.CompleteCacheRefresh(sentAt+delayMS, action.RefreshID, OK, 0)
+		if got := keeper.CacheRefreshSentAt(); !current || got != sentAt {
+			t.Errorf("delayed by %d ms: got current %v, cache refresh sent at %d, want true, %d",
 				delayMS, current, got, sentAt)
 		}
 		authorityEnd := sentAt + settings.LeaseTTLMS
--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -6,7 +6,7 @@
 // simulated time.
 //
 // A Controller owns the shards that it has claimed in the state service: their machines,
-// their task ranges and the scheduling decisions for them. It also keeps a replica of
+// their task ranges and the scheduling decisions for them. It also keeps a cache of
 // all live records (stateCache), which may lag behind the state service.
 //
 // The Controller assumes that calls are serialized, that Now.MonotonicMS never
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -14,7 +14,7 @@
 )
 
 // Keys in the state service. All live records are under one prefix. Every member watches
-// this prefix and keeps a replica of it (stateCache). Members read progress and terminal
+// this prefix and keeps a cache of it (stateCache). Members read progress and terminal
 // states only when needed, so that these do not use memory in every member. The keys and
 // the JSON encoding of the records are fixed because members of different versions share
 // them.
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -79,7 +79,7 @@
 // enough to decide on it.
 func (sm *shardManager) canClaimNow(name string) bool {
 	now := sm.now.MonotonicMS
-	cacheAgeMS := now - sm.store.storeAccess.MirrorReadSentAt()
+	cacheAgeMS := now - sm.store.storeAccess.CacheRefreshSentAt()
 	return now >= sm.claimRetryAtMS[name] && cacheAgeMS <= sm.store.leaseRenewalIntervalMS()*3
 }
 
--- a/scheduler/shared_reads_test.go
+++ b/scheduler/shared_reads_test.go
@@ -108,7 +108,7 @@
 	ctrl.now.MonotonicMS = ctrl.requests.queryBatcher.nextBatchAtMS
 	ctrl.requests.sendQueryBatch()
 	id := ctrl.TakeOutputs().StoreOps[0].ID
-	ctrl.store.storeAccess.ResyncMirror(ctrl.now.MonotonicMS)
+	ctrl.store.storeAccess.ResyncCache(ctrl.now.MonotonicMS)
 	ctrl.HandleStoreResult(ctrl.now, id, StoreResult{Outcome: OK, Rev: 90})
 	if outputs := ctrl.TakeOutputs(); len(outputs.UserResponses) > 0 || len(outputs.StoreOps) != 5 {
 		t.Errorf("%d responses, %d reads; want 0 and 5", len(outputs.UserResponses), len(outputs.StoreOps))
--- a/scheduler/state_cache.go
+++ b/scheduler/state_cache.go
@@ -10,7 +10,7 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// stateCache is the member's replica of all live records in the state service. It is
+// stateCache is the member's cache of all live records in the state service. It is
 // updated by an initial list, then by watches, and by the results of this member's own
 // requests. It owns the revisions of all keys and the records that several components
 // read. It passes other records to their owners through recordHandlers. It may lag behind
--- a/scheduler/store_access.go
+++ b/scheduler/store_access.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// tickStoreAccess sends the requests that maintain the member's lease and its replica of the
-// live records, which it reads by one list and then by watches. When a watch returns, the
-// replica contains every change that precedes the sending of the watch.
+// tickStoreAccess sends the requests that maintain the member's lease and its state cache,
+// which is loaded by one list and then updated by watches. When a watch returns, the cache
+// contains every change that precedes the sending of the watch.
 func (c *Controller) tickStoreAccess() {
 	actions := c.store.storeAccess.Tick(c.now.MonotonicMS)
 	if link := c.store.storeAccess.Link(c.now.MonotonicMS); link != c.store.lastStoreLink {
@@ -15,11 +15,11 @@
 	if actions.RenewLease != 0 {
 		c.renewLease(actions.RenewLease)
 	}
-	if actions.ListMirror {
-		c.listLiveRecords(actions.ReadID)
+	if actions.ListRecords {
+		c.listLiveRecords(actions.RefreshID)
 	}
-	if actions.WatchMirror {
-		c.watchLiveRecords(actions.ReadID)
+	if actions.WatchRecords {
+		c.watchLiveRecords(actions.RefreshID)
 	}
 }
 
@@ -44,16 +44,16 @@
 	})
 }
 
-func (c *Controller) listLiveRecords(readID uint64) {
+func (c *Controller) listLiveRecords(refreshID uint64) {
 	c.store.listAll(livePrefix, func(kvs []KeyValue, rev uint64, outcome Outcome) {
 		if outcome == OK {
 			c.cache.applySnapshot(kvs, rev)
 		}
-		c.store.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, readID, outcome, c.rng.Float64())
+		c.store.storeAccess.CompleteCacheRefresh(c.now.MonotonicMS, refreshID, outcome, c.rng.Float64())
 	})
 }
 
-func (c *Controller) watchLiveRecords(readID uint64) {
+func (c *Controller) watchLiveRecords(refreshID uint64) {
 	op := StoreOp{
 		Kind:       StoreWatch,
 		Key:        livePrefix,
@@ -61,7 +61,7 @@
 		DurationMS: c.store.leaseRenewalIntervalMS(),
 	}
 	c.store.sendStore(op, func(r StoreResult) {
-		current := c.store.storeAccess.CompleteMirrorRead(c.now.MonotonicMS, readID, r.Outcome, c.rng.Float64())
+		current := c.store.storeAccess.CompleteCacheRefresh(c.now.MonotonicMS, refreshID, r.Outcome, c.rng.Float64())
 		if current && r.Outcome == OK {
 			c.cache.applyWatchResult(r)
 		}
