--- a/extension/extension.go
+++ b/extension/extension.go
@@ -195,7 +195,7 @@
 func Encode(record any) json.RawMessage {
 	b, err := json.Marshal(record)
 	if err != nil {
-		panic(fmt.Sprintf("extension: cannot encode record of type %T: %v", record, err))
+		panic(fmt.Sprintf("extension: cannot encode record %T: %v", record, err))
 	}
 	return b
 }
--- a/internal/golden/dump.go
+++ b/internal/golden/dump.go
@@ -13,7 +13,7 @@
 func dump(v reflect.Value) []byte {
 	b, err := json.Marshal(plain(v))
 	if err != nil {
-		panic(fmt.Sprintf("golden: %v does not encode: %v", v.Type(), err))
+		panic(fmt.Sprintf("golden: cannot encode %v: %v", v.Type(), err))
 	}
 	return b
 }
--- a/internal/platformfake/platform.go
+++ b/internal/platformfake/platform.go
@@ -319,7 +319,7 @@
 		s.mu.Unlock()
 		body, err := json.Marshal(heartbeatBody(&r))
 		if err != nil {
-			panic(fmt.Sprintf("standin: a report does not encode: %v", err))
+			panic(fmt.Sprintf("platformfake: cannot encode heartbeat: %v", err))
 		}
 		res, err := client.Post("http://"+s.members[memberIndex]+
 			"/v1/report", "application/json", bytes.NewReader(body))
