--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -156,7 +156,8 @@
 	minCancelMS := access.MinCancelMS(secondsToMS(w.LeaseS))
 	if secondsToMS(w.CancelS) < minCancelMS {
 		v.addProblem("cluster.workers.cancel_s must be %g or more with a lease_s of %g: "+
-			"tasks on a lost machine run for up to a lease, and a lost controller's lease must expire",
+			"tasks on a lost machine run for up to a lease, and a lost controller's lease must expire "+
+			"in the time that remains",
 			ceilTenths(minCancelMS), w.LeaseS)
 	}
 }
