--- a/access/access.go
+++ b/access/access.go
@@ -6,7 +6,7 @@
 // milliseconds of one monotonic clock. Tick returns at most one request for the lease and one for the
 // mirror at a time, and the caller reports the outcome of each. A LeaseKeeper is used by one goroutine
 // at a time. The package assumes that the service counts a lease from the arrival of the request that
-// grants or renews it, hence not from before its sending, and that clocks drift apart by at most
+// grants or renews it, hence no earlier than from its sending, and that clocks drift apart by at most
 // Settings.MaxClockDrift. It guarantees that authority ends before the lease can have expired, and that
 // the state machine never gets stuck, whatever the outcomes. It tolerates a service that is slow,
 // refuses requests, loses requests or responses, or loses leases.
@@ -76,7 +76,7 @@
 type Settings struct {
 	LeaseTTLMS       int64
 	MaxClockDrift    float64 // maximum drift between two monotonic clocks, as a fraction
-	AuthoritySlackMS int64   // subtracted from the authority for the length of a tick
+	AuthoritySlackMS int64   // subtracted from the authority to allow for the length of a tick
 	RequestTimeoutMS int64   // time after which a request without a response is Unknown
 }
 
--- a/access/lease_keeper_test.go
+++ b/access/lease_keeper_test.go
@@ -70,7 +70,8 @@
 	const clockDrift, leaseCheckMS = 0.0005, 40 // as the platform specifies
 	ttlMS := LeaseTTLMS(cancelMS, leaseMS)
 	if ttlMS < MinLeaseTTLMS || ttlMS > MaxLeaseTTLMS {
-		t.Fatalf("lease %d ms, cancellation %d ms: got TTL %d ms, which is out of range", leaseMS, cancelMS, ttlMS)
+		t.Fatalf("lease %d ms, cancellation %d ms: got TTL %d ms, want %d to %d ms",
+			leaseMS, cancelMS, ttlMS, MinLeaseTTLMS, MaxLeaseTTLMS)
 	}
 	keeper := NewLeaseKeeper(
 		Settings{LeaseTTLMS: ttlMS, MaxClockDrift: MaxClockDrift, AuthoritySlackMS: 50, RequestTimeoutMS: 2000},
--- a/access/link.go
+++ b/access/link.go
@@ -23,7 +23,7 @@
 // linkMonitor tracks the outcomes and the latency of requests.
 type linkMonitor struct {
 	state              LinkState
-	unansweredSince    int64 // first failure of the current series without a response; 0: none
+	unansweredSince    int64 // when the first of the latest requests without a response failed; 0: none
 	lastResponseAt     int64
 	smoothedLatencyMS  float64
 	latencyDeviationMS float64
--- a/quota/grace_period_test.go
+++ b/quota/grace_period_test.go
@@ -78,7 +78,7 @@
 		onTime := grantedMS > gracePeriodMS && grantedMS <= gracePeriodMS+2000
 		if configuredMS == 0 && granted || configuredMS > 0 && !onTime {
 			t.Errorf("grace period %d ms: granted after %d ms (0: never), want 0 without a grace period, "+
-				"else %d to %d ms", configuredMS, grantedMS, gracePeriodMS, gracePeriodMS+2000)
+				"else more than %d and at most %d ms", configuredMS, grantedMS, gracePeriodMS, gracePeriodMS+2000)
 		}
 		if sum := k.ledger.Allocation("a").Add(k.ledger.Allocation("b")); !(Amounts{CPUs: 64}).Contains(sum) {
 			t.Errorf("sum of allocations: got %v, want at most 64 CPUs", sum)
@@ -102,7 +102,8 @@
 		})
 	}
 	if !k.ledger.Allocation("a").Contains(large.LargestPending) {
-		t.Errorf("allocation for the large task after %d ms: got %v, want 60 CPUs", k.nowMS, k.ledger.Allocation("a"))
+		t.Errorf("allocation for the large task after %d ms: got %v, want at least 60 CPUs",
+			k.nowMS, k.ledger.Allocation("a"))
 	}
 }
 
@@ -127,7 +128,8 @@
 	for k.nowMS < restartedMS+gracePeriodMS {
 		k.proposeBoth(large, k.fourSmallTasks)
 		if allocation := k.ledger.Allocation("a"); allocation.CPUs < 57 {
-			t.Fatalf("allocation %d ms after the new request: got %v, want 57 CPUs", k.nowMS-restartedMS, allocation)
+			t.Fatalf("allocation %d ms after the new request: got %v, want at least 57 CPUs",
+				k.nowMS-restartedMS, allocation)
 		}
 	}
 }
--- a/quota/proposal.go
+++ b/quota/proposal.go
@@ -14,7 +14,7 @@
 	Startable      Amounts // part of Pending that fits on machines
 	LargestPending Amounts // largest pending task
 	LargestTask    Amounts // largest task, pending or not
-	UsageUncertain bool    // Used may fall when unreported machines report; requests are not updated meanwhile
+	UsageUncertain bool    // Used may fall when unreported machines report; no request is raised meanwhile
 }
 
 // requestRiseFactor and requestFallFactor are thresholds for a shortfall relative to its recorded
