--- a/reconcile/model_test.go
+++ b/reconcile/model_test.go
@@ -21,7 +21,7 @@
 
 var modelSettings = Settings{MaxHeartbeatIntervalMS: 100, LeaseMS: 1500, MaxClockDrift: 0.002, LeaseSlackMS: 5}
 
-// Faults that tests inject into the model's owner.
+// These variables are faults that tests inject into the model's owner.
 var dropsEntryBeforeStore, ignoresTaskLimit, startsPossiblyRunningTasks bool
 
 type model struct {
@@ -397,8 +397,8 @@
 	}
 }
 
-// toggleHang hangs a worker or ends its hang. With some hangs, the transfer of a range starts or ends.
-// A transfer takes effect when none of the range's tasks are assigned.
+// toggleHang hangs a worker or ends its hang. With some hangs, the transfer of a task starts or ends. A
+// transfer takes effect only while the task is not assigned (taskState).
 func (m *model) toggleHang(worker *modelWorker) {
 	worker.hung = !worker.hung
 	if worker.hung && rapid.IntRange(0, 3).Draw(m.t, "rarely") == 0 {
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -7,8 +7,8 @@
 // hold before their reports count, the rate of the commands that follow (Pacer), the IDs of attempts
 // (AttemptIDs), and the entries of machines that stopped sending heartbeats (UnreachableLedger). The
 // state of machines ends with the claim, except for the stored ledger entries. The package is pure:
-// its input is the time, in milliseconds of one monotonic clock unless a name says wall time, and its
-// output is dispositions and verdicts. A Claim is used by one goroutine at a time.
+// time is an input, in milliseconds of one monotonic clock unless a name says wall time, and
+// dispositions and verdicts are the output. A Claim is used by one goroutine at a time.
 //
 // The package assumes that a worker kills its tasks when its lease has expired, that a worker executes
 // no command whose token is older than its own, and that clocks drift apart by at most
@@ -154,7 +154,7 @@
 // ReceiveHeartbeat processes a worker's heartbeat. The caller has read the shard's progress.
 func (c *Claim) ReceiveHeartbeat(m *Machine, now int64, incarnation, seq, token uint64) Disposition {
 	// A worker waits only for the response to its newest heartbeat. The network may deliver a copy
-	// of an older one later, by a lease or more. If such a copy renewed the lease, the tasks of a
+	// of a heartbeat later, by a lease or more. If such a copy renewed the lease, the tasks of a
 	// lost machine would be restarted later by that time.
 	if m.isOldHeartbeat(incarnation, seq) || m.hasEnded(incarnation) {
 		return Stale
