--- a/disruption/account.go
+++ b/disruption/account.go
@@ -53,8 +53,8 @@
 }
 
 // RecordLoss records the involuntary loss of a task until RecordRecovery. A reserved task is counted
-// already, so its loss is not recorded. Losses beyond maxReserved are not recorded either and do not
-// count.
+// already, so its loss is not recorded. Losses beyond maxReserved are not recorded either, so the losses of
+// a shard count as at most maxReserved.
 func (a *Account) RecordLoss(task, team string) {
 	if a.IsReserved(task) || a.record.Lost[task] != "" || len(a.record.Lost) >= a.maxReserved {
 		return
@@ -142,7 +142,7 @@
 }
 
 // Release settles a reservation. The caller must have evidence that the task runs again under another
-// attempt, is done, or has left the shard.
+// attempt, is done, or belongs to no task range of the owner any more, for example since its job is over.
 func (a *Account) Release(task string) {
 	stopped, reserved := a.record.Reserved[task]
 	if !reserved {
--- a/disruption/budget.go
+++ b/disruption/budget.go
@@ -8,7 +8,7 @@
 //
 //	counter   written by                                        when
 //	issued    the leader, in the plan's record (Ledger), with   before the shard may spend
-//	          a precondition on its lease
+//	          a precondition on the leader record
 //	spent     the shard's owner (Account), with a               before the stop is sent
 //	          precondition on its claim
 //	settled   the shard's owner (Account), with a               after the evidence
@@ -33,7 +33,7 @@
 //	reserved      ConfirmStored with its reservation    stored       CanStop: the stop may be sent
 //	reserved      MarkStoreFailed                       reserved     the record is written again
 //	reserved,     Release: the task runs again, is      settled      the leader may issue its token again
-//	stored        done, or has left the shard
+//	stored        done, or is no longer owned
 //	-             RecordLoss                            lost         counts against the budget
 //	lost          RecordRecovery                        -
 //	any           a new owner opens the stored record   as stored
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -20,10 +20,10 @@
 // replace a machine is covered only when at least as many replacements have become live as machines are
 // covered, including this one.
 //
-// The package assumes that one leader at a time writes the record, with preconditions on the leader's lease
-// and the record's revision. It handles a change of leader in any state, replacements that fail to boot or
-// whose tasks fail, and machines that disappear. Only the owner of a Record may call its methods that change
-// it; they are not safe for concurrent use.
+// The package assumes that one leader at a time advances the record, with preconditions on the leader record
+// and on the plan record's own revision. It handles a change of leader in any state, replacements that fail
+// to boot or whose tasks fail, and machines that disappear. Only the owner of a Record may call its methods
+// that change it; they are not safe for concurrent use.
 package rollout
 
 import (
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -254,7 +254,8 @@
 	}
 }
 
-// The leader advances a plan of ten thousand machines twice a second.
+// BenchmarkAdvance advances a plan of ten thousand machines once per iteration. The leader advances its plan twice a
+// second.
 func BenchmarkAdvance(b *testing.B) {
 	machines := testFleet(10_000)
 	plan := Plan{ID: "p", All: true, Mode: Replace, Surge: 50, FirstStepMachines: 10, StepShare: 0.05}
