--- a/availability/merge.go
+++ b/availability/merge.go
@@ -125,7 +125,8 @@
 		}
 		f.Samples = append(f.Samples[:best], f.Samples[best+1:]...)
 		costs = append(costs[:best], costs[best+1:]...)
-		// The costs of the neighbours of the dropped sample have changed, also by a sample lowered after a bend.
+		// The costs of the dropped sample's neighbours have changed, and after a bend also the cost of the next
+		// sample, since the sample before it was lowered.
 		for i := max(best-1, 1); i <= min(best+1, len(f.Samples)-2); i++ {
 			costs[i] = chordCost(f.Samples, i)
 		}
--- a/recurrence/moments.go
+++ b/recurrence/moments.go
@@ -68,7 +68,7 @@
 // horizonDays limits the search for the next moment, in days.
 const horizonDays = 30 * 366
 
-// Next returns the first moment after a time that is not dropped. ok is false if there is none within 30 years.
+// Next returns the first moment after a time, without dropped ones. ok is false if there is none within 30 years.
 func (s *Schedule) Next(after time.Time) (m Moment, ok bool) {
 	from := after.Add(time.Nanosecond)
 	for stepDays, searched := 8, 0; searched < horizonDays; searched, stepDays = searched+stepDays, stepDays*2 {
@@ -179,8 +179,8 @@
 	return first, last
 }
 
-// maxShiftDays returns an upper bound for the distance from a day outside a range to the range that it may be
-// shifted into: the longest run of days off that adjoins the range.
+// maxShiftDays returns the maximum distance outside a range from which a day may be shifted into it: the longest
+// run of days off that adjoins the range.
 func (s *Schedule) maxShiftDays(from, to Date) int {
 	n := max(s.calendar.daysOffBeyond(from, -1), s.calendar.daysOffBeyond(to, 1))
 	if s.Shift.staysInMonth() {
