--- a/planner/catalog.go
+++ b/planner/catalog.go
@@ -112,8 +112,8 @@
 	return int64(math.Round(sizeGB / t.FetchGBps * 1000))
 }
 
-// noFittingTypeMS is the result of MinReadyMS if no type fits the job. It is later than any deadline and cannot cause
-// an overflow.
+// noFittingTypeMS is the result of MinReadyMS if no type fits the job. It is later than any deadline and far from an
+// integer overflow.
 const noFittingTypeMS = int64(1) << 40
 
 // MinReadyMS returns the minimum time, in ms, to boot a machine that fits the job and fetch the job's image.
