--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -62,14 +62,14 @@
 
 // registryWrites holds the pending writes to the machine registry.
 type registryWrites struct {
-	lastRegistryPageNumber int
-	pendingAdditions       []*registryAddition
-	pendingRemovals        map[string]bool
-	unrecordedMachines     map[string]bool // discovered or provisioned machines that are not on a registry page yet
-	unknownMachines        []Heartbeat     // heartbeats of machines that are not on any registry page
-	nextAssignmentAtMS     int64           // monotonic
-	registryWriting        bool
-	nextRegistryWriteAtMS  int64 // monotonic
+	lastRegistryPageNumber  int
+	pendingAdditions        []*registryAddition
+	pendingRemovals         map[string]bool
+	machinesBeingRegistered map[string]bool // discovered or provisioned machines that are not on a registry page yet
+	unregisteredMachines    []Heartbeat     // heartbeats of machines that are not on any registry page
+	nextAssignmentAtMS      int64           // monotonic
+	registryWriting         bool
+	nextRegistryWriteAtMS   int64 // monotonic
 }
 
 func newAutoscaler(env *environment) *autoscaler {
@@ -86,8 +86,8 @@
 			releasedAt:      map[string]int64{},
 		},
 		registryWrites: registryWrites{
-			pendingRemovals:    map[string]bool{},
-			unrecordedMachines: map[string]bool{},
+			pendingRemovals:         map[string]bool{},
+			machinesBeingRegistered: map[string]bool{},
 		},
 	}
 }
@@ -126,7 +126,7 @@
 	if !as.canActAsLeader() {
 		return
 	}
-	as.assignUnknownMachines()
+	as.assignUnregisteredMachines()
 	as.writeRegistry()
 	if now >= as.nextListAtMS && !as.listPending {
 		as.listPending = true
--- a/scheduler/cloud_list.go
+++ b/scheduler/cloud_list.go
@@ -80,15 +80,15 @@
 		}
 		return
 	}
-	isRecorded := as.registry.machines[instance.ID] != nil
-	isBeingRecorded := !isRecorded && as.unrecordedMachines[instance.ID]
+	isRegistered := as.registry.machines[instance.ID] != nil
+	isBeingRegistered := !isRegistered && as.machinesBeingRegistered[instance.ID]
 	if instance.State == cloudMachineFailed {
-		if !isBeingRecorded {
+		if !isBeingRegistered {
 			as.markForRelease(instance.ID, "failed")
 		}
 		return
 	}
-	if isRecorded || isBeingRecorded {
+	if isRegistered || isBeingRegistered {
 		return
 	}
 	// The machine is unexpected: it gets an owner, which uses or releases it. The age
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -41,10 +41,10 @@
 	started []*attempt // attempts that the command starts; empty for a stop or a task query
 }
 
-// probeUnreportedMachines queries the tasks of workers that were sent our fencing token and would
+// queryUnreportedMachines queries the tasks of workers that were sent our fencing token and would
 // not send their next heartbeat until the end of their interval. The response reconciles the
 // machine as a heartbeat does.
-func (am *agentManager) probeUnreportedMachines(s *shard) {
+func (am *agentManager) queryUnreportedMachines(s *shard) {
 	for _, unreported := range s.reconciler.Unreported() {
 		mc := am.registry.machines[unreported.ID]
 		if mc == nil || mc.Machine != unreported || mc.directCommandPending || mc.addr == "" {
@@ -191,6 +191,6 @@
 	if mc.directCommandPending || mc.directCommandRefused {
 		return false
 	}
-	isSilent := am.now.MonotonicMS-mc.LastHeartbeatAt > am.maxHeartbeatIntervalMS()
-	return mc.IsReconciled() && mc.addr != "" && !isSilent
+	missedHeartbeat := am.now.MonotonicMS-mc.LastHeartbeatAt > am.maxHeartbeatIntervalMS()
+	return mc.IsReconciled() && mc.addr != "" && !missedHeartbeat
 }
--- a/scheduler/environment.go
+++ b/scheduler/environment.go
@@ -114,9 +114,9 @@
 	return slices.ContainsFunc(env.params.Objectives[j.Class], isStartObjective)
 }
 
-// maxOpenCharges limits the open charges against a shard's disruption budgets so that
+// maxEvictionReservations limits the open charges against a shard's disruption budgets so that
 // their record takes at most half of the maximum value size.
-func (env *environment) maxOpenCharges() int { return max(16, env.params.MaxValueBytes/2/80) }
+func (env *environment) maxEvictionReservations() int { return max(16, env.params.MaxValueBytes/2/80) }
 
 // progressWriteInterval returns how long progress may remain unwritten, in milliseconds. A
 // worker keeps each result until it is stored, so an unwritten result is lost only if the
--- a/scheduler/evictions.go
+++ b/scheduler/evictions.go
@@ -101,7 +101,7 @@
 	}
 	d.nextTickAtMS = rc.now.MonotonicMS + 250
 	if d.account == nil {
-		d.account = disruption.OpenAccount(rc.disruptionRecords[s.name], rc.maxOpenCharges())
+		d.account = disruption.OpenAccount(rc.disruptionRecords[s.name], rc.maxEvictionReservations())
 		d.record.rev = rc.cache.keyRevisions[disruptionPrefix+s.name]
 	}
 	rc.settleReservations(s)
--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -15,9 +15,9 @@
 // never preempted, with two exceptions: this one and preemption within a team's own limit
 // (team_preemption.go).
 
-// preemptionBatch is a set of attempts on one machine whose stop frees capacity for one more task
+// reclaimBatch is a set of attempts on one machine whose stop frees capacity for one more task
 // of a group.
-type preemptionBatch struct {
+type reclaimBatch struct {
 	machine     *machine
 	viewMachine *planner.Machine
 	victims     []*attempt
@@ -71,15 +71,15 @@
 	)
 }
 
-// preemptionBatches returns the batches that could be stopped on a machine for a group, one for
+// reclaimBatches returns the batches that could be stopped on a machine for a group, one for
 // each copy of the group's request. fittingWithoutStop is the number of tasks that fit on the
 // machine once attempts that end within the stop delay have ended.
-func (qm *quotaManager) preemptionBatches(
+func (qm *quotaManager) reclaimBatches(
 	mc *machine,
 	viewMachine *planner.Machine,
 	g *taskGroup,
 	limit int,
-) (out []preemptionBatch, fittingWithoutStop int) {
+) (out []reclaimBatch, fittingWithoutStop int) {
 	req := withoutDisk(g.job.Request)
 	var reclaimable []*attempt
 	free := viewMachine.Free
@@ -105,7 +105,7 @@
 	}
 	slices.SortFunc(reclaimable, qm.compareReclaimable)
 	fetchMS := qm.agents.fetchTime(g.job, mc, qm.cache.machineTypes[mc.rec.Type])
-	empty := preemptionBatch{machine: mc, viewMachine: viewMachine, fetchMS: fetchMS}
+	empty := reclaimBatch{machine: mc, viewMachine: viewMachine, fetchMS: fetchMS}
 	batch := empty
 	for _, a := range reclaimable {
 		free = free.Add(withoutDisk(a.job.Request))
@@ -171,7 +171,7 @@
 	s *shard,
 	g *taskGroup,
 	missing int,
-) (batches []preemptionBatch, stillMissing int) {
+) (batches []reclaimBatch, stillMissing int) {
 	for i, viewMachine := range s.clusterView.Machines() {
 		if missing <= 0 {
 			return nil, 0
@@ -183,11 +183,11 @@
 		if !qm.cache.placementCatalog.IsAllowed(&g.Request, viewMachine.Offering) {
 			continue
 		}
-		machineBatches, fittingWithoutStop := qm.preemptionBatches(mc, viewMachine, g, missing)
+		machineBatches, fittingWithoutStop := qm.reclaimBatches(mc, viewMachine, g, missing)
 		missing -= fittingWithoutStop
 		batches = append(batches, machineBatches...)
 	}
-	slices.SortStableFunc(batches, func(a, b preemptionBatch) int {
+	slices.SortStableFunc(batches, func(a, b reclaimBatch) int {
 		return cmp.Or(
 			cmp.Compare(a.priority, b.priority),
 			cmp.Compare(a.fetchMS, b.fetchMS),
@@ -245,7 +245,7 @@
 }
 
 // reclaim marks a batch's victims to be stopped and reserves their capacity for a task of a group.
-func (qm *quotaManager) reclaim(s *shard, g *taskGroup, batch preemptionBatch) {
+func (qm *quotaManager) reclaim(s *shard, g *taskGroup, batch reclaimBatch) {
 	mc, viewMachine := batch.machine, batch.viewMachine
 	reservedBefore := qm.reservedResources(mc)
 	longestStop := int64(0)
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -63,7 +63,7 @@
 	}
 	mc := am.registry.machines[hb.Machine]
 	if mc == nil {
-		am.registerUnknownMachine(replyID, hb)
+		am.registerMachine(replyID, hb)
 		return
 	}
 	s := am.shards.ownedShards[mc.rec.Shard]
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -25,10 +25,10 @@
 	onClaimLost  func() // the outcome remains unknown; the state cache shows it later
 }
 
-// retryPauseDivisor is the divisor of the request timeout that gives the pause after the
+// retryDelayDivisor is the divisor of the request timeout that gives the pause after the
 // state service refused or did not answer a request of an in-doubt write. Without the
 // pause, the member would send requests continuously during an outage.
-const retryPauseDivisor = 6
+const retryDelayDivisor = 6
 
 // sendUntilSettled sends a write. It then resends the write or reads the key until the
 // write is settled or its claim is lost.
@@ -66,8 +66,8 @@
 		resume()
 		return
 	}
-	pauseMS := access.RequestTimeout.Milliseconds() / retryPauseDivisor
-	sc.delayedSteps = append(sc.delayedSteps, delayedStep{dueAtMS: sc.now.MonotonicMS + pauseMS, resume: resume})
+	delayMS := access.RequestTimeout.Milliseconds() / retryDelayDivisor
+	sc.delayedSteps = append(sc.delayedSteps, delayedStep{dueAtMS: sc.now.MonotonicMS + delayMS, resume: resume})
 }
 
 // delayedStep is a continuation that is due at a given time.
--- a/scheduler/leadership.go
+++ b/scheduler/leadership.go
@@ -73,8 +73,8 @@
 	as.nextListAtMS = as.now.MonotonicMS
 	clear(as.provisioning)
 	as.rollouts.beginLeadership()
-	as.pendingAdditions, as.unknownMachines, as.registryWriting = nil, nil, false
-	clear(as.unrecordedMachines)
+	as.pendingAdditions, as.unregisteredMachines, as.registryWriting = nil, nil, false
+	clear(as.machinesBeingRegistered)
 	clear(as.pendingRemovals)
 	clear(as.pendingReleases)
 	as.log(Info, "leadership acquired", "revision", leaderRev)
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -100,11 +100,11 @@
 
 // plannedStart is a number of tasks of one range that the plan starts on a machine now.
 type plannedStart struct {
-	taskRange         *taskRange
-	count             int
-	runtimeMS         int64
-	fetchMS           int64
-	hasStartObjective bool // a start objective or a guarantee can still be met by it
+	taskRange             *taskRange
+	count                 int
+	runtimeMS             int64
+	fetchMS               int64
+	canMeetStartObjective bool // the start can still meet a start objective or a guarantee
 }
 
 func (mc *machine) compare(id string) int { return strings.Compare(mc.id, id) }
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -152,7 +152,7 @@
 	if s.liveListWriting || len(s.newlyLive) == 0 || mr.now.MonotonicMS < s.nextLiveListWriteAt {
 		return
 	}
-	key, machineIDs := mr.liveListWithRoom(s)
+	key, machineIDs := mr.firstNonFullLiveList(s)
 	for _, id := range slices.Clone(s.newlyLive) {
 		if mc := mr.machines[id]; mc == nil || mc.Up {
 			s.newlyLive = slices.DeleteFunc(s.newlyLive, func(x string) bool { return x == id })
@@ -177,9 +177,9 @@
 	})
 }
 
-// liveListWithRoom returns the key of the shard's first list that is not full, and the machines in it that still
+// firstNonFullLiveList returns the key of the shard's first list that is not full, and the machines in it that still
 // exist.
-func (mr *machineRegistry) liveListWithRoom(s *shard) (key string, machineIDs []string) {
+func (mr *machineRegistry) firstNonFullLiveList(s *shard) (key string, machineIDs []string) {
 	prefix := liveMachinesPrefix + s.name + "/"
 	for index := 0; ; index++ {
 		key = fmt.Sprintf("%s%d", prefix, index)
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -199,11 +199,11 @@
 	for _, start := range placement.Starts {
 		mc := s.viewMachines[start.MachineIndex]
 		mc.plannedStarts = append(mc.plannedStarts, plannedStart{
-			taskRange:         tr,
-			count:             start.Count,
-			runtimeMS:         g.LengthMS,
-			fetchMS:           start.FetchMS,
-			hasStartObjective: g.HasObjective,
+			taskRange:             tr,
+			count:                 start.Count,
+			runtimeMS:             g.LengthMS,
+			fetchMS:               start.FetchMS,
+			canMeetStartObjective: g.HasObjective,
 		})
 	}
 	for _, missing := range placement.Demands {
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -167,7 +167,7 @@
 			am.drain(s, mc, "no heartbeat since the claim")
 		}
 	}
-	am.probeUnreportedMachines(s)
+	am.queryUnreportedMachines(s)
 	am.recordUnreachableMachines(s)
 	am.writeRecoveryRecord(s)
 	unreportedMachines := len(s.reconciler.Unreported())
--- a/scheduler/registry_writes.go
+++ b/scheduler/registry_writes.go
@@ -30,8 +30,8 @@
 func (as *autoscaler) addMachinesToRegistry(ids []string, page registryRecord, onWritten func()) {
 	var newIDs []string
 	for _, id := range ids {
-		if as.registry.machines[id] == nil && !as.unrecordedMachines[id] && as.releasedAt[id] == 0 {
-			as.unrecordedMachines[id] = true
+		if as.registry.machines[id] == nil && !as.machinesBeingRegistered[id] && as.releasedAt[id] == 0 {
+			as.machinesBeingRegistered[id] = true
 			newIDs = append(newIDs, id)
 		}
 	}
@@ -153,7 +153,7 @@
 			return false
 		}
 		for _, id := range addition.rec.MachineIDs {
-			delete(as.unrecordedMachines, id)
+			delete(as.machinesBeingRegistered, id)
 		}
 		callbacks = append(callbacks, addition.onWritten)
 		return true
@@ -163,10 +163,10 @@
 	}
 }
 
-// assignUnknownMachines assigns machines that sent heartbeats but are not on a registry page
+// assignUnregisteredMachines assigns machines that sent heartbeats but are not on a registry page
 // to the least loaded shards. Machines with the same offering and shard share a page.
-func (as *autoscaler) assignUnknownMachines() {
-	if len(as.unknownMachines) == 0 || as.now.MonotonicMS < as.nextAssignmentAtMS {
+func (as *autoscaler) assignUnregisteredMachines() {
+	if len(as.unregisteredMachines) == 0 || as.now.MonotonicMS < as.nextAssignmentAtMS {
 		return
 	}
 	as.nextAssignmentAtMS = as.now.MonotonicMS + 300
@@ -177,8 +177,8 @@
 	loads := as.shardLoads()
 	machineIDs := map[assignment][]string{}
 	var targets []assignment
-	for _, heartbeat := range as.unknownMachines {
-		delete(as.unrecordedMachines, heartbeat.Machine)
+	for _, heartbeat := range as.unregisteredMachines {
+		delete(as.machinesBeingRegistered, heartbeat.Machine)
 		target := assignment{
 			offering: offering{heartbeat.Type, heartbeat.Zone, heartbeat.Spot},
 			shard:    as.assignToLeastLoaded(loads, heartbeat.Type),
@@ -188,8 +188,8 @@
 		}
 		machineIDs[target] = append(machineIDs[target], heartbeat.Machine)
 	}
-	as.log(Info, "unregistered machines found", "count", len(as.unknownMachines))
-	as.unknownMachines = nil
+	as.log(Info, "unregistered machines found", "count", len(as.unregisteredMachines))
+	as.unregisteredMachines = nil
 	for _, target := range targets {
 		page := target.offering.registryPage(target.shard, as.now.WallMS)
 		as.addMachinesToRegistry(machineIDs[target], page, func() {})
--- a/scheduler/task_groups.go
+++ b/scheduler/task_groups.go
@@ -131,7 +131,7 @@
 	if pp.admitToTeamLimits(s, out) {
 		sortTaskGroups(out)
 	}
-	if pp.params.Quota && pp.quotas.assignUsageTiers(out) {
+	if pp.params.Quota && pp.quotas.assignQuotaTiers(out) {
 		sortTaskGroups(out)
 	}
 	return pp.applyAging(out)
--- a/scheduler/task_starts.go
+++ b/scheduler/task_starts.go
@@ -61,7 +61,7 @@
 			break // this attempt to start the gang failed; a task uses an attempt ID only once
 		}
 		if !am.hasAttemptIDs(s) ||
-			!s.reconciler.Pacer.TryStart(am.now.MonotonicMS, p.hasStartObjective || j.Kind == Gang) {
+			!s.reconciler.Pacer.TryStart(am.now.MonotonicMS, p.canMeetStartObjective || j.Kind == Gang) {
 			break
 		}
 		free = free.Sub(j.Request)
--- a/scheduler/team_guarantees.go
+++ b/scheduler/team_guarantees.go
@@ -119,11 +119,11 @@
 	return qm.now.MonotonicMS - qm.cache.maxMessageAgeMS()
 }
 
-// assignUsageTiers sets the quota tier of each group that is not within its team's guarantee. The
+// assignQuotaTiers sets the quota tier of each group that is not within its team's guarantee. The
 // tier is how far the team's usage exceeds the guarantee; usage includes all members and the groups
 // before it in this shard. Capacity beyond the guarantees thus goes to the teams that use the least,
 // not to those that request first or most. It reports whether any two tiers differ.
-func (qm *quotaManager) assignUsageTiers(groups []*taskGroup) bool {
+func (qm *quotaManager) assignQuotaTiers(groups []*taskGroup) bool {
 	usage := qm.clusterUsage()
 	if len(usage) < 2 {
 		return false
--- a/scheduler/unregistered_machines.go
+++ b/scheduler/unregistered_machines.go
@@ -6,10 +6,10 @@
 	heartbeat Heartbeat
 }
 
-// registerUnknownMachine registers a machine that is not on any registry page. It existed before this cluster,
+// registerMachine registers a machine that is not on any registry page. It existed before this cluster,
 // or the cloud executed its provision request late. Only the leader writes registry pages, so other members
 // redirect the worker to the leader.
-func (am *agentManager) registerUnknownMachine(replyID uint64, hb Heartbeat) {
+func (am *agentManager) registerMachine(replyID uint64, hb Heartbeat) {
 	if !am.scaler.leading {
 		am.respondWorker(replyID, am.redirectTo(am.cache.leader))
 		return
@@ -19,9 +19,9 @@
 		return
 	}
 	am.parkedHeartbeats[hb.Machine] = append(am.parkedHeartbeats[hb.Machine], parkedHeartbeat{replyID, hb})
-	if !am.scaler.unrecordedMachines[hb.Machine] {
-		am.scaler.unrecordedMachines[hb.Machine] = true
-		am.scaler.unknownMachines = append(am.scaler.unknownMachines, hb)
+	if !am.scaler.machinesBeingRegistered[hb.Machine] {
+		am.scaler.machinesBeingRegistered[hb.Machine] = true
+		am.scaler.unregisteredMachines = append(am.scaler.unregisteredMachines, hb)
 	}
 }
 
