--- a/emulator/experiment_result.go
+++ b/emulator/experiment_result.go
@@ -40,11 +40,11 @@
 	OrderViolations []string `json:"disorder,omitempty"`
 }
 
-// WorstSecond returns the largest number of start, stop and forget commands within one second.
+// WorstSecond returns the largest number of start, stop and clear commands within one second.
 func (result *Result) WorstSecond() (worst int) {
 	var perSecond []int
 	for _, kind := range []scheduler.CommandKind{
-		scheduler.CommandStart, scheduler.CommandStop, scheduler.CommandForget,
+		scheduler.CommandStart, scheduler.CommandStop, scheduler.CommandClear,
 	} {
 		for i, n := range result.CommandCounts[string(kind)] {
 			if i == len(perSecond) {
--- a/internal/platformfake/platform.go
+++ b/internal/platformfake/platform.go
@@ -291,7 +291,7 @@
 	commandKinds = map[string]scheduler.CommandKind{
 		"launch": scheduler.CommandStart,
 		"halt":   scheduler.CommandStop,
-		"clear":  scheduler.CommandForget,
+		"clear":  scheduler.CommandClear,
 	}
 )
 
--- a/internal/platformfake/worker.go
+++ b/internal/platformfake/worker.go
@@ -280,7 +280,7 @@
 			}
 			t.stop()
 			t.State, t.Reason = "exited", "stopped"
-		case scheduler.CommandForget:
+		case scheduler.CommandClear:
 			if t != nil && t.State == "exited" {
 				delete(w.tasks, key)
 				if at, ok := slices.BinarySearchFunc(w.byName, key, (*Task).compare); ok {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -111,7 +111,7 @@
 	commands := []scheduler.Command{
 		{Kind: scheduler.CommandStart, Task: "job-7/1", Attempt: 9},
 		{Kind: scheduler.CommandStop, Task: "job-7/2", Attempt: 9, GraceS: 4.5},
-		{Kind: scheduler.CommandForget, Task: "job-7/3", Attempt: 9},
+		{Kind: scheduler.CommandClear, Task: "job-7/3", Attempt: 9},
 	}
 	var out []byte
 	for _, a := range []scheduler.HeartbeatResponse{
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -29,7 +29,7 @@
 var commandKinds = vocabulary[scheduler.CommandKind]{
 	{scheduler.CommandStart, "launch"},
 	{scheduler.CommandStop, "halt"},
-	{scheduler.CommandForget, "clear"},
+	{scheduler.CommandClear, "clear"},
 }
 
 type heartbeatBody struct {
--- a/internal/wire/workers_test.go
+++ b/internal/wire/workers_test.go
@@ -38,7 +38,7 @@
 	commands := []scheduler.Command{
 		{Kind: scheduler.CommandStart, Task: "job-000001/0", Attempt: 5},
 		{Kind: scheduler.CommandStop, Task: "job-000002/0", Attempt: 6},
-		{Kind: scheduler.CommandForget, Task: "job-000003/0", Attempt: 7},
+		{Kind: scheduler.CommandClear, Task: "job-000003/0", Attempt: 7},
 	}
 	for _, c := range []struct {
 		name     string
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -12,7 +12,7 @@
 // counts it.
 func (am *agentManager) queueCommand(s *shard, mc *machine, command Command) {
 	switch command.Kind {
-	case CommandForget:
+	case CommandClear:
 		if !s.reconciler.Pacer.TryClear(am.now.MonotonicMS) {
 			return
 		}
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -105,7 +105,7 @@
 		Pending, Running, Done, Cancelled,
 		Low, Normal, High, Production,
 		Array, Service, Gang,
-		CommandStart, CommandStop, CommandForget,
+		CommandStart, CommandStop, CommandClear,
 		SubmitJob, QueryJob, CancelJob,
 		rollout.Pause, rollout.Resume, rollout.Abort,
 	}))
--- a/scheduler/indoubt_writes_test.go
+++ b/scheduler/indoubt_writes_test.go
@@ -225,7 +225,7 @@
 		done := TaskStatus{Task: key.task, Attempt: key.attempt, State: "exited", Reason: "done"}
 		ctrl.HandleHeartbeat(ctrl.now, seq, testHeartbeat("i-1", seq, 11, done))
 		commands := ctrl.TakeOutputs().HeartbeatResponses[seq].Commands
-		return slices.ContainsFunc(commands, func(cmd Command) bool { return cmd.Kind == CommandForget })
+		return slices.ContainsFunc(commands, func(cmd Command) bool { return cmd.Kind == CommandClear })
 	}
 	if isCleared(4) || tr.doneCount != 1 {
 		t.Fatalf("result cleared before it is stored, or got %d done tasks, want 1", tr.doneCount)
--- a/scheduler/inputs_outputs.go
+++ b/scheduler/inputs_outputs.go
@@ -180,9 +180,9 @@
 
 // The commands.
 const (
-	CommandStart  CommandKind = "start"
-	CommandStop   CommandKind = "stop"
-	CommandForget CommandKind = "forget"
+	CommandStart CommandKind = "start"  // start the attempt
+	CommandStop  CommandKind = "stop"   // stop the attempt; it has GraceS seconds to write a checkpoint
+	CommandClear CommandKind = "forget" // stop reporting an attempt that has exited
 )
 
 // Command is a command to a worker about one task attempt.
--- a/scheduler/task_status.go
+++ b/scheduler/task_status.go
@@ -38,7 +38,7 @@
 		tr.markDone(i)
 		tr.dirty = true
 	case reconcile.Clear:
-		am.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
+		am.queueCommand(s, mc, Command{Kind: CommandClear, Task: status.Task, Attempt: status.Attempt})
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 		return
 	}
 	if status.Reason != exitDone || !current || a.taskRange.storedDone.has(a.taskIndex) {
-		am.queueCommand(s, mc, Command{Kind: CommandForget, Task: status.Task, Attempt: status.Attempt})
+		am.queueCommand(s, mc, Command{Kind: CommandClear, Task: status.Task, Attempt: status.Attempt})
 	}
 }
 
