--- a/scheduler/admin_status.go
+++ b/scheduler/admin_status.go
@@ -52,9 +52,9 @@
 	Zone        string `json:"zone"`
 	Spot        bool   `json:"spot"`
 	Up          bool   `json:"up"`
-	Releasing   bool   `json:"draining"` // the leader will release the machine; irreversible
+	Releasing   bool   `json:"draining"` // its release by the leader is requested; irreversible under this claim
 	Cordoned    bool   `json:"aside"`    // gets no new tasks, because of an operator's setting or a rollout
-	Unreachable bool   `json:"silent"`
+	Unreachable bool   `json:"silent"`   // the worker's lease has expired
 	Tasks       int    `json:"tasks"`
 }
 
--- a/scheduler/aging.go
+++ b/scheduler/aging.go
@@ -51,7 +51,7 @@
 	return pp.jobVolume(j) >= pp.meanJobVolumes.byClass[j.Class]
 }
 
-// jobVolume is the processor time that all tasks of a job need together, in processor milliseconds.
+// jobVolume is the CPU time that all tasks of a job need together, in CPU milliseconds.
 func (pp *placementPlanner) jobVolume(j *Job) float64 {
 	return float64(j.Tasks) * j.Request.CPUs * float64(pp.estimates.expectedRuntime(j))
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -48,8 +48,8 @@
 	running           bool
 	adopted           bool // started under an earlier claim; runningSince is an estimate
 	checkpointing     bool
-	placedAt          int64 // wall time, ms
-	runningSince      int64 // wall time, ms
+	placedAt          int64 // wall-clock time, ms
+	runningSince      int64 // wall-clock time, ms
 	expectedRuntimeMS int64
 	expectedFetchMS   int64
 }
@@ -86,9 +86,9 @@
 	return d.incarnation < hb.Incarnation || d.afterHeartbeatSeq < hb.Seq
 }
 
-// expectedEnd is the wall time, in milliseconds, at which the attempt is expected to end. An
-// attempt that has exceeded its expected run time is expected to run for another quarter of the
-// time that it has taken. Otherwise the planner would repeatedly plan the tasks that wait for its
+// expectedEnd is the wall-clock time, in milliseconds, at which the attempt is expected to end. An
+// attempt that has exceeded its expected runtime is expected to run for another quarter of the time
+// that it has taken. Otherwise the planner would repeatedly plan the tasks that wait for its
 // resources as if they could start immediately.
 func (p *attemptProgress) expectedEnd(wall int64) int64 {
 	start := p.placedAt + p.expectedFetchMS
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// autoscaler owns the state of the leader: its leadership, its requests to the cloud,
-// and its pending writes to the machine registry. Only the leader provisions, records
-// and releases machines. Other members only read the catalog of machine types, and only
-// while they have none.
+// autoscaler owns the state of the leader: its leadership, its requests to the cloud, and
+// its pending writes to the machine registry. Only the leader provisions, registers and
+// releases machines. Other members only read the catalog of machine types, and only while
+// they have none.
 //
 // The autoscaler relies on the state service: a change whose precondition is the leader
 // record's revision fails once another member is the leader. It guarantees that each
@@ -43,21 +43,21 @@
 	listed       map[string]bool // machine IDs in the last complete list
 }
 
-// provisioningState tracks recent provision requests and unavailable offerings.
+// provisioningState tracks pending provision requests and unavailable offerings.
 type provisioningState struct {
 	provisionRequests uint64             // sequence number in the idempotency keys of a leadership
 	nextProvisionAtMS int64              // monotonic
 	provisioning      map[string]int     // pending requests by shard
-	demandValidAfter  map[string]int64   // by shard: wall time before which reported demand is outdated
+	demandValidAfter  map[string]int64   // by shard: wall-clock time before which reported demand is outdated
 	unavailableUntil  map[offering]int64 // monotonic time until which an offering is not requested
 }
 
 // releaseState tracks the machines to release and the machines released recently.
 type releaseState struct {
 	releasePending  bool
-	nextReleaseAtMS int64 // monotonic
-	pendingReleases map[string]bool
-	releasedAt      map[string]int64 // by machine, monotonic ms
+	nextReleaseAtMS int64            // monotonic
+	pendingReleases map[string]bool  // by machine ID
+	releasedAt      map[string]int64 // by machine ID, monotonic ms
 }
 
 // registryWrites holds the pending writes to the machine registry.
@@ -65,8 +65,8 @@
 	lastRegistryPageNumber  int
 	pendingAdditions        []*registryAddition
 	pendingRemovals         map[string]bool
-	machinesBeingRegistered map[string]bool // discovered or provisioned machines that are not on a registry page yet
-	unregisteredMachines    []Heartbeat     // heartbeats of machines that are not on any registry page
+	machinesBeingRegistered map[string]bool // machines whose registry page is not written yet
+	unregisteredMachines    []Heartbeat     // heartbeats of machines that are on no registry page
 	nextAssignmentAtMS      int64           // monotonic
 	registryWriting         bool
 	nextRegistryWriteAtMS   int64 // monotonic
--- a/scheduler/cloud_list.go
+++ b/scheduler/cloud_list.go
@@ -14,7 +14,7 @@
 	releasedRetentionLags = 5
 
 	// listGraceMS is added to the list's lag before a machine counts as missing from the
-	// list, or as unrecorded with no registry write pending.
+	// list, or as unregistered with no registry write pending.
 	listGraceMS = 5000
 
 	// cloudMachineFailed is the state of a CloudMachine that failed to boot.
@@ -69,12 +69,11 @@
 }
 
 // reconcileInstance processes one machine of the cloud's list. It releases a failed
-// machine and adds an unexpected one to the registry.
+// machine and adds an unregistered one to the registry.
 func (as *autoscaler) reconcileInstance(instance CloudMachine, loads map[string]*shardLoad) {
 	if releasedAt, ok := as.releasedAt[instance.ID]; ok {
-		// The list lags, so a released machine still appears in it. Treated as an
-		// unexpected machine, it would get a record and an owner again, but would
-		// never come up.
+		// The list lags, so a released machine still appears in it. If it were registered
+		// again, it would never come up.
 		if as.isReleaseRetentionOver(releasedAt) {
 			delete(as.releasedAt, instance.ID)
 		}
@@ -91,8 +90,9 @@
 	if isRegistered || isBeingRegistered {
 		return
 	}
-	// The machine is unexpected: it gets an owner, which uses or releases it. The age
-	// limit leaves time to record a machine that this leader provisioned.
+	// The machine is unregistered. It is assigned to a shard, whose owner uses or
+	// releases it. The age limit leaves time to register a machine that this leader
+	// provisioned.
 	ageMS := secondsToMS(instance.AgeS)
 	if ageMS <= as.maxListAgeMS()+listGraceMS || as.cache.machineTypes[instance.Type] == nil {
 		return
@@ -102,8 +102,8 @@
 	as.addMachinesToRegistry([]string{instance.ID}, page, func() {})
 }
 
-// releaseAbsentMachines marks recorded machines for release if they are missing from the
-// cloud's list or do not come up in time.
+// releaseAbsentMachines marks registered machines for release if they are missing from
+// the cloud's list or do not come up in time.
 func (as *autoscaler) releaseAbsentMachines(sentAtMS int64) {
 	maxAgeMS := as.maxListAgeMS()
 	sentWallMS := as.now.WallMS - (as.now.MonotonicMS - sentAtMS)
--- a/scheduler/cluster_view.go
+++ b/scheduler/cluster_view.go
@@ -13,8 +13,8 @@
 const bootOverdueFactor = 2
 
 // buildClusterView adds a shard's machines to its cluster view, with a slot for each live attempt.
-// It also recomputes the totals for the plan: processors used by tasks with a start objective,
-// remaining work by team, and reserved tasks by range.
+// It also recomputes the totals for the plan: CPUs used by tasks with a start objective, remaining
+// work by team, and reserved tasks by range.
 func (pp *placementPlanner) buildClusterView(s *shard) {
 	s.clusterView.Begin(pp.now.WallMS)
 	s.viewMachines = s.viewMachines[:0]
@@ -33,7 +33,7 @@
 	s.clusterView.FinishAdding()
 }
 
-// machineReadyAt returns the time of day at which a machine is expected to accept tasks. ok is
+// machineReadyAt returns the wall-clock time at which a machine is expected to accept tasks. ok is
 // false for a machine that is overdue by more than bootOverdueFactor and may never boot.
 func (pp *placementPlanner) machineReadyAt(mc *machine) (readyAt int64, ok bool) {
 	wall := pp.now.WallMS
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -38,7 +38,7 @@
 	shard   *shard
 	machine *machine
 	token   uint64
-	started []*attempt // attempts that the command starts; empty for a stop or a task query
+	started []*attempt // attempts that the command starts; empty for stops or a query
 }
 
 // queryUnreportedMachines queries the tasks of workers that were sent our fencing token and would
--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -5,9 +5,14 @@
 // goroutines and reads no clock, so tests run a whole cluster of controllers in
 // simulated time.
 //
-// A Controller owns the shards that it has claimed in the state service: their machines,
-// their task ranges and the scheduling decisions for them. It also keeps a replica of
-// all live records (stateCache), which may lag behind the state service.
+// The controllers of a cluster are its members. There is one shard per member, with the
+// member's name. A Controller owns the shards that it has claimed in the state service:
+// their machines, their task ranges (parts of jobs) and the scheduling decisions for
+// them. A worker, or agent, runs the tasks of one machine. An attempt is one start of a
+// task. One member is the leader: it provisions machines, assigns them to shards and
+// releases them. Each Controller also keeps a replica of all live records (stateCache),
+// which may lag behind the state service. These records describe the jobs that have not
+// ended and the present state of the cluster, without the progress of jobs.
 //
 // The Controller assumes that calls are serialized, that Now.MonotonicMS never
 // decreases, that each StoreOp, CloudOp, DirectCommand and RelayRequest gets at most
@@ -15,9 +20,11 @@
 // assume that messages between members and workers arrive, or that they arrive in order.
 //
 // It guarantees that the same inputs and seed produce the same outputs. It starts tasks
-// and makes decisions only with authority, that is, with an unexpired lease in the state
-// service. A job state that was reported to a user (accepted, cancelled, done) remains
-// valid through the loss of any member.
+// and makes decisions only with authority, that is, while the member's own lease in the
+// state service has not expired. A worker has a lease of another kind: heartbeat
+// responses renew it, and the worker stops its tasks when it expires. A job state that
+// was reported to a user (accepted, cancelled, done) remains valid through the loss of
+// any member.
 //
 // It is designed for these failures:
 //   - outages of the state service, for one member or for all, and writes with an
--- a/scheduler/environment.go
+++ b/scheduler/environment.go
@@ -114,8 +114,8 @@
 	return slices.ContainsFunc(env.params.Objectives[j.Class], isStartObjective)
 }
 
-// maxEvictionReservations limits the open charges against a shard's disruption budgets so that
-// their record takes at most half of the maximum value size.
+// maxEvictionReservations limits the reserved evictions of a shard so that their record takes at
+// most half of the maximum value size.
 func (env *environment) maxEvictionReservations() int { return max(16, env.params.MaxValueBytes/2/80) }
 
 // progressWriteInterval returns how long progress may remain unwritten, in milliseconds. A
--- a/scheduler/evictions.go
+++ b/scheduler/evictions.go
@@ -10,7 +10,10 @@
 )
 
 // shardDisruption is a shard's part in a rollout: the account of stopped tasks, and the demands of
-// the shard's owner for further evictions.
+// the shard's owner for further evictions. Each eviction spends a disruption token, which the
+// leader issues within the team's budget. The shard's owner first reserves the task in the account.
+// It sends the stop once the reservation is stored, and settles the reservation when the task runs
+// again.
 type shardDisruption struct {
 	account      *disruption.Account // nil until the first tick of the shard
 	record       recordWriteState
@@ -28,7 +31,7 @@
 // eviction is a task that the rollout plan would stop now.
 type eviction struct {
 	attempt  *attempt
-	lostWork float64 // in processor milliseconds
+	lostWork float64 // in CPU milliseconds
 }
 
 // disruptionRowBytes is the approximate size, in bytes, of one team's tokens for one shard in the
@@ -122,7 +125,7 @@
 	return running
 }
 
-// settleReservations closes the reservations of tasks that run again, that are done or no longer
+// settleReservations settles the reservations of tasks that run again, that are done or no longer
 // owned, and of tasks that continue on their machine. It also records the recovery of lost tasks.
 func (rc *rolloutController) settleReservations(s *shard) {
 	account := s.disruption.account
@@ -218,7 +221,7 @@
 }
 
 // evictionCost reports whether the rollout plan would stop a task on a drained machine now, and how
-// much work is lost by that, in processor milliseconds:
+// much work is lost by that, in CPU milliseconds:
 //
 //	task                                            | stopped                 | lost work
 //	reserved, checkpointing, exited or at-most-once | no                      |
@@ -252,7 +255,7 @@
 }
 
 // endsInTime reports whether a task ends by itself within about the time that a stop takes, or
-// before the step's deadline (wall time; 0: none).
+// before the step's deadline (wall-clock time; 0: none).
 func (rc *rolloutController) endsInTime(a *attempt, isLate bool, deadline int64) bool {
 	expectedEnd := a.expectedEnd(rc.now.WallMS)
 	stopMS := 2*rc.maxHeartbeatIntervalMS() + secondsToMS(a.job.CheckpointDurationS)
--- a/scheduler/failure_limits.go
+++ b/scheduler/failure_limits.go
@@ -5,10 +5,10 @@
 // job is cancelled. Workflow steps set the limit.
 //
 //	state    event                                         next state
-//	running  a task fails MaxTaskErrors times              failed; the final record is written
-//	running  at-most-once: a task fails, or is lost after  failed; the final record is written
+//	running  a task fails MaxTaskErrors times              failed; the terminal record is written
+//	running  at-most-once: a task fails, or is lost after  failed; the terminal record is written
 //	         it may have started
-//	failed   the final record is stored                    cancelled, as users see it
+//	failed   the terminal record is stored                 cancelled, as users see it
 
 // countTaskError counts a failed attempt and fails its job if the limit is reached.
 func (sm *shardManager) countTaskError(tr *taskRange, a *attempt) {
@@ -59,8 +59,8 @@
 }
 
 // failurePolicyAllowsStart reports whether the limits on failures permit a start of a range's
-// tasks. The first task of an at-most-once job waits until the store records that tasks may have
-// started, because the next owner must know this after a crash.
+// tasks. The first task of an at-most-once job waits until the state service records that tasks may
+// have started, because the next owner must know this after a crash.
 func (sm *shardManager) failurePolicyAllowsStart(tr *taskRange) bool {
 	if tr.job.failureReason != "" {
 		return false
@@ -72,7 +72,7 @@
 	return true
 }
 
-// writeBegunRecord records in the store that tasks of a job may have started.
+// writeBegunRecord records in the state service that tasks of a job may have started.
 func (sm *shardManager) writeBegunRecord(s *shard, tr *taskRange) {
 	j := tr.job
 	rec := j.rec
@@ -83,7 +83,8 @@
 	})
 }
 
-// failJob writes the final record of a failed job. Users see the job as cancelled, with the reason.
+// failJob writes the terminal record of a failed job. Users see the job as cancelled, with the
+// reason.
 func (sm *shardManager) failJob(s *shard, tr *taskRange) {
 	j := &tr.job.rec.Job
 	final := terminalRecord{
--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -9,10 +9,10 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
-// A guarantee is enforced by reclaiming capacity from teams that use more than their own
-// guarantees. If work within a guarantee does not fit on any machine, the shard's owner stops
-// tasks of such teams. Package quota decides which teams lose capacity, and how much. Queues are
-// never preempted, with two exceptions: this one and preemption within a team's own limit
+// A guarantee is enforced by reclaiming capacity from teams that use more than their own guarantees.
+// If work within a guarantee does not fit on any machine, the shard's owner stops tasks of such
+// teams. Package quota decides which teams lose capacity, and how much. A plan stops no running task
+// for a waiting one, with two exceptions: this one and preemption within a team's own limit
 // (team_preemption.go).
 
 // reclaimBatch is a set of attempts on one machine whose stop frees capacity for one more task
@@ -23,7 +23,7 @@
 	victims     []*attempt
 	priority    Priority // the highest of the victims
 	fetchMS     int64    // time to fetch the group's image there; 0 if it is cached
-	lostWork    float64  // work lost by the stops, in processor milliseconds
+	lostWork    float64  // work lost by the stops, in CPU milliseconds
 }
 
 // isEnding reports whether an attempt has exited or is already being stopped.
@@ -48,8 +48,8 @@
 	return a.taskRange.reclaimedFor[a.taskIndex] != team && !qm.isWithinGuarantee(a.job)
 }
 
-// lostWork returns the work that a stop loses, in processor milliseconds. For a task that
-// checkpoints, that is the time of one checkpoint.
+// lostWork returns the work that a stop loses, in CPU milliseconds. For a task that checkpoints,
+// that is the time of one checkpoint.
 func (qm *quotaManager) lostWork(a *attempt) float64 {
 	switch {
 	case !a.running:
@@ -60,8 +60,8 @@
 	return float64(qm.now.WallMS-a.runningSince) * a.job.Request.CPUs
 }
 
-// compareReclaimable orders attempts by the cost of a stop: lowest priority first, then least
-// lost work per processor.
+// compareReclaimable orders attempts by the cost of a stop: lowest priority first, then least lost
+// work per CPU.
 func (qm *quotaManager) compareReclaimable(a, b *attempt) int {
 	return cmp.Or(
 		cmp.Compare(a.job.Priority, b.job.Priority),
@@ -133,9 +133,9 @@
 	return len(s.reconciler.Unreported()) == 0 && !s.reconciler.Pacer.IsActive(qm.now.MonotonicMS)
 }
 
-// reclaimForGuarantee stops tasks that other teams run beyond their guarantees. It does so for
-// tasks of a group that are within their team's guarantee and that fit on no machine. A stop never
-// loses more work than the task that it makes room for contains.
+// reclaimForGuarantee stops tasks that other teams run beyond their guarantees. It does so for tasks
+// of a group that are within their team's guarantee and that fit on no machine. A stop never loses
+// more work than the waiting task contains.
 func (qm *quotaManager) reclaimForGuarantee(s *shard, g *taskGroup, missing int) {
 	if !qm.mayReclaim(s, g) {
 		return
@@ -198,7 +198,7 @@
 }
 
 // preemptibleExcess returns the amount of a team's usage in this member's shards that may be
-// preempted.
+// reclaimed, in the terms of package quota: preempted.
 func (qm *quotaManager) preemptibleExcess(team string, usage quota.Amounts) quota.Amounts {
 	guarantee := guaranteeOf(qm.params.Teams[team])
 	return qm.usageMonitor.PreemptibleExcess(team, usage, guarantee, qm.peerMessagesSince())
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -17,7 +17,7 @@
 // claim is no longer valid, it calls onClaimLost instead. It calls exactly one of
 // onSettled and onClaimLost, once.
 type inDoubtWrite struct {
-	isClaimValid func() bool // this member still holds the claim under which it sent the write
+	isClaimValid func() bool // the claim under which this member sent the write is still in force
 	send         func(done func(StoreResult))
 	onSent       func(Outcome) indoubt.NextStep
 	onRead       func(StoreResult) indoubt.NextStep
@@ -25,9 +25,9 @@
 	onClaimLost  func() // the outcome remains unknown; the state cache shows it later
 }
 
-// retryDelayDivisor is the divisor of the request timeout that gives the pause after the
+// retryDelayDivisor is the divisor of the request timeout that gives the delay after the
 // state service refused or did not answer a request of an in-doubt write. Without the
-// pause, the member would send requests continuously during an outage.
+// delay, the member would send requests continuously during an outage.
 const retryDelayDivisor = 6
 
 // sendUntilSettled sends a write. It then resends the write or reads the key until the
@@ -60,7 +60,7 @@
 }
 
 // continueAfter calls resume immediately if the state service processed the request, and
-// after a pause otherwise.
+// after a delay otherwise.
 func (sc *storeClient) continueAfter(outcome Outcome, resume func()) {
 	if outcome.ProcessedByService() {
 		resume()
--- a/scheduler/inputs_outputs.go
+++ b/scheduler/inputs_outputs.go
@@ -159,7 +159,7 @@
 type TaskStatus struct {
 	Task         string
 	Attempt      uint64
-	State        string // fetching, running, waiting, saving, exited
+	State        string // fetching, running, waiting (for the rest of its gang), saving (a checkpoint), exited
 	Reason       string // done, stopped, error, no_room, busy, unknown
 	Checkpointed bool
 }
@@ -171,7 +171,7 @@
 	Machine, Addr, Type, Zone string
 	Spot                      bool
 	Incarnation, Seq, Token   uint64
-	TerminationNoticeS        *float64
+	TerminationNoticeS        *float64 // seconds until the cloud terminates a spot machine; nil: no notice
 	Tasks                     []TaskStatus
 }
 
@@ -245,11 +245,12 @@
 // RelayRequest is a user request for a peer to answer.
 type RelayRequest struct {
 	ID      uint64
-	Peer    string
+	Peer    string // member ID
 	Request UserRequest
 }
 
-// DirectCommand is a set of commands that is sent to a worker without waiting for its next heartbeat.
+// DirectCommand is a set of commands that is sent to a worker without waiting for its next heartbeat. Without
+// commands, it is a query for the worker's tasks.
 type DirectCommand struct {
 	ID          uint64
 	Addr        string
@@ -314,7 +315,7 @@
 	Tasks         int    `json:"Count"    msgpack:"n"`
 	DeadlineMS    int64  `json:"Deadline" msgpack:"dl"`   // wall-clock time in ms
 	TaskRuntimeMS int64  `json:"Length"   msgpack:"len"`  // runtime of one task, without the image fetch
-	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // on-demand machines could run the tasks at a higher price
+	SpotOnly      bool   `json:"SpotOnly" msgpack:"spot"` // on-demand machines can run the tasks, at a higher price
 }
 
 // LogLevel is the severity of a log line.
--- a/scheduler/job_requests.go
+++ b/scheduler/job_requests.go
@@ -285,7 +285,7 @@
 		}
 		var rec jobRecord
 		if err := json.Unmarshal(kv.Value, &rec); err != nil {
-			rh.log(Warn, "record unreadable", "key", kv.Key, "error", err)
+			rh.log(Warn, "cannot decode stored record", "key", kv.Key, "error", err)
 		}
 		final := terminalRecord{State: Cancelled, Tasks: rec.Job.Tasks, WorkflowRun: rec.Job.WorkflowRun}
 		preconditions := []Precondition{{jobKey(id), kv.Rev}, {terminalKey(id), 0}}
--- a/scheduler/leadership.go
+++ b/scheduler/leadership.go
@@ -67,7 +67,7 @@
 }
 
 // beginLeadership discards the state of an earlier leadership of this member. The cloud's
-// list still contains the machines that it had not recorded yet.
+// list still contains the machines that it had not registered yet.
 func (as *autoscaler) beginLeadership(leaderRev uint64) {
 	as.leading, as.leaderRev = true, leaderRev
 	as.nextListAtMS = as.now.MonotonicMS
@@ -81,8 +81,8 @@
 }
 
 // canActAsLeader reports whether this member is the leader, has authority, and has all
-// writes of earlier leaders in its cache. With an older cache it could take a recorded
-// machine for unknown and give it a second owner.
+// writes of earlier leaders in its cache. With an older cache it could take a registered
+// machine for an unregistered one and assign it to a second shard.
 func (as *autoscaler) canActAsLeader() bool {
 	return as.leading && as.store.hasAuthority() && as.cache.appliedRevision >= as.leaderRev
 }
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -27,14 +27,14 @@
 
 // machineCondition is the state of a machine that may prevent starts on it.
 type machineCondition struct {
-	terminatesAt     int64           // monotonic ms at which a spot termination notice ends; 0: none
-	fullUntil        int64           // monotonic ms; no starts before, after one was refused for lack of resources
+	terminatesAt     int64           // monotonic ms at which a spot termination notice expires; 0: no notice
+	fullUntil        int64           // monotonic ms; no starts before: the worker refused one for lack of resources
 	startUndelivered bool            // the last start in a heartbeat response did not reach the worker
 	failedJobs       map[string]bool // jobs whose errors may be caused by the machine
 	everReconciled   bool            // it was reconciled under this claim
 	cordoned         bool            // it accepts no more starts, because of an operator's setting or a rollout
-	releasing        bool            // the leader was requested to release it
-	orphanedTasks    int             // tasks on it that do not belong to this claim and have not ended yet
+	releasing        bool            // it is draining: its release by the leader is requested
+	orphanedTasks    int             // tasks on it that no task range needs and that this claim must stop
 }
 
 // acceptsStarts reports whether no condition prevents a start now.
@@ -140,10 +140,10 @@
 	return resourcesOf(am.cache.machineTypes[mc.rec.Type]).Sub(mc.usage)
 }
 
-// hasUnconfirmedStart reports whether a machine that did not receive a start has been sent another
-// one that the worker has not reported yet. The machine's heartbeats arrive, but it receives no
-// further starts before that report. Without this limit, the tasks planned there waited for a
-// heartbeat each time, only to be started again.
+// hasUnconfirmedStart reports whether a machine was sent another start after one that did not reach
+// its worker, and the worker has not reported that start yet. Until it does, the machine receives no
+// further starts: its heartbeats arrive, but the responses may be lost. Without this limit, the tasks
+// planned there waited for a heartbeat each time, only to be started again.
 func (mc *machine) hasUnconfirmedStart() bool {
 	if !mc.startUndelivered {
 		return false
@@ -164,9 +164,9 @@
 	}
 }
 
-// mayHaveTasks reports whether an unreported machine may run tasks of a range. With a ledger entry
-// it may run only the ranges that the entry lists, otherwise any range that may use its instance
-// offering.
+// mayHaveTasks reports whether an unreported machine (see shard) may run tasks of a range. With a
+// ledger entry it may run only the ranges that the entry lists, otherwise any range that may use
+// its instance offering.
 func (s *shard) mayHaveTasks(mc *machine, tr *taskRange) bool {
 	if entry, recorded := s.reconciler.Ledger.Entry(mc.id); recorded {
 		return slices.Contains(entry.Ranges, tr.name())
--- a/scheduler/machine_lifecycle.go
+++ b/scheduler/machine_lifecycle.go
@@ -7,7 +7,8 @@
 )
 
 // The removal of a machine from the fleet. tickMachine makes all transitions for which the table names no other
-// function. The states are not stored, and a later claim does not depend on them:
+// function. The states are not stored, and a later claim does not depend on them. A cordoned machine accepts no
+// starts; a draining one, in addition, is to be released by the leader:
 //
 //	from       event                                            to
 //	in use     lease expired                                    its attempts are lost; in use again on a heartbeat
@@ -16,7 +17,7 @@
 //	in use     listed by an operator or a rollout               cordoned
 //	cordoned   removed from the list                            in use
 //	cordoned   no live attempts                                 draining
-//	in use     spot notice expired, or received while empty     draining
+//	in use     termination notice: expired, or no live attempts draining
 //	in use     idle for too long, or tasks of several jobs fail draining
 //	draining   removed from its registry page                   deleted (deleteMachine)
 
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -10,13 +10,14 @@
 )
 
 // machineRegistry owns the member's state of all machines: the registry pages, which the leader writes, and the
-// lists of live machines, which the shard owners write.
+// lists of live machines, which the shard owners write. A machine is live, or up, once it is on such a list, after
+// the first heartbeat of its worker.
 //
-// Records hold many machines each: the state service's rate limit counts changed keys, and a fleet of hundreds
-// of machines may be provisioned and released within a minute. A registry page holds machines that were
-// added to a shard together; only the leader writes it. A shard has a few lists of the machines that are up; only
-// its owner writes them. A machine is deleted when it is on no page. The leader removes it only after the cloud
-// confirms that the machine is terminated, with all tasks on it.
+// Records hold many machines each: the state service's rate limit counts changed keys, and a fleet of hundreds of
+// machines may be provisioned and released within a minute. A registry page holds machines that were added to a
+// shard together; only the leader writes it. A shard has a few lists of its live machines; only its owner writes
+// them. A machine is deleted when it is on no page. The leader removes it only after the cloud confirms that the
+// machine is terminated, with all tasks on it.
 type machineRegistry struct {
 	*environment
 	agents *agentManager
@@ -38,19 +39,19 @@
 	}
 }
 
-// registryRecord is a registry page: machines of one offering in one shard.
+// registryRecord is a registry page: machines of one instance offering in one shard.
 type registryRecord struct {
 	Shard           string   `json:"shard"`
 	Type            string   `json:"type"`
 	Zone            string   `json:"zone"`
 	Spot            bool     `json:"spot,omitempty"`
-	ProvisionedAtMS int64    `json:"rented"`        // wall time, ms
+	ProvisionedAtMS int64    `json:"rented"`        // wall-clock time, ms
 	ReplacementPlan string   `json:"for,omitempty"` // rollout plan whose machines these replace
 	MachineIDs      []string `json:"machines"`
 }
 
-// liveMachinesRecord lists machines of a shard that are up. No task starts on a machine before it is listed, so
-// an unlisted machine has no tasks.
+// liveMachinesRecord lists live machines of a shard. No task starts on a machine before it is listed, so an unlisted
+// machine has no tasks.
 type liveMachinesRecord struct {
 	MachineIDs []string `json:"up"`
 }
@@ -61,8 +62,8 @@
 	rev uint64
 }
 
-// applyMachineRecord applies a change in the store to the pages and lists. It returns an error only if the record
-// cannot be decoded.
+// applyMachineRecord applies a change of a registry page or a list of live machines. It returns an error only if the
+// record cannot be decoded.
 func (mr *machineRegistry) applyMachineRecord(kv KeyValue) error {
 	switch {
 	case strings.HasPrefix(kv.Key, registryPrefix):
@@ -116,8 +117,8 @@
 	}
 }
 
-// applyLiveMachines applies a list of machines that are up. It ignores machines that were removed from the list:
-// they are removed from the registry pages too, or are in another list.
+// applyLiveMachines applies a list of live machines. It ignores machines that were removed from the list: they are
+// removed from the registry pages too, or are in another list.
 func (mr *machineRegistry) applyLiveMachines(key string, rec *liveMachinesRecord) {
 	if rec == nil {
 		delete(mr.liveMachines, key)
@@ -177,8 +178,8 @@
 	})
 }
 
-// firstNonFullLiveList returns the key of the shard's first list that is not full, and the machines in it that still
-// exist.
+// firstNonFullLiveList returns the key of the shard's first list of live machines that is not full, and the machines
+// in it that still exist.
 func (mr *machineRegistry) firstNonFullLiveList(s *shard) (key string, machineIDs []string) {
 	prefix := liveMachinesPrefix + s.name + "/"
 	for index := 0; ; index++ {
--- a/scheduler/params.go
+++ b/scheduler/params.go
@@ -33,7 +33,7 @@
 	Objectives       map[string][]Objective // by job class
 	GuaranteeWithinS float64                // start objective of work within a guarantee; 0: none
 	HeartbeatS       float64                // heartbeat interval of the workers
-	LeaseS           float64                // workers stop their tasks this long after the last response
+	LeaseS           float64                // lease of a worker, which stops its tasks this long after the last response
 	CancelWithinS    float64                // bound on stopping a cancelled job's tasks, also during outages
 	CPUShare         float64                // share of one CPU core; 0: not limited
 	Debug            bool                   // emit debug log lines
@@ -42,7 +42,7 @@
 	CloudListLagS    float64                // maximum staleness of the cloud's machine list
 	StoreChangeRate  float64                // changes per second in the state service; 0: write submissions one by one
 	MaxPendingRelays int                    // maximum number of user requests relayed to peers at once; 0: none
-	Aging            bool                   // place first tasks of large jobs that waited too long before their equals
+	Aging            bool                   // place first tasks of large, long-waiting jobs first in their priority
 	Quota            bool                   // stop tasks beyond their team's guarantee to meet other teams' guarantees
 	Rollout          bool                   // drain and replace machines in steps, by rollout plans
 	Recovery         bool                   // pace commands after a claim, and record unreachable machines
--- a/scheduler/peer_messages.go
+++ b/scheduler/peer_messages.go
@@ -142,7 +142,7 @@
 	return peer != nil && pt.now.MonotonicMS-peer.receivedAtMS < pt.cache.maxMessageAgeMS()
 }
 
-// logShardLoad writes a shard's processors to the debug log: by purchase option and state of
+// logShardLoad writes a shard's CPUs to the debug log: by purchase option and state of
 // machines, and by state of tasks.
 func (pt *peerTable) logShardLoad(s *shard) {
 	var spot, onDemand, booting, running, fetching float64
@@ -180,6 +180,6 @@
 // peerState is the last message from a member.
 type peerState struct {
 	receivedAtMS int64 // monotonic time of this member
-	sentWallMS   int64 // wall time of the sender
+	sentWallMS   int64 // wall-clock time of the sender
 	message      PeerMessage
 }
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -26,11 +26,11 @@
 	return &placementPlanner{environment: env}
 }
 
-// planStepCostMS is the assumed cost of a planner step, in milliseconds of a whole processor. It
-// only paces the planner, so a rough estimate is sufficient.
+// planStepCostMS is the assumed cost of a planner step, in milliseconds of one CPU. It only paces
+// the planner, so a rough estimate is sufficient.
 const planStepCostMS = 20e-6
 
-// planningCPUShare is the maximum share of its processor time that a member spends on planning.
+// planningCPUShare is the maximum share of its CPU time that a member spends on planning.
 const planningCPUShare = 0.2
 
 // Intervals between two plans of a shard, in milliseconds.
@@ -165,7 +165,8 @@
 	return limit
 }
 
-// gangStartIntervals is the duration of an attempt to start a gang, in maximum heartbeat intervals.
+// gangStartIntervals is how long the common start of a gang may take, in maximum heartbeat
+// intervals.
 const gangStartIntervals = 3
 
 // prepareGang sets the state of a gang's start for the planner. The machines receive their starts
--- a/scheduler/progress_records.go
+++ b/scheduler/progress_records.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// Progress records in the store hold which tasks of a shard's ranges are done. A record
+// Progress records in the state service hold which tasks of a shard's ranges are done. A record
 // per range would cost a write per range every few seconds, so small ranges share a few
-// records. Workers keep the results of finished tasks until the progress is stored, and
-// report them again to the next owner.
+// records. Workers keep the results of finished tasks until the progress is stored, and report
+// them again to the next owner.
 
 // sharedProgressRecords is the number of records that the small ranges of a shard share.
 const sharedProgressRecords = 4
--- a/scheduler/provisioning.go
+++ b/scheduler/provisioning.go
@@ -17,16 +17,16 @@
 	count           int
 	key             string // idempotency key
 	leaderRev       uint64
-	requestedAtMS   int64 // wall time
+	requestedAtMS   int64 // wall-clock time
 	replacementPlan string
 	shards          map[string]int // requested machines by shard
-	pendingShards   int            // shards whose machines are not recorded yet
+	pendingShards   int            // shards whose machines are not registered yet
 	onEnd           func()
 }
 
 // provision requests machines from the cloud, and divides the provisioned machines among
 // the shards in proportion to their requests. replacementPlan is the rollout plan whose
-// machines they replace, if any. onEnd is called once all machines are recorded or the
+// machines they replace, if any. onEnd is called once all machines are registered or the
 // request has failed, unless the leadership ends first.
 func (as *autoscaler) provision(o offering, shards map[string]int, replacementPlan string, onEnd func()) {
 	count := 0
--- a/scheduler/range_assignment.go
+++ b/scheduler/range_assignment.go
@@ -9,7 +9,7 @@
 )
 
 // peerTaskCapacity returns how many of a job's tasks, up to limit, a peer's shard can finish by
-// deadline (time of day, ms). It uses the shard's last summary; the peer decides which of its
+// deadline (wall-clock time, ms). It uses the shard's last summary; the peer decides which of its
 // machines run the tasks. With reserve, the capacity used is subtracted from the summary until the
 // next one arrives.
 func (pt *peerTable) peerTaskCapacity(
@@ -93,7 +93,7 @@
 	group      *taskGroup
 	search     *planner.CandidateSearch // search in this member's own shard; nil if the shard is not used
 	runtimeMS  int64
-	deadline   int64 // end of a task that meets the start objective, or the deadline; time of day, ms
+	deadline   int64 // end of a task that meets the start objective, or the deadline; wall-clock time, ms
 	movable    bool  // tasks may go to peers
 	unassigned int
 	peerShares []shardShare
@@ -264,7 +264,7 @@
 }
 
 // moveTasksToPeer moves up to maxTasks tasks from the end of a range to a peer. It chooses the shard
-// that can finish the most of them by deadline (time of day, ms).
+// that can finish the most of them by deadline (wall-clock time, ms).
 func (pt *peerTable) moveTasksToPeer(s *shard, tr *taskRange, maxTasks int, runtimeMS, deadline int64) {
 	movable := s.movableTail(tr, maxTasks)
 	if movable == 0 {
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -7,9 +7,9 @@
 	"github.com/grebedock/grebedock/reconcile"
 )
 
-// recoveryRecord holds the state of a shard that a later claim needs and cannot learn from heartbeats. It is
-// stored next to the shard's progress records. It contains the run times of job classes relative to the
-// estimates of the job owners, and the tasks on unreachable machines (reconcile.UnreachableLedger).
+// recoveryRecord holds the state of a shard that a later claim needs and cannot learn from heartbeats. It is stored
+// next to the shard's progress records. It contains the runtimes of job classes relative to the users' estimates,
+// and the tasks on unreachable machines (reconcile.UnreachableLedger).
 type recoveryRecord struct {
 	Runtimes    map[string]runtimeRecord                `json:"lengths,omitempty"`
 	Unreachable map[string]reconcile.UnreachableMachine `json:"silent,omitempty"`
@@ -21,11 +21,10 @@
 	Samples int     `json:"n"`
 }
 
-// recoveryState is the write schedule of a shard's recovery record and its stored run times. Times are
-// monotonic.
+// recoveryState is the write schedule of a shard's recovery record and its stored runtimes. Times are monotonic.
 type recoveryState struct {
 	writeState             recordWriteState
-	nextRuntimeWriteAtMS   int64            // no write for run times alone before this time
+	nextRuntimeWriteAtMS   int64            // no write for runtimes alone before this time
 	writtenRuntimes        map[string]int64 // by class: the written ratio, in hundredths
 	recordingPausedUntilMS int64            // no ledger entries before this time, after a pause of this member
 	lastTickMS             int64
@@ -52,7 +51,7 @@
 	s.recovery.writeState.rev = kv.Rev
 	var rec recoveryRecord
 	if err := json.Unmarshal(kv.Value, &rec); err != nil {
-		am.log(Warn, "record unreadable", "key", kv.Key, "error", err)
+		am.log(Warn, "cannot decode stored record", "key", kv.Key, "error", err)
 		return
 	}
 	for class, recorded := range rec.Runtimes {
@@ -95,7 +94,7 @@
 		s, recoveryKey(s.name), &recovery.writeState, rec, am.progressWriteInterval()/2, onResult)
 }
 
-// areRuntimesDue reports whether changes of run times alone justify a write now.
+// areRuntimesDue reports whether changes of runtimes alone justify a write now.
 func (am *agentManager) areRuntimesDue(recovery *recoveryState) bool {
 	if !am.params.Recovery || am.now.MonotonicMS < recovery.nextRuntimeWriteAtMS {
 		return false
--- a/scheduler/registry_writes.go
+++ b/scheduler/registry_writes.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// addMachinesToRegistry assigns machines to a shard. The assignment takes effect when the
-// store has their pages. page holds the fields that the machines share. onWritten is called
-// once all new machines are stored, immediately if none is new.
+// addMachinesToRegistry assigns machines to a shard. The assignment takes effect when their registry
+// pages are stored. page holds the fields that the machines share. onWritten is called once all new
+// machines are stored, immediately if none is new.
 func (as *autoscaler) addMachinesToRegistry(ids []string, page registryRecord, onWritten func()) {
 	var newIDs []string
 	for _, id := range ids {
@@ -163,8 +163,8 @@
 	}
 }
 
-// assignUnregisteredMachines assigns machines that sent heartbeats but are not on a registry page
-// to the least loaded shards. Machines with the same offering and shard share a page.
+// assignUnregisteredMachines assigns machines that sent heartbeats but are on no registry page to the
+// least loaded shards. Machines with the same offering and shard share a page.
 func (as *autoscaler) assignUnregisteredMachines() {
 	if len(as.unregisteredMachines) == 0 || as.now.MonotonicMS < as.nextAssignmentAtMS {
 		return
@@ -228,8 +228,8 @@
 	return loads
 }
 
-// assignToLeastLoaded returns the shard with the fewest processors, then the fewest machines
-// of the type. It adds a machine of the type to that shard's load.
+// assignToLeastLoaded returns the shard with the fewest CPUs, then the fewest machines of the type. It
+// adds a machine of the type to that shard's load.
 func (as *autoscaler) assignToLeastLoaded(loads map[string]*shardLoad, machineType string) string {
 	leastLoaded := ""
 	for name, load := range sortedByKey(loads) {
--- a/scheduler/rollout.go
+++ b/scheduler/rollout.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// applyRolloutRecord applies the plan's record, or a shard's disruption record, to the cached state.
+// applyRolloutRecord applies the rollout plan's record, or a shard's disruption record, to the
+// cached state.
 func (rc *rolloutController) applyRolloutRecord(kv KeyValue) error {
 	if kv.Key != rolloutKey {
 		return rc.applyDisruptionRecord(kv)
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// isDrainedByRollout reports whether the plan currently drains a machine.
+// isDrainedByRollout reports whether the rollout plan currently drains a machine.
 func (rc *rolloutController) isDrainedByRollout(mc *machine) bool {
 	if rc.rec == nil || !rc.params.Rollout {
 		return false
@@ -67,8 +68,8 @@
 	return rc.rec.Covers(&p)
 }
 
-// isRolloutReplacement reports whether a machine was provisioned for a plan that has not ended. Such
-// a machine is idle until the machines that it replaces are drained.
+// isRolloutReplacement reports whether a machine was provisioned for a rollout plan that has not
+// ended. Such a machine is idle until the machines that it replaces are drained.
 func (rc *rolloutController) isRolloutReplacement(mc *machine) bool {
 	if rc.rec == nil || !rc.params.Rollout || rc.rec.State.IsTerminal() {
 		return false
@@ -76,8 +77,8 @@
 	return mc.rec.ReplacementPlan == rc.rec.Plan.ID
 }
 
-// tickRollout advances the plan twice a second, with one write for all changes. Only the leader
-// calls it.
+// tickRollout advances the rollout plan twice a second, with one write for all changes. Only the
+// leader calls it.
 func (rc *rolloutController) tickRollout() {
 	now := rc.now.MonotonicMS
 	if !rc.params.Rollout || now < rc.nextTickAtMS {
--- a/scheduler/rollout_controller.go
+++ b/scheduler/rollout_controller.go
@@ -5,15 +5,15 @@
 	"github.com/grebedock/grebedock/rollout"
 )
 
-// rolloutController drains and replaces machines in steps. It owns the stored record of the plan
-// and the records of the tasks that each shard stopped for it. Package rollout decides how the plan
-// advances, and package disruption how many tasks of each team may be stopped. This type supplies
-// their input and stores their records.
+// rolloutController drains and replaces machines in steps. It owns the stored record of the rollout
+// plan and the records of the tasks that each shard stopped for it. Package rollout decides how the
+// plan advances, and package disruption how many tasks of each team may be stopped. This type
+// supplies their input and stores their records.
 //
 // Only the leader advances the plan's record, issues disruption tokens and provisions replacements.
-// Only a shard's owner drains the shard's machines and writes the record of the tasks it stopped.
-// An eviction is sent only after its reservation is in the store. A crash of the leader or the owner
-// therefore loses no part of a team's budget.
+// Only a shard's owner drains the shard's machines and writes the record of the tasks it stopped. An
+// eviction is sent only after its reservation is in the state service. A crash of the leader or the
+// owner therefore loses no part of a team's budget.
 type rolloutController struct {
 	*environment
 	cache    *stateCache
--- a/scheduler/runtime_estimator.go
+++ b/scheduler/runtime_estimator.go
@@ -4,9 +4,9 @@
 
 // Bounds on the effect of one task, and of a class's correction, on an estimate.
 const (
-	minRuntimeRatio, maxRuntimeRatio   = 0.2, 5 // bounds on the ratio of a task's run time to its estimate
+	minRuntimeRatio, maxRuntimeRatio   = 0.2, 5 // bounds on the ratio of a task's runtime to its estimate
 	minRuntimeFactor, maxRuntimeFactor = 0.5, 3 // bounds on the factor applied to an estimate
-	priorRuntimeSamples                = 4      // weight of the owner's estimate, in tasks
+	priorRuntimeSamples                = 4      // weight of the user's estimate, in tasks
 	maxRuntimeSamples                  = 40     // tasks after which the weight of older tasks decays
 )
 
@@ -14,9 +14,9 @@
 // which the ratio is written again.
 const runtimeUpdateHundredths = 5
 
-// runtimeEstimator owns the corrections of job owners' run-time estimates, based on the measured run times of
-// tasks of the same class. Each member has its own corrections; the recovery records of shards pass them on to
-// later owners.
+// runtimeEstimator owns the corrections of the users' runtime estimates, based on the measured runtimes of tasks
+// of the same class. Each member has its own corrections; the recovery records of shards pass them on to later
+// owners.
 type runtimeEstimator struct {
 	*environment
 
@@ -27,13 +27,13 @@
 	return &runtimeEstimator{environment: env, runtimeCorrections: map[string]*runtimeCorrection{}}
 }
 
-// runtimeCorrection is the weighted mean ratio of a class's run times to its owners' estimates.
+// runtimeCorrection is the weighted mean ratio of a class's runtimes to the users' estimates.
 type runtimeCorrection struct {
 	ratio   float64
 	samples int
 }
 
-// updateRuntimeEstimate updates the correction of a job's class with the run time of one of the job's tasks.
+// updateRuntimeEstimate updates the correction of a job's class with the runtime of one of the job's tasks.
 func (re *runtimeEstimator) updateRuntimeEstimate(j *Job, runtimeMS int64) {
 	if j.EstimateS <= 0 || runtimeMS <= 0 {
 		return
@@ -49,7 +49,7 @@
 	correction.ratio += (ratio - correction.ratio) / float64(weight)
 }
 
-// expectedRuntime returns the expected run time of a task of the job, in milliseconds.
+// expectedRuntime returns the expected runtime of a task of the job, in milliseconds.
 func (re *runtimeEstimator) expectedRuntime(j *Job) int64 {
 	seconds := j.EstimateS
 	if correction := re.runtimeCorrections[j.Class]; correction != nil {
@@ -70,8 +70,8 @@
 	return false
 }
 
-// buildRecord returns the run times of a recovery record, and the ratio of every class in hundredths. The ratios
-// include classes that the record has no room for.
+// buildRecord returns the runtimes of a recovery record, and the ratio of every class in hundredths. The ratios
+// include classes that the record omits.
 func (re *runtimeEstimator) buildRecord() (runtimes map[string]runtimeRecord, hundredths map[string]int64) {
 	runtimes, hundredths = map[string]runtimeRecord{}, map[string]int64{}
 	for class, correction := range sortedByKey(re.runtimeCorrections) {
--- a/scheduler/scale_out.go
+++ b/scheduler/scale_out.go
@@ -249,8 +249,8 @@
 	return min(copies*waves, g.Remaining)
 }
 
-// newMachineReadyAtMS returns the wall time at which a machine provisioned now can start
-// tasks of a job.
+// newMachineReadyAtMS returns the wall-clock time at which a machine provisioned now can
+// start tasks of a job.
 func (as *autoscaler) newMachineReadyAtMS(j *Job, t *MachineType) int64 {
 	return as.now.WallMS + secondsToMS(t.BootS) + as.cache.imageFetchMS(j, t.Name)
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -11,7 +11,7 @@
 type Settings struct {
 	Functions int      `json:"functions"`       // availability functions per summary
 	Samples   int      `json:"samples"`         // samples per availability function
-	LateShare float64  `json:"late_share"`      // step of extending a missed deadline, in parts of the job's span
+	LateShare float64  `json:"late_share"`      // step of extending a missed deadline; 1 = deadline - acceptance
 	SummaryS  float64  `json:"summary_s"`       // interval between peer messages in seconds
 	IdleBoots float64  `json:"idle_boots"`      // idle time before release, in boot times of the machine type
 	Drain     []string `json:"drain,omitempty"` // IDs of cordoned machines
--- a/scheduler/shard.go
+++ b/scheduler/shard.go
@@ -13,6 +13,10 @@
 // or removed. A later claim of the same shard creates a new value without any of
 // its state. Times are monotonic milliseconds unless a field says otherwise.
 //
+// A machine is unreported if it may run tasks of earlier claims that this claim does not
+// know: it is listed as live and has not sent a heartbeat under this claim (package
+// reconcile). The pacer (reconcile.Pacer) limits the rate of commands after a claim.
+//
 // The cost of a heartbeat or a tick must not exceed the size of this shard. The
 // code must iterate neither over other shards' machines and jobs, nor over all
 // pairs of machines and jobs. The lists and sums kept here make this possible.
@@ -21,8 +25,7 @@
 //	claimed    the claim is written            progress is being read; heartbeats have no effect
 //	ready      progress is read, and the       tasks start on reconciled machines
 //	           cache includes the claim
-//	reconciled every machine sent a heartbeat  no uncounted tasks of earlier claims can run
-//	           or is known to run no tasks
+//	reconciled no machine is unreported        every task that may run is known
 //	releasing  removal of the claim was sent   no starts and no writes; irreversible
 type shard struct {
 	name string
@@ -44,10 +47,10 @@
 	progressRecords map[string]*recordWriteState
 }
 
-// shardClaim is the claim in the store and the fencing token derived from it.
+// shardClaim is the claim in the state service and the fencing token derived from it.
 type shardClaim struct {
 	nonce        uint64 // distinguishes this claim from other claims of the same member
-	claimRev     uint64 // store revision of the claim
+	claimRev     uint64 // revision at which the claim was first stored
 	token        uint64 // revision of the claim's last write; workers refuse lower tokens than they received
 	voidToken    uint64 // commands with this token or a lower one must no longer take effect
 	raisingToken bool
@@ -72,7 +75,7 @@
 type shardMachines struct {
 	machines            []*machine // sorted by ID
 	machinesWithOrphans int        // machines with orphaned tasks, which this claim must stop
-	mostLeasesExpiredAt int64      // when the leases of most machines were last expired
+	mostLeasesExpiredAt int64      // last time at which the leases of most machines had expired
 	nextReleaseAt       int64      // no idle machine is released before this time
 }
 
@@ -92,7 +95,7 @@
 	firstTaskReservations map[string]*Job                   // job for whose first task part of the limit is reserved
 	reclaimableTeams      map[string]bool                   // teams with reclaimable usage; nil: not computed yet
 	reclaimedUsage        map[string]quota.Amounts          // usage being reclaimed for other teams' guarantees
-	placeableDemand       map[string]quota.Amounts          // work held back by limits that machines have room for
+	placeableDemand       map[string]quota.Amounts          // work held back by limits that fits on machines
 	nextProposalAt        int64                             // no team record is written before this time
 }
 
@@ -162,7 +165,8 @@
 	}
 }
 
-// recordWriteState is the write state of one of a shard's own records in the store.
+// recordWriteState is the write state of one of a shard's own records in the state
+// service.
 type recordWriteState struct {
 	rev         uint64 // revision of the record; 0: it does not exist
 	dirty       bool   // the described state has changed
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -7,11 +7,10 @@
 // shardManager owns the shards that this member has claimed: their claims,
 // failover and hand-back, the task ranges in them and their progress records.
 //
-// A claim is a record attached to the owner's store lease, and is deleted when the
-// lease ends. The revision of its last write is the shard's fencing token. Workers
-// refuse commands with a lower token, so an owner that has lost the shard without
-// noticing cannot act on it. Every change of a shard's records has the claim's
-// revision, which is the token, as a precondition.
+// A claim is a record attached to the owner's lease in the state service, and is deleted when that lease
+// ends. The revision of its last write is the shard's fencing token. Workers refuse commands with a
+// lower token, so an owner that has lost the shard without noticing cannot act on it. Every change of a
+// shard's records has the claim's revision, which is the token, as a precondition.
 type shardManager struct {
 	*environment
 	agents   *agentManager
@@ -96,11 +95,10 @@
 	return name == sm.params.MemberID || sm.now.MonotonicMS-sm.ownerlessSinceMS[name] > sm.adoptionDelay()
 }
 
-// adoptionDelay returns how long a shard must have been without an owner before another
-// member adopts it, in milliseconds. It is at most one renewal interval of the store
-// lease, or one lease TTL for a member that has just started. The owner's lease has
-// already ended; the delay lets the shard's own member, which restarts within seconds,
-// claim it first.
+// adoptionDelay returns how long a shard must have been without an owner before another member adopts
+// it, in milliseconds. It is at most one renewal interval of the member's lease, or one TTL of it for a
+// member that has just started. The owner's lease has already ended; the delay lets the shard's own
+// member, which restarts within seconds, claim it first.
 func (sm *shardManager) adoptionDelay() int64 {
 	if sm.now.MonotonicMS-sm.startedAtMS < sm.store.leaseTTLMS() {
 		return sm.store.leaseTTLMS()
@@ -112,7 +110,7 @@
 type claimWrite struct {
 	shard   string
 	nonce   uint64
-	leaseID uint64 // store lease that the claim is attached to
+	leaseID uint64 // member's lease that the claim is attached to
 }
 
 // claimShard writes this member's claim of a shard. After an unknown outcome, the nonce in
@@ -247,7 +245,7 @@
 	sm.removeClaim(s)
 }
 
-// removeClaim removes a shard's claim from the store. tickShard retries a failed removal. A
+// removeClaim removes a shard's claim from the state service. tickShard retries a failed removal. A
 // conflict means that the claim was removed or replaced already.
 func (sm *shardManager) removeClaim(s *shard) {
 	key := claimKey(s.name)
@@ -263,9 +261,8 @@
 	})
 }
 
-// applyClaimRecord applies a change of a claim in the store to the cache, and to the shard
-// if this member owns it. It returns an error, and changes nothing, if the record cannot be
-// decoded.
+// applyClaimRecord applies a change of a stored claim to the cache, and to the shard if this member owns
+// it. It returns an error, and changes nothing, if the record cannot be decoded.
 func (sm *shardManager) applyClaimRecord(kv KeyValue) error {
 	id := kv.Key[len(claimPrefix):]
 	removed := kv.Value == nil
--- a/scheduler/shard_tick.go
+++ b/scheduler/shard_tick.go
@@ -16,8 +16,8 @@
 	if !sm.store.hasAuthority() {
 		return
 	}
-	// A void token is raised again on each tick. Without the retry, one raise that failed
-	// in a store outage left a task waiting forever.
+	// A void token is raised again on each tick. Without the retry, one raise that failed in
+	// an outage of the state service left a task waiting forever.
 	if s.isTokenVoid() || s.attemptIDs.IsHalfExhausted(sm.now.WallMS) {
 		sm.raiseToken(s)
 	}
--- a/scheduler/state_cache.go
+++ b/scheduler/state_cache.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		if err := handler.apply(kv); err != nil {
-			cache.log(Warn, "record unreadable", "key", kv.Key, "error", err)
+			cache.log(Warn, "cannot decode stored record", "key", kv.Key, "error", err)
 		}
 		return
 	}
@@ -212,9 +212,9 @@
 	return max(g.DeadlineMS, viewMachine.ReadyAtMS+fetchMS+paddedRuntimeMS)
 }
 
-// isCurrent reports whether a task range still belongs to a live job in this member's
-// shards. A range that moved to a peer does not. Starting such a range from a reservation
-// ran its tasks twice.
+// isCurrent reports whether a task range still belongs to a live job and to an owned shard. A
+// range that moved to a peer does not. Starting such a range from a reservation ran its tasks
+// twice.
 func (cache *stateCache) isCurrent(tr *taskRange) bool {
 	return cache.jobs[tr.job.rec.Job.ID] == tr.job && tr.job.taskRanges[tr.bounds.Lo] == tr
 }
--- a/scheduler/status_records.go
+++ b/scheduler/status_records.go
@@ -23,7 +23,8 @@
 }
 
 // statusRecordIntervalFactor is the interval between status records, in intervals of peer
-// messages. Each record costs a change in the store, and stays fresh for as long as a message.
+// messages. Each record costs a change in the state service, and stays fresh for as long as a
+// message.
 const statusRecordIntervalFactor = 2
 
 // needsStatusRecord reports whether this member should write a status record now: it has
--- a/scheduler/task_groups.go
+++ b/scheduler/task_groups.go
@@ -9,10 +9,10 @@
 // that any job with a deadline ranks first.
 const noDeadlineSpanLeases = 100
 
-// taskDeadlines returns the times for which a job's tasks are admitted, in milliseconds of wall
-// time. startObjectiveEnd is when tasks must end to have started within their start objectives.
-// deadline is the earliest objective that can still be met. missed is true if none can: deadline is
-// then the last one, and the job is admitted as late.
+// taskDeadlines returns the times for which a job's tasks are admitted, in milliseconds of
+// wall-clock time. startObjectiveEnd is when tasks must end to have started within their start
+// objectives. deadline is the earliest objective that can still be met. missed is true if none can:
+// deadline is then the last one, and the job is admitted as late.
 func (pp *placementPlanner) taskDeadlines(
 	j *Job,
 	accepted, runtimeMS int64,
@@ -36,9 +36,9 @@
 	return deadlines[len(deadlines)-1], true
 }
 
-// startObjective is the wall time, in milliseconds, at which a job's tasks should have started,
-// according to its class's start objectives and its team's guarantee. Without either, it is the
-// horizon.
+// startObjective is the wall-clock time, in milliseconds, at which a job's tasks should have
+// started, according to its class's start objectives and its team's guarantee. Without either, it
+// is the horizon.
 func (pp *placementPlanner) startObjective(j *Job, accepted, horizon int64) int64 {
 	startBy := horizon
 	for _, o := range pp.params.Objectives[j.Class] {
@@ -114,7 +114,7 @@
 // waitingTaskGroups lists a shard's waiting work in planning order. Higher priorities rank first.
 // Within a priority, groups that can meet an objective rank before those that cannot, and groups
 // that the last plan admitted keep their rank. The others follow by earliest deadline, then by
-// arrival. Guarantees, usage tiers and aging modify this order.
+// arrival. Guarantees, quota tiers and aging modify this order.
 func (pp *placementPlanner) waitingTaskGroups(s *shard) []*taskGroup {
 	var out []*taskGroup
 	for _, tr := range s.taskRanges {
@@ -138,9 +138,9 @@
 }
 
 // admitToTeamLimits admits groups to their teams' limits as tasks are admitted to machines: a limit
-// is a queue whose throughput is that of its processors. A group that would finish late there, or
-// would make an admitted group late, is planned for its next deadline. If it can meet no deadline,
-// it ranks last. Without this step a team over its limit ran the tasks with the earliest deadlines,
+// is a queue whose throughput is that of its CPUs. A group that would finish late there, or would
+// make an admitted group late, is planned for its next deadline. If it can meet no deadline, it
+// ranks last. Without this step a team over its limit ran the tasks with the earliest deadlines,
 // which had already been missed, and finished nothing in time. admitToTeamLimits reports whether
 // any group changed.
 func (pp *placementPlanner) admitToTeamLimits(s *shard, groups []*taskGroup) (changed bool) {
@@ -163,12 +163,12 @@
 	return changed
 }
 
-// admitToQueue admits a group to the queue of a limit of cpus processors. It reports whether the
-// group's deadline can be met there. If not, it sets the next deadline that can be met, or marks
-// the group as missing its objectives.
+// admitToQueue admits a group to the queue of a limit of cpus CPUs. It reports whether the group's
+// deadline can be met there. If not, it sets the next deadline that can be met, or marks the group
+// as missing its objectives.
 func (pp *placementPlanner) admitToQueue(queue *availability.Queue, g *taskGroup, cpus float64) bool {
 	duration := int64(float64(g.Remaining) * g.job.Request.CPUs / cpus * float64(g.LengthMS))
-	// Even under a large limit, the last task takes its full run time.
+	// Even under a large limit, the last task takes its full runtime.
 	tail := max(0, g.LengthMS-duration)
 	if queue.Admit(g.DeadlineMS-tail, duration, 1) == 1 {
 		return true
--- a/scheduler/task_ranges.go
+++ b/scheduler/task_ranges.go
@@ -16,8 +16,8 @@
 	awaitingBegunRecord bool               // at-most-once: a task waits for the record that tasks may have started
 }
 
-// applyJobRecord applies a change of a live job in the store. If the record cannot be decoded, it
-// returns the decoder's error and changes nothing.
+// applyJobRecord applies a change of a live job's stored record. If the record cannot be decoded,
+// it returns the decoder's error and changes nothing.
 func (sm *shardManager) applyJobRecord(kv KeyValue) error {
 	id := kv.Key[len(jobPrefix):]
 	if kv.Value == nil {
@@ -73,11 +73,11 @@
 	nextWriteAt int64 // monotonic milliseconds; the record is not written before
 }
 
-// taskProgress is which tasks are done, in memory and in the store.
+// taskProgress is which tasks are done, in memory and in the state service.
 type taskProgress struct {
-	done        bitset
+	done        bitset // done tasks as known to this member
 	doneCount   int
-	storedDone  bitset // done tasks according to the store
+	storedDone  bitset // done tasks according to the state service
 	progressKey string // key of the progress record; empty: not computed
 	dirty       bool   // done differs from storedDone
 }
@@ -90,8 +90,8 @@
 	p.doneCount++
 }
 
-// unmarkDone clears a task's done state, both the current one and the one that the store is known
-// to have.
+// unmarkDone clears a task's done state, both the current one and the one that the state service is
+// known to have.
 func (p *taskProgress) unmarkDone(i int) {
 	if p.done.has(i) {
 		p.done.clear(i)
@@ -137,13 +137,13 @@
 // taskStops is what this scheduler records, by task, about the stops that it sent.
 type taskStops struct {
 	reclaimedFor   map[int]string // team for whose guarantee the task was last stopped
-	checkpointedMS map[int]int64  // run time that the task's checkpoints preserve
+	checkpointedMS map[int]int64  // runtime that the task's checkpoints preserve
 }
 
-// gangStart is the last attempt to start all tasks of a gang.
+// gangStart is the last common start of all tasks of a gang.
 type gangStart struct {
 	gangStartedAt  int64  // monotonic milliseconds
-	gangAttempt    uint64 // attempt ID that all its tasks share
+	gangAttempt    uint64 // attempt ID that all its tasks share; 0: none
 	gangStartsSent bitset // tasks whose start was sent with this attempt ID
 }
 
@@ -309,8 +309,8 @@
 // name returns the range's key in its progress record.
 func (tr *taskRange) name() string { return TaskName(tr.job.rec.Job.ID, tr.bounds.Lo) }
 
-// finishTaskRange records in the store that all tasks of a range are done. For the last range of a
-// job, one transaction replaces the job's live record by its final one.
+// finishTaskRange records in the state service that all tasks of a range are done. For the last
+// range of a job, one transaction replaces the job's live record by its terminal one.
 func (sm *shardManager) finishTaskRange(s *shard, tr *taskRange) {
 	rec := tr.job.rec
 	remaining := make([]Range, 0, len(rec.Ranges))
@@ -327,7 +327,7 @@
 	sm.writeJob(s, tr, []Change{{Key: jobKey(rec.Job.ID), Value: mustEncode(rec)}}, nil, func() {})
 }
 
-// finishJob replaces the live record of a job whose tasks are all done by its final one.
+// finishJob replaces the live record of a job whose tasks are all done by its terminal one.
 func (sm *shardManager) finishJob(s *shard, tr *taskRange) {
 	j := tr.job
 	final := terminalRecord{State: Done, Tasks: j.rec.Job.Tasks, WorkflowRun: j.rec.Job.WorkflowRun}
@@ -341,7 +341,7 @@
 }
 
 // writeTerminalRecord ends a job: one transaction replaces the live record by the final one, which
-// must not exist yet. The final record is visible to users before onSuccess runs.
+// must not exist yet. The terminal record is visible to users before onSuccess runs.
 func (sm *shardManager) writeTerminalRecord(s *shard, tr *taskRange, final terminalRecord, onSuccess func()) {
 	id := tr.job.rec.Job.ID
 	changes := []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}
--- a/scheduler/task_starts.go
+++ b/scheduler/task_starts.go
@@ -5,7 +5,7 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// taskStart is a task to start now, with its expected run time and image fetch time.
+// taskStart is a task to start now, with its expected runtime and image fetch time.
 type taskStart struct {
 	taskRange *taskRange
 	taskIndex int // index in taskRange
@@ -58,7 +58,7 @@
 			break
 		}
 		if j.Kind == Gang && (tr.gangAttempt == 0 || tr.gangStartsSent.has(i)) {
-			break // this attempt to start the gang failed; a task uses an attempt ID only once
+			break // this start of the gang failed; a task uses an attempt ID only once
 		}
 		if !am.hasAttemptIDs(s) ||
 			!s.reconciler.Pacer.TryStart(am.now.MonotonicMS, p.canMeetStartObjective || j.Kind == Gang) {
@@ -130,7 +130,7 @@
 type queueFill struct {
 	machineType *MachineType
 	free        availability.Resources // free resources of the machine, less reserved ones
-	latestStart int64                  // wall time by which all skipped groups must start
+	latestStart int64                  // wall-clock time by which all skipped groups must start
 }
 
 // startFromQueue uses the resources that remain free on a machine after the plan's starts: it
@@ -154,8 +154,8 @@
 
 // nextFromQueue returns the first group of the queue with a task that fits and may start. A group
 // whose image is cached precedes a group that must fetch its image, if the latter can still start
-// in time after it. This applies the availability l(δ) once more, with the skipped task behind the
-// insertion point.
+// in time after it. This applies the availability function l(δ) of package availability once more,
+// with the skipped task behind the insertion point.
 func (am *agentManager) nextFromQueue(s *shard, mc *machine, fill *queueFill) *taskGroup {
 	var first *taskGroup
 	for _, g := range s.queue {
@@ -178,8 +178,9 @@
 	return first
 }
 
-// latestStart is the wall time, in milliseconds, by which a group's tasks must start. A group that
-// can still meet the start objective of its class must start in time for it, whatever its deadline.
+// latestStart is the wall-clock time, in milliseconds, by which a group's tasks must start. A group
+// that can still meet the start objective of its class must start in time for it, whatever its
+// deadline.
 func (am *agentManager) latestStart(g *taskGroup, fetchMS int64) int64 {
 	needed := g.LengthMS + fetchMS
 	if g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS-needed > am.now.WallMS {
@@ -259,8 +260,8 @@
 // hasAttemptIDs reports whether attempt IDs are left for further starts.
 func (am *agentManager) hasAttemptIDs(s *shard) bool { return !s.attemptIDs.IsExhausted(am.now.WallMS) }
 
-// isBlockedByUnreported reports whether tasks of a range may still run on a machine that has not
-// reported since the claim. Once none can, the range no longer counts as recovered.
+// isBlockedByUnreported reports whether tasks of a range may still run on an unreported machine.
+// Once none can, the range no longer counts as recovered.
 func (am *agentManager) isBlockedByUnreported(s *shard, tr *taskRange) bool {
 	if !tr.recovered {
 		return false
--- a/scheduler/task_status.go
+++ b/scheduler/task_status.go
@@ -212,20 +212,20 @@
 	}
 }
 
-// recordCompletion counts a result and updates the run-time estimate of the job's class.
+// recordCompletion counts a result and updates the runtime estimate of the job's class.
 func (am *agentManager) recordCompletion(mc *machine, a *attempt) {
 	tr := a.taskRange
 	tr.markDone(a.taskIndex)
 	tr.dirty = true
 	delete(mc.failedJobs, a.job.ID)
 	if a.running && !a.adopted {
-		// The run time of an adopted attempt is not known precisely enough: when it was
+		// The runtime of an adopted attempt is not known precisely enough: when it was
 		// underestimated, it lowered the estimate of its whole class.
 		am.estimates.updateRuntimeEstimate(a.job, am.now.WallMS-a.runningSince+tr.checkpointedMS[a.taskIndex])
 	}
 }
 
-// addCheckpoint adds run time, in milliseconds, that a task need not repeat.
+// addCheckpoint adds runtime, in milliseconds, that a task need not repeat.
 func (tr *taskRange) addCheckpoint(taskIndex int, runMS int64) {
 	if tr.checkpointedMS == nil {
 		tr.checkpointedMS = map[int]int64{}
--- a/scheduler/team_limits.go
+++ b/scheduler/team_limits.go
@@ -13,8 +13,8 @@
 // quotaManager owns the teams' ledgers (the allocations of their limits to shards). It decides which
 // jobs are within their teams' guarantees and which capacity is reclaimed for them.
 //
-// A record in the store divides a team's limit among the shards. A task starts only within its
-// shard's allocation, so the limit holds regardless of what the shards know about each other
+// A record in the state service divides a team's limit among the shards. A task starts only within
+// its shard's allocation, so the limit holds regardless of what the shards know about each other
 // (package quota). Without a record the whole limit is allocated to the team's home shard, which
 // receives the team's jobs. When the limit was divided equally instead, a team's jobs waited in one
 // shard for capacity that was unused in another. Earliest-deadline order also held only within a
--- a/scheduler/team_preemption.go
+++ b/scheduler/team_preemption.go
@@ -8,12 +8,12 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// Queues are normally never preempted. Preemption within a team is the exception if running tasks
-// fill the team's limit. Without it, an urgent job of a higher priority waited for a wave of long
-// tasks to end. Only tasks that lose no work are stopped: those that checkpoint, and those that do
-// not run yet. The part of the limit that a stopped task releases becomes a debt to the priority
-// that it was stopped for. The debt prevents the stopped task's own job, and others of its priority,
-// from taking that part first.
+// A plan normally stops no running task for a waiting one. Preemption within a team is the exception
+// if running tasks fill the team's limit. Without it, an urgent job of a higher priority waited for
+// a wave of long tasks to end. Only tasks that lose no work are stopped: those that checkpoint, and
+// those that do not run yet. The part of the limit that a stopped task releases becomes a debt to
+// the priority that it was stopped for. The debt prevents the stopped task's own job, and others of
+// its priority, from taking that part first.
 
 // preemptionDebt is the part of a team's limit that stopped tasks released for work of at least a
 // given priority. It is valid until such work has started, or until it expires.
@@ -72,9 +72,9 @@
 }
 
 // slackIfDelayable returns the time between a range's expected end and its deadline, if the given
-// number of processors of its team's limit serve it. The delay is not subtracted. ok is false if the
-// delay would make the range miss its deadline. runningMS is the remaining run time of the range's
-// live attempts.
+// number of CPUs of its team's limit serve it. The delay is not subtracted. ok is false if the delay
+// would make the range miss its deadline. runningMS is the remaining runtime of the range's live
+// attempts.
 func (pp *placementPlanner) slackIfDelayable(
 	tr *taskRange,
 	runningMS float64,
--- a/scheduler/unregistered_machines.go
+++ b/scheduler/unregistered_machines.go
@@ -6,9 +6,9 @@
 	heartbeat Heartbeat
 }
 
-// registerMachine registers a machine that is not on any registry page. It existed before this cluster,
-// or the cloud executed its provision request late. Only the leader writes registry pages, so other members
-// redirect the worker to the leader.
+// registerMachine registers a machine that is on no registry page. It existed before this cluster, or the
+// cloud executed its provision request late. Only the leader writes registry pages, so other members redirect
+// the worker to the leader.
 func (am *agentManager) registerMachine(replyID uint64, hb Heartbeat) {
 	if !am.scaler.leading {
 		am.respondWorker(replyID, am.redirectTo(am.cache.leader))
@@ -25,8 +25,8 @@
 	}
 }
 
-// mayRegister reports whether this member is the leader and can record the heartbeat's machine: its type is in
-// the catalog, and it was not released.
+// mayRegister reports whether this member is the leader and can register the heartbeat's machine: its type is
+// in the catalog, and it was not released.
 func (am *agentManager) mayRegister(hb *Heartbeat) bool {
 	return am.scaler.canActAsLeader() && am.cache.machineTypes[hb.Type] != nil &&
 		am.scaler.releasedAt[hb.Machine] == 0
--- a/scheduler/user_request_relay.go
+++ b/scheduler/user_request_relay.go
@@ -66,7 +66,7 @@
 	c.requests.requestsByArrival = append(c.requests.requestsByArrival, pending)
 	c.requests.hedgeBudget = min(hedgeBurst, c.requests.hedgeBudget+hedgeRatio)
 	needsStore := request.Kind != SubmitJob || request.ID != ""
-	if c.store.isStoreUnreachable() && needsStore { // order matters: isStoreUnreachable also schedules probes
+	if c.store.isStoreUnreachable() && needsStore { // order matters: the call may also schedule a lease request
 		c.requests.completeRequest(replyID, unavailableResponse(request.ID, storeUnreachableMessage))
 		return
 	}
