--- a/scheduler/counters.go
+++ b/scheduler/counters.go
@@ -42,7 +42,7 @@
 	AdoptedTasks         uint64 `json:"adopted"`    // tasks started under an earlier claim that continue to run
 	OrphanedTasks        uint64 `json:"strays"`     // orphaned tasks: attempts on workers that no task range needs
 	ReclaimedTasks       uint64 `json:"ceded"`      // tasks stopped for another team's guarantee
-	InDoubtWrites        uint64 `json:"in_doubt"`   // writes whose first attempt had an unknown outcome
+	InDoubtWrites        uint64 `json:"in_doubt"`   // writes whose first request had an unknown outcome
 	StaleHeartbeats      uint64 `json:"old_report"` // heartbeats not newer than one received before
 	ConfirmedSubmissions uint64 `json:"confirmed"`  // submissions answered from their record before the write ended
 	UndeliveredStarts    uint64 `json:"unheard"`    // starts in heartbeat responses that workers did not receive
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -6,7 +6,8 @@
 )
 
 // inDoubtWrite is a conditional write that is repeated until its outcome is known (package
-// indoubt). onSent returns the next step after an attempt, onRead after reading the key:
+// indoubt). onSent returns the next step after sending the write, onRead after reading the
+// key:
 //
 //	step              action
 //	indoubt.Settled   call onSettled; the write is complete
--- a/scheduler/range_assignment.go
+++ b/scheduler/range_assignment.go
@@ -306,9 +306,9 @@
 }
 
 // writeMove writes a move and repeats the write until its outcome is certain. Until then no task of
-// the range starts in this shard, because the peer may already own the tail. Neither a refused
-// retry nor a conflict whose read-back failed settles the write. When they did, the first attempt
-// was applied afterwards, and the tail ran in both shards.
+// the range starts in this shard, because the peer may already own the tail. Neither a refused retry
+// nor a conflict whose read-back failed settles the write. When they did, the first request was
+// applied afterwards, and the tail ran in both shards.
 func (pt *peerTable) writeMove(s *shard, tr *taskRange, j *job, rec jobRecord, jobRevision uint64) {
 	id := j.rec.Job.ID
 	key := jobKey(id)
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -23,7 +23,7 @@
 	store    *storeClient
 
 	ownedShards      map[string]*shard
-	claimRetryAtMS   map[string]int64 // by shard: monotonic time of the next attempt to claim it
+	claimRetryAtMS   map[string]int64 // by shard: monotonic time before which it is not claimed again
 	ownerlessSinceMS map[string]int64 // by shard: monotonic time since which it has no owner
 }
 
@@ -43,7 +43,7 @@
 const (
 	claimRetryMS      = 300 // after a failed claim, plus a random delay of up to the same length
 	tokenRaiseDelayMS = 500 // between two updates of a fencing token
-	shardRetryDelayMS = 500 // between two attempts to read the progress or remove the claim
+	shardRetryDelayMS = 500 // before a retry to read the progress or remove the claim
 )
 
 // tickShards ticks the owned shards and claims the shards that this member should own.
@@ -74,8 +74,7 @@
 	}
 }
 
-// canClaimNow reports whether an attempt to claim a shard is due, and the cache is recent
-// enough to decide on it.
+// canClaimNow reports whether a claim of a shard is due, and the cache is recent enough to decide on it.
 func (sm *shardManager) canClaimNow(name string) bool {
 	now := sm.now.MonotonicMS
 	cacheAgeMS := now - sm.store.storeAccess.MirrorReadSentAt()
