--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -9,21 +9,21 @@
 	"github.com/grebedock/grebedock/quota"
 )
 
-// A guarantee is enforced by reclaiming capacity from teams that use more than their own
-// guarantees. If work within a guarantee does not fit on any machine, the shard's owner stops
-// tasks of such teams. Package quota decides which teams lose capacity, and how much. Queues are
-// never preempted, with two exceptions: this one and preemption within a team's own limit
+// A guarantee is enforced by reclaiming capacity from teams that use more than their own guarantees.
+// If work within a guarantee does not fit on any machine, the shard's owner stops tasks of such
+// teams. Package quota decides which teams lose capacity, and how much. A plan stops no running task
+// for a waiting one, with two exceptions: this one and preemption within a team's own limit
 // (team_preemption.go).
 
-// preemptionBatch is a set of attempts on one machine whose stop frees capacity for one more task
+// reclaimBatch is a set of attempts on one machine whose stop frees capacity for one more task
 // of a group.
-type preemptionBatch struct {
+type reclaimBatch struct {
 	machine     *machine
 	viewMachine *planner.Machine
 	victims     []*attempt
 	priority    Priority // the highest of the victims
 	fetchMS     int64    // time to fetch the group's image there; 0 if it is cached
-	lostWork    float64  // work lost by the stops, in processor milliseconds
+	lostWork    float64  // work lost by the stops, in CPU milliseconds
 }
 
 // isEnding reports whether an attempt has exited or is already being stopped.
@@ -48,8 +48,8 @@
 	return a.taskRange.reclaimedFor[a.taskIndex] != team && !qm.isWithinGuarantee(a.job)
 }
 
-// lostWork returns the work that a stop loses, in processor milliseconds. For a task that
-// checkpoints, that is the time of one checkpoint.
+// lostWork returns the work that a stop loses, in CPU milliseconds. For a task that checkpoints,
+// that is the time of one checkpoint.
 func (qm *quotaManager) lostWork(a *attempt) float64 {
 	switch {
 	case !a.running:
@@ -60,8 +60,8 @@
 	return float64(qm.now.WallMS-a.runningSince) * a.job.Request.CPUs
 }
 
-// compareReclaimable orders attempts by the cost of a stop: lowest priority first, then least
-// lost work per processor.
+// compareReclaimable orders attempts by the cost of a stop: lowest priority first, then least lost
+// work per CPU.
 func (qm *quotaManager) compareReclaimable(a, b *attempt) int {
 	return cmp.Or(
 		cmp.Compare(a.job.Priority, b.job.Priority),
@@ -71,15 +71,15 @@
 	)
 }
 
-// preemptionBatches returns the batches that could be stopped on a machine for a group, one for
+// reclaimBatches returns the batches that could be stopped on a machine for a group, one for
 // each copy of the group's request. fittingWithoutStop is the number of tasks that fit on the
 // machine once attempts that end within the stop delay have ended.
-func (qm *quotaManager) preemptionBatches(
+func (qm *quotaManager) reclaimBatches(
 	mc *machine,
 	viewMachine *planner.Machine,
 	g *taskGroup,
 	limit int,
-) (out []preemptionBatch, fittingWithoutStop int) {
+) (out []reclaimBatch, fittingWithoutStop int) {
 	req := withoutDisk(g.job.Request)
 	var reclaimable []*attempt
 	free := viewMachine.Free
@@ -105,7 +105,7 @@
 	}
 	slices.SortFunc(reclaimable, qm.compareReclaimable)
 	fetchMS := qm.agents.fetchTime(g.job, mc, qm.cache.machineTypes[mc.rec.Type])
-	empty := preemptionBatch{machine: mc, viewMachine: viewMachine, fetchMS: fetchMS}
+	empty := reclaimBatch{machine: mc, viewMachine: viewMachine, fetchMS: fetchMS}
 	batch := empty
 	for _, a := range reclaimable {
 		free = free.Add(withoutDisk(a.job.Request))
@@ -133,9 +133,9 @@
 	return len(s.reconciler.Unreported()) == 0 && !s.reconciler.Pacer.IsActive(qm.now.MonotonicMS)
 }
 
-// reclaimForGuarantee stops tasks that other teams run beyond their guarantees. It does so for
-// tasks of a group that are within their team's guarantee and that fit on no machine. A stop never
-// loses more work than the task that it makes room for contains.
+// reclaimForGuarantee stops tasks that other teams run beyond their guarantees. It does so for tasks
+// of a group that are within their team's guarantee and that fit on no machine. A stop never loses
+// more work than the waiting task contains.
 func (qm *quotaManager) reclaimForGuarantee(s *shard, g *taskGroup, missing int) {
 	if !qm.mayReclaim(s, g) {
 		return
@@ -171,7 +171,7 @@
 	s *shard,
 	g *taskGroup,
 	missing int,
-) (batches []preemptionBatch, stillMissing int) {
+) (batches []reclaimBatch, stillMissing int) {
 	for i, viewMachine := range s.clusterView.Machines() {
 		if missing <= 0 {
 			return nil, 0
@@ -183,11 +183,11 @@
 		if !qm.cache.placementCatalog.IsAllowed(&g.Request, viewMachine.Offering) {
 			continue
 		}
-		machineBatches, fittingWithoutStop := qm.preemptionBatches(mc, viewMachine, g, missing)
+		machineBatches, fittingWithoutStop := qm.reclaimBatches(mc, viewMachine, g, missing)
 		missing -= fittingWithoutStop
 		batches = append(batches, machineBatches...)
 	}
-	slices.SortStableFunc(batches, func(a, b preemptionBatch) int {
+	slices.SortStableFunc(batches, func(a, b reclaimBatch) int {
 		return cmp.Or(
 			cmp.Compare(a.priority, b.priority),
 			cmp.Compare(a.fetchMS, b.fetchMS),
@@ -198,7 +198,7 @@
 }
 
 // preemptibleExcess returns the amount of a team's usage in this member's shards that may be
-// preempted.
+// reclaimed, in the terms of package quota: preempted.
 func (qm *quotaManager) preemptibleExcess(team string, usage quota.Amounts) quota.Amounts {
 	guarantee := guaranteeOf(qm.params.Teams[team])
 	return qm.usageMonitor.PreemptibleExcess(team, usage, guarantee, qm.peerMessagesSince())
@@ -245,7 +245,7 @@
 }
 
 // reclaim marks a batch's victims to be stopped and reserves their capacity for a task of a group.
-func (qm *quotaManager) reclaim(s *shard, g *taskGroup, batch preemptionBatch) {
+func (qm *quotaManager) reclaim(s *shard, g *taskGroup, batch reclaimBatch) {
 	mc, viewMachine := batch.machine, batch.viewMachine
 	reservedBefore := qm.reservedResources(mc)
 	longestStop := int64(0)
--- a/scheduler/indoubt_writes.go
+++ b/scheduler/indoubt_writes.go
@@ -6,7 +6,8 @@
 )
 
 // inDoubtWrite is a conditional write that is repeated until its outcome is known (package
-// indoubt). onSent returns the next step after an attempt, onRead after reading the key:
+// indoubt). onSent returns the next step after sending the write, onRead after reading the
+// key:
 //
 //	step              action
 //	indoubt.Settled   call onSettled; the write is complete
@@ -17,7 +18,7 @@
 // claim is no longer valid, it calls onClaimLost instead. It calls exactly one of
 // onSettled and onClaimLost, once.
 type inDoubtWrite struct {
-	isClaimValid func() bool // this member still holds the claim under which it sent the write
+	isClaimValid func() bool // the claim under which this member sent the write is still in force
 	send         func(done func(StoreResult))
 	onSent       func(Outcome) indoubt.NextStep
 	onRead       func(StoreResult) indoubt.NextStep
@@ -25,10 +26,10 @@
 	onClaimLost  func() // the outcome remains unknown; the state cache shows it later
 }
 
-// retryPauseDivisor is the divisor of the request timeout that gives the pause after the
+// retryDelayDivisor is the divisor of the request timeout that gives the delay after the
 // state service refused or did not answer a request of an in-doubt write. Without the
-// pause, the member would send requests continuously during an outage.
-const retryPauseDivisor = 6
+// delay, the member would send requests continuously during an outage.
+const retryDelayDivisor = 6
 
 // sendUntilSettled sends a write. It then resends the write or reads the key until the
 // write is settled or its claim is lost.
@@ -60,14 +61,14 @@
 }
 
 // continueAfter calls resume immediately if the state service processed the request, and
-// after a pause otherwise.
+// after a delay otherwise.
 func (sc *storeClient) continueAfter(outcome Outcome, resume func()) {
 	if outcome.ProcessedByService() {
 		resume()
 		return
 	}
-	pauseMS := access.RequestTimeout.Milliseconds() / retryPauseDivisor
-	sc.delayedSteps = append(sc.delayedSteps, delayedStep{dueAtMS: sc.now.MonotonicMS + pauseMS, resume: resume})
+	delayMS := access.RequestTimeout.Milliseconds() / retryDelayDivisor
+	sc.delayedSteps = append(sc.delayedSteps, delayedStep{dueAtMS: sc.now.MonotonicMS + delayMS, resume: resume})
 }
 
 // delayedStep is a continuation that is due at a given time.
--- a/scheduler/shard_claims.go
+++ b/scheduler/shard_claims.go
@@ -7,11 +7,10 @@
 // shardManager owns the shards that this member has claimed: their claims,
 // failover and hand-back, the task ranges in them and their progress records.
 //
-// A claim is a record attached to the owner's store lease, and is deleted when the
-// lease ends. The revision of its last write is the shard's fencing token. Workers
-// refuse commands with a lower token, so an owner that has lost the shard without
-// noticing cannot act on it. Every change of a shard's records has the claim's
-// revision, which is the token, as a precondition.
+// A claim is a record attached to the owner's lease in the state service, and is deleted when that lease
+// ends. The revision of its last write is the shard's fencing token. Workers refuse commands with a
+// lower token, so an owner that has lost the shard without noticing cannot act on it. Every change of a
+// shard's records has the claim's revision, which is the token, as a precondition.
 type shardManager struct {
 	*environment
 	agents   *agentManager
@@ -24,7 +23,7 @@
 	store    *storeClient
 
 	ownedShards      map[string]*shard
-	claimRetryAtMS   map[string]int64 // by shard: monotonic time of the next attempt to claim it
+	claimRetryAtMS   map[string]int64 // by shard: monotonic time before which it is not claimed again
 	ownerlessSinceMS map[string]int64 // by shard: monotonic time since which it has no owner
 }
 
@@ -44,7 +43,7 @@
 const (
 	claimRetryMS      = 300 // after a failed claim, plus a random delay of up to the same length
 	tokenRaiseDelayMS = 500 // between two updates of a fencing token
-	shardRetryDelayMS = 500 // between two attempts to read the progress or remove the claim
+	shardRetryDelayMS = 500 // before a retry to read the progress or remove the claim
 )
 
 // tickShards ticks the owned shards and claims the shards that this member should own.
@@ -75,8 +74,7 @@
 	}
 }
 
-// canClaimNow reports whether an attempt to claim a shard is due, and the cache is recent
-// enough to decide on it.
+// canClaimNow reports whether a claim of a shard is due, and the cache is recent enough to decide on it.
 func (sm *shardManager) canClaimNow(name string) bool {
 	now := sm.now.MonotonicMS
 	cacheAgeMS := now - sm.store.storeAccess.CacheRefreshSentAt()
@@ -96,11 +94,10 @@
 	return name == sm.params.MemberID || sm.now.MonotonicMS-sm.ownerlessSinceMS[name] > sm.adoptionDelay()
 }
 
-// adoptionDelay returns how long a shard must have been without an owner before another
-// member adopts it, in milliseconds. It is at most one renewal interval of the store
-// lease, or one lease TTL for a member that has just started. The owner's lease has
-// already ended; the delay lets the shard's own member, which restarts within seconds,
-// claim it first.
+// adoptionDelay returns how long a shard must have been without an owner before another member adopts
+// it, in milliseconds. It is at most one renewal interval of the member's lease, or one TTL of it for a
+// member that has just started. The owner's lease has already ended; the delay lets the shard's own
+// member, which restarts within seconds, claim it first.
 func (sm *shardManager) adoptionDelay() int64 {
 	if sm.now.MonotonicMS-sm.startedAtMS < sm.store.leaseTTLMS() {
 		return sm.store.leaseTTLMS()
@@ -112,7 +109,7 @@
 type claimWrite struct {
 	shard   string
 	nonce   uint64
-	leaseID uint64 // store lease that the claim is attached to
+	leaseID uint64 // member's lease that the claim is attached to
 }
 
 // claimShard writes this member's claim of a shard. After an unknown outcome, the nonce in
@@ -247,7 +244,7 @@
 	sm.removeClaim(s)
 }
 
-// removeClaim removes a shard's claim from the store. tickShard retries a failed removal. A
+// removeClaim removes a shard's claim from the state service. tickShard retries a failed removal. A
 // conflict means that the claim was removed or replaced already.
 func (sm *shardManager) removeClaim(s *shard) {
 	key := claimKey(s.name)
@@ -263,9 +260,8 @@
 	})
 }
 
-// applyClaimRecord applies a change of a claim in the store to the cache, and to the shard
-// if this member owns it. It returns an error, and changes nothing, if the record cannot be
-// decoded.
+// applyClaimRecord applies a change of a stored claim to the cache, and to the shard if this member owns
+// it. It returns an error, and changes nothing, if the record cannot be decoded.
 func (sm *shardManager) applyClaimRecord(kv KeyValue) error {
 	id := kv.Key[len(claimPrefix):]
 	removed := kv.Value == nil
--- a/scheduler/unregistered_machines.go
+++ b/scheduler/unregistered_machines.go
@@ -6,10 +6,10 @@
 	heartbeat Heartbeat
 }
 
-// registerUnknownMachine registers a machine that is not on any registry page. It existed before this cluster,
-// or the cloud executed its provision request late. Only the leader writes registry pages, so other members
-// redirect the worker to the leader.
-func (am *agentManager) registerUnknownMachine(replyID uint64, hb Heartbeat) {
+// registerMachine registers a machine that is on no registry page. It existed before this cluster, or the
+// cloud executed its provision request late. Only the leader writes registry pages, so other members redirect
+// the worker to the leader.
+func (am *agentManager) registerMachine(replyID uint64, hb Heartbeat) {
 	if !am.scaler.leading {
 		am.respondWorker(replyID, am.redirectTo(am.cache.leader))
 		return
@@ -19,14 +19,14 @@
 		return
 	}
 	am.parkedHeartbeats[hb.Machine] = append(am.parkedHeartbeats[hb.Machine], parkedHeartbeat{replyID, hb})
-	if !am.scaler.unrecordedMachines[hb.Machine] {
-		am.scaler.unrecordedMachines[hb.Machine] = true
-		am.scaler.unknownMachines = append(am.scaler.unknownMachines, hb)
+	if !am.scaler.machinesBeingRegistered[hb.Machine] {
+		am.scaler.machinesBeingRegistered[hb.Machine] = true
+		am.scaler.unregisteredMachines = append(am.scaler.unregisteredMachines, hb)
 	}
 }
 
-// mayRegister reports whether this member is the leader and can record the heartbeat's machine: its type is in
-// the catalog, and it was not released.
+// mayRegister reports whether this member is the leader and can register the heartbeat's machine: its type is
+// in the catalog, and it was not released.
 func (am *agentManager) mayRegister(hb *Heartbeat) bool {
 	return am.scaler.canActAsLeader() && am.cache.machineTypes[hb.Type] != nil &&
 		am.scaler.releasedAt[hb.Machine] == 0
