--- a/cmd/grebedock/stalling_clients_test.go
+++ b/cmd/grebedock/stalling_clients_test.go
@@ -172,8 +172,8 @@
 // halfSentRequest is a submission with half of its body.
 var halfSentRequest = "POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" + strings.Repeat(" ", 30000)
 
-// The effect on users of an attack on a member with 600 sockets: up to 2000 half-sent requests, each
-// replaced when the member closes its connection.
+// BenchmarkUnderHalfSentRequests measures the effect on users of an attack on a member with 600
+// sockets: up to 2000 half-sent requests, each replaced when the member closes its connection.
 func BenchmarkUnderHalfSentRequests(b *testing.B) {
 	b.Setenv("LOG_LEVEL", "error")
 	for _, c := range []struct {
--- a/cwl/cwl_test.go
+++ b/cwl/cwl_test.go
@@ -397,7 +397,7 @@
 	}
 }
 
-// Loading a hostile document must return an error or a process, within the limits on its cost.
+// FuzzLoad checks that loading a hostile document returns an error or a process, within the limits on its cost.
 func FuzzLoad(f *testing.F) {
 	files, _ := filepath.Glob("../docs/examples/cwl/*.cwl")
 	for _, name := range files {
--- a/internal/toolrun/toolrun.go
+++ b/internal/toolrun/toolrun.go
@@ -22,7 +22,8 @@
 // # Guarantees
 //
 // Description and outputs are written atomically. A task that is stopped or exceeds its time limit is killed with all
-// processes of its process group. Each attempt starts in empty directories.
+// processes of its process group. The processes that a tool leaves in the background when it exits by itself are not
+// killed. Each attempt starts in empty directories.
 //
 // # Failures
 //
--- a/schedules/host_test.go
+++ b/schedules/host_test.go
@@ -113,8 +113,8 @@
 		end = time.Date(2027, 4, 1, 0, 0, 0, 0, time.UTC)
 	}
 	for sim.now < end.UnixMilli() {
-		// Steps are up to five hours. Two in three end within 10 ms of a moment if one is due earlier. Short steps
-		// of up to 700 ms follow each.
+		// A step takes up to five hours. Two in three steps end within 10 ms of the next moment of a random
+		// schedule, if that is earlier. Three short steps of up to 700 ms follow.
 		stepMS := int64(sim.rng.IntN(5 * 3600_000))
 		next, ok := specs[sim.rng.IntN(len(specs))].Next(time.UnixMilli(sim.now))
 		if ok && sim.rng.IntN(3) > 0 {
@@ -276,7 +276,8 @@
 	}
 }
 
-// The cost of a tick depends on the number of due schedules, not on the number of all schedules.
+// BenchmarkTickWithManySchedules measures a tick while no schedule is due. Its cost depends on the number of due
+// schedules, not on the number of all schedules.
 func BenchmarkTickWithManySchedules(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -302,8 +303,9 @@
 	}
 }
 
-// Measures how long 5,000 schedules take that are due at the same time, at the rates of the fleet sites. The rate
-// is a quarter of a member's share of 80 writes per second with three members, and of 50 with five.
+// BenchmarkAllSchedulesDueAtOnce measures how long 5,000 schedules take that are due at the same time, at the rates
+// of the fleet sites. The rate is a quarter of a member's share of 80 writes per second with three members, and of 50
+// with five.
 func BenchmarkAllSchedulesDueAtOnce(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -328,8 +330,8 @@
 	}
 }
 
-// Measures the host time and the requests that a member needs to load 10,000 schedules after it claimed all
-// shards.
+// BenchmarkShardLoadOf10000Schedules measures the host time and the requests that a member needs to load 10,000
+// schedules after it claimed all shards.
 func BenchmarkShardLoadOf10000Schedules(b *testing.B) {
 	for b.Loop() {
 		sim := newSimulation(b, 1, time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC), false)
