--- a/cmd/grebedock/schedule.go
+++ b/cmd/grebedock/schedule.go
@@ -28,7 +28,7 @@
 		{"show NAME", "Show a schedule and its latest decisions", "GET", "/%s"},
 		{"history NAME", "Show the decisions of a schedule with their reasons, oldest first", "GET", "/%s/history"},
 		{"pause NAME", "Pause a schedule: it starts no runs until it is resumed", "POST", "/%s/pause"},
-		{"resume NAME", "Resume a schedule; runs that were due during the pause are skipped", "POST", "/%s/resume"},
+		{"resume NAME", "Resume a schedule; times that were due during the pause get no run", "POST", "/%s/resume"},
 		{"remove NAME", "Remove a schedule; runs that it already decided continue", "DELETE", "/%s"},
 	} {
 		cmd.AddCommand(scheduleRequestCommand(c.use, c.short, c.method, "/v1/schedules"+c.path))
