--- a/emulator/experiment.go
+++ b/emulator/experiment.go
@@ -11,7 +11,7 @@
 	Name           string   `toml:"name"`
 	RunS           float64  `toml:"run_s"`    // period in which jobs arrive
 	WarmupS        float64  `toml:"warmup_s"` // team results exclude jobs that arrive during it
-	QuietS         float64  `toml:"quiet_s"`  // time for jobs to end after run_s; 0: run_s
+	QuietS         float64  `toml:"quiet_s"`  // time for jobs to end after run_s; 0: as long as run_s
 	Seeds          []uint64 `toml:"seeds"`
 	Members        int      `toml:"members"`
 	Machines       int      `toml:"machines"` // capacity of each instance offering
@@ -46,7 +46,7 @@
 	// nominal value. Without fetch_spread a fetch takes about a second.
 	SpeedSpread     float64 `toml:"speed_spread"`
 	FetchSpread     float64 `toml:"fetch_spread"`
-	SpotLossPerHour float64 `toml:"spot_loss_per_hour"` // reclaims per hundred spot machines
+	SpotLossPerHour float64 `toml:"spot_loss_per_hour"` // reclaims per hour per hundred spot machines
 	NoticeS         float64 `toml:"notice_s"`
 	GangWaitS       float64 `toml:"gang_wait_s"`
 	// Objective for the time until tasks within a team's guarantee start; 0: none.
--- a/emulator/simulation.go
+++ b/emulator/simulation.go
@@ -24,7 +24,7 @@
 	InjectedFault       InjectedFault
 	MessageLoss         float64 // share of messages that are lost
 	// TaskRunMS returns the run time of a task in ms; nil: random, from 1 to 10 s.
-	TaskRunMS func(w *Simulation, j *Job, task string) int64
+	TaskRunMS func(sim *Simulation, j *Job, task string) int64
 	// SpeedSpread is the relative spread of the speeds of machines of a type. FetchSpread is that of
 	// image fetch times around the image size divided by the type's fetch rate; without it, all
 	// fetches of a machine take the same time.
@@ -88,7 +88,7 @@
 	// machine.
 	IsMisconfigured func(*Job) bool
 	// BootDelay returns the boot time of a machine in ms; negative: the machine never boots.
-	BootDelay func(h *Worker, usual int64) int64
+	BootDelay func(worker *Worker, usualMS int64) int64
 	Observer  func(*Member, *scheduler.Outputs)
 	// OnTaskStop is called for each task that a worker is commanded to stop with a grace period
 	// while its job is active. The rule "stopped_well" checks stops without a grace period.
--- a/emulator/starvation_test.go
+++ b/emulator/starvation_test.go
@@ -143,7 +143,7 @@
 			job:      func(j *scheduler.Job) { j.Kind, j.Spread = scheduler.Gang, true },
 			expected: true,
 		},
-		"spread, a single task": {
+		"spread, half of the tasks rounded up": {
 			machines: []workerUsage{a, a},
 			job:      func(j *scheduler.Job) { j.Tasks, j.Spread = 1, true },
 			expected: true,
--- a/scheduler/controller_test.go
+++ b/scheduler/controller_test.go
@@ -480,7 +480,7 @@
 			},
 		}
 		if offering, ok := ctrl.scaler.cheapestOffering(g, false, map[offering]offering{}); ok != expected {
-			t.Errorf("with %d ms left: offering %v, found %v", dueInMS, offering, ok)
+			t.Errorf("with %d ms left: offering %v, found %v, want %v", dueInMS, offering, ok, expected)
 		}
 	}
 }
--- a/scheduler/crash_of_all_members_test.go
+++ b/scheduler/crash_of_all_members_test.go
@@ -119,7 +119,7 @@
 		for _, at := range []int64{25_000, 80_000} {
 			sim.After(at, func() {
 				for i, m := range sim.Members {
-					m.Crash(3000 + int64(i%2)*35_000) // other members adopt the shards of the late half
+					m.Crash(3000 + int64(i%2)*35_000) // the others adopt the shards of the late members
 				}
 			})
 		}
--- a/scheduler/incident_scenarios_test.go
+++ b/scheduler/incident_scenarios_test.go
@@ -10,7 +10,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// These scenarios repeat the faults of the operated deployments (docs/incidents): members that are
+// These scenarios repeat faults of deployments in operation (docs/incidents): members that are
 // partitioned from only one kind of peer, paused processes, long partitions, machines that boot late or
 // never, query floods, a team without a guarantee, and jobs that fail on every machine.
 
--- a/scheduler/overlapping_machine_faults_test.go
+++ b/scheduler/overlapping_machine_faults_test.go
@@ -198,8 +198,8 @@
 		},
 		minCounts: map[string]int{"crashed": 3, "paused": 3, "partitioned": 3, "machine in a new incarnation": 10},
 	},
-	// The workers of a zone and one controller are partitioned from everything else for longer than a lease.
-	// Jobs are cancelled through the other controllers.
+	// The workers of a zone and one controller are partitioned from everything else but the users, for longer
+	// than a lease. Jobs are cancelled through the other controllers.
 	"partitioned zone with workers and a controller": {
 		inject: func(t *testing.T, sim *testSimulation, counts map[string]int) {
 			sim.repeatAtRandom(35_000, faultWindowMS, func() {
--- a/scheduler/quota_faults_test.go
+++ b/scheduler/quota_faults_test.go
@@ -18,8 +18,8 @@
 	members   int
 	teams     map[string]scheduler.Team
 	jobs      int
-	adjustJob func(w *testSimulation, j *scheduler.Job, n int) // changes the nth job, whose team is already set
-	inject    func(w *testSimulation) outcomeCheck
+	adjustJob func(sim *testSimulation, j *scheduler.Job, n int) // changes the nth job, whose team is already set
+	inject    func(sim *testSimulation) outcomeCheck
 }
 
 func equalTeams(n int, t scheduler.Team) map[string]scheduler.Team {
--- a/scheduler/relay_test.go
+++ b/scheduler/relay_test.go
@@ -66,8 +66,8 @@
 }
 
 // The state service fails for one member only, either with 503 or without any response. A peer answers
-// the users of that member within a second. Without relays they are refused, otherwise the scenario
-// would not test relays.
+// the users of that member within a second. Without relays at least half of the requests are refused;
+// otherwise the scenario would not test relays.
 func TestPeersAnswerForMemberWithoutStore(t *testing.T) {
 	for name, loseStore := range map[string]func(*testSimulation){
 		"refused": func(sim *testSimulation) { sim.StartOutage("m0", 9_000) },
@@ -78,7 +78,7 @@
 		t.Run(name, func(t *testing.T) {
 			longestWaitMS, refused, requests := runWithoutStoreAtOneMember(t, 16, loseStore)
 			if requests < 60 || refused > 0 || longestWaitMS > 1000 {
-				t.Errorf("of %d requests %d are refused, the longest takes %d ms; want 60, 0 and at most 1000 ms",
+				t.Errorf("of %d requests %d are refused, the longest takes %d ms; want 60 or more, 0, at most 1000 ms",
 					requests, refused, longestWaitMS)
 			}
 			if _, refused, _ := runWithoutStoreAtOneMember(t, 0, loseStore); refused < requests/2 {
--- a/scheduler/store_outage_cancellation_test.go
+++ b/scheduler/store_outage_cancellation_test.go
@@ -242,7 +242,7 @@
 	}
 }
 
-// The simulation detects that members keep their authority 2.5 s too long.
+// The simulation detects members that keep their authority too long, because their cancel_s is 2.5 s too large.
 func TestOverlongAuthorityIsDetectedInStoreOutageAfterRefusal(t *testing.T) {
 	t.Parallel()
 	for name, drawTimes := range outageTimings {
--- a/scheduler/takeover_state_test.go
+++ b/scheduler/takeover_state_test.go
@@ -266,8 +266,8 @@
 	if n := len(s.reconciler.Unreported()); n > 0 {
 		t.Fatalf("%d machines are unreported, want none", n)
 	}
-	// The pacer allows one start per heartbeat, here over one second. The bound adds half of that for
-	// accumulated tokens.
+	// The pacer allows one start per heartbeat. With an interval of 3 s, a third of the machines send one
+	// per second. The bound adds half of that for accumulated tokens.
 	if paceLimit := machines / 3 * 3 / 2; starts < paceLimit/2 || starts > paceLimit+1 {
 		t.Errorf("%d starts within a second, want at least half of and at most the pacer's %d", starts, paceLimit)
 	}
