--- a/emulator/heartbeat_faults.go
+++ b/emulator/heartbeat_faults.go
@@ -24,10 +24,10 @@
 		}
 		sim.DuplicateCounts["all"]++
 		if hb.Incarnation < worker.Agent.Incarnation {
-			sim.DuplicateCounts["of an earlier session"]++
+			sim.DuplicateCounts["of an earlier incarnation"]++
 		}
 		if epoch != m.epoch {
-			sim.DuplicateCounts["after an end of the member"]++
+			sim.DuplicateCounts["after a crash of the member"]++
 		}
 		m.lastReplyID++ // a new ID, so that the response is discarded
 		m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, hb)
@@ -127,7 +127,7 @@
 	delete(sim.newOwners, m.Name)
 	captured := sim.ownerHeartbeats
 	sim.ownerHeartbeats = nil
-	sim.replayToAll(captured, "after a new holder acted")
+	sim.replayToAll(captured, "after a new owner acted")
 }
 
 // deliverDuplicate delivers a copy of a heartbeat to a member; the response is discarded.
@@ -137,7 +137,7 @@
 	}
 	sim.DuplicateCounts[occasion]++
 	if capture.heartbeat.Incarnation < capture.worker.Agent.Incarnation {
-		sim.DuplicateCounts["of an earlier session "+occasion]++
+		sim.DuplicateCounts["of an earlier incarnation "+occasion]++
 	}
 	m.lastReplyID++
 	m.Core.HandleHeartbeat(m.Clock(), m.lastReplyID, capture.heartbeat)
--- a/emulator/protocol_faults_test.go
+++ b/emulator/protocol_faults_test.go
@@ -91,7 +91,7 @@
 		},
 		"heartbeats arrive after a new owner acted": {
 			func(sim *Simulation) { sim.DelayHeartbeatsUntilNewOwnerActs(0.2, faultMS) },
-			func(sim *Simulation) int { return sim.DuplicateCounts["after a new holder acted"] }, 20,
+			func(sim *Simulation) int { return sim.DuplicateCounts["after a new owner acted"] }, 20,
 		},
 		"commands arrive late": {
 			func(sim *Simulation) { sim.DelayCommands(0.5, faultMS) },
--- a/scheduler/overlapping_faults_test.go
+++ b/scheduler/overlapping_faults_test.go
@@ -377,9 +377,9 @@
 			})
 		},
 		minCounts: map[string]int{
-			"copies all":                        2000,
-			"copies of an earlier session":      50,
-			"copies after an end of the member": 200,
+			"copies all":                         2000,
+			"copies of an earlier incarnation":   50,
+			"copies after a crash of the member": 200,
 		},
 	},
 	"slow store, refusals, cancellations and queries": {
--- a/scheduler/overlapping_machine_faults_test.go
+++ b/scheduler/overlapping_machine_faults_test.go
@@ -94,7 +94,7 @@
 			})
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.reclaimMachines(0.2, "") })
 		},
-		minCounts: map[string]int{"copies at a claim": 4000, "copies of an earlier session at a claim": 100},
+		minCounts: map[string]int{"copies at a claim": 4000, "copies of an earlier incarnation at a claim": 100},
 	},
 	// A heartbeat gets no response and is delayed until a new owner has sent a command to a worker. It then
 	// arrives at the new owner.
@@ -106,8 +106,8 @@
 			sim.repeatAtRandom(20_000, faultWindowMS, func() { sim.reclaimMachines(0.2, "") })
 		},
 		minCounts: map[string]int{
-			"copies after a new holder acted":                       600,
-			"copies of an earlier session after a new holder acted": 10,
+			"copies after a new owner acted":                           600,
+			"copies of an earlier incarnation after a new owner acted": 10,
 		},
 	},
 	// Users submit four one-task jobs per second for two minutes and cancel a quarter of them. The request rate
