--- a/scheduler/rollout_test.go
+++ b/scheduler/rollout_test.go
@@ -424,22 +424,22 @@
 			}
 		},
 		"machines reclaimed by the cloud while they drain": func(sim *testSimulation) outcomeCheck {
-			interrupted := 0
+			reclaimed := 0
 			sim.Observer = func(_ *emulator.Member, o *scheduler.Outputs) {
 				for _, line := range o.Logs {
-					if line.Message != "machine cordon changed" || line.Args[3] != true || interrupted >= 8 {
+					if line.Message != "machine cordon changed" || line.Args[3] != true || reclaimed >= 8 {
 						continue
 					}
 					id := fmt.Sprint(line.Args[1])
 					sim.After(200+sim.Rand.Int64N(2000), func() {
 						if worker := sim.Workers[id]; worker != nil && worker.Instance.Spot && !worker.Gone {
-							interrupted++
+							reclaimed++
 							sim.Cloud.Reclaim(id)
 						}
 					})
 				}
 			}
-			return requireAtLeast(3, "a machine of the plan was reclaimed", &interrupted)
+			return requireAtLeast(3, "a machine of the plan was reclaimed", &reclaimed)
 		},
 		"teams at their limits": func(sim *testSimulation) outcomeCheck {
 			// The teams have no guarantees, because the count cannot distinguish a stop for a team's own
