--- a/scheduler/evictions.go
+++ b/scheduler/evictions.go
@@ -227,7 +227,7 @@
 //	reserved, checkpointing, exited or at-most-once | no                      |
 //	array task that ends by itself in time          | no                      |
 //	array task that does not run yet                | immediately             | none
-//	any other, after the step's deadline            | immediately             | its run, or a checkpoint's if less
+//	any other, after the step's deadline            | immediately             | runtime, or a checkpoint's if less
 //	array task with checkpoints, before a deadline  | if another type fits    | a checkpoint's time
 //	any other                                       | not before the deadline |
 func (rc *rolloutController) evictionCost(s *shard, mc *machine, a *attempt) (lostWork float64, evict bool) {
--- a/scheduler/failing_jobs.go
+++ b/scheduler/failing_jobs.go
@@ -45,8 +45,8 @@
 }
 
 // discountMachineFailures removes a job's errors from the machines that they were counted against.
-// The job is broken, or it ended before any of its tasks was done, so it is unknown whether the job
-// or the machines caused them.
+// The job is broken, or this member dropped the range before any of its tasks was done, for
+// example after a cancellation. It is then unknown whether the job or the machines caused them.
 func (am *agentManager) discountMachineFailures(tr *taskRange) {
 	for id := range tr.errorsByMachine {
 		if mc := am.registry.machines[id]; mc != nil {
--- a/scheduler/guarantee_reclaim.go
+++ b/scheduler/guarantee_reclaim.go
@@ -73,7 +73,7 @@
 
 // reclaimBatches returns the batches that could be stopped on a machine for a group, one for
 // each copy of the group's request. fittingWithoutStop is the number of tasks that fit on the
-// machine once attempts that end within the stop delay have ended.
+// machine once attempts that end within the stop delay have ended; 0 if no attempt ends so soon.
 func (qm *quotaManager) reclaimBatches(
 	mc *machine,
 	viewMachine *planner.Machine,
@@ -134,8 +134,8 @@
 }
 
 // reclaimForGuarantee stops tasks that other teams run beyond their guarantees. It does so for tasks
-// of a group that are within their team's guarantee and that fit on no machine. A stop never loses
-// more work than the waiting task contains.
+// of a group that are within their team's guarantee and that fit on no machine. The stops for one
+// task never lose more work than that task contains.
 func (qm *quotaManager) reclaimForGuarantee(s *shard, g *taskGroup, missing int) {
 	if !qm.mayReclaim(s, g) {
 		return
@@ -197,8 +197,8 @@
 	return batches, missing
 }
 
-// preemptibleExcess returns the amount of a team's usage in this member's shards that may be
-// reclaimed, in the terms of package quota: preempted.
+// preemptibleExcess returns how much of a team's usage in this member's shards may be reclaimed.
+// Package quota calls this preemption.
 func (qm *quotaManager) preemptibleExcess(team string, usage quota.Amounts) quota.Amounts {
 	guarantee := guaranteeOf(qm.params.Teams[team])
 	return qm.usageMonitor.PreemptibleExcess(team, usage, guarantee, qm.peerMessagesSince())
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -34,7 +34,7 @@
 	everReconciled   bool            // it was reconciled under this claim
 	cordoned         bool            // it accepts no more starts, because of an operator's setting or a rollout
 	releasing        bool            // it is draining: its release by the leader is requested
-	orphanedTasks    int             // tasks on it that no task range needs and that this claim must stop
+	orphanedTasks    int             // attempts on it that this claim did not adopt and that still have to stop
 }
 
 // acceptsStarts reports whether no condition prevents a start now.
@@ -104,7 +104,7 @@
 	count                 int
 	runtimeMS             int64
 	fetchMS               int64
-	canMeetStartObjective bool // the start can still meet a start objective or a guarantee
+	canMeetStartObjective bool // at the plan, it could still meet a start objective or guarantee; not paced
 }
 
 func (mc *machine) compare(id string) int { return strings.Compare(mc.id, id) }
--- a/scheduler/team_limits.go
+++ b/scheduler/team_limits.go
@@ -230,7 +230,8 @@
 const allocationGraceSummaries = 30
 
 // proposeAllocations updates the teams' records according to a shard's demands. It requests the
-// allocation that the shard needs, and grants its unused allocation to other shards that request it.
+// allocation that the shard lacks, and grants unused allocation to shards that lack more. The home
+// shard also lends idle allocation that no shard requests (package quota).
 func (qm *quotaManager) proposeAllocations(s *shard) {
 	if qm.now.MonotonicMS < s.nextProposalAt || !qm.store.hasAuthority() {
 		return
--- a/scheduler/team_preemption.go
+++ b/scheduler/team_preemption.go
@@ -8,12 +8,12 @@
 	"github.com/grebedock/grebedock/planner"
 )
 
-// A plan normally stops no running task for a waiting one. Preemption within a team is the exception
-// if running tasks fill the team's limit. Without it, an urgent job of a higher priority waited for
-// a wave of long tasks to end. Only tasks that lose no work are stopped: those that checkpoint, and
-// those that do not run yet. The part of the limit that a stopped task releases becomes a debt to
-// the priority that it was stopped for. The debt prevents the stopped task's own job, and others of
-// its priority, from taking that part first.
+// A plan normally stops no running task for a waiting one. Preemption within a team is an exception
+// for the case that running tasks fill the team's limit (guarantee_reclaim.go has the other one).
+// Without it, an urgent job of a higher priority waited for a wave of long tasks to end. Only tasks
+// that lose no work are stopped: those that checkpoint, and those that do not run yet. The part of
+// the limit that a stopped task releases becomes a debt to the priority that it was stopped for. The
+// debt prevents the stopped task's own job, and others of its priority, from taking that part first.
 
 // preemptionDebt is the part of a team's limit that stopped tasks released for work of at least a
 // given priority. It is valid until such work has started, or until it expires.
@@ -83,8 +83,9 @@
 ) (slackMS int64, ok bool) {
 	j, accepted := &tr.job.rec.Job, tr.job.rec.AcceptedAtMS
 	runtimeMS := pp.estimates.expectedRuntime(j)
-	// Estimates can be wrong by half. A deadline therefore counts as missed only if half the run
-	// time of one task exceeds it. The slack, by contrast, is based on all tasks, with padding.
+	// Estimates can be wrong by half. A deadline therefore counts as missed only if a task that
+	// starts now and takes half its expected runtime ends after it. The slack, by contrast, is
+	// based on all tasks, with padding.
 	_, deadline, missed := pp.taskDeadlines(j, accepted, runtimeMS/2)
 	if missed {
 		return noDeadlineSlackMS, true
