--- a/scheduler/cluster_view.go
+++ b/scheduler/cluster_view.go
@@ -34,7 +34,7 @@
 }
 
 // machineReadyAt returns the wall-clock time at which a machine is expected to accept tasks. ok is
-// false for a machine that is overdue by more than bootOverdueFactor and may never boot.
+// false for a machine that is overdue by more than bootOverdueFactor boot times and may never boot.
 func (pp *placementPlanner) machineReadyAt(mc *machine) (readyAt int64, ok bool) {
 	wall := pp.now.WallMS
 	if mc.Up && mc.IsReconciled() {
@@ -95,8 +95,8 @@
 // reserveFactor is the ratio of a shard's reserve to the variation in use by jobs with a start
 // objective. The reserve is capacity that jobs without a start objective leave free if they can
 // meet their deadlines in a queue. For jobs that arrive at random, the variation is the square
-// root of their mean use times the mean job size. A reserve proportional to the use itself was
-// adequate for a few machines, but kept a tenth of a fleet of hundreds idle.
+// root of the product of their mean use and the mean job size. A reserve proportional to the use
+// itself was adequate for a few machines, but kept a tenth of a fleet of hundreds idle.
 const reserveFactor = 0.5
 
 // reserveAveragingLeases is the averaging period of the mean use and mean job size, in leases.
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -10,8 +10,8 @@
 // plan from the shard and stores the result there.
 //
 // A plan starts no task itself. It records on each machine the tasks to start next. The starts are
-// sent with heartbeat responses, after the checks that apply at that time. An outdated plan is
-// therefore harmless.
+// sent with heartbeat responses, or as direct commands if they are urgent, after the checks that
+// apply at that time. An outdated plan is therefore harmless.
 type placementPlanner struct {
 	*environment
 	agents    *agentManager
--- a/scheduler/task_groups.go
+++ b/scheduler/task_groups.go
@@ -11,8 +11,9 @@
 
 // taskDeadlines returns the times for which a job's tasks are admitted, in milliseconds of
 // wall-clock time. startObjectiveEnd is when tasks must end to have started within their start
-// objectives. deadline is the earliest objective that can still be met. missed is true if none can:
-// deadline is then the last one, and the job is admitted as late.
+// objectives, but not after deadline. deadline is the earliest deadline of an objective that can
+// still be met, or the horizon if the job has none. missed is true if none can be met: deadline is
+// then the last one, and the job is admitted as late.
 func (pp *placementPlanner) taskDeadlines(
 	j *Job,
 	accepted, runtimeMS int64,
@@ -112,9 +113,9 @@
 }
 
 // waitingTaskGroups lists a shard's waiting work in planning order. Higher priorities rank first.
-// Within a priority, groups that can meet an objective rank before those that cannot, and groups
-// that the last plan admitted keep their rank. The others follow by earliest deadline, then by
-// arrival. Guarantees, quota tiers and aging modify this order.
+// Within a priority, groups that can meet an objective rank before those that cannot. Groups that
+// the last plan admitted rank next, so that they keep their place. The order is then by earliest
+// deadline and by arrival. Guarantees, quota tiers and aging modify this order.
 func (pp *placementPlanner) waitingTaskGroups(s *shard) []*taskGroup {
 	var out []*taskGroup
 	for _, tr := range s.taskRanges {
--- a/scheduler/task_ranges.go
+++ b/scheduler/task_ranges.go
@@ -70,7 +70,7 @@
 	gangStart
 
 	writing     bool  // a write of the job's record for this range is in flight
-	nextWriteAt int64 // monotonic milliseconds; the record is not written before
+	nextWriteAt int64 // monotonic milliseconds; no such write before
 }
 
 // taskProgress is which tasks are done, in memory and in the state service.
@@ -340,8 +340,8 @@
 	})
 }
 
-// writeTerminalRecord ends a job: one transaction replaces the live record by the final one, which
-// must not exist yet. The terminal record is visible to users before onSuccess runs.
+// writeTerminalRecord ends a job: one transaction replaces the live record by the terminal one,
+// which must not exist yet. The terminal record is visible to users before onSuccess runs.
 func (sm *shardManager) writeTerminalRecord(s *shard, tr *taskRange, final terminalRecord, onSuccess func()) {
 	id := tr.job.rec.Job.ID
 	changes := []Change{{Key: jobKey(id)}, {Key: terminalKey(id), Value: mustEncode(final)}}
--- a/scheduler/task_starts.go
+++ b/scheduler/task_starts.go
@@ -179,8 +179,8 @@
 }
 
 // latestStart is the wall-clock time, in milliseconds, by which a group's tasks must start. A group
-// that can still meet the start objective of its class must start in time for it, whatever its
-// deadline.
+// that can still meet the start objective of its class, or of its team's guarantee, must start in
+// time for it, whatever its deadline.
 func (am *agentManager) latestStart(g *taskGroup, fetchMS int64) int64 {
 	needed := g.LengthMS + fetchMS
 	if g.ObjectiveDeadlineMS < g.DeadlineMS && g.ObjectiveDeadlineMS-needed > am.now.WallMS {
