--- a/scheduler/cloud_list.go
+++ b/scheduler/cloud_list.go
@@ -17,7 +17,7 @@
 	// list, or as unregistered with no registry write pending.
 	listGraceMS = 5000
 
-	// cloudMachineFailed is the state of a CloudMachine that failed to boot.
+	// cloudMachineFailed is the state of a CloudMachine that failed and will never come up.
 	cloudMachineFailed = "failed"
 )
 
@@ -72,8 +72,9 @@
 // machine and adds an unregistered one to the registry.
 func (as *autoscaler) reconcileInstance(instance CloudMachine, loads map[string]*shardLoad) {
 	if releasedAt, ok := as.releasedAt[instance.ID]; ok {
-		// The list lags, so a released machine still appears in it. If it were registered
-		// again, it would never come up.
+		// The list lags, so a released machine still appears in it. Treating it as an
+		// unregistered machine registered it again and assigned it to a shard, although
+		// it never came up.
 		if as.isReleaseRetentionOver(releasedAt) {
 			delete(as.releasedAt, instance.ID)
 		}
--- a/scheduler/controller.go
+++ b/scheduler/controller.go
@@ -63,8 +63,9 @@
 	peers     *peerTable
 }
 
-// New returns the Controller of a member. The seed only affects the jitter of retries and
-// the nonces of claims. The guarantees of the package do not depend on it.
+// New returns the Controller of a member. The seed only affects random delays, the nonces of
+// claims, and the choice between equally cheap offerings. The guarantees of the package do
+// not depend on it.
 func New(params Params, seed uint64, now Now) *Controller {
 	env := newEnvironment(params, seed, now)
 	c := &Controller{
--- a/scheduler/counters.go
+++ b/scheduler/counters.go
@@ -40,7 +40,7 @@
 // RecoveryCounters counts the effects of takeovers, faults and reclaims.
 type RecoveryCounters struct {
 	AdoptedTasks         uint64 `json:"adopted"`    // tasks started under an earlier claim that continue to run
-	OrphanedTasks        uint64 `json:"strays"`     // orphaned tasks: attempts on workers that no task range needs
+	OrphanedTasks        uint64 `json:"strays"`     // orphaned tasks: attempts that no task range of this member needs
 	ReclaimedTasks       uint64 `json:"ceded"`      // tasks stopped for another team's guarantee
 	InDoubtWrites        uint64 `json:"in_doubt"`   // writes whose first request had an unknown outcome
 	StaleHeartbeats      uint64 `json:"old_report"` // heartbeats not newer than one received before
--- a/scheduler/inputs_outputs.go
+++ b/scheduler/inputs_outputs.go
@@ -21,7 +21,7 @@
 // The urgencies, most urgent first.
 const (
 	UrgencyLease      Urgency = iota // leases, claims, watches
-	UrgencyUser                      // submissions, cancellations, and other requests that users wait for
+	UrgencyUser                      // submissions, cancellations, job results, and other requests that users wait for
 	UrgencyRead                      // user queries
 	UrgencyBackground                // requests that can be delayed
 )
--- a/scheduler/leadership.go
+++ b/scheduler/leadership.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// beginLeadership discards the state of an earlier leadership of this member. The cloud's
-// list still contains the machines that it had not registered yet.
+// beginLeadership discards the state of an earlier leadership of this member. Machines that
+// it had not registered yet are found again in the cloud's list.
 func (as *autoscaler) beginLeadership(leaderRev uint64) {
 	as.leading, as.leaderRev = true, leaderRev
 	as.nextListAtMS = as.now.MonotonicMS
--- a/scheduler/machine_lifecycle.go
+++ b/scheduler/machine_lifecycle.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// expireLease removes the attempts of a machine that sent no heartbeat for longer than its lease: the worker has
-// killed them.
+// expireLease removes the attempts of a machine that sent no heartbeat for longer than its lease. They have ended:
+// a worker that is still running kills its tasks when its lease expires.
 func (am *agentManager) expireLease(s *shard, mc *machine) {
 	if !s.reconciler.ExpireLease(mc.Machine, am.now.MonotonicMS) {
 		return
--- a/scheduler/params.go
+++ b/scheduler/params.go
@@ -34,7 +34,7 @@
 	GuaranteeWithinS float64                // start objective of work within a guarantee; 0: none
 	HeartbeatS       float64                // heartbeat interval of the workers
 	LeaseS           float64                // lease of a worker; it stops its tasks this long after the last response
-	CancelWithinS    float64                // bound on stopping a cancelled job's tasks, also during outages
+	CancelWithinS    float64                // bound on stopping a cancelled job's tasks, during any outage
 	CPUShare         float64                // share of one CPU core; 0: not limited
 	Debug            bool                   // emit debug log lines
 	MaxValueBytes    int                    // maximum size of a value in the state service
--- a/scheduler/peer_messages.go
+++ b/scheduler/peer_messages.go
@@ -80,10 +80,11 @@
 	return reports
 }
 
-// maxSummaryRecipients is the number of peers that a message sends summaries to, which are by
-// far its largest part. More peers than this receive them in rotation: with a hundred peers,
-// complete messages took 1.7 MB/s outbound and inbound. Every message sends the data that
-// decisions need at once (demands, machines to release, teams' usage) to all peers.
+// maxSummaryRecipients is the number of peers to which a message is sent with its summaries,
+// which are by far its largest part. If there are more peers, they receive the summaries in
+// rotation: with a hundred peers, complete messages took 1.7 MB/s outbound and inbound. The data
+// that decisions need at once (demands, machines to release, teams' usage) goes to all peers
+// with every message.
 const maxSummaryRecipients = 16
 
 // summaryRecipients returns the peers that receive the summaries of the next message; nil means
--- a/scheduler/recovery_record.go
+++ b/scheduler/recovery_record.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// writeRecoveryRecord writes a shard's recovery record if it has changed. If recovery is disabled, it only updates
-// entries that were made while recovery was enabled. The entries of unreachable machines stay binding until a
-// write that replaces them is known to have succeeded.
+// writeRecoveryRecord writes a shard's recovery record if it has changed. If recovery is disabled, it writes the
+// record only when entries that were made while recovery was enabled are outdated. The entries of unreachable
+// machines stay binding until a write that replaces them is known to have succeeded.
 func (am *agentManager) writeRecoveryRecord(s *shard) {
 	recovery, now := &s.recovery, am.now.MonotonicMS
 	if recovery.writeState.writing || now < recovery.writeState.nextWriteAt {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -9,9 +9,11 @@
 // Settings are the settings that operators can change at runtime through the administration
 // API. They are stored in the state service and apply to all members.
 type Settings struct {
-	Functions int      `json:"functions"`       // availability functions per summary
-	Samples   int      `json:"samples"`         // samples per availability function
-	LateShare float64  `json:"late_share"`      // step of extending a missed deadline; 1 = deadline - acceptance
+	Functions int `json:"functions"` // availability functions per summary
+	Samples   int `json:"samples"`   // samples per availability function
+	// LateShare is one step of extending a missed deadline, as a fraction of the time from the
+	// job's acceptance to its deadline.
+	LateShare float64  `json:"late_share"`
 	SummaryS  float64  `json:"summary_s"`       // interval between peer messages in seconds
 	IdleBoots float64  `json:"idle_boots"`      // idle time before release, in boot times of the machine type
 	Drain     []string `json:"drain,omitempty"` // IDs of cordoned machines
--- a/scheduler/shard.go
+++ b/scheduler/shard.go
@@ -14,8 +14,9 @@
 // its state. Times are monotonic milliseconds unless a field says otherwise.
 //
 // A machine is unreported if it may run tasks of earlier claims that this claim does not
-// know: it is listed as live and has not sent a heartbeat under this claim (package
-// reconcile). The pacer (reconcile.Pacer) limits the rate of commands after a claim.
+// know: it is listed as live, has sent no heartbeat with this claim's token, and may still have
+// a lease from an earlier claim (package reconcile). The pacer (reconcile.Pacer) limits the
+// rate of commands after a claim.
 //
 // The cost of a heartbeat or a tick must not exceed the size of this shard. The
 // code must iterate neither over other shards' machines and jobs, nor over all
@@ -90,12 +91,12 @@
 // are by team.
 type shardQuota struct {
 	usage                 map[string]availability.Resources // usage of live attempts
-	liveAttempts          map[string][]*attempt             // so that a lookup does not scan all machines
+	liveAttempts          map[string][]*attempt             // so that a lookup by team does not scan all machines
 	debts                 map[string]preemptionDebt         // debts against the team's limit
 	firstTaskReservations map[string]*Job                   // job for whose first task part of the limit is reserved
-	reclaimableTeams      map[string]bool                   // teams with reclaimable usage; nil: not computed yet
+	reclaimableTeams      map[string]bool                   // with usage to reclaim, at this plan; nil: not computed
 	reclaimedUsage        map[string]quota.Amounts          // usage being reclaimed for other teams' guarantees
-	placeableDemand       map[string]quota.Amounts          // work held back by limits that fits on machines
+	placeableDemand       map[string]quota.Amounts          // limited teams' waiting work that fits, at the last plan
 	nextProposalAt        int64                             // no team record is written before this time
 }
 
