--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -129,7 +129,7 @@
 type terminalRecord struct {
 	State         JobState `json:"state"`
 	Tasks         int      `json:"tasks"`
-	FailureReason string   `json:"failed,omitempty"` // why the Controller cancelled it; empty: a user did, or it is done
+	FailureReason string   `json:"failed,omitempty"` // why the Controller cancelled it; empty: done, or a user did
 	WorkflowRun   string   `json:"run,omitempty"`
 }
 
