--- a/docs/examples/cwl/claim-check.cwl
+++ b/docs/examples/cwl/claim-check.cwl
@@ -1,5 +1,5 @@
-# A refund claim: the receipt is checked, a hold is set only on what looks wrong,
-# and the payout, which must never happen twice, comes last.
+# A refund claim: the receipt is checked, a hold is set only if the amount exceeds the limit, and the
+# payout, which must never happen twice, is the last step.
 cwlVersion: v1.2
 $namespaces: {gd: "https://grebedock.example/cwl#"}
 $graph:
--- a/docs/examples/cwl/count.cwl
+++ b/docs/examples/cwl/count.cwl
@@ -1,4 +1,4 @@
-# A single tool: it counts the lines of a file of readings.
+# A single tool that counts the lines of a file of readings.
 cwlVersion: v1.2
 class: CommandLineTool
 $namespaces: {gd: "https://grebedock.example/cwl#"}
--- a/docs/examples/cwl/read-batch.cwl
+++ b/docs/examples/cwl/read-batch.cwl
@@ -1,6 +1,6 @@
-# A read batch: each route's readings are checked by themselves, side by side;
-# what is good goes into one bill run, and a batch with too many bad readings
-# gets no bills.
+# A batch of readings: each route's readings are checked in a separate task, in parallel, and one
+# billing run totals them. If the share of good routes is below the input worst, the batch gets no
+# bills.
 cwlVersion: v1.2
 class: Workflow
 $namespaces: {gd: "https://grebedock.example/cwl#"}
