--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -8,8 +8,8 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// noCapacityError is the error by which the cloud refuses a type, rather than
-// the request as such.
+// noCapacityError is the cloud's error for a machine type without capacity, as
+// opposed to a refused request.
 const noCapacityError = "no capacity"
 
 var instanceStates = vocabulary[string]{{"booting", "starting"}}
@@ -56,8 +56,7 @@
 	Count          int    `json:"how_many"`
 }
 
-// machineIDsBody names the instances that were provisioned or are to be
-// released.
+// machineIDsBody lists the instances that were provisioned or are to be released.
 type machineIDsBody struct {
 	Machines []string `json:"berths"`
 }
@@ -93,7 +92,7 @@
 	Error string `json:"error"`
 }
 
-// CloudRequest writes a request to the cloud.
+// CloudRequest encodes a request to the cloud.
 func CloudRequest(op scheduler.CloudOp) Request {
 	switch op.Kind {
 	case scheduler.CloudCatalog:
@@ -114,8 +113,8 @@
 	return Request{Method: http.MethodPost, Path: "/rentals/release", Body: mustEncode(b)}
 }
 
-// ParseCloudResult reads the cloud's response. Without a response, or with one
-// that cannot be read, it is unknown whether the request was executed.
+// ParseCloudResult parses the cloud's response. Without a response, or with one
+// that cannot be parsed, it is unknown whether the request was executed.
 func ParseCloudResult(op scheduler.CloudOp, status int, body []byte) scheduler.CloudResult {
 	switch status {
 	case http.StatusOK:
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -8,14 +8,13 @@
 	fast "github.com/segmentio/encoding/json"
 )
 
-// maxQuickNesting bounds the objects and arrays in a body that the quick decoder
-// takes. It follows them by recursion without a limit of depth, so that a
-// hostile body of brackets would cost megabytes of stack; the standard decoder
-// stops at a depth.
+// maxQuickNesting bounds the objects and arrays in a body for the quick decoder.
+// That decoder recurses without a depth limit, so a malicious body of brackets
+// would cost megabytes of stack; the standard decoder has a depth limit.
 const maxQuickNesting = 1000
 
-// decode reads what workers and services send. The standard decoder took an
-// eighth of a small controller's processor for heartbeats alone; the quick one
+// decode parses bodies from workers and services. The standard decoder took an
+// eighth of a small controller's CPU time for heartbeats alone; the quick decoder
 // takes a quarter of that. Strings are copied out of the body.
 func decode(body []byte, v any) error {
 	if bytes.Count(body, []byte{'{'})+bytes.Count(body, []byte{'['}) > maxQuickNesting {
@@ -24,11 +23,12 @@
 	return fast.Unmarshal(body, v)
 }
 
-// mustEncode encodes a body of this package, whose types JSON can always hold.
+// mustEncode encodes a body of this package. All its types can be encoded as
+// JSON.
 func mustEncode(v any) []byte {
 	out, err := fast.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("wire: %T does not encode: %v", v, err))
+		panic(fmt.Sprintf("wire: cannot encode %T: %v", v, err))
 	}
 	return out
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// formatRequests writes requests in a form that a file can hold.
+// formatRequests formats requests as text for a golden file.
 func formatRequests(rs ...Request) []byte {
 	var out []byte
 	for _, r := range rs {
@@ -18,8 +18,7 @@
 	return out
 }
 
-// formatParsed writes what a decoder read of a body, as JSON without names of
-// fields.
+// formatParsed formats parsed values as JSON without field names.
 func formatParsed(values ...any) []byte {
 	var out []byte
 	for _, v := range values {
@@ -56,7 +55,8 @@
 	golden.Compare(t, "user_requests.txt", sent)
 }
 
-// TestUserWordsKeepTheirForm holds the words for kinds and priorities of jobs.
+// TestUserWordsKeepTheirForm compares the words for kinds and priorities of jobs
+// with a golden file.
 func TestUserWordsKeepTheirForm(t *testing.T) {
 	var out []byte
 	for _, kind := range []scheduler.JobKind{scheduler.Array, scheduler.Service, scheduler.Gang} {
@@ -81,7 +81,8 @@
 	golden.RoundTrip(t, "answer_error.json", refusal, encode, parse(404))
 }
 
-// TestHeartbeatsKeepTheirForm holds a worker's heartbeat and what is read of it.
+// TestHeartbeatsKeepTheirForm compares a worker's heartbeat, and the result of
+// parsing it, with golden files.
 func TestHeartbeatsKeepTheirForm(t *testing.T) {
 	var b heartbeatBody
 	golden.Fill(&b)
@@ -182,7 +183,7 @@
 }
 
 // TestCloudResponsesKeepTheirForm parses bodies that are encoded from the
-// decoder's own types with all fields filled.
+// decoder's own types with all fields set.
 func TestCloudResponsesKeepTheirForm(t *testing.T) {
 	var catalog catalogBody
 	var list instanceListBody
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -14,16 +14,16 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// MaxTasks bounds the tasks of a job.
+// MaxTasks bounds the number of tasks in a job.
 const MaxTasks = 100_000
 
-// minDeadlineS stands for a deadline of 0 seconds: one that has passed, while 0
-// in a job means that it has none.
+// minDeadlineS replaces a deadline of 0 seconds, which has already passed: in a
+// job, 0 means no deadline.
 const minDeadlineS = 0.001
 
 var jobIDPattern = regexp.MustCompile(`^job-[0-9]{1,40}$`)
 
-// IsValidJobID reports whether a job can have this ID.
+// IsValidJobID reports whether id has the form of a job ID.
 func IsValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 var jobStates = vocabulary[scheduler.JobState]{
@@ -46,8 +46,8 @@
 	{scheduler.Gang, "gang"},
 }
 
-// jobBody is a submission without its ID. A pointer that is nil is a field that
-// is missing or null.
+// jobBody is a submission without its ID. A nil pointer means that the field is
+// missing or null.
 type jobBody struct {
 	jobIdentityBody
 	jobResourcesBody
@@ -86,9 +86,9 @@
 	DeadlineS           *float64 `json:"dusk_s"`
 }
 
-// ParseJob reads a submission. A malformed one still yields its ID where that
-// can be read, since a job that is known is known whatever a repeated body
-// holds.
+// ParseJob parses a submission. For a malformed submission it still returns the
+// ID if that is valid: a repeated submission of a known job is recognized
+// whatever its body contains.
 func ParseJob(body []byte) scheduler.UserRequest {
 	r := scheduler.UserRequest{Kind: scheduler.SubmitJob}
 	if !bytes.HasPrefix(bytes.TrimLeft(body, " \t\r\n"), []byte("{")) || !json.Valid(body) {
@@ -112,7 +112,8 @@
 	return r
 }
 
-// decodeJob reads the job in a submission. Its errors are texts for the user.
+// decodeJob parses the job in a submission. The texts of its errors are returned
+// to the user.
 func decodeJob(id string, body []byte) (*scheduler.Job, error) {
 	var b jobBody
 	if err := json.Unmarshal(body, &b); err != nil {
@@ -124,8 +125,8 @@
 	return b.toJob(id)
 }
 
-// describeTypeError names the field of the wrong type as the protocol does: the
-// decoder puts the names of embedded Go types in front.
+// describeTypeError returns an error that names a field of the wrong type as the
+// protocol does: the decoder prefixes the name with those of embedded Go types.
 func describeTypeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) {
@@ -135,8 +136,8 @@
 	return fmt.Errorf("%s has the wrong type", field)
 }
 
-// validate checks that the required fields are there and that numbers are in
-// their ranges.
+// validate checks that the required fields are present and that numbers are
+// within their ranges.
 func (b *jobBody) validate() error {
 	required := []struct {
 		name    string
@@ -193,7 +194,7 @@
 
 func negativeError(field string) error { return fmt.Errorf("%s must not be negative", field) }
 
-// toJob maps a valid body to a job.
+// toJob maps a validated body to a job.
 func (b *jobBody) toJob(id string) (*scheduler.Job, error) {
 	kind, ok := jobKinds.term(*b.Kind)
 	if !ok {
@@ -234,7 +235,7 @@
 	return job, nil
 }
 
-// submissionBody is a submission. Its other fields follow the ID.
+// submissionBody is a submission: the ID, then the other fields.
 type submissionBody struct {
 	ID string `json:"ref"`
 	jobBody
@@ -278,7 +279,7 @@
 	return b
 }
 
-// SubmitRequest submits a job.
+// SubmitRequest encodes the request that submits a job.
 func SubmitRequest(j *scheduler.Job) Request {
 	return Request{
 		Method: http.MethodPost,
@@ -287,10 +288,10 @@
 	}
 }
 
-// QueryRequest queries the state of a job.
+// QueryRequest encodes the request that queries the state of a job.
 func QueryRequest(id string) Request { return Request{Method: http.MethodGet, Path: "/work/" + id} }
 
-// CancelRequest cancels a job.
+// CancelRequest encodes the request that cancels a job.
 func CancelRequest(id string) Request {
 	return Request{Method: http.MethodPost, Path: "/work/" + id + "/abort"}
 }
@@ -304,8 +305,8 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// EncodeUserResponse writes the body of a response to a user. One with an error
-// has no numbers of tasks.
+// EncodeUserResponse encodes the body of a response to a user. A response with an
+// error has no task counts.
 func EncodeUserResponse(a scheduler.UserResponse) []byte {
 	b := userResponseBody{ID: a.ID, State: jobStates.word(a.State), Error: a.Error}
 	if a.Error == "" {
@@ -314,8 +315,8 @@
 	return mustEncode(b)
 }
 
-// ParseUserResponse reads a response to a user. One whose body is no JSON has a
-// status alone.
+// ParseUserResponse parses a response to a user. If the body is not valid JSON,
+// the result has only a status.
 func ParseUserResponse(status int, body []byte) scheduler.UserResponse {
 	var b userResponseBody
 	a := scheduler.UserResponse{Status: status}
--- a/internal/wire/state_service.go
+++ b/internal/wire/state_service.go
@@ -16,7 +16,7 @@
 	Rev   uint64          `json:"mark"`
 }
 
-// eventBody is a change that a watch reports: a put or a removal of a key.
+// eventBody is a change that a watch delivers: a put or a removal of a key.
 type eventBody struct {
 	Put    string          `json:"put"`
 	Remove string          `json:"remove"`
@@ -45,8 +45,9 @@
 	TTLMS int64 `json:"life_ms"`
 }
 
-// stateBody is any response of the state service. The embedded key is that of a
-// get, whose Rev is the key's; the outer Rev is the store's.
+// stateBody is any response of the state service. The embedded key is the
+// response to a get, and its Rev is the key's revision; the outer Rev is the
+// store's.
 type stateBody struct {
 	Rev       uint64      `json:"tide"`
 	LeaseID   uint64      `json:"mooring"`
@@ -57,7 +58,7 @@
 	kvBody
 }
 
-// StoreRequest writes a request to the state service.
+// StoreRequest encodes a request to the state service.
 func StoreRequest(op scheduler.StoreOp) Request {
 	switch op.Kind {
 	case scheduler.StoreGet:
@@ -80,7 +81,7 @@
 	return Request{Method: http.MethodPost, Path: "/txn", Body: mustEncode(newTxnBody(op))}
 }
 
-// pageQuery adds the bounds of a page to a list's query.
+// pageQuery adds the limits of a page to the query of a list.
 func pageQuery(query url.Values, startAfter string) string {
 	query.Set("limit", strconv.Itoa(pageSize))
 	if startAfter != "" {
@@ -104,7 +105,7 @@
 	return b
 }
 
-// storeOutcome returns what a status of the state service says of a request.
+// storeOutcome maps a status of the state service to the outcome of the request.
 func storeOutcome(status int) scheduler.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -114,8 +115,8 @@
 	case http.StatusConflict:
 		return scheduler.Conflict
 	case http.StatusGone, http.StatusBadRequest:
-		// A bad request names no such lease, or should not have been made:
-		// either way it was not executed.
+		// A bad request names an unknown lease or is invalid. In both cases it
+		// was not executed.
 		return scheduler.Gone
 	case http.StatusTooManyRequests:
 		return scheduler.Throttled
@@ -125,13 +126,13 @@
 	return scheduler.Unknown
 }
 
-// hasStateBody reports whether a response with this outcome has a body to read.
+// hasStateBody reports whether a response with this outcome has a body to parse.
 func hasStateBody(outcome scheduler.Outcome) bool {
 	return outcome == scheduler.OK || outcome == scheduler.NotFound || outcome == scheduler.Conflict
 }
 
-// ParseStoreResult reads the state service's response. The caller must not use
-// body's memory again: values may refer to it.
+// ParseStoreResult parses the state service's response. The caller must not reuse
+// the memory of body, since values may refer to it.
 func ParseStoreResult(op scheduler.StoreOp, status int, body []byte) scheduler.StoreResult {
 	outcome := storeOutcome(status)
 	if !hasStateBody(outcome) {
@@ -148,7 +149,7 @@
 	return r
 }
 
-// toKeyValues returns the keys that a response holds; a removed one has no value.
+// toKeyValues returns the keys in a response. A removed key has no value.
 func (b *stateBody) toKeyValues(kind scheduler.StoreOpKind) []scheduler.KeyValue {
 	var kvs []scheduler.KeyValue
 	if kind == scheduler.StoreGet {
--- a/internal/wire/vocabulary.go
+++ b/internal/wire/vocabulary.go
@@ -1,6 +1,6 @@
 package wire
 
-// word is a term of the core and the protocol's word for it.
+// word pairs a term of the core with the protocol's word for it.
 type word[T comparable] struct {
 	term     T
 	protocol string
@@ -10,7 +10,7 @@
 // words and back.
 type vocabulary[T comparable] []word[T]
 
-// word returns the protocol's word, "" if there is none.
+// word returns the protocol's word, or "" for an unknown term.
 func (v vocabulary[T]) word(term T) string {
 	for _, w := range v {
 		if w.term == term {
@@ -31,7 +31,7 @@
 	return none, false
 }
 
-// termOrSame returns the core's term for a word; one that is not in v is the
+// termOrSame returns the core's term for a word. A word that is not in v is the
 // same in both.
 func termOrSame(v vocabulary[string], protocol string) string {
 	if term, ok := v.term(protocol); ok {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,15 +1,17 @@
 // Package wire maps the deployment's protocols to the core's terms: the JSON
 // bodies of users, workers, the cloud and the state service. It is the only
-// place where the protocols' words stand. There is one type for each message;
-// each is mapped once, by a Parse function for what comes in and a Request or
-// Encode function for what goes out.
+// package that contains the protocols' words. There is one type for each
+// message, which is mapped in one place: by a Parse function if it is inbound,
+// and by a Request or Encode function if it is outbound.
 //
-// It owns no state and does no input or output. It may assume that a body is at
-// most MaxBody long, and nothing of what it holds. It promises that what it
-// parses is complete and within its bounds or refused, that a response which
-// cannot be understood has an unknown outcome, and that what it writes is
-// within the length that a worker reads. It is built for bodies that are cut
-// short, of the wrong types, nested without end or full of unknown fields.
+// The package owns no state and does no input or output. It assumes that a body
+// is at most MaxBody long, and makes no assumption about its content.
+//
+// It guarantees that a parsed message is complete and within its bounds, or is
+// refused. A response that cannot be parsed has an unknown outcome. An encoded
+// message is within the length that a worker reads. The package handles bodies
+// that are truncated, of the wrong types, deeply nested or full of unknown
+// fields.
 //
 // The core's terms and the protocols' words:
 //
@@ -89,7 +91,7 @@
 // MaxBody bounds the body of a request in bytes.
 const MaxBody = 64 << 10
 
-// pageSize is the number of items to list at a time.
+// pageSize is the maximum number of items in one page of a list.
 const pageSize = 500
 
 // Request is an HTTP request to a service, a worker or another controller.
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -7,11 +7,11 @@
 	"github.com/grebedock/grebedock/scheduler"
 )
 
-// maxCommands keeps a response to a worker below the length of line that a
+// maxCommands keeps a response to a worker below the maximum line length that a
 // worker reads.
 const maxCommands = 400
 
-// errMissingIdentity is the text that a worker receives.
+// errMissingIdentity is returned to the worker as text.
 var errMissingIdentity = errors.New("berth or dive is missing")
 
 var taskStates = vocabulary[string]{
@@ -53,8 +53,8 @@
 	Checkpointed bool   `json:"kept,omitempty"`
 }
 
-// ParseHeartbeat reads a worker's heartbeat. It keeps nothing of body. An error
-// is a text for the worker.
+// ParseHeartbeat parses a worker's heartbeat. It does not retain body. The text
+// of an error is returned to the worker.
 func ParseHeartbeat(body []byte) (scheduler.Heartbeat, error) {
 	var b heartbeatBody
 	if err := decode(body, &b); err != nil {
@@ -94,10 +94,10 @@
 	Kind    string   `json:"call"`
 	Task    string   `json:"chick"`
 	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"slack_s,omitempty"` // nil unless it stops the task
+	GraceS  *float64 `json:"slack_s,omitempty"` // nil unless the command stops the task
 }
 
-// encodeCommands maps the first maxCommands commands and drops the rest.
+// encodeCommands maps the first maxCommands commands and drops the others.
 func encodeCommands(commands []scheduler.Command) []commandBody {
 	out := []commandBody{}
 	for _, c := range commands[:min(len(commands), maxCommands)] {
@@ -119,7 +119,7 @@
 	Member string `json:"harbor,omitempty"`
 }
 
-// EncodeHeartbeatResponse writes the status and the body of a response to a
+// EncodeHeartbeatResponse returns the status and the body of a response to a
 // heartbeat: commands, a redirect to the owner of the machine's shard, or a
 // refusal.
 func EncodeHeartbeatResponse(a scheduler.HeartbeatResponse) (int, []byte) {
@@ -138,16 +138,16 @@
 	Commands    []commandBody `json:"calls"`
 }
 
-// DirectCommandRequest sends commands to a worker without waiting for its
-// heartbeat.
+// DirectCommandRequest encodes commands that are sent to a worker without waiting
+// for its heartbeat.
 func DirectCommandRequest(d scheduler.DirectCommand) Request {
 	b := directCommandBody{Token: d.Token, Incarnation: d.Incarnation, Commands: encodeCommands(d.Commands)}
 	return Request{Method: http.MethodPost, Path: "/do", Body: mustEncode(b)}
 }
 
-// ParseDirectCommandResult reads a worker's response to direct commands, which
-// carries a heartbeat also when the worker refuses them. After any other status
-// it is unknown whether they were carried out.
+// ParseDirectCommandResult parses a worker's response to direct commands, which
+// contains a heartbeat even if the worker refuses the commands. After any other
+// status it is unknown whether they were carried out.
 func ParseDirectCommandResult(status int, body []byte) scheduler.DirectCommandResult {
 	var r scheduler.DirectCommandResult
 	switch status {
--- a/internal/wire/workers_test.go
+++ b/internal/wire/workers_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// No line may be longer than a worker reads, however many commands are due.
+// The length of a response stays within the maximum line length that a worker
+// reads, whatever the number of commands.
 func TestHeartbeatResponseStaysWithinLineLimit(t *testing.T) {
 	commands := make([]scheduler.Command, 5000)
 	for i := range commands {
