--- a/cmd/grebedock/operator.go
+++ b/cmd/grebedock/operator.go
@@ -16,14 +16,14 @@
 	"github.com/spf13/cobra"
 )
 
-// operatorOptions are the options that the commands of operators share.
+// operatorOptions are the flags shared by the operators' commands.
 type operatorOptions struct {
 	addr string
 	json bool
 }
 
 func (o *operatorOptions) addFlags(cmd *cobra.Command) *cobra.Command {
-	cmd.Flags().StringVar(&o.addr, "addr", "", "a member's mesh address, host:port")
+	cmd.Flags().StringVar(&o.addr, "addr", "", adminAddrUsage)
 	cmd.Flags().BoolVar(&o.json, "json", false, "print JSON")
 	if err := cmd.MarkFlagRequired("addr"); err != nil {
 		panic(err)
@@ -39,8 +39,7 @@
 	return json.Unmarshal(body, into)
 }
 
-// statusCommand returns a command that prints part of a member's status as JSON or
-// as a table.
+// statusCommand returns a command that prints part of a member's status as JSON or as a table.
 func (o *operatorOptions) statusCommand(
 	use, short string,
 	selectJSON func(*scheduler.Status) any,
@@ -65,7 +64,7 @@
 	var o operatorOptions
 	return o.statusCommand(
 		"status",
-		"Show how a member stands",
+		"Show the status of a member",
 		func(st *scheduler.Status) any { return st },
 		func(st *scheduler.Status, w io.Writer) {
 			liveMachines := 0
@@ -123,7 +122,7 @@
 	var o operatorOptions
 	return o.statusCommand(
 		"machines",
-		"List the machines that a member knows",
+		"List the machines known to a member",
 		func(st *scheduler.Status) any { return st.Machines },
 		func(st *scheduler.Status, w io.Writer) {
 			fmt.Fprintln(w, "MACHINE\tTYPE\tZONE\tSHARD\tSTATE\tTASKS")
@@ -139,7 +138,7 @@
 				if m.Releasing {
 					state += ", draining"
 				} else if m.Cordoned {
-					state += ", set aside"
+					state += ", cordoned"
 				}
 				tasks := ""
 				if slices.ContainsFunc(st.Shards, func(s scheduler.ShardStatus) bool {
@@ -165,7 +164,7 @@
 	var o operatorOptions
 	return o.statusCommand(
 		"teams",
-		"List the teams: guarantee and limit, and over all members what they use, wait for and lack",
+		"List the teams with guarantee and limit, and their usage, waiting demand and shortfall over all members",
 		func(st *scheduler.Status) any { return st.Teams },
 		func(st *scheduler.Status, w io.Writer) {
 			fmt.Fprintln(w, "TEAM\tGUARANTEE\tLIMIT\tUSED\tWAITING\tBELOW\tUSED HERE\tPARTS\tWANTED BY\tAGE")
@@ -196,7 +195,7 @@
 	)
 }
 
-// amounts formats processors, and accelerators if there are any.
+// amounts formats an amount of CPUs, and of GPUs if there are any.
 func amounts(a quota.Amounts) string {
 	switch {
 	case a.GPUs == 0 && a.CPUs == 0:
@@ -207,7 +206,8 @@
 	return fmt.Sprintf("%.4g+%.4g GPUs", a.CPUs, a.GPUs)
 }
 
-// warnIfTooLateToUndo prints for which machines it is too late to undo a drain.
+// warnIfTooLateToUndo prints a warning for each machine whose drain can no longer be undone: it has left
+// the fleet or is being released.
 func (o *operatorOptions) warnIfTooLateToUndo(cmd *cobra.Command, ids []string) error {
 	var st scheduler.Status
 	if err := o.request(wire.Request{Method: "GET", Path: "/v1/status"}, &st); err != nil {
@@ -217,9 +217,9 @@
 		index := slices.IndexFunc(st.Machines, func(m scheduler.MachineStatus) bool { return m.ID == id })
 		switch {
 		case index < 0:
-			fmt.Fprintf(cmd.ErrOrStderr(), "%s is no machine of the fleet any more\n", id)
+			fmt.Fprintf(cmd.ErrOrStderr(), "%s is no longer in the fleet\n", id)
 		case st.Machines[index].Releasing:
-			fmt.Fprintf(cmd.ErrOrStderr(), "%s is empty and on its way back: too late\n", id)
+			fmt.Fprintf(cmd.ErrOrStderr(), "%s is empty and being released: too late to undo its drain\n", id)
 		}
 	}
 	return nil
@@ -229,10 +229,10 @@
 	var o operatorOptions
 	var undo bool
 	cmd := o.addFlags(&cobra.Command{
-		Use: "drain MACHINE...", Short: "Give machines back once nothing runs on them", Args: cobra.MinimumNArgs(1),
-		Long: "Adds machines to the setting drain: they start nothing new and are given back when they\n" +
-			"are empty. --undo takes them off it: they take work again, unless they are empty and on\n" +
-			"their way back already. Prints what is on the list then.",
+		Use: "drain MACHINE...", Short: "Release machines once no tasks run on them", Args: cobra.MinimumNArgs(1),
+		Long: "Adds machines to the setting drain: they start no new tasks and are released once they are\n" +
+			"empty. --undo removes them from the setting: they accept tasks again, unless they are\n" +
+			"empty and being released already. Prints the resulting list.",
 		Example: "  grebedock drain --addr 10.0.0.1:8081 i-000231",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var s scheduler.Settings
@@ -264,6 +264,6 @@
 			return err
 		},
 	})
-	cmd.Flags().BoolVar(&undo, "undo", false, "take them off the list")
+	cmd.Flags().BoolVar(&undo, "undo", false, "remove the machines from the list")
 	return cmd
 }
--- a/cmd/grebedock/rollout.go
+++ b/cmd/grebedock/rollout.go
@@ -21,18 +21,19 @@
 func rolloutCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "rollout", Short: "Drain or replace machines in steps, within a budget for each team",
-		Long: "A plan empties machines step by step, and replaces them if it says so, without any team losing\n" +
-			"more tasks at once than its budget (the setting disruption). It goes on whichever member ends.",
+		Long: "A plan drains machines in steps, and replaces them if its mode is replace. No team has more\n" +
+			"tasks down at once than its budget (the setting disruption). The plan continues whichever\n" +
+			"member stops.",
 		Example: "  grebedock rollout apply --addr 10.0.0.1:8081 plan.toml\n" +
 			"  grebedock rollout status --addr 10.0.0.1:8081\n" +
 			"  grebedock rollout pause --addr 10.0.0.1:8081",
 	}
 	cmd.AddCommand(applyRolloutCommand())
 	for _, c := range []struct{ name, short, method, path string }{
-		{"status", "Show how the plan stands", "GET", "/v1/rollout"},
-		{"pause", "Empty, stop and rent nothing more until it is resumed", "POST", "/v1/rollout/pause"},
-		{"resume", "Go on with a plan that was paused, by a gate or an operator", "POST", "/v1/rollout/resume"},
-		{"abort", "End the plan: its machines take work again", "POST", "/v1/rollout/abort"},
+		{"status", "Show the state of the plan", "GET", "/v1/rollout"},
+		{"pause", "Drain, stop and provision nothing more until the plan is resumed", "POST", "/v1/rollout/pause"},
+		{"resume", "Resume a plan that a gate or an operator paused", "POST", "/v1/rollout/resume"},
+		{"abort", "Abort the plan: its machines accept tasks again", "POST", "/v1/rollout/abort"},
 	} {
 		var o operatorOptions
 		cmd.AddCommand(o.addFlags(&cobra.Command{Use: c.name, Short: c.short, Args: cobra.NoArgs,
@@ -75,7 +76,8 @@
 	var o operatorOptions
 	var preview bool
 	cmd := o.addFlags(&cobra.Command{
-		Use: "apply FILE.toml", Short: "Begin a plan; another one must be over", Args: cobra.ExactArgs(1),
+		Use: "apply FILE.toml", Short: "Start a plan; the previous one must be done or aborted",
+		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p, err := readPlan(args[0])
 			if err != nil {
@@ -102,7 +104,7 @@
 			return printPreview(cmd.OutOrStdout(), p, &result)
 		},
 	})
-	cmd.Flags().BoolVar(&preview, "preview", false, "say what the plan would do, and do nothing")
+	cmd.Flags().BoolVar(&preview, "preview", false, "print what the plan would do without applying it")
 	return cmd
 }
 
@@ -126,7 +128,7 @@
 	for _, t := range slices.Sorted(maps.Keys(preview.Tasks)) {
 		fmt.Fprintf(
 			w,
-			"team %s\t%d tasks run on them at this member, %d may be down at once\n",
+			"team %s\t%d tasks run on this member's machines of the plan, %d may be down at once\n",
 			t,
 			preview.Tasks[t],
 			preview.MaxDisrupted[t],
@@ -143,7 +145,7 @@
 	}
 	fmt.Fprintf(
 		w,
-		"machines\t%d, %d gone, %d being emptied\n",
+		"machines\t%d, %d gone, %d being drained\n",
 		st.TotalMachines,
 		st.TotalMachines-st.Remaining,
 		st.Emptying,
--- a/cmd/grebedock/schedule.go
+++ b/cmd/grebedock/schedule.go
@@ -21,15 +21,15 @@
 )
 
 func scheduleCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "schedule", Short: "Jobs that recur by a calendar: check, preview, apply, follow"}
+	cmd := &cobra.Command{Use: "schedule", Short: "Check, preview, apply and query schedules of recurring jobs"}
 	cmd.AddCommand(checkSchedulesCommand(), previewSchedulesCommand(), applySchedulesCommand())
 	for _, c := range []struct{ use, short, method, path string }{
 		{"list", "List schedules", "GET", ""},
-		{"show NAME", "Show a schedule and what it decided last", "GET", "/%s"},
-		{"history NAME", "Show what a schedule decided, and why, oldest first", "GET", "/%s/history"},
-		{"pause NAME", "Let nothing of a schedule run until it is resumed", "POST", "/%s/pause"},
-		{"resume NAME", "Go on with a schedule; what was due meanwhile is not made up for", "POST", "/%s/resume"},
-		{"remove NAME", "Remove a schedule; runs that it decided go on", "DELETE", "/%s"},
+		{"show NAME", "Show a schedule and its latest decisions", "GET", "/%s"},
+		{"history NAME", "Show the decisions of a schedule with their reasons, oldest first", "GET", "/%s/history"},
+		{"pause NAME", "Pause a schedule: it starts no runs until it is resumed", "POST", "/%s/pause"},
+		{"resume NAME", "Resume a schedule; runs that were due during the pause are skipped", "POST", "/%s/resume"},
+		{"remove NAME", "Remove a schedule; runs that it already decided continue", "DELETE", "/%s"},
 	} {
 		cmd.AddCommand(scheduleRequestCommand(c.use, c.short, c.method, "/v1/schedules"+c.path))
 	}
@@ -37,14 +37,14 @@
 }
 
 func calendarCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "calendar", Short: "Calendars of recurring schedules"}
+	cmd := &cobra.Command{Use: "calendar", Short: "Show and apply calendars of recurring schedules"}
 	cmd.AddCommand(
 		scheduleRequestCommand(
 			"show NAME", "Show a calendar, and the schedules that use it", "GET", "/v1/calendars/%s",
 		),
-		applyCommand("calendar", "calendars", "Change the calendars of a file for all schedules that use them",
-			"Each schedule that uses a changed calendar gets a new version that counts from now, or from\n"+
-				"--effective on.",
+		applyCommand("calendar", "calendars", "Apply the calendars in a file to all schedules that use them",
+			"Each schedule that uses a changed calendar gets a new version, effective from now or from\n"+
+				"the time of --effective.",
 			func(f *schedules.File) (names []string) {
 				for _, c := range f.Calendars {
 					names = append(names, c.Name)
@@ -68,7 +68,7 @@
 	return f, nil
 }
 
-// packSchedules encodes a file with the workflows that it names packed into it.
+// packSchedules encodes a file with each workflow file that it names replaced by the packed document.
 func packSchedules(f *schedules.File, dir string) ([]byte, error) {
 	for _, s := range f.Schedules {
 		if s.Workflow == nil || s.Workflow.File == "" {
@@ -106,7 +106,7 @@
 func scheduleRequestCommand(use, short, method, path string) *cobra.Command {
 	var addr string
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(strings.Count(use, " "))}
-	cmd.Flags().StringVar(&addr, "addr", "", "a controller's mesh address, host:port")
+	cmd.Flags().StringVar(&addr, "addr", "", adminAddrUsage)
 	if err := cmd.MarkFlagRequired("addr"); err != nil {
 		panic(err)
 	}
@@ -136,9 +136,10 @@
 }
 
 func applySchedulesCommand() *cobra.Command {
-	return applyCommand("schedule", "schedules", "Create or change the schedules of a file, with its calendars",
-		"Creates or changes the schedules of a file. A changed one is a new version that counts from\n"+
-			"now, or from --effective on; what was decided stays, what is due before goes by the old one.",
+	return applyCommand("schedule", "schedules", "Create or change the schedules in a file, with its calendars",
+		"Creates or changes the schedules in a file. A changed schedule gets a new version, effective\n"+
+			"from now or from the time of --effective. Earlier decisions stay; the old version applies to\n"+
+			"runs that are due before that time.",
 		func(f *schedules.File) (names []string) {
 			for _, s := range f.Schedules {
 				names = append(names, s.Name)
@@ -152,8 +153,8 @@
 	var addr, effective string
 	cmd := &cobra.Command{Use: "apply FILE", Short: short, Long: long, Args: cobra.ExactArgs(1),
 		Example: "  grebedock " + resource + " apply --addr 10.0.0.1:8081 provinces.toml"}
-	cmd.Flags().StringVar(&addr, "addr", "", "a controller's mesh address, host:port")
-	cmd.Flags().StringVar(&effective, "effective", "", "from when on the file counts, RFC 3339; default: now")
+	cmd.Flags().StringVar(&addr, "addr", "", adminAddrUsage)
+	cmd.Flags().StringVar(&effective, "effective", "", "time from which the file applies, RFC 3339; default: now")
 	if err := cmd.MarkFlagRequired("addr"); err != nil {
 		panic(err)
 	}
@@ -192,7 +193,7 @@
 func checkSchedulesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Check a file of calendars and schedules and say what is wrong",
+		Short:   "Validate a file of calendars and schedules, and report errors",
 		Example: "  grebedock schedule check docs/examples/schedules/provinces.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -201,7 +202,7 @@
 				return err
 			}
 			fmt.Fprintf(
-				cmd.OutOrStdout(), "%s: %d calendars, %d schedules: good\n", args[0], len(f.Calendars),
+				cmd.OutOrStdout(), "%s: %d calendars, %d schedules: valid\n", args[0], len(f.Calendars),
 				len(f.Schedules),
 			)
 			return nil
@@ -232,10 +233,10 @@
 	}
 	fl := cmd.Flags()
 	fl.StringVar(&p.from, "from", recurrence.DateOf(time.Now()).String(), "first day, YYYY-MM-DD")
-	fl.StringVar(&p.to, "to", "", "day after the last; default: a year later")
-	fl.StringVar(&p.name, "name", "", "one schedule alone")
-	fl.BoolVar(&p.onlyMoved, "moved", false, "only what moved or fell out")
-	fl.BoolVar(&p.json, "json", false, "one JSON object a line")
+	fl.StringVar(&p.to, "to", "", "day after the last, YYYY-MM-DD; default: 365 days after --from")
+	fl.StringVar(&p.name, "name", "", "show only the schedule with this name")
+	fl.BoolVar(&p.onlyMoved, "moved", false, "show only due times that are moved or dropped")
+	fl.BoolVar(&p.json, "json", false, "print one JSON object per line")
 	return cmd
 }
 
@@ -305,7 +306,7 @@
 	}
 	when := row.At
 	if m.Dropped {
-		when = row.Date + " falls out"
+		when = row.Date + " dropped"
 	}
 	fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", schedule, when, m.Date.Weekday().String()[:3], m.Reason)
 	return nil
--- a/cmd/grebedock/user.go
+++ b/cmd/grebedock/user.go
@@ -17,10 +17,13 @@
 	"github.com/grebedock/grebedock/client"
 )
 
-// jobPollInterval is how often a job is asked for, as users are expected to.
+// jobPollInterval is the interval between queries of a job, as the user API expects of its clients.
 const jobPollInterval = 5 * time.Second
 
-// userOptions is what the commands of users share.
+// userAddrUsage is the usage text of the flag --addr of users' commands.
+const userAddrUsage = "addresses of the members' user API (front in their settings files), host:port; tried in turn"
+
+// userOptions are the flags shared by the users' commands.
 type userOptions struct {
 	addrs []string
 	json  bool
@@ -31,13 +34,14 @@
 		&u.addrs,
 		"addr",
 		[]string{fmt.Sprintf("127.0.0.1:%d", defaultUserPort)},
-		"members' front addresses, host:port; several are tried in turn",
+		userAddrUsage,
 	)
 	cmd.Flags().BoolVar(&u.json, "json", false, "print JSON")
 	return cmd
 }
 
-// newClient is a client of the members, and a context that ends with an interrupt.
+// newClient returns a client of the members, and a context that an interrupt (SIGINT or SIGTERM)
+// cancels.
 func (u *userOptions) newClient(cmd *cobra.Command) (*client.Client, context.Context, context.CancelFunc, error) {
 	c, err := client.New(u.addrs...)
 	if err != nil {
@@ -47,11 +51,11 @@
 	return c, ctx, stop, nil
 }
 
-// withExitCode turns what a client says into an exit code: 1 no answer, 2 refused or
-// unknown.
+// withExitCode gives a client's error its exit code: 1 for no final response, 2 for a rejected request
+// or an unknown job.
 func withExitCode(err error) error {
-	var refused *client.RejectedError
-	if errors.Is(err, client.ErrNotFound) || errors.As(err, &refused) {
+	var rejected *client.RejectedError
+	if errors.Is(err, client.ErrNotFound) || errors.As(err, &rejected) {
 		return &codedError{err, exitInvalid}
 	}
 	return err
@@ -70,7 +74,7 @@
 	return err
 }
 
-// cancelledError gives a job's end its exit code.
+// cancelledError returns an error with an exit code if a job was cancelled, and nil otherwise.
 func cancelledError(s client.Status) error {
 	if s.State == client.Cancelled {
 		return &codedError{fmt.Errorf("%s was cancelled", s.ID), exitCancelled}
@@ -78,7 +82,8 @@
 	return nil
 }
 
-// waitForJob waits for a job, with a line that is written over on a terminal.
+// waitForJob waits until a job's state is final, and prints its progress to standard error: on a
+// terminal as one line that is overwritten, elsewhere as one line for each change.
 func (u *userOptions) waitForJob(
 	ctx context.Context,
 	cmd *cobra.Command,
@@ -117,9 +122,11 @@
 	cmd := options.addFlags(&cobra.Command{
 		Use:   "submit",
 		Short: "Submit a job",
-		Long: "Submit a job and print its id. Retries are made as the members ask for them, for up\n" +
-			"to a minute; the same --id may be submitted again.\n" +
-			"Exit codes: 0 accepted (with --wait: done), 1 no answer, 2 refused, 4 cancelled.",
+		Long: "Submit a job and print its ID. A request without a final response is retried after the\n" +
+			"delay that the members request (Retry-After), for up to a minute; the same --id may be\n" +
+			"submitted again.\n" +
+			"Exit codes: 0 accepted (with --wait: done), 1 no final response, 2 rejected, 4 cancelled\n" +
+			"(with --wait).",
 		Example: "  grebedock submit --team ops --tasks 8 --cpus 2 --estimate 30 --wait",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -129,7 +136,7 @@
 			}
 			defer stop()
 			if j.ID == "" {
-				j.ID = client.NewID() // told even if nobody answers
+				j.ID = client.NewID() // here, so that an error names the ID even without a response
 			}
 			s, err := c.Submit(ctx, j)
 			if err != nil {
@@ -150,7 +157,7 @@
 		},
 	})
 	addJobFlags(cmd, &j)
-	cmd.Flags().BoolVar(&wait, "wait", false, "wait until it is over")
+	cmd.Flags().BoolVar(&wait, "wait", false, "wait until the job is done or cancelled")
 	_ = cmd.MarkFlagRequired("team")
 	return cmd
 }
@@ -158,14 +165,14 @@
 // addJobFlags adds the flags that describe a job.
 func addJobFlags(cmd *cobra.Command, j *client.Job) {
 	f := cmd.Flags()
-	f.StringVar(&j.ID, "id", "", "id, \"job-\" and digits; default: a new one")
+	f.StringVar(&j.ID, "id", "", "ID of the job: \"job-\" and digits; default: a new one")
 	f.StringVar(&j.Team, "team", "", "team whose guarantee and limit apply")
-	f.StringVar(&j.Class, "class", "", "class of jobs that it belongs to")
+	f.StringVar(&j.Class, "class", "", "class of the job")
 	f.StringVar(&j.Kind, "kind", client.Array, "array, service or gang")
 	f.StringVar(&j.Priority, "priority", "standard", "low, standard, high or production")
-	f.IntVar(&j.Tasks, "tasks", 1, "how many tasks")
-	f.Float64Var(&j.CPUs, "cpus", 1, "processors of a task")
-	f.Float64Var(&j.GPUs, "gpus", 0, "accelerators of a task")
+	f.IntVar(&j.Tasks, "tasks", 1, "number of tasks")
+	f.Float64Var(&j.CPUs, "cpus", 1, "CPUs of a task")
+	f.Float64Var(&j.GPUs, "gpus", 0, "GPUs of a task")
 	f.Float64Var(&j.MemoryGB, "memory", 1, "memory of a task, GB")
 	f.StringVar(&j.Image, "image", "", "image that a task needs")
 	f.Float64Var(&j.ImageGB, "image-size", 0, "size of the image, GB")
@@ -173,20 +180,20 @@
 	f.StringVar(&j.Zone, "zone", "", "the only allowed zone; default: any")
 	f.BoolVar(&j.OneZone, "one-zone", false, "all tasks in the same zone")
 	f.BoolVar(&j.Spread, "spread", false, "at most half of the tasks in one zone")
-	f.BoolVar(&j.Spot, "spot", false, "may use machines that the cloud takes back")
-	f.Float64Var(&j.EstimateS, "estimate", 0, "estimate of a task's run time, s")
-	f.Float64Var(&j.CheckpointS, "checkpoint", 0, "between two checkpoints of a task, s; 0: it saves nothing")
-	f.Float64Var(&j.CheckpointDurationS, "save", 0, "that a stopped task needs to save, s")
-	f.Float64Var(&j.DeadlineS, "deadline", 0, "when the job is to be complete, s from now; 0: no deadline")
+	f.BoolVar(&j.Spot, "spot", false, "allow spot machines, which the cloud may reclaim")
+	f.Float64Var(&j.EstimateS, "estimate", 0, "estimated run time of a task, s")
+	f.Float64Var(&j.CheckpointS, "checkpoint", 0, "interval between two checkpoints of a task, s; 0: tasks save none")
+	f.Float64Var(&j.CheckpointDurationS, "save", 0, "time that a stopped task needs to save a checkpoint, s")
+	f.Float64Var(&j.DeadlineS, "deadline", 0, "time until the job's deadline, s from now; 0: no deadline")
 }
 
 func jobCommand() *cobra.Command {
 	var options userOptions
 	var wait bool
 	cmd := options.addFlags(&cobra.Command{
-		Use: "job ID", Short: "Ask how far a job is", Args: cobra.ExactArgs(1),
-		Long: "Ask how far a job is. Exit codes: 0 told (with --wait: done), 1 no answer, 2 no such job,\n" +
-			"4 cancelled (with --wait).",
+		Use: "job ID", Short: "Show the status of a job", Args: cobra.ExactArgs(1),
+		Long: "Show the status of a job. Exit codes: 0 status printed (with --wait: done), 1 no final response,\n" +
+			"2 no such job or rejected, 4 cancelled (with --wait).",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, ctx, stop, err := options.newClient(cmd)
 			if err != nil {
@@ -211,7 +218,7 @@
 			return nil
 		},
 	})
-	cmd.Flags().BoolVar(&wait, "wait", false, "wait until it is over")
+	cmd.Flags().BoolVar(&wait, "wait", false, "wait until the job is done or cancelled")
 	return cmd
 }
 
@@ -219,8 +226,8 @@
 	var options userOptions
 	return options.addFlags(&cobra.Command{
 		Use: "cancel ID...", Short: "Cancel jobs", Args: cobra.MinimumNArgs(1),
-		Long: "Cancel jobs. One that is done stays done. Exit codes: 0 all are over, 1 no answer for one,\n" +
-			"2 no such job.",
+		Long: "Cancel jobs. A job that is done stays done. Exit codes: 0 all jobs are cancelled or done,\n" +
+			"1 no final response for a job, 2 no such job or rejected.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, ctx, stop, err := options.newClient(cmd)
 			if err != nil {
