--- a/cmd/grebedock/golden_test.go
+++ b/cmd/grebedock/golden_test.go
@@ -25,8 +25,8 @@
 }
 
 // commandTree appends a command with its flags, and all its subcommands. Defaults that depend on the
-// machine are replaced by a description. So is the default that is the current date, if it is one of
-// dates, the dates on which the command may have been created.
+// machine are replaced by a description. So is the default of schedule preview --from if it is one of
+// dates, the dates on which the command may have been created; any other value is compared as it is.
 func commandTree(out []byte, cmd *cobra.Command, dates []string) []byte {
 	out = fmt.Appendf(out, "%s; use %q, aliases %q\n", cmd.CommandPath(), cmd.Use, cmd.Aliases)
 	for _, f := range visited(cmd.LocalNonPersistentFlags().VisitAll) {
